--- a/coordination/tests/compatibility.rs
+++ b/coordination/tests/compatibility.rs
@@ -1,6 +1,16 @@
-//! Records that were written before records named their ancestors.
+//! Messages and stored state have the bytes that earlier builds wrote.
 
-use alderhollow_coordination::replica::interface::{EpochRecord, Member};
+use alderhollow_coordination::replica::inspection::read_member;
+use alderhollow_coordination::replica::interface::{
+    Ancestor, EpochRecord, Input, Member, Output, Recovered, StateMachine,
+};
+use alderhollow_coordination::replica::message::{
+    Envelope, HandOver, Heartbeat, HeartbeatAnswer, Install, Installed, Message, PreVote, PreVoteAnswer,
+    Prepare, Promise, Refusal, StateCopy, Write, Written,
+};
+use alderhollow_coordination::replica::settings::{Settings, Timings};
+use alderhollow_coordination::replica::Replica;
+use alderhollow_recorded_bytes::RecordedBytes;
 use minicbor::Encode;
 
 /// The layout of a record at that time.
@@ -36,3 +46,166 @@
         EpochRecord { number: 7, primary: 2, replicas: vec![1, 2], follows: 6, ..EpochRecord::default() };
     assert_eq!(record, expected);
 }
+
+fn member(id: u64) -> Member {
+    Member { id, node: format!("machine-{id}"), zone: "east".into(), contact: vec![1, 2, id as u8] }
+}
+
+fn record() -> EpochRecord {
+    EpochRecord {
+        number: 7,
+        primary: 2,
+        replicas: vec![1, 2],
+        witnesses: vec![member(1), member(2), member(3)],
+        former_witnesses: vec![member(4)],
+        follows: 6,
+        lineage: vec![Ancestor { number: 6, replicas: vec![1, 4], follows: 5 }],
+    }
+}
+
+fn state_copy() -> StateCopy {
+    StateCopy { version: 41, snapshot: vec![0xaa, 0xbb].into(), pending: Some(vec![0xcc].into()) }
+}
+
+fn messages() -> Vec<(&'static str, Message)> {
+    let heartbeat_answer = HeartbeatAnswer {
+        epoch: 7,
+        sent_at: 1234,
+        granted: true,
+        promised: 8,
+        promised_to: 3,
+        record_number: Some(7),
+        leaving: true,
+    };
+    let promise = Promise {
+        number: 8,
+        record: Some(record()),
+        state_record: Some(record()),
+        version: 42,
+        state: Some(state_copy()),
+    };
+    let install = Install { record: record(), state_epoch: 6, version: 42, state: Some(state_copy()) };
+    let pre_vote_answer =
+        PreVoteAnswer { attempt: 9, would_promise: true, wait_ms: 300, promised: 8, record: Some(record()) };
+    vec![
+        ("pre_vote", Message::PreVote(PreVote { attempt: 9 })),
+        ("pre_vote_answer", Message::PreVoteAnswer(pre_vote_answer)),
+        (
+            "prepare",
+            Message::Prepare(Prepare { number: 8, handed_over: Some(7), state_epoch: Some(6), version: 41 }),
+        ),
+        ("promise", Message::Promise(Box::new(promise))),
+        ("refusal", Message::Refusal(Refusal { number: 8, promised: 9, record: Some(record()) })),
+        ("install", Message::Install(Box::new(install))),
+        ("installed", Message::Installed(Installed { number: 8 })),
+        ("write", Message::Write(Write { epoch: 8, version: 43, command: vec![1, 2, 3] })),
+        ("written", Message::Written(Written { epoch: 8, version: 43 })),
+        ("heartbeat", Message::Heartbeat(Heartbeat { epoch: 8, sent_at: 1234, committed: 42 })),
+        ("heartbeat_answer", Message::HeartbeatAnswer(heartbeat_answer)),
+        ("hand_over", Message::HandOver(HandOver { epoch: 8 })),
+        ("leaving", Message::Leaving),
+    ]
+}
+
+#[test]
+fn messages_encode_and_decode_as_recorded() {
+    let mut recorded =
+        RecordedBytes::open(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/messages.txt"));
+    for (name, message) in messages() {
+        let envelope = Envelope { from: member(1), to: 2, message };
+        recorded.check(
+            name,
+            &envelope,
+            |envelope| minicbor::to_vec(envelope).expect("encodes"),
+            |bytes| minicbor::decode(bytes).ok(),
+        );
+    }
+    recorded.finish();
+}
+
+/// A state that is the list of all commands.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+struct CommandList(Vec<u8>);
+
+impl StateMachine for CommandList {
+    fn apply(&mut self, command: &[u8]) {
+        self.0.extend_from_slice(command);
+    }
+    fn snapshot(&self) -> Vec<u8> {
+        self.0.clone()
+    }
+    fn restore(&mut self, snapshot: &[u8]) {
+        self.0 = snapshot.to_vec();
+    }
+}
+
+/// What a member writes to its disk as it is founded, takes part in the epochs of another one and appends two commands.
+fn written_by_a_replica() -> Vec<Vec<u8>> {
+    let settings = Settings {
+        node: "machine-3".into(),
+        zone: "east".into(),
+        contact: vec![1, 2, 3],
+        first_start: true,
+        tolerate_machines: 1,
+        timings: Timings::default(),
+        seed: 7,
+    };
+    let start = 100_000;
+    let mut replica =
+        Replica::open(settings, Recovered::default(), CommandList::default(), start).expect("an empty disk");
+    let this = replica.member().clone();
+    let first_record = EpochRecord {
+        number: 1,
+        primary: 1,
+        replicas: vec![1, this.id],
+        witnesses: vec![member(1), member(2), this.clone()],
+        ..EpochRecord::default()
+    };
+    let prepare = Prepare { number: 1, handed_over: None, state_epoch: Some(0), version: 0 };
+    let install = Install { record: first_record, state_epoch: 0, version: 0, state: None };
+    let from_primary = |message| Input::Message { from: member(1), message };
+    let write = |version, command| from_primary(Message::Write(Write { epoch: 1, version, command }));
+    let inputs = [
+        Input::Tick,
+        Input::Found { witnesses: vec![member(1), member(2), this] },
+        from_primary(Message::Prepare(prepare)),
+        from_primary(Message::Install(Box::new(install))),
+        write(1, vec![0x11, 0x12]),
+        write(2, vec![0x21]),
+    ];
+    let mut written = Vec::new();
+    for (position, input) in inputs.into_iter().enumerate() {
+        let now = start + 5_000 * position as u64;
+        let mut outputs = Vec::new();
+        replica.handle(now, input, &mut outputs);
+        while !outputs.is_empty() {
+            let mut following = Vec::new();
+            for output in outputs {
+                if let Output::Persist { token, writes, .. } = output {
+                    written.extend(writes);
+                    replica.handle(now, Input::Persisted(token), &mut following);
+                }
+            }
+            outputs = following;
+        }
+    }
+    written
+}
+
+#[test]
+fn the_records_of_a_member_are_written_and_recovered_as_recorded() {
+    let mut recorded =
+        RecordedBytes::open(concat!(env!("CARGO_MANIFEST_DIR"), "/tests/fixtures/member_disk.txt"));
+    let written = written_by_a_replica();
+    for (position, record) in written.iter().enumerate() {
+        recorded.check(&format!("record-{position}"), record, Vec::clone, |bytes| Some(bytes.to_vec()));
+    }
+    recorded.finish();
+
+    let recovered = Recovered { snapshot: None, records: written };
+    let image = read_member(&recovered, CommandList::default()).expect("the records are readable");
+    assert!(image.founder);
+    assert_eq!((image.promised, image.version, image.has_pending_command), (1, 1, true));
+    assert_eq!(image.state, CommandList(vec![0x11, 0x12]));
+    assert_eq!(image.record.map(|record| record.number), Some(1));
+}
--- a/src/bin/brassport/life/handover/tests.rs
+++ b/src/bin/brassport/life/handover/tests.rs
@@ -62,3 +62,10 @@
     second.wait(std::future::pending::<()>()).await;
     assert_eq!(began.elapsed(), SERVES_WITHIN, "nobody serves them");
 }
+
+#[test]
+fn an_introduction_has_the_recorded_form() {
+    let recorded = r#"{"epoch":1.5,"targets":[{"uid":"s-1","endpoint":"10.0.0.1:80","az":"east","pod_group":2,"state":"draining","capacity_hint":0.5,"boot_ms":12.0}],"standby":true,"numbers":{"classes":["gold"],"plans":["small"]}}"#;
+    let introduction: Introduction = serde_json::from_str(recorded).expect("an earlier build's introduction");
+    assert_eq!(serde_json::to_string(&introduction).expect("it can be written"), recorded);
+}
--- a/src/bin/brassport/operators/bans/tests.rs
+++ b/src/bin/brassport/operators/bans/tests.rs
@@ -50,3 +50,21 @@
     assert_eq!(watched.elapsed(), Duration::ZERO, "told again");
     fs::remove_dir_all(&folder).expect("removed");
 }
+
+#[test]
+fn the_folder_and_the_files_of_bans_have_the_recorded_names() {
+    let listen: SocketAddr = "127.0.0.1:8080".parse().expect("an address");
+    let shared = shared_folder(listen);
+    assert_eq!(shared, env::temp_dir().join("brassport-127.0.0.1-8080"));
+    let folder = env::temp_dir().join(format!("ban-names-{}", std::process::id()));
+    fs::create_dir_all(folder.join("bans")).expect("a folder");
+    // As an earlier build left them: `s-1` is out, `s-2` was given back.
+    fs::write(folder.join("bans/out-732d31"), b"").expect("writable");
+    fs::write(folder.join("bans/back-732d32"), b"").expect("writable");
+    let read = Bans::new(&folder).read().expect("readable");
+    assert_eq!(read.out.into_iter().collect::<Vec<_>>(), ["s-1"]);
+    assert_eq!(read.back.into_keys().collect::<Vec<_>>(), ["s-2"]);
+    Bans::new(&folder).take_out("s-3").expect("writable");
+    assert!(folder.join("bans/out-732d33").exists());
+    fs::remove_dir_all(&folder).expect("removed");
+}
