--- a/src/bin/brassport/errors/tests.rs
+++ b/quota-gateway/src/bin/brassport/errors/tests.rs
@@ -151,7 +151,7 @@
 
 /// The table of the page for staff: what an error says, with `...` for what differs from time to time.
 fn rows() -> Vec<Vec<String>> {
-    let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("docs/operators.md");
+    let page = Path::new(env!("CARGO_MANIFEST_DIR")).join("../docs/operators.md");
     let page = fs::read_to_string(page).expect("the page for staff");
     let (_, table) = page
         .split_once("| error | what it means | what to do |\n")
