--- a/alderhollow/src/batch_api/admission.rs
+++ b/alderhollow/src/batch_api/admission.rs
@@ -1,11 +1,11 @@
 //! The coin before the hand-over: refuses a batch job that a fresh reading of the tenant's waiting tokens shows not to
-//! fit (`springusher::batch_admission`). The primary's count decides about all others.
+//! fit (`quota_gateway::batch_admission`). The primary's count decides about all others.
 
 use crate::batch_protocol::TenantReading;
 use crate::clock::SteadyClock;
 use alderhollow_model::config::Route;
 use oorandom::Rand64;
-use springusher::batch_admission::{BatchAdmission, BatchDecision, MeterReading};
+use quota_gateway::batch_admission::{BatchAdmission, BatchDecision, MeterReading};
 use std::cell::RefCell;
 
 /// The coin of one door.
--- a/alderhollow/src/exchange/outbound.rs
+++ b/alderhollow/src/exchange/outbound.rs
@@ -1,10 +1,10 @@
 //! A request as it goes to a backend.
 
+use alderhollow_dataplane::flow::Upload;
+use alderhollow_dataplane::headers::pass_on;
 use hyper::body::Bytes;
 use hyper::header::{HeaderMap, HeaderName, HeaderValue};
 use hyper::{Method, Request, Uri};
-use springusher_dataplane::flow::Upload;
-use springusher_dataplane::headers::pass_on;
 use thiserror::Error;
 use tokio::time::Instant;
 
--- a/alderhollow/src/exchange/pool.rs
+++ b/alderhollow/src/exchange/pool.rs
@@ -2,11 +2,11 @@
 //! connection of the last.
 
 use crate::balance::Outcome;
+use alderhollow_dataplane::headers::keep_alive;
+use alderhollow_dataplane::link::Link;
 use alderhollow_model::backend::Backend;
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
-use springusher_dataplane::headers::keep_alive;
-use springusher_dataplane::link::Link;
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeMap;
 use std::rc::Rc;
--- a/alderhollow/src/front/body.rs
+++ b/alderhollow/src/front/body.rs
@@ -2,9 +2,9 @@
 //! connection asks for more, and ends with the connection: no task of its own stands behind it.
 
 use super::writing::{Writing, Written};
+use alderhollow_dataplane::activity::Busy;
+use alderhollow_dataplane::flow::Cut;
 use hyper::body::{Body, Bytes, Frame, SizeHint};
-use springusher_dataplane::activity::Busy;
-use springusher_dataplane::flow::Cut;
 use std::cell::RefCell;
 use std::future::{poll_fn, Future};
 use std::pin::Pin;
--- a/alderhollow/src/front/stream.rs
+++ b/alderhollow/src/front/stream.rs
@@ -5,8 +5,8 @@
 use crate::balance::Outcome;
 use crate::exchange::answer::Answer;
 use crate::exchange::events::EventCutter;
+use alderhollow_dataplane::flow::Cut;
 use hyper::body::Bytes;
-use springusher_dataplane::flow::Cut;
 use std::rc::Rc;
 
 /// Passes pieces on unchanged. An end that comes early is the answer's end for its client, too.
--- a/fault-lab/src/lib.rs
+++ b/fault-lab/src/lib.rs
@@ -1,7 +1,7 @@
 //! Front doors as real processes among emulated backends, list agents and clients, with faults between them.
 //!
 //! Tests use the parts: [`scripted`] peers that a test answers for itself, [`process`] for front doors, [`net`] for
-//! links with faults, [`run`] for a whole scenario. The program `springusher-lab` runs scenarios from files. All
+//! links with faults, [`run`] for a whole scenario. The program `fault-lab` runs scenarios from files. All
 //! traffic is on loopback.
 #![forbid(unsafe_code)]
 
--- a/fault-lab/src/main.rs
+++ b/fault-lab/src/main.rs
@@ -1,12 +1,12 @@
-//! `springusher-lab`: runs scenarios of front doors, backends and faults, and reports what came of them.
+//! `fault-lab`: runs scenarios of front doors, backends and faults, and reports what came of them.
 #![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
-use springusher_lab::check::{Summary, Verdict};
-use springusher_lab::process::{self, Launcher};
-use springusher_lab::report;
-use springusher_lab::run::{self, REPORT};
-use springusher_lab::scenario::{Scenario, SHIPPED};
+use fault_lab::check::{Summary, Verdict};
+use fault_lab::process::{self, Launcher};
+use fault_lab::report;
+use fault_lab::run::{self, REPORT};
+use fault_lab::scenario::{Scenario, SHIPPED};
 use std::fs;
 use std::io::{self, IsTerminal, Write};
 use std::path::{Path, PathBuf};
@@ -16,7 +16,7 @@
 /// Runs several front doors as real processes on loopback, among emulated backends, list agents and clients, puts
 /// faults between them, and judges what happened by its record.
 #[derive(Parser)]
-#[command(name = "springusher-lab", version)]
+#[command(name = "fault-lab", version)]
 struct Arguments {
     #[command(subcommand)]
     command: Command,
@@ -91,7 +91,7 @@
         }),
     };
     done.unwrap_or_else(|problem| {
-        eprintln!("springusher-lab: {problem}");
+        eprintln!("fault-lab: {problem}");
         ExitCode::from(2)
     })
 }
@@ -100,7 +100,7 @@
 fn beside() -> PathBuf {
     std::env::current_exe()
         .unwrap_or_default()
-        .with_file_name("brassport")
+        .with_file_name("quota-gateway")
 }
 
 fn list() -> Result<ExitCode, String> {
@@ -208,7 +208,7 @@
 fn show(report: &Path) {
     if let Err(error) = std::process::Command::new("xdg-open").arg(report).status() {
         eprintln!(
-            "springusher-lab: no viewer was found ({error}); the report is {}",
+            "fault-lab: no viewer was found ({error}); the report is {}",
             report.display()
         );
     }
--- a/fault-lab/src/process.rs
+++ b/fault-lab/src/process.rs
@@ -32,7 +32,7 @@
             .ancestors()
             .skip(1)
             .take(2)
-            .map(|folder| folder.join("springusher-lab"))
+            .map(|folder| folder.join("fault-lab"))
             .find(|at| at.is_file());
         Launcher {
             program: program.into(),
--- a/fault-lab/tests/kinds.rs
+++ b/fault-lab/tests/kinds.rs
@@ -1,14 +1,14 @@
 //! An emulated backend that holds state in its connections, over real sockets and without a front door.
 
+use fault_lab::backend::{Backend, Site};
+use fault_lab::ground::Ground;
+use fault_lab::http::{open, Body};
+use fault_lab::kinds::State;
+use fault_lab::model::Meter;
+use fault_lab::record::{Event, Ran, Recorder};
+use fault_lab::scenario::Scenario;
 use hyper::client::conn::http1::SendRequest;
 use hyper::Request;
-use springusher_lab::backend::{Backend, Site};
-use springusher_lab::ground::Ground;
-use springusher_lab::http::{open, Body};
-use springusher_lab::kinds::State;
-use springusher_lab::model::Meter;
-use springusher_lab::record::{Event, Ran, Recorder};
-use springusher_lab::scenario::Scenario;
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
--- a/fault-lab/tests/network.rs
+++ b/fault-lab/tests/network.rs
@@ -1,7 +1,7 @@
 //! The relays between two parties, over real sockets.
 
-use springusher_lab::net::{open_connections, Net};
-use springusher_lab::process::raise_descriptor_limit;
+use fault_lab::net::{open_connections, Net};
+use fault_lab::process::raise_descriptor_limit;
 use std::net::{Ipv4Addr, SocketAddr};
 use std::time::Duration;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
--- a/fault-lab/tests/program.rs
+++ b/fault-lab/tests/program.rs
@@ -1,16 +1,16 @@
 //! The lab's program: what it says to bad input, and that no process outlives it.
 
+use fault_lab::process::{send_signal, wait_for, Launcher};
+use fault_lab::run::carry_out;
+use fault_lab::scenario::Scenario;
 use rustix::process::Signal;
-use springusher_lab::process::{send_signal, wait_for, Launcher};
-use springusher_lab::run::carry_out;
-use springusher_lab::scenario::Scenario;
 use std::fs;
 use std::os::unix::fs::PermissionsExt;
 use std::path::{Path, PathBuf};
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-const LAB: &str = env!("CARGO_BIN_EXE_springusher-lab");
+const LAB: &str = env!("CARGO_BIN_EXE_fault-lab");
 const PATIENCE: Duration = Duration::from_secs(20);
 
 fn folder(name: &str) -> PathBuf {
@@ -86,7 +86,7 @@
 #[test]
 fn a_front_door_that_ends_at_its_start_is_told_by_its_last_words() {
     let folder = folder("words");
-    let door = script(&folder, "echo 'brassport: no such thing' >&2; exit 1");
+    let door = script(&folder, "echo 'quota-gateway: no such thing' >&2; exit 1");
     let output = Command::new(LAB)
         .args(["run", "calm", "--out"])
         .arg(&folder)
@@ -97,7 +97,7 @@
     let said = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(2));
     assert!(
-        said.contains("springusher-lab: d0 ended at its start: brassport: no such thing"),
+        said.contains("fault-lab: d0 ended at its start: quota-gateway: no such thing"),
         "{said}"
     );
 }
@@ -108,8 +108,8 @@
     // The first process finds its port taken; those after it say yes to nobody, so that the run ends by its time.
     let taken = folder.join("taken");
     let lines = format!(
-        "if mkdir {0} 2>/dev/null; then echo 'brassport: cannot listen on it: taken' >&2; exit 1; fi\n\
-         echo 'brassport: ends later' >&2; touch {0}/again; sleep 1; exit 1",
+        "if mkdir {0} 2>/dev/null; then echo 'quota-gateway: cannot listen on it: taken' >&2; exit 1; fi\n\
+         echo 'quota-gateway: ends later' >&2; touch {0}/again; sleep 1; exit 1",
         taken.display()
     );
     let door = script(&folder, &lines);
@@ -146,7 +146,7 @@
     };
     let said = run(&file);
     assert!(
-        said.starts_with(&format!("springusher-lab: {}:3: ", file.display())),
+        said.starts_with(&format!("fault-lab: {}:3: ", file.display())),
         "{said}"
     );
     assert!(
--- a/gateway-cluster/examples/bounds.rs
+++ b/gateway-cluster/examples/bounds.rs
@@ -1,14 +1,14 @@
 //! The view's bounds over seeds, on all processors:
-//! `cargo run --release -p springusher-fleet --example bounds heal [DOORS [SEEDS]]`, how long views take to be right
+//! `cargo run --release -p gateway-cluster --example bounds heal [DOORS [SEEDS]]`, how long views take to be right
 //! again after partitions of several shapes and lengths; `... bounds loss [DOORS [SEEDS [SECONDS [PERCENT]]]]`, how
 //! often a door that lives is held for dead while datagrams are lost; `... bounds kill [DOORS [SEEDS [PERCENT]]]`, how
 //! long a killed door is not dead everywhere; `... bounds storm [DOORS [SEEDS [PERCENT]]]`, what is sent after many die.
 
 mod seeds;
 
-use springusher_fleet::engine::{Micros, State};
-use springusher_fleet::sim::{Sim, Weather};
-use springusher_fleet::view::View;
+use gateway_cluster::engine::{Micros, State};
+use gateway_cluster::sim::{Sim, Weather};
+use gateway_cluster::view::View;
 
 const PROBE: Micros = 500_000;
 const SECOND: Micros = 1_000_000;
--- a/gateway-cluster/examples/engines.rs
+++ b/gateway-cluster/examples/engines.rs
@@ -1,13 +1,13 @@
 //! Measures an engine of the view in the simulation, by the bounds that the view is to reach:
-//! `cargo run --release -p springusher-fleet --example engines [SEEDS [view|foca]]`: the view of this crate, or the
+//! `cargo run --release -p gateway-cluster --example engines [SEEDS [view|foca]]`: the view of this crate, or the
 //! crate `foca` with the settings that come nearest to those bounds.
 
 use foca::{Config, Foca, Identity, Member, PeriodicParams, PostcardCodec, Runtime, Timer};
+use gateway_cluster::engine::{Birth, Engine, Micros, Send, State};
+use gateway_cluster::sim::{Sim, Weather};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
-use springusher_fleet::engine::{Birth, Engine, Micros, Send, State};
-use springusher_fleet::sim::{Sim, Weather};
 use std::collections::BTreeMap;
 use std::num::{NonZeroU8, NonZeroUsize};
 use std::time::Duration;
@@ -219,7 +219,7 @@
         .unwrap_or(3);
     match words.get(2).map(String::as_str) {
         Some("foca") => measure::<Swim>(seeds),
-        _ => measure::<springusher_fleet::view::View>(seeds),
+        _ => measure::<gateway_cluster::view::View>(seeds),
     }
 }
 
@@ -304,7 +304,7 @@
                 .filter(|door| sim.runs(*door))
                 .collect::<Vec<_>>();
             let storm: Vec<_> = storm.into_iter().map(|door| sim.take_sent(door)).collect();
-            let rate = |all: &[springusher_fleet::sim::Sent], seconds: f64| {
+            let rate = |all: &[gateway_cluster::sim::Sent], seconds: f64| {
                 let bytes = all.iter().map(|sent| sent.bytes).max().unwrap_or(0) as f64 / seconds;
                 let messages =
                     all.iter().map(|sent| sent.messages).max().unwrap_or(0) as f64 / seconds;
--- a/gateway-cluster/examples/owner.rs
+++ b/gateway-cluster/examples/owner.rs
@@ -1,12 +1,12 @@
-//! The owner's bounds over seeds: `cargo run --release -p springusher-fleet --example owner [DOORS [SEEDS [PERCENT
+//! The owner's bounds over seeds: `cargo run --release -p gateway-cluster --example owner [DOORS [SEEDS [PERCENT
 //! [THREADS]]]]`, how long nobody owns after the owner is killed, ends as planned, or all are killed at once, and what the
 //! office sends beyond the view, in calm and after seven in ten are killed. Two owners at one instant are counted throughout.
 
 mod seeds;
 
+use gateway_cluster::engine::{Micros, Place};
+use gateway_cluster::sim::{Owned, Sent, Sim, Weather};
 use seeds::over_seeds;
-use springusher_fleet::engine::{Micros, Place};
-use springusher_fleet::sim::{Owned, Sent, Sim, Weather};
 
 const LEASE_MS: u64 = 3000;
 const PROBE: Micros = 500_000;
--- a/gateway-cluster/examples/sessions.rs
+++ b/gateway-cluster/examples/sessions.rs
@@ -1,9 +1,9 @@
 //! Error rates and times of the classification of sessions, over many seeds of drawn traffic whose truth is known.
 //!
-//! `cargo run --release -p springusher-fleet --example sessions -- [SEEDS] [MINUTES] [FIRST]`
+//! `cargo run --release -p gateway-cluster --example sessions -- [SEEDS] [MINUTES] [FIRST]`
 
-use springusher_fleet::sessions::sim::{people, run, Person, Plan, Seen, Trouble, TROUBLES};
-use springusher_fleet::sessions::Pooling;
+use gateway_cluster::sessions::sim::{people, run, Person, Plan, Seen, Trouble, TROUBLES};
+use gateway_cluster::sessions::Pooling;
 
 const KINDS: [Pooling; 3] = [Pooling::Statement, Pooling::Transaction, Pooling::Session];
 
--- a/gateway-cluster/tests/compatibility.rs
+++ b/gateway-cluster/tests/compatibility.rs
@@ -1,18 +1,18 @@
 //! Datagrams between front doors have the bytes that earlier builds sent.
 
 use alderhollow_recorded_bytes::RecordedBytes;
-use springusher_fleet::ownership::grants::Refusal;
-use springusher_fleet::ownership::rosters::{Mismatch, Told as RostersTold};
-use springusher_fleet::ownership::{wire as ownership, Fence, Holder};
-use springusher_fleet::sessions::evidence::{Report, Tally, Window};
-use springusher_fleet::sessions::keep::{Shown, Verdict};
-use springusher_fleet::sessions::{wire as sessions, Pooling};
-use springusher_fleet::shards::decide::{Answer, Ballot, Named};
-use springusher_fleet::shards::keep::Marks as RangeMarks;
-use springusher_fleet::shards::wire::{self as shards, Told};
-use springusher_fleet::shards::Rule;
-use springusher_fleet::shards::{Hash, Map, Range};
-use springusher_fleet::wire::{Claim, Datagram, Kind, Mark, Marks, Update};
+use gateway_cluster::ownership::grants::Refusal;
+use gateway_cluster::ownership::rosters::{Mismatch, Told as RostersTold};
+use gateway_cluster::ownership::{wire as ownership, Fence, Holder};
+use gateway_cluster::sessions::evidence::{Report, Tally, Window};
+use gateway_cluster::sessions::keep::{Shown, Verdict};
+use gateway_cluster::sessions::{wire as sessions, Pooling};
+use gateway_cluster::shards::decide::{Answer, Ballot, Named};
+use gateway_cluster::shards::keep::Marks as RangeMarks;
+use gateway_cluster::shards::wire::{self as shards, Told};
+use gateway_cluster::shards::Rule;
+use gateway_cluster::shards::{Hash, Map, Range};
+use gateway_cluster::wire::{Claim, Datagram, Kind, Mark, Marks, Update};
 
 const INCARNATION: u64 = 1_700_000_000_000 << 16 | 3;
 
--- a/gateway-cluster/tests/keeping.rs
+++ b/gateway-cluster/tests/keeping.rs
@@ -3,14 +3,14 @@
 
 mod steps;
 
-use springusher_fleet::engine::{Engine, Micros, Place};
-use springusher_fleet::names::id_of;
-use springusher_fleet::shards::decide::{Ballot, Named};
-use springusher_fleet::shards::keep::KEEP_LEASES;
-use springusher_fleet::shards::keeping::Standing;
-use springusher_fleet::shards::wire::{pack, Datagram, Kind, State};
-use springusher_fleet::shards::{Hash, Key, Map, Range, KEYS};
-use springusher_fleet::sim::{Owned, Sim, Weather};
+use gateway_cluster::engine::{Engine, Micros, Place};
+use gateway_cluster::names::id_of;
+use gateway_cluster::shards::decide::{Ballot, Named};
+use gateway_cluster::shards::keep::KEEP_LEASES;
+use gateway_cluster::shards::keeping::Standing;
+use gateway_cluster::shards::wire::{pack, Datagram, Kind, State};
+use gateway_cluster::shards::{Hash, Key, Map, Range, KEYS};
+use gateway_cluster::sim::{Owned, Sim, Weather};
 use std::collections::BTreeMap;
 use steps::Watched;
 
--- a/gateway-cluster/tests/keeping_model.rs
+++ b/gateway-cluster/tests/keeping_model.rs
@@ -3,11 +3,11 @@
 //! lost. It runs the very rules that the doors go by (`shards::decide`, `shards::keep`); the office's part is taken for
 //! granted: of a term that another followed no act is of use.
 
-use springusher_fleet::names::{id_of, Id};
-use springusher_fleet::ownership::Fence;
-use springusher_fleet::shards::decide::{learn, Acceptor, Answer, Ballot, Named};
-use springusher_fleet::shards::keep::{waiting, Hand, Ledger, Marks};
-use springusher_fleet::shards::{Hash, Map, Range};
+use gateway_cluster::names::{id_of, Id};
+use gateway_cluster::ownership::Fence;
+use gateway_cluster::shards::decide::{learn, Acceptor, Answer, Ballot, Named};
+use gateway_cluster::shards::keep::{waiting, Hand, Ledger, Marks};
+use gateway_cluster::shards::{Hash, Map, Range};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/gateway-cluster/tests/model.rs
+++ b/gateway-cluster/tests/model.rs
@@ -1,9 +1,9 @@
 //! A model check of the order of claims: one door that is killed and starts anew from nothing, two others that hold
 //! views of it, and messages between them that are lost, doubled and late by any time. The model runs the very
-//! functions that the view goes by (`springusher_fleet::rules`).
+//! functions that the view goes by (`gateway_cluster::rules`).
 
-use springusher_fleet::rules::{life, of_self, raised, take, weigh, Held, Own, Weight};
-use springusher_fleet::wire::{Claim, Incarnation};
+use gateway_cluster::rules::{life, of_self, raised, take, weigh, Held, Own, Weight};
+use gateway_cluster::wire::{Claim, Incarnation};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
--- a/gateway-cluster/tests/ownership.rs
+++ b/gateway-cluster/tests/ownership.rs
@@ -3,10 +3,10 @@
 
 mod steps;
 
-use springusher_fleet::engine::{Birth, Micros, Place};
-use springusher_fleet::names::id_of;
-use springusher_fleet::ownership::office::{Note, Stamp, Standing};
-use springusher_fleet::sim::{Owned, Sim, Weather};
+use gateway_cluster::engine::{Birth, Micros, Place};
+use gateway_cluster::names::id_of;
+use gateway_cluster::ownership::office::{Note, Stamp, Standing};
+use gateway_cluster::sim::{Owned, Sim, Weather};
 use std::collections::BTreeMap;
 use steps::Watched;
 
@@ -616,14 +616,14 @@
         .flatten()
         .is_some()
     {}
-    let bytes = springusher_fleet::ownership::wire::Datagram {
+    let bytes = gateway_cluster::ownership::wire::Datagram {
         from: id_of("n000"),
         life: 1,
         to_life: 0,
         tick: 1,
-        rosters: springusher_fleet::ownership::rosters::Rosters::new(vec![]).told(),
+        rosters: gateway_cluster::ownership::rosters::Rosters::new(vec![]).told(),
         epoch: 0,
-        kind: springusher_fleet::ownership::wire::Kind::Prepare {
+        kind: gateway_cluster::ownership::wire::Kind::Prepare {
             number: 1,
             epoch: 1 << 50,
             lease_ms: 3000,
@@ -631,7 +631,7 @@
     }
     .encode();
     one.sim.act(1, |owned, now, sends| {
-        use springusher_fleet::engine::Engine;
+        use gateway_cluster::engine::Engine;
         owned.receive(now, &bytes, sends);
     });
     let mut notes = Vec::new();
--- a/gateway-cluster/tests/ownership_model.rs
+++ b/gateway-cluster/tests/ownership_model.rs
@@ -15,14 +15,14 @@
 //! most that is assumed. The lease is two of the slow door's ticks, so that what a fast granter waits is two ticks too:
 //! there is no slack in which a fault could hide.
 
-use springusher_fleet::engine::Micros;
-use springusher_fleet::names::Id;
-use springusher_fleet::ownership::grants::{Granter, Question};
-use springusher_fleet::ownership::lease::Lease;
-use springusher_fleet::ownership::office::{Office, Send, Settings};
-use springusher_fleet::ownership::rosters::{Rosters, Told};
-use springusher_fleet::ownership::wire::{self, Datagram};
-use springusher_fleet::ownership::{longer, shorter, Holder};
+use gateway_cluster::engine::Micros;
+use gateway_cluster::names::Id;
+use gateway_cluster::ownership::grants::{Granter, Question};
+use gateway_cluster::ownership::lease::Lease;
+use gateway_cluster::ownership::office::{Office, Send, Settings};
+use gateway_cluster::ownership::rosters::{Rosters, Told};
+use gateway_cluster::ownership::wire::{self, Datagram};
+use gateway_cluster::ownership::{longer, shorter, Holder};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
--- a/gateway-cluster/tests/session_parts.rs
+++ b/gateway-cluster/tests/session_parts.rs
@@ -1,18 +1,18 @@
 //! The sessions on the whole stack, in the simulation: drawn traffic of known kinds is noted at the doors, its keepers
 //! find out, and all doors go by it. Each failure names its seed.
 
+use gateway_cluster::engine::{Micros, Place};
+use gateway_cluster::names::id_of;
+use gateway_cluster::sessions::evidence::{Conn, Failure, Outcome};
+use gateway_cluster::sessions::keep::{Shown, Verdict};
+use gateway_cluster::sessions::part::{Refusals, Standing, BURST, PER_SECOND};
+use gateway_cluster::sessions::wire::{Datagram, Kind, Said};
+use gateway_cluster::sessions::{Customer, Fence, Pooling};
+use gateway_cluster::shards::KEYS;
+use gateway_cluster::sim::{Owned, Sim, Weather};
+use gateway_cluster::wire::MOST_BYTES;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use springusher_fleet::engine::{Micros, Place};
-use springusher_fleet::names::id_of;
-use springusher_fleet::sessions::evidence::{Conn, Failure, Outcome};
-use springusher_fleet::sessions::keep::{Shown, Verdict};
-use springusher_fleet::sessions::part::{Refusals, Standing, BURST, PER_SECOND};
-use springusher_fleet::sessions::wire::{Datagram, Kind, Said};
-use springusher_fleet::sessions::{Customer, Fence, Pooling};
-use springusher_fleet::shards::KEYS;
-use springusher_fleet::sim::{Owned, Sim, Weather};
-use springusher_fleet::wire::MOST_BYTES;
 
 const SECOND: Micros = 1_000_000;
 const STEP: Micros = 50_000;
--- a/gateway-cluster/tests/sessions.rs
+++ b/gateway-cluster/tests/sessions.rs
@@ -1,20 +1,20 @@
 //! Classification of sessions: the counts, the test, the keeper, and all of it in drawn traffic whose truth is known. Each
 //! failure names its seed.
 
-use proptest::prelude::*;
-use rand::{Rng, SeedableRng};
-use rand_pcg::Pcg64Mcg;
-use springusher_fleet::engine::Micros;
-use springusher_fleet::sessions::evidence::{
+use gateway_cluster::engine::Micros;
+use gateway_cluster::sessions::evidence::{
     Conn, Evidence, Failure, Outcome, Report, Tally, Window,
 };
-use springusher_fleet::sessions::judge::{self, Found};
-use springusher_fleet::sessions::keep::{
+use gateway_cluster::sessions::judge::{self, Found};
+use gateway_cluster::sessions::keep::{
     grant, Grant, Held, Input, Keeper, Limits, Output, Refused, Scene,
 };
-use springusher_fleet::sessions::keep::{Usage, Verdict, FADE, FADE_SESSION};
-use springusher_fleet::sessions::sim::{people, run, Person, Plan, Trouble};
-use springusher_fleet::sessions::{Fence, Pooling};
+use gateway_cluster::sessions::keep::{Usage, Verdict, FADE, FADE_SESSION};
+use gateway_cluster::sessions::sim::{people, run, Person, Plan, Trouble};
+use gateway_cluster::sessions::{Fence, Pooling};
+use proptest::prelude::*;
+use rand::{Rng, SeedableRng};
+use rand_pcg::Pcg64Mcg;
 
 const SECOND: Micros = 1_000_000;
 const FAILED: Outcome = Outcome::Failed(Failure::Http500);
--- a/gateway-cluster/tests/shards.rs
+++ b/gateway-cluster/tests/shards.rs
@@ -1,15 +1,15 @@
 //! The shard map: its validator against a count per key, and the plans against all maps there are, in small
 //! spaces; single faults in the whole one.
 
-use proptest::prelude::*;
-use proptest::test_runner::RngSeed;
-use springusher_fleet::shards::plan::{
+use gateway_cluster::shards::plan::{
     joined, rebalance, without, NoPlan, GAIN, PRICE, SLACK_PARTS, START, STOP,
 };
-use springusher_fleet::shards::{
+use gateway_cluster::shards::{
     validate, Door, Finding, FleetState, Hash, Key, Limits, Map, NoHash, Range, Rule, KEYS,
     MOST_OF_A_RULE,
 };
+use proptest::prelude::*;
+use proptest::test_runner::RngSeed;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::atomic::{AtomicUsize, Ordering};
 use std::sync::OnceLock;
--- a/gateway-cluster/tests/steps/mod.rs
+++ b/gateway-cluster/tests/steps/mod.rs
@@ -1,7 +1,7 @@
 //! A simulated fleet that is looked at every few milliseconds, whatever it is waited for.
 
-use springusher_fleet::engine::{Engine, Micros};
-use springusher_fleet::sim::Sim;
+use gateway_cluster::engine::{Engine, Micros};
+use gateway_cluster::sim::Sim;
 
 /// From one look to the next.
 const STEP: Micros = 5_000;
--- a/gateway-cluster/tests/view.rs
+++ b/gateway-cluster/tests/view.rs
@@ -1,10 +1,10 @@
 //! The view in the simulation: bounds that follow from the probe period, at sizes that a debug build can bear. Each
 //! failure names its seed.
 
-use springusher_fleet::engine::{Micros, State};
-use springusher_fleet::names::RosterError;
-use springusher_fleet::sim::{Sim, Weather};
-use springusher_fleet::view::{Settings, Side, View, Why};
+use gateway_cluster::engine::{Micros, State};
+use gateway_cluster::names::RosterError;
+use gateway_cluster::sim::{Sim, Weather};
+use gateway_cluster::view::{Settings, Side, View, Why};
 
 const PROBE: Micros = 500_000;
 const SECOND: Micros = 1_000_000;
--- a/quota-gateway/benches/cost/main.rs
+++ b/quota-gateway/benches/cost/main.rs
@@ -1,8 +1,8 @@
 //! What a request costs: the release program between stand-ins on loopback, a fixed number of requests.
 //!
 //!     cargo bench --bench cost                            # this build
-//!     cargo bench --bench cost -- --vs OTHER/brassport    # and its ratio to another, run by run in turn
-//!     cargo bench --bench cost -- --rounds 9 --only kept --own target/release/brassport
+//!     cargo bench --bench cost -- --vs OTHER/quota-gateway    # and its ratio to another, run by run in turn
+//!     cargo bench --bench cost -- --rounds 9 --only kept --own target/release/quota-gateway
 //!
 //! Times differ from machine to machine and from day to day: the ratios, and the counts, are what tells.
 
@@ -12,7 +12,7 @@
 
 use calls::Calls;
 use door::{Door, Used};
-use springusher::{
+use quota_gateway::{
     Action, AttemptEnd, Class, Effect, Event, Gateway, Lifecycle, ListKind, Outcome, Plan, Request,
     ServerEntry, Settings,
 };
@@ -357,7 +357,7 @@
 }
 
 fn main() {
-    let mut own = PathBuf::from(env!("CARGO_BIN_EXE_brassport"));
+    let mut own = PathBuf::from(env!("CARGO_BIN_EXE_quota-gateway"));
     let mut other: Option<PathBuf> = None;
     let (mut rounds, mut only) = (5, None);
     let mut words = env::args().skip(1);
--- a/quota-gateway/src/bin/brassport/backends/attempts.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/attempts.rs
@@ -3,14 +3,14 @@
 use crate::backends::pool::{Pool, Pooled};
 use crate::backends::sessions::Sent;
 use crate::clients::connections;
+use alderhollow_dataplane::flow::{flow, Flow, Upload};
+use alderhollow_dataplane::link::Failure;
+use gateway_cluster::sessions::evidence;
 use hyper::body::{Body, Bytes, Incoming};
 use hyper::header::{self, HeaderMap, HeaderValue};
 use hyper::http::response::Parts;
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use springusher::{CustomerId, Outcome, ServerId};
-use springusher_dataplane::flow::{flow, Flow, Upload};
-use springusher_dataplane::link::Failure;
-use springusher_fleet::sessions::evidence;
+use quota_gateway::{CustomerId, Outcome, ServerId};
 use std::cell::{Cell, RefCell};
 use std::future::Future;
 use std::rc::Rc;
--- a/quota-gateway/src/bin/brassport/backends/catalog.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/catalog.rs
@@ -6,7 +6,7 @@
 //! the list is taken as the agent has it.
 
 use crate::backends::discovery::{List, State, Target};
-use springusher::{ListKind, Millis};
+use quota_gateway::{ListKind, Millis};
 use std::collections::BTreeMap;
 
 /// An agent lags by so much at the most.
--- a/quota-gateway/src/bin/brassport/backends/discovery.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/discovery.rs
@@ -1,14 +1,14 @@
 //! Discovery: follows the list of backends and hands each change on.
 
 use crate::operators::cost::{Gauge, Held};
+use alderhollow_dataplane::flow::Upload;
+use alderhollow_dataplane::link::Link;
 use hyper::body::{Bytes, Incoming};
 use hyper::header::HOST;
 use hyper::{Request, StatusCode};
 use oorandom::Rand32;
+use quota_gateway::ListKind;
 use serde::{Deserialize, Serialize};
-use springusher::ListKind;
-use springusher_dataplane::flow::Upload;
-use springusher_dataplane::link::Link;
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
--- a/quota-gateway/src/bin/brassport/backends/pool.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/pool.rs
@@ -2,11 +2,11 @@
 
 use crate::backends::sessions::{Hold, Seen, Sessions, Watched, RUN_GAP};
 use crate::operators::cost::{Gauge, Held};
+use alderhollow_dataplane::link::Link;
+use gateway_cluster::sessions::evidence::{Conn, Outcome};
 use hyper::header::HeaderMap;
 use oorandom::Rand32;
-use springusher::{CustomerId, ServerId};
-use springusher_dataplane::link::Link;
-use springusher_fleet::sessions::evidence::{Conn, Outcome};
+use quota_gateway::{CustomerId, ServerId};
 use std::cell::{Cell, OnceCell, RefCell};
 use std::collections::{BTreeMap, BTreeSet};
 use std::future::poll_fn;
@@ -82,7 +82,7 @@
 
     /// Takes in what the backend says of how long it keeps the connection.
     pub fn heed(&mut self, headers: &HeaderMap) {
-        if let Some(told) = springusher_dataplane::headers::keep_alive(headers) {
+        if let Some(told) = alderhollow_dataplane::headers::keep_alive(headers) {
             self.keep = self.keep.min(told.mul_f64(IDLE_PART));
         }
     }
--- a/quota-gateway/src/bin/brassport/backends/sessions.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/sessions.rs
@@ -4,10 +4,10 @@
 //! Beside it is what the pool remembers for that: who used each connection last, where each customer was last, and which
 //! connections are private.
 
+use gateway_cluster::sessions::evidence::{Conn, Outcome};
+use gateway_cluster::sessions::keep::{grant, Grant, Limits, Usage};
 use lru::LruCache;
-use springusher::{CustomerId, ServerId};
-use springusher_fleet::sessions::evidence::{Conn, Outcome};
-use springusher_fleet::sessions::keep::{grant, Grant, Limits, Usage};
+use quota_gateway::{CustomerId, ServerId};
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 use std::num::NonZeroUsize;
--- a/quota-gateway/src/bin/brassport/clients/connections.rs
+++ b/quota-gateway/src/bin/quota-gateway/clients/connections.rs
@@ -5,17 +5,17 @@
 use crate::clients::stats::{Answered, Entry, Fate, Stats};
 use crate::door::{Answer, Door};
 use crate::life::config::Names;
+use alderhollow_dataplane::activity::{ConnectionActivity, Times};
+use alderhollow_dataplane::connection;
+use alderhollow_dataplane::flow::{whole, Outgoing};
+use alderhollow_dataplane::link::BUFFER;
 use http_body_util::BodyExt;
 use hyper::body::{Body as _, Bytes, Incoming};
 use hyper::header::{self, HeaderMap, HeaderName, HeaderValue};
 use hyper::http::request::Parts;
 use hyper::service::service_fn;
 use hyper::{Method, Request, Response, StatusCode, Uri};
-use springusher::{Effect, Settings};
-use springusher_dataplane::activity::{ConnectionActivity, Times};
-use springusher_dataplane::connection;
-use springusher_dataplane::flow::{whole, Outgoing};
-use springusher_dataplane::link::BUFFER;
+use quota_gateway::{Effect, Settings};
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
 use std::io;
@@ -398,12 +398,12 @@
 
 /// What of a message's headers goes on to the other side.
 fn pass_on(headers: HeaderMap) -> HeaderMap {
-    springusher_dataplane::headers::pass_on(headers, &NOT_PASSED_ON)
+    alderhollow_dataplane::headers::pass_on(headers, &NOT_PASSED_ON)
 }
 
 /// A request that makes sense.
 struct Asked {
-    request: springusher::Request,
+    request: quota_gateway::Request,
     patience: Duration,
     uri: hyper::Uri,
 }
@@ -442,7 +442,7 @@
     let quota = field("quota-info").and_then(|text| quota(text, &context.settings));
     let (units, spread, first) = quota.ok_or("Quota-Info makes no sense")?;
     let target = head.uri.path_and_query().ok_or("the request has no path")?;
-    let request = springusher::Request {
+    let request = quota_gateway::Request {
         id: 0,
         customer,
         plan,
--- a/quota-gateway/src/bin/brassport/clients/stats.rs
+++ b/quota-gateway/src/bin/quota-gateway/clients/stats.rs
@@ -1,9 +1,9 @@
 //! What staff read of the front door: how many requests ended how, and how many are in hand.
 
 use crate::operators::cost::Gauge;
+use alderhollow_dataplane::activity::Busy;
 use hyper::body::{Body, Bytes, Frame, SizeHint};
 use serde_json::{json, Map, Value};
-use springusher_dataplane::activity::Busy;
 use std::cell::{Cell, RefCell};
 use std::pin::Pin;
 use std::rc::Rc;
--- a/quota-gateway/src/bin/brassport/door.rs
+++ b/quota-gateway/src/bin/quota-gateway/door.rs
@@ -6,14 +6,14 @@
 use crate::backends::discovery::{List, State, Target};
 use crate::life::alarms::Alarms;
 use crate::operators::bans::{BanError, Bans, Standing, NAME_LIMIT};
+use alderhollow_dataplane::flow::{whole, Flow, Outgoing};
 use http_body_util::Either;
 use hyper::Response;
-use springusher::{
+use quota_gateway::{
     Action, AttemptEnd, CustomerId, Event, Gateway, HandoverState, InvalidSetting, Lifecycle,
     ListKind, Millis,
 };
-use springusher::{Request, RequestId, ServerEntry, ServerId, Settings};
-use springusher_dataplane::flow::{whole, Flow, Outgoing};
+use quota_gateway::{Request, RequestId, ServerEntry, ServerId, Settings};
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
--- a/quota-gateway/src/bin/brassport/errors/tests.rs
+++ b/quota-gateway/src/bin/quota-gateway/errors/tests.rs
@@ -6,8 +6,8 @@
 use crate::operators::admin::CallError;
 use crate::operators::bans::BanError;
 use crate::StartError;
-use springusher::InvalidSetting;
-use springusher_fleet::ownership::Refused;
+use gateway_cluster::ownership::Refused;
+use quota_gateway::InvalidSetting;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
 use std::{fs, io};
@@ -240,7 +240,7 @@
 fn no_type_of_errors_is_left_out_of_the_walk() {
     let (mut texts, walked) = (Vec::new(), all());
     sources(
-        &Path::new(env!("CARGO_MANIFEST_DIR")).join("src/bin/brassport"),
+        &Path::new(env!("CARGO_MANIFEST_DIR")).join("src/bin/quota-gateway"),
         &mut texts,
     );
     let mut types = BTreeSet::new();
--- a/quota-gateway/src/bin/brassport/fleet/roster.rs
+++ b/quota-gateway/src/bin/quota-gateway/fleet/roster.rs
@@ -1,12 +1,12 @@
 //! The key `fleet` of the configuration: which front doors there are, and where this one reaches them.
 
 use crate::errors::word;
+use gateway_cluster::names::{id_of, MOST_NAMES};
+use gateway_cluster::ownership::office::least_lease;
+use gateway_cluster::ownership::MOST_LEASE;
+use gateway_cluster::shards::keeping;
+use gateway_cluster::shards::{validate, Door, Finding, FleetState, Hash, Limits, Map, Range};
 use serde::Deserialize;
-use springusher_fleet::names::{id_of, MOST_NAMES};
-use springusher_fleet::ownership::office::least_lease;
-use springusher_fleet::ownership::MOST_LEASE;
-use springusher_fleet::shards::keeping;
-use springusher_fleet::shards::{validate, Door, Finding, FleetState, Hash, Limits, Map, Range};
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, SocketAddrV4};
 use std::time::Duration;
--- a/quota-gateway/src/bin/brassport/life/alarms.rs
+++ b/quota-gateway/src/bin/quota-gateway/life/alarms.rs
@@ -1,6 +1,6 @@
 //! The timers that the decision module has asked for.
 
-use springusher::{Gateway, RequestId};
+use quota_gateway::{Gateway, RequestId};
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 use tokio::time::Instant;
--- a/quota-gateway/src/bin/brassport/life/handover.rs
+++ b/quota-gateway/src/bin/quota-gateway/life/handover.rs
@@ -8,14 +8,14 @@
 use crate::door::Door;
 use crate::errors::text;
 use crate::life::config::Names;
+use alderhollow_dataplane::link::KERNEL_BUFFER;
+use quota_gateway::{CustomerId, HandoverState};
 use rustix::net::{
     recvmsg, sendmsg, RecvAncillaryBuffer, RecvAncillaryMessage, RecvFlags, SendAncillaryBuffer,
     SendAncillaryMessage, SendFlags,
 };
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
-use springusher::{CustomerId, HandoverState};
-use springusher_dataplane::link::KERNEL_BUFFER;
 use std::collections::BTreeMap;
 use std::fs::File;
 use std::future::Future;
--- a/quota-gateway/src/bin/brassport/log.rs
+++ b/quota-gateway/src/bin/quota-gateway/log.rs
@@ -17,7 +17,7 @@
 #[derive(Deserialize, Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
 pub enum Form {
-    /// `brassport: ` and the message, for people.
+    /// `quota-gateway: ` and the message, for people.
     #[default]
     Plain,
     /// An object of JSON a line: time, level, message, the event's name and its fields.
@@ -65,7 +65,7 @@
         mut writer: Writer<'_>,
         event: &Event<'_>,
     ) -> fmt::Result {
-        write!(writer, "brassport: ")?;
+        write!(writer, "quota-gateway: ")?;
         context
             .field_format()
             .format_fields(writer.by_ref(), event)?;
@@ -100,7 +100,7 @@
         let lost = LOST.load(Ordering::Relaxed);
         if lost > 0 {
             let told = match self.form {
-                Form::Plain => format!("brassport: {lost} lines of the log were lost\n"),
+                Form::Plain => format!("quota-gateway: {lost} lines of the log were lost\n"),
                 Form::Json => format!("{{\"event\":\"log_lost\",\"lines\":{lost}}}\n"),
             };
             if self.put(told.as_bytes()).is_ok() {
--- a/quota-gateway/src/bin/brassport/main.rs
+++ b/quota-gateway/src/bin/quota-gateway/main.rs
@@ -1,4 +1,4 @@
-//! The front door: one program on real sockets round the decision module of the crate `springusher`.
+//! The front door: one program on real sockets round the decision module of the crate `quota_gateway`.
 #![forbid(unsafe_code)]
 
 mod backends;
@@ -27,7 +27,7 @@
 use operators::admin;
 use operators::bans::{self, Bans};
 use operators::staff::Staff;
-use springusher::ListKind;
+use quota_gateway::ListKind;
 use std::cell::Cell;
 use std::io;
 use std::net::SocketAddr;
@@ -94,7 +94,7 @@
 /// a file of JSON that BALANCER_CONFIG names; BALANCER_LISTEN, BALANCER_DISCOVERY and BALANCER_ADMIN_ADDR go before
 /// what the file says.
 #[derive(Parser)]
-#[command(name = "brassport", version)]
+#[command(name = "quota-gateway", version)]
 struct Arguments {
     /// Take the configuration from this file, whatever BALANCER_CONFIG names
     #[arg(long, value_name = "FILE")]
@@ -115,7 +115,7 @@
     match start(arguments) {
         Ok(()) => ExitCode::SUCCESS,
         Err(problem) => {
-            eprintln!("brassport: {problem}");
+            eprintln!("quota-gateway: {problem}");
             ExitCode::FAILURE
         }
     }
@@ -133,7 +133,7 @@
     if !findings.is_empty() {
         findings
             .iter()
-            .for_each(|finding| eprintln!("brassport: fleet.shards.map: {finding}"));
+            .for_each(|finding| eprintln!("quota-gateway: fleet.shards.map: {finding}"));
         return Err(StartError::Map {
             findings: findings.len(),
         });
--- a/quota-gateway/src/bin/springusher-benchlink.rs
+++ b/quota-gateway/src/bin/simulator-adapter.rs
@@ -1,8 +1,8 @@
 //! The adapter: the decision module on the simulator's wire. One [`Gateway`] an instance; it translates,
 //! and decides nothing.
 
-use springusher::wire::{Batch, Reply, WireError, WireEvent};
-use springusher::{Action, Gateway};
+use quota_gateway::wire::{Batch, Reply, WireError, WireEvent};
+use quota_gateway::{Action, Gateway};
 use std::collections::BTreeMap;
 use std::io::{self, BufReader, Write};
 use std::panic::{self, AssertUnwindSafe};
@@ -12,7 +12,7 @@
     match serve() {
         Ok(()) => ExitCode::SUCCESS,
         Err(error) => {
-            eprintln!("springusher-benchlink: {error}");
+            eprintln!("simulator-adapter: {error}");
             ExitCode::FAILURE
         }
     }
--- a/quota-gateway/src/lib.rs
+++ b/quota-gateway/src/lib.rs
@@ -13,8 +13,8 @@
 //!   meter alone.
 //!
 //! ```
-//! use springusher::{Action, Class, Effect, Event, Gateway, ListKind, Lifecycle, Plan, Request};
-//! use springusher::{ServerEntry, Settings};
+//! use quota_gateway::{Action, Class, Effect, Event, Gateway, ListKind, Lifecycle, Plan, Request};
+//! use quota_gateway::{ServerEntry, Settings};
 //!
 //! let settings = Settings {
 //!     classes: vec![Class { worth: 1.0, aim: 500.0, deadline: 2000.0, late_share: 0.0, effect: Effect::Free }],
--- a/quota-gateway/tests/admission.rs
+++ b/quota-gateway/tests/admission.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use springusher::*;
+use quota_gateway::*;
 
 /// Asks at `rate` a second for `seconds`, with the meter telling `used`, and returns how many went out.
 fn ask_for(host: &mut Host, rate: f64, seconds: f64, class: usize, used: f64) -> f64 {
--- a/quota-gateway/tests/attempts.rs
+++ b/quota-gateway/tests/attempts.rs
@@ -4,20 +4,20 @@
 mod common;
 
 use common::{server, settings, Host};
-use rustix::process::Signal;
-use serde_json::{json, Value};
-use springusher::{Action, Millis, Outcome};
-use springusher_lab::scripted::{
+use fault_lab::scripted::{
     closed_port, config, get, hold, list, post, target, Discovery, Front, Peer, Program, Stuck,
     PATIENCE,
 };
+use quota_gateway::{Action, Millis, Outcome};
+use rustix::process::Signal;
+use serde_json::{json, Value};
 use std::io::Read;
 use std::net::SocketAddr;
 use std::thread;
 use std::time::{Duration, Instant};
 
 const DOOR: Program = Program {
-    path: env!("CARGO_BIN_EXE_brassport"),
+    path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 
--- a/quota-gateway/tests/balance.rs
+++ b/quota-gateway/tests/balance.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use springusher::*;
+use quota_gateway::*;
 use std::collections::{BTreeMap, BTreeSet};
 
 const GATEWAYS: u32 = 100;
--- a/quota-gateway/tests/batch_admission.rs
+++ b/quota-gateway/tests/batch_admission.rs
@@ -1,7 +1,7 @@
 //! The coin of batch admission, against an oracle and a fluid model of the offered load.
 
 use proptest::prelude::*;
-use springusher::batch_admission::{
+use quota_gateway::batch_admission::{
     BatchAdmission, BatchAdmissionOptions, BatchDecision, MeterReading,
 };
 
--- a/quota-gateway/tests/closing.rs
+++ b/quota-gateway/tests/closing.rs
@@ -1,17 +1,17 @@
 //! Connections that close while something is on its way: the built program against small scripted peers, with the bad
 //! order made to happen.
 
-use rustix::process::Signal;
-use serde_json::json;
-use springusher_lab::process::wait_for;
-use springusher_lab::scripted::{
+use fault_lab::process::wait_for;
+use fault_lab::scripted::{
     closed_port, config, get, hold, list, post, read_message, target, Front, Peer, Program, Stuck,
     PATIENCE,
 };
+use rustix::process::Signal;
+use serde_json::json;
 use std::net::SocketAddr;
 
 const FRONT: Program = Program {
-    path: env!("CARGO_BIN_EXE_brassport"),
+    path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 const HEALTHZ: &str = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
--- a/quota-gateway/tests/cold.rs
+++ b/quota-gateway/tests/cold.rs
@@ -6,7 +6,7 @@
 
 use common::{server, settings};
 use oorandom::Rand64;
-use springusher::*;
+use quota_gateway::*;
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
--- a/quota-gateway/tests/common/mod.rs
+++ b/quota-gateway/tests/common/mod.rs
@@ -1,7 +1,7 @@
 //! A host for the tests: it drives the public interface and keeps what came out.
 #![allow(dead_code)]
 
-use springusher::*;
+use quota_gateway::*;
 
 pub struct Host {
     pub gateway: Gateway,
--- a/quota-gateway/tests/cost.rs
+++ b/quota-gateway/tests/cost.rs
@@ -4,7 +4,7 @@
 
 use allocation_counter::measure;
 use common::{server, settings};
-use springusher::*;
+use quota_gateway::*;
 
 fn request(id: RequestId, customer: CustomerId) -> Request {
     Request {
--- a/quota-gateway/tests/customers.rs
+++ b/quota-gateway/tests/customers.rs
@@ -5,7 +5,7 @@
 use common::*;
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
-use springusher::*;
+use quota_gateway::*;
 use std::collections::BTreeMap;
 
 /// Plans with a ceiling and no quota, so that no coin is tossed: a wide one, a narrow one, and one whose store
--- a/quota-gateway/tests/daily.rs
+++ b/quota-gateway/tests/daily.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use springusher::*;
+use quota_gateway::*;
 use std::collections::BTreeMap;
 
 /// Sends that go to each of the servers in so many rounds, each answered at once.
--- a/quota-gateway/tests/fleet.rs
+++ b/quota-gateway/tests/fleet.rs
@@ -2,8 +2,8 @@
 
 mod stage;
 
-use springusher_lab::check::Summary;
-use springusher_lab::record::{Ending, Entry, Event, Life};
+use fault_lab::check::Summary;
+use fault_lab::record::{Ending, Entry, Event, Life};
 use stage::{carry, kept, SMALL};
 
 /// Runs the small fleet with these faults for so many seconds: what the checks find, and the record.
--- a/quota-gateway/tests/front_door.rs
+++ b/quota-gateway/tests/front_door.rs
@@ -1,10 +1,10 @@
 //! The front door over loopback sockets: the built program against small scripted peers.
 
-use serde_json::{json, Value};
-use springusher_lab::scripted::{
+use fault_lab::scripted::{
     closed_port, config, get, list, post, read_message, target, Client, Discovery, Exchange, Front,
     Peer, Program, Stuck, PATIENCE,
 };
+use serde_json::{json, Value};
 use std::io::{BufRead, BufReader, Read, Write};
 use std::net::TcpStream;
 use std::os::fd::OwnedFd;
@@ -16,7 +16,7 @@
 use std::time::{Duration, Instant};
 
 const FRONT: Program = Program {
-    path: env!("CARGO_BIN_EXE_brassport"),
+    path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 
@@ -696,7 +696,7 @@
     let (code, _, said) = check(&config);
     assert_eq!(code, Some(1));
     assert!(
-        said.starts_with("brassport: limits.sockets: 5 are too few; set at least 41,"),
+        said.starts_with("quota-gateway: limits.sockets: 5 are too few; set at least 41,"),
         "{said}"
     );
     config["settings"]["plans"][0]["unitsPerS"] = json!(-1.0);
@@ -715,7 +715,7 @@
         .expect("it ends");
     assert!(!output.status.success());
     let said = String::from_utf8(output.stderr).expect("text");
-    let problem = "brassport: setting plans[0].rate: must be a finite number, not below 0; ";
+    let problem = "quota-gateway: setting plans[0].rate: must be a finite number, not below 0; ";
     assert!(
         said.starts_with(problem) && said.lines().count() == 1,
         "{said}"
--- a/quota-gateway/tests/hand_over.rs
+++ b/quota-gateway/tests/hand_over.rs
@@ -1,13 +1,13 @@
 //! Hand-overs between two processes of one front door, what is told to either meanwhile, and the operators' side: the
 //! built program, with each signal and each byte at the step where it matters.
 
-use rustix::process::{Resource, Rlimit, Signal};
-use serde_json::{json, Value};
-use springusher_lab::process::{send_signal, wait_for};
-use springusher_lab::scripted::{
+use fault_lab::process::{send_signal, wait_for};
+use fault_lab::scripted::{
     closed_port, config, hold, list, post, target, unused_port, Client, Exchange, Peer, Program,
     PATIENCE,
 };
+use rustix::process::{Resource, Rlimit, Signal};
+use serde_json::{json, Value};
 use std::fs::File;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream};
@@ -17,7 +17,7 @@
 use std::process::{Child, Command};
 
 const DOOR: Program = Program {
-    path: env!("CARGO_BIN_EXE_brassport"),
+    path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 
--- a/quota-gateway/tests/hand_over_state.rs
+++ b/quota-gateway/tests/hand_over_state.rs
@@ -4,7 +4,7 @@
 
 use alderhollow_recorded_bytes::is_recording;
 use common::*;
-use springusher::*;
+use quota_gateway::*;
 
 /// State as a gateway of an earlier build handed it over: a customer with sends, one with an attempt still out, and
 /// a backend of which something was learned.
--- a/quota-gateway/tests/health.rs
+++ b/quota-gateway/tests/health.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use springusher::*;
+use quota_gateway::*;
 use std::collections::BTreeMap;
 
 /// Asks every 20 ms for a while, with some requests in hand at a time; `answer` tells for a server and
--- a/quota-gateway/tests/invariants.rs
+++ b/quota-gateway/tests/invariants.rs
@@ -5,7 +5,7 @@
 use common::{sends, server, settings, Host};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
-use springusher::*;
+use quota_gateway::*;
 use std::collections::BTreeMap;
 
 #[derive(Debug, Clone)]
--- a/quota-gateway/tests/overload.rs
+++ b/quota-gateway/tests/overload.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use springusher::*;
+use quota_gateway::*;
 
 /// Asks `count` times at once and returns how many went out and how many were refused.
 fn burst(host: &mut Host, count: usize, class: usize) -> (usize, usize) {
--- a/quota-gateway/tests/owner.rs
+++ b/quota-gateway/tests/owner.rs
@@ -4,17 +4,15 @@
 
 mod stage;
 
+use fault_lab::check::Summary;
+use fault_lab::record::{Entry, Event, Life, Owner};
+use fault_lab::scripted::{closed_port, config, list, target, unused_port, Front, Peer, Program};
+use gateway_cluster::names::id_of;
+use gateway_cluster::ownership::longer;
+use gateway_cluster::ownership::rosters::Rosters;
+use gateway_cluster::ownership::wire::{Datagram, Kind};
 use rustix::process::Signal;
 use serde_json::{json, Value};
-use springusher_fleet::names::id_of;
-use springusher_fleet::ownership::longer;
-use springusher_fleet::ownership::rosters::Rosters;
-use springusher_fleet::ownership::wire::{Datagram, Kind};
-use springusher_lab::check::Summary;
-use springusher_lab::record::{Entry, Event, Life, Owner};
-use springusher_lab::scripted::{
-    closed_port, config, list, target, unused_port, Front, Peer, Program,
-};
 use stage::{carry, kept, SMALL};
 use std::fs::File;
 use std::io::{Read, Write};
@@ -24,7 +22,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: Program = Program {
-    path: env!("CARGO_BIN_EXE_brassport"),
+    path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 const SECOND: u64 = 1_000_000;
--- a/quota-gateway/tests/rules.rs
+++ b/quota-gateway/tests/rules.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::*;
-use springusher::*;
+use quota_gateway::*;
 
 #[test]
 fn a_request_without_an_answer_is_failed_before_its_client_gives_up() {
--- a/quota-gateway/tests/sessions.rs
+++ b/quota-gateway/tests/sessions.rs
@@ -5,9 +5,9 @@
 #[allow(dead_code)]
 mod stage;
 
-use springusher_lab::check::Summary;
-use springusher_lab::kinds::Kind;
-use springusher_lab::record::{Entry, Event};
+use fault_lab::check::Summary;
+use fault_lab::kinds::Kind;
+use fault_lab::record::{Entry, Event};
 use stage::{carry, SMALL};
 use std::thread;
 
@@ -100,7 +100,7 @@
             continue;
         };
         let third = (entry.us.saturating_sub(start) * 3 / (SECONDS * 1_000_000)).min(2) as usize;
-        needed[third] += f64::from(u8::from(*state != springusher_lab::kinds::State::First));
+        needed[third] += f64::from(u8::from(*state != fault_lab::kinds::State::First));
         lost[third] += f64::from(u8::from(state.is_lost()));
     }
     assert!(
--- a/quota-gateway/tests/shards.rs
+++ b/quota-gateway/tests/shards.rs
@@ -4,9 +4,9 @@
 
 mod stage;
 
+use fault_lab::scripted::{closed_port, config, list, unused_port, Front, Program};
 use rustix::process::Signal;
 use serde_json::{json, Value};
-use springusher_lab::scripted::{closed_port, config, list, unused_port, Front, Program};
 use stage::{carry, kept, SMALL};
 use std::net::SocketAddr;
 use std::process::Stdio;
@@ -14,7 +14,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: Program = Program {
-    path: env!("CARGO_BIN_EXE_brassport"),
+    path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 const KEYS: u64 = 1 << 33;
@@ -201,8 +201,9 @@
     let said = String::from_utf8_lossy(&output.stderr);
     assert_eq!(output.status.code(), Some(1), "{said}");
     let found = |line: &str| {
-        said.lines()
-            .any(|said| said.starts_with("brassport: fleet.shards.map: ") && said.contains(line))
+        said.lines().any(|said| {
+            said.starts_with("quota-gateway: fleet.shards.map: ") && said.contains(line)
+        })
     };
     for line in ["gone", "10", "8589934592"] {
         assert!(found(line), "{line}: {said}");
--- a/quota-gateway/tests/stage/mod.rs
+++ b/quota-gateway/tests/stage/mod.rs
@@ -1,11 +1,11 @@
 //! Runs scenarios of the lab with this package's program, for the tests of several processes.
 
-use springusher_lab::check::Summary;
-use springusher_lab::check::{Finding, NAMES};
-use springusher_lab::process::{raise_descriptor_limit, Launcher};
-use springusher_lab::record::{self, Entry};
-use springusher_lab::run::{carry_out, RECORD};
-use springusher_lab::scenario::Scenario;
+use fault_lab::check::Summary;
+use fault_lab::check::{Finding, NAMES};
+use fault_lab::process::{raise_descriptor_limit, Launcher};
+use fault_lab::record::{self, Entry};
+use fault_lab::run::{carry_out, RECORD};
+use fault_lab::scenario::Scenario;
 use std::path::{Path, PathBuf};
 use std::sync::{Condvar, Mutex};
 
@@ -83,7 +83,7 @@
 pub fn carry(name: &str, text: &str) -> (Summary, Vec<Entry>) {
     let _room = Room::take();
     let scenario = Scenario::parse(name, text).expect("it makes sense");
-    let launcher = Launcher::new(env!("CARGO_BIN_EXE_brassport"));
+    let launcher = Launcher::new(env!("CARGO_BIN_EXE_quota-gateway"));
     let folder = folder(name);
     raise_descriptor_limit();
     // Processes end with the thread that starts them: this one lives until the run is over.
--- a/quota-gateway/tests/standing.rs
+++ b/quota-gateway/tests/standing.rs
@@ -1,9 +1,7 @@
 //! What the standing test of hundreds of front doors asks of each: the built program against small scripted peers.
 
+use fault_lab::scripted::{closed_port, config, get, list, read_message, target, Peer, Program};
 use serde_json::{json, Value};
-use springusher_lab::scripted::{
-    closed_port, config, get, list, read_message, target, Peer, Program,
-};
 use std::fs::File;
 use std::io::{Read, Write};
 use std::net::{Ipv4Addr, SocketAddr, TcpListener, TcpStream};
@@ -14,7 +12,7 @@
 use std::time::{Duration, Instant};
 
 const DOOR: Program = Program {
-    path: env!("CARGO_BIN_EXE_brassport"),
+    path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 
--- a/quota-gateway/tests/view.rs
+++ b/quota-gateway/tests/view.rs
@@ -3,11 +3,9 @@
 
 mod stage;
 
+use fault_lab::record::{Entry, Event, View};
+use fault_lab::scripted::{closed_port, config, list, target, unused_port, Front, Peer, Program};
 use serde_json::json;
-use springusher_lab::record::{Entry, Event, View};
-use springusher_lab::scripted::{
-    closed_port, config, list, target, unused_port, Front, Peer, Program,
-};
 use stage::{carry, kept, SMALL};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
@@ -15,7 +13,7 @@
 use std::time::{Duration, Instant};
 
 const PROGRAM: Program = Program {
-    path: env!("CARGO_BIN_EXE_brassport"),
+    path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 const SECOND: u64 = 1_000_000;
@@ -26,7 +24,7 @@
     doors: usize,
     seconds: u32,
     faults: &str,
-) -> (springusher_lab::check::Summary, Vec<Entry>) {
+) -> (fault_lab::check::Summary, Vec<Entry>) {
     let text = SMALL.replace("seconds = 5", &format!("seconds = {seconds}"));
     let text = text.replace("doors = 4", &format!("doors = {doors}\nview = true"));
     carry(name, &(text + faults))
@@ -482,7 +480,7 @@
     let said = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success());
     assert!(
-        said.starts_with("brassport: fleet.peers[n0]: this is the front door's own name; "),
+        said.starts_with("quota-gateway: fleet.peers[n0]: this is the front door's own name; "),
         "{said}"
     );
     assert_eq!(said.lines().count(), 1, "{said}");
--- a/quota-gateway/tests/watches.rs
+++ b/quota-gateway/tests/watches.rs
@@ -1,11 +1,11 @@
 //! Watches and lists: the built program against agents and discoveries that a test answers for.
 
+use fault_lab::scripted::{config, get, list, target, Peer, Program};
 use serde_json::{json, Value};
-use springusher_lab::scripted::{config, get, list, target, Peer, Program};
 use std::net::SocketAddr;
 
 const DOOR: Program = Program {
-    path: env!("CARGO_BIN_EXE_brassport"),
+    path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 
--- a/quota-gateway/tests/wire.rs
+++ b/quota-gateway/tests/wire.rs
@@ -1,7 +1,7 @@
 //! The codec: each record, and input that breaks the layout.
 
-use springusher::wire::{settings, Batch, Reply, WireError, WireEvent, ACTION, EVENT};
-use springusher::*;
+use quota_gateway::wire::{settings, Batch, Reply, WireError, WireEvent, ACTION, EVENT};
+use quota_gateway::*;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
@@ -329,7 +329,7 @@
 
 /// Runs the adapter on some input; returns whether it succeeded, its output and its error text.
 fn adapter(input: &[u8]) -> (bool, Vec<u8>, String) {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_springusher-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
