--- a/gateway-cluster/examples/bounds.rs
+++ b/gateway-cluster/examples/bounds.rs
@@ -1,37 +1,37 @@
 //! The view's bounds over seeds, on all processors:
-//! `cargo run --release -p gateway-cluster --example bounds heal [DOORS [SEEDS]]`, how long views take to be right
-//! again after partitions of several shapes and lengths; `... bounds loss [DOORS [SEEDS [SECONDS [PERCENT]]]]`, how
-//! often a door that lives is held for dead while datagrams are lost; `... bounds kill [DOORS [SEEDS [PERCENT]]]`, how
-//! long a killed door is not dead everywhere; `... bounds storm [DOORS [SEEDS [PERCENT]]]`, what is sent after many die.
+//! `cargo run --release -p gateway-cluster --example bounds heal [GATEWAYS [SEEDS]]`, how long views take to be right
+//! again after partitions of several shapes and lengths; `... bounds loss [GATEWAYS [SEEDS [SECONDS [PERCENT]]]]`, how
+//! often a gateway that lives is held for dead while datagrams are lost; `... bounds kill [GATEWAYS [SEEDS [PERCENT]]]`, how
+//! long a killed gateway is not dead everywhere; `... bounds storm [GATEWAYS [SEEDS [PERCENT]]]`, what is sent after many die.
 
 mod seeds;
 
-use gateway_cluster::engine::{Micros, State};
-use gateway_cluster::sim::{Sim, Weather};
-use gateway_cluster::view::View;
+use gateway_cluster::membership::Membership;
+use gateway_cluster::protocol::{Micros, PeerState};
+use gateway_cluster::sim::{NetworkConditions, Sim};
 
 const PROBE: Micros = 500_000;
 const SECOND: Micros = 1_000_000;
 const SHAPES: [&str; 5] = ["halves", "thirds", "one", "tenth", "bridge"];
 
-fn side(shape: &str, door: usize) -> usize {
+fn side(shape: &str, gateway: usize) -> usize {
     match shape {
-        "halves" => door % 2,
-        "thirds" => door % 3,
-        "tenth" => usize::from(door % 10 == 0),
-        _ => usize::from(door == 0),
+        "halves" => gateway % 2,
+        "thirds" => gateway % 3,
+        "tenth" => usize::from(gateway % 10 == 0),
+        _ => usize::from(gateway == 0),
     }
 }
 
 /// Seconds from healing to all views right; `None` if that takes more than a minute.
-fn heal(doors: usize, shape: &str, long: u64, seed: u64) -> Option<f64> {
-    let mut sim = fleet(doors, 0.0, seed);
+fn heal(gateways: usize, shape: &str, long: u64, seed: u64) -> Option<f64> {
+    let mut sim = cluster(gateways, 0.0, seed);
     if shape == "bridge" {
-        for (a, b) in (0..doors).flat_map(|a| (0..doors).map(move |b| (a, b))) {
+        for (a, b) in (0..gateways).flat_map(|a| (0..gateways).map(move |b| (a, b))) {
             sim.cut(a, b, a != 0 && b != 0 && a % 2 != b % 2);
         }
     } else {
-        sim.partition(|door| side(shape, door));
+        sim.partition(|gateway| side(shape, gateway));
     }
     sim.run_until(sim.now() + long * SECOND);
     sim.partition(|_| 0);
@@ -40,57 +40,62 @@
     at.map(|at| (at - since) as f64 / 1e6)
 }
 
-/// A fleet that starts now. With loss there are jitter and doubled datagrams too.
-fn started(doors: usize, loss: f64, seed: u64) -> Sim<View> {
-    let mut sim = Sim::<View>::new(doors, PROBE, seed);
-    sim.weather = match loss > 0.0 {
-        true => Weather {
+/// A cluster that starts now. With loss there are jitter and doubled datagrams too.
+fn started(gateways: usize, loss: f64, seed: u64) -> Sim<Membership> {
+    let mut sim = Sim::<Membership>::new(gateways, PROBE, seed);
+    sim.network = match loss > 0.0 {
+        true => NetworkConditions {
             loss,
             jitter: 50_000,
             double: 0.05,
-            ..Weather::default()
+            ..NetworkConditions::default()
         },
-        false => Weather::default(),
+        false => NetworkConditions::default(),
     };
-    (0..doors).for_each(|door| sim.start(door, 1_700_000_000 * SECOND + door as u64 * 77 * SECOND));
+    (0..gateways).for_each(|gateway| {
+        sim.start(
+            gateway,
+            1_700_000_000 * SECOND + gateway as u64 * 77 * SECOND,
+        )
+    });
     sim
 }
 
 /// One that has run for a while.
-fn fleet(doors: usize, loss: f64, seed: u64) -> Sim<View> {
-    let mut sim = started(doors, loss, seed);
+fn cluster(gateways: usize, loss: f64, seed: u64) -> Sim<Membership> {
+    let mut sim = started(gateways, loss, seed);
     sim.run_until(20 * SECOND);
     sim
 }
 
-/// Seconds until a killed door is dead in every view.
-fn killed(doors: usize, loss: f64, seed: u64) -> f64 {
-    let mut sim = fleet(doors, loss, seed);
+/// Seconds until a killed gateway is dead in every view.
+fn killed(gateways: usize, loss: f64, seed: u64) -> f64 {
+    let mut sim = cluster(gateways, loss, seed);
     let since = sim.now();
     sim.kill(0);
-    let dead = |sim: &Sim<View>| {
-        (1..sim.roster())
-            .filter_map(|door| sim.view(door))
-            .all(|view| view[0] == State::Dead)
+    let dead = |sim: &Sim<Membership>| {
+        (1..sim.peers())
+            .filter_map(|gateway| sim.view(gateway))
+            .all(|view| view[0] == PeerState::Dead)
     };
     let at = sim.run_until_true(since + 60 * SECOND, dead);
     at.map_or(f64::INFINITY, |at| (at - since) as f64 / 1e6)
 }
 
-/// The most that a door sends in a second, averaged over any ten of the forty after seven in ten are killed: messages
+/// The most that a gateway sends in a second, averaged over any ten of the forty after seven in ten are killed: messages
 /// and bytes.
-fn storm(doors: usize, loss: f64, seed: u64) -> (f64, f64) {
-    let mut sim = fleet(doors, loss, seed);
-    (0..doors)
-        .filter(|door| door % 10 < 7)
-        .for_each(|door| sim.kill(door));
-    for door in 0..doors {
-        sim.take_sent(door);
+fn storm(gateways: usize, loss: f64, seed: u64) -> (f64, f64) {
+    let mut sim = cluster(gateways, loss, seed);
+    (0..gateways)
+        .filter(|gateway| gateway % 10 < 7)
+        .for_each(|gateway| sim.kill(gateway));
+    for gateway in 0..gateways {
+        sim.take_sent(gateway);
     }
-    let mut seconds = vec![Vec::new(); doors];
+    let mut seconds = vec![Vec::new(); gateways];
     for _ in 0..40 {
         sim.run_until(sim.now() + SECOND);
-        (0..doors).for_each(|door| seconds[door].push(sim.take_sent(door)));
+        (0..gateways).for_each(|gateway| seconds[gateway].push(sim.take_sent(gateway)));
     }
     let (mut messages, mut bytes) = (0, 0);
     for ten in seconds.iter().flat_map(|sent| sent.windows(10)) {
@@ -100,21 +105,21 @@
     (messages as f64 / 10.0, bytes as f64 / 10.0)
 }
 
-/// In how many seconds some door that lives was held for dead, over so many of them at this loss and 50 ms jitter, and
+/// In how many seconds some gateway that lives was held for dead, over so many of them at this loss and 50 ms jitter, and
 /// the verdicts that were wrong.
-fn false_verdicts(doors: usize, seconds: u64, loss: f64, seed: u64) -> (u64, usize) {
-    let mut sim = started(doors, loss, seed);
+fn false_verdicts(gateways: usize, seconds: u64, loss: f64, seed: u64) -> (u64, usize) {
+    let mut sim = started(gateways, loss, seed);
     let (mut wrong, mut verdicts) = (0, 0);
     for _ in 0..seconds {
         sim.run_until(sim.now() + SECOND);
         let mut any = false;
-        for door in 0..doors {
-            let Some(view) = sim.engine(door) else {
+        for gateway in 0..gateways {
+            let Some(view) = sim.engine(gateway) else {
                 continue;
             };
-            any |= view.states().contains(&State::Dead);
-            while let Some(change) = view.take_change() {
-                verdicts += usize::from(change.to == State::Dead);
+            any |= view.states().contains(&PeerState::Dead);
+            while let Some(change) = view.next_change() {
+                verdicts += usize::from(change.to == PeerState::Dead);
             }
         }
         wrong += u64::from(any);
@@ -136,11 +141,11 @@
             .and_then(|word| word.parse().ok())
             .unwrap_or(otherwise)
     };
-    let (doors, seeds) = (number(1, 300) as usize, number(2, 6));
+    let (gateways, seeds) = (number(1, 300) as usize, number(2, 6));
     if words.first().is_some_and(|word| word == "loss") {
         let (seconds, percent) = (number(3, 3600), number(4, 10));
         let found = over_seeds(seeds, |seed| {
-            false_verdicts(doors, seconds, percent as f64 / 100.0, seed)
+            false_verdicts(gateways, seconds, percent as f64 / 100.0, seed)
         });
         let wrong: u64 = found.iter().map(|(_, (wrong, _))| wrong).sum();
         let verdicts: usize = found.iter().map(|(_, (_, verdicts))| verdicts).sum();
@@ -150,7 +155,7 @@
             .map(|(seed, _)| *seed)
             .collect();
         println!(
-            "{doors:>3} doors, {percent}% loss, {seeds} seeds of {seconds} s: {wrong} seconds with a door that lives \
+            "{gateways:>3} doors, {percent}% loss, {seeds} seeds of {seconds} s: {wrong} seconds with a door that lives \
              held for dead, {verdicts} wrong verdicts, in seeds {bad:?}"
         );
         return;
@@ -161,9 +166,9 @@
     {
         let percent = number(3, 0);
         let loss = percent as f64 / 100.0;
-        let what = format!("{doors:>3} doors, {percent}% loss, {seeds} seeds");
+        let what = format!("{gateways:>3} doors, {percent}% loss, {seeds} seeds");
         if words[0] == "storm" {
-            let found = over_seeds(seeds, |seed| storm(doors, loss, seed));
+            let found = over_seeds(seeds, |seed| storm(gateways, loss, seed));
             let most = |of: fn(&(f64, f64)) -> f64| {
                 found.iter().map(|(_, sent)| of(sent)).fold(0.0, f64::max)
             };
@@ -174,7 +179,7 @@
             );
             return;
         }
-        let found = over_seeds(seeds, |seed| killed(doors, loss, seed));
+        let found = over_seeds(seeds, |seed| killed(gateways, loss, seed));
         let mut times: Vec<f64> = found.iter().map(|(_, took)| *took).collect();
         times.sort_by(f64::total_cmp);
         println!(
@@ -187,13 +192,13 @@
     for shape in SHAPES {
         for long in [3, 8, 30, 90] {
             let found = over_seeds(seeds, |seed| {
-                heal(doors, shape, long, seed).unwrap_or(f64::INFINITY)
+                heal(gateways, shape, long, seed).unwrap_or(f64::INFINITY)
             });
             let mut times: Vec<f64> = found.iter().map(|(_, took)| *took).collect();
             times.sort_by(f64::total_cmp);
             let over = found.iter().filter(|(_, took)| *took > 5.0).count();
             println!(
-                "{doors:>3} doors, {shape:>6} for {long:>2} s, {seeds} seeds: median {:.2} s, worst {:.2} s, over 5 s {over}",
+                "{gateways:>3} doors, {shape:>6} for {long:>2} s, {seeds} seeds: median {:.2} s, worst {:.2} s, over 5 s {over}",
                 times[times.len() / 2],
                 times[times.len() - 1]
             );
--- a/gateway-cluster/examples/engines.rs
+++ b/gateway-cluster/examples/engines.rs
@@ -3,8 +3,8 @@
 //! crate `foca` with the settings that come nearest to those bounds.
 
 use foca::{Config, Foca, Identity, Member, PeriodicParams, PostcardCodec, Runtime, Timer};
-use gateway_cluster::engine::{Birth, Engine, Micros, Send, State};
-use gateway_cluster::sim::{Sim, Weather};
+use gateway_cluster::protocol::{IndexedTransmit, Micros, PeerState, Protocol, StartOptions};
+use gateway_cluster::sim::{NetworkConditions, Sim};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -14,10 +14,10 @@
 
 const PROBE: Micros = 500_000;
 const SECOND: Micros = 1_000_000;
-/// Doors that a new life asks for the others.
+/// Gateways that a new life asks for the others.
 const JOINS: usize = 3;
 
-/// A name of the roster and one of its lives.
+/// A name of the peer set and one of its lives.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 struct Name {
     place: u16,
@@ -43,14 +43,14 @@
 /// What the engine asks for while it handles one input.
 #[derive(Default)]
 struct Asked {
-    sends: Vec<Send>,
+    sends: Vec<IndexedTransmit>,
     timers: Vec<(Duration, Timer<Name>)>,
 }
 
 impl Runtime<Name> for &mut Asked {
     fn notify(&mut self, _: foca::Notification<'_, Name>) {}
     fn send_to(&mut self, to: Name, data: &[u8]) {
-        self.sends.push(Send {
+        self.sends.push(IndexedTransmit {
             to: usize::from(to.place),
             bytes: data.to_vec(),
         });
@@ -64,14 +64,14 @@
     foca: Foca<Name, PostcardCodec, Pcg64Mcg, foca::NoCustomBroadcast>,
     timers: BTreeMap<(Micros, u64), Timer<Name>>,
     count: u64,
-    birth: Birth,
+    birth: StartOptions,
 }
 
 impl Swim {
     fn with(
         &mut self,
         now: Micros,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<IndexedTransmit>,
         act: impl FnOnce(&mut Self, &mut Asked),
     ) {
         let mut asked = Asked::default();
@@ -85,7 +85,7 @@
     }
 }
 
-fn config(birth: &Birth) -> Config {
+fn config(birth: &StartOptions) -> Config {
     let period = Duration::from_micros(birth.probe);
     let every = |periods: u32, members| {
         Some(PeriodicParams {
@@ -94,12 +94,12 @@
         })
     };
     let mut config =
-        Config::new_lan(std::num::NonZeroU32::new(birth.roster.max(2) as u32).expect("some"));
+        Config::new_lan(std::num::NonZeroU32::new(birth.peers.max(2) as u32).expect("some"));
     config.probe_period = period;
     config.probe_rtt = period / 3;
     config.num_indirect_probes = NonZeroUsize::new(3).expect("some");
     config.max_transmissions = NonZeroU8::new(10).expect("some");
-    // What is left of the 4 s once a killed door has been probed and everybody has heard.
+    // What is left of the 4 s once a killed gateway has been probed and everybody has heard.
     config.suspect_to_down_after = period * 4;
     config.max_packet_size = NonZeroUsize::new(1400).expect("some");
     config.notify_down_members = true;
@@ -110,8 +110,8 @@
     config
 }
 
-impl Engine for Swim {
-    fn born(now: Micros, birth: Birth, sends: &mut Vec<Send>) -> Swim {
+impl Protocol for Swim {
+    fn born(now: Micros, birth: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Swim {
         let me = Name {
             place: birth.me as u16,
             life: birth.unix,
@@ -125,8 +125,8 @@
             birth,
         };
         swim.with(now, sends, |swim, asked| {
-            // The roster is known: its names are taken for alive under any life.
-            let others = (0..birth.roster).filter(|place| *place != birth.me);
+            // The peer set is known: its names are taken for alive under any life.
+            let others = (0..birth.peers).filter(|place| *place != birth.me);
             let members = others.map(|place| {
                 Member::alive(Name {
                     place: place as u16,
@@ -135,8 +135,8 @@
             });
             let _ = swim.foca.apply_many(members, false, &mut *asked);
             // Their true lives are learned from those who answer.
-            for step in 1..=JOINS.min(birth.roster - 1) {
-                let place = (birth.me + step * 7 % birth.roster) % birth.roster;
+            for step in 1..=JOINS.min(birth.peers - 1) {
+                let place = (birth.me + step * 7 % birth.peers) % birth.peers;
                 let _ = swim.foca.announce(
                     Name {
                         place: place as u16,
@@ -148,16 +148,16 @@
         });
         swim
     }
-    fn receive(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<Send>) {
+    fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<IndexedTransmit>) {
         // What makes no sense to it is dropped.
         self.with(now, sends, |swim, asked| {
             drop(swim.foca.handle_data(bytes, asked))
         });
     }
-    fn due(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         self.timers.keys().next().map(|(at, _)| *at)
     }
-    fn wake(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    fn on_timer(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
         while let Some(entry) = self
             .timers
             .first_entry()
@@ -169,40 +169,40 @@
             });
         }
     }
-    fn view(&self) -> Vec<State> {
-        let mut view = vec![State::Dead; self.birth.roster];
-        view[self.birth.me] = State::Alive;
+    fn view(&self) -> Vec<PeerState> {
+        let mut view = vec![PeerState::Dead; self.birth.peers];
+        view[self.birth.me] = PeerState::Alive;
         for member in self.foca.iter_members() {
             let suspect = member.state() == foca::State::Suspect;
             view[usize::from(member.id().place)] = if suspect {
-                State::Suspect
+                PeerState::Suspect
             } else {
-                State::Alive
+                PeerState::Alive
             };
         }
         view
     }
 }
 
-/// A fleet that has run for a while.
-fn fleet<E: Engine>(doors: usize, seed: u64, weather: Weather) -> Sim<E> {
-    let mut sim = Sim::new(doors, PROBE, seed);
-    sim.weather = weather;
-    (0..doors).for_each(|door| sim.start(door, SECOND));
+/// A cluster that has run for a while.
+fn cluster<E: Protocol>(gateways: usize, seed: u64, weather: NetworkConditions) -> Sim<E> {
+    let mut sim = Sim::new(gateways, PROBE, seed);
+    sim.network = weather;
+    (0..gateways).for_each(|gateway| sim.start(gateway, SECOND));
     sim.run_until(20 * SECOND);
     sim
 }
 
-/// Ordered pairs of running doors of which one holds the other for dead.
-fn wrong<E: Engine>(sim: &Sim<E>) -> usize {
-    let views = (0..sim.roster()).filter_map(|door| sim.view(door));
-    let dead = |view: Vec<State>| {
+/// Ordered pairs of running gateways of which one holds the other for dead.
+fn wrong<E: Protocol>(sim: &Sim<E>) -> usize {
+    let membership_transmits = (0..sim.peers()).filter_map(|gateway| sim.view(gateway));
+    let dead = |view: Vec<PeerState>| {
         view.iter()
             .enumerate()
-            .filter(|(door, state)| **state == State::Dead && sim.runs(*door))
+            .filter(|(gateway, state)| **state == PeerState::Dead && sim.runs(*gateway))
             .count()
     };
-    views.map(dead).sum()
+    membership_transmits.map(dead).sum()
 }
 
 fn seconds(at: Option<Micros>, since: Micros) -> String {
@@ -219,33 +219,33 @@
         .unwrap_or(3);
     match words.get(2).map(String::as_str) {
         Some("foca") => measure::<Swim>(seeds),
-        _ => measure::<gateway_cluster::view::View>(seeds),
+        _ => measure::<gateway_cluster::membership::Membership>(seeds),
     }
 }
 
-fn measure<E: Engine>(seeds: u64) {
-    for doors in [3, 30, 300] {
+fn measure<E: Protocol>(seeds: u64) {
+    for gateways in [3, 30, 300] {
         for seed in 1..=seeds {
-            let calm = Weather::default();
-            let lossy = Weather {
+            let calm = NetworkConditions::default();
+            let lossy = NetworkConditions {
                 loss: 0.1,
                 jitter: 50_000,
                 ..calm
             };
             let dead = |sim: &Sim<E>| {
-                (1..sim.roster())
-                    .filter_map(|door| sim.view(door))
-                    .all(|view| view[0] == State::Dead)
+                (1..sim.peers())
+                    .filter_map(|gateway| sim.view(gateway))
+                    .all(|view| view[0] == PeerState::Dead)
             };
             for (name, weather) in [("no loss", calm), ("10% loss", lossy)] {
-                let mut sim = fleet::<E>(doors, seed, weather);
+                let mut sim = cluster::<E>(gateways, seed, weather);
                 let (since, settled) = (sim.now(), sim.is_settled());
                 sim.kill(0);
                 let at = sim.run_until_true(since + 60 * SECOND, dead);
-                println!("{doors:>3} doors, seed {seed}, {name}: settled before {settled}, a killed one is dead after {}",
+                println!("{gateways:>3} doors, seed {seed}, {name}: settled before {settled}, a killed one is dead after {}",
                     seconds(at, since));
             }
-            let mut sim = fleet::<E>(doors, seed, lossy);
+            let mut sim = cluster::<E>(gateways, seed, lossy);
             let (mut most, mut samples) = (0, 0);
             for _ in 0..60 {
                 sim.run_until(sim.now() + SECOND);
@@ -253,72 +253,79 @@
                 most = most.max(now);
                 samples += usize::from(now > 0);
             }
-            println!("{doors:>3} doors, seed {seed}, 10% loss for 60 s: {samples} of 60 seconds with a live door held for dead, \
+            println!("{gateways:>3} doors, seed {seed}, 10% loss for 60 s: {samples} of 60 seconds with a live door held for dead, \
                       {most} pairs at most");
             for (name, shape) in [("halves", 2), ("thirds", 3)] {
-                let mut sim = fleet::<E>(doors, seed, calm);
-                sim.partition(|door| door % shape);
+                let mut sim = cluster::<E>(gateways, seed, calm);
+                sim.partition(|gateway| gateway % shape);
                 sim.run_until(sim.now() + 30 * SECOND);
                 sim.partition(|_| 0);
                 let since = sim.now();
                 let at = sim.run_until_true(since + 120 * SECOND, Sim::is_settled);
                 println!(
-                    "{doors:>3} doors, seed {seed}, {name} for 30 s: all views are right {} after healing",
+                    "{gateways:>3} doors, seed {seed}, {name} for 30 s: all views are right {} after healing",
                     seconds(at, since)
                 );
             }
-            let mut sim = fleet::<E>(doors, seed, calm);
-            (0..doors).for_each(|door| sim.stop(door, door % 3 == 0));
+            let mut sim = cluster::<E>(gateways, seed, calm);
+            (0..gateways).for_each(|gateway| sim.stop(gateway, gateway % 3 == 0));
             sim.run_until(sim.now() + 10 * SECOND);
-            (0..doors).for_each(|door| {
-                if door % 3 == 0 {
-                    sim.stop(door, false)
+            (0..gateways).for_each(|gateway| {
+                if gateway % 3 == 0 {
+                    sim.stop(gateway, false)
                 }
             });
             sim.run_until(sim.now() + SECOND / 10);
-            let slept = |door: &usize| door % 3 == 0;
-            let views = (0..doors).filter(slept).filter_map(|door| sim.view(door));
-            let awake = |view: Vec<State>| {
+            let slept = |gateway: &usize| gateway % 3 == 0;
+            let membership_transmits = (0..gateways)
+                .filter(slept)
+                .filter_map(|gateway| sim.view(gateway));
+            let awake = |view: Vec<PeerState>| {
                 view.iter()
                     .enumerate()
-                    .filter(|(door, state)| !slept(door) && **state == State::Dead)
+                    .filter(|(gateway, state)| !slept(gateway) && **state == PeerState::Dead)
                     .count()
             };
-            let flaps: usize = views.map(awake).sum();
+            let flaps: usize = membership_transmits.map(awake).sum();
             let since = sim.now();
             let at = sim.run_until_true(since + 120 * SECOND, Sim::is_settled);
-            println!("{doors:>3} doors, seed {seed}, a third stopped for 10 s: on waking they hold {flaps} of the others for dead, \
+            println!("{gateways:>3} doors, seed {seed}, a third stopped for 10 s: on waking they hold {flaps} of the others for dead, \
                       right after {}", seconds(at, since));
-            let mut sim = fleet::<E>(doors, seed, calm);
-            let quiet: Vec<_> = (0..doors).map(|door| sim.take_sent(door)).collect();
-            (0..doors).for_each(|door| {
-                if door % 10 < 7 {
-                    sim.kill(door)
+            let mut sim = cluster::<E>(gateways, seed, calm);
+            let quiet: Vec<_> = (0..gateways)
+                .map(|gateway| sim.take_sent(gateway))
+                .collect();
+            (0..gateways).for_each(|gateway| {
+                if gateway % 10 < 7 {
+                    sim.kill(gateway)
                 }
             });
-            for door in 0..doors {
-                sim.take_sent(door);
+            for gateway in 0..gateways {
+                sim.take_sent(gateway);
             }
             sim.run_until(sim.now() + 10 * SECOND);
-            let storm = (0..doors)
-                .filter(|door| sim.runs(*door))
+            let storm = (0..gateways)
+                .filter(|gateway| sim.runs(*gateway))
                 .collect::<Vec<_>>();
-            let storm: Vec<_> = storm.into_iter().map(|door| sim.take_sent(door)).collect();
+            let storm: Vec<_> = storm
+                .into_iter()
+                .map(|gateway| sim.take_sent(gateway))
+                .collect();
             let rate = |all: &[gateway_cluster::sim::Sent], seconds: f64| {
                 let bytes = all.iter().map(|sent| sent.bytes).max().unwrap_or(0) as f64 / seconds;
                 let messages =
                     all.iter().map(|sent| sent.messages).max().unwrap_or(0) as f64 / seconds;
                 format!("{bytes:.0} bytes and {messages:.1} messages a second")
             };
-            println!("{doors:>3} doors, seed {seed}, sent by the busiest: calm {}, after seven in ten were killed {}",
+            println!("{gateways:>3} doors, seed {seed}, sent by the busiest: calm {}, after seven in ten were killed {}",
                 rate(&quiet, 20.0), rate(&storm, 10.0));
-            let mut sim = fleet::<E>(doors, seed, calm);
+            let mut sim = cluster::<E>(gateways, seed, calm);
             sim.kill(0);
             sim.run_until(sim.now() + SECOND / 5);
             sim.start(0, 0);
             let since = sim.now();
             let at = sim.run_until_true(since + 120 * SECOND, Sim::is_settled);
-            println!("{doors:>3} doors, seed {seed}, killed and back with the clock set back: all views are right after {}",
+            println!("{gateways:>3} doors, seed {seed}, killed and back with the clock set back: all views are right after {}",
                 seconds(at, since));
         }
     }
--- a/gateway-cluster/examples/owner.rs
+++ b/gateway-cluster/examples/owner.rs
@@ -1,11 +1,11 @@
-//! The owner's bounds over seeds: `cargo run --release -p gateway-cluster --example owner [DOORS [SEEDS [PERCENT
-//! [THREADS]]]]`, how long nobody owns after the owner is killed, ends as planned, or all are killed at once, and what the
-//! office sends beyond the view, in calm and after seven in ten are killed. Two owners at one instant are counted throughout.
+//! The leader's bounds over seeds: `cargo run --release -p gateway-cluster --example leader [GATEWAYS [SEEDS [PERCENT
+//! [THREADS]]]]`, how long nobody owns after the leader is killed, ends as planned, or all are killed at once, and what the
+//! leadership sends beyond the view, in calm and after seven in ten are killed. Two leaders at one instant are counted throughout.
 
 mod seeds;
 
-use gateway_cluster::engine::{Micros, Place};
-use gateway_cluster::sim::{Owned, Sent, Sim, Weather};
+use gateway_cluster::protocol::{Micros, PeerIndex};
+use gateway_cluster::sim::{NetworkConditions, Sent, Sim, SimulatedNode};
 use seeds::over_seeds;
 
 const LEASE_MS: u64 = 3000;
@@ -17,91 +17,91 @@
 const WINDOW: usize = 10;
 
 struct Fleet {
-    sim: Sim<Owned<LEASE_MS>>,
-    /// Steps at which there were two owners.
+    sim: Sim<SimulatedNode<LEASE_MS>>,
+    /// Steps at which there were two leaders.
     two: u64,
 }
 
 impl Fleet {
     /// One that has run for a while, up to a moment that differs by the seed.
-    fn running(doors: usize, loss: f64, seed: u64) -> Fleet {
-        let mut sim = Sim::new(doors, PROBE, seed);
+    fn running(gateways: usize, loss: f64, seed: u64) -> Fleet {
+        let mut sim = Sim::new(gateways, PROBE, seed);
         if loss > 0.0 {
-            sim.weather = Weather {
+            sim.network = NetworkConditions {
                 loss,
                 jitter: 50_000,
                 double: 0.05,
-                ..Weather::default()
+                ..NetworkConditions::default()
             };
         }
-        let mut fleet = Fleet { sim, two: 0 };
-        fleet.start();
-        fleet.until(60 * SECOND, |_| true);
+        let mut cluster = Fleet { sim, two: 0 };
+        cluster.start();
+        cluster.until(60 * SECOND, |_| true);
         // Somewhere between two renewals.
         let phase = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) % (LEASE_MS * 1000);
-        fleet.until(8 * SECOND + phase, |_| false);
+        cluster.until(8 * SECOND + phase, |_| false);
         // While much is lost it may just be without one.
-        fleet.until(60 * SECOND, |_| true);
-        fleet
+        cluster.until(60 * SECOND, |_| true);
+        cluster
     }
 
     fn start(&mut self) {
         let unix = 1_700_000_000 * SECOND + self.sim.now();
-        (0..self.sim.roster()).for_each(|door| self.sim.start(door, unix));
+        (0..self.sim.peers()).for_each(|gateway| self.sim.start(gateway, unix));
     }
 
-    fn owners(&mut self) -> Vec<Place> {
+    fn leaders(&mut self) -> Vec<PeerIndex> {
         let now = self.sim.now();
         let sim = &mut self.sim;
-        (0..sim.roster())
-            .filter(|door| {
-                sim.engine(*door)
-                    .and_then(|owned| owned.stack.office()?.epoch(now))
+        (0..sim.peers())
+            .filter(|gateway| {
+                sim.engine(*gateway)
+                    .and_then(|owned| owned.stack.election()?.epoch(now))
                     .is_some()
             })
             .collect()
     }
 
     /// Goes on until somebody owns who will do. Returns how many seconds that took; without an end if it took too long.
-    fn until(&mut self, most: Micros, will_do: impl Fn(Place) -> bool) -> f64 {
+    fn until(&mut self, most: Micros, will_do: impl Fn(PeerIndex) -> bool) -> f64 {
         let began = self.sim.now();
         while self.sim.now() < began + most {
             self.sim.run_until(self.sim.now() + STEP);
-            let owners = self.owners();
-            self.two += u64::from(owners.len() > 1);
-            if owners.iter().any(|owner| will_do(*owner)) {
+            let leaders = self.leaders();
+            self.two += u64::from(leaders.len() > 1);
+            if leaders.iter().any(|leader| will_do(*leader)) {
                 return (self.sim.now() - began) as f64 / 1e6;
             }
         }
         f64::INFINITY
     }
 
-    /// What each door's office sends in each of so many seconds, and whether it owned in it.
+    /// What each gateway's leadership sends in each of so many seconds, and whether it owned in it.
     fn seconds(&mut self, seconds: usize) -> Vec<Vec<(Sent, bool)>> {
-        let doors = self.sim.roster();
-        let mut sent = vec![Vec::new(); doors];
-        let mut take = |fleet: &mut Fleet, owned: &[bool]| {
-            for (door, seconds) in sent.iter_mut().enumerate() {
-                let taken = fleet
+        let gateways = self.sim.peers();
+        let mut sent = vec![Vec::new(); gateways];
+        let mut take = |cluster: &mut Fleet, owned: &[bool]| {
+            for (gateway, seconds) in sent.iter_mut().enumerate() {
+                let taken = cluster
                     .sim
-                    .engine(door)
+                    .engine(gateway)
                     .map(|owned| std::mem::take(&mut owned.sent));
-                seconds.extend(taken.map(|taken| (taken, owned[door])));
+                seconds.extend(taken.map(|taken| (taken, owned[gateway])));
             }
         };
         // What was sent before counts for nothing.
-        for door in 0..doors {
+        for gateway in 0..gateways {
             self.sim
-                .engine(door)
+                .engine(gateway)
                 .map(|owned| std::mem::take(&mut owned.sent));
         }
         for _ in 0..seconds {
-            let mut owned = vec![false; doors];
+            let mut owned = vec![false; gateways];
             for _ in 0..SECOND / STEP {
                 self.until(STEP, |_| false);
-                self.owners()
+                self.leaders()
                     .into_iter()
-                    .for_each(|owner| owned[owner] = true);
+                    .for_each(|leader| owned[leader] = true);
             }
             take(self, &owned);
         }
@@ -127,19 +127,24 @@
             sum(|sent| sent.bytes) / WINDOW as f64,
         )
     };
-    for window in sent.iter().flat_map(|door| door.windows(WINDOW)) {
+    for window in sent.iter().flat_map(|gateway| gateway.windows(WINDOW)) {
         let kind = usize::from(!window.iter().any(|(_, owned)| *owned));
         most[kind] = higher(most[kind], rate(window));
     }
-    let running: Vec<&Vec<(Sent, bool)>> = sent.iter().filter(|door| !door.is_empty()).collect();
-    let seconds = running.iter().map(|door| door.len()).min().unwrap_or(0);
+    let running: Vec<&Vec<(Sent, bool)>> =
+        sent.iter().filter(|gateway| !gateway.is_empty()).collect();
+    let seconds = running
+        .iter()
+        .map(|gateway| gateway.len())
+        .min()
+        .unwrap_or(0);
     for begin in 0..(seconds + 1).saturating_sub(WINDOW) {
         let all = running
             .iter()
-            .map(|door| rate(&door[begin..begin + WINDOW]));
+            .map(|gateway| rate(&gateway[begin..begin + WINDOW]));
         let sum = all.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
-        let doors = running.len() as f64;
-        most[2] = higher(most[2], (sum.0 / doors, sum.1 / doors));
+        let gateways = running.len() as f64;
+        most[2] = higher(most[2], (sum.0 / gateways, sum.1 / gateways));
     }
     most
 }
@@ -152,19 +157,19 @@
     calm: [Rate; 3],
     storm: [Rate; 3],
     two: u64,
-    /// Whether one owner stayed through the calm time.
+    /// Whether one leader stayed through the calm time.
     stayed: bool,
 }
 
 /// One of the figures.
 type Of<T> = fn(&Found) -> T;
 
-fn measure(doors: usize, loss: f64, seed: u64) -> Found {
+fn measure(gateways: usize, loss: f64, seed: u64) -> Found {
     let patience = 60 * SECOND;
-    let mut fleet = Fleet::running(doors, loss, seed);
-    let Some(owner) = fleet.owners().first().copied() else {
+    let mut cluster = Fleet::running(gateways, loss, seed);
+    let Some(leader) = cluster.leaders().first().copied() else {
         let (never, none) = (f64::INFINITY, [(0.0, 0.0); 3]);
-        let two = fleet.two;
+        let two = cluster.two;
         return Found {
             killed: never,
             ended: never,
@@ -175,32 +180,32 @@
             stayed: false,
         };
     };
-    let calm = most(&fleet.seconds(20));
-    let stayed = fleet.owners() == [owner];
-    fleet.until(patience, |_| true);
-    let owner = fleet.owners().first().copied().unwrap_or(owner);
-    fleet.sim.kill(owner);
-    let killed = fleet.until(patience, |next| next != owner);
-    // Of few doors all are needed for what comes next.
-    fleet
+    let calm = most(&cluster.seconds(20));
+    let stayed = cluster.leaders() == [leader];
+    cluster.until(patience, |_| true);
+    let leader = cluster.leaders().first().copied().unwrap_or(leader);
+    cluster.sim.kill(leader);
+    let killed = cluster.until(patience, |next| next != leader);
+    // Of few gateways all are needed for what comes next.
+    cluster
         .sim
-        .start(owner, 1_700_000_000 * SECOND + fleet.sim.now());
-    fleet.until(10 * SECOND, |_| false);
-    fleet.until(patience, |_| true);
-    let owner = fleet.owners().first().copied().unwrap_or(owner);
-    fleet.sim.leave(owner);
-    let ended = fleet.until(patience, |next| next != owner);
-    (0..doors).for_each(|door| fleet.sim.kill(door));
-    fleet.start();
-    let all = fleet.until(patience, |_| true);
-    let mut two = fleet.two;
-    // The owner is among those that are left in some runs: then it is cut down to a minority.
-    let mut fleet = Fleet::running(doors, loss, seed);
-    (0..doors)
-        .filter(|door| door % 10 < 7)
-        .for_each(|door| fleet.sim.kill(door));
-    let storm = most(&fleet.seconds(40));
-    two += fleet.two;
+        .start(leader, 1_700_000_000 * SECOND + cluster.sim.now());
+    cluster.until(10 * SECOND, |_| false);
+    cluster.until(patience, |_| true);
+    let leader = cluster.leaders().first().copied().unwrap_or(leader);
+    cluster.sim.leave(leader);
+    let ended = cluster.until(patience, |next| next != leader);
+    (0..gateways).for_each(|gateway| cluster.sim.kill(gateway));
+    cluster.start();
+    let all = cluster.until(patience, |_| true);
+    let mut two = cluster.two;
+    // The leader is among those that are left in some runs: then it is cut down to a minority.
+    let mut cluster = Fleet::running(gateways, loss, seed);
+    (0..gateways)
+        .filter(|gateway| gateway % 10 < 7)
+        .for_each(|gateway| cluster.sim.kill(gateway));
+    let storm = most(&cluster.seconds(40));
+    two += cluster.two;
     Found {
         killed,
         ended,
@@ -212,12 +217,12 @@
     }
 }
 
-fn report(doors: usize, seeds: u64, percent: u64, threads: usize) {
+fn report(gateways: usize, seeds: u64, percent: u64, threads: usize) {
     let found = over_seeds(seeds, threads, |seed| {
-        measure(doors, percent as f64 / 100.0, seed)
+        measure(gateways, percent as f64 / 100.0, seed)
     });
     let found: Vec<Found> = found.into_iter().map(|(_, found)| found).collect();
-    println!("{doors} doors, {percent}% loss, {seeds} seeds, lease {LEASE_MS} ms:");
+    println!("{gateways} doors, {percent}% loss, {seeds} seeds, lease {LEASE_MS} ms:");
     let times: [(&str, Of<f64>); 3] = [
         ("the owner is killed", |found| found.killed),
         ("the owner ends as planned", |found| found.ended),
@@ -280,9 +285,12 @@
     if words.len() > 2 {
         return report(number(0, 300) as usize, number(1, 6), number(2, 0), threads);
     }
-    for doors in words.first().map_or(vec![3, 30, 300], |doors| vec![*doors]) {
+    for gateways in words
+        .first()
+        .map_or(vec![3, 30, 300], |gateways| vec![*gateways])
+    {
         for percent in [0, 10] {
-            report(doors as usize, number(1, 6), percent, threads);
+            report(gateways as usize, number(1, 6), percent, threads);
         }
     }
 }
--- a/gateway-cluster/examples/sessions.rs
+++ b/gateway-cluster/examples/sessions.rs
@@ -2,7 +2,9 @@
 //!
 //! `cargo run --release -p gateway-cluster --example sessions -- [SEEDS] [MINUTES] [FIRST]`
 
-use gateway_cluster::sessions::sim::{people, run, Person, Plan, Seen, Trouble, TROUBLES};
+use gateway_cluster::sessions::sim::{
+    run, simulated_customers, Fault, Plan, Seen, SimulatedCustomer, FAULTS,
+};
 use gateway_cluster::sessions::Pooling;
 
 const KINDS: [Pooling; 3] = [Pooling::Statement, Pooling::Transaction, Pooling::Session];
@@ -15,15 +17,15 @@
     }
 }
 
-fn plan(trouble: Trouble, doors: usize, seed: u64, minutes: u64) -> Plan {
+fn plan(trouble: Fault, gateways: usize, seed: u64, minutes: u64) -> Plan {
     Plan {
-        doors,
-        people: people(),
+        gateways,
+        simulated_customers: simulated_customers(),
         trouble,
         time: minutes * 60_000_000,
         lossy: true,
         pool: true,
-        new_keeper: Some(minutes * 40_000_000),
+        new_owner: Some(minutes * 40_000_000),
         seed,
     }
 }
@@ -39,17 +41,17 @@
     println!("{seeds} seeds of {minutes} minutes for each trouble and each of 2, 3, 4 doors; 20% lost, 10% doubled, 5% late;");
     println!("a keeper that knows nothing takes over at two thirds; times in seconds, `-`: not in the run\n");
     let (mut hours, mut wrong) = (0.0, 0);
-    for trouble in TROUBLES {
-        let mut all: Vec<(Person, Seen)> = Vec::new();
+    for trouble in FAULTS {
+        let mut all: Vec<(SimulatedCustomer, Seen)> = Vec::new();
         let mut left_out = [0; 2];
         let mut datagrams = 0;
-        for doors in 2..=4 {
+        for gateways in 2..=4 {
             for seed in first..first + seeds {
-                let plan = plan(trouble, doors, seed, minutes);
+                let plan = plan(trouble, gateways, seed, minutes);
                 let out = run(&plan);
                 left_out = [left_out[0] + out.left_out[0], left_out[1] + out.left_out[1]];
                 datagrams += out.datagrams;
-                all.extend(plan.people.iter().copied().zip(out.seen));
+                all.extend(plan.simulated_customers.iter().copied().zip(out.seen));
             }
         }
         let bound = all
@@ -94,22 +96,27 @@
     }
     println!("\nall: {wrong} false statements in {hours:.0} customer-hours of bound customers");
 
-    for (name, people) in worlds() {
+    for (name, simulated_customers) in worlds() {
         println!("\n{name}");
-        let mut all: Vec<(Person, Seen)> = Vec::new();
+        let mut all: Vec<(SimulatedCustomer, Seen)> = Vec::new();
         for seed in first..first + seeds {
             let plan = Plan {
-                people: people.clone(),
-                ..plan(Trouble::Nothing, 3, seed, minutes)
+                simulated_customers: simulated_customers.clone(),
+                ..plan(Fault::Nothing, 3, seed, minutes)
             };
-            all.extend(plan.people.iter().copied().zip(run(&plan).seen));
+            all.extend(
+                plan.simulated_customers
+                    .iter()
+                    .copied()
+                    .zip(run(&plan).seen),
+            );
         }
         rows(&all);
     }
 }
 
-fn worlds() -> Vec<(&'static str, Vec<Person>)> {
-    let mut turning = people();
+fn worlds() -> Vec<(&'static str, Vec<SimulatedCustomer>)> {
+    let mut turning = simulated_customers();
     for (truth, turned) in [
         (Pooling::Statement, Pooling::Session),
         (Pooling::Statement, Pooling::Transaction),
@@ -118,16 +125,18 @@
         (Pooling::Transaction, Pooling::Session),
     ] {
         for rate in [2.0 / 60.0, 1.0, 10.0] {
-            turning.push(Person {
+            turning.push(SimulatedCustomer {
                 turns: Some((600_000_000, turned)),
-                ..Person::new(truth, rate)
+                ..SimulatedCustomer::new(truth, rate)
             });
         }
     }
     let bound = [Pooling::Transaction, Pooling::Session]
-        .map(|kind| vec![Person::new(kind, 1.0); 15])
+        .map(|kind| vec![SimulatedCustomer::new(kind, 1.0); 15])
         .concat();
-    let few = KINDS.map(|kind| Person::new(kind, 2.0 / 60.0)).to_vec();
+    let few = KINDS
+        .map(|kind| SimulatedCustomer::new(kind, 2.0 / 60.0))
+        .to_vec();
     vec![
         (
             "Customers that turn after 10 minutes (times from then)",
@@ -139,8 +148,8 @@
 }
 
 /// One line for each sort of customer.
-fn rows(all: &[(Person, Seen)]) {
-    let mut sorts: Vec<Person> = Vec::new();
+fn rows(all: &[(SimulatedCustomer, Seen)]) {
+    let mut sorts: Vec<SimulatedCustomer> = Vec::new();
     for (person, _) in all {
         if !sorts.contains(person) {
             sorts.push(*person);
--- a/gateway-cluster/src/hash.rs
+++ b/gateway-cluster/src/hash.rs
@@ -1,4 +1,4 @@
-//! Numbers that look like chance and are the same at every door, on every machine and in every version: doors compare
+//! Numbers that look like chance and are the same at every gateway, on every machine and in every version: gateways compare
 //! what follows from them.
 //!
 //! They are xxHash's, whose results are laid down in a specification with test vectors: the hash of the standard library
--- a/gateway-cluster/src/ownership/rosters.rs
+++ b/gateway-cluster/src/leadership/configuration.rs
@@ -1,38 +1,38 @@
-//! Which rosters a door is bound by. While a roster changes there are two, and whoever is to hold the office has to
-//! win a majority of each, so that any two winners have a roster in common, and in it a door that granted both.
+//! Which peer sets a gateway is bound by. While a peer set changes there are two, and whoever is to hold leadership has to
+//! win a majority of each, so that any two winners have a peer set in common, and in it a gateway that granted both.
 
 use crate::hash::mix;
-use crate::names::Id;
+use crate::peers::PeerId;
 use serde::{Deserialize, Serialize};
 
-/// Changes that a door remembers to hold others to.
+/// Changes that a gateway remembers to hold others to.
 const REMEMBERED: usize = 8;
 
-/// One roster.
+/// One peer set.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Bound {
+pub struct KnownPeerSet {
     /// Stands for its names.
     pub digest: u64,
-    /// Its names, sorted; `None` for one that this door was told of and whose names it has not read itself.
-    pub names: Option<Vec<Id>>,
+    /// Its names, sorted; `None` for one that this gateway was told of and whose names it has not read itself.
+    pub names: Option<Vec<PeerId>>,
 }
 
-impl Bound {
-    /// A roster of these names.
-    pub fn of(mut names: Vec<Id>) -> Bound {
+impl KnownPeerSet {
+    /// A peer set of these names.
+    pub fn of(mut names: Vec<PeerId>) -> KnownPeerSet {
         names.sort_unstable();
         names.dedup();
         let digest = names.iter().fold(0, |sum, id| mix(sum, u64::from(*id)));
-        Bound {
+        KnownPeerSet {
             digest,
             names: Some(names),
         }
     }
 }
 
-/// What a datagram says of its sender's rosters.
+/// What a datagram says of its sender's peer sets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Told {
+pub struct ConfigurationReport {
     /// The one that its file names.
     pub now: u64,
     /// The one that it leaves, while it still has to win that too.
@@ -41,22 +41,22 @@
     pub retired: Option<u64>,
     /// How many changes are over, as far as it knows.
     pub changes: u32,
-    /// It has taken part in a term since it began: its rosters are in use.
+    /// It has taken part in a epoch since it began: its peer sets are in use.
     pub seasoned: bool,
 }
 
-impl Told {
+impl ConfigurationReport {
     fn counts(&self, digest: u64) -> bool {
         self.now == digest || self.base == Some(digest)
     }
 
-    /// The roster that whoever tells this is bound by for the longest time.
+    /// The peer set that whoever tells this is bound by for the longest time.
     fn oldest(&self) -> u64 {
         self.base.unwrap_or(self.now)
     }
 }
 
-/// A door that has granted to one that counted both rosters grants to none that counts the first alone.
+/// A gateway that has granted to one that counted both peer sets grants to none that counts the first alone.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Bar {
     old: u64,
@@ -65,36 +65,36 @@
     changes: u32,
 }
 
-/// Why rosters keep a door from granting.
+/// Why peer sets keep a gateway from granting.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Mismatch {
-    /// The two have no roster in common.
+pub enum ConfigurationMismatch {
+    /// The two have no peer set in common.
     Other,
-    /// A change of the roster is not over, and whoever asks does not count the one that is left.
+    /// A change of the peer set is not over, and whoever asks does not count the one that is left.
     Changing,
-    /// A change has gone too far for a candidate of the old roster alone.
+    /// A change has gone too far for a candidate of the old peer set alone.
     Left,
 }
 
-/// The rosters of one door.
+/// The peer sets of one gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Rosters {
+pub struct PeerConfiguration {
     /// The one that the file names.
-    file: Bound,
+    file: KnownPeerSet,
     /// The one that is to be won, now and in the end: the file's, unless that is behind.
-    now: Bound,
-    base: Option<Bound>,
+    now: KnownPeerSet,
+    base: Option<KnownPeerSet>,
     retired: Option<u64>,
     changes: u32,
     bars: Vec<Bar>,
     seasoned: bool,
 }
 
-impl Rosters {
-    /// Those of a door that starts from nothing.
-    pub fn new(names: Vec<Id>) -> Rosters {
-        let now = Bound::of(names);
-        Rosters {
+impl PeerConfiguration {
+    /// Those of a gateway that starts from nothing.
+    pub fn new(names: Vec<PeerId>) -> PeerConfiguration {
+        let now = KnownPeerSet::of(names);
+        PeerConfiguration {
             file: now.clone(),
             now,
             base: None,
@@ -106,15 +106,15 @@
     }
 
     /// What others are told.
-    pub fn told(&self) -> Told {
+    pub fn told(&self) -> ConfigurationReport {
         let base = self.base.as_ref().map(|base| base.digest);
-        let Rosters {
+        let PeerConfiguration {
             retired,
             changes,
             seasoned,
             ..
         } = *self;
-        Told {
+        ConfigurationReport {
             now: self.now.digest,
             base,
             retired,
@@ -123,15 +123,15 @@
         }
     }
 
-    /// Each roster in which a majority has to be won.
-    pub fn each(&self) -> impl Iterator<Item = &Bound> {
+    /// Each peer set in which a majority has to be won.
+    pub fn each(&self) -> impl Iterator<Item = &KnownPeerSet> {
         self.base.iter().chain([&self.now])
     }
 
     /// Everybody who has a say, sorted, and those whom the file names.
-    pub fn names(&self) -> Vec<Id> {
+    pub fn names(&self) -> Vec<PeerId> {
         let bound = self.each().chain([&self.file]);
-        let mut names: Vec<Id> = bound
+        let mut names: Vec<PeerId> = bound
             .filter_map(|bound| bound.names.as_deref())
             .flatten()
             .copied()
@@ -142,47 +142,48 @@
     }
 
     /// Whether the file names this one.
-    pub fn has_now(&self, name: Id) -> bool {
+    pub fn has_now(&self, name: PeerId) -> bool {
         self.now
             .names
             .as_ref()
             .is_some_and(|names| names.binary_search(&name).is_ok())
     }
 
-    /// Whether these names are a majority of each roster. Where names are not known nobody is.
-    pub fn are_won_by(&self, has: impl Fn(Id) -> bool) -> bool {
+    /// Whether these names are a majority of each peer set. Where names are not known nobody is.
+    pub fn are_won_by(&self, has: impl Fn(PeerId) -> bool) -> bool {
         self.each().all(|bound| {
-            let won =
-                |names: &Vec<Id>| names.iter().filter(|name| has(**name)).count() > names.len() / 2;
+            let won = |names: &Vec<PeerId>| {
+                names.iter().filter(|name| has(**name)).count() > names.len() / 2
+            };
             bound.names.as_ref().is_some_and(won)
         })
     }
 
-    /// A change of the roster is on its way.
+    /// A change of the peer set is on its way.
     pub fn is_changing(&self) -> bool {
         self.base.is_some()
     }
 
-    /// It has taken part in a term since it began.
+    /// It has taken part in a epoch since it began.
     pub fn is_seasoned(&self) -> bool {
         self.seasoned
     }
 
-    /// It takes part in a term.
+    /// It takes part in a epoch.
     pub fn season(&mut self) {
         self.seasoned = true;
     }
 
-    /// The file names another roster. The one that is in use stays one to be won until that is over everywhere: by this
+    /// The file names another peer set. The one that is in use stays one to be won until that is over everywhere: by this
     /// a change may be taken back, or replaced, at any time.
-    pub fn set(&mut self, names: Vec<Id>) {
-        let next = Bound::of(names);
+    pub fn set(&mut self, names: Vec<PeerId>) {
+        let next = KnownPeerSet::of(names);
         let base = self.base.take().unwrap_or_else(|| self.now.clone());
         self.base = (base.digest != next.digest).then_some(base);
         (self.file, self.now) = (next.clone(), next);
     }
 
-    /// The office was won by a majority of each: by the old roster alone nobody can win any more, and this door need
+    /// The leadership was won by a majority of each: by the old peer set alone nobody can win any more, and this gateway need
     /// not either.
     pub fn won(&mut self) {
         if let Some(base) = self.base.take() {
@@ -192,8 +193,8 @@
         self.seasoned = true;
     }
 
-    /// Another door tells its rosters. By one that was retired nobody is bound any more.
-    pub fn hear(&mut self, theirs: Told) {
+    /// Another gateway tells its peer sets. By one that was retired nobody is bound any more.
+    pub fn hear(&mut self, theirs: ConfigurationReport) {
         let next = theirs.oldest();
         let names = |digest: u64| {
             self.file
@@ -201,7 +202,7 @@
                 .clone()
                 .filter(|_| digest == self.file.digest)
         };
-        let follows = |digest: u64| Bound {
+        let follows = |digest: u64| KnownPeerSet {
             digest,
             names: names(digest),
         };
@@ -217,7 +218,7 @@
                 && self.now.digest == retired
                 && theirs.changes > self.changes
             {
-                // The file of this door is behind: it is bound by what the others use, whose names it has not read.
+                // The file of this gateway is behind: it is bound by what the others use, whose names it has not read.
                 self.now = follows(next);
                 self.retired = theirs.retired;
             }
@@ -227,27 +228,27 @@
         }
     }
 
-    /// Whether this door may grant to one with such rosters.
+    /// Whether this gateway may grant to one with such peer sets.
     ///
     /// # Errors
     /// What is in the way.
-    pub fn admits(&self, theirs: Told) -> Result<(), Mismatch> {
+    pub fn admits(&self, theirs: ConfigurationReport) -> Result<(), ConfigurationMismatch> {
         let barred = |bar: &Bar| {
             theirs.counts(bar.old) && !theirs.counts(bar.must) && theirs.changes <= bar.changes
         };
         if self.bars.iter().any(barred) {
-            return Err(Mismatch::Left);
+            return Err(ConfigurationMismatch::Left);
         }
         match &self.base {
             Some(base) if theirs.counts(base.digest) => Ok(()),
-            Some(_) if theirs.counts(self.now.digest) => Err(Mismatch::Changing),
+            Some(_) if theirs.counts(self.now.digest) => Err(ConfigurationMismatch::Changing),
             None if theirs.counts(self.now.digest) => Ok(()),
-            _ => Err(Mismatch::Other),
+            _ => Err(ConfigurationMismatch::Other),
         }
     }
 
-    /// A grant was given to one with such rosters: from now on this door holds others to the change too.
-    pub fn granted(&mut self, theirs: Told) {
+    /// A grant was given to one with such peer sets: from now on this gateway holds others to the change too.
+    pub fn granted(&mut self, theirs: ConfigurationReport) {
         let Some(old) = theirs.base else { return };
         let bar = Bar {
             old,
@@ -262,9 +263,9 @@
         }
     }
 
-    /// Whether another door's rosters are in use where this one's are not, or not yet alone: one that has just begun
+    /// Whether another gateway's peer sets are in use where this one's are not, or not yet alone: one that has just begun
     /// waits for the change.
-    pub fn is_elsewhere(&self, theirs: Told) -> bool {
+    pub fn is_elsewhere(&self, theirs: ConfigurationReport) -> bool {
         theirs.seasoned && !self.seasoned && theirs.oldest() != self.told().oldest()
     }
 }
--- a/gateway-cluster/src/ownership/office/campaign.rs
+++ b/gateway-cluster/src/leadership/election/campaign.rs
@@ -1,46 +1,46 @@
-//! How a door asks for the office and renews its lease: first promises, then grants.
+//! How a gateway asks for leadership and renews its lease: first promises, then grants.
 
 use super::schedule::AGAIN;
-use super::{Note, Office, Send, Stage};
-use crate::engine::Micros;
-use crate::names::Id;
-use crate::ownership::grants::MOST_EPOCH;
-use crate::ownership::lease::Lease;
-use crate::ownership::wire::Kind;
+use super::{ElectionEvent, LeaderElection, Stage};
+use crate::leadership::voter::MAX_EPOCH;
+use crate::leadership::votes::CollectedVotes;
+use crate::leadership::wire::Kind;
+use crate::peers::PeerId;
+use crate::protocol::{Micros, Transmit};
 use rand::seq::SliceRandom;
 use std::collections::BTreeMap;
 
 /// Asked once more so often at the most while a round goes on.
 const TRIES: u8 = 4;
-/// How long doors that all have just begun wait for names that none has heard, in leases: those may be the fleet that is
-/// in service, to which this roster was not told yet.
+/// How long gateways that all have just begun wait for names that none has heard, in leases: those may be the cluster that is
+/// in service, to which this peer set was not told yet.
 const BEGIN: u64 = 20;
-/// Questions to one door that may still be answered.
+/// Questions to one gateway that may still be answered.
 const OUTSTANDING: usize = 4;
 
-impl Office {
-    /// Asks for the office, unless something speaks against that.
-    pub(super) fn begin(&mut self, now: Micros, sends: &mut Vec<Send>) {
+impl LeaderElection {
+    /// Asks for leadership, unless something speaks against that.
+    pub(super) fn begin(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
         let own = self
             .granter
             .granted(now)
             .filter(|granted| granted.holder != self.me);
         let quiet = self.granter.quiet(now);
         let lost = !self
-            .rosters
+            .peer_sets
             .are_won_by(|name| name == self.me.name || self.living.contains(&name));
         let wait = if quiet > 0 {
             quiet
         } else if let Some(granted) = own {
             granted.until - now
-        } else if now < self.elsewhere_until && !self.rosters.is_seasoned() {
+        } else if now < self.elsewhere_until && !self.peer_sets.is_seasoned() {
             self.elsewhere_until - now
         } else if self.told_before(now).is_some() {
             self.lease / 2
         } else if lost && self.tried.is_some_and(|tried| now < tried + 2 * self.lease) {
             // The view sees no majority. It may be wrong: now and then it is tried all the same.
             self.lease / 2
-        } else if !self.rosters.are_won_by(|_| true) {
+        } else if !self.peer_sets.are_won_by(|_| true) {
             self.lease
         } else {
             0
@@ -53,9 +53,9 @@
         let clock = self.unix_ms.saturating_add((now - self.born) / 1000);
         let epoch = (self.hint.max(self.fence.0).max(self.granter.highest()) + 1)
             .max(clock)
-            .min(MOST_EPOCH);
+            .min(MAX_EPOCH);
         let over = now + self.patience();
-        (self.held, self.until) = (Lease::default(), 0);
+        (self.held, self.until) = (CollectedVotes::default(), 0);
         let (promised, free) = Default::default();
         self.stage = Stage::Preparing {
             epoch,
@@ -86,8 +86,8 @@
     }
 
     /// Asks those whose turn it is, as far as the budget goes.
-    pub(super) fn ask(&mut self, now: Micros, sends: &mut Vec<Send>) {
-        let mut turns: Vec<(Micros, Id)> = self
+    pub(super) fn ask(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
+        let mut turns: Vec<(Micros, PeerId)> = self
             .peers
             .iter()
             .filter(|(_, peer)| peer.ask_at <= now)
@@ -158,14 +158,20 @@
         }
     }
 
-    pub(super) fn promised(&mut self, now: Micros, from: Id, number: u32, sends: &mut Vec<Send>) {
+    pub(super) fn promised(
+        &mut self,
+        now: Micros,
+        from: PeerId,
+        number: u32,
+        sends: &mut Vec<Transmit>,
+    ) {
         if matches!(self.stage, Stage::Preparing { .. }) && self.asked(from, number).is_some() {
             self.take_promise(now, from);
             self.ask(now, sends);
         }
     }
 
-    fn take_promise(&mut self, now: Micros, from: Id) {
+    fn take_promise(&mut self, now: Micros, from: PeerId) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.ask_at = Micros::MAX;
         }
@@ -178,13 +184,13 @@
         promised.insert(from);
         let epoch = *epoch;
         let peers = &self.peers;
-        let in_use = self.rosters.is_seasoned()
+        let in_use = self.peer_sets.is_seasoned()
             || promised
                 .iter()
                 .any(|name| peers.get(name).is_some_and(|peer| peer.seasoned));
-        let begins =
-            now >= self.born + BEGIN * self.lease || peers.values().all(|peer| peer.life != 0);
-        if (in_use || begins) && self.rosters.are_won_by(|name| promised.contains(&name)) {
+        let begins = now >= self.born + BEGIN * self.lease
+            || peers.values().all(|peer| peer.incarnation != 0);
+        if (in_use || begins) && self.peer_sets.are_won_by(|name| promised.contains(&name)) {
             let promised = std::mem::take(promised);
             self.stage = Stage::Asking {
                 epoch,
@@ -203,7 +209,13 @@
         }
     }
 
-    pub(super) fn granted(&mut self, now: Micros, from: Id, number: u32, sends: &mut Vec<Send>) {
+    pub(super) fn granted(
+        &mut self,
+        now: Micros,
+        from: PeerId,
+        number: u32,
+        sends: &mut Vec<Transmit>,
+    ) {
         if !matches!(self.stage, Stage::Asking { .. } | Stage::Holding { .. }) {
             return;
         }
@@ -231,24 +243,24 @@
         self.ask(now, sends);
     }
 
-    /// Whether a majority of each roster has granted, and for how long.
+    /// Whether a majority of each peer set has granted, and for how long.
     fn look_at_lease(&mut self, now: Micros) {
         let (epoch, new) = match self.stage {
             Stage::Asking { epoch, .. } => (epoch, true),
             Stage::Holding { epoch } => (epoch, false),
             _ => return,
         };
-        let until = self.held.until(&self.rosters);
+        let until = self.held.until(&self.peer_sets);
         if now >= until {
             return;
         }
         self.until = self.until.max(until);
-        self.rosters.won();
+        self.peer_sets.won();
         self.know_peers();
         if new {
             self.stage = Stage::Holding { epoch };
             (self.fence, self.claim) = ((epoch, Some(self.me.name)), None);
-            self.note(Note::Won(epoch));
+            self.note(ElectionEvent::Won(epoch));
             // All are to know it at once.
             self.ask_all(now);
         }
--- a/gateway-cluster/src/ownership/office/owner.rs
+++ b/gateway-cluster/src/leadership/election/leader.rs
@@ -1,66 +1,66 @@
-//! Who owns, as far as this door has heard, and how it asks for that; and how the office is given back.
+//! Who owns, as far as this gateway has heard, and how it asks for that; and how leadership is given back.
 
 use super::peers::Peer;
 use super::schedule::order;
-use super::{Note, Office, Send, Stage, Stamp};
-use crate::engine::Micros;
-use crate::names::Id;
-use crate::ownership::wire::Kind;
-use crate::ownership::Holder;
+use super::{ElectionEvent, LeaderElection, LeaseProof, Stage};
+use crate::leadership::wire::Kind;
+use crate::leadership::LeaseHolder;
+use crate::peers::PeerId;
+use crate::protocol::{Micros, Transmit};
 use rand::seq::IndexedRandom;
 use rand::Rng;
 
-/// How long a door that has just begun waits for those that use another roster, in leases.
+/// How long a gateway that has just begun waits for those that use another peer set, in leases.
 pub(super) const ELSEWHERE: u64 = 3;
-/// How long the one that an owner names waits, so that all have heard that the office is free.
+/// How long the one that a leader names waits, so that all have heard that leadership is free.
 const HEARD: Micros = 5_000;
-/// A door that does not know the owner asks another so often in the time of a lease, and once more shortly before what
+/// A gateway that does not know the leader asks another so often in the time of a lease, and once more shortly before what
 /// it knows is over.
 pub(super) const WHO: u64 = 3;
 pub(super) const WHO_AHEAD: Micros = 200_000;
 pub(super) const WHO_GAP: Micros = 350_000;
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Claim {
-    pub(super) owner: Id,
+pub(super) struct KnownLeader {
+    pub(super) leader: PeerId,
     pub(super) epoch: u64,
     pub(super) until: Micros,
 }
 
-impl Office {
-    /// Who owns, as far as this door knows at this moment.
-    pub(super) fn known(&self, now: Micros) -> Option<Claim> {
+impl LeaderElection {
+    /// Who owns, as far as this gateway knows at this moment.
+    pub(super) fn known(&self, now: Micros) -> Option<KnownLeader> {
         if let Some(epoch) = self.epoch(now) {
-            return Some(Claim {
-                owner: self.me.name,
+            return Some(KnownLeader {
+                leader: self.me.name,
                 epoch,
                 until: self.until,
             });
         }
-        // Of a term that another followed nothing is left, however long it was to last.
-        let stands = |claim: &Claim| now < claim.until && claim.epoch >= self.fence.0;
+        // Of a epoch that another followed nothing is left, however long it was to last.
+        let stands = |claim: &KnownLeader| now < claim.until && claim.epoch >= self.fence.0;
         self.claim
-            .filter(|claim| stands(claim) && claim.owner != self.me.name)
+            .filter(|claim| stands(claim) && claim.leader != self.me.name)
     }
 
-    /// Another door says that it owns.
+    /// Another gateway says that it owns.
     pub(super) fn hear_claim(
         &mut self,
         now: Micros,
-        from: Id,
-        stamp: Stamp,
-        sends: &mut Vec<Send>,
+        from: PeerId,
+        stamp: LeaseProof,
+        sends: &mut Vec<Transmit>,
     ) {
-        if stamp.to_life != self.me.life {
+        if stamp.to_incarnation != self.me.incarnation {
             // It does not know yet that this is another process: the answer tells it.
             return;
         }
         if self.admit(now, from, stamp).is_ok() {
-            self.rosters.season();
+            self.peer_sets.season();
             self.follow(
                 now,
-                Claim {
-                    owner: from,
+                KnownLeader {
+                    leader: from,
                     epoch: stamp.epoch,
                     until: stamp.until,
                 },
@@ -69,39 +69,39 @@
         }
     }
 
-    pub(super) fn follow(&mut self, now: Micros, claim: Claim, sends: &mut Vec<Send>) {
+    pub(super) fn follow(&mut self, now: Micros, claim: KnownLeader, sends: &mut Vec<Transmit>) {
         if self
             .freed
-            .is_some_and(|(freed, epoch, _)| freed.name == claim.owner && epoch == claim.epoch)
+            .is_some_and(|(freed, epoch, _)| freed.name == claim.leader && epoch == claim.epoch)
         {
-            // Whoever tells this has not heard that it gave the office back.
+            // Whoever tells this has not heard that it gave leadership back.
             return;
         }
         let same = self
             .claim
-            .filter(|held| held.owner == claim.owner && held.epoch == claim.epoch);
+            .filter(|held| held.leader == claim.leader && held.epoch == claim.epoch);
         if same.is_none() {
-            self.note(Note::Owner(claim.owner, claim.epoch));
+            self.note(ElectionEvent::Leader(claim.leader, claim.epoch));
         }
         let until = same.map_or(claim.until, |held| held.until.max(claim.until));
-        self.claim = Some(Claim { until, ..claim });
+        self.claim = Some(KnownLeader { until, ..claim });
         if matches!(self.stage, Stage::Preparing { .. } | Stage::Asking { .. }) {
             self.give_up(now, sends);
         }
         self.plan(now);
     }
 
-    /// A holder has given the office back.
-    pub(super) fn released(&mut self, now: Micros, holder: Holder, epoch: u64, next: Id) {
+    /// A holder has given leadership back.
+    pub(super) fn released(&mut self, now: Micros, holder: LeaseHolder, epoch: u64, next: PeerId) {
         self.granter.release(holder, epoch);
         self.freed = Some((holder, epoch, now + self.lease));
-        let was_owner = self
+        let was_leader = self
             .claim
-            .is_some_and(|claim| claim.owner == holder.name && claim.epoch == epoch);
-        if !was_owner {
+            .is_some_and(|claim| claim.leader == holder.name && claim.epoch == epoch);
+        if !was_leader {
             return;
         }
-        self.claim = self.claim.map(|claim| Claim {
+        self.claim = self.claim.map(|claim| KnownLeader {
             until: now.min(claim.until),
             ..claim
         });
@@ -113,10 +113,10 @@
         }
     }
 
-    /// Asks another door who owns.
-    pub(super) fn ask_who(&mut self, now: Micros, sends: &mut Vec<Send>) {
-        let able = |name: &&Id| self.peers.contains_key(*name);
-        let living: Vec<Id> = self.living.iter().filter(able).copied().collect();
+    /// Asks another gateway who owns.
+    pub(super) fn ask_who(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
+        let able = |name: &&PeerId| self.peers.contains_key(*name);
+        let living: Vec<PeerId> = self.living.iter().filter(able).copied().collect();
         // Where few can be reached, who knew it last is the best to ask; now and then another.
         let known = self
             .teller
@@ -130,10 +130,10 @@
         self.who_at = now + WHO_GAP.max(self.lease / WHO);
     }
 
-    /// Gives the office back, if this door has it, so that this one may have it at once.
-    pub(super) fn give_back(&mut self, now: Micros, next: Id, sends: &mut Vec<Send>) {
+    /// Gives leadership back, if this gateway has it, so that this one may have it at once.
+    pub(super) fn give_back(&mut self, now: Micros, next: PeerId, sends: &mut Vec<Transmit>) {
         let Some(epoch) = self.epoch(now) else { return };
-        self.note(Note::Released(epoch));
+        self.note(ElectionEvent::Released(epoch));
         self.granter.release(self.me, epoch);
         self.step_down(now);
         // Nobody says it again where it is lost: it is said twice. It is owed, so it costs no budget.
@@ -142,16 +142,16 @@
         }
     }
 
-    /// One of two or more that were told of another roster, which this door's file does not name yet: they are to own, as
+    /// One of two or more that were told of another peer set, which this gateway's file does not name yet: they are to own, as
     /// only they can finish the change. One alone may have a file with a mistake.
-    pub(super) fn told_before(&self, now: Micros) -> Option<Id> {
+    pub(super) fn told_before(&self, now: Micros) -> Option<PeerId> {
         let recent = |peer: &Peer| now < peer.heard + ELSEWHERE * self.lease;
         let told = self
             .peers
             .iter()
             .filter(|(_, peer)| recent(peer))
             .filter_map(|(name, peer)| {
-                let of = |(other, held): &(&Id, &Peer)| {
+                let of = |(other, held): &(&PeerId, &Peer)| {
                     *other != name && held.changing == peer.changing && recent(held)
                 };
                 (peer.changing.is_some() && self.peers.iter().any(|other| of(&other)))
--- a/gateway-cluster/src/ownership/office/mod.rs
+++ b/gateway-cluster/src/leadership/election/mod.rs
@@ -1,24 +1,24 @@
-//! The office at one door: it grants, asks for grants when nobody owns, renews them, and knows who owns.
+//! The leadership at one gateway: it grants, asks for grants when nobody owns, renews them, and knows who owns.
 
 mod campaign;
 mod granting;
-mod owner;
+mod leader;
 mod peers;
 mod receiving;
 mod refusals;
 mod schedule;
 mod sending;
 
-pub use schedule::{least_lease, renewal};
+pub use schedule::{min_lease, renewal};
 
-use super::grants::Granter;
-use super::lease::Lease;
-use super::rosters::{Rosters, Told};
-use super::{shorter, Holder, Refused};
-use crate::budget::Bucket;
-use crate::engine::Micros;
-use crate::names::Id;
-use owner::Claim;
+use super::configuration::{ConfigurationReport, PeerConfiguration};
+use super::voter::LeaseVoter;
+use super::votes::CollectedVotes;
+use super::{shorter, ActRejection, LeaseHolder};
+use crate::peers::PeerId;
+use crate::protocol::{Micros, Transmit};
+use crate::token_bucket::TokenBucket;
+use leader::KnownLeader;
 use peers::Peer;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -26,167 +26,158 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// Things to tell the log that may wait.
-const MOST_NOTES: usize = 256;
+const MAX_EVENTS: usize = 256;
 
-/// A datagram that is to be sent.
-#[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Send {
-    /// To whom.
-    pub to: Id,
-    /// Its payload.
-    pub bytes: Vec<u8>,
-}
-
-/// What an office begins with.
+/// What an leadership begins with.
 #[derive(Debug, Clone)]
-pub struct Settings {
-    /// All names of the roster, this door's too.
-    pub names: Vec<Id>,
-    /// This door's.
-    pub name: Id,
-    /// The lease, the same at all doors, in microseconds.
+pub struct ElectionSettings {
+    /// All names of the peer set, this gateway's too.
+    pub names: Vec<PeerId>,
+    /// This gateway's.
+    pub name: PeerId,
+    /// The lease, the same at all gateways, in microseconds.
     pub lease: Micros,
-    /// The wall clock in milliseconds since 1970. Terms begin there, so that they go on growing when all doors restart;
+    /// The wall clock in milliseconds since 1970. Terms begin there, so that they go on growing when all gateways restart;
     /// nothing rests on it.
     pub unix_ms: u64,
 }
 
-/// Something that staff should know.
+/// Something that operators should know.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Note {
-    /// This door owns, in this term.
+pub enum ElectionEvent {
+    /// This gateway owns, in this epoch.
     Won(u64),
     /// It does not any more: its lease was over before a majority renewed it.
     Lost(u64),
-    /// It gave the office back.
+    /// It gave leadership back.
     Released(u64),
-    /// Another door owns, in this term.
-    Owner(Id, u64),
-    /// An act on behalf of the fleet was refused.
-    Refused(Id, Refused),
-    /// Another door goes by another lease, in milliseconds: the two grant each other nothing.
-    LeaseDiffers(Id, u32),
-    /// Another door has other rosters.
-    RostersDiffer(Id),
+    /// Another gateway owns, in this epoch.
+    Leader(PeerId, u64),
+    /// An act on behalf of the cluster was refused.
+    ActRejected(PeerId, ActRejection),
+    /// Another gateway goes by another lease, in milliseconds: the two grant each other nothing.
+    LeaseDiffers(PeerId, u32),
+    /// Another gateway has other peer sets.
+    PeerSetsDiffer(PeerId),
 }
 
-/// What staff are told.
+/// What operators are told.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
-    /// The owner, if this door knows one now.
-    pub owner: Option<Id>,
-    /// The highest term of any owner that it knows.
+pub struct ElectionStatus {
+    /// The leader, if this gateway knows one now.
+    pub leader: Option<PeerId>,
+    /// The highest epoch of any leader that it knows.
     pub epoch: u64,
-    /// It is this door.
+    /// It is this gateway.
     pub mine: bool,
     /// For how long yet that is known; 0 where nobody is known.
     pub left: Micros,
-    /// How long this door still grants nothing.
+    /// How long this gateway still grants nothing.
     pub quiet: Micros,
     /// Acts that were refused.
     pub refused: u64,
 }
 
-/// What goes with an act on behalf of the fleet to one door: it is of use there only before the owner's lease is over,
-/// by that door's own clock, whatever held the act up.
+/// What goes with an act on behalf of the cluster to one gateway: it is of use there only before the leader's lease is over,
+/// by that gateway's own clock, whatever held the act up.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Stamp {
-    /// The owner's term.
+pub struct LeaseProof {
+    /// The leader's epoch.
     pub epoch: u64,
-    /// The life of the receiver.
-    pub to_life: u64,
+    /// The incarnation of the receiver.
+    pub to_incarnation: u64,
     /// On the receiver's clock.
     pub until: u64,
 }
 
 #[derive(Debug)]
 enum Stage {
-    /// Somebody else owns, or nobody does and this door asks for the office then.
+    /// Somebody else owns, or nobody does and this gateway asks for leadership then.
     Idle,
     /// Asks who would grant.
     Preparing {
         epoch: u64,
         over: Micros,
-        promised: BTreeSet<Id>,
-        free: BTreeMap<Id, Micros>,
+        promised: BTreeSet<PeerId>,
+        free: BTreeMap<PeerId, Micros>,
     },
     /// Asks for grants.
     Asking {
         epoch: u64,
         over: Micros,
-        free: BTreeMap<Id, Micros>,
+        free: BTreeMap<PeerId, Micros>,
     },
     /// Owns, for as long as the lease lasts.
     Holding { epoch: u64 },
-    /// Takes no part: another process has this door's name, or it goes.
+    /// Takes no part: another process has this gateway's name, or it goes.
     Hushed,
 }
 
-/// One door's part in ownership.
+/// One gateway's part in ownership.
 #[derive(Debug)]
-pub struct Office {
-    me: Holder,
+pub struct LeaderElection {
+    me: LeaseHolder,
     lease: Micros,
     unix_ms: u64,
     born: Micros,
-    rosters: Rosters,
-    granter: Granter,
-    held: Lease,
-    /// The end of the lease: what was won stays won until then, also when the roster changes.
+    peer_sets: PeerConfiguration,
+    granter: LeaseVoter,
+    held: CollectedVotes,
+    /// The end of the lease: what was won stays won until then, also when the peer set changes.
     until: Micros,
     stage: Stage,
-    /// When this door asks for the office, if nobody owns then.
+    /// When this gateway asks for leadership, if nobody owns then.
     at: Micros,
-    peers: BTreeMap<Id, Peer>,
-    claim: Option<Claim>,
-    /// The highest term of an owner that is known, and whose it was, if that is known too.
-    fence: (u64, Option<Id>),
-    /// The highest term that anybody was heard to speak of.
+    peers: BTreeMap<PeerId, Peer>,
+    claim: Option<KnownLeader>,
+    /// The highest epoch of a leader that is known, and whose it was, if that is known too.
+    fence: (u64, Option<PeerId>),
+    /// The highest epoch that anybody was heard to speak of.
     hint: u64,
     refused: u64,
     /// Those who live, by the view.
-    living: Vec<Id>,
+    living: Vec<PeerId>,
     elsewhere_until: Micros,
     tried: Option<Micros>,
-    /// Who gave the office back not long ago, and in which term; others may not have heard of it until then.
-    freed: Option<(Holder, u64, Micros)>,
+    /// Who gave leadership back not long ago, and in which epoch; others may not have heard of it until then.
+    freed: Option<(LeaseHolder, u64, Micros)>,
     who: (u32, Micros),
     /// Who told it last.
-    teller: Option<Id>,
+    teller: Option<PeerId>,
     who_at: Micros,
     number: u32,
-    budget: Bucket,
+    budget: TokenBucket,
     next: Micros,
     rng: Pcg64Mcg,
-    notes: VecDeque<Note>,
-    /// Datagrams that make no sense, and those of names that no roster here has.
+    notes: VecDeque<ElectionEvent>,
+    /// Datagrams that make no sense, and those of names that no peer set here has.
     pub dropped: (u64, u64),
     /// Datagrams sent, and their bytes without headers.
     pub sent: (u64, u64),
 }
 
-impl Office {
-    /// A new life that knows the roster and nothing else.
-    pub fn new(now: Micros, settings: Settings, seed: u64) -> Office {
-        let Settings {
+impl LeaderElection {
+    /// A new incarnation that knows the peer set and nothing else.
+    pub fn new(now: Micros, settings: ElectionSettings, seed: u64) -> LeaderElection {
+        let ElectionSettings {
             names,
             name,
             lease,
             unix_ms,
         } = settings;
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let me = Holder {
+        let me = LeaseHolder {
             name,
-            life: rng.random_range(1..=u64::MAX),
+            incarnation: rng.random_range(1..=u64::MAX),
         };
         let number = rng.random();
-        let mut office = Office {
+        let mut election = LeaderElection {
             me,
             lease,
             unix_ms,
             born: now,
-            granter: Granter::new(now, lease),
-            held: Lease::default(),
+            granter: LeaseVoter::new(now, lease),
+            held: CollectedVotes::default(),
             until: 0,
             stage: Stage::Idle,
             at: 0,
@@ -196,7 +187,7 @@
             hint: 0,
             refused: 0,
             living: names.clone(),
-            rosters: Rosters::new(names),
+            peer_sets: PeerConfiguration::new(names),
             elsewhere_until: 0,
             tried: None,
             freed: None,
@@ -204,40 +195,40 @@
             teller: None,
             who_at: now,
             number,
-            budget: Bucket::full(now, BURST, PER_SECOND),
+            budget: TokenBucket::full(now, BURST, PER_SECOND),
             next: now,
             rng,
             notes: VecDeque::new(),
             dropped: (0, 0),
             sent: (0, 0),
         };
-        office.know_peers();
-        office.plan(now);
-        office
+        election.know_peers();
+        election.plan(now);
+        election
     }
 
-    /// This door's life.
-    pub fn life(&self) -> u64 {
-        self.me.life
+    /// This gateway's incarnation.
+    pub fn incarnation(&self) -> u64 {
+        self.me.incarnation
     }
 
-    /// Everybody who has a say in any roster that this door is bound by, this door too.
-    pub fn names(&self) -> Vec<Id> {
-        self.rosters.names()
+    /// Everybody who has a say in any peer set that this gateway is bound by, this gateway too.
+    pub fn names(&self) -> Vec<PeerId> {
+        self.peer_sets.names()
     }
 
-    /// The file names another roster.
-    pub fn set_roster(&mut self, now: Micros, names: Vec<Id>, sends: &mut Vec<Send>) {
-        let before = self.rosters.told();
-        self.rosters.set(names);
+    /// The file names another peer set.
+    pub fn set_peers(&mut self, now: Micros, names: Vec<PeerId>, sends: &mut Vec<Transmit>) {
+        let before = self.peer_sets.told();
+        self.peer_sets.set(names);
         self.know_peers();
         self.rebind(now, before, sends);
     }
 
-    /// What was granted to one that counted other rosters says nothing for these: it is asked anew. A lease that was won
+    /// What was granted to one that counted other peer sets says nothing for these: it is asked anew. A lease that was won
     /// stays won until its end.
-    fn rebind(&mut self, now: Micros, before: Told, sends: &mut Vec<Send>) {
-        let after = self.rosters.told();
+    fn rebind(&mut self, now: Micros, before: ConfigurationReport, sends: &mut Vec<Transmit>) {
+        let after = self.peer_sets.told();
         if (before.now, before.base) == (after.now, after.base) {
             return;
         }
@@ -249,7 +240,7 @@
         match self.stage {
             Stage::Preparing { .. } | Stage::Asking { .. } => self.give_up(now, sends),
             Stage::Holding { .. } => {
-                self.held = Lease::default();
+                self.held = CollectedVotes::default();
                 self.ask_all(now);
             }
             Stage::Idle | Stage::Hushed => self.plan(now),
@@ -258,24 +249,24 @@
     }
 
     /// The view holds these for living: they are asked first.
-    pub fn advise(&mut self, living: Vec<Id>) {
+    pub fn on_membership_change(&mut self, living: Vec<PeerId>) {
         self.living = living;
     }
 
-    /// What staff are told. True at this moment, however long ago this door was woken.
-    pub fn standing(&self, now: Micros) -> Standing {
+    /// What operators are told. True at this moment, however long ago this gateway was woken.
+    pub fn status(&self, now: Micros) -> ElectionStatus {
         let known = self.known(now);
-        Standing {
-            owner: known.map(|claim| claim.owner),
+        ElectionStatus {
+            leader: known.map(|claim| claim.leader),
             epoch: self.fence.0,
-            mine: known.is_some_and(|claim| claim.owner == self.me.name),
+            mine: known.is_some_and(|claim| claim.leader == self.me.name),
             left: known.map_or(0, |claim| claim.until - now),
             quiet: self.granter.quiet(now),
             refused: self.refused,
         }
     }
 
-    /// The term in which this door may act on behalf of the fleet at this moment. To be asked at the moment of each act.
+    /// The epoch in which this gateway may act on behalf of the cluster at this moment. To be asked at the moment of each act.
     pub fn epoch(&self, now: Micros) -> Option<u64> {
         match self.stage {
             Stage::Holding { epoch } if now < self.until => Some(epoch),
@@ -283,35 +274,40 @@
         }
     }
 
-    /// What has to go with an act to another door; none if this door does not own now, or has not heard from the other.
-    pub fn stamp(&self, now: Micros, to: Id) -> Option<Stamp> {
+    /// What has to go with an act to another gateway; none if this gateway does not own now, or has not heard from the other.
+    pub fn stamp(&self, now: Micros, to: PeerId) -> Option<LeaseProof> {
         let epoch = self.epoch(now)?;
-        let peer = self.peers.get(&to).filter(|peer| peer.life != 0)?;
+        let peer = self.peers.get(&to).filter(|peer| peer.incarnation != 0)?;
         let until = peer.tick + shorter(self.until.saturating_sub(peer.heard));
-        Some(Stamp {
+        Some(LeaseProof {
             epoch,
-            to_life: peer.life,
+            to_incarnation: peer.incarnation,
             until,
         })
     }
 
-    /// Whether an act on behalf of the fleet may be carried out here at this moment.
+    /// Whether an act on behalf of the cluster may be carried out here at this moment.
     ///
     /// # Errors
     /// Why not. It is counted.
-    pub fn admit(&mut self, now: Micros, from: Id, stamp: Stamp) -> Result<(), Refused> {
-        let Stamp {
+    pub fn admit(
+        &mut self,
+        now: Micros,
+        from: PeerId,
+        stamp: LeaseProof,
+    ) -> Result<(), ActRejection> {
+        let LeaseProof {
             epoch,
-            to_life,
+            to_incarnation,
             until,
         } = stamp;
         let (known, of) = self.fence;
-        let refused = if to_life != self.me.life {
-            Refused::OtherLife
+        let refused = if to_incarnation != self.me.incarnation {
+            ActRejection::OtherIncarnation
         } else if epoch < known || epoch == known && of.is_some_and(|of| of != from) {
-            Refused::Old { epoch, known }
+            ActRejection::Old { epoch, known }
         } else if now >= until {
-            Refused::Late {
+            ActRejection::Late {
                 late_ms: (now - until) / 1000,
             }
         } else {
@@ -319,20 +315,20 @@
             return Ok(());
         };
         self.refused += 1;
-        self.note(Note::Refused(from, refused));
+        self.note(ElectionEvent::ActRejected(from, refused));
         Err(refused)
     }
 
-    /// Whether these names are a majority of each roster that this door is bound by.
-    pub fn is_majority(&self, has: impl Fn(Id) -> bool) -> bool {
-        self.rosters.are_won_by(has)
+    /// Whether these names are a majority of each peer set that this gateway is bound by.
+    pub fn is_majority(&self, has: impl Fn(PeerId) -> bool) -> bool {
+        self.peer_sets.are_won_by(has)
     }
 
-    /// Another door's life, its clock when it sent what came last, and this door's clock when that came; none if nothing
+    /// Another gateway's incarnation, its clock when it sent what came last, and this gateway's clock when that came; none if nothing
     /// has come.
-    pub fn clock_of(&self, name: Id) -> Option<(u64, u64, Micros)> {
-        let peer = self.peers.get(&name).filter(|peer| peer.life != 0)?;
-        Some((peer.life, peer.tick, peer.heard))
+    pub fn clock_of(&self, name: PeerId) -> Option<(u64, u64, Micros)> {
+        let peer = self.peers.get(&name).filter(|peer| peer.incarnation != 0)?;
+        Some((peer.incarnation, peer.tick, peer.heard))
     }
 
     /// The lease.
@@ -341,17 +337,17 @@
     }
 
     /// The oldest thing to tell that was not taken yet.
-    pub fn take_note(&mut self) -> Option<Note> {
+    pub fn next_event(&mut self) -> Option<ElectionEvent> {
         self.notes.pop_front()
     }
 
-    /// When [`Office::wake`] is wanted.
-    pub fn due(&self) -> Micros {
+    /// When [`LeaderElection::on_timer`] is wanted.
+    pub fn next_wakeup(&self) -> Micros {
         self.next
     }
 
-    /// Gives the office back, if this door has it, and takes no part any more.
-    pub fn leave(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    /// Gives leadership back, if this gateway has it, and takes no part any more.
+    pub fn leave(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
         let next = self
             .ranked(self.fence.0)
             .first()
@@ -364,9 +360,10 @@
 
     /// It takes part again, after another process had its name: that one may have granted.
     pub fn resume(&mut self, now: Micros) {
-        self.me.life = self.rng.random_range(1..=u64::MAX);
+        self.me.incarnation = self.rng.random_range(1..=u64::MAX);
         self.granter.begin_anew(now);
-        (self.held, self.until, self.stage, self.claim) = (Lease::default(), 0, Stage::Idle, None);
+        (self.held, self.until, self.stage, self.claim) =
+            (CollectedVotes::default(), 0, Stage::Idle, None);
         self.plan(now);
     }
 
@@ -376,12 +373,12 @@
     }
 
     /// Something is due, or past that.
-    pub fn wake(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    pub fn on_timer(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
         self.budget.fill(now);
         match self.stage {
             Stage::Hushed => return,
             Stage::Holding { epoch } if now >= self.until => {
-                self.note(Note::Lost(epoch));
+                self.note(ElectionEvent::Lost(epoch));
                 self.step_down(now);
             }
             Stage::Holding { .. } => self.ask(now, sends),
@@ -398,8 +395,8 @@
         self.set_next(now);
     }
 
-    fn note(&mut self, note: Note) {
-        if self.notes.len() < MOST_NOTES && self.notes.back() != Some(&note) {
+    fn note(&mut self, note: ElectionEvent) {
+        if self.notes.len() < MAX_EVENTS && self.notes.back() != Some(&note) {
             self.notes.push_back(note);
         }
     }
--- a/gateway-cluster/src/ownership/office/peers.rs
+++ b/gateway-cluster/src/leadership/election/peers.rs
@@ -1,48 +1,48 @@
-//! What is known of each other door.
+//! What is known of each other gateway.
 
-use super::{Note, Office};
-use crate::engine::Micros;
-use crate::names::Id;
+use super::{ElectionEvent, LeaderElection};
+use crate::peers::PeerId;
+use crate::protocol::Micros;
 use std::collections::VecDeque;
 
-/// What is known of another door.
+/// What is known of another gateway.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Peer {
-    pub(super) life: u64,
-    /// Its clock when it sent what came last, and this door's clock when that came.
+    pub(super) incarnation: u64,
+    /// Its clock when it sent what came last, and this gateway's clock when that came.
     pub(super) tick: u64,
     pub(super) heard: Micros,
     /// Questions that it may still answer, with when each was first asked.
     pub(super) asked: VecDeque<(u32, Micros)>,
     pub(super) tries: u8,
-    /// It and this door grant each other nothing.
+    /// It and this gateway grant each other nothing.
     pub(super) differs: bool,
-    /// It has granted a later term than this door asks for.
+    /// It has granted a later epoch than this gateway asks for.
     pub(super) behind: bool,
-    /// It has taken part in a term.
+    /// It has taken part in a epoch.
     pub(super) seasoned: bool,
-    /// The roster that its file names, where this door's file names the one that it leaves.
+    /// The peer set that its file names, where this gateway's file names the one that it leaves.
     pub(super) changing: Option<u64>,
     /// When it is asked next.
     pub(super) ask_at: Micros,
 }
 
-impl Office {
-    pub(super) fn others(&self) -> Vec<Id> {
+impl LeaderElection {
+    pub(super) fn others(&self) -> Vec<PeerId> {
         self.peers.keys().copied().collect()
     }
 
-    /// Keeps what is known of the names of all rosters, and forgets the others.
+    /// Keeps what is known of the names of all peer sets, and forgets the others.
     pub(super) fn know_peers(&mut self) {
-        let names = self.rosters.names();
+        let names = self.peer_sets.names();
         self.peers.retain(|name, _| names.contains(name));
         for name in names.into_iter().filter(|name| *name != self.me.name) {
             self.peers.entry(name).or_default();
         }
     }
 
-    /// Tells the log once of what keeps another door and this one from granting each other.
-    pub(super) fn tell_difference(&mut self, name: Id, differs: Option<Note>) {
+    /// Tells the log once of what keeps another gateway and this one from granting each other.
+    pub(super) fn tell_difference(&mut self, name: PeerId, differs: Option<ElectionEvent>) {
         let Some(peer) = self.peers.get_mut(&name) else {
             return;
         };
@@ -53,7 +53,7 @@
     }
 
     /// When the question was asked that this answers.
-    pub(super) fn asked(&mut self, from: Id, number: u32) -> Option<Micros> {
+    pub(super) fn asked(&mut self, from: PeerId, number: u32) -> Option<Micros> {
         let peer = self.peers.get_mut(&from)?;
         let place = peer.asked.iter().position(|(asked, _)| *asked == number)?;
         let (_, at) = peer.asked.remove(place)?;
--- a/gateway-cluster/src/ownership/office/receiving.rs
+++ b/gateway-cluster/src/leadership/election/receiving.rs
@@ -1,15 +1,15 @@
 //! A datagram that has come: what it tells of its sender, and what it asks or answers.
 
-use super::owner::{Claim, ELSEWHERE};
-use super::{Office, Send, Stage, Stamp};
-use crate::engine::Micros;
-use crate::ownership::grants::{Question, Refusal};
-use crate::ownership::wire::{Datagram, Kind};
-use crate::ownership::{shorter, Holder};
+use super::leader::{KnownLeader, ELSEWHERE};
+use super::{LeaderElection, LeaseProof, Stage};
+use crate::leadership::voter::{VoteRejection, VoteRequest};
+use crate::leadership::wire::{Datagram, Kind};
+use crate::leadership::{shorter, LeaseHolder};
+use crate::protocol::{Micros, Transmit};
 
-impl Office {
+impl LeaderElection {
     /// A datagram has come.
-    pub fn receive(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<Send>) {
+    pub fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<Transmit>) {
         let Some(datagram) = Datagram::decode(bytes) else {
             self.dropped.0 += 1;
             return;
@@ -25,19 +25,19 @@
         let Some(peer) = self.peers.get_mut(&from) else {
             return;
         };
-        if peer.life != datagram.life {
-            (peer.life, peer.tick) = (datagram.life, 0);
+        if peer.incarnation != datagram.incarnation {
+            (peer.incarnation, peer.tick) = (datagram.incarnation, 0);
         }
         if datagram.tick >= peer.tick {
             (peer.tick, peer.heard) = (datagram.tick, now);
         }
-        let (theirs, before) = (datagram.rosters, self.rosters.told());
+        let (theirs, before) = (datagram.peer_sets, self.peer_sets.told());
         peer.seasoned = theirs.seasoned;
         peer.changing =
             Some(theirs.now).filter(|now| theirs.base == Some(before.now) && *now != before.now);
-        self.rosters.hear(theirs);
+        self.peer_sets.hear(theirs);
         self.rebind(now, before, sends);
-        if self.rosters.is_elsewhere(theirs) {
+        if self.peer_sets.is_elsewhere(theirs) {
             self.elsewhere_until = now + ELSEWHERE * self.lease;
         }
         if datagram.epoch > self.fence.0 {
@@ -47,18 +47,18 @@
         if let (Stage::Holding { .. }, Some(told)) = (&self.stage, self.told_before(now)) {
             self.give_back(now, told, sends);
         }
-        let for_me = datagram.to_life == self.me.life;
-        let holder = Holder {
+        let for_me = datagram.to_incarnation == self.me.incarnation;
+        let holder = LeaseHolder {
             name: from,
-            life: datagram.life,
+            incarnation: datagram.incarnation,
         };
-        let question = |epoch, lease_ms| Question {
+        let question = |epoch, lease_ms| VoteRequest {
             holder,
             epoch,
             lease: Micros::from(lease_ms) * 1000,
-            rosters: theirs,
+            peer_sets: theirs,
         };
-        let answer = |number, outcome: Result<(), Refusal>, yes: fn(u32) -> Kind| {
+        let answer = |number, outcome: Result<(), VoteRejection>, yes: fn(u32) -> Kind| {
             outcome.map_or_else(|why| Kind::Refuse(number, why), |()| yes(number))
         };
         match datagram.kind {
@@ -77,9 +77,9 @@
                 until,
             } => {
                 if let Some(until) = until {
-                    let stamp = Stamp {
+                    let stamp = LeaseProof {
                         epoch,
-                        to_life: datagram.to_life,
+                        to_incarnation: datagram.to_incarnation,
                         until,
                     };
                     self.hear_claim(now, from, stamp, sends);
@@ -94,9 +94,9 @@
             Kind::Who(number) => {
                 let known = self.known(now);
                 // What is told is what is left, cut to whole milliseconds.
-                let told = |claim: Claim| {
+                let told = |claim: KnownLeader| {
                     (
-                        claim.owner,
+                        claim.leader,
                         claim.epoch,
                         ((claim.until - now) / 1000) as u32,
                     )
@@ -104,27 +104,27 @@
                 self.put(
                     now,
                     from,
-                    Kind::Owner {
+                    Kind::Leader {
                         number,
-                        owner: known.map(told),
+                        leader: known.map(told),
                     },
                     sends,
                 );
             }
-            Kind::Owner {
+            Kind::Leader {
                 number,
-                owner: Some((owner, epoch, left)),
+                leader: Some((leader, epoch, left)),
             } if for_me && number == self.who.0 => {
                 let until = self.who.1 + shorter(Micros::from(left) * 1000);
                 let (known, of) = self.fence;
-                let later = epoch > known || epoch == known && of.is_none_or(|of| of == owner);
-                if later && now < until && owner != self.me.name {
-                    self.fence = (epoch, Some(owner));
+                let later = epoch > known || epoch == known && of.is_none_or(|of| of == leader);
+                if later && now < until && leader != self.me.name {
+                    self.fence = (epoch, Some(leader));
                     self.teller = Some(from);
                     self.follow(
                         now,
-                        Claim {
-                            owner,
+                        KnownLeader {
+                            leader,
                             epoch,
                             until,
                         },
--- /dev/null
+++ b/gateway-cluster/src/leadership/election/sending.rs
@@ -0,0 +1,46 @@
+//! How a datagram is sent, within the budget.
+
+use super::LeaderElection;
+use crate::leadership::configuration::ConfigurationReport;
+use crate::leadership::wire::{Datagram, Kind};
+use crate::leadership::LeaseHolder;
+use crate::peers::PeerId;
+use crate::protocol::{Micros, Transmit};
+
+impl LeaderElection {
+    /// Sends if the budget allows it.
+    pub(super) fn put(&mut self, now: Micros, to: PeerId, kind: Kind, sends: &mut Vec<Transmit>) {
+        if self.budget.has(1.0, 0.0) {
+            self.budget.take(1.0);
+            self.put_owed(now, to, kind, sends);
+        }
+    }
+
+    pub(super) fn put_owed(
+        &mut self,
+        now: Micros,
+        to: PeerId,
+        kind: Kind,
+        sends: &mut Vec<Transmit>,
+    ) {
+        let LeaseHolder {
+            name: from,
+            incarnation,
+        } = self.me;
+        let to_incarnation = self.peers.get(&to).map_or(0, |peer| peer.incarnation);
+        let peer_sets: ConfigurationReport = self.peer_sets.told();
+        let bytes = Datagram {
+            from,
+            incarnation,
+            to_incarnation,
+            tick: now,
+            peer_sets,
+            epoch: self.fence.0,
+            kind,
+        }
+        .encode();
+        self.sent.0 += 1;
+        self.sent.1 += bytes.len() as u64;
+        sends.push(Transmit { to, bytes });
+    }
+}
--- a/gateway-cluster/src/ownership/lease.rs
+++ b/gateway-cluster/src/leadership/votes.rs
@@ -1,31 +1,31 @@
-//! What a holder has in hand: the grants it was given, and until when they make an office.
+//! What a holder has in hand: the grants it was given, and until when they make an leadership.
 
-use super::rosters::Rosters;
-use crate::engine::Micros;
-use crate::names::Id;
+use super::configuration::PeerConfiguration;
+use crate::peers::PeerId;
+use crate::protocol::Micros;
 use std::collections::BTreeMap;
 
-/// The grants of one term. A name counts once, however many processes have it.
+/// The grants of one epoch. A name counts once, however many processes have it.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Lease {
-    until: BTreeMap<Id, Micros>,
+pub struct CollectedVotes {
+    until: BTreeMap<PeerId, Micros>,
 }
 
-impl Lease {
-    /// A door has granted what it was asked for then: the lease counts from before the question.
-    pub fn granted(&mut self, by: Id, asked: Micros, lease: Micros) {
+impl CollectedVotes {
+    /// A gateway has granted what it was asked for then: the lease counts from before the question.
+    pub fn granted(&mut self, by: PeerId, asked: Micros, lease: Micros) {
         let until = self.until.entry(by).or_default();
         *until = (*until).max(asked + lease);
     }
 
     /// Whether this one has granted, however long ago.
-    pub fn has(&self, name: Id) -> bool {
+    pub fn has(&self, name: PeerId) -> bool {
         self.until.contains_key(&name)
     }
 
-    /// Until when a majority of each roster has granted; 0 if it has not.
-    pub fn until(&self, rosters: &Rosters) -> Micros {
-        rosters
+    /// Until when a majority of each peer set has granted; 0 if it has not.
+    pub fn until(&self, peer_sets: &PeerConfiguration) -> Micros {
+        peer_sets
             .each()
             .map(|bound| self.until_by(bound.names.as_deref()))
             .min()
@@ -33,7 +33,7 @@
     }
 
     /// The end of the majority's last grant. Where names are not known none can be counted.
-    fn until_by(&self, names: Option<&[Id]>) -> Micros {
+    fn until_by(&self, names: Option<&[PeerId]>) -> Micros {
         let Some(names) = names else { return 0 };
         let mut ends: Vec<Micros> = names
             .iter()
--- a/gateway-cluster/src/ownership/wire.rs
+++ b/gateway-cluster/src/leadership/wire.rs
@@ -1,28 +1,28 @@
-//! What front doors send each other about the office: one datagram each, by name, with no wall clock in it.
+//! What gateways send each other about leadership: one datagram each, by name, with no wall clock in it.
 
-use super::grants::{Refusal, MOST_EPOCH};
-use super::rosters::Told;
-use crate::names::Id;
+use super::configuration::ConfigurationReport;
+use super::voter::{VoteRejection, MAX_EPOCH};
+use crate::peers::PeerId;
 use crate::wire;
 use serde::{Deserialize, Serialize};
 
-/// The first byte of each of these datagrams. A door that does not know them counts them and drops them.
+/// The first byte of each of these datagrams. A gateway that does not know them counts them and drops them.
 pub const VERSION: u8 = 2;
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
     /// Who sends it.
-    pub from: Id,
-    /// Which life of that name.
-    pub life: u64,
-    /// For which life of the receiver it is meant; 0 where the sender knows of none.
-    pub to_life: u64,
+    pub from: PeerId,
+    /// Which incarnation of that name.
+    pub incarnation: u64,
+    /// For which incarnation of the receiver it is meant; 0 where the sender knows of none.
+    pub to_incarnation: u64,
     /// The sender's own clock in microseconds: it comes back as the clock that deadlines for it are told by.
     pub tick: u64,
-    /// Its rosters.
-    pub rosters: Told,
-    /// The highest term of any owner that it knows.
+    /// Its peer sets.
+    pub peer_sets: ConfigurationReport,
+    /// The highest epoch of any leader that it knows.
     pub epoch: u64,
     /// What it is for.
     pub kind: Kind,
@@ -31,47 +31,47 @@
 /// What a datagram is for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// Would you grant this term? That costs nobody anything.
+    /// Would you grant this epoch? That costs nobody anything.
     Prepare {
         /// Comes back with the answer.
         number: u32,
-        /// The term.
+        /// The epoch.
         epoch: u64,
         /// The lease, in milliseconds.
         lease_ms: u32,
     },
-    /// It would, and grants no earlier term from now on.
+    /// It would, and grants no earlier epoch from now on.
     Promise(u32),
     /// Grant it.
     Ask {
         /// Comes back with the answer.
         number: u32,
-        /// The term.
+        /// The epoch.
         epoch: u64,
         /// The lease, in milliseconds.
         lease_ms: u32,
-        /// The sender holds the office, until then on the receiver's clock.
+        /// The sender holds leadership, until then on the receiver's clock.
         until: Option<u64>,
     },
-    /// Granted.
+    /// LeaseVote.
     Grant(u32),
     /// Neither promised nor granted.
-    Refuse(u32, Refusal),
-    /// The sender held the office in this term and holds it no more; this name is to try first.
+    Refuse(u32, VoteRejection),
+    /// The sender held leadership in this epoch and holds it no more; this name is to try first.
     Release {
-        /// The term.
+        /// The epoch.
         epoch: u64,
         /// Who is to try.
-        next: Id,
+        next: PeerId,
     },
     /// Who owns?
     Who(u32),
-    /// What the sender knows: the owner's name and term, and for how many milliseconds yet.
-    Owner {
+    /// What the sender knows: the leader's name and epoch, and for how many milliseconds yet.
+    Leader {
         /// Of the question.
         number: u32,
-        /// The owner; `None` where it knows of none.
-        owner: Option<(Id, u64, u32)>,
+        /// The leader; `None` where it knows of none.
+        leader: Option<(PeerId, u64, u32)>,
     },
 }
 
@@ -81,9 +81,9 @@
             Kind::Prepare { epoch, .. } | Kind::Ask { epoch, .. } | Kind::Release { epoch, .. } => {
                 *epoch
             }
-            Kind::Refuse(_, Refusal::Behind(epoch)) => *epoch,
-            Kind::Owner {
-                owner: Some((_, epoch, _)),
+            Kind::Refuse(_, VoteRejection::Behind(epoch)) => *epoch,
+            Kind::Leader {
+                leader: Some((_, epoch, _)),
                 ..
             } => *epoch,
             _ => 0,
@@ -99,7 +99,7 @@
 
     /// Reads one. What is too long, of another version, or followed by anything is none.
     pub fn decode(bytes: &[u8]) -> Option<Datagram> {
-        let sound = |read: &Datagram| read.epoch <= MOST_EPOCH && read.kind.epoch() <= MOST_EPOCH;
+        let sound = |read: &Datagram| read.epoch <= MAX_EPOCH && read.kind.epoch() <= MAX_EPOCH;
         wire::decode(VERSION, bytes).filter(sound)
     }
 }
--- a/gateway-cluster/src/view/doubts.rs
+++ b/gateway-cluster/src/membership/doubts.rs
@@ -1,17 +1,17 @@
-//! What is doubted, for how long, and when a doubt is a verdict. And when this door doubts itself: after a stall, and
+//! What is doubted, for how long, and when a doubt is a verdict. And when this gateway doubts itself: after a stall, and
 //! where it hears nobody.
 
 use super::claims::FEW;
 use super::member::{Cause, Doubt, STRONG};
 use super::sending::Class;
-use super::View;
-use crate::engine::{Micros, Place, Send, State};
+use super::Membership;
+use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::wire::Kind;
 use rand::Rng;
 
 /// Probe periods from a doubt to the verdict, by its weight.
 const DOUBT: [f64; 3] = [10.0, 6.0, 4.2];
-/// Before a verdict another door is asked whether it knows better: so long before, so long again where it does not
+/// Before a verdict another gateway is asked whether it knows better: so long before, so long again where it does not
 /// answer, so often at the most, so many doubts at a time.
 const CONFIRM: f64 = 1.2;
 const CONFIRM_AGAIN: f64 = 0.4;
@@ -19,18 +19,18 @@
 const CONFIRM_EVERY: f64 = 0.8;
 const CONFIRM_MOST: usize = 40;
 const CONFIRM_TIME: f64 = 0.8;
-/// Doors, in the mean, that tell one that it is doubted, beside those that found so.
+/// Gateways, in the mean, that tell one that it is doubted, beside those that found so.
 const INFORM: f64 = 4.0;
-/// Probe periods without a word from anybody after which a door holds itself for cut off.
+/// Probe periods without a word from anybody after which a gateway holds itself for cut off.
 const SILENCE: f64 = 6.0;
-/// Late by more than this many probe periods, a door has been stopped: what was due meanwhile is no verdict.
+/// Late by more than this many probe periods, a gateway has been stopped: what was due meanwhile is no verdict.
 const STALL: f64 = 0.6;
 /// Local health: how bad it can be said to be. Doubts wait so many times longer.
 const WORST_HEALTH: u32 = 2;
 
-impl View {
-    /// A probe had no answer. What it weighs is how many helpers missed the door too, if any was heard.
-    pub(super) fn doubt(&mut self, now: Micros, target: Place, found: u8) {
+impl Membership {
+    /// A probe had no answer. What it weighs is how many helpers missed the gateway too, if any was heard.
+    pub(super) fn doubt(&mut self, now: Micros, target: PeerIndex, found: u8) {
         let member = &self.members[target];
         if member.dead {
             return;
@@ -50,11 +50,11 @@
         );
     }
 
-    /// A doubt of this weight is held of a door since then, or has grown.
+    /// A doubt of this weight is held of a gateway since then, or has grown.
     pub(super) fn weigh(
         &mut self,
         now: Micros,
-        place: Place,
+        place: PeerIndex,
         since: Micros,
         weight: u8,
         cause: Cause,
@@ -81,7 +81,7 @@
             }
         }
         if weight >= STRONG {
-            // A weak doubt is this door's own until it is a strong one, or refuted.
+            // A weak doubt is this gateway's own until it is a strong one, or refuted.
             (member.sent, member.pressing) = (Some(0), true);
             if matches!(cause, Cause::ToldBy(_)) {
                 self.tell_some(place);
@@ -90,16 +90,16 @@
         self.note(now, place, before, cause);
     }
 
-    /// A doubt that was told to nobody ends with anything that comes from the door itself.
-    pub(super) fn clear_own_doubt(&mut self, now: Micros, place: Place) {
+    /// A doubt that was told to nobody ends with anything that comes from the gateway itself.
+    pub(super) fn clear_own_doubt(&mut self, now: Micros, place: PeerIndex) {
         let member = &mut self.members[place];
         if member.is_weakly_doubted() {
             member.doubt = None;
-            self.note(now, place, State::Suspect, Cause::Returned);
+            self.note(now, place, PeerState::Suspect, Cause::Returned);
         }
     }
 
-    /// A door that was stopped has missed what others answered: it takes no verdict from that time, and asks anew.
+    /// A gateway that was stopped has missed what others answered: it takes no verdict from that time, and asks anew.
     pub(super) fn look_at_clock(&mut self, now: Micros) {
         if now <= self.next + self.part(STALL) {
             return;
@@ -119,7 +119,7 @@
         self.next = now;
     }
 
-    /// Where nobody is heard at all this door is cut off, and does not ask for each in turn: it doubts all at once. These
+    /// Where nobody is heard at all this gateway is cut off, and does not ask for each in turn: it doubts all at once. These
     /// doubts are its own, and end with the first thing that it hears.
     pub(super) fn look_for_silence(&mut self, now: Micros) {
         if self.silent || now < self.heard + self.part(SILENCE) {
@@ -149,16 +149,16 @@
         }
     }
 
-    /// Asks others about the doubts that are to end soon: a refutation may have passed this door by.
-    pub(super) fn confirm_doubts(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    /// Asks others about the doubts that are to end soon: a refutation may have passed this gateway by.
+    pub(super) fn confirm_doubts(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
         if self
             .members
             .iter()
-            .filter(|member| member.told() == State::Suspect)
+            .filter(|member| member.told() == PeerState::Suspect)
             .count()
             > FEW
         {
-            // Marks that are exchanged anyway confirm so many.
+            // ViewSummary that are exchanged anyway confirm so many.
             return;
         }
         let (ahead, again) = (self.part(CONFIRM), self.part(CONFIRM_AGAIN));
@@ -171,8 +171,8 @@
                 && doubt.until <= now + ahead
                 && doubt.ask_at <= now
         };
-        let of = |place: &Place| self.members[*place].doubt.as_ref().is_some_and(soon);
-        let places: Vec<Place> = (0..self.members.len())
+        let of = |place: &PeerIndex| self.members[*place].doubt.as_ref().is_some_and(soon);
+        let places: Vec<PeerIndex> = (0..self.members.len())
             .filter(of)
             .take(CONFIRM_MOST)
             .collect();
@@ -212,7 +212,7 @@
     }
 
     /// Some of those that are told of a doubt tell the doubted one, which cannot refute what it never hears.
-    fn tell_some(&mut self, place: Place) {
+    fn tell_some(&mut self, place: PeerIndex) {
         let chance = (INFORM / self.living().max(1) as f64).min(1.0);
         if self.rng.random_bool(chance) {
             self.inform.push(place);
--- a/gateway-cluster/src/view/exchange.rs
+++ b/gateway-cluster/src/membership/exchange.rs
@@ -2,16 +2,16 @@
 
 use super::member::Member;
 use super::sending::{Class, CLAIMS_ALONE};
-use super::View;
-use crate::engine::{Micros, Place, Send, State};
+use super::Membership;
 use crate::hash::mix;
-use crate::wire::{Kind, Mark, Marks};
+use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
+use crate::wire::{Kind, PeerSummary, ViewSummary};
 use rand::Rng;
 
-/// Probe periods between two exchanges of what differs: where digests differ, and where rosters do; and by how much
+/// Probe periods between two exchanges of what differs: where digests differ, and where peer sets do; and by how much
 /// they grow while exchanges change nothing.
 pub(super) const COMPARE_PERIODS: f64 = 0.6;
-pub(super) const COMPARE_ROSTERS: f64 = 8.0;
+pub(super) const COMPARE_PEER_SETS: f64 = 8.0;
 const COMPARE_MORE: f64 = 1.5;
 /// Most claims of an answer that tells what differs; bytes of a claim, about, and of what is beside them.
 const CLAIMS_ANSWERED: usize = 60;
@@ -24,24 +24,24 @@
 #[derive(Debug, Default)]
 pub(super) struct Differs {
     /// What one can tell the other.
-    pub(super) tells: Vec<Place>,
+    pub(super) tells: Vec<PeerIndex>,
     /// The other can tell this one something.
     pub(super) lacks: bool,
 }
 
-impl View {
+impl Membership {
     /// Of what others are told: who is gone, in which incarnation.
     pub(super) fn inner_digest(&self) -> u32 {
         // Those who live are told by nobody, and by themselves with all that they send.
-        let held = self.roster.ids().iter().zip(&self.members);
+        let held = self.peers.ids().iter().zip(&self.members);
         let dead = held.filter(|(_, member)| member.dead);
         dead.fold(0, |sum, (id, member)| {
             sum ^ mix(u64::from(*id), member.incarnation)
         }) as u32
     }
 
-    pub(super) fn marks(&self, now: Micros) -> Marks {
-        let mut marks = Marks::none(self.members.len());
+    pub(super) fn marks(&self, now: Micros) -> ViewSummary {
+        let mut marks = ViewSummary::none(self.members.len());
         marks.vouches = self.vouches(now);
         for (place, member) in self.members.iter().enumerate() {
             marks.set(place, self.mark(now, member));
@@ -49,59 +49,73 @@
         marks
     }
 
-    fn mark(&self, now: Micros, member: &Member) -> Mark {
+    fn mark(&self, now: Micros, member: &Member) -> PeerSummary {
         match member.told() {
-            State::Dead => Mark::Dead,
-            State::Suspect => Mark::Doubted,
-            State::Alive if member.raised.is_some_and(|at| self.is_recent(now, at)) => Mark::Raised,
-            State::Alive => Mark::Alive,
+            PeerState::Dead => PeerSummary::Dead,
+            PeerState::Suspect => PeerSummary::Doubted,
+            PeerState::Alive if member.raised.is_some_and(|at| self.is_recent(now, at)) => {
+                PeerSummary::Raised
+            }
+            PeerState::Alive => PeerSummary::Alive,
         }
     }
 
-    pub(super) fn compare(&mut self, now: Micros, with: Place, sends: &mut Vec<Send>) {
+    pub(super) fn compare(
+        &mut self,
+        now: Micros,
+        with: PeerIndex,
+        sends: &mut Vec<IndexedTransmit>,
+    ) {
         if self.send(now, with, Kind::Compare, 0, Class::News, sends) {
             self.compared = now;
             // Where exchanges change nothing the next one waits longer.
-            self.compare_gap = (COMPARE_MORE * self.compare_gap).min(COMPARE_ROSTERS);
+            self.compare_gap = (COMPARE_MORE * self.compare_gap).min(COMPARE_PEER_SETS);
         }
     }
 
     /// What another view lacks of this one, from a place drawn at random on, and whether this one lacks something.
-    pub(super) fn what_differs(&mut self, now: Micros, from: Place, theirs: &Marks) -> Differs {
+    pub(super) fn what_differs(
+        &mut self,
+        now: Micros,
+        from: PeerIndex,
+        theirs: &ViewSummary,
+    ) -> Differs {
         self.believe(now, from, theirs);
         let names = self.members.len();
         let first = self.rng.random_range(0..names);
         let mut differs = Differs::default();
         for place in (0..names).map(|n| (first + n) % names) {
             let held = match self.mark(now, &self.members[place]) {
-                Mark::Alive if place == self.me => Mark::Raised,
+                PeerSummary::Alive if place == self.me => PeerSummary::Raised,
                 held => held,
             };
             let theirs = theirs.get(place);
-            let gone = matches!(theirs, Mark::Doubted | Mark::Dead);
+            let gone = matches!(theirs, PeerSummary::Doubted | PeerSummary::Dead);
             if let Some(doubt) = self.members[place].doubt.as_mut().filter(|_| gone) {
                 // Another that doubts it has no refutation either.
                 doubt.confirmed |= doubt.is_strong();
             }
             match (held, theirs) {
                 _ if place == from || held == theirs => {}
-                (Mark::Alive, Mark::Raised) | (Mark::Raised, Mark::Alive) => {}
-                (Mark::Alive, _) | (Mark::Doubted | Mark::Dead, Mark::Raised) => {
+                (PeerSummary::Alive, PeerSummary::Raised)
+                | (PeerSummary::Raised, PeerSummary::Alive) => {}
+                (PeerSummary::Alive, _)
+                | (PeerSummary::Doubted | PeerSummary::Dead, PeerSummary::Raised) => {
                     differs.lacks = true
                 }
-                (Mark::Doubted, Mark::Dead) => differs.lacks = true,
+                (PeerSummary::Doubted, PeerSummary::Dead) => differs.lacks = true,
                 // What lives goes before what is gone: a refutation has to outrun the doubt.
-                (Mark::Raised, _) => differs.tells.insert(0, place),
+                (PeerSummary::Raised, _) => differs.tells.insert(0, place),
                 _ => differs.tells.push(place),
             }
         }
         differs
     }
 
-    /// All that are gone, from one drawn at random on: for a view with another roster, or one that agrees on who is
+    /// All that are gone, from one drawn at random on: for a view with another peer set, or one that agrees on who is
     /// gone and not on the incarnation.
     pub(super) fn all_gone(&mut self) -> Differs {
-        let mut tells: Vec<Place> = (0..self.members.len())
+        let mut tells: Vec<PeerIndex> = (0..self.members.len())
             .filter(|place| self.members[*place].dead)
             .collect();
         if !tells.is_empty() {
@@ -120,14 +134,14 @@
     pub(super) fn tell(
         &mut self,
         now: Micros,
-        to: Place,
+        to: PeerIndex,
         kind: Kind,
         differs: &Differs,
         may_ask: bool,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<IndexedTransmit>,
     ) {
-        let mut tells: Vec<Place> = Vec::new();
-        if self.members[to].told() != State::Alive || self.members[to].behind {
+        let mut tells: Vec<PeerIndex> = Vec::new();
+        if self.members[to].told() != PeerState::Alive || self.members[to].behind {
             // What is held of itself comes first: it can refute that.
             tells.push(to);
         }
@@ -162,16 +176,16 @@
         }
     }
 
-    /// Tells a door what it is behind in, with an answer that is owed.
+    /// Tells a gateway what it is behind in, with an answer that is owed.
     pub(super) fn tell_newer(
         &mut self,
         now: Micros,
-        to: Place,
-        behind: Vec<Place>,
+        to: PeerIndex,
+        behind: Vec<PeerIndex>,
         kind: Kind,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<IndexedTransmit>,
     ) {
-        let newer: Vec<Place> = behind.into_iter().take(CLAIMS_ALONE).collect();
+        let newer: Vec<PeerIndex> = behind.into_iter().take(CLAIMS_ALONE).collect();
         let owed = matches!(kind, Kind::Confirmed(_));
         if owed || !newer.is_empty() {
             let class = if owed { Class::Answer } else { Class::Question };
--- a/gateway-cluster/src/view/inputs.rs
+++ b/gateway-cluster/src/membership/inputs.rs
@@ -1,27 +1,27 @@
 //! What comes in: time, and datagrams.
 
 use super::claims::FEW;
-use super::exchange::COMPARE_ROSTERS;
+use super::exchange::COMPARE_PEER_SETS;
 use super::healing::HEAL_STEPS;
 use super::sending::{Class, CLAIMS_ALONE, CLAIMS_BESIDE};
-use super::View;
-use crate::engine::{Micros, Place, Send};
-use crate::rules::life;
-use crate::wire::{Claim, Datagram, Kind, Update};
+use super::Membership;
+use crate::precedence::life;
+use crate::protocol::{IndexedTransmit, Micros, PeerIndex};
+use crate::wire::{Datagram, Kind, Update, UpdateStatus};
 
 /// The step of all that is periodic, in parts of the probe period.
 pub(super) const STEP: f64 = 0.1;
 /// Steps from one probe of the successor on the ring to the next, from one of anybody to the next, and from one of a
-/// door that is doubted weakly to the next.
+/// gateway that is doubted weakly to the next.
 const SUCCESSOR_STEPS: u64 = 15;
 pub(super) const ANYBODY_STEPS: u64 = 40;
 const AGAIN_STEPS: u64 = 10;
 /// Probe periods for which pings carry marks after views were seen to differ.
 const APART: f64 = 3.0;
 
-impl View {
+impl Membership {
     /// The step is due, or past that.
-    pub fn wake(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    pub fn on_timer(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
         self.look_at_clock(now);
         if now < self.next {
             return;
@@ -55,7 +55,8 @@
         }
         if self.step % AGAIN_STEPS == 0 {
             // Where the budget did not allow it at once, one that is doubted is asked again now.
-            let asked = |place: &Place| self.probes.values().any(|probe| probe.target == *place);
+            let asked =
+                |place: &PeerIndex| self.probes.values().any(|probe| probe.target == *place);
             let place = (0..self.members.len())
                 .find(|place| self.members[*place].is_weakly_doubted() && !asked(place));
             if let Some(place) = place {
@@ -89,13 +90,13 @@
     }
 
     /// A datagram has come.
-    pub fn receive(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<Send>) {
+    pub fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<IndexedTransmit>) {
         self.look_at_clock(now);
         let Some(datagram) = Datagram::decode(bytes) else {
             self.dropped.malformed += 1;
             return;
         };
-        let from = self.roster.place(datagram.from);
+        let from = self.peers.place(datagram.from);
         let Some(from) = from.filter(|from| *from != self.me) else {
             self.dropped.unknown += 1;
             return;
@@ -103,16 +104,22 @@
         if self.left {
             return;
         }
-        let same_roster = datagram.roster == self.roster.digest();
+        let same_peers = datagram.peers == self.peers.digest();
         let own = self.incarnation();
         if let Kind::Claimed(_, incarnation) = datagram.kind {
-            self.hear_of_self(now, incarnation, Claim::Dead);
+            self.hear_of_self(now, incarnation, UpdateStatus::Dead);
         }
         self.end_silence(now);
         self.members[from].heard = Some(now);
-        self.members[from].roster = Some(datagram.roster);
-        self.members[from].behind =
-            !self.hear(now, from, from, datagram.incarnation, Claim::Alive, sends);
+        self.members[from].peers = Some(datagram.peers);
+        self.members[from].behind = !self.hear(
+            now,
+            from,
+            from,
+            datagram.incarnation,
+            UpdateStatus::Alive,
+            sends,
+        );
         if life(datagram.incarnation) < life(self.members[from].incarnation) {
             self.dropped.stale += 1;
         }
@@ -125,13 +132,13 @@
         } in &datagram.updates
         {
             let place = match datagram.by_place {
-                true if same_roster => {
-                    Some(*who as Place).filter(|place| *place < self.members.len())
+                true if same_peers => {
+                    Some(*who as PeerIndex).filter(|place| *place < self.members.len())
                 }
                 true => None,
-                false => self.roster.place(*who),
+                false => self.peers.place(*who),
             };
-            // Of names that this roster does not have nothing is kept.
+            // Of names that this peer set does not have nothing is kept.
             let Some(place) = place else { continue };
             if !self.hear(now, from, place, *incarnation, *claim, sends) {
                 behind.push(place);
@@ -141,7 +148,7 @@
             // Who holds it for doubted or dead is the first to hear that it is not.
             self.send(now, from, Kind::Gossip, CLAIMS_BESIDE, Class::Answer, sends);
         }
-        let theirs = datagram.marks.filter(|_| same_roster);
+        let theirs = datagram.marks.filter(|_| same_peers);
         let differs = theirs
             .as_ref()
             .map(|theirs| self.what_differs(now, from, theirs));
@@ -197,13 +204,13 @@
             }
             Kind::Gossip => {}
         }
-        let periods = if same_roster {
+        let periods = if same_peers {
             self.compare_gap
         } else {
-            COMPARE_ROSTERS
+            COMPARE_PEER_SETS
         };
-        let apart = datagram.digest != self.inner_digest() || !same_roster;
-        if apart && same_roster {
+        let apart = datagram.digest != self.inner_digest() || !same_peers;
+        if apart && same_peers {
             self.apart_until = now + self.part(APART);
         }
         if apart && !self.much && now >= self.compared + self.part(periods) {
--- a/gateway-cluster/src/view/member.rs
+++ b/gateway-cluster/src/membership/member.rs
@@ -1,7 +1,7 @@
-//! What is held of one name of the roster.
+//! What is held of one name of the peer set.
 
-use crate::engine::{Micros, Place, State};
-use crate::wire::{Claim, Incarnation, OLDEST};
+use crate::protocol::{Micros, PeerIndex, PeerState};
+use crate::wire::{Incarnation, UpdateStatus, MAX_SUSPICION_AGE};
 
 /// What a doubt weighs that is told to others.
 pub(super) const STRONG: u8 = 3;
@@ -31,12 +31,12 @@
     /// When it was last held for dead and came back, and when in the life that it had before.
     pub(super) returned: Option<Micros>,
     pub(super) rejoined: Option<Micros>,
-    /// When its incarnation was last raised while this door looked.
+    /// When its incarnation was last raised while this gateway looked.
     pub(super) raised: Option<Micros>,
     /// How often the claim has been sent on; `None` once that is enough.
     pub(super) sent: Option<u8>,
-    /// The roster that it had when it was last heard.
-    pub(super) roster: Option<u32>,
+    /// The peer set that it had when it was last heard.
+    pub(super) peers: Option<u32>,
     /// It speaks in an incarnation that is behind what is held of it: it is to be told.
     pub(super) behind: bool,
     /// Others are to hear of it soon: a verdict, a strong doubt, or what refutes those.
@@ -47,14 +47,14 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Cause {
     NoAnswer,
-    ToldBy(Place),
+    ToldBy(PeerIndex),
     NotRefuted,
     Returned,
     Left,
 }
 
 impl Doubt {
-    /// Others are told of it; a weak one is this door's own.
+    /// Others are told of it; a weak one is this gateway's own.
     pub(super) fn is_strong(&self) -> bool {
         self.weight >= STRONG
     }
@@ -72,7 +72,7 @@
 }
 
 impl Member {
-    /// One that is in the roster, and of which nothing is known.
+    /// One that is in the peer set, and of which nothing is known.
     pub(super) fn unknown() -> Member {
         Member {
             incarnation: 0,
@@ -84,25 +84,25 @@
             rejoined: None,
             raised: None,
             sent: None,
-            roster: None,
+            peers: None,
             behind: false,
             pressing: false,
         }
     }
 
-    /// The state that is told to others: a weak doubt is this door's own.
-    pub(super) fn told(&self) -> State {
+    /// The state that is told to others: a weak doubt is this gateway's own.
+    pub(super) fn told(&self) -> PeerState {
         match &self.doubt {
-            Some(doubt) if !doubt.is_strong() && !self.dead => State::Alive,
+            Some(doubt) if !doubt.is_strong() && !self.dead => PeerState::Alive,
             _ => self.state(),
         }
     }
 
-    pub(super) fn state(&self) -> State {
+    pub(super) fn state(&self) -> PeerState {
         match (&self.doubt, self.dead) {
-            (_, true) => State::Dead,
-            (Some(_), false) => State::Suspect,
-            (None, false) => State::Alive,
+            (_, true) => PeerState::Dead,
+            (Some(_), false) => PeerState::Suspect,
+            (None, false) => PeerState::Alive,
         }
     }
 
@@ -124,15 +124,15 @@
         self.pressing && self.sent.is_some_and(|sent| sent < PRESSING)
     }
 
-    pub(super) fn claim(&self, now: Micros, probe: Micros) -> Claim {
+    pub(super) fn claim(&self, now: Micros, probe: Micros) -> UpdateStatus {
         match (&self.doubt, self.dead) {
-            (_, true) if self.left => Claim::Left,
-            (_, true) => Claim::Dead,
+            (_, true) if self.left => UpdateStatus::Left,
+            (_, true) => UpdateStatus::Dead,
             (Some(doubt), false) => {
                 let tenths = 10 * now.saturating_sub(doubt.since) / probe.max(1);
-                Claim::Suspect(tenths.min(u64::from(OLDEST)) as u8)
+                UpdateStatus::Suspect(tenths.min(u64::from(MAX_SUSPICION_AGE)) as u8)
             }
-            (None, false) => Claim::Alive,
+            (None, false) => UpdateStatus::Alive,
         }
     }
 }
--- a/gateway-cluster/src/view/mod.rs
+++ b/gateway-cluster/src/membership/mod.rs
@@ -1,7 +1,7 @@
-//! The view of the fleet: SWIM with Lifeguard's refinements, and what those two do not have: healing after any
+//! The view of the cluster: SWIM with Lifeguard's refinements, and what those two do not have: healing after any
 //! partition, a look at the own clock after a stall, exchange of what differs, and a bound on all that is sent.
 //!
-//! The page `docs/fleet-view.md` has the reasons and the times that follow from the probe period.
+//! The page `docs/cluster-view.md` has the reasons and the times that follow from the probe period.
 
 mod claims;
 mod doubts;
@@ -12,10 +12,10 @@
 mod probes;
 mod sending;
 
-use crate::budget::Bucket;
-use crate::engine::{Micros, Place, Send, State};
 use crate::hash::mix;
-use crate::names::{Id, Roster, RosterError};
+use crate::peers::{PeerId, PeerSet, PeerSetError};
+use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
+use crate::token_bucket::TokenBucket;
 use crate::wire::{Incarnation, Kind};
 use exchange::COMPARE_PERIODS;
 use inputs::{ANYBODY_STEPS, STEP};
@@ -30,28 +30,28 @@
 /// What began so long ago is no longer new: a life, which outbids a claim of a higher one until then and takes it for
 /// its successor's later, a refutation, a return, and a watch that no stop has ended.
 const YOUNG_PERIODS: f64 = 20.0;
-/// Doors that one tells that goes.
+/// Gateways that one tells that goes.
 const TOLD_OF_LEAVING: usize = 8;
 
-/// Of which part of the roster a door can speak.
+/// Of which part of the peer set a gateway can speak.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Side {
+pub enum PartitionSide {
     /// All of it lives.
     Whole,
-    /// More than half, this door too.
+    /// More than half, this gateway too.
     Majority,
     /// Half or less.
     Minority,
-    /// This door alone.
+    /// This gateway alone.
     Alone,
 }
 
-/// Why a view changed.
+/// ChangeReason a view changed.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Why {
-    /// It did not answer this door.
+pub enum ChangeReason {
+    /// It did not answer this gateway.
     NoAnswer,
-    /// This door was told by another.
+    /// This gateway was told by another.
     ToldBy(String),
     /// A doubt was not refuted in time.
     NotRefuted,
@@ -63,23 +63,23 @@
 
 /// A change of the view.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Change {
+pub struct MembershipChange {
     /// Of whom.
     pub name: String,
     /// What it was held for.
-    pub from: State,
+    pub from: PeerState,
     /// What it is held for.
-    pub to: State,
-    /// Why.
-    pub why: Why,
+    pub to: PeerState,
+    /// ChangeReason.
+    pub why: ChangeReason,
 }
 
 /// What was received and dropped.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Dropped {
+pub struct DroppedDatagrams {
     /// It makes no sense.
     pub malformed: u64,
-    /// It is from a name that this door's roster does not have, or from its own.
+    /// It is from a name that this gateway's peer set does not have, or from its own.
     pub unknown: u64,
     /// It is from a life that is over.
     pub stale: u64,
@@ -87,10 +87,10 @@
 
 /// What a view begins with.
 #[derive(Debug, Clone)]
-pub struct Settings {
-    /// All names of the roster, this door's too.
-    pub roster: Vec<String>,
-    /// This door's.
+pub struct MembershipSettings {
+    /// All names of the peer set, this gateway's too.
+    pub peers: Vec<String>,
+    /// This gateway's.
     pub name: String,
     /// The wall clock in milliseconds since 1970. Later lives have later ones, unless the clock was set back.
     pub unix_ms: u64,
@@ -100,11 +100,11 @@
 
 /// One life's view.
 #[derive(Debug)]
-pub struct View {
-    roster: Roster,
-    /// The roster in the order of the ring, beginning behind this door.
-    ring: Vec<Place>,
-    me: Place,
+pub struct Membership {
+    peers: PeerSet,
+    /// The peer set in the order of the ring, beginning behind this gateway.
+    ring: Vec<PeerIndex>,
+    me: PeerIndex,
     members: Vec<Member>,
     rng: Pcg64Mcg,
     probe: Micros,
@@ -115,12 +115,12 @@
     probes: BTreeMap<u32, Probe>,
     relays: BTreeMap<u32, Relay>,
     /// Those to probe at random, each once before the first comes again.
-    round: Vec<Place>,
+    round: Vec<PeerIndex>,
     /// Dead ones to call, each once before the first is called again.
-    calls: Vec<Place>,
+    calls: Vec<PeerIndex>,
     healing_until: u64,
-    messages: Bucket,
-    bytes: Bucket,
+    messages: TokenBucket,
+    bytes: TokenBucket,
     compared: Micros,
     compare_gap: f64,
     /// When anybody was last heard, and whether all are doubted as that was long ago.
@@ -129,54 +129,54 @@
     /// There is much to tell; views were seen to differ not long ago.
     much: bool,
     /// Doubted ones that are to be told.
-    inform: Vec<Place>,
+    inform: Vec<PeerIndex>,
     apart_until: Micros,
     /// When another was last asked to confirm doubts.
     confirmed: Micros,
     health: u32,
     changed: Micros,
-    changes: VecDeque<Change>,
-    /// Since when this life has seen the fleet without a stop.
+    changes: VecDeque<MembershipChange>,
+    /// Since when this life has seen the cluster without a stop.
     watching: Micros,
     /// When it last went on after a stop.
     woke: Micros,
     /// Doubts that another was asked to confirm, by the question's number.
-    confirming: BTreeMap<u32, Vec<Place>>,
+    confirming: BTreeMap<u32, Vec<PeerIndex>>,
     superseded: bool,
     superseded_told: bool,
     /// It has told that it goes, and says nothing more.
     left: bool,
     /// What was received and dropped.
-    pub dropped: Dropped,
+    pub dropped: DroppedDatagrams,
     /// Messages and bytes sent, with the headers of IP and UDP.
     pub sent: (u64, u64),
 }
 
-impl View {
-    /// A new life that knows the roster and nothing else.
+impl Membership {
+    /// A new life that knows the peer set and nothing else.
     ///
     /// # Errors
-    /// The roster lacks this door's name, has a name twice, two whose hashes are equal, or too many.
+    /// The peer set lacks this gateway's name, has a name twice, two whose hashes are equal, or too many.
     pub fn new(
         now: Micros,
-        settings: Settings,
+        settings: MembershipSettings,
         seed: u64,
-        sends: &mut Vec<Send>,
-    ) -> Result<View, RosterError> {
-        let Settings {
-            roster,
+        sends: &mut Vec<IndexedTransmit>,
+    ) -> Result<Membership, PeerSetError> {
+        let MembershipSettings {
+            peers,
             name,
             unix_ms,
             probe,
         } = settings;
-        let roster = Roster::new(roster)?;
-        let me = roster.own_place(&name)?;
-        let mut members = vec![Member::unknown(); roster.len()];
+        let peers = PeerSet::new(peers)?;
+        let me = peers.own_place(&name)?;
+        let mut members = vec![Member::unknown(); peers.len()];
         members[me].incarnation = unix_ms << 16;
         members[me].sent = Some(0);
-        let mut view = View {
-            ring: ring(&roster, me),
-            roster,
+        let mut view = Membership {
+            ring: ring(&peers, me),
+            peers,
             me,
             members,
             rng: Pcg64Mcg::seed_from_u64(seed),
@@ -190,8 +190,8 @@
             round: Vec::new(),
             calls: Vec::new(),
             healing_until: 0,
-            messages: Bucket::full(now, MESSAGES, MESSAGES_PER_S),
-            bytes: Bucket::full(now, BYTES, BYTES_PER_S),
+            messages: TokenBucket::full(now, MESSAGES, MESSAGES_PER_S),
+            bytes: TokenBucket::full(now, BYTES, BYTES_PER_S),
             compared: now,
             compare_gap: COMPARE_PERIODS,
             heard: now,
@@ -209,13 +209,13 @@
             superseded: false,
             superseded_told: false,
             left: false,
-            dropped: Dropped::default(),
+            dropped: DroppedDatagrams::default(),
             sent: (0, 0),
         };
-        // Doors that start together are not to call together.
+        // Gateways that start together are not to call together.
         view.step = view.rng.random_range(0..ANYBODY_STEPS);
         view.next = now + (view.part(STEP) as f64 * view.rng.random::<f64>()) as Micros;
-        // Others hold an earlier life, or hold this door for dead: some learn at once, and tell what they hold.
+        // Others hold an earlier life, or hold this gateway for dead: some learn at once, and tell what they hold.
         for _ in 0..HELPERS {
             if let Some(place) = view.anybody() {
                 view.compare(now, place, sends);
@@ -224,40 +224,40 @@
         Ok(view)
     }
 
-    /// Takes over another roster. What is held of names that stay is kept; names that go are forgotten, and what
+    /// Takes over another peer set. What is held of names that stay is kept; names that go are forgotten, and what
     /// comes from them revives nobody; names that come are held for alive until they do not answer.
     ///
     /// # Errors
-    /// As [`View::new`]; the roster stays as it was.
-    pub fn set_roster(&mut self, now: Micros, names: Vec<String>) -> Result<(), RosterError> {
-        let roster = Roster::new(names)?;
-        let me = roster.own_place(&self.names()[self.me])?;
-        if roster == self.roster {
+    /// As [`Membership::new`]; the peer set stays as it was.
+    pub fn set_peers(&mut self, now: Micros, names: Vec<String>) -> Result<(), PeerSetError> {
+        let peers = PeerSet::new(names)?;
+        let me = peers.own_place(&self.names()[self.me])?;
+        if peers == self.peers {
             return Ok(());
         }
-        let held = |id: &Id| {
-            self.roster
+        let held = |id: &PeerId| {
+            self.peers
                 .place(*id)
                 .map(|place| self.members[place].clone())
         };
-        let members = roster
+        let members = peers
             .ids()
             .iter()
             .map(|id| held(id).unwrap_or(Member::unknown()));
         self.members = members.collect();
-        (self.ring, self.roster, self.me) = (ring(&roster, me), roster, me);
-        // These go by places of the old roster.
+        (self.ring, self.peers, self.me) = (ring(&peers, me), peers, me);
+        // These go by places of the old peer set.
         (self.probes, self.relays, self.confirming) = Default::default();
         (self.round, self.calls, self.inform) = Default::default();
         self.changed = now;
         Ok(())
     }
 
-    /// Tells others that this door goes, and says nothing more from then on.
-    pub fn leave(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    /// Tells others that this gateway goes, and says nothing more from then on.
+    pub fn leave(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
         self.members[self.me].left = true;
         self.members[self.me].dead = true;
-        let mut told: Vec<Place> = self.sound().collect();
+        let mut told: Vec<PeerIndex> = self.sound().collect();
         told.shuffle(&mut self.rng);
         for place in told.into_iter().take(TOLD_OF_LEAVING) {
             self.put(
@@ -282,36 +282,36 @@
         now < at + self.part(YOUNG_PERIODS)
     }
 
-    /// The states of the roster, in the order of its names.
-    pub fn states(&self) -> Vec<State> {
+    /// The states of the peer set, in the order of its names.
+    pub fn states(&self) -> Vec<PeerState> {
         self.members.iter().map(Member::state).collect()
     }
 
-    /// The names of the roster in order.
+    /// The names of the peer set in order.
     pub fn names(&self) -> &[String] {
-        self.roster.names()
+        self.peers.names()
     }
 
-    /// Doors that are not dead, this one too.
+    /// Gateways that are not dead, this one too.
     fn living(&self) -> usize {
         self.members.iter().filter(|member| !member.dead).count()
     }
 
-    /// Of which part of the roster this door can speak.
-    pub fn side(&self) -> Side {
+    /// Of which part of the peer set this gateway can speak.
+    pub fn side(&self) -> PartitionSide {
         match self.living() {
-            alive if alive == self.members.len() => Side::Whole,
-            1 => Side::Alone,
-            alive if 2 * alive > self.members.len() => Side::Majority,
-            _ => Side::Minority,
+            alive if alive == self.members.len() => PartitionSide::Whole,
+            1 => PartitionSide::Alone,
+            alive if 2 * alive > self.members.len() => PartitionSide::Majority,
+            _ => PartitionSide::Minority,
         }
     }
 
-    /// Equal at two doors exactly when roster and states are.
+    /// Equal at two gateways exactly when peer set and states are.
     pub fn digest(&self) -> u64 {
-        let held = self.roster.ids().iter().zip(&self.members);
-        let not_alive = held.filter(|(_, member)| member.state() != State::Alive);
-        not_alive.fold(u64::from(self.roster.digest()), |sum, (id, member)| {
+        let held = self.peers.ids().iter().zip(&self.members);
+        let not_alive = held.filter(|(_, member)| member.state() != PeerState::Alive);
+        not_alive.fold(u64::from(self.peers.digest()), |sum, (id, member)| {
             mix(sum, u64::from(*id) << 1 | u64::from(member.dead))
         })
     }
@@ -321,7 +321,7 @@
         now.saturating_sub(self.changed)
     }
 
-    /// A later life has this door's name.
+    /// A later life has this gateway's name.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
@@ -331,18 +331,18 @@
         self.superseded && !std::mem::replace(&mut self.superseded_told, true)
     }
 
-    /// This door's incarnation.
+    /// This gateway's incarnation.
     pub fn incarnation(&self) -> Incarnation {
         self.members[self.me].incarnation
     }
 
     /// The oldest change that was not taken yet.
-    pub fn take_change(&mut self) -> Option<Change> {
+    pub fn next_change(&mut self) -> Option<MembershipChange> {
         self.changes.pop_front()
     }
 
-    /// When [`View::wake`] is wanted.
-    pub fn due(&self) -> Micros {
+    /// When [`Membership::on_timer`] is wanted.
+    pub fn next_wakeup(&self) -> Micros {
         self.next
     }
 }
--- a/gateway-cluster/src/view/probes.rs
+++ b/gateway-cluster/src/membership/probes.rs
@@ -2,10 +2,10 @@
 
 use super::member::STRONG;
 use super::sending::{Class, CLAIMS_BESIDE};
-use super::View;
-use crate::engine::{Micros, Place, Send, State};
+use super::Membership;
 use crate::hash::mix;
-use crate::names::{Id, Roster};
+use crate::peers::{PeerId, PeerSet};
+use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::wire::{Incarnation, Kind};
 use rand::seq::SliceRandom;
 use rand::Rng;
@@ -18,7 +18,7 @@
 const HELPER_SECOND: f64 = 0.16;
 const HELPER_REPORT: f64 = 0.56;
 const VERDICT: f64 = 1.5;
-/// Others that are asked to help. All of them have to miss a door for its doubt to be a strong one at once.
+/// Others that are asked to help. All of them have to miss a gateway for its doubt to be a strong one at once.
 pub(super) const HELPERS: usize = 3;
 /// While there is much to tell there are fewer, and each question is asked once.
 const HELPERS_MUCH: usize = 2;
@@ -29,7 +29,7 @@
 
 #[derive(Debug, Clone)]
 pub(super) struct Probe {
-    pub(super) target: Place,
+    pub(super) target: PeerIndex,
     pub(super) began: Micros,
     pub(super) pinged: u8,
     /// Helpers there were to ask, and those that report a miss.
@@ -43,24 +43,29 @@
 
 #[derive(Debug, Clone)]
 pub(super) struct Relay {
-    asker: Place,
+    asker: PeerIndex,
     number: u32,
-    target: Place,
+    target: PeerIndex,
     began: Micros,
     pinged: u8,
 }
 
-/// The others in the order of the ring, beginning behind this door.
-pub(super) fn ring(roster: &Roster, me: Place) -> Vec<Place> {
-    let mut ring: Vec<Place> = (0..roster.len()).collect();
-    ring.sort_by_key(|place| mix(1, u64::from(roster.ids()[*place])));
+/// The others in the order of the ring, beginning behind this gateway.
+pub(super) fn ring(peers: &PeerSet, me: PeerIndex) -> Vec<PeerIndex> {
+    let mut ring: Vec<PeerIndex> = (0..peers.len()).collect();
+    ring.sort_by_key(|place| mix(1, u64::from(peers.ids()[*place])));
     let own = ring.iter().position(|place| *place == me).unwrap_or(0);
     ring.rotate_left(own);
     ring.into_iter().skip(1).collect()
 }
 
-impl View {
-    pub(super) fn begin_probe(&mut self, now: Micros, target: Place, sends: &mut Vec<Send>) {
+impl Membership {
+    pub(super) fn begin_probe(
+        &mut self,
+        now: Micros,
+        target: PeerIndex,
+        sends: &mut Vec<IndexedTransmit>,
+    ) {
         if self.members[target].dead || self.probes.values().any(|probe| probe.target == target) {
             return;
         }
@@ -96,13 +101,13 @@
         }
     }
 
-    /// Tells a door that it is held for dead somewhere. No answer makes the claim good.
+    /// Tells a gateway that it is held for dead somewhere. No answer makes the claim good.
     pub(super) fn ask_whether_dead(
         &mut self,
         now: Micros,
-        target: Place,
+        target: PeerIndex,
         claimed: Incarnation,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<IndexedTransmit>,
     ) {
         if self.probes.values().any(|probe| probe.target == target) {
             return;
@@ -123,7 +128,7 @@
         }
     }
 
-    pub(super) fn go_on_with_probes(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    pub(super) fn go_on_with_probes(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
         let numbers: Vec<u32> = self.probes.keys().copied().collect();
         for number in numbers {
             let Some(Probe {
@@ -162,7 +167,7 @@
                     self.begin_probe(now, target, sends);
                 }
             } else if stage == 4 && pinged < 4 {
-                let id = self.roster.ids()[target];
+                let id = self.peers.ids()[target];
                 let helpers = self.helpers(target);
                 if let Some(probe) = self.probes.get_mut(&number) {
                     probe.asked = helpers.len();
@@ -188,12 +193,12 @@
     pub(super) fn help(
         &mut self,
         now: Micros,
-        asker: Place,
+        asker: PeerIndex,
         number: u32,
-        target: Id,
-        sends: &mut Vec<Send>,
+        target: PeerId,
+        sends: &mut Vec<IndexedTransmit>,
     ) {
-        let Some(target) = self.roster.place(target) else {
+        let Some(target) = self.peers.place(target) else {
             return;
         };
         if target == self.me {
@@ -222,7 +227,7 @@
         }
     }
 
-    pub(super) fn go_on_with_relays(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    pub(super) fn go_on_with_relays(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
         let numbers: Vec<u32> = self.relays.keys().copied().collect();
         for own in numbers {
             let Some(Relay {
@@ -254,7 +259,7 @@
         }
     }
 
-    pub(super) fn answered(&mut self, now: Micros, number: u32, sends: &mut Vec<Send>) {
+    pub(super) fn answered(&mut self, now: Micros, number: u32, sends: &mut Vec<IndexedTransmit>) {
         if self.probes.remove(&number).is_some() {
             self.health = self.health.saturating_sub(1);
         } else if let Some(relay) = self.relays.remove(&number) {
@@ -269,7 +274,7 @@
         }
     }
 
-    pub(super) fn next_of_round(&mut self) -> Option<Place> {
+    pub(super) fn next_of_round(&mut self) -> Option<PeerIndex> {
         loop {
             if self.round.is_empty() {
                 self.round = self
@@ -288,22 +293,22 @@
     }
 
     /// The others that are neither dead nor doubted, in the order of the ring.
-    pub(super) fn sound(&self) -> impl Iterator<Item = Place> + '_ {
+    pub(super) fn sound(&self) -> impl Iterator<Item = PeerIndex> + '_ {
         self.ring
             .iter()
             .copied()
-            .filter(|place| self.members[*place].state() == State::Alive)
+            .filter(|place| self.members[*place].state() == PeerState::Alive)
     }
 
     /// One of them.
-    pub(super) fn anybody(&mut self) -> Option<Place> {
-        let alive: Vec<Place> = self.sound().collect();
+    pub(super) fn anybody(&mut self) -> Option<PeerIndex> {
+        let alive: Vec<PeerIndex> = self.sound().collect();
         (!alive.is_empty()).then(|| alive[self.rng.random_range(0..alive.len())])
     }
 
-    pub(super) fn helpers(&mut self, target: Place) -> Vec<Place> {
-        let mut able: Vec<Place> = self.sound().filter(|place| *place != target).collect();
-        // Those that were heard last can be reached most surely, also where a part of the fleet is cut off just now.
+    pub(super) fn helpers(&mut self, target: PeerIndex) -> Vec<PeerIndex> {
+        let mut able: Vec<PeerIndex> = self.sound().filter(|place| *place != target).collect();
+        // Those that were heard last can be reached most surely, also where a part of the cluster is cut off just now.
         able.sort_by_key(|place| std::cmp::Reverse(self.members[*place].heard));
         able.truncate(HEARD_LAST);
         let most = if self.much { HELPERS_MUCH } else { HELPERS };
--- a/gateway-cluster/src/view/sending.rs
+++ b/gateway-cluster/src/membership/sending.rs
@@ -2,9 +2,9 @@
 
 use super::claims::{FEW, TIMES_FEW, TIMES_MANY};
 use super::member::Member;
-use super::View;
-use crate::engine::{Micros, Place, Send, State};
-use crate::wire::{Datagram, Kind, Marks, Update, HEADERS};
+use super::Membership;
+use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
+use crate::wire::{Datagram, Kind, Update, ViewSummary, HEADER_BYTES};
 
 /// What is sent in any ten seconds: the bucket's size and ten times its rate. Gossip and healing leave a part of it to
 /// probes and answers.
@@ -29,25 +29,25 @@
     Call,
 }
 
-impl View {
+impl Membership {
     /// Sends with up to so many claims: what is held of the receiver, if that is not alive, then those sent least.
     pub(super) fn send(
         &mut self,
         now: Micros,
-        to: Place,
+        to: PeerIndex,
         kind: Kind,
         most: usize,
         class: Class,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<IndexedTransmit>,
     ) -> bool {
         let mut claims = Vec::new();
-        if self.members[to].told() != State::Alive || self.members[to].behind {
+        if self.members[to].told() != PeerState::Alive || self.members[to].behind {
             claims.push(to);
         }
-        let mut fresh: Vec<(u8, Place)> = Vec::new();
+        let mut fresh: Vec<(u8, PeerIndex)> = Vec::new();
         for (place, member) in self.members.iter().enumerate() {
             if let Some(sent) = member.sent.filter(|_| place != to) {
-                // This door's own claim goes first.
+                // This gateway's own claim goes first.
                 fresh.push((if place == self.me { 0 } else { sent }, place));
             }
         }
@@ -87,11 +87,11 @@
     pub(super) fn put(
         &mut self,
         now: Micros,
-        to: Place,
+        to: PeerIndex,
         kind: Kind,
-        claims: Vec<Place>,
+        claims: Vec<PeerIndex>,
         class: Class,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<IndexedTransmit>,
     ) -> bool {
         self.put_marked(now, to, kind, None, claims, class, sends)
     }
@@ -101,12 +101,12 @@
     pub(super) fn put_marked(
         &mut self,
         now: Micros,
-        to: Place,
+        to: PeerIndex,
         kind: Kind,
-        marks: Option<Marks>,
-        claims: Vec<Place>,
+        marks: Option<ViewSummary>,
+        claims: Vec<PeerIndex>,
         class: Class,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<IndexedTransmit>,
     ) -> bool {
         self.fill(now);
         let kept = match class {
@@ -119,14 +119,14 @@
             return false;
         }
         let by_place = self.members[to]
-            .roster
-            .is_none_or(|roster| roster == self.roster.digest());
+            .peers
+            .is_none_or(|peers| peers == self.peers.digest());
         let updates = claims.iter().map(|place| {
             let Member { incarnation, .. } = self.members[*place];
             let who = if by_place {
                 *place as u32
             } else {
-                self.roster.ids()[*place]
+                self.peers.ids()[*place]
             };
             Update {
                 who,
@@ -135,8 +135,8 @@
             }
         });
         let (bytes, _) = Datagram {
-            roster: self.roster.digest(),
-            from: self.roster.ids()[self.me],
+            peers: self.peers.digest(),
+            from: self.peers.ids()[self.me],
             incarnation: self.incarnation(),
             digest: self.inner_digest(),
             kind,
@@ -145,7 +145,7 @@
             updates: updates.collect(),
         }
         .encode();
-        let size = (bytes.len() + HEADERS) as f64;
+        let size = (bytes.len() + HEADER_BYTES) as f64;
         if !self.bytes.has(size, kept) {
             return false;
         }
@@ -153,7 +153,7 @@
         self.bytes.take(size);
         self.sent.0 += 1;
         self.sent.1 += size as u64;
-        sends.push(Send { to, bytes });
+        sends.push(IndexedTransmit { to, bytes });
         true
     }
 
--- a/gateway-cluster/src/rules.rs
+++ b/gateway-cluster/src/precedence.rs
@@ -1,11 +1,11 @@
-//! The order of claims, by itself: which claim of a door goes before which, and what a door makes of claims of itself.
+//! The order of claims, by itself: which claim of a gateway goes before which, and what a gateway makes of claims of itself.
 //! The view goes by these functions, and the model check (`tests/model.rs`) runs them through all orders of events.
 
-use crate::wire::{Claim, Incarnation};
+use crate::wire::{Incarnation, UpdateStatus};
 
-/// What is held of a door, as far as the order of claims goes.
+/// What is held of a gateway, as far as the order of claims goes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-pub struct Held {
+pub struct KnownUpdate {
     /// In which incarnation.
     pub incarnation: Incarnation,
     /// It is gone.
@@ -14,7 +14,7 @@
 
 /// What a claim is against what is held.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Weight {
+pub enum Precedence {
     /// Older than what is held: whoever made it is to be told.
     Behind,
     /// Of a later incarnation: what was held is over.
@@ -32,40 +32,40 @@
 }
 
 /// Where a claim of an incarnation stands.
-pub fn weigh(held: Held, incarnation: Incarnation) -> Weight {
+pub fn weigh(held: KnownUpdate, incarnation: Incarnation) -> Precedence {
     match incarnation.cmp(&held.incarnation) {
-        std::cmp::Ordering::Less => Weight::Behind,
-        std::cmp::Ordering::Equal => Weight::Equal,
-        std::cmp::Ordering::Greater => Weight::Later {
+        std::cmp::Ordering::Less => Precedence::Behind,
+        std::cmp::Ordering::Equal => Precedence::Equal,
+        std::cmp::Ordering::Greater => Precedence::Later {
             same_life: life(incarnation) == life(held.incarnation),
         },
     }
 }
 
 /// What is held once a claim has been taken in that is no doubt.
-pub fn take(held: Held, incarnation: Incarnation, claim: Claim) -> Held {
-    let gone = matches!(claim, Claim::Dead | Claim::Left);
+pub fn take(held: KnownUpdate, incarnation: Incarnation, claim: UpdateStatus) -> KnownUpdate {
+    let gone = matches!(claim, UpdateStatus::Dead | UpdateStatus::Left);
     match weigh(held, incarnation) {
-        Weight::Behind => held,
+        Precedence::Behind => held,
         // Who was gone and is claimed to be so again, in a later incarnation, never came back here. Who lives is gone
-        // only after a doubt of this door's own, whoever claims it.
-        Weight::Later { .. } => Held {
+        // only after a doubt of this gateway's own, whoever claims it.
+        Precedence::Later { .. } => KnownUpdate {
             incarnation,
             dead: held.dead && gone,
         },
-        Weight::Equal => held,
+        Precedence::Equal => held,
     }
 }
 
-/// The incarnation that another door gives one that it held for gone, and that a third one speaks for: the verdict is
+/// The incarnation that another gateway gives one that it held for gone, and that a third one speaks for: the verdict is
 /// over, and the life stays.
 pub fn raised(incarnation: Incarnation) -> Incarnation {
     incarnation + u64::from(incarnation as u16 != u16::MAX)
 }
 
-/// What a door makes of a claim of itself.
+/// What a gateway makes of a claim of itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Own {
+pub enum SelfUpdateAction {
     /// Nothing: it is old, or true.
     Keep,
     /// Others have raised the incarnation in its stead: it is taken over.
@@ -80,25 +80,27 @@
     Resume,
 }
 
-/// What a door of this incarnation makes of a claim of itself. `young` is one that was started not long ago: if its
+/// What a gateway of this incarnation makes of a claim of itself. `young` is one that was started not long ago: if its
 /// wall clock was set back, claims of the life before it look later. `silent` is one that was superseded.
 pub fn of_self(
     own: Incarnation,
     young: bool,
     silent: bool,
     incarnation: Incarnation,
-    claim: Claim,
-) -> Own {
-    if silent && claim != Claim::Alive && incarnation < own {
-        return Own::Resume;
+    claim: UpdateStatus,
+) -> SelfUpdateAction {
+    if silent && claim != UpdateStatus::Alive && incarnation < own {
+        return SelfUpdateAction::Resume;
     }
-    if incarnation < own || incarnation == own && claim == Claim::Alive {
-        return Own::Keep;
+    if incarnation < own || incarnation == own && claim == UpdateStatus::Alive {
+        return SelfUpdateAction::Keep;
     }
     match claim {
-        Claim::Alive if life(incarnation) == life(own) => Own::Adopt(incarnation),
-        Claim::Alive if !young => Own::Superseded,
+        UpdateStatus::Alive if life(incarnation) == life(own) => {
+            SelfUpdateAction::Adopt(incarnation)
+        }
+        UpdateStatus::Alive if !young => SelfUpdateAction::Superseded,
         // Whoever is doubted or gone, it is not this process.
-        _ => Own::Outbid(incarnation + 1),
+        _ => SelfUpdateAction::Outbid(incarnation + 1),
     }
 }
