--- a/gateway-cluster/src/sessions/part.rs
+++ b/gateway-cluster/src/sessions/classifier.rs
@@ -1,30 +1,30 @@
-//! One door's part in the sessions: it counts for all keepers, keeps the customers that the shard map gives it, and goes
+//! One gateway's part in the sessions: it counts for all owners, keeps the customers that the shard map gives it, and goes
 //! by the verdicts that it is told.
 //!
-//! **Who is asked.** A door that gains keys calls the roll: it asks each living door once to send all that it has counted
-//! of the keys, and takes no step towards sharing before all of them have said that they did. Only then is a customer's set known: the doors
-//! that have reported of it. A door that returns from the dead is asked as well. So a door that is held alive but cannot be
-//! reached keeps this keeper from steps towards sharing; steps towards caution wait for nothing.
+//! **Who is asked.** A gateway that gains keys calls the roll: it asks each living gateway once to send all that it has counted
+//! of the keys, and takes no step towards sharing before all of them have said that they did. Only then is a customer's set known: the gateways
+//! that have reported of it. A gateway that returns from the dead is asked as well. So a gateway that is held alive but cannot be
+//! reached keeps this owner from steps towards sharing; steps towards caution wait for nothing.
 //!
 //! **What is sent.** In any time `t` no more than 30 and 3 a second times `t`, whatever customers do: what has no room waits, by
 //! customer and not by event, and is built at the moment it goes. First verdicts, then counts with a new break; from the upper half of
-//! the bucket alone a verdict's repetitions, and then the rest, put together to one datagram a second for each door.
+//! the bucket alone a verdict's repetitions, and then the rest, put together to one datagram a second for each gateway.
 //!
 //! **Memory.** 4,096 customers of each: counted, kept, and held by verdicts.
 
-use super::evidence::{Conn, Evidence, Outcome};
-use super::keep::{
-    self, Held, Hold, Input, Keeper, Output, Refused, Scene, Shown, Verdict, LOOK_AGAIN,
+use super::evidence::{ConnectionUse, Evidence, Outcome};
+use super::verdicts::{
+    self, ConnectionPolicy, EvidenceSummary, Input, LeaderContext, Output, Verdict,
+    VerdictAggregator, VerdictRejection, VerdictTable, LOOK_AGAIN,
 };
-use super::wire::{size, Counts, Datagram, Kind, Said, ROOM};
-use super::{Backend, Customer, Fence, Pooling};
-use crate::budget::Bucket;
-use crate::engine::{Micros, State};
-use crate::names::{id_of, Id};
-use crate::ownership::office::Send;
-use crate::shards::keeping::Keeping;
+use super::wire::{size, Datagram, Kind, ReportMessage, VerdictMessage, ROOM};
+use super::{Backend, Customer, FencingToken, Pooling};
+use crate::membership::PartitionSide;
+use crate::peers::{peer_id_of, PeerId};
+use crate::protocol::{Micros, PeerState, Transmit};
+use crate::shards::node::ShardMapNode;
 use crate::shards::{Key, KEYS};
-use crate::view::Side;
+use crate::token_bucket::TokenBucket;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
@@ -37,63 +37,63 @@
 /// Between two looks, where there is anything to look at and where there is nothing.
 const TICK: Micros = 100_000;
 const IDLE: Micros = 500_000;
-/// Counts without a new break go to one keeper so often at most, and a roll is called again after that.
+/// ReportMessage without a new break go to one owner so often at most, and a roll is called again after that.
 const GATHER: Micros = 1_000_000;
 /// Customers whose counts are taken up in one look.
 const AT_ONCE: usize = 256;
-/// Doors of a set that are remembered.
-const MOST_DOORS: usize = 8;
+/// Gateways of a set that are remembered.
+const MOST_GATEWAYS: usize = 8;
 /// How often what belongs to customers that are kept no more is cleared away.
 const CLEAR: Micros = 10_000_000;
 
 /// What a part begins with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Settings {
+pub struct ClassifierSettings {
     /// Customers that it counts, keeps and holds verdicts of, at most, each.
     pub most: usize,
 }
 
-impl Default for Settings {
-    fn default() -> Settings {
-        Settings { most: 4096 }
+impl Default for ClassifierSettings {
+    fn default() -> ClassifierSettings {
+        ClassifierSettings { most: 4096 }
     }
 }
 
 /// What a part knows of its surroundings at the moment of an event.
-pub struct Around<'a> {
+pub struct ClusterContext<'a> {
     /// Who keeps which customer.
-    pub keeping: &'a Keeping,
-    /// The roster, and what the view holds of it.
+    pub shard_map: &'a ShardMapNode,
+    /// The peer set, and what the view holds of it.
     pub names: &'a [String],
     /// See `names`.
-    pub states: &'a [State],
-    /// The side that this door is on.
-    pub side: Side,
+    pub states: &'a [PeerState],
+    /// The side that this gateway is on.
+    pub side: PartitionSide,
     /// It goes, or another process has its name.
     pub silent: bool,
 }
 
-/// What staff are told of a customer.
+/// What operators are told of a customer.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
-    /// Its keeper, as far as this door knows.
-    pub keeper: Option<String>,
+pub struct ClassifierStatus {
+    /// Its owner, as far as this gateway knows.
+    pub owner: Option<String>,
     /// What it is held for here.
     pub pooling: Pooling,
     /// Under which right that was said, or else the map in force.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// Time since it was last judged so.
     pub age: Micros,
-    /// Doors whose reports it rests on.
+    /// Gateways whose reports it rests on.
     pub reports: Vec<String>,
     /// Their counts.
-    pub evidence: Shown,
+    pub evidence: EvidenceSummary,
 }
 
 /// Verdicts that were refused, by why.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Refusals {
-    /// Under a right that is over, or of a door that the map in force gives that customer not to.
+    /// Under a right that is over, or of a gateway that the map in force gives that customer not to.
     pub old: u64,
     /// Not the newest.
     pub late: u64,
@@ -103,25 +103,25 @@
     pub full: u64,
 }
 
-/// What the view held of a door.
+/// What the view held of a gateway.
 #[derive(Debug, Clone, Copy)]
 struct Seen {
-    id: Id,
+    id: PeerId,
     alive: Micros,
     dead: bool,
 }
 
-/// What waits for one door.
+/// What waits for one gateway.
 #[derive(Debug, Default)]
 struct Mail {
-    /// Its life, as it last said; 0 if it never did.
-    life: u64,
+    /// Its incarnation, as it last said; 0 if it never did.
+    incarnation: u64,
     says: BTreeSet<Customer>,
     reports: BTreeSet<Customer>,
     /// Among the reports is a new break.
     soon: bool,
     asks: BTreeSet<Customer>,
-    /// When the roll was called last, of this door.
+    /// When the roll was called last, of this gateway.
     called: Option<Micros>,
     /// Its roll that is still to be answered, and the last one that was.
     owes: Option<(u64, u32)>,
@@ -129,27 +129,27 @@
     sent: Option<Micros>,
 }
 
-/// One life's part.
+/// One incarnation's part.
 #[derive(Debug)]
-pub struct Part {
-    me: Id,
+pub struct SessionClassifier {
+    me: PeerId,
     name: String,
-    life: u64,
+    incarnation: u64,
     most: usize,
     evidence: Evidence,
-    keeper: Keeper,
-    held: Held,
+    owner: VerdictAggregator,
+    held: VerdictTable,
     sets: BTreeMap<Customer, Vec<String>>,
-    doors: BTreeMap<String, Seen>,
+    gateways: BTreeMap<String, Seen>,
     majority: bool,
     mine: Vec<(Key, Key)>,
     roll: u32,
-    rolled: BTreeSet<Id>,
-    mail: BTreeMap<Id, Mail>,
-    /// The door that something was sent to last.
-    turn: Id,
+    rolled: BTreeSet<PeerId>,
+    mail: BTreeMap<PeerId, Mail>,
+    /// The gateway that something was sent to last.
+    turn: PeerId,
     looked: BTreeMap<Customer, Micros>,
-    budget: Bucket,
+    budget: TokenBucket,
     next: Micros,
     clear: Micros,
     chance: Pcg64Mcg,
@@ -166,28 +166,36 @@
     ranges.get(place).is_some_and(|(from, _)| *from <= key)
 }
 
-fn fence_in_force(keeping: &Keeping) -> Fence {
-    keeping.map().map_or_else(Fence::default, |map| Fence {
-        epoch: map.epoch,
-        version: map.version,
-    })
+fn fence_in_force(shard_map: &ShardMapNode) -> FencingToken {
+    shard_map
+        .map()
+        .map_or_else(FencingToken::default, |map| FencingToken {
+            epoch: map.epoch,
+            version: map.version,
+        })
 }
 
-impl Part {
-    /// A life that knows nothing. `life` is higher than that of any earlier process of this name, such as its start by the wall
+impl SessionClassifier {
+    /// An incarnation that knows nothing. `incarnation` is higher than that of any earlier process of this name, such as its start by the wall
     /// clock.
-    pub fn new(now: Micros, name: &str, life: u64, settings: Settings, seed: u64) -> Part {
+    pub fn new(
+        now: Micros,
+        name: &str,
+        incarnation: u64,
+        settings: ClassifierSettings,
+        seed: u64,
+    ) -> SessionClassifier {
         let most = settings.most.max(1);
-        Part {
-            me: id_of(name),
+        SessionClassifier {
+            me: peer_id_of(name),
             name: name.to_string(),
-            life,
+            incarnation,
             most,
-            evidence: Evidence::new(name, life, most, seed),
-            keeper: Keeper::new(life, most),
-            held: Held::new(most),
+            evidence: Evidence::new(name, incarnation, most, seed),
+            owner: VerdictAggregator::new(incarnation, most),
+            held: VerdictTable::new(most),
             sets: BTreeMap::new(),
-            doors: BTreeMap::new(),
+            gateways: BTreeMap::new(),
             majority: false,
             mine: Vec::new(),
             roll: 0,
@@ -195,7 +203,7 @@
             mail: BTreeMap::new(),
             turn: 0,
             looked: BTreeMap::new(),
-            budget: Bucket::full(now, BURST, PER_SECOND),
+            budget: TokenBucket::full(now, BURST, PER_SECOND),
             next: now,
             clear: now + CLEAR,
             chance: Pcg64Mcg::seed_from_u64(seed.rotate_left(8)),
@@ -211,7 +219,7 @@
         now: Micros,
         customer: Customer,
         backend: Backend,
-        conn: Conn,
+        conn: ConnectionUse,
         outcome: Outcome,
     ) {
         // Beyond the keys nobody keeps it.
@@ -221,54 +229,64 @@
     }
 
     /// How a request of a customer is to get its connection.
-    pub fn hold(&mut self, now: Micros, customer: Customer, keeping: &Keeping) -> Hold {
-        let pooling = self.pooling(now, customer, keeping);
+    pub fn hold(
+        &mut self,
+        now: Micros,
+        customer: Customer,
+        shard_map: &ShardMapNode,
+    ) -> ConnectionPolicy {
+        let pooling = self.pooling(now, customer, shard_map);
         if pooling <= Pooling::Unknown {
-            return keep::hold(pooling, 0, self.chance.random());
+            return verdicts::hold(pooling, 0, self.chance.random());
         }
         if !self.looked.contains_key(&customer) && self.looked.len() >= self.most {
             self.looked
                 .retain(|_, at| now.saturating_sub(*at) < LOOK_AGAIN);
             if self.looked.len() >= self.most {
-                return keep::hold(pooling, 0, 1.0);
+                return verdicts::hold(pooling, 0, 1.0);
             }
         }
         let looked = now.saturating_sub(*self.looked.entry(customer).or_insert(now));
-        let hold = keep::hold(pooling, looked, 1.0);
-        if hold == Hold::Any {
+        let hold = verdicts::hold(pooling, looked, 1.0);
+        if hold == ConnectionPolicy::Any {
             self.looked.insert(customer, now);
         }
         hold
     }
 
     /// What a customer is held for here.
-    pub fn pooling(&self, now: Micros, customer: Customer, keeping: &Keeping) -> Pooling {
+    pub fn pooling(&self, now: Micros, customer: Customer, shard_map: &ShardMapNode) -> Pooling {
         if self.held.verdict(customer).is_none() {
             return Pooling::Unknown;
         }
-        let keeper = keeping.map().and_then(|map| map.keeper_of(customer));
-        let alive = match keeper {
-            Some(keeper) if keeper == self.name => now,
-            Some(keeper) => self.doors.get(keeper).map_or(0, |seen| seen.alive),
+        let owner = shard_map.map().and_then(|map| map.owner_of(customer));
+        let alive = match owner {
+            Some(owner) if owner == self.name => now,
+            Some(owner) => self.gateways.get(owner).map_or(0, |seen| seen.alive),
             None => 0,
         };
         self.held.in_force(now, customer, alive, self.majority)
     }
 
-    /// What staff are told of a customer.
-    pub fn standing(&self, now: Micros, customer: Customer, keeping: &Keeping) -> Standing {
-        let keeper = keeping
+    /// What operators are told of a customer.
+    pub fn status(
+        &self,
+        now: Micros,
+        customer: Customer,
+        shard_map: &ShardMapNode,
+    ) -> ClassifierStatus {
+        let owner = shard_map
             .map()
-            .and_then(|map| map.keeper_of(customer))
+            .and_then(|map| map.owner_of(customer))
             .map(String::from);
-        let own = keeping.fence_of(now, customer);
-        let own = own.and_then(|fence| self.keeper.verdict(now, customer, fence));
+        let own = shard_map.fence_of(now, customer);
+        let own = own.and_then(|fence| self.owner.verdict(now, customer, fence));
         let told = || {
             let (verdict, at) = self.held.verdict(customer)?;
             let age = verdict.age.saturating_add(now.saturating_sub(at));
             Some(Verdict {
                 age,
-                pooling: self.pooling(now, customer, keeping),
+                pooling: self.pooling(now, customer, shard_map),
                 ..verdict.clone()
             })
         };
@@ -280,55 +298,60 @@
                 reports,
                 evidence,
                 ..
-            }) => Standing {
-                keeper,
+            }) => ClassifierStatus {
+                owner,
                 pooling,
                 fence,
                 age,
                 reports,
                 evidence,
             },
-            None => Standing {
-                keeper,
+            None => ClassifierStatus {
+                owner,
                 pooling: Pooling::Unknown,
-                fence: fence_in_force(keeping),
+                fence: fence_in_force(shard_map),
                 age: 0,
                 reports: Vec::new(),
-                evidence: Shown::default(),
+                evidence: EvidenceSummary::default(),
             },
         }
     }
 
-    /// Whether all living doors have told what they had as this one began to keep.
+    /// Whether all living gateways have told what they had as this one began to keep.
     pub fn has_rolled(&self) -> bool {
         let heard = |seen: &Seen| seen.dead || seen.id == self.me || self.rolled.contains(&seen.id);
-        !self.mine.is_empty() && self.doors.values().all(heard)
+        !self.mine.is_empty() && self.gateways.values().all(heard)
     }
 
-    /// Counts that were left out, and why.
+    /// ReportMessage that were left out, and why.
     pub fn evidence(&self) -> &Evidence {
         &self.evidence
     }
 
-    /// When [`Part::wake`] is wanted.
-    pub fn due(&self) -> Micros {
+    /// When [`SessionClassifier::on_timer`] is wanted.
+    pub fn next_wakeup(&self) -> Micros {
         self.next
     }
 
     /// Something is due, or past that.
-    pub fn wake(&mut self, now: Micros, around: &Around<'_>, sends: &mut Vec<Send>) {
+    pub fn on_timer(
+        &mut self,
+        now: Micros,
+        around: &ClusterContext<'_>,
+        sends: &mut Vec<Transmit>,
+    ) {
         self.look(now, around);
-        for customer in self.evidence.due(now, AT_ONCE) {
+        for customer in self.evidence.next_wakeup(now, AT_ONCE) {
             self.tell(now, customer, around);
         }
         self.keep(now, Input::Tick, around);
         if now >= self.clear {
             self.clear = now + CLEAR;
-            let (keeper, mine) = (&self.keeper, &self.mine);
+            let (owner, mine) = (&self.owner, &self.mine);
             self.sets
-                .retain(|&customer, _| within(mine, customer) && keeper.has(customer));
-            let doors: BTreeSet<Id> = self.doors.values().map(|seen| seen.id).collect();
-            self.mail.retain(|id, _| doors.contains(id));
+                .retain(|&customer, _| within(mine, customer) && owner.has(customer));
+            let gateways: BTreeSet<PeerId> = self.gateways.values().map(|seen| seen.id).collect();
+            self.mail.retain(|id, _| gateways.contains(id));
         }
         self.flush(now, around, sends);
         let idle = self.evidence.customers() == 0 && self.sets.is_empty() && self.mail.is_empty();
@@ -336,26 +359,27 @@
     }
 
     /// A datagram has come.
-    pub fn receive(
+    pub fn on_datagram(
         &mut self,
         now: Micros,
         bytes: &[u8],
-        around: &Around<'_>,
-        sends: &mut Vec<Send>,
+        around: &ClusterContext<'_>,
+        sends: &mut Vec<Transmit>,
     ) {
         let Some(Datagram {
             from,
-            life,
-            to_life,
+            incarnation,
+            to_incarnation,
             kind,
         }) = Datagram::decode(bytes)
         else {
             self.dropped.0 += 1;
             return;
         };
-        let name = around.names.iter().find(|name| id_of(name) == from);
-        let Some(name) = name.filter(|_| from != self.me && (to_life == 0 || to_life == self.life))
-        else {
+        let name = around.names.iter().find(|name| peer_id_of(name) == from);
+        let Some(name) = name.filter(|_| {
+            from != self.me && (to_incarnation == 0 || to_incarnation == self.incarnation)
+        }) else {
             self.dropped.1 += 1;
             return;
         };
@@ -364,16 +388,16 @@
         }
         self.look(now, around);
         let mail = self.mail.entry(from).or_default();
-        mail.life = life;
+        mail.incarnation = incarnation;
         match kind {
-            Kind::Roll(number) if mail.answered == Some((life, number)) => {
-                mail.owes = Some((life, number));
+            Kind::Roll(number) if mail.answered == Some((incarnation, number)) => {
+                mail.owes = Some((incarnation, number));
             }
-            Kind::Roll(number) if mail.owes != Some((life, number)) => {
-                mail.owes = Some((life, number));
-                let map = around.keeping.map();
-                let theirs = |customer| map.and_then(|map| map.keeper_of(customer)) == Some(name);
-                // By a map that this door does not have yet it may keep more: that is told as it changes.
+            Kind::Roll(number) if mail.owes != Some((incarnation, number)) => {
+                mail.owes = Some((incarnation, number));
+                let map = around.shard_map.map();
+                let theirs = |customer| map.and_then(|map| map.owner_of(customer)) == Some(name);
+                // By a map that this gateway does not have yet it may keep more: that is told as it changes.
                 mail.reports.extend(self.evidence.again(theirs));
             }
             Kind::Roll(_) => {}
@@ -386,7 +410,7 @@
                 for counts in counts {
                     if within(&self.mine, counts.customer()) {
                         self.join(name, counts.customer());
-                        self.keep(now, Input::Report(counts.report(name, life)), around);
+                        self.keep(now, Input::Report(counts.report(name, incarnation)), around);
                     }
                 }
                 if rolled != 0 && rolled == self.roll {
@@ -394,12 +418,12 @@
                 }
             }
             Kind::Verdicts { fence, said } => {
-                let name_of = |id: Id| {
-                    let known = around.names.iter().find(|name| id_of(name) == id);
+                let name_of = |id: PeerId| {
+                    let known = around.names.iter().find(|name| peer_id_of(name) == id);
                     known.cloned().unwrap_or_else(|| format!("{id:08x}"))
                 };
                 for said in said {
-                    let verdict = said.verdict(fence, life, name_of);
+                    let verdict = said.verdict(fence, incarnation, name_of);
                     self.take(now, name, verdict, around);
                 }
             }
@@ -408,18 +432,18 @@
     }
 
     /// Takes up what the surroundings are now.
-    fn look(&mut self, now: Micros, around: &Around<'_>) {
+    fn look(&mut self, now: Micros, around: &ClusterContext<'_>) {
         self.budget.fill(now);
-        self.majority = matches!(around.side, Side::Whole | Side::Majority);
-        self.doors.retain(|name, _| around.names.contains(name));
+        self.majority = matches!(around.side, PartitionSide::Whole | PartitionSide::Majority);
+        self.gateways.retain(|name, _| around.names.contains(name));
         for (name, state) in around.names.iter().zip(around.states) {
-            let id = id_of(name);
-            let seen = self.doors.entry(name.clone()).or_insert(Seen {
+            let id = peer_id_of(name);
+            let seen = self.gateways.entry(name.clone()).or_insert(Seen {
                 id,
                 alive: 0,
                 dead: true,
             });
-            seen.dead = *state == State::Dead && id != self.me;
+            seen.dead = *state == PeerState::Dead && id != self.me;
             if seen.dead {
                 // What it had counted meanwhile is asked for once it is back.
                 self.rolled.remove(&id);
@@ -427,11 +451,11 @@
                 seen.alive = now;
             }
         }
-        self.held.fence(fence_in_force(around.keeping));
+        self.held.fence(fence_in_force(around.shard_map));
         let mine = if around.silent {
             Vec::new()
         } else {
-            around.keeping.mine(now)
+            around.shard_map.mine(now)
         };
         if mine == self.mine {
             return;
@@ -446,82 +470,85 @@
         }
     }
 
-    /// A door has reported of a customer that is kept here: it belongs to its set.
-    fn join(&mut self, door: &str, customer: Customer) {
+    /// A gateway has reported of a customer that is kept here: it belongs to its set.
+    fn join(&mut self, gateway: &str, customer: Customer) {
         if !self.sets.contains_key(&customer) && self.sets.len() >= self.most {
             return;
         }
         let set = self.sets.entry(customer).or_default();
-        if set.iter().any(|known| known == door) {
+        if set.iter().any(|known| known == gateway) {
             return;
         }
-        if set.len() >= MOST_DOORS {
-            set.retain(|known| self.doors.get(known).is_some_and(|seen| !seen.dead));
+        if set.len() >= MOST_GATEWAYS {
+            set.retain(|known| self.gateways.get(known).is_some_and(|seen| !seen.dead));
         }
-        if set.len() < MOST_DOORS {
-            set.push(door.to_string());
+        if set.len() < MOST_GATEWAYS {
+            set.push(gateway.to_string());
         }
     }
 
-    /// Tells a customer's keeper what was counted of it.
-    fn tell(&mut self, now: Micros, customer: Customer, around: &Around<'_>) {
+    /// Tells a customer's owner what was counted of it.
+    fn tell(&mut self, now: Micros, customer: Customer, around: &ClusterContext<'_>) {
         if within(&self.mine, customer) {
             self.tell_own(now, customer, around);
             return;
         }
-        // Where there is no keeper, whoever will be one calls the roll.
-        let keeper = around.keeping.map().and_then(|map| map.keeper_of(customer));
-        let Some(keeper) = keeper.filter(|keeper| *keeper != self.name) else {
+        // Where there is no owner, whoever will be one calls the roll.
+        let owner = around
+            .shard_map
+            .map()
+            .and_then(|map| map.owner_of(customer));
+        let Some(owner) = owner.filter(|owner| *owner != self.name) else {
             return;
         };
         let urgent = self.evidence.is_urgent(customer);
-        let mail = self.mail.entry(id_of(keeper)).or_default();
+        let mail = self.mail.entry(peer_id_of(owner)).or_default();
         mail.reports.insert(customer);
         mail.soon |= urgent;
     }
 
-    fn tell_own(&mut self, now: Micros, customer: Customer, around: &Around<'_>) {
+    fn tell_own(&mut self, now: Micros, customer: Customer, around: &ClusterContext<'_>) {
         let name = self.name.clone();
         self.join(&name, customer);
-        let held = self.pooling(now, customer, around.keeping);
+        let held = self.pooling(now, customer, around.shard_map);
         let report = self.evidence.report(now, customer, held);
         self.keep(now, Input::Report(report), around);
     }
 
-    /// As the keeper.
-    fn keep(&mut self, now: Micros, input: Input, around: &Around<'_>) {
-        let (sets, doors, mine) = (&self.sets, &self.doors, &self.mine);
-        let all = || doors.keys().cloned().collect();
-        let scene = Scene {
-            fence: fence_in_force(around.keeping),
+    /// As the owner.
+    fn keep(&mut self, now: Micros, input: Input, around: &ClusterContext<'_>) {
+        let (sets, gateways, mine) = (&self.sets, &self.gateways, &self.mine);
+        let all = || gateways.keys().cloned().collect();
+        let scene = LeaderContext {
+            fence: fence_in_force(around.shard_map),
             keeps: &|customer| within(mine, customer),
             set: &|customer| sets.get(&customer).cloned().unwrap_or_else(all),
-            gone: &|door| doors.get(door).is_none_or(|seen| seen.dead),
+            gone: &|gateway| gateways.get(gateway).is_none_or(|seen| seen.dead),
             may_share: self.majority && self.has_rolled(),
         };
         let mut outputs = Vec::new();
-        self.keeper.handle(now, input, &scene, &mut outputs);
+        self.owner.handle(now, input, &scene, &mut outputs);
         for output in outputs {
             match output {
                 // It is told of itself whatever it has: the next look is soon enough for what is new.
-                Output::Ask { door, customer } if door == self.name => {
+                Output::Ask { gateway, customer } if gateway == self.name => {
                     self.tell_own(now, customer, around);
                 }
-                Output::Ask { door, customer } => {
+                Output::Ask { gateway, customer } => {
                     self.mail
-                        .entry(id_of(&door))
+                        .entry(peer_id_of(&gateway))
                         .or_default()
                         .asks
                         .insert(customer);
                 }
-                Output::Say { door, verdict } if door == self.name => {
-                    self.take(now, &door, verdict, around);
+                Output::Say { gateway, verdict } if gateway == self.name => {
+                    self.take(now, &gateway, verdict, around);
                 }
-                Output::Say { door, verdict } => {
-                    let repeats = self.keeper.is_repeating(verdict.customer);
+                Output::Say { gateway, verdict } => {
+                    let repeats = self.owner.is_repeating(verdict.customer);
                     if !repeats || self.budget.has(1.0, KEPT_BACK) {
                         self.mail
-                            .entry(id_of(&door))
+                            .entry(peer_id_of(&gateway))
                             .or_default()
                             .says
                             .insert(verdict.customer);
@@ -531,14 +558,14 @@
         }
     }
 
-    /// As a door that goes by what a keeper says.
-    fn take(&mut self, now: Micros, from: &str, verdict: Verdict, around: &Around<'_>) {
+    /// As a gateway that goes by what an owner says.
+    fn take(&mut self, now: Micros, from: &str, verdict: Verdict, around: &ClusterContext<'_>) {
         let customer = verdict.customer;
         let map = around
-            .keeping
+            .shard_map
             .map()
-            .filter(|_| verdict.fence == fence_in_force(around.keeping));
-        if map.is_some_and(|map| map.keeper_of(customer) != Some(from)) {
+            .filter(|_| verdict.fence == fence_in_force(around.shard_map));
+        if map.is_some_and(|map| map.owner_of(customer) != Some(from)) {
             self.refused.old += 1;
             return;
         }
@@ -547,27 +574,27 @@
                 let pooling = self.held.in_force(now, customer, now, self.majority);
                 self.evidence.hold(customer, pooling);
             }
-            Err(Refused::Old { .. }) => self.refused.old += 1,
-            Err(Refused::Late) => self.refused.late += 1,
-            Err(Refused::Minority) => self.refused.minority += 1,
-            Err(Refused::Full(_)) => self.refused.full += 1,
+            Err(VerdictRejection::Old { .. }) => self.refused.old += 1,
+            Err(VerdictRejection::Late) => self.refused.late += 1,
+            Err(VerdictRejection::Minority) => self.refused.minority += 1,
+            Err(VerdictRejection::Full(_)) => self.refused.full += 1,
         }
     }
 
     /// Sends what waits, as far as it may.
-    fn flush(&mut self, now: Micros, around: &Around<'_>, sends: &mut Vec<Send>) {
+    fn flush(&mut self, now: Micros, around: &ClusterContext<'_>, sends: &mut Vec<Transmit>) {
         if around.silent {
             return;
         }
-        let dead: BTreeSet<Id> = self
-            .doors
+        let dead: BTreeSet<PeerId> = self
+            .gateways
             .values()
             .filter(|seen| seen.dead)
             .map(|seen| seen.id)
             .collect();
         if !self.mine.is_empty() {
             let living = self
-                .doors
+                .gateways
                 .values()
                 .filter(|seen| !seen.dead && seen.id != self.me);
             for seen in living.filter(|seen| !self.rolled.contains(&seen.id)) {
@@ -575,24 +602,24 @@
             }
         }
         // Whoever came last in the round before comes first now.
-        let mut doors: Vec<Id> = self
+        let mut gateways: Vec<PeerId> = self
             .mail
             .keys()
             .copied()
             .filter(|id| !dead.contains(id))
             .collect();
-        let place = doors.partition_point(|id| *id <= self.turn);
-        doors.rotate_left(place);
-        for &to in &doors {
+        let place = gateways.partition_point(|id| *id <= self.turn);
+        gateways.rotate_left(place);
+        for &to in &gateways {
             self.send_says(now, to, around, sends);
         }
-        for &to in &doors {
+        for &to in &gateways {
             let soon = self.mail.get(&to).is_some_and(|mail| mail.soon);
             if soon && self.budget.has(1.0, 0.0) {
                 self.send_reports(now, to, around, sends);
             }
         }
-        for &to in &doors {
+        for &to in &gateways {
             if !self.budget.has(1.0, KEPT_BACK) {
                 return;
             }
@@ -600,8 +627,14 @@
         }
     }
 
-    fn send_says(&mut self, now: Micros, to: Id, around: &Around<'_>, sends: &mut Vec<Send>) {
-        let fence = fence_in_force(around.keeping);
+    fn send_says(
+        &mut self,
+        now: Micros,
+        to: PeerId,
+        around: &ClusterContext<'_>,
+        sends: &mut Vec<Transmit>,
+    ) {
+        let fence = fence_in_force(around.shard_map);
         while self.budget.has(1.0, 0.0) {
             let Some(mail) = self.mail.get_mut(&to) else {
                 return;
@@ -610,9 +643,9 @@
             let mut said = Vec::new();
             while let Some(&customer) = mail.says.first() {
                 // Its right to say so is looked at now, not when it was decided.
-                let verdict = self.keeper.verdict(now, customer, fence);
+                let verdict = self.owner.verdict(now, customer, fence);
                 if let Some(verdict) = verdict.filter(|_| within(&self.mine, customer)) {
-                    let one = Said::new(&verdict, id_of);
+                    let one = VerdictMessage::new(&verdict, peer_id_of);
                     let Some(left) = room.checked_sub(size(&one)) else {
                         break;
                     };
@@ -628,7 +661,13 @@
         }
     }
 
-    fn send_reports(&mut self, now: Micros, to: Id, around: &Around<'_>, sends: &mut Vec<Send>) {
+    fn send_reports(
+        &mut self,
+        now: Micros,
+        to: PeerId,
+        around: &ClusterContext<'_>,
+        sends: &mut Vec<Transmit>,
+    ) {
         let mut room = ROOM;
         let mut counts = Vec::new();
         loop {
@@ -637,9 +676,9 @@
                 .get(&to)
                 .and_then(|mail| mail.reports.first().copied());
             let Some(customer) = next else { break };
-            let held = self.pooling(now, customer, around.keeping);
+            let held = self.pooling(now, customer, around.shard_map);
             self.evidence.hold(customer, held);
-            let one = Counts::from(self.evidence.report(now, customer, held));
+            let one = ReportMessage::from(self.evidence.report(now, customer, held));
             let Some(left) = room.checked_sub(size(&one)) else {
                 break;
             };
@@ -666,9 +705,15 @@
     }
 
     /// The roll, questions, and counts without news.
-    fn send_rest(&mut self, now: Micros, to: Id, around: &Around<'_>, sends: &mut Vec<Send>) {
+    fn send_rest(
+        &mut self,
+        now: Micros,
+        to: PeerId,
+        around: &ClusterContext<'_>,
+        sends: &mut Vec<Transmit>,
+    ) {
         let waits = !self.mine.is_empty() && !self.rolled.contains(&to);
-        let (roll, known) = (self.roll, self.doors.values().any(|seen| seen.id == to));
+        let (roll, known) = (self.roll, self.gateways.values().any(|seen| seen.id == to));
         let Some(mail) = self.mail.get_mut(&to).filter(|_| known) else {
             return;
         };
@@ -706,12 +751,12 @@
         }
     }
 
-    fn put(&mut self, to: Id, kind: Kind, sends: &mut Vec<Send>) {
-        let to_life = self.mail.get(&to).map_or(0, |mail| mail.life);
+    fn put(&mut self, to: PeerId, kind: Kind, sends: &mut Vec<Transmit>) {
+        let to_incarnation = self.mail.get(&to).map_or(0, |mail| mail.incarnation);
         let bytes = Datagram {
             from: self.me,
-            life: self.life,
-            to_life,
+            incarnation: self.incarnation,
+            to_incarnation,
             kind,
         }
         .encode();
@@ -719,7 +764,7 @@
         self.sent.0 += 1;
         self.sent.1 += bytes.len() as u64;
         self.turn = to;
-        sends.push(Send { to, bytes });
+        sends.push(Transmit { to, bytes });
     }
 }
 
--- a/gateway-cluster/src/sessions/evidence.rs
+++ b/gateway-cluster/src/sessions/evidence.rs
@@ -1,6 +1,6 @@
-//! What a door counts of its customers, and the control beside it.
+//! What a gateway counts of its customers, and the control beside it.
 //!
-//! **The control.** A request is held against how *others* failed at the same backend, at this door, in the same
+//! **The control.** A request is held against how *others* failed at the same backend, at this gateway, in the same
 //! seconds. Seconds in which others fail are left out, with their successes too; they are not weighed against the
 //! control's rate. Weighing would need the rate in that second, which is known from a handful of requests only, and
 //! an excess over a rate known badly convicts the innocent. Leaving out costs time alone, and as it looks at others
@@ -13,11 +13,11 @@
 //! noisy one neither hides a backend's trouble nor makes it.
 //!
 //! **Ageing.** Counts are kept in windows, of 32 changed requests or 30 minutes, the last four of each kind of change.
-//! A window only grows, and the last one that is full or over goes as a whole. The door alone decides where a window ends, so a
-//! report is one state of one writer and two doors' windows need not agree.
+//! A window only grows, and the last one that is full or over goes as a whole. The gateway alone decides where a window ends, so a
+//! report is one state of one writer and two gateways' windows need not agree.
 
 use super::{Backend, Customer, Pooling};
-use crate::engine::Micros;
+use crate::protocol::Micros;
 use indexmap::IndexMap;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
@@ -56,7 +56,7 @@
 
 /// On which connection a request went.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Conn {
+pub enum ConnectionUse {
     /// On the customer's last one to that backend, which nobody else used since.
     Kept,
     /// On another, or on one that another used since, within a run.
@@ -65,14 +65,14 @@
     ChangedBetween,
 }
 
-impl Conn {
+impl ConnectionUse {
     /// `same`: the customer's last connection to that backend, and nobody's since. `since`: the time since the end of its
     /// last request there, if any is known: a first one leaves nothing behind. `gap`: the longest pause within a run.
-    pub fn of(same: bool, since: Option<Micros>, gap: Micros) -> Conn {
+    pub fn of(same: bool, since: Option<Micros>, gap: Micros) -> ConnectionUse {
         match (same, since) {
-            (true, _) | (_, None) => Conn::Kept,
-            (false, Some(since)) if since <= gap => Conn::ChangedInRun,
-            (false, Some(_)) => Conn::ChangedBetween,
+            (true, _) | (_, None) => ConnectionUse::Kept,
+            (false, Some(since)) if since <= gap => ConnectionUse::ChangedInRun,
+            (false, Some(_)) => ConnectionUse::ChangedBetween,
         }
     }
 }
@@ -139,18 +139,18 @@
     pub control_changed: [u32; 2],
 }
 
-/// What a door holds of a customer, whole.
+/// What a gateway holds of a customer, whole.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The door.
-    pub door: String,
-    /// Its life.
-    pub life: u64,
-    /// Grows within a life.
+    /// The gateway.
+    pub gateway: String,
+    /// Its incarnation.
+    pub incarnation: u64,
+    /// Grows within an incarnation.
     pub sequence: u64,
     /// Of whom.
     pub customer: Customer,
-    /// The verdict that the door acts on: a new keeper goes on from it.
+    /// The verdict that the gateway acts on: a new owner goes on from it.
     pub held: Pooling,
     /// Windows of changes within runs, newest first, each with its age in seconds.
     pub in_run: Vec<(Window, u32)>,
@@ -271,7 +271,7 @@
     f64::from(counts[1]) / f64::from(counts[0].max(1))
 }
 
-/// One second at this door.
+/// One second at this gateway.
 #[derive(Debug, Default)]
 struct Second {
     at: u64,
@@ -294,11 +294,11 @@
     pub gone: u64,
 }
 
-/// The counts of one life of one door.
+/// The counts of one incarnation of one gateway.
 #[derive(Debug)]
 pub struct Evidence {
-    door: String,
-    life: u64,
+    gateway: String,
+    incarnation: u64,
     sequence: u64,
     most: usize,
     customers: IndexMap<Customer, Record>,
@@ -311,15 +311,15 @@
 }
 
 impl Evidence {
-    /// A life that knows nothing. It holds `most` customers.
+    /// An incarnation that knows nothing. It holds `most` customers.
     ///
     /// Where there are more, the one goes that is least dear of eight drawn by chance: first who was idle for ten minutes,
     /// then who has fewer than four changed requests counted, then who was seen longest ago. Where all eight are
     /// dear, the newcomer is not taken. A flood of newcomers so pushes out newcomers.
-    pub fn new(door: &str, life: u64, most: usize, seed: u64) -> Self {
+    pub fn new(gateway: &str, incarnation: u64, most: usize, seed: u64) -> Self {
         Evidence {
-            door: door.to_string(),
-            life,
+            gateway: gateway.to_string(),
+            incarnation,
             sequence: 0,
             most: most.max(1),
             customers: IndexMap::new(),
@@ -332,13 +332,13 @@
         }
     }
 
-    /// A request has ended. Nothing is judged here: [`Evidence::settle`] and [`Evidence::due`] are for a timer, beside requests.
+    /// A request has ended. Nothing is judged here: [`Evidence::settle`] and [`Evidence::next_wakeup`] are for a timer, beside requests.
     pub fn note(
         &mut self,
         now: Micros,
         customer: Customer,
         backend: Backend,
-        conn: Conn,
+        conn: ConnectionUse,
         outcome: Outcome,
     ) {
         let failure = match outcome {
@@ -376,13 +376,13 @@
             *slot = 1;
         }
         match conn {
-            Conn::Kept => entry.kept.add(one),
-            Conn::ChangedInRun => entry.in_run.add(one),
-            Conn::ChangedBetween => entry.between.add(one),
+            ConnectionUse::Kept => entry.kept.add(one),
+            ConnectionUse::ChangedInRun => entry.in_run.add(one),
+            ConnectionUse::ChangedBetween => entry.between.add(one),
         }
         let counts = [1, u32::from(failure.is_some())];
         let adds = match conn {
-            Conn::Kept => Cell {
+            ConnectionUse::Kept => Cell {
                 kept: counts,
                 changed: [0; 2],
             },
@@ -399,7 +399,7 @@
         self.waiting += second.entries.len() - before;
     }
 
-    /// What a door has been told to hold a customer for: its breaks say nothing of backends where it is bound.
+    /// What a gateway has been told to hold a customer for: its breaks say nothing of backends where it is bound.
     pub fn hold(&mut self, customer: Customer, held: Pooling) {
         if let Some(record) = self.customers.get_mut(&customer) {
             record.held = held;
@@ -556,16 +556,16 @@
         }
     }
 
-    /// What is held of a customer, also where that is nothing: a keeper that asks has to hear that, too.
-    /// `held` is the verdict that this door acts on.
+    /// What is held of a customer, also where that is nothing: an owner that asks has to hear that, too.
+    /// `held` is the verdict that this gateway acts on.
     pub fn report(&mut self, now: Micros, customer: Customer, held: Pooling) -> Report {
         self.settle(now);
         self.sequence += 1;
         let second = u32::try_from(now / 1_000_000).unwrap_or(u32::MAX);
         let record = self.customers.get(&customer);
         Report {
-            door: self.door.clone(),
-            life: self.life,
+            gateway: self.gateway.clone(),
+            incarnation: self.incarnation,
             sequence: self.sequence,
             customer,
             held,
@@ -574,15 +574,15 @@
         }
     }
 
-    /// Customers whose keepers are to be told, `most` at a time, those with new breaks first. Each change is told three times, so
+    /// Customers whose owners are to be told, `most` at a time, those with new breaks first. Each change is told three times, so
     /// that one loss costs seconds, and a fifth of one for a break.
-    pub fn due(&mut self, now: Micros, most: usize) -> Vec<Customer> {
+    pub fn next_wakeup(&mut self, now: Micros, most: usize) -> Vec<Customer> {
         self.settle(now);
-        let mut due = Vec::new();
+        let mut next_wakeup = Vec::new();
         for breaks in [true, false] {
             for _ in 0..self.customers.len() {
-                if due.len() >= most {
-                    return due;
+                if next_wakeup.len() >= most {
+                    return next_wakeup;
                 }
                 self.cursor = (self.cursor + 1) % self.customers.len();
                 let Some((&customer, record)) = self.customers.get_index_mut(self.cursor) else {
@@ -598,14 +598,14 @@
                     record.urgent = record.urgent.saturating_sub(1);
                     record.unsent = record.unsent.saturating_sub(1);
                     record.sent = now;
-                    due.push(customer);
+                    next_wakeup.push(customer);
                 }
             }
         }
-        due
+        next_wakeup
     }
 
-    /// All that is held of these customers is to be told again, as for a keeper that is new to them. Returns who they are.
+    /// All that is held of these customers is to be told again, as for an owner that is new to them. Returns who they are.
     pub fn again(&mut self, of: impl Fn(Customer) -> bool) -> Vec<Customer> {
         let mut all = Vec::new();
         for (&customer, record) in self
--- a/gateway-cluster/src/sessions/judge.rs
+++ b/gateway-cluster/src/sessions/judge.rs
@@ -15,9 +15,9 @@
 //!     p0 = b + 0.15 (1 - b),  p1 = b + 0.60 (1 - b)                  b = hi to convict, b = lo to acquit
 //!     L  = f ln(p1 / p0) + (n - f) ln((1 - p1) / (1 - p0))           f failures in n changed requests
 //!
-//!     bound   when L(hi) >= ln(20 / 1e-4)  = 12.2                    in the newest 1 to 4 windows, of all doors or of one
+//!     bound   when L(hi) >= ln(20 / 1e-4)  = 12.2                    in the newest 1 to 4 windows, of all gateways or of one
 //!     doubt   when L(hi) >= 2                                        in any of the same sums
-//!     free    when L(lo) <= -ln(4 / 1e-6) = -15.2 and n >= 20        in the newest 1 to 4 windows of all doors, without doubt
+//!     free    when L(lo) <= -ln(4 / 1e-6) = -15.2 and n >= 20        in the newest 1 to 4 windows of all gateways, without doubt
 //! ```
 //!
 //! The likelihood ratio is a martingale with mean 1 under the hypothesis in its denominator, so it ever exceeds `1/e` with
@@ -34,21 +34,21 @@
 //! wrongly for a while in one case of seven (see [`super`]).
 //!
 //! Both are per beginning. Windows begin after 32 changed requests or 30 minutes. A customer held for bound changes its
-//! connection 12 times an hour and door on purpose (see [`super::keep::hold`]), and where others take its connection within a
-//! run: some 7% of requests in the simulation. Four doors so begin 320 windows an hour for 10 requests a second, and the test
+//! connection 12 times an hour and gateway on purpose (see [`super::verdicts::hold`]), and where others take its connection within a
+//! run: some 7% of requests in the simulation. Four gateways so begin 320 windows an hour for 10 requests a second, and the test
 //! allows 3e-4 false verdicts an hour to a customer of which just 60% of breaks fail; the bound of 1 in 1,000 customer-hours
 //! holds up to some 30 requests a second there. Where breaks fail more often it holds with room, as `L` has to fall by 15.2
 //! in steps of 0.75 without a failure between. What may break that is the assumption under it: outcomes of the
 //! seconds counted are independent given `c` and `k`.
 //!
 //! As the newest windows are looked at alone as well, this is Page's cumulative sum (1954) in steps of a window: a customer
-//! that turns is seen from its newest windows, and what was before weighs at most 32 requests against it. Doors' windows
+//! that turns is seen from its newest windows, and what was before weighs at most 32 requests against it. Gateways' windows
 //! begin at different times, so fresh breaks at one can be added to old successes at another; doubt keeps such a sum from
 //! taking back a verdict that the breaks have just brought.
 //!
 //! `o` is there for what fails whoever changes a connection. It has the breaks of bound customers in it that are not
-//! found yet, so the first ones to be found take some 25 breaks in a fleet of which a third is bound, and later ones 8; the half
-//! keeps a fleet of bound customers from hiding each other.
+//! found yet, so the first ones to be found take some 25 breaks in a cluster of which a third is bound, and later ones 8; the half
+//! keeps a cluster of bound customers from hiding each other.
 //!
 //! A customer that fails everything has a high `k`: `p0` and `p1` meet, and it stays unknown.
 
@@ -162,12 +162,15 @@
     Free,
 }
 
-/// The test, on the windows of each door, newest first. Its answer rests on their order at a door alone, not on that of doors.
-pub fn test(doors: &[Vec<Window>]) -> Found {
-    let most = doors.iter().map(Vec::len).max().unwrap_or(0);
-    let sum = |doors: &[Vec<Window>], newest: usize| {
+/// The test, on the windows of each gateway, newest first. Its answer rests on their order at a gateway alone, not on that of gateways.
+pub fn test(gateways: &[Vec<Window>]) -> Found {
+    let most = gateways.iter().map(Vec::len).max().unwrap_or(0);
+    let sum = |gateways: &[Vec<Window>], newest: usize| {
         let mut counts = Counts::default();
-        for window in doors.iter().flat_map(|windows| windows.iter().take(newest)) {
+        for window in gateways
+            .iter()
+            .flat_map(|windows| windows.iter().take(newest))
+        {
             counts.add(window);
         }
         counts
@@ -176,11 +179,11 @@
     let free = (LOOKS_FREE / FALSE_FREE).ln();
     let (mut acquitted, mut doubt) = (false, false);
     for newest in 1..=most {
-        let all = sum(doors, newest);
-        // A door alone is looked at as well: what another saw before a turn must not hide it.
-        let alone = doors
+        let all = sum(gateways, newest);
+        // A gateway alone is looked at as well: what another saw before a turn must not hide it.
+        let alone = gateways
             .iter()
-            .map(|door| sum(std::slice::from_ref(door), newest).towards_bound());
+            .map(|gateway| sum(std::slice::from_ref(gateway), newest).towards_bound());
         let worst = alone.fold(all.towards_bound(), f64::max);
         if worst >= bound {
             return Found::Bound;
--- a/gateway-cluster/src/sessions/sim.rs
+++ b/gateway-cluster/src/sessions/sim.rs
@@ -1,21 +1,22 @@
-//! Drawn traffic with a known truth, through the doors of one set and their keeper. All of it follows from a seed.
+//! Drawn traffic with a known truth, through the gateways of one set and their owner. All of it follows from a seed.
 //!
-//! What bound customers lose is up to the backend: it breaks the request by its own notion of a run, which the door only
-//! guesses from pauses. Everything else is what a door has: a pool of shared connections, private ones within limits, and the
+//! What bound customers lose is up to the backend: it breaks the request by its own notion of a run, which the gateway only
+//! guesses from pauses. Everything else is what a gateway has: a pool of shared connections, private ones within limits, and the
 //! verdict it was told last.
 
-use super::evidence::{Conn, Evidence, Failure, Outcome, Report};
-use super::keep::{
-    grant, hold, Grant, Held, Hold, Input, Keeper, Limits, Output, Scene, Usage, Verdict,
+use super::evidence::{ConnectionUse, Evidence, Failure, Outcome, Report};
+use super::verdicts::{
+    grant, hold, ConnectionPolicy, Grant, Input, LeaderContext, Limits, Output, Usage, Verdict,
+    VerdictAggregator, VerdictTable,
 };
-use super::{Customer, Fence, Pooling};
-use crate::engine::Micros;
+use super::{Customer, FencingToken, Pooling};
+use crate::protocol::Micros;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BinaryHeap};
 
 const SECOND: Micros = 1_000_000;
-/// Between two requests of a run, and what a door takes for one.
+/// Between two requests of a run, and what a gateway takes for one.
 const WITHIN: Micros = 20_000;
 const GAP: Micros = 100_000;
 /// Requests of a run in the mean.
@@ -26,7 +27,7 @@
 
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Trouble {
+pub enum Fault {
     /// One request in 200 fails.
     Nothing,
     /// One backend fails 30% in every second minute.
@@ -35,7 +36,7 @@
     SickAlways,
     /// One backend fails all, in every second minute.
     Fails,
-    /// All through one door breaks, 20 s of every 2 minutes.
+    /// All through one gateway breaks, 20 s of every 2 minutes.
     CutDoor,
     /// Every minute a backend restarts: all fails for 2 s and all connections are new.
     Restarts,
@@ -46,20 +47,20 @@
 }
 
 /// All of them.
-pub const TROUBLES: [Trouble; 8] = [
-    Trouble::Nothing,
-    Trouble::Sick,
-    Trouble::SickAlways,
-    Trouble::Fails,
-    Trouble::CutDoor,
-    Trouble::Restarts,
-    Trouble::Stale,
-    Trouble::Overload,
+pub const FAULTS: [Fault; 8] = [
+    Fault::Nothing,
+    Fault::Sick,
+    Fault::SickAlways,
+    Fault::Fails,
+    Fault::CutDoor,
+    Fault::Restarts,
+    Fault::Stale,
+    Fault::Overload,
 ];
 
 /// A customer.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Person {
+pub struct SimulatedCustomer {
     /// What it is.
     pub truth: Pooling,
     /// Requests a second.
@@ -75,20 +76,20 @@
 /// A run of the simulation.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Doors of the set.
-    pub doors: usize,
+    /// Gateways of the set.
+    pub gateways: usize,
     /// Customers.
-    pub people: Vec<Person>,
+    pub simulated_customers: Vec<SimulatedCustomer>,
     /// What goes wrong.
-    pub trouble: Trouble,
+    pub trouble: Fault,
     /// For how long.
     pub time: Micros,
     /// Whether datagrams are lost (20%), doubled (10%) and late (5%, up to 20 s).
     pub lossy: bool,
-    /// Whether doors act on verdicts.
+    /// Whether gateways act on verdicts.
     pub pool: bool,
-    /// At this time the keeper is replaced by one that knows nothing.
-    pub new_keeper: Option<Micros>,
+    /// At this time the owner is replaced by one that knows nothing.
+    pub new_owner: Option<Micros>,
     /// What all follows from.
     pub seed: u64,
 }
@@ -96,11 +97,11 @@
 /// What became of a customer.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Seen {
-    /// When the keeper first said what is true, and when that was in force at all doors, from the start or the last turn.
+    /// When the owner first said what is true, and when that was in force at all gateways, from the start or the last turn.
     pub right: Option<Micros>,
-    /// The same at all doors.
+    /// The same at all gateways.
     pub everywhere: Option<Micros>,
-    /// How often the keeper came to `statement` for one of the other kinds; turns do not count.
+    /// How often the owner came to `statement` for one of the other kinds; turns do not count.
     pub false_statements: u32,
     /// How often it came from `session` to `transaction` for one of `session`.
     pub false_transactions: u32,
@@ -115,18 +116,18 @@
 pub struct Outcomes {
     /// In the plan's order.
     pub seen: Vec<Seen>,
-    /// Datagrams sent to and by the keeper.
+    /// Datagrams sent to and by the owner.
     pub datagrams: u64,
-    /// Requests left out as sick and as blind, at all doors.
+    /// Requests left out as sick and as blind, at all gateways.
     pub left_out: [u64; 2],
     /// The last verdicts.
     pub verdicts: Vec<Option<Verdict>>,
 }
 
-impl Person {
+impl SimulatedCustomer {
     /// One whose every break fails and who fails nothing by itself.
-    pub fn new(truth: Pooling, rate: f64) -> Person {
-        Person {
+    pub fn new(truth: Pooling, rate: f64) -> SimulatedCustomer {
+        SimulatedCustomer {
             truth,
             rate,
             fails: 1.0,
@@ -138,23 +139,23 @@
 
 /// The three kinds at 2 a minute, 1 and 10 a second; some at the edge of what is told apart; and thirty others, of which two
 /// thirds are stateless.
-pub fn people() -> Vec<Person> {
-    let mut people = Vec::new();
+pub fn simulated_customers() -> Vec<SimulatedCustomer> {
+    let mut simulated_customers = Vec::new();
     for truth in [Pooling::Statement, Pooling::Transaction, Pooling::Session] {
         for rate in [2.0 / 60.0, 1.0, 10.0] {
-            people.push(Person::new(truth, rate));
+            simulated_customers.push(SimulatedCustomer::new(truth, rate));
         }
     }
     for truth in [Pooling::Transaction, Pooling::Session] {
-        people.push(Person {
+        simulated_customers.push(SimulatedCustomer {
             fails: 0.6,
-            ..Person::new(truth, 1.0)
+            ..SimulatedCustomer::new(truth, 1.0)
         });
     }
     for own in [0.1, 0.3] {
-        people.push(Person {
+        simulated_customers.push(SimulatedCustomer {
             own,
-            ..Person::new(Pooling::Statement, 1.0)
+            ..SimulatedCustomer::new(Pooling::Statement, 1.0)
         });
     }
     for index in 0..30 {
@@ -163,26 +164,26 @@
             1 => Pooling::Session,
             _ => Pooling::Statement,
         };
-        people.push(Person::new(truth, 1.0));
+        simulated_customers.push(SimulatedCustomer::new(truth, 1.0));
     }
-    people
+    simulated_customers
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Request {
         person: usize,
-        door: usize,
+        gateway: usize,
         run: u64,
         left: u32,
     },
     Report(usize),
     Ask {
-        door: usize,
+        gateway: usize,
         customer: Customer,
     },
     Say {
-        door: usize,
+        gateway: usize,
         verdict: usize,
     },
     Tick,
@@ -204,7 +205,7 @@
     queue: BinaryHeap<std::cmp::Reverse<(Micros, u64, Event)>>,
     order: u64,
     chance: Pcg64Mcg,
-    doors: Vec<(Evidence, Held)>,
+    gateways: Vec<(Evidence, VerdictTable)>,
     shared: BTreeMap<(usize, usize), Vec<Link>>,
     private: BTreeMap<(usize, usize, usize), Link>,
     last: BTreeMap<(usize, usize, usize), Last>,
@@ -212,26 +213,26 @@
     links: u64,
     reports: Vec<Report>,
     says: Vec<Verdict>,
-    keeper: Keeper,
-    fence: Fence,
+    owner: VerdictAggregator,
+    fence: FencingToken,
     before: Vec<Pooling>,
     out: Outcomes,
 }
 
 /// Runs a plan.
 pub fn run(plan: &Plan) -> Outcomes {
-    let people = plan.people.len();
+    let simulated_customers = plan.simulated_customers.len();
     let mut world = World {
         plan,
         now: 0,
         queue: BinaryHeap::new(),
         order: 0,
         chance: Pcg64Mcg::seed_from_u64(plan.seed),
-        doors: (0..plan.doors)
-            .map(|door| {
+        gateways: (0..plan.gateways)
+            .map(|gateway| {
                 (
-                    Evidence::new(&door_name(door), 1, 4096, plan.seed + door as u64),
-                    Held::new(4096),
+                    Evidence::new(&gateway_name(gateway), 1, 4096, plan.seed + gateway as u64),
+                    VerdictTable::new(4096),
                 )
             })
             .collect(),
@@ -242,21 +243,21 @@
         links: 0,
         reports: Vec::new(),
         says: Vec::new(),
-        keeper: Keeper::new(1, 4096),
-        fence: Fence {
+        owner: VerdictAggregator::new(1, 4096),
+        fence: FencingToken {
             epoch: 1,
             version: 1,
         },
-        before: vec![Pooling::Unknown; people],
+        before: vec![Pooling::Unknown; simulated_customers],
         out: Outcomes {
-            seen: vec![Seen::default(); people],
+            seen: vec![Seen::default(); simulated_customers],
             datagrams: 0,
             left_out: [0; 2],
-            verdicts: vec![None; people],
+            verdicts: vec![None; simulated_customers],
         },
     };
     world.renew(None);
-    for person in 0..people {
+    for person in 0..simulated_customers {
         world.next_run(person);
     }
     world.push(TICK, Event::Tick);
@@ -267,21 +268,21 @@
         world.now = at;
         world.take(event);
     }
-    for (evidence, _) in &world.doors {
+    for (evidence, _) in &world.gateways {
         world.out.left_out[0] += evidence.left_out().sick;
         world.out.left_out[1] += evidence.left_out().blind;
     }
-    for person in 0..people {
+    for person in 0..simulated_customers {
         world.out.verdicts[person] =
             world
-                .keeper
+                .owner
                 .verdict(world.now, person as Customer, world.fence);
     }
     world.out
 }
 
-fn door_name(door: usize) -> String {
-    format!("n{door}")
+fn gateway_name(gateway: usize) -> String {
+    format!("n{gateway}")
 }
 
 impl World<'_> {
@@ -292,13 +293,13 @@
 
     /// New connections at a backend, or at all.
     fn renew(&mut self, backend: Option<usize>) {
-        for door in 0..self.plan.doors {
+        for gateway in 0..self.plan.gateways {
             for at in (0..BACKENDS).filter(|&at| backend.is_none_or(|backend| at == backend)) {
                 let links = (0..SHARED as u64)
                     .map(|link| (self.links + link, None))
                     .collect();
                 self.links += SHARED as u64;
-                self.shared.insert((door, at), links);
+                self.shared.insert((gateway, at), links);
             }
         }
         self.private
@@ -306,19 +307,24 @@
     }
 
     fn next_run(&mut self, person: usize) {
-        let Some(rate) = self.plan.people.get(person).map(|person| person.rate) else {
+        let Some(rate) = self
+            .plan
+            .simulated_customers
+            .get(person)
+            .map(|person| person.rate)
+        else {
             return;
         };
         let pause = -self.chance.random::<f64>().max(1e-12).ln() * RUN / rate;
         let left = (-self.chance.random::<f64>().max(1e-12).ln() * RUN).ceil() as u32;
-        let door = self.chance.random_range(0..self.plan.doors);
+        let gateway = self.chance.random_range(0..self.plan.gateways);
         let at = self.now + (pause * SECOND as f64) as Micros;
         let run = self.order;
         self.push(
             at,
             Event::Request {
                 person,
-                door,
+                gateway,
                 run,
                 left,
             },
@@ -329,22 +335,22 @@
         match event {
             Event::Request {
                 person,
-                door,
+                gateway,
                 run,
                 left,
-            } => self.request(person, door, run, left),
+            } => self.request(person, gateway, run, left),
             Event::Report(at) => {
                 let Some(report) = self.reports.get(at).cloned() else {
                     return;
                 };
                 self.keep(Input::Report(report));
             }
-            Event::Ask { door, customer } => self.report(door, customer),
-            Event::Say { door, verdict } => {
+            Event::Ask { gateway, customer } => self.report(gateway, customer),
+            Event::Say { gateway, verdict } => {
                 let (now, Some(verdict)) = (self.now, self.says.get(verdict).cloned()) else {
                     return;
                 };
-                let Some((evidence, held)) = self.doors.get_mut(door) else {
+                let Some((evidence, held)) = self.gateways.get_mut(gateway) else {
                     return;
                 };
                 // A refusal is part of the game: late and doubled ones are meant to be refused.
@@ -378,9 +384,9 @@
         }
     }
 
-    fn report(&mut self, door: usize, customer: Customer) {
+    fn report(&mut self, gateway: usize, customer: Customer) {
         let now = self.now;
-        let Some((evidence, held)) = self.doors.get_mut(door) else {
+        let Some((evidence, held)) = self.gateways.get_mut(gateway) else {
             return;
         };
         let report = evidence.report(now, customer, held.in_force(now, customer, now, true));
@@ -389,28 +395,32 @@
     }
 
     fn keep(&mut self, input: Input) {
-        let doors = self.plan.doors;
-        let scene = Scene {
+        let gateways = self.plan.gateways;
+        let scene = LeaderContext {
             fence: self.fence,
             keeps: &|_| true,
-            set: &|_| (0..doors).map(door_name).collect(),
+            set: &|_| (0..gateways).map(gateway_name).collect(),
             gone: &|_| false,
             may_share: true,
         };
         let mut outputs = Vec::new();
-        self.keeper.handle(self.now, input, &scene, &mut outputs);
-        let place = |name: &str| (0..doors).find(|&door| door_name(door) == name);
+        self.owner.handle(self.now, input, &scene, &mut outputs);
+        let place = |name: &str| (0..gateways).find(|&gateway| gateway_name(gateway) == name);
         for output in outputs {
             match output {
-                Output::Ask { door, customer } => {
-                    let Some(door) = place(&door) else { continue };
-                    self.send(Event::Ask { door, customer });
+                Output::Ask { gateway, customer } => {
+                    let Some(gateway) = place(&gateway) else {
+                        continue;
+                    };
+                    self.send(Event::Ask { gateway, customer });
                 }
-                Output::Say { door, verdict } => {
-                    let Some(door) = place(&door) else { continue };
+                Output::Say { gateway, verdict } => {
+                    let Some(gateway) = place(&gateway) else {
+                        continue;
+                    };
                     self.says.push(verdict);
                     self.send(Event::Say {
-                        door,
+                        gateway,
                         verdict: self.says.len() - 1,
                     });
                 }
@@ -420,24 +430,24 @@
 
     fn tick(&mut self) {
         let now = self.now;
-        if self.plan.trouble == Trouble::Restarts && now % (60 * SECOND) < TICK {
+        if self.plan.trouble == Fault::Restarts && now % (60 * SECOND) < TICK {
             self.renew(Some((now / (60 * SECOND)) as usize % BACKENDS));
         }
         if self
             .plan
-            .new_keeper
+            .new_owner
             .is_some_and(|at| at <= now && at + TICK > now)
         {
-            self.keeper = Keeper::new(2, 4096);
+            self.owner = VerdictAggregator::new(2, 4096);
             self.fence.epoch += 1;
         }
-        for door in 0..self.plan.doors {
-            let due = self
-                .doors
-                .get_mut(door)
-                .map_or_else(Vec::new, |(evidence, _)| evidence.due(now, 64));
-            for customer in due {
-                self.report(door, customer);
+        for gateway in 0..self.plan.gateways {
+            let next_wakeup = self
+                .gateways
+                .get_mut(gateway)
+                .map_or_else(Vec::new, |(evidence, _)| evidence.next_wakeup(now, 64));
+            for customer in next_wakeup {
+                self.report(gateway, customer);
             }
         }
         self.keep(Input::Tick);
@@ -446,8 +456,8 @@
     }
 
     fn truth(&self, person: usize) -> (Pooling, Micros) {
-        match self.plan.people.get(person) {
-            Some(Person {
+        match self.plan.simulated_customers.get(person) {
+            Some(SimulatedCustomer {
                 turns: Some((at, kind)),
                 ..
             }) if *at <= self.now => (*kind, *at),
@@ -458,12 +468,12 @@
 
     fn watch(&mut self) {
         let now = self.now;
-        for person in 0..self.plan.people.len() {
+        for person in 0..self.plan.simulated_customers.len() {
             let customer = person as Customer;
             let (truth, since) = self.truth(person);
-            let pooling = self.keeper.verdict_of(customer);
+            let pooling = self.owner.verdict_of(customer);
             let everywhere = self
-                .doors
+                .gateways
                 .iter()
                 .all(|(_, held)| held.in_force(now, customer, now, true) == truth);
             let before = std::mem::replace(&mut self.before[person], pooling);
@@ -492,20 +502,18 @@
     }
 
     /// The chance that a backend fails a request whatever its connection.
-    fn failing(&self, door: usize, backend: usize) -> (f64, Failure) {
+    fn failing(&self, gateway: usize, backend: usize) -> (f64, Failure) {
         let second = self.now / SECOND;
         let odd = (second / 60) % 2 == 1;
         match self.plan.trouble {
-            Trouble::Sick if odd && backend == 0 => (0.3, Failure::Http500),
-            Trouble::SickAlways if backend == 0 => (0.3, Failure::Http500),
-            Trouble::Fails if odd && backend == 0 => (1.0, Failure::Http500),
-            Trouble::CutDoor if door == 0 && second % 120 >= 100 => (1.0, Failure::Reset),
-            Trouble::Restarts
-                if second % 60 < 2 && (second / 60) as usize % BACKENDS == backend =>
-            {
+            Fault::Sick if odd && backend == 0 => (0.3, Failure::Http500),
+            Fault::SickAlways if backend == 0 => (0.3, Failure::Http500),
+            Fault::Fails if odd && backend == 0 => (1.0, Failure::Http500),
+            Fault::CutDoor if gateway == 0 && second % 120 >= 100 => (1.0, Failure::Reset),
+            Fault::Restarts if second % 60 < 2 && (second / 60) as usize % BACKENDS == backend => {
                 (1.0, Failure::Reset)
             }
-            Trouble::Overload => {
+            Fault::Overload => {
                 let wave = (second as f64 / 40.0 * std::f64::consts::TAU).sin();
                 (0.15 + 0.15 * wave, Failure::Timeout)
             }
@@ -517,13 +525,13 @@
     fn link(
         &mut self,
         person: usize,
-        door: usize,
+        gateway: usize,
         backend: usize,
-        want: Hold,
+        want: ConnectionPolicy,
         last: Option<Last>,
     ) -> Link {
-        if want == Hold::Private {
-            if let Some(link) = self.private.get_mut(&(door, backend, person)) {
+        if want == ConnectionPolicy::Private {
+            if let Some(link) = self.private.get_mut(&(gateway, backend, person)) {
                 return *link;
             }
             let count = |at: &dyn Fn(usize, usize) -> bool| {
@@ -533,24 +541,24 @@
                     .count() as u32
             };
             let usage = Usage {
-                descriptors: [512, count(&|of, _| of == door)],
-                backend: [64, count(&|of, to| of == door && to == backend)],
+                descriptors: [512, count(&|of, _| of == gateway)],
+                backend: [64, count(&|of, to| of == gateway && to == backend)],
                 own: 0,
             };
             if grant(&Limits::default(), &usage) == Grant::Private {
                 self.links += 1;
                 let link = (self.links, Some(person));
-                self.private.insert((door, backend, person), link);
+                self.private.insert((gateway, backend, person), link);
                 return link;
             }
         }
         let idle = self.chance.random_bool(0.9);
         let pick = self.chance.random_range(0..SHARED);
-        let Some(links) = self.shared.get_mut(&(door, backend)) else {
+        let Some(links) = self.shared.get_mut(&(gateway, backend)) else {
             return (0, None);
         };
         let own = links.iter().position(|&(link, user)| {
-            want != Hold::Any
+            want != ConnectionPolicy::Any
                 && idle
                 && user == Some(person)
                 && last.is_some_and(|last| last.link == link)
@@ -563,42 +571,45 @@
         got
     }
 
-    fn request(&mut self, person: usize, door: usize, run: u64, left: u32) {
+    fn request(&mut self, person: usize, gateway: usize, run: u64, left: u32) {
         let now = self.now;
         let customer = person as Customer;
         let backend = self.chance.random_range(0..BACKENDS);
-        let last = self.last.get(&(door, backend, person)).copied();
+        let last = self.last.get(&(gateway, backend, person)).copied();
         let mut held = Pooling::Statement;
         if self.plan.pool {
             held = self
-                .doors
-                .get(door)
+                .gateways
+                .get(gateway)
                 .map_or(held, |(_, held)| held.in_force(now, customer, now, true));
         }
-        let looked = self.looked.get(&(person, door)).map_or(now, |&at| now - at);
+        let looked = self
+            .looked
+            .get(&(person, gateway))
+            .map_or(now, |&at| now - at);
         let want = hold(held, looked, self.chance.random());
         if held > Pooling::Unknown
-            && (want == Hold::Any || !self.looked.contains_key(&(person, door)))
+            && (want == ConnectionPolicy::Any || !self.looked.contains_key(&(person, gateway)))
         {
-            self.looked.insert((person, door), now);
+            self.looked.insert((person, gateway), now);
         }
-        let (link, user) = self.link(person, door, backend, want, last);
+        let (link, user) = self.link(person, gateway, backend, want, last);
         let same = user == Some(person) && last.is_some_and(|last| last.link == link);
         self.last
-            .insert((door, backend, person), Last { link, at: now, run });
+            .insert((gateway, backend, person), Last { link, at: now, run });
         let breaks = match (self.truth(person).0, last) {
             (_, None) => false,
             (Pooling::Session, Some(_)) => !same,
             (Pooling::Transaction, Some(last)) => !same && last.run == run,
             _ => false,
         };
-        let (mut part, failure) = self.failing(door, backend);
-        if self.plan.trouble == Trouble::Stale && !same {
+        let (mut part, failure) = self.failing(gateway, backend);
+        if self.plan.trouble == Fault::Stale && !same {
             part = 0.3;
         }
         let (share, own) = self
             .plan
-            .people
+            .simulated_customers
             .get(person)
             .map_or((1.0, 0.0), |person| (person.fails, person.own));
         let breaks = breaks && self.chance.random_bool(share);
@@ -608,8 +619,8 @@
             (false, true) => Outcome::Failed(Failure::Http500),
             (false, false) => Outcome::Fine,
         };
-        let conn = Conn::of(same, last.map(|last| now - last.at), GAP);
-        if let Some((evidence, _)) = self.doors.get_mut(door) {
+        let conn = ConnectionUse::of(same, last.map(|last| now - last.at), GAP);
+        if let Some((evidence, _)) = self.gateways.get_mut(gateway) {
             evidence.note(now, customer, backend as u32, conn, outcome);
         }
         if let Some(seen) = self.out.seen.get_mut(person) {
@@ -623,7 +634,7 @@
                 now + WITHIN,
                 Event::Request {
                     person,
-                    door,
+                    gateway,
                     run,
                     left: left - 1,
                 },
--- a/gateway-cluster/src/sessions/keep.rs
+++ b/gateway-cluster/src/sessions/verdicts.rs
@@ -1,53 +1,53 @@
-//! The keeper of customers, and what a door does with verdicts.
+//! The owner of customers, and what a gateway does with verdicts.
 //!
 //! **Default.** What no fresh verdict speaks for is `unknown`: a run gets its own idle connection again if it is there. That
 //! holds nothing back from others, opens no connection, and saves customers of the second kind from nearly all
-//! breaks. `statement` would break them as long as the keeper is away; `session` would take connections for everybody, which
-//! is what a fleet in trouble has least of. `statement` fades to it 30 s after its customer's
-//! keeper was last held alive, `transaction` too (it is handled alike), and `session` after 10 minutes: it costs a connection, and giving it up breaks a request, so it lasts longer
+//! breaks. `statement` would break them as long as the owner is away; `session` would take connections for everybody, which
+//! is what a cluster in trouble has least of. `statement` fades to it 30 s after its customer's
+//! owner was last held alive, `transaction` too (it is handled alike), and `session` after 10 minutes: it costs a connection, and giving it up breaks a request, so it lasts longer
 //! than any takeover of keys and shorter than a night. A minority side takes no step towards sharing: there
 //! `session` stays, within the bounds on private connections ([`grant`]).
 //!
-//! A verdict is said when it changes, six times in half a second, and again to a door whose report shows that it acts on another.
-//! It is not said again to keep it: whether the keeper lives is for the view to tell, which costs nothing by the customer.
+//! A verdict is said when it changes, six times in half a second, and again to a gateway whose report shows that it acts on another.
+//! It is not said again to keep it: whether the owner lives is for the view to tell, which costs nothing by the customer.
 //!
-//! **Evidence twice.** The keeper holds each door's newest report per life and replaces it by a higher number; sums are made
-//! when it judges and are never stored nor sent. A new keeper starts with nothing and asks all doors of the set.
+//! **Evidence twice.** The owner holds each gateway's newest report per incarnation and replaces it by a higher number; sums are made
+//! when it judges and are never stored nor sent. A new owner starts with nothing and asks all gateways of the set.
 
 use super::evidence::{Report, Window, WINDOWS};
 use super::judge::{self, Counts, Found};
-use super::{Customer, Fence, Pooling};
-use crate::engine::Micros;
+use super::{Customer, FencingToken, Pooling};
+use crate::protocol::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 use thiserror::Error;
 
 const SECOND: Micros = 1_000_000;
-/// A report no older than this speaks for its door in a step towards sharing. Doors are asked for a newer one where such a step waits for them alone.
+/// A report no older than this speaks for its gateway in a step towards sharing. Gateways are asked for a newer one where such a step waits for them alone.
 pub const FRESH: Micros = 30 * SECOND;
 /// After a change a verdict is said again so soon, so often, so that one lost costs a part of the second.
 const SAY_SOON: Micros = 100_000;
 const SAY_TIMES: u8 = 6;
 /// A verdict for which nothing new spoke so long is taken back.
 pub const CONFIRMED: Micros = 7200 * SECOND;
-/// For how long a door goes by a verdict after its customer's keeper was last held alive.
+/// For how long a gateway goes by a verdict after its customer's owner was last held alive.
 pub const FADE: Micros = 30 * SECOND;
 /// The same for private connections.
 pub const FADE_SESSION: Micros = 600 * SECOND;
 /// Without a report for so long a customer is forgotten.
 pub const FORGET: Micros = 2 * CONFIRMED;
-/// A keeper that is new to a customer waits so long for doors to say what they act on.
+/// An owner that is new to a customer waits so long for gateways to say what they act on.
 const START: Micros = 3 * SECOND;
-/// Without a report a customer is judged again so often: windows age, doors go.
+/// Without a report a customer is judged again so often: windows age, gateways go.
 const JUDGE_AGAIN: Micros = SECOND;
-/// Lives of a door that are held: that which runs, and the one before, whose requests were others.
+/// Lives of a gateway that are held: that which runs, and the one before, whose requests were others.
 const LIVES: usize = 2;
-/// Doors that are held of a customer: a set has four at most, and some may have changed.
-const MOST_DOORS: usize = 8;
+/// Gateways that are held of a customer: a set has four at most, and some may have changed.
+const MOST_GATEWAYS: usize = 8;
 
 /// The evidence behind a verdict: requests and failures.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Shown {
+pub struct EvidenceSummary {
     /// On the customer's own connection.
     pub kept: [u32; 2],
     /// Changed within a run.
@@ -58,7 +58,7 @@
     pub control: [u32; 2],
 }
 
-/// What a keeper says of a customer.
+/// What an owner says of a customer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
     /// Of whom.
@@ -66,60 +66,60 @@
     /// What it is held for.
     pub pooling: Pooling,
     /// By which right.
-    pub fence: Fence,
-    /// The keeper's life, and a number that grows within it: a keeper that restarts may come back under the same fence.
+    pub fence: FencingToken,
+    /// The owner's incarnation, and a number that grows within it: an owner that restarts may come back under the same fence.
     pub round: (u64, u64),
     /// Time since it was last judged so.
     pub age: Micros,
-    /// Doors whose reports it rests on.
+    /// Gateways whose reports it rests on.
     pub reports: Vec<String>,
     /// Their counts.
-    pub evidence: Shown,
+    pub evidence: EvidenceSummary,
 }
 
-/// What a keeper is told.
+/// What an owner is told.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// A door's report.
+    /// A gateway's report.
     Report(Report),
     /// Time has passed: a few times a second.
     Tick,
 }
 
-/// What a keeper wants sent.
+/// What an owner wants sent.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// A question for a door's report.
+    /// A question for a gateway's report.
     Ask {
         /// To whom.
-        door: String,
+        gateway: String,
         /// Of whom.
         customer: Customer,
     },
-    /// A verdict for a door.
+    /// A verdict for a gateway.
     Say {
         /// To whom.
-        door: String,
+        gateway: String,
         /// What.
         verdict: Verdict,
     },
 }
 
-/// What a keeper knows of its surroundings at the moment of an input.
-pub struct Scene<'a> {
+/// What an owner knows of its surroundings at the moment of an input.
+pub struct LeaderContext<'a> {
     /// The right under which it acts.
-    pub fence: Fence,
+    pub fence: FencingToken,
     /// Whether it keeps that customer now.
     pub keeps: &'a dyn Fn(Customer) -> bool,
-    /// The doors of a customer's set.
+    /// The gateways of a customer's set.
     pub set: &'a dyn Fn(Customer) -> Vec<String>,
-    /// Whether a door is held for gone: its word is not waited for.
+    /// Whether a gateway is held for gone: its word is not waited for.
     pub gone: &'a dyn Fn(&str) -> bool,
     /// Whether this side may take steps towards sharing: it is the majority.
     pub may_share: bool,
 }
 
-/// One life of a door, as last told.
+/// One incarnation of a gateway, as last told.
 #[derive(Debug, Clone)]
 struct Told {
     report: Report,
@@ -129,7 +129,7 @@
 /// What is held of one customer.
 #[derive(Debug, Clone)]
 struct File {
-    doors: BTreeMap<String, Vec<Told>>,
+    gateways: BTreeMap<String, Vec<Told>>,
     asked: BTreeMap<String, Micros>,
     pooling: Pooling,
     confirmed: Micros,
@@ -141,23 +141,23 @@
     round: (u64, u64),
 }
 
-/// The customers of one keeper.
+/// The customers of one owner.
 #[derive(Debug, Default)]
-pub struct Keeper {
+pub struct VerdictAggregator {
     files: BTreeMap<Customer, File>,
     most: usize,
     turned_away: u64,
-    /// Its life, and how many verdicts it has said in it, of all customers: one whose file went and came is not behind.
+    /// Its incarnation, and how many verdicts it has said in it, of all customers: one whose file went and came is not behind.
     round: (u64, u64),
 }
 
-impl Keeper {
-    /// A life that knows nothing, and holds so many customers.
-    pub fn new(life: u64, most: usize) -> Self {
-        Keeper {
+impl VerdictAggregator {
+    /// An incarnation that knows nothing, and holds so many customers.
+    pub fn new(incarnation: u64, most: usize) -> Self {
+        VerdictAggregator {
             most,
-            round: (life, 0),
-            ..Keeper::default()
+            round: (incarnation, 0),
+            ..VerdictAggregator::default()
         }
     }
 
@@ -166,7 +166,7 @@
         &mut self,
         now: Micros,
         input: Input,
-        scene: &Scene<'_>,
+        scene: &LeaderContext<'_>,
         outputs: &mut Vec<Output>,
     ) {
         match input {
@@ -179,7 +179,7 @@
         &mut self,
         now: Micros,
         report: Report,
-        scene: &Scene<'_>,
+        scene: &LeaderContext<'_>,
         outputs: &mut Vec<Output>,
     ) {
         let customer = report.customer;
@@ -188,7 +188,7 @@
             return;
         }
         let set = (scene.set)(customer);
-        if !set.contains(&report.door)
+        if !set.contains(&report.gateway)
             || report.in_run.len() > WINDOWS
             || report.between.len() > WINDOWS
         {
@@ -200,7 +200,7 @@
             return;
         }
         let file = self.files.entry(customer).or_insert_with(|| File {
-            doors: BTreeMap::new(),
+            gateways: BTreeMap::new(),
             asked: BTreeMap::new(),
             pooling: Pooling::Unknown,
             confirmed: now,
@@ -211,13 +211,13 @@
             say: 0,
             round: (0, 0),
         });
-        let door = report.door.clone();
+        let gateway = report.gateway.clone();
         let held = report.held;
         if !file.take(now, report) {
             return;
         }
-        file.asked.remove(&door);
-        // A keeper that starts goes on from what doors act on: its not knowing is no evidence for sharing.
+        file.asked.remove(&gateway);
+        // An owner that starts goes on from what gateways act on: its not knowing is no evidence for sharing.
         if now.saturating_sub(file.begun) < START && held > Pooling::Unknown && held > file.pooling
         {
             file.pooling = held;
@@ -229,13 +229,13 @@
         // It missed what was said, or came later than that.
         if file.say == 0 && file.round != (0, 0) && held != file.pooling {
             outputs.push(Output::Say {
-                door,
+                gateway,
                 verdict: file.verdict(now, customer, scene.fence),
             });
         }
     }
 
-    fn tick(&mut self, now: Micros, scene: &Scene<'_>, outputs: &mut Vec<Output>) {
+    fn tick(&mut self, now: Micros, scene: &LeaderContext<'_>, outputs: &mut Vec<Output>) {
         // Where room is short, those go first of whom nothing is said and nothing was heard for a minute.
         let short = self.files.len() > self.most / 8 * 7;
         self.files.retain(|&customer, file| {
@@ -252,8 +252,8 @@
         }
     }
 
-    /// What is held of a customer, for staff and for the keeper's own door.
-    pub fn verdict(&self, now: Micros, customer: Customer, fence: Fence) -> Option<Verdict> {
+    /// What is held of a customer, for operators and for the owner's own gateway.
+    pub fn verdict(&self, now: Micros, customer: Customer, fence: FencingToken) -> Option<Verdict> {
         self.files
             .get(&customer)
             .map(|file| file.verdict(now, customer, fence))
@@ -288,50 +288,53 @@
 impl File {
     /// Takes a report, unless it is no news. The whole replaces the whole: nothing is added up.
     fn take(&mut self, now: Micros, report: Report) -> bool {
-        if !self.doors.contains_key(&report.door) && self.doors.len() >= MOST_DOORS {
+        if !self.gateways.contains_key(&report.gateway) && self.gateways.len() >= MOST_GATEWAYS {
             return false;
         }
-        let lives = self.doors.entry(report.door.clone()).or_default();
+        let lives = self.gateways.entry(report.gateway.clone()).or_default();
         match lives
             .iter_mut()
-            .find(|told| told.report.life == report.life)
+            .find(|told| told.report.incarnation == report.incarnation)
         {
             Some(told) if told.report.sequence >= report.sequence => return false,
             Some(told) => *told = Told { report, at: now },
             None => lives.push(Told { report, at: now }),
         }
-        lives.sort_by_key(|told| std::cmp::Reverse(told.report.life));
+        lives.sort_by_key(|told| std::cmp::Reverse(told.report.incarnation));
         lives.truncate(LIVES);
         self.heard = now;
         true
     }
 
-    /// Asks doors of the set whose word is missing, or old where that is what a step towards sharing waits for.
+    /// Asks gateways of the set whose word is missing, or old where that is what a step towards sharing waits for.
     fn ask(
         &mut self,
         now: Micros,
         customer: Customer,
         set: &[String],
-        scene: &Scene<'_>,
+        scene: &LeaderContext<'_>,
         step: bool,
     ) -> Vec<Output> {
         let mut outputs = Vec::new();
-        for door in set {
+        for gateway in set {
             let told = self
-                .doors
-                .get(door)
+                .gateways
+                .get(gateway)
                 .and_then(|lives| lives.first())
                 .map(|told| told.at);
             let wanted = told.is_none_or(|at| step && now.saturating_sub(at) >= FRESH);
             let again = self
                 .asked
-                .get(door)
+                .get(gateway)
                 .is_none_or(|&at| now.saturating_sub(at) >= SECOND);
-            if wanted && again && !(scene.gone)(door) && now.saturating_sub(self.heard) < 2 * FRESH
+            if wanted
+                && again
+                && !(scene.gone)(gateway)
+                && now.saturating_sub(self.heard) < 2 * FRESH
             {
-                self.asked.insert(door.clone(), now);
+                self.asked.insert(gateway.clone(), now);
                 outputs.push(Output::Ask {
-                    door: door.clone(),
+                    gateway: gateway.clone(),
                     customer,
                 });
             }
@@ -348,8 +351,8 @@
                 .map(|(window, _)| *window)
                 .collect()
         };
-        // Windows of the life before stand behind those of this one, and the oldest of both go.
-        self.doors
+        // Windows of the incarnation before stand behind those of this one, and the oldest of both go.
+        self.gateways
             .values()
             .map(|lives| lives.iter().flat_map(live).take(WINDOWS).collect())
             .collect()
@@ -360,13 +363,13 @@
         now: Micros,
         customer: Customer,
         set: &[String],
-        scene: &Scene<'_>,
+        scene: &LeaderContext<'_>,
         outputs: &mut Vec<Output>,
     ) {
         self.judged = now;
-        let heard_all = set.iter().all(|door| {
-            let told = self.doors.get(door).and_then(|lives| lives.first());
-            told.is_some_and(|told| now.saturating_sub(told.at) < FRESH) || (scene.gone)(door)
+        let heard_all = set.iter().all(|gateway| {
+            let told = self.gateways.get(gateway).and_then(|lives| lives.first());
+            told.is_some_and(|told| now.saturating_sub(told.at) < FRESH) || (scene.gone)(gateway)
         });
         let in_run = judge::test(&self.windows(now, |report| &report.in_run));
         let between = judge::test(&self.windows(now, |report| &report.between));
@@ -397,17 +400,17 @@
         now: Micros,
         customer: Customer,
         set: &[String],
-        scene: &Scene<'_>,
+        scene: &LeaderContext<'_>,
         rounds: &mut (u64, u64),
         outputs: &mut Vec<Output>,
     ) {
-        // Nothing is said of a customer that nothing is known of, until something is. Nor, at the start, while a door
+        // Nothing is said of a customer that nothing is known of, until something is. Nor, at the start, while a gateway
         // that has not answered yet may act on more caution.
         let starts = now.saturating_sub(self.begun) < START && self.pooling != Pooling::Session;
         let waits = starts
             && set
                 .iter()
-                .any(|door| !self.doors.contains_key(door) && !(scene.gone)(door));
+                .any(|gateway| !self.gateways.contains_key(gateway) && !(scene.gone)(gateway));
         let quiet = waits || (self.round == (0, 0) && self.pooling == Pooling::Unknown);
         let soon = self
             .said
@@ -420,15 +423,15 @@
         rounds.1 += 1;
         self.round = *rounds;
         let verdict = self.verdict(now, customer, scene.fence);
-        for door in set.iter().filter(|door| !(scene.gone)(door)) {
+        for gateway in set.iter().filter(|gateway| !(scene.gone)(gateway)) {
             outputs.push(Output::Say {
-                door: door.clone(),
+                gateway: gateway.clone(),
                 verdict: verdict.clone(),
             });
         }
     }
 
-    fn verdict(&self, now: Micros, customer: Customer, fence: Fence) -> Verdict {
+    fn verdict(&self, now: Micros, customer: Customer, fence: FencingToken) -> Verdict {
         let sum = |all: Vec<Vec<Window>>| {
             let mut counts = Counts::default();
             all.iter().flatten().for_each(|window| counts.add(window));
@@ -454,12 +457,12 @@
             round: self.round,
             age: now.saturating_sub(self.confirmed),
             reports: self
-                .doors
+                .gateways
                 .iter()
                 .filter(|(_, lives)| told(lives))
-                .map(|(door, _)| door.clone())
+                .map(|(gateway, _)| gateway.clone())
                 .collect(),
-            evidence: Shown {
+            evidence: EvidenceSummary {
                 kept: longer.kept,
                 changed_in_run: in_run.changed,
                 changed_between: between.changed,
@@ -471,16 +474,16 @@
 
 /// Why a verdict was not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum Refused {
+pub enum VerdictRejection {
     /// Its right is over.
     #[error("a verdict under epoch {} and version {} came after one under epoch {} and version {}: its keeper was \
              replaced; if this goes on, look at `owner` and `shards` of the door that sent it", came.epoch,
              came.version, known.epoch, known.version)]
     Old {
         /// What it came with.
-        came: Fence,
+        came: FencingToken,
         /// The highest known.
-        known: Fence,
+        known: FencingToken,
     },
     /// A later one is there.
     #[error("a verdict came after a later one of the same keeper: datagrams were late or doubled; nothing is to be done")]
@@ -495,32 +498,37 @@
     Full(usize),
 }
 
-/// What one door was told of customers.
+/// What one gateway was told of customers.
 #[derive(Debug, Default)]
-pub struct Held {
+pub struct VerdictTable {
     verdicts: BTreeMap<Customer, (Verdict, Micros)>,
-    highest: Fence,
+    highest: FencingToken,
     most: usize,
 }
 
-impl Held {
-    /// A door that was told nothing, with room for so many.
+impl VerdictTable {
+    /// A gateway that was told nothing, with room for so many.
     pub fn new(most: usize) -> Self {
-        Held {
+        VerdictTable {
             most,
-            ..Held::default()
+            ..VerdictTable::default()
         }
     }
 
     /// A fence was seen in anything: lower ones are refused from now on.
-    pub fn fence(&mut self, fence: Fence) {
+    pub fn fence(&mut self, fence: FencingToken) {
         self.highest = self.highest.max(fence);
     }
 
-    /// A verdict came. It is from the customer's keeper, so that one is alive.
-    pub fn take(&mut self, now: Micros, verdict: Verdict, may_share: bool) -> Result<(), Refused> {
+    /// A verdict came. It is from the customer's owner, so that one is alive.
+    pub fn take(
+        &mut self,
+        now: Micros,
+        verdict: Verdict,
+        may_share: bool,
+    ) -> Result<(), VerdictRejection> {
         if verdict.fence < self.highest {
-            return Err(Refused::Old {
+            return Err(VerdictRejection::Old {
                 came: verdict.fence,
                 known: self.highest,
             });
@@ -529,7 +537,7 @@
         let in_force = self.in_force(now, verdict.customer, now, may_share);
         if let Some((known, _)) = self.verdicts.get(&verdict.customer) {
             if known.fence == verdict.fence && known.round >= verdict.round {
-                return Err(Refused::Late);
+                return Err(VerdictRejection::Late);
             }
         } else if self.verdicts.len() >= self.most {
             // `unknown` is what holds without one; and of the rest the oldest may be of customers that are long gone.
@@ -537,11 +545,11 @@
             self.verdicts
                 .retain(|_, (known, at)| known.pooling != Pooling::Unknown && !old(at));
             if self.verdicts.len() >= self.most {
-                return Err(Refused::Full(self.most));
+                return Err(VerdictRejection::Full(self.most));
             }
         }
         if !may_share && verdict.pooling < in_force {
-            return Err(Refused::Minority);
+            return Err(VerdictRejection::Minority);
         }
         self.verdicts.insert(verdict.customer, (verdict, now));
         Ok(())
@@ -554,18 +562,18 @@
             .map(|(verdict, at)| (verdict, *at))
     }
 
-    /// What a customer is held for now. `keeper` is when the one that keeps it was last held alive.
+    /// What a customer is held for now. `owner` is when the one that keeps it was last held alive.
     pub fn in_force(
         &self,
         now: Micros,
         customer: Customer,
-        keeper: Micros,
+        owner: Micros,
         may_share: bool,
     ) -> Pooling {
         let Some((verdict, at)) = self.verdicts.get(&customer) else {
             return Pooling::Unknown;
         };
-        let fresh = now.saturating_sub(keeper.max(*at)) < fade(verdict.pooling);
+        let fresh = now.saturating_sub(owner.max(*at)) < fade(verdict.pooling);
         if fresh || (!may_share && verdict.pooling > Pooling::Unknown) {
             verdict.pooling
         } else {
@@ -584,7 +592,7 @@
 
 /// How a request is to get its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hold {
+pub enum ConnectionPolicy {
     /// Any.
     Any,
     /// The customer's last one, if it is idle and within a run.
@@ -594,30 +602,30 @@
 }
 
 /// Pause between two requests of a bound customer that are let go on any connection, to see whether it still is: 12 an hour
-/// at a door. And the part of requests within runs that are let go while nothing is known: without them it stays so.
+/// at a gateway. And the part of requests within runs that are let go while nothing is known: without them it stays so.
 pub const LOOK_AGAIN: Micros = 300 * SECOND;
 /// See [`LOOK_AGAIN`].
 pub const LOOK_UNKNOWN: f64 = 0.5;
 
 /// How a request is to get its connection. `looked` is the time since the last one that was let go, `draw` from 0 to 1. A bound
-/// customer loses 12 requests an hour and door by it, an unknown one of the second kind some 20 until it is known.
-pub fn hold(pooling: Pooling, looked: Micros, draw: f64) -> Hold {
+/// customer loses 12 requests an hour and gateway by it, an unknown one of the second kind some 20 until it is known.
+pub fn hold(pooling: Pooling, looked: Micros, draw: f64) -> ConnectionPolicy {
     match pooling {
-        Pooling::Statement => Hold::Any,
-        Pooling::Unknown if draw < LOOK_UNKNOWN => Hold::Any,
-        Pooling::Unknown => Hold::Run,
-        Pooling::Transaction | Pooling::Session if looked >= LOOK_AGAIN => Hold::Any,
-        Pooling::Transaction => Hold::Run,
-        Pooling::Session => Hold::Private,
+        Pooling::Statement => ConnectionPolicy::Any,
+        Pooling::Unknown if draw < LOOK_UNKNOWN => ConnectionPolicy::Any,
+        Pooling::Unknown => ConnectionPolicy::Run,
+        Pooling::Transaction | Pooling::Session if looked >= LOOK_AGAIN => ConnectionPolicy::Any,
+        Pooling::Transaction => ConnectionPolicy::Run,
+        Pooling::Session => ConnectionPolicy::Private,
     }
 }
 
 /// What private connections may take.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// Part of the descriptors of a door.
+    /// SessionClassifier of the descriptors of a gateway.
     pub of_descriptors: f64,
-    /// Part of the connections to a backend.
+    /// SessionClassifier of the connections to a backend.
     pub of_backend: f64,
     /// Of one customer at one backend.
     pub each: u32,
@@ -639,9 +647,9 @@
 /// What private connections take now.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Descriptors of this door, and those that are private connections.
+    /// Descriptors of this gateway, and those that are private connections.
     pub descriptors: [u32; 2],
-    /// Connections that the backend may have from this door, and those that are private.
+    /// Connections that the backend may have from this gateway, and those that are private.
     pub backend: [u32; 2],
     /// Private ones of this customer at that backend.
     pub own: u32,
--- a/gateway-cluster/src/sessions/wire.rs
+++ b/gateway-cluster/src/sessions/wire.rs
@@ -1,27 +1,27 @@
-//! What front doors send each other about customers: counts to a keeper, its questions, and its verdicts.
+//! What gateways send each other about customers: counts to an owner, its questions, and its verdicts.
 
 use super::evidence::{Report, Window};
-use super::keep::{Shown, Verdict};
-use super::{Customer, Fence, Pooling};
-use crate::names::Id;
-use crate::wire::{self, MOST_BYTES};
+use super::verdicts::{EvidenceSummary, Verdict};
+use super::{Customer, FencingToken, Pooling};
+use crate::peers::PeerId;
+use crate::wire::{self, MAX_DATAGRAM_BYTES};
 use serde::{Deserialize, Serialize};
 
-/// The first byte of each of these datagrams. A door that does not know them counts them and drops them.
+/// The first byte of each of these datagrams. A gateway that does not know them counts them and drops them.
 pub const VERSION: u8 = 4;
 
 /// Bytes of what is put together in one datagram: the rest is for what stands before it.
-pub const ROOM: usize = MOST_BYTES - 72;
+pub const ROOM: usize = MAX_DATAGRAM_BYTES - 72;
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
     /// Who sends it.
-    pub from: Id,
-    /// Which life of that name: a later process has a higher one.
-    pub life: u64,
-    /// For which life of the receiver it is meant; 0 where the sender knows of none.
-    pub to_life: u64,
+    pub from: PeerId,
+    /// Which incarnation of that name: a later process has a higher one.
+    pub incarnation: u64,
+    /// For which incarnation of the receiver it is meant; 0 where the sender knows of none.
+    pub to_incarnation: u64,
     /// What it is for.
     pub kind: Kind,
 }
@@ -34,24 +34,24 @@
         /// It has now sent all that this roll of the receiver asked for; 0 for none.
         rolled: u32,
         /// The counts.
-        counts: Vec<Counts>,
+        counts: Vec<ReportMessage>,
     },
     /// Tell what you have counted of all customers that I keep.
     Roll(u32),
     /// Tell what you have counted of these, also where that is nothing.
     Ask(Vec<Customer>),
-    /// What a keeper has decided.
+    /// What an owner has decided.
     Verdicts {
         /// By which right.
-        fence: Fence,
+        fence: FencingToken,
         /// What.
-        said: Vec<Said>,
+        said: Vec<VerdictMessage>,
     },
 }
 
-/// A report on the way: its door and life are the datagram's.
+/// A report on the way: its gateway and incarnation are the datagram's.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Counts {
+pub struct ReportMessage {
     customer: Customer,
     sequence: u64,
     held: Pooling,
@@ -59,8 +59,8 @@
     between: Vec<(Window, u32)>,
 }
 
-impl From<Report> for Counts {
-    fn from(report: Report) -> Counts {
+impl From<Report> for ReportMessage {
+    fn from(report: Report) -> ReportMessage {
         let Report {
             customer,
             sequence,
@@ -69,7 +69,7 @@
             between,
             ..
         } = report;
-        Counts {
+        ReportMessage {
             customer,
             sequence,
             held,
@@ -79,15 +79,15 @@
     }
 }
 
-impl Counts {
+impl ReportMessage {
     /// Of whom.
     pub fn customer(&self) -> Customer {
         self.customer
     }
 
-    /// The report of this door and life.
-    pub fn report(self, door: &str, life: u64) -> Report {
-        let Counts {
+    /// The report of this gateway and incarnation.
+    pub fn report(self, gateway: &str, incarnation: u64) -> Report {
+        let ReportMessage {
             customer,
             sequence,
             held,
@@ -95,8 +95,8 @@
             between,
         } = self;
         Report {
-            door: door.to_string(),
-            life,
+            gateway: gateway.to_string(),
+            incarnation,
             sequence,
             customer,
             held,
@@ -106,37 +106,46 @@
     }
 }
 
-/// A verdict on the way: its fence and its keeper's life are the datagram's.
+/// A verdict on the way: its fence and its owner's incarnation are the datagram's.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Said {
+pub struct VerdictMessage {
     customer: Customer,
     pooling: Pooling,
     round: u64,
     age_ms: u64,
-    reports: Vec<Id>,
-    evidence: Shown,
+    reports: Vec<PeerId>,
+    evidence: EvidenceSummary,
 }
 
-impl Said {
-    /// A verdict, with its doors by their ids.
-    pub fn new(verdict: &Verdict, id_of: impl Fn(&str) -> Id) -> Said {
-        Said {
+impl VerdictMessage {
+    /// A verdict, with its gateways by their ids.
+    pub fn new(verdict: &Verdict, peer_id_of: impl Fn(&str) -> PeerId) -> VerdictMessage {
+        VerdictMessage {
             customer: verdict.customer,
             pooling: verdict.pooling,
             round: verdict.round.1,
             age_ms: verdict.age / 1000,
-            reports: verdict.reports.iter().map(|door| id_of(door)).collect(),
+            reports: verdict
+                .reports
+                .iter()
+                .map(|gateway| peer_id_of(gateway))
+                .collect(),
             evidence: verdict.evidence,
         }
     }
 
-    /// The verdict of a keeper's life, under its fence.
-    pub fn verdict(self, fence: Fence, life: u64, name_of: impl Fn(Id) -> String) -> Verdict {
+    /// The verdict of an owner's incarnation, under its fence.
+    pub fn verdict(
+        self,
+        fence: FencingToken,
+        incarnation: u64,
+        name_of: impl Fn(PeerId) -> String,
+    ) -> Verdict {
         Verdict {
             customer: self.customer,
             pooling: self.pooling,
             fence,
-            round: (life, self.round),
+            round: (incarnation, self.round),
             age: self.age_ms.saturating_mul(1000),
             reports: self.reports.into_iter().map(name_of).collect(),
             evidence: self.evidence,
--- a/gateway-cluster/src/shards/decide/tests.rs
+++ b/gateway-cluster/src/shards/consensus/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_door_that_started_from_nothing_accepts_once_it_was_told_what_is_settled() {
+fn a_gateway_that_started_from_nothing_accepts_once_it_was_told_what_is_settled() {
     let (one, two) = (
         Ballot {
             epoch: 1,
@@ -12,10 +12,10 @@
             attempt: 0,
         },
     );
-    let map = |version| Named {
+    let map = |version| MapId {
         epoch: 1,
         version,
-        hash: Hash(version),
+        hash: MapHash(version),
     };
     let mut acceptor = Acceptor::default();
     assert!(
--- a/gateway-cluster/src/shards/cover.rs
+++ b/gateway-cluster/src/shards/cover.rs
@@ -1,6 +1,6 @@
 //! How often each key is covered.
 
-use super::map::{Key, Range};
+use super::map::{Key, ShardRange};
 
 /// Keys, from and up to.
 pub(super) type Span = (Key, Key);
@@ -25,13 +25,13 @@
 
 /// The keys that were meant: a reversed range is wrong in its bounds, and what it was to cover is no gap
 /// beside that.
-pub(super) fn meant(range: &Range) -> Span {
+pub(super) fn meant(range: &ShardRange) -> Span {
     (range.from.min(range.to), range.from.max(range.to))
 }
 
 /// Goes over all bounds in the order of keys. That does not depend on the order in which ranges are listed,
 /// so ranges in a wrong order are no gaps.
-pub(super) fn cover(ranges: &[Range], end: Key) -> Cover {
+pub(super) fn cover(ranges: &[ShardRange], end: Key) -> Cover {
     let mut bounds: Vec<(Key, usize, bool)> = Vec::with_capacity(ranges.len().saturating_mul(2));
     for (number, range) in ranges.iter().enumerate() {
         let (from, to) = meant(range);
--- a/gateway-cluster/src/shards/finding.rs
+++ b/gateway-cluster/src/shards/finding.rs
@@ -1,22 +1,22 @@
 //! What can be wrong with a map.
 
-use super::map::{Hash, Key};
+use super::map::{Key, MapHash};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use thiserror::Error;
 
 /// Findings that are told of one rule; how many more there are is told in one that follows them
 /// ([`Finding::More`]). Thirteen rules are then 429 findings at the most, whatever the map.
-pub const MOST_OF_A_RULE: usize = 32;
+pub const MAX_FINDINGS_PER_RULE: usize = 32;
 
 /// Characters that are shown of a name from a map.
 const SHOWN: usize = 64;
 
-/// What a map must keep to. Told in lower case.
+/// What a map must keep to. FindingReport in lower case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Rule {
-    /// Each key has a keeper.
+    /// Each key has an owner.
     Gap,
     /// No key has two.
     Overlap,
@@ -26,17 +26,18 @@
     Order,
     /// There are no keys beyond the space.
     Beyond,
-    /// Keepers are in the roster, live and stay.
-    Keeper,
+    /// Keepers are in the peer set, live and stay.
+    #[serde(rename = "keeper")]
+    Owner,
     /// It follows on the map in force.
     Parent,
     /// It has the next number.
     Version,
-    /// It was decided by the newest owner that is known.
+    /// It was decided by the newest leader that is known.
     Epoch,
     /// Few keys move at once.
     Moved,
-    /// No keeper has too many keys.
+    /// No owner has too many keys.
     Share,
     /// Keys move again once their last move is over.
     Moving,
@@ -52,7 +53,7 @@
         Rule::Empty,
         Rule::Order,
         Rule::Beyond,
-        Rule::Keeper,
+        Rule::Owner,
         Rule::Parent,
         Rule::Version,
         Rule::Epoch,
@@ -70,7 +71,7 @@
             Rule::Empty => "empty",
             Rule::Order => "order",
             Rule::Beyond => "beyond",
-            Rule::Keeper => "keeper",
+            Rule::Owner => "keeper",
             Rule::Parent => "parent",
             Rule::Version => "version",
             Rule::Epoch => "epoch",
@@ -115,25 +116,25 @@
             end.saturating_sub(1))]
     Beyond { from: Key, to: Key, end: Key },
     #[error(
-        "the keys {from} up to {to} go to {keeper:?}, which the roster does not name: mend the name, or \
+        "the keys {from} up to {to} go to {owner:?}, which the roster does not name: mend the name, or \
          take the door into `peers` everywhere first"
     )]
-    KeeperUnknown { from: Key, to: Key, keeper: String },
+    OwnerUnknown { from: Key, to: Key, owner: String },
     #[error(
-        "the keys {from} up to {to} go to {keeper:?}, which is dead: start it, or give them to a door \
+        "the keys {from} up to {to} go to {owner:?}, which is dead: start it, or give them to a door \
          that lives"
     )]
-    KeeperDead { from: Key, to: Key, keeper: String },
-    #[error("the keys {from} up to {to} go to {keeper:?}, which is leaving: give them to a door that stays")]
-    KeeperLeaving { from: Key, to: Key, keeper: String },
+    OwnerDead { from: Key, to: Key, owner: String },
+    #[error("the keys {from} up to {to} go to {owner:?}, which is leaving: give them to a door that stays")]
+    OwnerLeaving { from: Key, to: Key, owner: String },
     #[error(
         "its parent is {parent}, but the map in force is {needed}: it was made from another map; look at \
          `shards` and make it from the one in force"
     )]
-    Parent { parent: Hash, needed: Hash },
+    Parent { parent: MapHash, needed: MapHash },
     #[error("it is the first of a history and has the parent {parent}: a first one has {none}; propose it \
-             again without a parent", none = Hash::NONE)]
-    ParentOfFirst { parent: Hash },
+             again without a parent", none = MapHash::NONE)]
+    ParentOfFirst { parent: MapHash },
     #[error(
         "it has the version {version} and no parent: only version 1 has none; fetch the map from a door \
          that has one in force"
@@ -156,12 +157,8 @@
          before it is in force"
     )]
     Moved { keys: u64, most: u64 },
-    #[error("{keeper:?} would keep {keys} keys and may keep {most}: give some of them to others")]
-    Share {
-        keeper: String,
-        keys: u64,
-        most: u64,
-    },
+    #[error("{owner:?} would keep {keys} keys and may keep {most}: give some of them to others")]
+    Share { owner: String, keys: u64, most: u64 },
     #[error(
         "the keys {from} up to {to} go from {old:?} to {new:?} while their last move is not over: wait \
          until `shards` tells of no `next`, then propose it again"
@@ -187,9 +184,9 @@
             Finding::Empty { .. } | Finding::Reversed { .. } => Rule::Empty,
             Finding::Order { .. } => Rule::Order,
             Finding::Beyond { .. } => Rule::Beyond,
-            Finding::KeeperUnknown { .. }
-            | Finding::KeeperDead { .. }
-            | Finding::KeeperLeaving { .. } => Rule::Keeper,
+            Finding::OwnerUnknown { .. }
+            | Finding::OwnerDead { .. }
+            | Finding::OwnerLeaving { .. } => Rule::Owner,
             Finding::Parent { .. }
             | Finding::ParentOfFirst { .. }
             | Finding::ParentMissing { .. } => Rule::Parent,
@@ -212,9 +209,9 @@
             | Finding::Reversed { from, to }
             | Finding::Order { from, to, .. }
             | Finding::Beyond { from, to, .. }
-            | Finding::KeeperUnknown { from, to, .. }
-            | Finding::KeeperDead { from, to, .. }
-            | Finding::KeeperLeaving { from, to, .. }
+            | Finding::OwnerUnknown { from, to, .. }
+            | Finding::OwnerDead { from, to, .. }
+            | Finding::OwnerLeaving { from, to, .. }
             | Finding::Moving { from, to, .. } => Some((*from, *to)),
             _ => None,
         }
--- a/gateway-cluster/src/shards/keep.rs
+++ b/gateway-cluster/src/shards/leases.rs
@@ -1,24 +1,24 @@
-//! Exactly once in time: what a door keeps now, and what the owner knows of who may still keep what. Safety is by leases
-//! alone: an owner that begins counts each door for a keeper of all that it may have been given before, until it says
-//! that it has let go, or until any lease that an earlier owner gave is over.
+//! Exactly once in time: what a gateway keeps now, and what the leader knows of who may still keep what. Safety is by leases
+//! alone: a leader that begins counts each gateway for an owner of all that it may have been given before, until it says
+//! that it has let go, or until any lease that an earlier leader gave is over.
 
-use super::map::{Hash, Key, Map};
-use crate::engine::Micros;
-use crate::names::Id;
-use crate::ownership::{longer, Fence};
+use super::map::{Key, MapHash, ShardMap};
+use crate::leadership::{longer, FencingToken};
+use crate::peers::PeerId;
+use crate::protocol::Micros;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How long a keeper keeps after it was last heard, in leases of the office: it outlasts the change of an owner.
-pub const KEEP_LEASES: u64 = 2;
+/// How long an owner keeps after it was last heard, in leases of leadership: it outlasts the change of a leader.
+pub const SHARD_LEASE_FACTOR: u64 = 2;
 
 /// Ranges of a map by number, as a set.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Marks(Vec<u8>);
+pub struct RangeSet(Vec<u8>);
 
-impl Marks {
+impl RangeSet {
     /// Those of these ranges for which this holds.
-    pub fn of(ranges: usize, holds: impl Fn(usize) -> bool) -> Marks {
+    pub fn of(ranges: usize, holds: impl Fn(usize) -> bool) -> RangeSet {
         let mut marks = Vec::new();
         for number in (0..ranges).filter(|number| holds(*number)) {
             marks.resize(number / 8 + 1, 0);
@@ -26,7 +26,7 @@
                 *byte |= 1 << (number % 8);
             }
         }
-        Marks(marks)
+        RangeSet(marks)
     }
 
     /// Whether a range is one of them.
@@ -46,8 +46,8 @@
         self.0.len()
     }
 
-    fn both(&self, other: &Marks) -> Marks {
-        Marks(
+    fn both(&self, other: &RangeSet) -> RangeSet {
+        RangeSet(
             self.0
                 .iter()
                 .zip(&other.0)
@@ -59,26 +59,26 @@
 
 /// A keep lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Hold {
+pub struct ShardLease {
     /// Of which map.
-    pub hash: Hash,
+    pub hash: MapHash,
     /// Ranges that others may still keep.
-    pub waits: Marks,
-    /// On this door's clock.
+    pub waits: RangeSet,
+    /// On this gateway's clock.
     pub until: Micros,
 }
 
-/// What one door keeps.
+/// What one gateway keeps.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
-pub struct Hand {
-    seen: Fence,
-    hold: Option<Hold>,
+pub struct LocalShards {
+    seen: FencingToken,
+    hold: Option<ShardLease>,
     held: bool,
 }
 
-impl Hand {
-    /// Whether a lease of this term and version is not older than one that was seen.
-    pub fn allows(&self, fence: Fence) -> bool {
+impl LocalShards {
+    /// Whether a lease of this epoch and version is not older than one that was seen.
+    pub fn allows(&self, fence: FencingToken) -> bool {
         fence >= self.seen
     }
 
@@ -86,9 +86,9 @@
     pub fn keep(
         &mut self,
         now: Micros,
-        fence: Fence,
-        hash: Hash,
-        waits: Marks,
+        fence: FencingToken,
+        hash: MapHash,
+        waits: RangeSet,
         until: Micros,
     ) -> bool {
         if !self.allows(fence) {
@@ -102,22 +102,22 @@
             .filter(|hold| hold.hash == hash && now < hold.until);
         self.hold = Some(match same {
             // Where others were out of the way already they stay so while this lease has no end.
-            Some(hold) => Hold {
+            Some(hold) => ShardLease {
                 waits: hold.waits.both(&waits),
                 until: hold.until.max(until),
                 hash,
             },
-            None => Hold { hash, waits, until },
+            None => ShardLease { hash, waits, until },
         });
         true
     }
 
-    /// The lease that this door has at this moment.
-    pub fn hold(&self, now: Micros) -> Option<&Hold> {
+    /// The lease that this gateway has at this moment.
+    pub fn hold(&self, now: Micros) -> Option<&ShardLease> {
         self.hold.as_ref().filter(|hold| now < hold.until)
     }
 
-    /// Whether it has had one in this life.
+    /// Whether it has had one in this incarnation.
     pub fn has_held(&self) -> bool {
         self.held
     }
@@ -127,14 +127,14 @@
         (self.hold, self.held) = (None, false);
     }
 
-    /// The keys that this door keeps at this moment, from and up to. `previous` is the map before this one: a range that
-    /// waits is kept as far as it was this door's there.
+    /// The keys that this gateway keeps at this moment, from and up to. `previous` is the map before this one: a range that
+    /// waits is kept as far as it was this gateway's there.
     pub fn mine(
         &self,
         now: Micros,
         me: &str,
-        map: &Map,
-        previous: Option<&Map>,
+        map: &ShardMap,
+        previous: Option<&ShardMap>,
     ) -> Vec<(Key, Key)> {
         let Some(hold) = self.hold(now) else {
             return Vec::new();
@@ -148,14 +148,14 @@
             .ranges
             .iter()
             .enumerate()
-            .filter(|(_, range)| range.keeper == me)
+            .filter(|(_, range)| range.owner == me)
         {
             if !hold.waits.has(number) {
                 add(range.from, range.to);
                 continue;
             }
             let had = previous.into_iter().flat_map(|previous| &previous.ranges);
-            for had in had.filter(|had| had.keeper == me) {
+            for had in had.filter(|had| had.owner == me) {
                 let (from, to) = (had.from.max(range.from), had.to.min(range.to));
                 if from < to {
                     add(from, to);
@@ -166,36 +166,36 @@
     }
 }
 
-/// What an owner knows of one name.
+/// What a leader knows of one name.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct Given {
-    life: u64,
-    /// On the owner's clock.
+struct GrantedLease {
+    incarnation: u64,
+    /// On the leader's clock.
     until: Micros,
-    /// The version that it has taken over in this term.
+    /// The version that it has taken over in this epoch.
     has: u64,
     /// It has said that it keeps nothing any more.
     left: bool,
 }
 
-/// What an owner knows of who may keep what.
+/// What a leader knows of who may keep what.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-pub struct Ledger {
-    /// Leases of earlier owners are over then.
+pub struct GrantedLeases {
+    /// Leases of earlier leaders are over then.
     unknown_until: Micros,
-    given: BTreeMap<Id, Given>,
+    given: BTreeMap<PeerId, GrantedLease>,
 }
 
-impl Ledger {
-    /// Of a term that begins. `keep` is the length of keep leases.
-    pub fn new(now: Micros, keep: Micros) -> Ledger {
-        Ledger {
+impl GrantedLeases {
+    /// Of a epoch that begins. `keep` is the length of keep leases.
+    pub fn new(now: Micros, keep: Micros) -> GrantedLeases {
+        GrantedLeases {
             unknown_until: now + longer(keep),
             given: BTreeMap::new(),
         }
     }
 
-    /// When all leases of earlier owners are over.
+    /// When all leases of earlier leaders are over.
     pub fn unknown_until(&self) -> Micros {
         self.unknown_until
     }
@@ -205,37 +205,37 @@
         self.unknown_until = self.unknown_until.min(now);
     }
 
-    /// This life says that it has kept: an earlier one of its name is over.
-    pub fn has_held(&mut self, name: Id, life: u64) {
+    /// This incarnation says that it has kept: an earlier one of its name is over.
+    pub fn has_held(&mut self, name: PeerId, incarnation: u64) {
         let until = self.unknown_until;
-        self.given.entry(name).or_insert(Given {
-            life,
+        self.given.entry(name).or_insert(GrantedLease {
+            incarnation,
             until,
             has: 0,
             left: false,
         });
     }
 
-    /// Whether a lease may be given to this life: no other of its name has one.
-    pub fn may_give(&self, now: Micros, name: Id, life: u64) -> bool {
+    /// Whether a lease may be given to this incarnation: no other of its name has one.
+    pub fn may_give(&self, now: Micros, name: PeerId, incarnation: u64) -> bool {
         match self.given.get(&name) {
-            Some(given) if given.life == life => !given.left,
+            Some(given) if given.incarnation == incarnation => !given.left,
             Some(given) => now >= given.until,
             None => now >= self.unknown_until,
         }
     }
 
-    /// A lease is given, which is over then on the owner's clock.
-    pub fn give(&mut self, name: Id, life: u64, until: Micros) {
-        let given = self.given.entry(name).or_insert(Given {
-            life,
+    /// A lease is given, which is over then on the leader's clock.
+    pub fn give(&mut self, name: PeerId, incarnation: u64, until: Micros) {
+        let given = self.given.entry(name).or_insert(GrantedLease {
+            incarnation,
             until,
             has: 0,
             left: false,
         });
-        if given.life != life {
-            *given = Given {
-                life,
+        if given.incarnation != incarnation {
+            *given = GrantedLease {
+                incarnation,
                 until,
                 has: 0,
                 left: false,
@@ -244,23 +244,31 @@
         given.until = given.until.max(until);
     }
 
-    /// This life has taken this version over: it keeps by no lower one.
-    pub fn took(&mut self, name: Id, life: u64, version: u64) {
-        if let Some(given) = self.given.get_mut(&name).filter(|given| given.life == life) {
+    /// This incarnation has taken this version over: it keeps by no lower one.
+    pub fn took(&mut self, name: PeerId, incarnation: u64, version: u64) {
+        if let Some(given) = self
+            .given
+            .get_mut(&name)
+            .filter(|given| given.incarnation == incarnation)
+        {
             given.has = given.has.max(version);
         }
     }
 
-    /// This life, which has kept, keeps nothing any more, and never will.
-    pub fn left(&mut self, now: Micros, name: Id, life: u64) {
-        self.has_held(name, life);
-        if let Some(given) = self.given.get_mut(&name).filter(|given| given.life == life) {
+    /// This incarnation, which has kept, keeps nothing any more, and never will.
+    pub fn left(&mut self, now: Micros, name: PeerId, incarnation: u64) {
+        self.has_held(name, incarnation);
+        if let Some(given) = self
+            .given
+            .get_mut(&name)
+            .filter(|given| given.incarnation == incarnation)
+        {
             (given.until, given.left) = (given.until.min(now), true);
         }
     }
 
     /// Whether a name keeps by no version lower than this one.
-    pub fn is_free(&self, now: Micros, name: Id, version: u64) -> bool {
+    pub fn is_free(&self, now: Micros, name: PeerId, version: u64) -> bool {
         match self.given.get(&name) {
             Some(given) => given.has >= version || now >= given.until,
             None => now >= self.unknown_until,
@@ -268,14 +276,14 @@
     }
 
     /// Whether a name has taken this version over.
-    pub fn has(&self, name: Id, version: u64) -> bool {
+    pub fn has(&self, name: PeerId, version: u64) -> bool {
         self.given
             .get(&name)
             .is_some_and(|given| given.has >= version)
     }
 
     /// For how long a name may yet keep by a lower version.
-    pub fn left_of(&self, now: Micros, name: Id) -> Micros {
+    pub fn left_of(&self, now: Micros, name: PeerId) -> Micros {
         self.given
             .get(&name)
             .map_or(self.unknown_until, |given| given.until)
@@ -286,12 +294,12 @@
 /// The names that keep others from what a map gives them, with the ranges that wait for each: who had keys of a range
 /// before, and may still keep them. Without the map before it, anybody may.
 pub fn waiting<'a>(
-    map: &Map,
-    previous: Option<&'a Map>,
+    map: &ShardMap,
+    previous: Option<&'a ShardMap>,
     is_free: impl Fn(&str) -> bool,
-) -> (Marks, Vec<&'a str>) {
+) -> (RangeSet, Vec<&'a str>) {
     let Some(previous) = previous else {
-        return (Marks::default(), Vec::new());
+        return (RangeSet::default(), Vec::new());
     };
     let mut free: BTreeMap<&str, bool> = BTreeMap::new();
     let mut marked = vec![false; map.ranges.len()];
@@ -306,10 +314,10 @@
         }
         let rest = previous.ranges.get(first..).unwrap_or_default();
         for had in rest.iter().take_while(|had| had.from < range.to) {
-            if had.keeper != range.keeper {
+            if had.owner != range.owner {
                 let free = free
-                    .entry(&had.keeper)
-                    .or_insert_with(|| is_free(&had.keeper));
+                    .entry(&had.owner)
+                    .or_insert_with(|| is_free(&had.owner));
                 *marked |= !*free;
             }
         }
@@ -320,7 +328,7 @@
         .map(|(name, _)| name)
         .collect();
     (
-        Marks::of(map.ranges.len(), |number| {
+        RangeSet::of(map.ranges.len(), |number| {
             marked.get(number).copied().unwrap_or(false)
         }),
         names,
--- a/gateway-cluster/src/shards/mod.rs
+++ b/gateway-cluster/src/shards/mod.rs
@@ -1,21 +1,21 @@
-//! Which door keeps which customers: the map, the check that every door makes of a new one for itself, and
-//! the owner's plans for the next, which are pure functions; how a map is decided ([`decide`]) and who keeps what at an
-//! instant ([`keep`]), which are rules without datagrams; and one door's part in all of it ([`keeping`]).
+//! Which gateway keeps which customers: the map, the check that every gateway makes of a new one for itself, and
+//! the leader's plans for the next, which are pure functions; how a map is decided ([`decide`]) and who keeps what at an
+//! instant ([`keep`]), which are rules without datagrams; and one gateway's part in all of it ([`shard_map`]).
 //!
 //! Keys are customers' numbers, `0..KEYS`. Sizes and limits are in keys, parts in thousandths.
 
+pub mod consensus;
 mod cover;
-pub mod decide;
 mod finding;
-pub mod keep;
-pub mod keeping;
+pub mod leases;
 mod map;
+pub mod node;
 pub mod plan;
 mod validate;
 pub mod wire;
 
-pub use finding::{Finding, Rule, MOST_OF_A_RULE};
-pub use map::{Hash, Key, Map, NoHash, Range, KEYS};
+pub use finding::{Finding, Rule, MAX_FINDINGS_PER_RULE};
+pub use map::{InvalidMapHash, Key, MapHash, ShardMap, ShardRange, KEYS};
 pub use validate::validate;
 
 use std::collections::BTreeMap;
@@ -27,17 +27,17 @@
     pub keys: Key,
     /// Most ranges: what memory and datagrams are sized for.
     pub ranges: usize,
-    /// Most keys that change their keeper at once, in thousandths of all. Keys whose keeper is gone do not
+    /// Most keys that change their owner at once, in thousandths of all. Keys whose owner is gone do not
     /// count.
     pub moved_permille: u32,
-    /// Most keys of one keeper, in thousandths of the even part, which is that of all keys by the doors that
+    /// Most keys of one owner, in thousandths of the even part, which is that of all keys by the gateways that
     /// live.
     pub share_permille: u32,
 }
 
 impl Default for Limits {
     /// The whole space in at most 1,024 ranges, half of it moved at once, twice the even part for one
-    /// keeper.
+    /// owner.
     fn default() -> Limits {
         Limits {
             keys: KEYS,
@@ -49,13 +49,13 @@
 }
 
 impl Limits {
-    /// How many keys may change their keeper at once.
-    pub fn most_moved(&self) -> u64 {
+    /// How many keys may change their owner at once.
+    pub fn max_moved(&self) -> u64 {
         permille(self.keys, self.moved_permille)
     }
 
-    /// How many keys one keeper may have while so many doors live.
-    pub fn most_kept(&self, living: usize) -> u64 {
+    /// How many keys one owner may have while so many gateways live.
+    pub fn max_owned(&self, living: usize) -> u64 {
         permille(
             self.keys.div_ceil((living as u64).max(1)),
             self.share_permille,
@@ -68,9 +68,9 @@
     u64::try_from(u128::from(of) * u128::from(parts) / 1000).unwrap_or(u64::MAX)
 }
 
-/// What a door knows of another.
+/// What a gateway knows of another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Door {
+pub enum PeerCondition {
     /// It may keep keys.
     Alive,
     /// It does not answer.
@@ -79,28 +79,28 @@
     Leaving,
 }
 
-/// What a door knows of the fleet as it looks at a map.
+/// What a gateway knows of the cluster as it looks at a map.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
-pub struct FleetState {
-    /// All names of the roster.
-    pub doors: BTreeMap<String, Door>,
+pub struct ClusterState {
+    /// All names of the peer set.
+    pub gateways: BTreeMap<String, PeerCondition>,
     /// The highest epoch that was heard of.
     pub epoch: u64,
     /// Keys, from and up to, whose last move is not over: who had them may still act for them.
     pub moving: Vec<(Key, Key)>,
 }
 
-impl FleetState {
-    /// Whether a door may keep keys.
+impl ClusterState {
+    /// Whether a gateway may keep keys.
     pub fn is_alive(&self, name: &str) -> bool {
-        self.doors.get(name) == Some(&Door::Alive)
+        self.gateways.get(name) == Some(&PeerCondition::Alive)
     }
 
-    /// The doors that may keep keys, by name.
+    /// The gateways that may keep keys, by name.
     pub fn living(&self) -> impl Iterator<Item = &str> {
-        self.doors
+        self.gateways
             .iter()
-            .filter(|(_, door)| **door == Door::Alive)
+            .filter(|(_, gateway)| **gateway == PeerCondition::Alive)
             .map(|(name, _)| name.as_str())
     }
 }
--- a/gateway-cluster/src/shards/keeping/deciding.rs
+++ b/gateway-cluster/src/shards/node/deciding.rs
@@ -1,30 +1,30 @@
-//! How an owner finds out what there is and has a map decided, step by step.
+//! How a leader finds out what there is and has a map decided, step by step.
 
 use super::term::{ask_anew, finish_offer, Deciding, Heard, Stage, Term, Turn};
-use super::{named, Keeping, Note};
-use crate::engine::Micros;
-use crate::names::{id_of, Id};
-use crate::ownership::longer;
-use crate::ownership::office::{Office, Send};
-use crate::shards::decide::{learn, Answer};
-use crate::shards::map::{Hash, Map};
-use crate::shards::wire::State;
+use super::{named, ShardMapEvent, ShardMapNode};
+use crate::leadership::election::LeaderElection;
+use crate::leadership::longer;
+use crate::peers::{peer_id_of, PeerId};
+use crate::protocol::{Micros, Transmit};
+use crate::shards::consensus::{learn, AcceptorReport};
+use crate::shards::map::{MapHash, ShardMap};
+use crate::shards::wire::ProposalState;
 use rand::seq::IndexedRandom;
 use std::collections::{BTreeMap, BTreeSet};
 
-impl Keeping {
-    /// The owner goes on as far as it can.
+impl ShardMapNode {
+    /// The leader goes on as far as it can.
     pub(super) fn rule(
         &mut self,
         now: Micros,
         term: &mut Term,
-        office: &Office,
-        sends: &mut Vec<Send>,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
     ) {
-        if office.epoch(now) != Some(term.epoch) {
+        if election.epoch(now) != Some(term.epoch) {
             return;
         }
-        for name in office.names().into_iter().filter(|name| *name != self.me) {
+        for name in election.names().into_iter().filter(|name| *name != self.me) {
             term.turns.entry(name).or_insert(Turn {
                 ask_at: now,
                 keep_at: now,
@@ -33,22 +33,22 @@
         }
         // Each step leads to another at most a few times: learned, gathered, decided, and what comes next.
         for _ in 0..6 {
-            if !self.step(now, term, office, sends) {
+            if !self.step(now, term, election, sends) {
                 break;
             }
         }
         self.look_at_moves(now, term);
         self.keep_own(now, term);
-        self.tell(now, term, office, sends);
+        self.tell(now, term, election, sends);
     }
 
-    /// One step of the owner; whether there may be another at once.
+    /// One step of the leader; whether there may be another at once.
     fn step(
         &mut self,
         now: Micros,
         term: &mut Term,
-        office: &Office,
-        sends: &mut Vec<Send>,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
     ) -> bool {
         let ballot = term.ballot();
         match &mut term.stage {
@@ -63,24 +63,24 @@
                     old_at,
                 };
                 if own.held {
-                    term.ledger.has_held(self.me, self.life);
+                    term.ledger.has_held(self.me, self.incarnation);
                 }
                 answers.insert(self.me, own);
-                let plain: BTreeMap<Id, Answer> = answers
+                let plain: BTreeMap<PeerId, AcceptorReport> = answers
                     .iter()
                     .map(|(name, heard)| (*name, heard.answer))
                     .collect();
-                let is_majority = |has: &dyn Fn(Id) -> bool| office.is_majority(has);
+                let is_majority = |has: &dyn Fn(PeerId) -> bool| election.is_majority(has);
                 let learned = learn(&plain, false, is_majority);
                 // Where too few remember, it is safe to go on once nobody can keep anything by what was before: all
                 // leases are over, or all say that they hold nothing.
                 let nothing = |heard: &Heard| {
-                    let Answer {
+                    let AcceptorReport {
                         in_force, accepted, ..
                     } = heard.answer;
                     in_force.is_none() && accepted.is_none() && !heard.held && now >= heard.old_at
                 };
-                let empty = office
+                let empty = election
                     .names()
                     .iter()
                     .all(|name| answers.get(name).is_some_and(nothing));
@@ -119,7 +119,7 @@
                     .find(|map| self.find(map.hash).is_none());
                 if let Some(missing) = missing {
                     if let Some(from) = sources.choose(&mut self.rng).copied() {
-                        self.pull_from(now, missing.hash, (from, 0), office, sends);
+                        self.pull_from(now, missing.hash, (from, 0), election, sends);
                     }
                     return false;
                 }
@@ -134,7 +134,7 @@
                 term.hurry(now);
                 if let Some(map) = learned.finish.and_then(|map| self.find(map.hash)).cloned() {
                     if map.version == 1 {
-                        // It begins a history: it has no map before it, and each door counts as it did then.
+                        // It begins a history: it has no map before it, and each gateway counts as it did then.
                         (term.current, term.previous, term.anew) = (None, None, true);
                     }
                     self.begin(now, term, map, true, None);
@@ -144,7 +144,8 @@
                     (term.ruling, term.anew, term.stage) = (true, false, Stage::Resting);
                     return true;
                 }
-                let first = Map::first(self.fleet.living(), self.count, term.epoch, &self.limits);
+                let first =
+                    ShardMap::first(self.cluster.living(), self.count, term.epoch, &self.limits);
                 let Some(first) = first else { return false };
                 self.begin(now, term, first, false, None);
                 true
@@ -160,11 +161,11 @@
                         None => {}
                     }
                 }
-                if office.is_majority(|name| deciding.accepted.contains(&name)) {
+                if election.is_majority(|name| deciding.accepted.contains(&name)) {
                     self.decided(now, term);
                     return true;
                 }
-                let may_be = office.is_majority(|name| !deciding.refused.contains_key(&name));
+                let may_be = election.is_majority(|name| !deciding.refused.contains_key(&name));
                 if may_be && now < deciding.began + self.keep {
                     return false;
                 }
@@ -185,14 +186,14 @@
                 let text = findings
                     .first()
                     .map_or_else(String::new, |told| told.text.clone());
-                self.note(Note::Refused(text));
+                self.note(ShardMapEvent::Refused(text));
                 if let Some(offer) = offer {
-                    finish_offer(term, offer, State::Refused, findings);
+                    finish_offer(term, offer, ProposalState::Refused, findings);
                 }
                 ask_anew(now, term);
                 false
             }
-            Stage::Resting => self.change(now, term, office),
+            Stage::Resting => self.change(now, term, election),
         }
     }
 
@@ -200,9 +201,9 @@
         &mut self,
         now: Micros,
         term: &mut Term,
-        map: Map,
+        map: ShardMap,
         finish: bool,
-        offer: Option<Hash>,
+        offer: Option<MapHash>,
     ) {
         let named = named(&map);
         let (accepted, refused) = Default::default();
@@ -230,7 +231,7 @@
         term.previous = term.current.replace(map);
         (term.ruling, term.anew, term.look_at) = (true, false, now);
         if let Some(offer) = offer {
-            finish_offer(term, offer, State::InForce, Vec::new());
+            finish_offer(term, offer, ProposalState::InForce, Vec::new());
         }
         if let Some(offer) = &mut self.offer {
             offer.at = offer.at.min(now);
@@ -238,7 +239,7 @@
         // Those that lose keys are told before the others, so that what they lose is free the sooner.
         term.hurry(now);
         let losers = term.previous.iter().flat_map(|map| &map.ranges);
-        let losers: BTreeSet<Id> = losers.map(|range| id_of(&range.keeper)).collect();
+        let losers: BTreeSet<PeerId> = losers.map(|range| peer_id_of(&range.owner)).collect();
         for (name, turn) in &mut term.turns {
             turn.keep_at = now - u64::from(losers.contains(name)).min(now);
         }
--- a/gateway-cluster/src/shards/keeping/fetching.rs
+++ b/gateway-cluster/src/shards/node/fetching.rs
@@ -1,13 +1,13 @@
-//! Maps by their hash: those that a door keeps for others, and those that it fetches part by part.
+//! Maps by their hash: those that a gateway keeps for others, and those that it fetches part by part.
 
 use super::sending::{AGAIN, AROUND, FOR_LEASES, SELDOM};
 use super::term::Stage;
-use super::Keeping;
-use crate::engine::Micros;
-use crate::names::Id;
-use crate::ownership::office::{Office, Send};
-use crate::shards::map::{Hash, Map};
-use crate::shards::wire::{pack, unpack, Datagram, Kind, MOST_PARTS, PART};
+use super::ShardMapNode;
+use crate::leadership::election::LeaderElection;
+use crate::peers::PeerId;
+use crate::protocol::{Micros, Transmit};
+use crate::shards::map::{MapHash, ShardMap};
+use crate::shards::wire::{pack, unpack, Datagram, Kind, MAX_CHUNKS, PART};
 use rand::seq::IndexedRandom;
 
 /// Maps that are kept for others to fetch, beside those in use, and maps that are fetched at a time.
@@ -22,16 +22,16 @@
 /// A map that is being fetched.
 #[derive(Debug)]
 pub(super) struct Pull {
-    pub(super) hash: Hash,
-    pub(super) from: Id,
+    pub(super) hash: MapHash,
+    pub(super) from: PeerId,
     pub(super) parts: Vec<Option<Vec<u8>>>,
     pub(super) at: Micros,
     pub(super) tries: u32,
 }
 
-impl Keeping {
+impl ShardMapNode {
     /// A map by its hash.
-    pub(super) fn find(&self, hash: Hash) -> Option<&Map> {
+    pub(super) fn find(&self, hash: MapHash) -> Option<&ShardMap> {
         let offer = self.offer.as_ref().map(|offer| &offer.map);
         let mut known = self
             .map
@@ -42,7 +42,7 @@
         known.find(|map| map.hash() == hash)
     }
 
-    pub(super) fn shelve(&mut self, map: Map) {
+    pub(super) fn shelve(&mut self, map: ShardMap) {
         let hash = map.hash();
         self.shelf.retain(|known| known.hash() != hash);
         self.shelf.push_back(map);
@@ -55,13 +55,13 @@
     pub(super) fn pull(
         &mut self,
         now: Micros,
-        hash: Hash,
+        hash: MapHash,
         datagram: Datagram,
-        office: &Office,
-        sends: &mut Vec<Send>,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
     ) {
         let from = datagram.from;
-        // What is in force a majority has: others are asked first, as the owner has much to send then.
+        // What is in force a majority has: others are asked first, as the leader has much to send then.
         let tries = u32::from(matches!(datagram.kind, Kind::Keep { .. }));
         self.stash.retain(|waiting| {
             std::mem::discriminant(&waiting.kind) != std::mem::discriminant(&datagram.kind)
@@ -69,16 +69,16 @@
         if self.stash.len() < STASH {
             self.stash.push_back(datagram);
         }
-        self.pull_from(now, hash, (from, tries), office, sends);
+        self.pull_from(now, hash, (from, tries), election, sends);
     }
 
     pub(super) fn pull_from(
         &mut self,
         now: Micros,
-        hash: Hash,
-        (from, tries): (Id, u32),
-        office: &Office,
-        sends: &mut Vec<Send>,
+        hash: MapHash,
+        (from, tries): (PeerId, u32),
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
     ) {
         if self.pulls.iter().any(|pull| pull.hash == hash) {
             return;
@@ -93,11 +93,16 @@
             at: now,
             tries,
         });
-        self.pull_on(now, office, sends);
+        self.pull_on(now, election, sends);
     }
 
     /// Asks for parts that are due.
-    pub(super) fn pull_on(&mut self, now: Micros, office: &Office, sends: &mut Vec<Send>) {
+    pub(super) fn pull_on(
+        &mut self,
+        now: Micros,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
+    ) {
         let mut pulls = std::mem::take(&mut self.pulls);
         pulls.retain(|pull| pull.tries < MOST_PULLS);
         for pull in pulls.iter_mut().filter(|pull| pull.at <= now) {
@@ -105,7 +110,7 @@
             let mut from = pull.from;
             if pull.tries % 2 == 0 {
                 // Whoever has taken it over has it as well.
-                let others: Vec<Id> = office
+                let others: Vec<PeerId> = election
                     .names()
                     .into_iter()
                     .filter(|name| *name != self.me)
@@ -113,12 +118,18 @@
                 from = others.choose(&mut self.rng).copied().unwrap_or(from);
             }
             pull.at = now + if pull.tries > 6 { SELDOM } else { AGAIN };
-            self.ask_parts(pull, from, office, sends);
+            self.ask_parts(pull, from, election, sends);
         }
         self.pulls = pulls;
     }
 
-    fn ask_parts(&mut self, pull: &Pull, from: Id, office: &Office, sends: &mut Vec<Send>) {
+    fn ask_parts(
+        &mut self,
+        pull: &Pull,
+        from: PeerId,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
+    ) {
         let missing = pull
             .parts
             .iter()
@@ -130,7 +141,7 @@
         }
         for part in missing {
             self.put_spared(
-                office,
+                election,
                 from,
                 None,
                 Kind::Fetch(pull.hash, part as u8),
@@ -141,10 +152,10 @@
 
     pub(super) fn send_part(
         &mut self,
-        (to, life): (Id, u64),
-        hash: Hash,
+        (to, incarnation): (PeerId, u64),
+        hash: MapHash,
         part: u8,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<Transmit>,
     ) {
         let deciding = self.term.as_ref().and_then(|term| match &term.stage {
             Stage::Deciding(deciding) => Some(&deciding.map),
@@ -157,7 +168,7 @@
             return;
         };
         let bytes = pack(map);
-        let parts = bytes.len().div_ceil(PART).min(MOST_PARTS) as u8;
+        let parts = bytes.len().div_ceil(PART).min(MAX_CHUNKS) as u8;
         let Some(bytes) = bytes
             .chunks(PART)
             .nth(usize::from(part))
@@ -167,7 +178,7 @@
         };
         if self.has_room(bytes.len() + AROUND, FOR_LEASES) {
             self.put_to(
-                (to, life),
+                (to, incarnation),
                 None,
                 Kind::Part {
                     hash,
@@ -184,8 +195,8 @@
         &mut self,
         now: Micros,
         datagram: Datagram,
-        office: &mut Office,
-        sends: &mut Vec<Send>,
+        election: &mut LeaderElection,
+        sends: &mut Vec<Transmit>,
     ) {
         let Kind::Part {
             hash,
@@ -199,7 +210,7 @@
         let Some(place) = self.pulls.iter().position(|pull| pull.hash == hash) else {
             return;
         };
-        if parts == 0 || usize::from(parts) > MOST_PARTS || part >= parts {
+        if parts == 0 || usize::from(parts) > MAX_CHUNKS || part >= parts {
             self.dropped.0 += 1;
             return;
         }
@@ -215,7 +226,7 @@
             let got = pull.parts.len() - missing;
             (pull.tries, pull.at) = (0, now + AGAIN);
             if (got - 1) % AT_ONCE == 0 {
-                self.ask_parts(&pull, datagram.from, office, sends);
+                self.ask_parts(&pull, datagram.from, election, sends);
             }
             self.pulls.push(pull);
             return;
@@ -227,7 +238,7 @@
         };
         self.shelve(map);
         for waiting in std::mem::take(&mut self.stash) {
-            self.handle(now, waiting, office, sends);
+            self.handle(now, waiting, election, sends);
         }
     }
 }
--- a/gateway-cluster/src/shards/keeping/leases.rs
+++ b/gateway-cluster/src/shards/node/leases.rs
@@ -1,28 +1,31 @@
-//! The owner asks the doors, hears their answers and gives them keep leases.
+//! The leader asks the gateways, hears their answers and gives them keep leases.
 
 use super::sending::{period, AGAIN, AROUND, FOR_LEASES, SELDOM};
 use super::term::{waits, Heard, Stage, Term};
-use super::{named, Keeping, Note};
-use crate::engine::Micros;
-use crate::names::{id_of, Id};
-use crate::ownership::office::{Office, Send};
-use crate::ownership::{longer, shorter};
-use crate::shards::wire::{pack, told_on_wire, Datagram, Kind, PART};
-use crate::shards::Door;
+use super::{named, ShardMapEvent, ShardMapNode};
+use crate::leadership::election::LeaderElection;
+use crate::leadership::{longer, shorter};
+use crate::peers::{peer_id_of, PeerId};
+use crate::protocol::{Micros, Transmit};
+use crate::shards::wire::{pack, truncated_findings, Datagram, Kind, PART};
+use crate::shards::PeerCondition;
 use std::collections::BTreeSet;
 
-impl Keeping {
-    /// The owner hears an answer.
+impl ShardMapNode {
+    /// The leader hears an answer.
     pub(super) fn hear(
         &mut self,
         now: Micros,
         term: &mut Term,
         datagram: Datagram,
-        office: &Office,
-        sends: &mut Vec<Send>,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
     ) {
         let Datagram {
-            from, life, kind, ..
+            from,
+            incarnation,
+            kind,
+            ..
         } = datagram;
         match kind {
             Kind::Learned {
@@ -32,7 +35,7 @@
                 young_ms,
             } if ballot == term.ballot() => {
                 if held {
-                    term.ledger.has_held(from, life);
+                    term.ledger.has_held(from, incarnation);
                 }
                 if let Stage::Learning(answers) = &mut term.stage {
                     let old_at = now + longer(Micros::from(young_ms) * 1000);
@@ -65,13 +68,13 @@
                 version,
                 held,
             } if epoch == term.epoch => {
-                let gave = term.ledger.may_give(now, from, life);
+                let gave = term.ledger.may_give(now, from, incarnation);
                 if held {
-                    term.ledger.has_held(from, life);
+                    term.ledger.has_held(from, incarnation);
                 }
-                term.ledger.took(from, life, version);
+                term.ledger.took(from, incarnation, version);
                 if let Some(turn) = term.turns.get_mut(&from) {
-                    if !gave && term.ledger.may_give(now, from, life) {
+                    if !gave && term.ledger.may_give(now, from, incarnation) {
                         (turn.keep_at, turn.kept) = (now, 0);
                     }
                 }
@@ -81,9 +84,9 @@
                     return;
                 };
                 if let Some((state, findings)) = Self::offered(now, term, hash, &map) {
-                    let findings = told_on_wire(&findings);
+                    let findings = truncated_findings(&findings);
                     self.put(
-                        office,
+                        election,
                         from,
                         None,
                         Kind::Answer {
@@ -113,7 +116,8 @@
                 .flat_map(|map| map.ranges.iter().enumerate());
             let changed =
                 ranges.filter(|(number, _)| waits.0.has(*number) != term.waits.0.has(*number));
-            let told: BTreeSet<Id> = changed.map(|(_, range)| id_of(&range.keeper)).collect();
+            let told: BTreeSet<PeerId> =
+                changed.map(|(_, range)| peer_id_of(&range.owner)).collect();
             for (_, turn) in term
                 .turns
                 .iter_mut()
@@ -124,22 +128,22 @@
             if waits.0.is_empty() {
                 let version = term.current.as_ref().map_or(0, |map| map.version);
                 term.look_at = now;
-                self.note(Note::Moved(version));
+                self.note(ShardMapEvent::Moved(version));
             }
         }
         term.waits = waits;
     }
 
-    /// The owner is a keeper as the others are.
+    /// The leader is an owner as the others are.
     pub(super) fn keep_own(&mut self, now: Micros, term: &mut Term) {
         let Some(map) = term.current.as_ref().filter(|_| term.ruling) else {
             return;
         };
-        if !term.ledger.may_give(now, self.me, self.life) {
+        if !term.ledger.may_give(now, self.me, self.incarnation) {
             return;
         }
         let until = now + shorter(self.keep);
-        term.ledger.give(self.me, self.life, now + self.keep);
+        term.ledger.give(self.me, self.incarnation, now + self.keep);
         let settled = term.is_settled();
         if self.take_keep(
             now,
@@ -149,7 +153,7 @@
             until,
             settled,
         ) {
-            term.ledger.took(self.me, self.life, map.version);
+            term.ledger.took(self.me, self.incarnation, map.version);
         }
     }
 
@@ -158,12 +162,12 @@
         &mut self,
         now: Micros,
         term: &mut Term,
-        office: &Office,
-        sends: &mut Vec<Send>,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
     ) {
         let ballot = term.ballot();
-        let names: Vec<Id> = office.names();
-        let period = period(office.lease(), names.len().saturating_sub(1));
+        let names: Vec<PeerId> = election.names();
+        let period = period(election.lease(), names.len().saturating_sub(1));
         let keep = term.current.as_ref().filter(|_| term.ruling).map(named);
         let settled = term.is_settled();
         // A map that fits goes with the question.
@@ -176,28 +180,28 @@
         } else {
             Vec::new()
         };
-        let mut turns: Vec<(Micros, Id)> = term
+        let mut turns: Vec<(Micros, PeerId)> = term
             .turns
             .iter()
             .map(|(name, turn)| (turn.ask_at.min(turn.keep_at), *name))
             .collect();
         turns.retain(|(at, name)| *at <= now && names.contains(name));
         turns.sort_unstable();
-        let is_dead = |(_, door): &(&String, &Door)| **door != Door::Alive;
-        let dead: BTreeSet<Id> = self
-            .fleet
-            .doors
+        let is_dead = |(_, gateway): &(&String, &PeerCondition)| **gateway != PeerCondition::Alive;
+        let dead: BTreeSet<PeerId> = self
+            .cluster
+            .gateways
             .iter()
             .filter(is_dead)
-            .map(|(name, _)| id_of(name))
+            .map(|(name, _)| peer_id_of(name))
             .collect();
         for (_, name) in turns {
             let is_dead = dead.contains(&name);
             let Some(turn) = term.turns.get_mut(&name) else {
                 continue;
             };
-            let (Some((life, tick, heard)), Some(stamp)) =
-                (office.clock_of(name), office.stamp(now, name))
+            let (Some((incarnation, tick, heard)), Some(stamp)) =
+                (election.clock_of(name), election.stamp(now, name))
             else {
                 // It was not heard of yet.
                 (turn.ask_at, turn.keep_at) = (now + AGAIN, now + AGAIN);
@@ -235,7 +239,7 @@
                         } else {
                             AGAIN
                         };
-                    self.put_spared(office, name, act, kind, sends);
+                    self.put_spared(election, name, act, kind, sends);
                 } else {
                     turn.ask_at = now + SELDOM;
                 }
@@ -260,19 +264,19 @@
                     false if turn.kept > 2 => SELDOM.min(period),
                     false => AGAIN,
                 };
-            // A lease counts from when the door was last heard, on both clocks. Where another process of this name may
+            // A lease counts from when the gateway was last heard, on both clocks. Where another process of this name may
             // keep, this one learns the map alone.
             let over = heard + self.keep;
-            let until = match term.ledger.may_give(now, name, life) {
+            let until = match term.ledger.may_give(now, name, incarnation) {
                 true if now < over => {
-                    term.ledger.give(name, life, over);
+                    term.ledger.give(name, incarnation, over);
                     tick.saturating_add(shorter(self.keep))
                 }
                 _ => 0,
             };
             let waits = term.waits.0.clone();
             self.put_spared(
-                office,
+                election,
                 name,
                 act,
                 Kind::Keep {
--- a/gateway-cluster/src/shards/keeping/mod.rs
+++ b/gateway-cluster/src/shards/node/mod.rs
@@ -1,9 +1,9 @@
-//! One door's part in the shard map: as an acceptor it helps to decide maps, as a keeper it keeps what it has a lease
-//! for, and as the owner it decides the next map and gives the leases.
+//! One gateway's part in the shard map: as an acceptor it helps to decide maps, as an owner it keeps what it has a lease
+//! for, and as the leader it decides the next map and gives the leases.
 //!
-//! An owner that begins asks what there is ([`super::decide`]), and gives no lease before it knows: what a majority may have
-//! accepted it finishes first. From then on each door is told the map in force with a keep lease ([`super::keep`]), again and
-//! again; by taking a map over a door lets go of what that map gives to others. The next map is proposed once every
+//! A leader that begins asks what there is ([`super::decide`]), and gives no lease before it knows: what a majority may have
+//! accepted it finishes first. From then on each gateway is told the map in force with a keep lease ([`super::keep`]), again and
+//! again; by taking a map over a gateway lets go of what that map gives to others. The next map is proposed once every
 //! range of the last one is where it belongs.
 
 mod acceptance;
@@ -13,103 +13,109 @@
 mod planning;
 mod proposals;
 mod sending;
-mod standing;
+mod status;
 mod term;
 
-pub use sending::{least_lease, period};
-pub use standing::{Next, Proposal, Standing};
+pub use sending::{min_lease, period};
+pub use status::{PendingChange, ProposalStatus, ShardMapStatus};
 
-use super::decide::{Acceptor, Named};
-use super::keep::{Hand, Ledger, KEEP_LEASES};
-use super::map::{Hash, Key, Map, Range};
-use super::wire::{Datagram, Kind, State};
-use super::{Door, FleetState, Limits};
-use crate::budget::Bucket;
-use crate::engine::Micros;
-use crate::names::{id_of, Id};
-use crate::ownership::office::{Office, Send, Stamp};
-use crate::ownership::{longer, Fence};
+use super::consensus::{Acceptor, MapId};
+use super::leases::{GrantedLeases, LocalShards, SHARD_LEASE_FACTOR};
+use super::map::{Key, MapHash, ShardMap, ShardRange};
+use super::wire::{Datagram, Kind, ProposalState};
+use super::{ClusterState, Limits, PeerCondition};
+use crate::leadership::election::{LeaderElection, LeaseProof};
+use crate::leadership::{longer, FencingToken};
+use crate::peers::{peer_id_of, PeerId};
+use crate::protocol::{Micros, Transmit};
+use crate::token_bucket::TokenBucket;
 use fetching::Pull;
 use proposals::Offer;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use sending::{BURST, BURST_BYTES, BYTES_PER_SECOND, LOOK, MOST_NOTES, PER_SECOND};
+use sending::{BURST, BURST_BYTES, BYTES_PER_SECOND, LOOK, MAX_EVENTS, PER_SECOND};
 use std::collections::{BTreeMap, VecDeque};
 use term::{Stage, Term};
 
-/// How long an owner waits for more changes of the view.
+/// How long a leader waits for more changes of the view.
 const TOGETHER: Micros = 300_000;
 
-/// What a door's part begins with.
+/// What a gateway's part begins with.
 #[derive(Debug, Clone, Default)]
-pub struct Settings {
+pub struct ShardMapSettings {
     /// Ranges of a first map.
     pub count: usize,
-    /// What staff propose by this door's file: to replace the map of this version by one of these ranges.
-    pub proposal: Option<(u64, Vec<Range>)>,
+    /// What operators propose by this gateway's file: to replace the map of this version by one of these ranges.
+    pub proposal: Option<(u64, Vec<ShardRange>)>,
 }
 
-/// Something that staff should know.
+/// Something that operators should know.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Note {
+pub enum ShardMapEvent {
     /// A map is in force here: its version and its hash.
-    InForce(u64, Hash),
-    /// This door had a map of another history: the version that it had, and the one that it takes over.
+    InForce(u64, MapHash),
+    /// This gateway had a map of another history: the version that it had, and the one that it takes over.
     OtherHistory(u64, u64),
     /// A map that was proposed is refused, at first because of this.
     Refused(String),
-    /// All ranges of the map of this version are with their keepers.
+    /// All ranges of the map of this version are with their owners.
     Moved(u64),
 }
 
-/// One door's part.
+/// One gateway's part.
 #[derive(Debug)]
-pub struct Keeping {
-    me: Id,
+pub struct ShardMapNode {
+    me: PeerId,
     name: String,
-    life: u64,
+    incarnation: u64,
     born: Micros,
     keep: Micros,
     count: usize,
     limits: Limits,
-    fleet: FleetState,
+    cluster: ClusterState,
     acceptor: Acceptor,
-    hand: Hand,
+    hand: LocalShards,
     hushed: bool,
-    map: Option<Map>,
-    previous: Option<Map>,
-    shelf: VecDeque<Map>,
+    map: Option<ShardMap>,
+    previous: Option<ShardMap>,
+    shelf: VecDeque<ShardMap>,
     pulls: Vec<Pull>,
     stash: VecDeque<Datagram>,
     offer: Option<Offer>,
     /// Lives that have kept, and said that they go, with when that came.
-    departed: BTreeMap<Id, (u64, Micros)>,
+    departed: BTreeMap<PeerId, (u64, Micros)>,
     term: Option<Term>,
-    budget: Bucket,
-    bytes: Bucket,
+    budget: TokenBucket,
+    bytes: TokenBucket,
     next: Micros,
     rng: Pcg64Mcg,
-    notes: VecDeque<Note>,
-    /// Datagrams that make no sense, and those of names that no roster here has.
+    notes: VecDeque<ShardMapEvent>,
+    /// Datagrams that make no sense, and those of names that no peer set here has.
     pub dropped: (u64, u64),
     /// Datagrams sent, and their bytes without headers.
     pub sent: (u64, u64),
 }
 
-impl Keeping {
-    /// A new life that knows nothing. `lease` is the office's.
-    pub fn new(now: Micros, name: &str, lease: Micros, settings: Settings, seed: u64) -> Keeping {
-        let mut keeping = Keeping {
-            me: id_of(name),
+impl ShardMapNode {
+    /// A new incarnation that knows nothing. `lease` is the leadership's.
+    pub fn new(
+        now: Micros,
+        name: &str,
+        lease: Micros,
+        settings: ShardMapSettings,
+        seed: u64,
+    ) -> ShardMapNode {
+        let mut shard_map = ShardMapNode {
+            me: peer_id_of(name),
             name: name.to_string(),
-            life: 0,
+            incarnation: 0,
             born: now,
-            keep: KEEP_LEASES * lease,
+            keep: SHARD_LEASE_FACTOR * lease,
             count: settings.count,
             limits: Limits::default(),
-            fleet: FleetState::default(),
+            cluster: ClusterState::default(),
             acceptor: Acceptor::default(),
-            hand: Hand::default(),
+            hand: LocalShards::default(),
             hushed: false,
             map: None,
             previous: None,
@@ -119,8 +125,8 @@
             offer: None,
             departed: BTreeMap::new(),
             term: None,
-            budget: Bucket::full(now, BURST, PER_SECOND),
-            bytes: Bucket::full(now, BURST_BYTES, BYTES_PER_SECOND),
+            budget: TokenBucket::full(now, BURST, PER_SECOND),
+            bytes: TokenBucket::full(now, BURST_BYTES, BYTES_PER_SECOND),
             next: now,
             rng: Pcg64Mcg::seed_from_u64(seed),
             notes: VecDeque::new(),
@@ -128,14 +134,14 @@
             sent: (0, 0),
         };
         if let Some((expect, ranges)) = settings.proposal {
-            keeping.propose(now, expect, ranges);
+            shard_map.propose(now, expect, ranges);
         }
-        keeping
+        shard_map
     }
 
-    /// What the view holds of the roster's names.
-    pub fn advise(&mut self, now: Micros, doors: BTreeMap<String, Door>) {
-        self.fleet.doors = doors;
+    /// What the view holds of the peer set's names.
+    pub fn on_membership_change(&mut self, now: Micros, gateways: BTreeMap<String, PeerCondition>) {
+        self.cluster.gateways = gateways;
         if let Some(term) = self.term.as_mut().filter(|term| term.look_at <= now) {
             // Where one falls others may fall with it: they go in one map.
             term.look_at = now + TOGETHER;
@@ -143,7 +149,7 @@
         self.next = self.next.min(now);
     }
 
-    /// The keys that this door keeps at this moment, from and up to.
+    /// The keys that this gateway keeps at this moment, from and up to.
     pub fn mine(&self, now: Micros) -> Vec<(Key, Key)> {
         let Some(map) = self.map.as_ref().filter(|_| !self.hushed) else {
             return Vec::new();
@@ -151,66 +157,66 @@
         self.hand.mine(now, &self.name, map, self.previous.as_ref())
     }
 
-    /// Whether this door keeps a key at this moment.
+    /// Whether this gateway keeps a key at this moment.
     pub fn keeps(&self, now: Micros, key: Key) -> bool {
         self.fence_of(now, key).is_some()
     }
 
-    /// The fencing token that goes with what this door does as a keeper of a key at this moment; none if it does not
+    /// The fencing token that goes with what this gateway does as an owner of a key at this moment; none if it does not
     /// keep it.
-    pub fn fence_of(&self, now: Micros, key: Key) -> Option<Fence> {
+    pub fn fence_of(&self, now: Micros, key: Key) -> Option<FencingToken> {
         let map = self
             .map
             .as_ref()
-            .filter(|map| map.keeper_of(key) == Some(&self.name))?;
+            .filter(|map| map.owner_of(key) == Some(&self.name))?;
         let mine = self.mine(now);
         let place = mine.partition_point(|(_, to)| *to <= key);
         let keeps = mine.get(place).is_some_and(|(from, _)| *from <= key);
-        keeps.then_some(Fence {
+        keeps.then_some(FencingToken {
             epoch: map.epoch,
             version: map.version,
         })
     }
 
-    /// The map in force, as far as this door knows.
-    pub fn map(&self) -> Option<&Map> {
+    /// The map in force, as far as this gateway knows.
+    pub fn map(&self) -> Option<&ShardMap> {
         self.map.as_ref()
     }
 
     /// Its version and its hash.
-    pub fn in_force(&self) -> Option<(u64, Hash)> {
+    pub fn in_force(&self) -> Option<(u64, MapHash)> {
         self.acceptor.in_force().map(|map| (map.version, map.hash))
     }
 
     /// The oldest thing to tell that was not taken yet.
-    pub fn take_note(&mut self) -> Option<Note> {
+    pub fn next_event(&mut self) -> Option<ShardMapEvent> {
         self.notes.pop_front()
     }
 
-    /// When [`Keeping::wake`] is wanted.
-    pub fn due(&self) -> Micros {
+    /// When [`ShardMapNode::on_timer`] is wanted.
+    pub fn next_wakeup(&self) -> Micros {
         self.next
     }
 
-    /// The term in which this door rules.
+    /// The epoch in which this gateway rules.
     pub fn term(&self) -> Option<u64> {
         self.term.as_ref().map(|term| term.epoch)
     }
 
-    /// This door lets go of all that it keeps, tells so, and takes no part any more. To be called before the office
+    /// This gateway lets go of all that it keeps, tells so, and takes no part any more. To be called before leadership
     /// leaves.
-    pub fn leave(&mut self, now: Micros, office: &Office, sends: &mut Vec<Send>) {
-        self.life = office.life();
+    pub fn leave(&mut self, now: Micros, election: &LeaderElection, sends: &mut Vec<Transmit>) {
+        self.incarnation = election.incarnation();
         let held = self.hand.has_held() && !self.hushed;
         self.hush();
         if held {
-            let owner = office.standing(now).owner;
+            let leader = election.status(now).leader;
             // Whoever owns next has to know as well.
-            let mut told = office.names();
-            told.extend(owner);
+            let mut told = election.names();
+            told.extend(leader);
             told.retain(|name| *name != self.me);
             for to in told {
-                self.put(office, to, None, Kind::Left, sends);
+                self.put(election, to, None, Kind::Left, sends);
             }
         }
     }
@@ -230,38 +236,43 @@
     }
 
     /// Something is due, or past that.
-    pub fn wake(&mut self, now: Micros, office: &mut Office, sends: &mut Vec<Send>) {
-        self.follow(now, office);
+    pub fn on_timer(
+        &mut self,
+        now: Micros,
+        election: &mut LeaderElection,
+        sends: &mut Vec<Transmit>,
+    ) {
+        self.follow(now, election);
         if self.hushed {
             return;
         }
         self.fill(now);
-        self.pull_on(now, office, sends);
-        self.offer_on(now, office, sends);
+        self.pull_on(now, election, sends);
+        self.offer_on(now, election, sends);
         if let Some(mut term) = self.term.take() {
-            self.rule(now, &mut term, office, sends);
+            self.rule(now, &mut term, election, sends);
             self.term = Some(term);
         }
         self.set_next(now);
     }
 
-    /// Goes by what the office says at this moment.
-    fn follow(&mut self, now: Micros, office: &Office) {
-        match (office.is_hushed(), self.hushed) {
+    /// Goes by what leadership says at this moment.
+    fn follow(&mut self, now: Micros, election: &LeaderElection) {
+        match (election.is_hushed(), self.hushed) {
             (true, false) => self.hush(),
             (false, true) => self.resume(now),
             _ => {}
         }
-        self.life = office.life();
-        let epoch = office.epoch(now);
+        self.incarnation = election.incarnation();
+        let epoch = election.epoch(now);
         if epoch == self.term() {
             return;
         }
         self.term = epoch.map(|epoch| {
-            let mut ledger = Ledger::new(now, self.keep);
-            for (name, (life, at)) in &self.departed {
+            let mut ledger = GrantedLeases::new(now, self.keep);
+            for (name, (incarnation, at)) in &self.departed {
                 if now < at + self.keep {
-                    ledger.left(now, *name, *life);
+                    ledger.left(now, *name, *incarnation);
                 }
             }
             Term {
@@ -283,29 +294,29 @@
     }
 
     /// A datagram has come.
-    pub fn receive(
+    pub fn on_datagram(
         &mut self,
         now: Micros,
         bytes: &[u8],
-        office: &mut Office,
-        sends: &mut Vec<Send>,
+        election: &mut LeaderElection,
+        sends: &mut Vec<Transmit>,
     ) {
         let Some(datagram) = Datagram::decode(bytes) else {
             self.dropped.0 += 1;
             return;
         };
-        if datagram.from == self.me || !office.names().contains(&datagram.from) {
+        if datagram.from == self.me || !election.names().contains(&datagram.from) {
             self.dropped.1 += 1;
             return;
         }
-        self.follow(now, office);
+        self.follow(now, election);
         if self.hushed {
             return;
         }
         self.fill(now);
-        self.handle(now, datagram, office, sends);
+        self.handle(now, datagram, election, sends);
         if let Some(mut term) = self.term.take() {
-            self.rule(now, &mut term, office, sends);
+            self.rule(now, &mut term, election, sends);
             self.term = Some(term);
         }
         self.set_next(now);
@@ -315,13 +326,13 @@
         &mut self,
         now: Micros,
         datagram: Datagram,
-        office: &mut Office,
-        sends: &mut Vec<Send>,
+        election: &mut LeaderElection,
+        sends: &mut Vec<Transmit>,
     ) {
         let Datagram {
             from,
-            life,
-            to_life,
+            incarnation,
+            to_incarnation,
             stamp,
             ref kind,
         } = datagram;
@@ -331,52 +342,54 @@
                     self.dropped.0 += 1;
                     return;
                 };
-                if office
+                if election
                     .admit(
                         now,
                         from,
-                        Stamp {
+                        LeaseProof {
                             epoch,
-                            to_life,
+                            to_incarnation,
                             until,
                         },
                     )
                     .is_ok()
                 {
-                    self.act(now, epoch, datagram, office, sends);
+                    self.act(now, epoch, datagram, election, sends);
                 }
                 return;
             }
-            Kind::Fetch(hash, part) => return self.send_part((from, life), *hash, *part, sends),
+            Kind::Fetch(hash, part) => {
+                return self.send_part((from, incarnation), *hash, *part, sends)
+            }
             Kind::Left => {
-                // It is true of that life, whoever is told.
-                self.departed.insert(from, (life, now));
+                // It is true of that incarnation, whoever is told.
+                self.departed.insert(from, (incarnation, now));
                 if let Some(term) = &mut self.term {
-                    term.ledger.left(now, from, life);
+                    term.ledger.left(now, from, incarnation);
                 }
                 return;
             }
-            _ if to_life != self.life => return,
-            Kind::Part { .. } => return self.take_part(now, datagram, office, sends),
+            _ if to_incarnation != self.incarnation => return,
+            Kind::Part { .. } => return self.take_part(now, datagram, election, sends),
             Kind::Answer {
                 hash,
                 state,
                 findings,
             } => return self.answered(*hash, *state, findings.clone()),
             Kind::Offer(hash) if self.term.is_some() && self.find(*hash).is_none() => {
-                return self.pull(now, *hash, datagram, office, sends);
+                return self.pull(now, *hash, datagram, election, sends);
             }
             _ => {}
         }
         let Some(mut term) = self.term.take() else {
             return;
         };
-        self.hear(now, &mut term, datagram, office, sends);
+        self.hear(now, &mut term, datagram, election, sends);
         self.term = Some(term);
     }
 
-    fn note(&mut self, note: Note) {
-        if self.notes.len() < MOST_NOTES && self.notes.back() != Some(&note) {
+    fn note(&mut self, note: ShardMapEvent) {
+        if self.notes.len() < MAX_EVENTS && self.notes.back() != Some(&note) {
             self.notes.push_back(note);
         }
     }
@@ -391,7 +404,7 @@
         if let Some(offer) = self
             .offer
             .as_ref()
-            .filter(|offer| offer.state == State::Waiting)
+            .filter(|offer| offer.state == ProposalState::Waiting)
         {
             next = next.min(offer.at);
         }
@@ -405,7 +418,7 @@
                 .waits
                 .1
                 .iter()
-                .map(|name| now + term.ledger.left_of(now, id_of(name)));
+                .map(|name| now + term.ledger.left_of(now, peer_id_of(name)));
             next = ends.fold(next, Micros::min);
             let mut other = vec![term.ledger.unknown_until(), self.born + longer(self.keep)];
             if let Stage::Learning(answers) = &term.stage {
@@ -416,13 +429,13 @@
                 .filter(|at| *at > now)
                 .fold(next, Micros::min);
         }
-        // Without a budget, or where a door was not heard of yet, it is looked at again soon.
+        // Without a budget, or where a gateway was not heard of yet, it is looked at again soon.
         self.next = next.max(now + 10_000);
     }
 }
 
-fn named(map: &Map) -> Named {
-    Named {
+fn named(map: &ShardMap) -> MapId {
+    MapId {
         epoch: map.epoch,
         version: map.version,
         hash: map.hash(),
--- a/gateway-cluster/src/shards/keeping/proposals.rs
+++ b/gateway-cluster/src/shards/node/proposals.rs
@@ -1,35 +1,35 @@
-//! What staff propose: carried to the owner by the door that has it, and taken in by the owner.
+//! What operators propose: carried to the leader by the gateway that has it, and taken in by the leader.
 
 use super::sending::SELDOM;
 use super::term::{Offered, Term};
-use super::Keeping;
-use crate::engine::Micros;
-use crate::ownership::office::{Office, Send};
+use super::ShardMapNode;
+use crate::leadership::election::LeaderElection;
+use crate::protocol::{Micros, Transmit};
 use crate::shards::finding::Finding;
-use crate::shards::map::{Hash, Map, Range};
+use crate::shards::map::{MapHash, ShardMap, ShardRange};
 use crate::shards::validate;
-use crate::shards::wire::{pack, Kind, State, Told, MOST_PARTS, PART};
+use crate::shards::wire::{pack, FindingReport, Kind, ProposalState, MAX_CHUNKS, PART};
 
-/// Proposals of staff that an owner remembers.
+/// Proposals of operators that a leader remembers.
 const OFFERS: usize = 16;
 
-/// What staff propose here.
+/// What operators propose here.
 #[derive(Debug)]
 pub(super) struct Offer {
-    pub(super) map: Map,
-    pub(super) hash: Hash,
-    pub(super) state: State,
-    pub(super) findings: Vec<Told>,
+    pub(super) map: ShardMap,
+    pub(super) hash: MapHash,
+    pub(super) state: ProposalState,
+    pub(super) findings: Vec<FindingReport>,
     pub(super) at: Micros,
 }
 
-impl Keeping {
-    /// Staff propose to replace the map of version `expect` by one of these ranges. It takes the place of an earlier
+impl ShardMapNode {
+    /// operators propose to replace the map of version `expect` by one of these ranges. It takes the place of an earlier
     /// proposal.
-    pub fn propose(&mut self, now: Micros, expect: u64, ranges: Vec<Range>) {
-        let map = Map {
+    pub fn propose(&mut self, now: Micros, expect: u64, ranges: Vec<ShardRange>) {
+        let map = ShardMap {
             version: expect.saturating_add(1),
-            parent: Hash::NONE,
+            parent: MapHash::NONE,
             epoch: 0,
             ranges,
         };
@@ -37,7 +37,7 @@
         if self
             .offer
             .as_ref()
-            .is_some_and(|offer| offer.hash == hash && offer.state != State::Refused)
+            .is_some_and(|offer| offer.hash == hash && offer.state != ProposalState::Refused)
         {
             return;
         }
@@ -47,14 +47,14 @@
         };
         // One that is too large for datagrams is not sent at all.
         let too_large =
-            map.ranges.len() > self.limits.ranges || pack(&map).len() > MOST_PARTS * PART;
+            map.ranges.len() > self.limits.ranges || pack(&map).len() > MAX_CHUNKS * PART;
         let state = if too_large {
-            State::Refused
+            ProposalState::Refused
         } else {
-            State::Waiting
+            ProposalState::Waiting
         };
         let findings = if too_large {
-            vec![Told::from(&size)]
+            vec![FindingReport::from(&size)]
         } else {
             Vec::new()
         };
@@ -68,17 +68,22 @@
         self.next = self.next.min(now);
     }
 
-    /// Carries what staff propose to the owner.
-    pub(super) fn offer_on(&mut self, now: Micros, office: &Office, sends: &mut Vec<Send>) {
+    /// Carries what operators propose to the leader.
+    pub(super) fn offer_on(
+        &mut self,
+        now: Micros,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
+    ) {
         let Some(offer) = &mut self.offer else { return };
-        if offer.state != State::Waiting || now < offer.at {
+        if offer.state != ProposalState::Waiting || now < offer.at {
             return;
         }
         offer.at = now + SELDOM;
         let hash = offer.hash;
         let map = offer.map.clone();
-        match office.standing(now).owner {
-            Some(owner) if owner == self.me => {
+        match election.status(now).leader {
+            Some(leader) if leader == self.me => {
                 if let Some(mut term) = self.term.take() {
                     let answer = Self::offered(now, &mut term, hash, &map);
                     self.term = Some(term);
@@ -87,29 +92,34 @@
                     }
                 }
             }
-            Some(owner) => self.put(office, owner, None, Kind::Offer(hash), sends),
+            Some(leader) => self.put(election, leader, None, Kind::Offer(hash), sends),
             None => {}
         }
     }
 
-    pub(super) fn answered(&mut self, hash: Hash, state: State, findings: Vec<Told>) {
+    pub(super) fn answered(
+        &mut self,
+        hash: MapHash,
+        state: ProposalState,
+        findings: Vec<FindingReport>,
+    ) {
         let Some(offer) = self.offer.as_mut().filter(|offer| offer.hash == hash) else {
             return;
         };
-        if offer.state != State::Waiting {
+        if offer.state != ProposalState::Waiting {
             return;
         }
         (offer.state, offer.findings) = (state, findings);
-        if state == State::Refused {
-            // An answer has room for a few: this door finds all itself, if it knows the same.
+        if state == ProposalState::Refused {
+            // An answer has room for a few: this gateway finds all itself, if it knows the same.
             let Some(old) = &self.map else { return };
-            let map = Map {
+            let map = ShardMap {
                 parent: old.hash(),
                 epoch: old.epoch,
                 ..offer.map.clone()
             };
-            let found = validate(Some(old), &map, &self.fleet, &self.limits);
-            let told: Vec<Told> = found.iter().map(Told::from).collect();
+            let found = validate(Some(old), &map, &self.cluster, &self.limits);
+            let told: Vec<FindingReport> = found.iter().map(FindingReport::from).collect();
             if offer
                 .findings
                 .iter()
@@ -120,22 +130,22 @@
         }
     }
 
-    /// What has become of a proposal at the owner, which takes it in if it is new. `None` while it cannot say.
+    /// What has become of a proposal at the leader, which takes it in if it is new. `None` while it cannot say.
     pub(super) fn offered(
         now: Micros,
         term: &mut Term,
-        hash: Hash,
-        map: &Map,
-    ) -> Option<(State, Vec<Told>)> {
+        hash: MapHash,
+        map: &ShardMap,
+    ) -> Option<(ProposalState, Vec<FindingReport>)> {
         let current = term.current.as_ref().filter(|_| term.ruling)?;
         if current.ranges == map.ranges && current.version >= map.version {
-            return Some((State::InForce, Vec::new()));
+            return Some((ProposalState::InForce, Vec::new()));
         }
         if let Some(place) = term.offers.iter().position(|offered| offered.hash == hash) {
             let known = term.offers.get(place)?;
             let answer = (known.state, known.findings.clone());
-            if known.state == State::Refused {
-                // Staff may propose it again once what was wrong is mended.
+            if known.state == ProposalState::Refused {
+                // operators may propose it again once what was wrong is mended.
                 term.offers.remove(place);
             }
             return Some(answer);
@@ -145,13 +155,13 @@
             let over = term
                 .offers
                 .iter()
-                .position(|offered| offered.state != State::Waiting)?;
+                .position(|offered| offered.state != ProposalState::Waiting)?;
             term.offers.remove(over);
         }
         term.offers.push_back(Offered {
             hash,
             map: map.clone(),
-            state: State::Waiting,
+            state: ProposalState::Waiting,
             findings: Vec::new(),
         });
         term.look_at = now;
--- a/gateway-cluster/src/shards/keeping/sending.rs
+++ b/gateway-cluster/src/shards/node/sending.rs
@@ -1,14 +1,14 @@
 //! The budget of datagrams and bytes, the times between them, and how one is sent.
 
-use super::Keeping;
-use crate::engine::Micros;
-use crate::names::Id;
-use crate::ownership::office::{renewal, Office, Send};
+use super::ShardMapNode;
+use crate::leadership::election::{renewal, LeaderElection};
+use crate::peers::PeerId;
+use crate::protocol::{Micros, Transmit};
 use crate::shards::wire::{Datagram, Kind};
-use crate::wire::HEADERS;
+use crate::wire::HEADER_BYTES;
 
 /// What is sent in any second: the bucket's size and its rate, in datagrams and in bytes with headers. Beside the
-/// office's that is what an owner may send in all.
+/// leadership's that is what a leader may send in all.
 pub(super) const BURST: f64 = 25.0;
 pub(super) const PER_SECOND: f64 = 45.0;
 pub(super) const BURST_BYTES: f64 = 9_000.0;
@@ -21,11 +21,11 @@
 pub(super) const SELDOM: Micros = 500_000;
 /// Bytes of a datagram around what is told of its size, with headers, at most.
 pub(super) const AROUND: usize = 150;
-/// After how long an owner that found nothing to change looks again.
+/// After how long a leader that found nothing to change looks again.
 pub(super) const LOOK: Micros = 500_000;
-pub(super) const MOST_NOTES: usize = 256;
+pub(super) const MAX_EVENTS: usize = 256;
 
-impl Keeping {
+impl ShardMapNode {
     pub(super) fn fill(&mut self, now: Micros) {
         self.budget.fill(now);
         self.bytes.fill(now);
@@ -38,60 +38,60 @@
 
     pub(super) fn put(
         &mut self,
-        office: &Office,
-        to: Id,
+        election: &LeaderElection,
+        to: PeerId,
         stamp: Option<(u64, u64)>,
         kind: Kind,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<Transmit>,
     ) {
-        let to_life = office.clock_of(to).map_or(0, |clock| clock.0);
-        self.put_to((to, to_life), stamp, kind, sends);
+        let to_incarnation = election.clock_of(to).map_or(0, |clock| clock.0);
+        self.put_to((to, to_incarnation), stamp, kind, sends);
     }
 
     pub(super) fn put_to(
         &mut self,
-        (to, to_life): (Id, u64),
+        (to, to_incarnation): (PeerId, u64),
         stamp: Option<(u64, u64)>,
         kind: Kind,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<Transmit>,
     ) {
         let bytes = Datagram {
             from: self.me,
-            life: self.life,
-            to_life,
+            incarnation: self.incarnation,
+            to_incarnation,
             stamp,
             kind,
         }
         .encode();
         self.budget.take(1.0);
-        self.bytes.take((bytes.len() + HEADERS) as f64);
+        self.bytes.take((bytes.len() + HEADER_BYTES) as f64);
         self.sent.0 += 1;
         self.sent.1 += bytes.len() as u64;
-        sends.push(Send { to, bytes });
+        sends.push(Transmit { to, bytes });
     }
 
     /// Sends if the budget allows it.
     pub(super) fn put_spared(
         &mut self,
-        office: &Office,
-        to: Id,
+        election: &LeaderElection,
+        to: PeerId,
         stamp: Option<(u64, u64)>,
         kind: Kind,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<Transmit>,
     ) {
         if self.has_room(AROUND, 0.0) {
-            self.put(office, to, stamp, kind, sends);
+            self.put(election, to, stamp, kind, sends);
         }
     }
 }
 
-/// The time from one keep lease of a door to the next in calm.
+/// The time from one keep lease of a gateway to the next in calm.
 pub fn period(lease: Micros, others: usize) -> Micros {
     (2 * renewal(lease, others)).max(others as Micros * 1_000_000 / KEEPS_PER_SECOND)
 }
 
-/// The shortest lease of the office with which an owner can renew the keep leases of so many others: one is given each
-/// period, from when the door was last heard, and one that is lost has no other in time.
-pub fn least_lease(others: usize) -> Micros {
+/// The shortest lease of leadership with which a leader can renew the keep leases of so many others: one is given each
+/// period, from when the gateway was last heard, and one that is lost has no other in time.
+pub fn min_lease(others: usize) -> Micros {
     (period(0, others) + renewal(0, others)) * 6 / 10
 }
--- a/gateway-cluster/src/shards/keeping/standing.rs
+++ b/gateway-cluster/src/shards/node/status.rs
@@ -1,18 +1,18 @@
-//! What staff are told of the map in force, a change that is under way and a proposal of theirs.
+//! What operators are told of the map in force, a change that is under way and a proposal of theirs.
 
 use super::proposals::Offer;
 use super::term::Stage;
-use super::Keeping;
-use crate::engine::Micros;
-use crate::names::{id_of, Id};
-use crate::ownership::longer;
-use crate::shards::map::{Hash, Key, Map};
-use crate::shards::wire::{State, Told};
+use super::ShardMapNode;
+use crate::leadership::longer;
+use crate::peers::{peer_id_of, PeerId};
+use crate::protocol::Micros;
+use crate::shards::map::{Key, MapHash, ShardMap};
+use crate::shards::wire::{FindingReport, ProposalState};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// A change that is under way.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Next {
+pub struct PendingChange {
     /// The version that it goes to.
     pub version: u64,
     /// Whose answer or release it waits for.
@@ -21,51 +21,51 @@
     pub at_most: Option<Micros>,
 }
 
-/// A proposal of staff at this door.
+/// A proposal of operators at this gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Proposal {
+pub struct ProposalStatus {
     /// Its state.
-    pub state: State,
+    pub state: ProposalState,
     /// The version that it is to be.
     pub version: u64,
     /// Why it was refused.
-    pub findings: Vec<Told>,
+    pub findings: Vec<FindingReport>,
 }
 
-/// What staff are told.
+/// What operators are told.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Standing {
+pub struct ShardMapStatus {
     /// The version of the map in force; 0 without one.
     pub version: u64,
-    /// The term that made it.
+    /// The epoch that made it.
     pub epoch: u64,
     /// Its hash.
-    pub hash: Hash,
+    pub hash: MapHash,
     /// The hash of the map before it.
-    pub parent: Hash,
+    pub parent: MapHash,
     /// How many ranges it has.
     pub ranges: usize,
-    /// How many of them each door has.
+    /// How many of them each gateway has.
     pub kept: BTreeMap<String, usize>,
-    /// The keys that this door keeps now, from and up to.
+    /// The keys that this gateway keeps now, from and up to.
     pub mine: Vec<(Key, Key)>,
     /// A change that is under way.
-    pub next: Option<Next>,
-    /// What staff have proposed at this door.
-    pub proposal: Proposal,
+    pub next: Option<PendingChange>,
+    /// What operators have proposed at this gateway.
+    pub proposal: ProposalStatus,
 }
 
-impl Keeping {
-    /// What staff are told. True at this moment.
-    pub fn standing(&self, now: Micros) -> Standing {
+impl ShardMapNode {
+    /// What operators are told. True at this moment.
+    pub fn status(&self, now: Micros) -> ShardMapStatus {
         let map = self.map.as_ref();
         let mut kept = BTreeMap::new();
         for range in map.into_iter().flat_map(|map| &map.ranges) {
-            *kept.entry(range.keeper.clone()).or_default() += 1;
+            *kept.entry(range.owner.clone()).or_default() += 1;
         }
         let proposal = match &self.offer {
-            None => Proposal {
-                state: State::None,
+            None => ProposalStatus {
+                state: ProposalState::None,
                 version: 0,
                 findings: Vec::new(),
             },
@@ -74,17 +74,17 @@
                 map,
                 findings,
                 ..
-            }) => Proposal {
+            }) => ProposalStatus {
                 state: *state,
                 version: map.version,
                 findings: findings.clone(),
             },
         };
-        Standing {
+        ShardMapStatus {
             version: map.map_or(0, |map| map.version),
             epoch: map.map_or(0, |map| map.epoch),
-            hash: map.map_or(Hash::NONE, Map::hash),
-            parent: map.map_or(Hash::NONE, |map| map.parent),
+            hash: map.map_or(MapHash::NONE, ShardMap::hash),
+            parent: map.map_or(MapHash::NONE, |map| map.parent),
             ranges: map.map_or(0, |map| map.ranges.len()),
             kept,
             mine: self.mine(now),
@@ -93,18 +93,19 @@
         }
     }
 
-    fn staged(&self, now: Micros) -> Option<Next> {
+    fn staged(&self, now: Micros) -> Option<PendingChange> {
         if let Some(term) = &self.term {
             if let Stage::Deciding(deciding) = &term.stage {
-                let answered =
-                    |id: &Id| deciding.accepted.contains(id) || deciding.refused.contains_key(id);
+                let answered = |id: &PeerId| {
+                    deciding.accepted.contains(id) || deciding.refused.contains_key(id)
+                };
                 let waits = self
-                    .fleet
-                    .doors
+                    .cluster
+                    .gateways
                     .keys()
-                    .filter(|name| !answered(&id_of(name)));
+                    .filter(|name| !answered(&peer_id_of(name)));
                 let waits_for = waits.cloned().collect();
-                return Some(Next {
+                return Some(PendingChange {
                     version: deciding.named.version,
                     waits_for,
                     at_most: None,
@@ -113,33 +114,33 @@
             let (marks, names) = &term.waits;
             let left = names
                 .iter()
-                .map(|name| term.ledger.left_of(now, id_of(name)))
+                .map(|name| term.ledger.left_of(now, peer_id_of(name)))
                 .max();
             let left = left.unwrap_or(term.ledger.unknown_until().saturating_sub(now));
             let version = term.current.as_ref().map_or(0, |map| map.version);
-            return (!marks.is_empty()).then(|| Next {
+            return (!marks.is_empty()).then(|| PendingChange {
                 version,
                 waits_for: names.clone(),
                 at_most: Some(left),
             });
         }
-        // What another door knows is what it waits for itself.
+        // What another gateway knows is what it waits for itself.
         let hold = self.hand.hold(now).filter(|hold| !hold.waits.is_empty())?;
         let map = self.map.as_ref()?;
         let mut waits_for = BTreeSet::new();
         for (number, range) in map.ranges.iter().enumerate() {
-            if range.keeper == self.name && hold.waits.has(number) {
+            if range.owner == self.name && hold.waits.has(number) {
                 let had = self.previous.iter().flat_map(|previous| &previous.ranges);
                 let had = had.filter(|had| had.from < range.to && range.from < had.to);
                 waits_for.extend(
-                    had.filter(|had| had.keeper != self.name)
-                        .map(|had| had.keeper.clone()),
+                    had.filter(|had| had.owner != self.name)
+                        .map(|had| had.owner.clone()),
                 );
             }
         }
         let waits_for: Vec<String> = waits_for.into_iter().collect();
         let at_most = Some(longer(self.keep));
-        (!waits_for.is_empty()).then_some(Next {
+        (!waits_for.is_empty()).then_some(PendingChange {
             version: map.version,
             waits_for,
             at_most,
