--- a/gateway-cluster/src/shards/keeping/term.rs
+++ b/gateway-cluster/src/shards/node/term.rs
@@ -1,21 +1,21 @@
-//! What an owner of the office knows during one term, and the changes of that state that need nothing else.
+//! What a leader of leadership knows during one epoch, and the changes of that state that need nothing else.
 
 use super::sending::LOOK;
-use crate::engine::Micros;
-use crate::names::{id_of, Id};
-use crate::shards::decide::{Answer, Ballot, Learned, Named};
-use crate::shards::keep::{waiting, Ledger, Marks};
-use crate::shards::map::{Hash, Map};
-use crate::shards::wire::{State, Told};
+use crate::peers::{peer_id_of, PeerId};
+use crate::protocol::Micros;
+use crate::shards::consensus::{AcceptorReport, Ballot, LearnedMap, MapId};
+use crate::shards::leases::{waiting, GrantedLeases, RangeSet};
+use crate::shards::map::{MapHash, ShardMap};
+use crate::shards::wire::{FindingReport, ProposalState};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What the owner is about.
+/// What the leader is about.
 #[derive(Debug)]
 pub(super) enum Stage {
     /// Asks what there is.
-    Learning(BTreeMap<Id, Heard>),
+    Learning(BTreeMap<PeerId, Heard>),
     /// Lacks maps that it has learned of, and who has them.
-    Gathering(Learned, Vec<Id>),
+    Gathering(LearnedMap, Vec<PeerId>),
     /// Proposes a map.
     Deciding(Box<Deciding>),
     /// Nothing is to be decided.
@@ -24,7 +24,7 @@
 
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Heard {
-    pub(super) answer: Answer,
+    pub(super) answer: AcceptorReport,
     pub(super) held: bool,
     /// What was given before it began is over then.
     pub(super) old_at: Micros,
@@ -32,26 +32,26 @@
 
 #[derive(Debug)]
 pub(super) struct Deciding {
-    pub(super) map: Map,
-    pub(super) named: Named,
+    pub(super) map: ShardMap,
+    pub(super) named: MapId,
     pub(super) finish: bool,
-    pub(super) accepted: BTreeSet<Id>,
-    pub(super) refused: BTreeMap<Id, Vec<Told>>,
-    /// It is this proposal of staff.
-    pub(super) offer: Option<Hash>,
+    pub(super) accepted: BTreeSet<PeerId>,
+    pub(super) refused: BTreeMap<PeerId, Vec<FindingReport>>,
+    /// It is this proposal of operators.
+    pub(super) offer: Option<MapHash>,
     pub(super) began: Micros,
 }
 
-/// A proposal of staff at the owner.
+/// A proposal of operators at the leader.
 #[derive(Debug)]
 pub(super) struct Offered {
-    pub(super) hash: Hash,
-    pub(super) map: Map,
-    pub(super) state: State,
-    pub(super) findings: Vec<Told>,
+    pub(super) hash: MapHash,
+    pub(super) map: ShardMap,
+    pub(super) state: ProposalState,
+    pub(super) findings: Vec<FindingReport>,
 }
 
-/// When a door is told something next.
+/// When a gateway is told something next.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct Turn {
     pub(super) ask_at: Micros,
@@ -60,23 +60,23 @@
     pub(super) kept: u32,
 }
 
-/// One term of this door as the owner.
+/// One epoch of this gateway as the leader.
 #[derive(Debug)]
 pub(super) struct Term {
     pub(super) epoch: u64,
     pub(super) elected: Micros,
     pub(super) attempt: u32,
-    pub(super) ledger: Ledger,
+    pub(super) ledger: GrantedLeases,
     pub(super) stage: Stage,
     /// It knows what is in force, and gives leases.
     pub(super) ruling: bool,
     /// Too few remember what they accepted.
     pub(super) anew: bool,
-    pub(super) current: Option<Map>,
-    pub(super) previous: Option<Map>,
+    pub(super) current: Option<ShardMap>,
+    pub(super) previous: Option<ShardMap>,
     /// Ranges that wait, and for whom; as of the last look.
-    pub(super) waits: (Marks, Vec<String>),
-    pub(super) turns: BTreeMap<Id, Turn>,
+    pub(super) waits: (RangeSet, Vec<String>),
+    pub(super) turns: BTreeMap<PeerId, Turn>,
     pub(super) offers: VecDeque<Offered>,
     pub(super) look_at: Micros,
 }
@@ -106,18 +106,18 @@
     }
 }
 
-/// Ranges of the owner's map that wait, and for whom.
-pub(super) fn waits(now: Micros, term: &Term) -> (Marks, Vec<String>) {
+/// Ranges of the leader's map that wait, and for whom.
+pub(super) fn waits(now: Micros, term: &Term) -> (RangeSet, Vec<String>) {
     let Some(current) = &term.current else {
         return Default::default();
     };
     match &term.previous {
         None if now < term.ledger.unknown_until() && current.version > 1 => {
             // It does not know who had what before: anybody may.
-            (Marks::of(current.ranges.len(), |_| true), Vec::new())
+            (RangeSet::of(current.ranges.len(), |_| true), Vec::new())
         }
         previous => {
-            let free = |name: &str| term.ledger.is_free(now, id_of(name), current.version);
+            let free = |name: &str| term.ledger.is_free(now, peer_id_of(name), current.version);
             let (marks, names) = waiting(current, previous.as_ref(), free);
             (marks, names.into_iter().map(String::from).collect())
         }
@@ -132,7 +132,12 @@
     term.hurry(now);
 }
 
-pub(super) fn finish_offer(term: &mut Term, hash: Hash, state: State, findings: Vec<Told>) {
+pub(super) fn finish_offer(
+    term: &mut Term,
+    hash: MapHash,
+    state: ProposalState,
+    findings: Vec<FindingReport>,
+) {
     if let Some(offered) = term.offers.iter_mut().find(|offered| offered.hash == hash) {
         (offered.state, offered.findings) = (state, findings);
     }
--- a/gateway-cluster/src/shards/plan.rs
+++ b/gateway-cluster/src/shards/plan.rs
@@ -1,6 +1,6 @@
 //! The next map, with least movement.
 //!
-//! * [`without`]: the keys of keepers that are gone move, each once, and no others. That is the least, as all
+//! * [`without`]: the keys of owners that are gone move, each once, and no others. That is the least, as all
 //!   of them have to.
 //! * [`joined`]: newcomers get no more than they lack to their even part, and each key that moves goes to one
 //!   of them, once. No map gives them the even part with fewer keys.
@@ -8,31 +8,31 @@
 //!
 //! Ranges stay cut as they are, since loads are told by range; they are cut further only where whole ones
 //! come out too uneven ([`SLACK_PARTS`]), and as far as [`Limits::ranges`] has room, for which neighbours
-//! with one keeper are joined.
+//! with one owner are joined.
 //!
 //! Each plan is put before [`validate`](super::validate()) before it is given out. All take the map in force,
-//! and give the one that follows it with the highest epoch known ([`FleetState::epoch`]), which is the
-//! owner's own as it plans.
+//! and give the one that follows it with the highest epoch known ([`ClusterState::epoch`]), which is the
+//! leader's own as it plans.
 
 use super::cover::{self, Span};
 use super::finding::Finding;
-use super::map::{Key, Map, Range};
-use super::{validate, FleetState, Limits};
+use super::map::{Key, ShardMap, ShardRange};
+use super::{validate, ClusterState, Limits};
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use thiserror::Error;
 
-/// Whole ranges are given out, and cuts spared, as long as that leaves keepers off by no more than the even
+/// Whole ranges are given out, and cuts spared, as long as that leaves owners off by no more than the even
 /// part by this.
 pub const SLACK_PARTS: u64 = 8;
 
-/// Load is evened where a keeper has more than this, in thousandths of the mean, and until none has more than
+/// Load is evened where an owner has more than this, in thousandths of the mean, and until none has more than
 /// [`STOP`].
 pub const START: u64 = 1250;
 /// Load is even enough. Loads that change by less than 6% after that do not reach [`START`], so nothing goes
 /// back and forth.
 pub const STOP: u64 = 1100;
-/// A move takes at least this much off the heavier of two keepers, in thousandths of the mean load.
+/// A move takes at least this much off the heavier of two owners, in thousandths of the mean load.
 pub const GAIN: u64 = 50;
 /// And at least this much for each even part of keys that it moves: a range with a tenth of the even part has
 /// to gain 25 thousandths of the mean, one with half of it 125.
@@ -40,7 +40,7 @@
 
 /// Why there is no plan.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
-pub enum NoPlan {
+pub enum PlanError {
     /// There is nobody to plan for.
     #[error("no door lives that could keep keys: start one that the roster names")]
     NobodyLives,
@@ -69,7 +69,7 @@
     Refused(Vec<Finding>),
 }
 
-/// Gives the keys of all keepers that are gone (dead, leaving, not in the roster) to the doors that live, and
+/// Gives the keys of all owners that are gone (dead, leaving, not in the peer set) to the gateways that live, and
 /// moves nothing else. None if nobody is gone.
 ///
 /// The lightest get them: none is lifted above the level to which these keys would fill up the lightest, like
@@ -81,25 +81,29 @@
 ///
 /// # Errors
 /// Where nobody lives, the map in force is not whole or the last one, or the plan would be refused.
-pub fn without(in_force: &Map, fleet: &FleetState, limits: &Limits) -> Result<Option<Map>, NoPlan> {
-    let mut draft = Draft::new(in_force, fleet, limits)?;
+pub fn without(
+    in_force: &ShardMap,
+    cluster: &ClusterState,
+    limits: &Limits,
+) -> Result<Option<ShardMap>, PlanError> {
+    let mut draft = Draft::new(in_force, cluster, limits)?;
     draft.make_room();
     let (gone, stays) = draft
         .ranges
         .drain(..)
-        .partition(|range| !fleet.is_alive(&range.keeper));
+        .partition(|range| !cluster.is_alive(&range.owner));
     draft.ranges = stays;
     if gone.is_empty() {
         return Ok(None);
     }
-    let keys = gone.iter().map(Range::keys).sum();
+    let keys = gone.iter().map(ShardRange::keys).sum();
     let most = level(draft.kept.values().copied(), keys).saturating_add(draft.slack());
     draft.hand_out(gone, most);
     draft.finish().map(Some)
 }
 
-/// Moves keys to newcomers until each has its even part, which is that of all keys by the doors that live. At
-/// most [`Limits::most_moved`] at once: asked again with what came into force, it goes on, and gives none
+/// Moves keys to newcomers until each has its even part, which is that of all keys by the gateways that live. At
+/// most [`Limits::max_moved`] at once: asked again with what came into force, it goes on, and gives none
 /// when it has come to its end. Names that do not live are no newcomers.
 ///
 /// In the end each has the even part, rounded down, or lacks at most an even part by [`SLACK_PARTS`], and
@@ -108,20 +112,20 @@
 ///
 /// # Errors
 /// Where nobody lives, the map in force is not whole or the last one, or the plan would be refused: so if a
-/// keeper is gone ([`without`] comes first).
+/// owner is gone ([`without`] comes first).
 pub fn joined<'a>(
-    in_force: &'a Map,
+    in_force: &'a ShardMap,
     newcomers: impl IntoIterator<Item = &'a str>,
-    fleet: &'a FleetState,
+    cluster: &'a ClusterState,
     limits: &'a Limits,
-) -> Result<Option<Map>, NoPlan> {
-    let mut draft = Draft::new(in_force, fleet, limits)?;
+) -> Result<Option<ShardMap>, PlanError> {
+    let mut draft = Draft::new(in_force, cluster, limits)?;
     let newcomers: BTreeSet<&str> = newcomers
         .into_iter()
-        .filter(|name| fleet.is_alive(name))
+        .filter(|name| cluster.is_alive(name))
         .collect();
     draft.make_room();
-    let mut left = limits.most_moved();
+    let mut left = limits.max_moved();
     let mut moved = false;
     // The lightest newcomer takes from the heaviest of the others, whole ranges first.
     while let Some((number, keys, to)) = draft
@@ -129,7 +133,7 @@
         .or_else(|| draft.part_for(&newcomers, left))
     {
         draft.split_off(number, keys);
-        draft.change_keeper(number, to);
+        draft.change_owner(number, to);
         left = left.saturating_sub(keys);
         moved = true;
     }
@@ -141,54 +145,54 @@
 
 /// Evens load, which is told for each range of the map in force, in any unit. None if nothing is worth a move.
 ///
-/// It begins only where the heaviest keeper has more than [`START`] of the mean, and goes on until it has no
+/// It begins only where the heaviest owner has more than [`START`] of the mean, and goes on until it has no
 /// more than [`STOP`]. A move takes a whole range from the heaviest to the lightest that may have it, the one
 /// that leaves the heavier of the two lightest, then the one with fewest keys. It has to gain [`GAIN`] and
 /// its [`PRICE`], both measured by what the heavier of the two loses. What is moving stays, nothing moves
-/// twice in one plan, and no more than [`Limits::most_moved`] in all.
+/// twice in one plan, and no more than [`Limits::max_moved`] in all.
 ///
 /// The sum of the squares of loads falls with each move, so with loads that stay nothing comes back. A single
-/// range with too much load stays where it is: cut it by a map of staff.
+/// range with too much load stays where it is: cut it by a map of operators.
 ///
 /// # Errors
 /// Where nobody lives, the map in force is not whole or the last one, loads are not one for each range, or
-/// the plan would be refused: so if a keeper is gone ([`without`] comes first).
+/// the plan would be refused: so if an owner is gone ([`without`] comes first).
 pub fn rebalance(
-    in_force: &Map,
+    in_force: &ShardMap,
     loads: &[u64],
-    fleet: &FleetState,
+    cluster: &ClusterState,
     limits: &Limits,
-) -> Result<Option<Map>, NoPlan> {
-    let mut draft = Draft::new(in_force, fleet, limits)?;
+) -> Result<Option<ShardMap>, PlanError> {
+    let mut draft = Draft::new(in_force, cluster, limits)?;
     if loads.len() != in_force.ranges.len() {
-        return Err(NoPlan::Loads {
+        return Err(PlanError::Loads {
             loads: loads.len(),
             ranges: in_force.ranges.len(),
         });
     }
-    let mut carried: BTreeMap<&str, u128> = fleet.living().map(|name| (name, 0)).collect();
+    let mut carried: BTreeMap<&str, u128> = cluster.living().map(|name| (name, 0)).collect();
     for (range, load) in in_force.ranges.iter().zip(loads) {
         // Whoever is gone has to go first, and `finish` says so.
-        *carried.entry(&range.keeper).or_default() += u128::from(*load);
+        *carried.entry(&range.owner).or_default() += u128::from(*load);
     }
-    let doors = carried.len() as u128;
+    let gateways = carried.len() as u128;
     let all: u128 = carried.values().sum();
-    // Loads come from other doors and may be any number: beyond all measure they are as good as equal.
+    // Loads come from other gateways and may be any number: beyond all measure they are as good as equal.
     let parts = |load: u128, parts: u64| {
-        load.saturating_mul(doors * 1000) >= all.saturating_mul(u128::from(parts))
+        load.saturating_mul(gateways * 1000) >= all.saturating_mul(u128::from(parts))
     };
     let even = u128::from(draft.even());
     let pays = |gain: u128, keys: u64| {
         let price = all
             .saturating_mul(u128::from(PRICE))
             .saturating_mul(u128::from(keys));
-        gain.saturating_mul(doors * 1000).saturating_mul(even) >= price
+        gain.saturating_mul(gateways * 1000).saturating_mul(even) >= price
     };
     if !carried.values().any(|load| parts(*load, START + 1)) {
         return Ok(None);
     }
-    let mut left = limits.most_moved();
-    let most_kept = limits.most_kept(fleet.living().count());
+    let mut left = limits.max_moved();
+    let max_owned = limits.max_owned(cluster.living().count());
     let mut stays: Vec<bool> = in_force
         .ranges
         .iter()
@@ -213,7 +217,7 @@
             draft.ranges.iter().zip(loads).zip(&stays).enumerate()
         {
             let (load, keys) = (u128::from(*load), range.keys());
-            if *stay || range.keeper != from || keys > left {
+            if *stay || range.owner != from || keys > left {
                 continue;
             }
             let has_room = |name: &str| {
@@ -221,7 +225,7 @@
                     && draft
                         .kept
                         .get(name)
-                        .is_some_and(|kept| keys <= most_kept.saturating_sub(*kept))
+                        .is_some_and(|kept| keys <= max_owned.saturating_sub(*kept))
             };
             let Some((light, to)) = by_load.iter().find(|(_, name)| has_room(name)) else {
                 continue;
@@ -236,7 +240,7 @@
         let Some((_, keys, number, to, load)) = best else {
             break;
         };
-        draft.change_keeper(number, to);
+        draft.change_owner(number, to);
         if let Some(stay) = stays.get_mut(number) {
             *stay = true;
         }
@@ -269,43 +273,43 @@
 
 /// A map in the making.
 struct Draft<'a> {
-    in_force: &'a Map,
-    fleet: &'a FleetState,
+    in_force: &'a ShardMap,
+    cluster: &'a ClusterState,
     limits: &'a Limits,
     moving: Vec<Span>,
     /// Not in order.
-    ranges: Vec<Range>,
-    /// Keys of each door that lives.
+    ranges: Vec<ShardRange>,
+    /// Keys of each gateway that lives.
     kept: BTreeMap<&'a str, u64>,
 }
 
 impl<'a> Draft<'a> {
     fn new(
-        in_force: &'a Map,
-        fleet: &'a FleetState,
+        in_force: &'a ShardMap,
+        cluster: &'a ClusterState,
         limits: &'a Limits,
-    ) -> Result<Draft<'a>, NoPlan> {
-        let mut kept: BTreeMap<&str, u64> = fleet.living().map(|name| (name, 0)).collect();
+    ) -> Result<Draft<'a>, PlanError> {
+        let mut kept: BTreeMap<&str, u64> = cluster.living().map(|name| (name, 0)).collect();
         if kept.is_empty() {
-            return Err(NoPlan::NobodyLives);
+            return Err(PlanError::NobodyLives);
         }
         let mut end = 0;
         for range in &in_force.ranges {
             if range.from != end || range.keys() == 0 {
-                return Err(NoPlan::NotWhole);
+                return Err(PlanError::NotWhole);
             }
             end = range.to;
-            if let Some(kept) = kept.get_mut(range.keeper.as_str()) {
+            if let Some(kept) = kept.get_mut(range.owner.as_str()) {
                 *kept += range.keys();
             }
         }
         if end != limits.keys {
-            return Err(NoPlan::NotWhole);
+            return Err(PlanError::NotWhole);
         }
-        let moving = cover::joined(&fleet.moving);
+        let moving = cover::joined(&cluster.moving);
         Ok(Draft {
             in_force,
-            fleet,
+            cluster,
             limits,
             moving,
             ranges: in_force.ranges.clone(),
@@ -322,12 +326,12 @@
         self.even() / SLACK_PARTS
     }
 
-    fn is_moving(&self, range: &Range) -> bool {
+    fn is_moving(&self, range: &ShardRange) -> bool {
         let first = self.moving.partition_point(|span| span.1 <= range.from);
         self.moving.get(first).is_some_and(|span| span.0 < range.to)
     }
 
-    /// Joins neighbours that have one keeper, if ranges are so many that each door could not be cut one.
+    /// Joins neighbours that have one owner, if ranges are so many that each gateway could not be cut one.
     /// Ranges have to be in order.
     fn make_room(&mut self) {
         if self.ranges.len().saturating_add(self.kept.len()) > self.limits.ranges {
@@ -336,12 +340,12 @@
     }
 
     fn join(&mut self) {
-        let mut joined: Vec<Range> = Vec::with_capacity(self.ranges.len());
+        let mut joined: Vec<ShardRange> = Vec::with_capacity(self.ranges.len());
         for range in std::mem::take(&mut self.ranges) {
             // What is moving stays as it is, so that the rest may go.
             let moving = self.is_moving(&range);
             match joined.last_mut() {
-                Some(last) if last.keeper == range.keeper && !moving && !self.is_moving(last) => {
+                Some(last) if last.owner == range.owner && !moving && !self.is_moving(last) => {
                     last.to = range.to
                 }
                 _ => joined.push(range),
@@ -352,7 +356,7 @@
 
     /// Gives ranges to the lightest, none of which gets more than this, unless there is no room for another
     /// cut.
-    fn hand_out(&mut self, ranges: Vec<Range>, most: u64) {
+    fn hand_out(&mut self, ranges: Vec<ShardRange>, most: u64) {
         let mut left: BinaryHeap<(u64, Reverse<Key>)> = ranges
             .iter()
             .map(|range| (range.keys(), Reverse(range.from)))
@@ -376,7 +380,7 @@
                 keys
             };
             *kept += given;
-            self.ranges.push(Range::new(from, from + given, *name));
+            self.ranges.push(ShardRange::new(from, from + given, *name));
             if given < keys {
                 left.push((keys - given, Reverse(from + given)));
             }
@@ -393,17 +397,17 @@
         (lacks > self.slack()).then_some((name, lacks))
     }
 
-    /// Ranges that others may give, by place, with what their keepers have.
+    /// Ranges that others may give, by place, with what their owners have.
     fn offered<'b>(
         &'b self,
         newcomers: &'b BTreeSet<&str>,
-    ) -> impl Iterator<Item = (usize, &'b Range, u64)> {
+    ) -> impl Iterator<Item = (usize, &'b ShardRange, u64)> {
         self.ranges
             .iter()
             .enumerate()
             .filter_map(|(number, range)| {
-                let kept = self.kept.get(range.keeper.as_str())?;
-                let stays = newcomers.contains(range.keeper.as_str()) || self.is_moving(range);
+                let kept = self.kept.get(range.owner.as_str())?;
+                let stays = newcomers.contains(range.owner.as_str()) || self.is_moving(range);
                 (!stays).then_some((number, range, *kept))
             })
     }
@@ -448,45 +452,48 @@
         };
         if keys < range.keys() {
             let cut = range.to - keys;
-            let rest = Range::new(range.from, cut, range.keeper.clone());
+            let rest = ShardRange::new(range.from, cut, range.owner.clone());
             range.from = cut;
             self.ranges.push(rest);
         }
     }
 
-    fn change_keeper(&mut self, number: usize, to: &'a str) {
+    fn change_owner(&mut self, number: usize, to: &'a str) {
         let Some(range) = self.ranges.get_mut(number) else {
             return;
         };
-        if let Some(kept) = self.kept.get_mut(range.keeper.as_str()) {
+        if let Some(kept) = self.kept.get_mut(range.owner.as_str()) {
             *kept = kept.saturating_sub(range.keys());
         }
         *self.kept.entry(to).or_default() += range.keys();
-        range.keeper = to.to_string();
+        range.owner = to.to_string();
     }
 
-    fn finish(mut self) -> Result<Map, NoPlan> {
+    fn finish(mut self) -> Result<ShardMap, PlanError> {
         self.ranges.sort_by_key(|range| range.from);
         if self.ranges.len() > self.limits.ranges {
             self.join();
         }
         let Draft {
             in_force,
-            fleet,
+            cluster,
             limits,
             ranges,
             ..
         } = self;
-        let map = Map {
-            version: in_force.version.checked_add(1).ok_or(NoPlan::LastVersion)?,
+        let map = ShardMap {
+            version: in_force
+                .version
+                .checked_add(1)
+                .ok_or(PlanError::LastVersion)?,
             parent: in_force.hash(),
-            epoch: in_force.epoch.max(fleet.epoch),
+            epoch: in_force.epoch.max(cluster.epoch),
             ranges,
         };
-        let findings = validate(Some(in_force), &map, fleet, limits);
+        let findings = validate(Some(in_force), &map, cluster, limits);
         match findings.is_empty() {
             true => Ok(map),
-            false => Err(NoPlan::Refused(findings)),
+            false => Err(PlanError::Refused(findings)),
         }
     }
 }
--- a/gateway-cluster/src/shards/validate.rs
+++ b/gateway-cluster/src/shards/validate.rs
@@ -1,12 +1,12 @@
-//! The check that every door makes for itself before it accepts a map.
+//! The check that every gateway makes for itself before it accepts a map.
 
 use super::cover::{common, cover, joined, meant, Cover};
-use super::finding::{shown, Finding, MOST_OF_A_RULE};
-use super::map::{Hash, Map};
-use super::{Door, FleetState, Limits};
+use super::finding::{shown, Finding, MAX_FINDINGS_PER_RULE};
+use super::map::{MapHash, ShardMap};
+use super::{ClusterState, Limits, PeerCondition};
 use std::collections::BTreeMap;
 
-/// Everything that is wrong with a map, none if it may come into force. At most [`MOST_OF_A_RULE`] of a rule,
+/// Everything that is wrong with a map, none if it may come into force. At most [`MAX_FINDINGS_PER_RULE`] of a rule,
 /// with one more that says how many are not told; in the order of [`Rule::ALL`](super::Rule::ALL), and of
 /// keys or of the list within a rule. It takes time in `n log n` of the ranges and memory in `n`, whatever
 /// they are.
@@ -17,17 +17,17 @@
 ///   `beyond` alone;
 /// * keys that are covered twice or not at all count neither as moved nor for a share, as it is open who
 ///   would have them;
-/// * a keeper that had more than its share, and is given no more, is on its way down, and is let be.
+/// * an owner that had more than its share, and is given no more, is on its way down, and is let be.
 ///
-/// Keys whose keeper in force is gone (dead, leaving or not in the roster) do not count as moved. They do
-/// count as moving: a move that is not over has another door at its other end, which may still act.
+/// Keys whose owner in force is gone (dead, leaving or not in the peer set) do not count as moved. They do
+/// count as moving: a move that is not over has another gateway at its other end, which may still act.
 ///
-/// Without a map in force (a door that starts from nothing) the first version has no parent, each later one
+/// Without a map in force (a gateway that starts from nothing) the first version has no parent, each later one
 /// has.
 pub fn validate(
-    in_force: Option<&Map>,
-    new: &Map,
-    fleet: &FleetState,
+    in_force: Option<&ShardMap>,
+    new: &ShardMap,
+    cluster: &ClusterState,
     limits: &Limits,
 ) -> Vec<Finding> {
     let covered = cover(&new.ranges, limits.keys);
@@ -49,22 +49,24 @@
     tell(&mut told, empty(new));
     tell(&mut told, order(new));
     tell(&mut told, beyond(new, limits));
-    tell(&mut told, keepers(new, fleet));
+    tell(&mut told, owners(new, cluster));
     tell(&mut told, parent(in_force, new));
     tell(&mut told, version(in_force, new));
-    tell(&mut told, epoch(in_force, new, fleet));
+    tell(&mut told, epoch(in_force, new, cluster));
     let change = in_force.map(|old| Change::new(old, new, &covered, limits));
     tell(
         &mut told,
-        change.iter().flat_map(|change| change.moved(fleet, limits)),
+        change
+            .iter()
+            .flat_map(|change| change.moved(cluster, limits)),
     );
     tell(
         &mut told,
-        shares(change.as_ref(), new, &covered, fleet, limits),
+        shares(change.as_ref(), new, &covered, cluster, limits),
     );
     tell(
         &mut told,
-        change.iter().flat_map(|change| change.moving(fleet)),
+        change.iter().flat_map(|change| change.moving(cluster)),
     );
     let size = Finding::Size {
         ranges: new.ranges.len(),
@@ -80,7 +82,7 @@
 /// Adds the findings of one rule.
 fn tell(told: &mut Vec<Finding>, findings: impl IntoIterator<Item = Finding>) {
     let mut findings = findings.into_iter();
-    told.extend(findings.by_ref().take(MOST_OF_A_RULE));
+    told.extend(findings.by_ref().take(MAX_FINDINGS_PER_RULE));
     let (mut more, mut rule) = (0, None);
     for finding in findings {
         more += 1;
@@ -89,7 +91,7 @@
     told.extend(rule.map(|rule| Finding::More { rule, more }));
 }
 
-fn empty(new: &Map) -> impl Iterator<Item = Finding> + '_ {
+fn empty(new: &ShardMap) -> impl Iterator<Item = Finding> + '_ {
     new.ranges
         .iter()
         .filter(|range| range.from >= range.to)
@@ -104,7 +106,7 @@
 
 /// Compares each range with the one that is listed before it. A swap of two neighbours is one finding that
 /// way, and one of any two at most two. An empty range has no place.
-fn order(new: &Map) -> impl Iterator<Item = Finding> + '_ {
+fn order(new: &ShardMap) -> impl Iterator<Item = Finding> + '_ {
     let meant = || new.ranges.iter().map(meant).filter(|(from, to)| from < to);
     meant()
         .zip(meant().skip(1))
@@ -116,7 +118,7 @@
         })
 }
 
-fn beyond<'a>(new: &'a Map, limits: &'a Limits) -> impl Iterator<Item = Finding> + 'a {
+fn beyond<'a>(new: &'a ShardMap, limits: &'a Limits) -> impl Iterator<Item = Finding> + 'a {
     let end = limits.keys;
     let bounds = new
         .ranges
@@ -130,32 +132,32 @@
     })
 }
 
-fn keepers<'a>(new: &'a Map, fleet: &'a FleetState) -> impl Iterator<Item = Finding> + 'a {
+fn owners<'a>(new: &'a ShardMap, cluster: &'a ClusterState) -> impl Iterator<Item = Finding> + 'a {
     new.ranges.iter().filter_map(|range| {
         let (from, to) = (range.from, range.to);
-        let keeper = || shown(&range.keeper);
-        match fleet.doors.get(&range.keeper) {
-            Some(Door::Alive) => None,
-            Some(Door::Dead) => Some(Finding::KeeperDead {
+        let owner = || shown(&range.owner);
+        match cluster.gateways.get(&range.owner) {
+            Some(PeerCondition::Alive) => None,
+            Some(PeerCondition::Dead) => Some(Finding::OwnerDead {
                 from,
                 to,
-                keeper: keeper(),
+                owner: owner(),
             }),
-            Some(Door::Leaving) => Some(Finding::KeeperLeaving {
+            Some(PeerCondition::Leaving) => Some(Finding::OwnerLeaving {
                 from,
                 to,
-                keeper: keeper(),
+                owner: owner(),
             }),
-            None => Some(Finding::KeeperUnknown {
+            None => Some(Finding::OwnerUnknown {
                 from,
                 to,
-                keeper: keeper(),
+                owner: owner(),
             }),
         }
     })
 }
 
-fn parent(in_force: Option<&Map>, new: &Map) -> Option<Finding> {
+fn parent(in_force: Option<&ShardMap>, new: &ShardMap) -> Option<Finding> {
     let parent = new.parent;
     if let Some(old) = in_force {
         let needed = old.hash();
@@ -163,14 +165,14 @@
     }
     match (new.version, parent) {
         // No version at all: that is told under its own rule.
-        (0, _) | (1, Hash::NONE) => None,
+        (0, _) | (1, MapHash::NONE) => None,
         (1, _) => Some(Finding::ParentOfFirst { parent }),
-        (version, Hash::NONE) => Some(Finding::ParentMissing { version }),
+        (version, MapHash::NONE) => Some(Finding::ParentMissing { version }),
         _ => None,
     }
 }
 
-fn version(in_force: Option<&Map>, new: &Map) -> Option<Finding> {
+fn version(in_force: Option<&ShardMap>, new: &ShardMap) -> Option<Finding> {
     let version = new.version;
     let Some(old) = in_force else {
         return (version == 0).then_some(Finding::Version { version, needed: 1 });
@@ -183,20 +185,20 @@
     }
 }
 
-fn epoch(in_force: Option<&Map>, new: &Map, fleet: &FleetState) -> Option<Finding> {
-    let needed = fleet.epoch.max(in_force.map_or(0, |old| old.epoch));
+fn epoch(in_force: Option<&ShardMap>, new: &ShardMap, cluster: &ClusterState) -> Option<Finding> {
+    let needed = cluster.epoch.max(in_force.map_or(0, |old| old.epoch));
     (new.epoch < needed).then_some(Finding::Epoch {
         epoch: new.epoch,
         needed,
     })
 }
 
-/// Keys per keeper, of those that one range alone covers.
-fn kept<'a>(map: &'a Map, covered: &Cover) -> BTreeMap<&'a str, u64> {
+/// Keys per owner, of those that one range alone covers.
+fn kept<'a>(map: &'a ShardMap, covered: &Cover) -> BTreeMap<&'a str, u64> {
     let mut kept = BTreeMap::new();
     for piece in &covered.once {
         if let Some(range) = map.ranges.get(piece.range) {
-            *kept.entry(range.keeper.as_str()).or_default() += piece.to - piece.from;
+            *kept.entry(range.owner.as_str()).or_default() += piece.to - piece.from;
         }
     }
     kept
@@ -204,26 +206,26 @@
 
 fn shares(
     change: Option<&Change>,
-    new: &Map,
+    new: &ShardMap,
     covered: &Cover,
-    fleet: &FleetState,
+    cluster: &ClusterState,
     limits: &Limits,
 ) -> Vec<Finding> {
-    let most = limits.most_kept(fleet.living().count());
-    let over = kept(new, covered).into_iter().filter(|(keeper, keys)| {
-        let had = change.and_then(|change| change.kept.get(keeper)).copied();
-        // What is given to a door that cannot keep it is told under `keeper`.
-        *keys > most && had.is_none_or(|had| *keys > had) && fleet.is_alive(keeper)
+    let most = limits.max_owned(cluster.living().count());
+    let over = kept(new, covered).into_iter().filter(|(owner, keys)| {
+        let had = change.and_then(|change| change.kept.get(owner)).copied();
+        // What is given to a gateway that cannot keep it is told under `owner`.
+        *keys > most && had.is_none_or(|had| *keys > had) && cluster.is_alive(owner)
     });
-    over.map(|(keeper, keys)| Finding::Share {
-        keeper: shown(keeper),
+    over.map(|(owner, keys)| Finding::Share {
+        owner: shown(owner),
         keys,
         most,
     })
     .collect()
 }
 
-/// Keys that change their keeper, from and up to, with both names.
+/// Keys that change their owner, from and up to, with both names.
 struct Moves<'a> {
     from: u64,
     to: u64,
@@ -233,34 +235,32 @@
 
 /// What a new map does to the one in force.
 struct Change<'a> {
-    /// What each keeper has in force.
+    /// What each owner has in force.
     kept: BTreeMap<&'a str, u64>,
     moves: Vec<Moves<'a>>,
 }
 
 impl<'a> Change<'a> {
-    fn new(old: &'a Map, new: &'a Map, covered: &Cover, limits: &Limits) -> Change<'a> {
+    fn new(old: &'a ShardMap, new: &'a ShardMap, covered: &Cover, limits: &Limits) -> Change<'a> {
         let before = cover(&old.ranges, limits.keys);
         let mut moves: Vec<Moves> = Vec::new();
         for ((from, to), had, has) in common(&before.once, &covered.once) {
             let (Some(had), Some(has)) = (old.ranges.get(had), new.ranges.get(has)) else {
                 continue;
             };
-            if had.keeper == has.keeper {
+            if had.owner == has.owner {
                 continue;
             }
             match moves.last_mut() {
                 // Where bounds are other ones than before, one move is in pieces.
-                Some(last)
-                    if last.to == from && last.old == had.keeper && last.new == has.keeper =>
-                {
+                Some(last) if last.to == from && last.old == had.owner && last.new == has.owner => {
                     last.to = to
                 }
                 _ => moves.push(Moves {
                     from,
                     to,
-                    old: &had.keeper,
-                    new: &has.keeper,
+                    old: &had.owner,
+                    new: &has.owner,
                 }),
             }
         }
@@ -270,15 +270,18 @@
         }
     }
 
-    fn moved(&self, fleet: &FleetState, limits: &Limits) -> Option<Finding> {
-        let counted = self.moves.iter().filter(|moves| fleet.is_alive(moves.old));
+    fn moved(&self, cluster: &ClusterState, limits: &Limits) -> Option<Finding> {
+        let counted = self
+            .moves
+            .iter()
+            .filter(|moves| cluster.is_alive(moves.old));
         let keys = counted.map(|moves| moves.to - moves.from).sum();
-        let most = limits.most_moved();
+        let most = limits.max_moved();
         (keys > most).then_some(Finding::Moved { keys, most })
     }
 
-    fn moving(&self, fleet: &FleetState) -> Vec<Finding> {
-        let moving = joined(&fleet.moving);
+    fn moving(&self, cluster: &ClusterState) -> Vec<Finding> {
+        let moving = joined(&cluster.moving);
         let mut found = Vec::new();
         for moves in &self.moves {
             let first = moving.partition_point(|span| span.1 <= moves.from);
--- a/gateway-cluster/src/shards/wire.rs
+++ b/gateway-cluster/src/shards/wire.rs
@@ -1,42 +1,42 @@
-//! What front doors send each other about the shard map: datagrams by name, and maps in parts, by their hashes.
+//! What gateways send each other about the shard map: datagrams by name, and maps in parts, by their hashes.
 
-use super::decide::{Answer, Ballot, Named};
+use super::consensus::{AcceptorReport, Ballot, MapId};
 use super::finding::{Finding, Rule};
-use super::keep::Marks;
-use super::map::{Hash, Key, Map, Range};
-use crate::names::Id;
+use super::leases::RangeSet;
+use super::map::{Key, MapHash, ShardMap, ShardRange};
+use crate::peers::PeerId;
 use crate::wire;
 use serde::{Deserialize, Serialize};
 
-/// The first byte of each of these datagrams. A door that does not know them counts them and drops them.
+/// The first byte of each of these datagrams. A gateway that does not know them counts them and drops them.
 pub const VERSION: u8 = 3;
 
 /// Bytes of a map in one datagram.
 pub const PART: usize = 1200;
-/// Most parts of a map: 1,024 ranges with names of 64 bytes for each of 300 doors take 28.
-pub const MOST_PARTS: usize = 80;
+/// Most parts of a map: 1,024 ranges with names of 64 bytes for each of 300 gateways take 28.
+pub const MAX_CHUNKS: usize = 80;
 /// Findings that an answer has room for, each text cut to so many characters.
-const MOST_TOLD: usize = 5;
-const MOST_TEXT: usize = 180;
+const MAX_FINDINGS_ON_WIRE: usize = 5;
+const MAX_FINDING_CHARS: usize = 180;
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
     /// Who sends it.
-    pub from: Id,
-    /// Which life of that name.
-    pub life: u64,
-    /// For which life of the receiver it is meant; 0 where the sender knows of none.
-    pub to_life: u64,
-    /// For an act of the owner: its term, and until when it is of use, on the receiver's clock.
+    pub from: PeerId,
+    /// Which incarnation of that name.
+    pub incarnation: u64,
+    /// For which incarnation of the receiver it is meant; 0 where the sender knows of none.
+    pub to_incarnation: u64,
+    /// For an act of the leader: its epoch, and until when it is of use, on the receiver's clock.
     pub stamp: Option<(u64, u64)>,
     /// What it is for.
     pub kind: Kind,
 }
 
-/// A finding as it is told: without its parts, which only the door that found it needs.
+/// A finding as it is told: without its parts, which only the gateway that found it needs.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Told {
+pub struct FindingReport {
     /// The rule.
     pub rule: Rule,
     /// The first key that it is about, if it is about keys.
@@ -47,10 +47,10 @@
     pub text: String,
 }
 
-impl From<&Finding> for Told {
-    fn from(finding: &Finding) -> Told {
+impl From<&Finding> for FindingReport {
+    fn from(finding: &Finding) -> FindingReport {
         let keys = finding.keys();
-        Told {
+        FindingReport {
             rule: finding.rule(),
             from: keys.map(|keys| keys.0),
             to: keys.map(|keys| keys.1),
@@ -60,17 +60,21 @@
 }
 
 /// As many findings as an answer has room for.
-pub fn told_on_wire(findings: &[Told]) -> Vec<Told> {
-    let cut = |told: &Told| Told {
-        text: told.text.chars().take(MOST_TEXT).collect(),
+pub fn truncated_findings(findings: &[FindingReport]) -> Vec<FindingReport> {
+    let cut = |told: &FindingReport| FindingReport {
+        text: told.text.chars().take(MAX_FINDING_CHARS).collect(),
         ..told.clone()
     };
-    findings.iter().take(MOST_TOLD).map(cut).collect()
+    findings
+        .iter()
+        .take(MAX_FINDINGS_ON_WIRE)
+        .map(cut)
+        .collect()
 }
 
-/// What became of a proposal of staff.
+/// What became of a proposal of operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
-pub enum State {
+pub enum ProposalState {
     /// There is none.
     None,
     /// It is not decided.
@@ -81,19 +85,19 @@
     Refused,
 }
 
-impl State {
+impl ProposalState {
     /// Its word.
     pub fn name(self) -> &'static str {
         match self {
-            State::None => "none",
-            State::Waiting => "waiting",
-            State::InForce => "in force",
-            State::Refused => "refused",
+            ProposalState::None => "none",
+            ProposalState::Waiting => "waiting",
+            ProposalState::InForce => "in force",
+            ProposalState::Refused => "refused",
         }
     }
 }
 
-/// What a datagram is for. The first three are acts of the owner.
+/// What a datagram is for. The first three are acts of the leader.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// What do you know? Accept nothing of a lower ballot from now on.
@@ -103,8 +107,8 @@
         /// The ballot.
         ballot: Ballot,
         /// The map.
-        map: Named,
-        /// A majority may have accepted it under an earlier owner.
+        map: MapId,
+        /// A majority may have accepted it under an earlier leader.
         finish: bool,
         /// Too few remember what they accepted before: this is where a history starts, or goes on.
         anew: bool,
@@ -114,9 +118,9 @@
     /// This map is in force. Keep what it gives you, but for what waits, until then on your clock.
     Keep {
         /// The map.
-        map: Named,
+        map: MapId,
         /// Ranges that others may still keep.
-        waits: Marks,
+        waits: RangeSet,
         /// The end of the keep lease.
         until: u64,
         /// Nothing else is being decided.
@@ -127,33 +131,33 @@
         /// Of the question.
         ballot: Ballot,
         /// What the sender knows.
-        answer: Answer,
-        /// It has had a keep lease in this life.
+        answer: AcceptorReport,
+        /// It has had a keep lease in this incarnation.
         held: bool,
         /// It began so short ago that for so long yet, in milliseconds, somebody may keep by what was given before.
         young_ms: u32,
     },
     /// Accepted.
-    Accepted(Ballot, Hash),
+    Accepted(Ballot, MapHash),
     /// Not accepted.
-    Refused(Ballot, Hash, Vec<Told>),
-    /// The sender has taken over the map of this version and hash, in this term, and keeps by no other.
+    Refused(Ballot, MapHash, Vec<FindingReport>),
+    /// The sender has taken over the map of this version and hash, in this epoch, and keeps by no other.
     Have {
-        /// The term.
+        /// The epoch.
         epoch: u64,
         /// The map's version.
         version: u64,
-        /// It has had a keep lease in this life.
+        /// It has had a keep lease in this incarnation.
         held: bool,
     },
     /// The sender keeps nothing, and goes.
     Left,
-    /// Send a part of the map with this hash.
-    Fetch(Hash, u8),
+    /// Transmit a part of the map with this hash.
+    Fetch(MapHash, u8),
     /// A part of it.
     Part {
         /// The map.
-        hash: Hash,
+        hash: MapHash,
         /// Which part.
         part: u8,
         /// Of how many.
@@ -161,16 +165,16 @@
         /// Its bytes.
         bytes: Vec<u8>,
     },
-    /// Staff propose the map with this hash.
-    Offer(Hash),
+    /// operators propose the map with this hash.
+    Offer(MapHash),
     /// What became of it.
     Answer {
         /// The proposal.
-        hash: Hash,
+        hash: MapHash,
         /// Its state.
-        state: State,
+        state: ProposalState,
         /// The first few findings.
-        findings: Vec<Told>,
+        findings: Vec<FindingReport>,
     },
 }
 
@@ -190,28 +194,24 @@
 #[derive(Serialize, Deserialize)]
 struct Packed {
     version: u64,
-    parent: Hash,
+    parent: MapHash,
     epoch: u64,
     names: Vec<String>,
     ranges: Vec<(Key, Key, u16)>,
 }
 
 /// A map's bytes.
-pub fn pack(map: &Map) -> Vec<u8> {
-    let mut names: Vec<String> = map
-        .ranges
-        .iter()
-        .map(|range| range.keeper.clone())
-        .collect();
+pub fn pack(map: &ShardMap) -> Vec<u8> {
+    let mut names: Vec<String> = map.ranges.iter().map(|range| range.owner.clone()).collect();
     names.sort();
     names.dedup();
     let number = |name: &String| names.binary_search(name).unwrap_or(0) as u16;
     let ranges = map
         .ranges
         .iter()
-        .map(|range| (range.from, range.to, number(&range.keeper)))
+        .map(|range| (range.from, range.to, number(&range.owner)))
         .collect();
-    let Map {
+    let ShardMap {
         version,
         parent,
         epoch,
@@ -228,7 +228,7 @@
 }
 
 /// Puts parts together. None if they are not the bytes of the map with this hash.
-pub fn unpack(hash: Hash, bytes: &[u8]) -> Option<Map> {
+pub fn unpack(hash: MapHash, bytes: &[u8]) -> Option<ShardMap> {
     let Packed {
         version,
         parent,
@@ -237,17 +237,17 @@
         ranges,
     } = postcard::from_bytes(bytes).ok()?;
     let range = |(from, to, number): (Key, Key, u16)| {
-        Some(Range {
+        Some(ShardRange {
             from,
             to,
-            keeper: names.get(usize::from(number))?.clone(),
+            owner: names.get(usize::from(number))?.clone(),
         })
     };
     let ranges = ranges
         .into_iter()
         .map(range)
-        .collect::<Option<Vec<Range>>>()?;
-    let map = Map {
+        .collect::<Option<Vec<ShardRange>>>()?;
+    let map = ShardMap {
         version,
         parent,
         epoch,
--- a/gateway-cluster/src/sim.rs
+++ b/gateway-cluster/src/sim.rs
@@ -1,27 +1,29 @@
-//! A network of front doors in one thread: all that happens follows from the seed.
+//! A network of gateways in one thread: all that happens follows from the seed.
 //!
-//! Datagrams are lost, doubled, delayed and so overtaken; links are cut one way; doors are killed, stopped and started
-//! anew. A stopped door receives what its socket's buffer holds once it goes on, and its timers are late.
-
-use crate::engine::{Birth, Engine, Micros, Place, Send, State};
-use crate::names::{id_of, Id};
-use crate::sessions::part;
-use crate::shards::keeping;
-use crate::shards::Range;
-use crate::stack::{self, Packet, Stack};
-use crate::view::{Settings, View};
-use crate::wire::HEADERS;
+//! Datagrams are lost, doubled, delayed and so overtaken; links are cut one way; gateways are killed, stopped and started
+//! anew. A stopped gateway receives what its socket's buffer holds once it goes on, and its timers are late.
+
+use crate::membership::{Membership, MembershipSettings};
+use crate::node::{self, ClusterNode};
+use crate::peers::{peer_id_of, PeerId};
+use crate::protocol::{
+    IndexedTransmit, Micros, PeerIndex, PeerState, Protocol, StartOptions, Transmit,
+};
+use crate::sessions::classifier;
+use crate::shards::node as shard_node;
+use crate::shards::ShardRange;
+use crate::wire::HEADER_BYTES;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// Datagrams that a stopped door's socket holds. More are lost.
+/// Datagrams that a stopped gateway's socket holds. More are lost.
 const BUFFERED: usize = 256;
 
 /// What the network does to every datagram.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Weather {
+pub struct NetworkConditions {
     /// Least time on the way, and by how much it varies at most.
     pub delay: Micros,
     /// Up to so much more.
@@ -32,9 +34,9 @@
     pub double: f64,
 }
 
-impl Default for Weather {
-    fn default() -> Weather {
-        Weather {
+impl Default for NetworkConditions {
+    fn default() -> NetworkConditions {
+        NetworkConditions {
             delay: 500,
             jitter: 500,
             loss: 0.0,
@@ -43,7 +45,7 @@
     }
 }
 
-/// What a door has sent.
+/// What a gateway has sent.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Sent {
     /// Datagrams.
@@ -57,19 +59,19 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Arrive {
-        to: Place,
+        to: PeerIndex,
         bytes: Vec<u8>,
     },
-    /// Of the life with this number.
+    /// Of the incarnation with this number.
     Wake {
-        door: Place,
-        life: u32,
+        gateway: PeerIndex,
+        incarnation: u32,
     },
 }
 
 struct Door<E> {
     engine: Option<E>,
-    life: u32,
+    incarnation: u32,
     stopped: bool,
     buffer: VecDeque<Vec<u8>>,
     sent: Sent,
@@ -77,27 +79,27 @@
     wakes: Option<Micros>,
 }
 
-/// The simulated fleet.
+/// The simulated cluster.
 pub struct Sim<E> {
     now: Micros,
-    doors: Vec<Door<E>>,
+    gateways: Vec<Door<E>>,
     queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
     count: u64,
     rng: Pcg64Mcg,
-    /// Whether nothing passes from one door to another, by `from * doors + to`.
+    /// Whether nothing passes from one gateway to another, by `from * gateways + to`.
     cut: Vec<bool>,
     probe: Micros,
     /// What happens to datagrams that are sent from now on.
-    pub weather: Weather,
-    sends: Vec<Send>,
+    pub network: NetworkConditions,
+    sends: Vec<IndexedTransmit>,
 }
 
-impl<E: Engine> Sim<E> {
-    /// A fleet of which nobody runs yet.
-    pub fn new(doors: usize, probe: Micros, seed: u64) -> Sim<E> {
-        let door = || Door {
+impl<E: Protocol> Sim<E> {
+    /// A cluster of which nobody runs yet.
+    pub fn new(gateways: usize, probe: Micros, seed: u64) -> Sim<E> {
+        let gateway = || Door {
             engine: None,
-            life: 0,
+            incarnation: 0,
             stopped: false,
             buffer: VecDeque::new(),
             sent: Sent::default(),
@@ -105,13 +107,13 @@
         };
         Sim {
             now: 0,
-            doors: (0..doors).map(|_| door()).collect(),
+            gateways: (0..gateways).map(|_| gateway()).collect(),
             queue: BinaryHeap::new(),
             count: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            cut: vec![false; doors * doors],
+            cut: vec![false; gateways * gateways],
             probe,
-            weather: Weather::default(),
+            network: NetworkConditions::default(),
             sends: Vec::new(),
         }
     }
@@ -121,91 +123,91 @@
         self.now
     }
 
-    /// Names in the roster.
-    pub fn roster(&self) -> usize {
-        self.doors.len()
+    /// Names in the peer set.
+    pub fn peers(&self) -> usize {
+        self.gateways.len()
     }
 
-    /// Whether a process of this door runs, stopped or not.
-    pub fn runs(&self, door: Place) -> bool {
-        self.doors[door].engine.is_some()
+    /// Whether a process of this gateway runs, stopped or not.
+    pub fn runs(&self, gateway: PeerIndex) -> bool {
+        self.gateways[gateway].engine.is_some()
     }
 
-    /// Starts a door from nothing. Its wall clock says `unix`.
-    pub fn start(&mut self, door: Place, unix: Micros) {
+    /// Starts a gateway from nothing. Its wall clock says `unix`.
+    pub fn start(&mut self, gateway: PeerIndex, unix: Micros) {
         let seed = self.rng.random();
-        let birth = Birth {
-            me: door,
-            roster: self.doors.len(),
+        let birth = StartOptions {
+            me: gateway,
+            peers: self.gateways.len(),
             unix,
             probe: self.probe,
             seed,
         };
         let engine = E::born(self.now, birth, &mut self.sends);
-        let place = &mut self.doors[door];
+        let place = &mut self.gateways[gateway];
         (place.engine, place.stopped, place.wakes) = (Some(engine), false, None);
-        place.life += 1;
+        place.incarnation += 1;
         place.buffer.clear();
-        self.after(door);
+        self.after(gateway);
     }
 
-    /// A door says that it goes, and ends.
-    pub fn leave(&mut self, door: Place) {
+    /// A gateway says that it goes, and ends.
+    pub fn leave(&mut self, gateway: PeerIndex) {
         let now = self.now;
-        if let Some(engine) = &mut self.doors[door].engine {
+        if let Some(engine) = &mut self.gateways[gateway].engine {
             engine.leave(now, &mut self.sends);
         }
-        self.after(door);
-        self.kill(door);
+        self.after(gateway);
+        self.kill(gateway);
     }
 
-    /// What a door does by itself, with what it sends.
+    /// What a gateway does by itself, with what it sends.
     pub fn act<T>(
         &mut self,
-        door: Place,
-        act: impl FnOnce(&mut E, Micros, &mut Vec<Send>) -> T,
+        gateway: PeerIndex,
+        act: impl FnOnce(&mut E, Micros, &mut Vec<IndexedTransmit>) -> T,
     ) -> Option<T> {
         let now = self.now;
-        let done = self.doors[door]
+        let done = self.gateways[gateway]
             .engine
             .as_mut()
             .map(|engine| act(engine, now, &mut self.sends));
-        self.after(door);
+        self.after(gateway);
         done
     }
 
-    /// Whether a door's process is stopped.
-    pub fn is_stopped(&self, door: Place) -> bool {
-        self.doors[door].stopped
+    /// Whether a gateway's process is stopped.
+    pub fn is_stopped(&self, gateway: PeerIndex) -> bool {
+        self.gateways[gateway].stopped
     }
 
-    /// Kills a door.
-    pub fn kill(&mut self, door: Place) {
-        self.doors[door].engine = None;
+    /// Kills a gateway.
+    pub fn kill(&mut self, gateway: PeerIndex) {
+        self.gateways[gateway].engine = None;
     }
 
-    /// Stops a door's process, or lets it go on.
-    pub fn stop(&mut self, door: Place, stopped: bool) {
-        self.doors[door].stopped = stopped;
+    /// Stops a gateway's process, or lets it go on.
+    pub fn stop(&mut self, gateway: PeerIndex, stopped: bool) {
+        self.gateways[gateway].stopped = stopped;
         if !stopped {
             // What was due goes first, as a program's timers may: the harder order.
-            self.wake(door);
-            while let Some(bytes) = self.doors[door].buffer.pop_front() {
-                self.deliver(door, bytes);
+            self.on_timer(gateway);
+            while let Some(bytes) = self.gateways[gateway].buffer.pop_front() {
+                self.deliver(gateway, bytes);
             }
         }
     }
 
-    /// Cuts the link from one door to another, or makes it whole.
-    pub fn cut(&mut self, from: Place, to: Place, cut: bool) {
-        let at = from * self.doors.len() + to;
+    /// Cuts the link from one gateway to another, or makes it whole.
+    pub fn cut(&mut self, from: PeerIndex, to: PeerIndex, cut: bool) {
+        let at = from * self.gateways.len() + to;
         self.cut[at] = cut;
     }
 
-    /// Cuts all links between doors for which this differs, in both directions.
-    pub fn partition(&mut self, side: impl Fn(Place) -> usize) {
-        for from in 0..self.doors.len() {
-            for to in 0..self.doors.len() {
+    /// Cuts all links between gateways for which this differs, in both directions.
+    pub fn partition(&mut self, side: impl Fn(PeerIndex) -> usize) {
+        for from in 0..self.gateways.len() {
+            for to in 0..self.gateways.len() {
                 self.cut(from, to, side(from) != side(to));
             }
         }
@@ -223,10 +225,14 @@
             self.now = at;
             match event {
                 Event::Arrive { to, bytes } => self.deliver(to, bytes),
-                Event::Wake { door, life } => {
-                    let place = &self.doors[door];
-                    if place.life == life && place.wakes == Some(at) && !place.stopped {
-                        self.wake(door);
+                Event::Wake {
+                    gateway,
+                    incarnation,
+                } => {
+                    let place = &self.gateways[gateway];
+                    if place.incarnation == incarnation && place.wakes == Some(at) && !place.stopped
+                    {
+                        self.on_timer(gateway);
                     }
                 }
             }
@@ -234,26 +240,33 @@
         self.now = until;
     }
 
-    /// What a door holds of the others; `None` while it does not run.
-    pub fn view(&self, door: Place) -> Option<Vec<State>> {
-        self.doors[door].engine.as_ref().map(E::view)
+    /// What a gateway holds of the others; `None` while it does not run.
+    pub fn view(&self, gateway: PeerIndex) -> Option<Vec<PeerState>> {
+        self.gateways[gateway].engine.as_ref().map(E::view)
     }
 
-    /// The engine of a door that runs.
-    pub fn engine(&mut self, door: Place) -> Option<&mut E> {
-        self.doors[door].engine.as_mut()
+    /// The engine of a gateway that runs.
+    pub fn engine(&mut self, gateway: PeerIndex) -> Option<&mut E> {
+        self.gateways[gateway].engine.as_mut()
     }
 
-    /// Whether each door that runs holds exactly those for alive that run.
+    /// Whether each gateway that runs holds exactly those for alive that run.
     pub fn is_settled(&self) -> bool {
-        let truth: Vec<bool> = (0..self.doors.len()).map(|door| self.runs(door)).collect();
-        let right = |view: Vec<State>| {
-            view.iter()
-                .zip(&truth)
-                .all(|(state, runs)| *state == if *runs { State::Alive } else { State::Dead })
+        let truth: Vec<bool> = (0..self.gateways.len())
+            .map(|gateway| self.runs(gateway))
+            .collect();
+        let right = |view: Vec<PeerState>| {
+            view.iter().zip(&truth).all(|(state, runs)| {
+                *state
+                    == if *runs {
+                        PeerState::Alive
+                    } else {
+                        PeerState::Dead
+                    }
+            })
         };
-        (0..self.doors.len())
-            .filter_map(|door| self.view(door))
+        (0..self.gateways.len())
+            .filter_map(|gateway| self.view(gateway))
             .all(right)
     }
 
@@ -272,53 +285,58 @@
         done(self).then_some(self.now)
     }
 
-    /// What a door has sent since this was last asked.
-    pub fn take_sent(&mut self, door: Place) -> Sent {
-        std::mem::take(&mut self.doors[door].sent)
+    /// What a gateway has sent since this was last asked.
+    pub fn take_sent(&mut self, gateway: PeerIndex) -> Sent {
+        std::mem::take(&mut self.gateways[gateway].sent)
     }
 
-    fn deliver(&mut self, to: Place, bytes: Vec<u8>) {
-        let door = &mut self.doors[to];
-        if door.stopped {
-            if door.buffer.len() < BUFFERED {
-                door.buffer.push_back(bytes);
+    fn deliver(&mut self, to: PeerIndex, bytes: Vec<u8>) {
+        let gateway = &mut self.gateways[to];
+        if gateway.stopped {
+            if gateway.buffer.len() < BUFFERED {
+                gateway.buffer.push_back(bytes);
             }
             return;
         }
-        if let Some(engine) = &mut door.engine {
-            engine.receive(self.now, &bytes, &mut self.sends);
+        if let Some(engine) = &mut gateway.engine {
+            engine.on_datagram(self.now, &bytes, &mut self.sends);
             self.after(to);
         }
     }
 
-    fn wake(&mut self, door: Place) {
+    fn on_timer(&mut self, gateway: PeerIndex) {
         let now = self.now;
-        let Some(engine) = &mut self.doors[door].engine else {
+        let Some(engine) = &mut self.gateways[gateway].engine else {
             return;
         };
-        if engine.due().is_some_and(|due| due <= now) {
-            engine.wake(now, &mut self.sends);
+        if engine
+            .next_wakeup()
+            .is_some_and(|next_wakeup| next_wakeup <= now)
+        {
+            engine.on_timer(now, &mut self.sends);
         }
-        self.doors[door].wakes = None;
-        self.after(door);
+        self.gateways[gateway].wakes = None;
+        self.after(gateway);
     }
 
-    /// Puts what a door sent on its way, and notes when it is to be woken.
-    fn after(&mut self, from: Place) {
-        let doors = self.doors.len();
-        for Send { to, bytes } in std::mem::take(&mut self.sends) {
-            let sent = &mut self.doors[from].sent;
+    /// Puts what a gateway sent on its way, and notes when it is to be woken.
+    fn after(&mut self, from: PeerIndex) {
+        let gateways = self.gateways.len();
+        for IndexedTransmit { to, bytes } in std::mem::take(&mut self.sends) {
+            let sent = &mut self.gateways[from].sent;
             sent.messages += 1;
-            sent.bytes += (bytes.len() + HEADERS) as u64;
+            sent.bytes += (bytes.len() + HEADER_BYTES) as u64;
             sent.largest = sent.largest.max(bytes.len());
-            if to >= doors || self.cut[from * doors + to] || self.rng.random_bool(self.weather.loss)
+            if to >= gateways
+                || self.cut[from * gateways + to]
+                || self.rng.random_bool(self.network.loss)
             {
                 continue;
             }
-            let copies = 1 + usize::from(self.rng.random_bool(self.weather.double));
+            let copies = 1 + usize::from(self.rng.random_bool(self.network.double));
             for _ in 0..copies {
-                let late = self.rng.random_range(0..=self.weather.jitter);
-                let at = self.now + self.weather.delay + late;
+                let late = self.rng.random_range(0..=self.network.jitter);
+                let at = self.now + self.network.delay + late;
                 self.put(
                     at,
                     Event::Arrive {
@@ -328,17 +346,23 @@
                 );
             }
         }
-        let door = &mut self.doors[from];
-        let due = door
+        let gateway = &mut self.gateways[from];
+        let next_wakeup = gateway
             .engine
             .as_ref()
-            .and_then(E::due)
-            .map(|due| due.max(self.now));
-        if due != door.wakes {
-            door.wakes = due;
-            let life = door.life;
-            if let Some(at) = due {
-                self.put(at, Event::Wake { door: from, life });
+            .and_then(E::next_wakeup)
+            .map(|next_wakeup| next_wakeup.max(self.now));
+        if next_wakeup != gateway.wakes {
+            gateway.wakes = next_wakeup;
+            let incarnation = gateway.incarnation;
+            if let Some(at) = next_wakeup {
+                self.put(
+                    at,
+                    Event::Wake {
+                        gateway: from,
+                        incarnation,
+                    },
+                );
             }
         }
     }
@@ -350,46 +374,47 @@
 }
 
 /// The view in the simulation, with names that are made here.
-impl Engine for View {
-    fn born(now: Micros, birth: Birth, sends: &mut Vec<Send>) -> View {
-        let roster: Vec<String> = (0..birth.roster).map(name_of).collect();
+impl Protocol for Membership {
+    fn born(now: Micros, birth: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Membership {
+        let peers: Vec<String> = (0..birth.peers).map(name_of).collect();
         let name = name_of(birth.me);
-        let settings = Settings {
-            roster,
+        let settings = MembershipSettings {
+            peers,
             name,
             unix_ms: birth.unix / 1000,
             probe: birth.probe,
         };
         // Names that are made here are good ones.
-        View::new(now, settings, birth.seed, sends)
+        Membership::new(now, settings, birth.seed, sends)
             .unwrap_or_else(|problem| unreachable!("{problem}"))
     }
-    fn receive(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<Send>) {
-        View::receive(self, now, bytes, sends);
+    fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<IndexedTransmit>) {
+        Membership::on_datagram(self, now, bytes, sends);
     }
-    fn due(&self) -> Option<Micros> {
-        Some(View::due(self))
+    fn next_wakeup(&self) -> Option<Micros> {
+        Some(Membership::next_wakeup(self))
     }
-    fn wake(&mut self, now: Micros, sends: &mut Vec<Send>) {
-        View::wake(self, now, sends);
+    fn on_timer(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
+        Membership::on_timer(self, now, sends);
     }
-    fn view(&self) -> Vec<State> {
+    fn view(&self) -> Vec<PeerState> {
         self.states()
     }
-    fn leave(&mut self, now: Micros, sends: &mut Vec<Send>) {
-        View::leave(self, now, sends);
+    fn leave(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
+        Membership::leave(self, now, sends);
     }
 }
 
-/// A view with an office on it, whose lease is so many milliseconds, in the simulation; and on that a shard map, whose
+/// A view with an leadership on it, whose lease is so many milliseconds, in the simulation; and on that a shard map, whose
 /// first one has so many ranges, if any; and on that the sessions, if wanted.
-pub struct Owned<const LEASE_MS: u64, const RANGES: usize = 0, const SESSIONS: bool = false> {
+pub struct SimulatedNode<const LEASE_MS: u64, const RANGES: usize = 0, const SESSIONS: bool = false>
+{
     /// The part.
-    pub stack: Stack,
+    pub stack: ClusterNode,
     /// All names that there may be, as ids by place.
-    all: Vec<Id>,
-    packets: Vec<Packet>,
-    /// What the office sent, with the headers of IP and UDP.
+    all: Vec<PeerId>,
+    packets: Vec<Transmit>,
+    /// What leadership sent, with the headers of IP and UDP.
     pub sent: Sent,
     /// What went for the shard map, with the headers of IP and UDP.
     pub kept: Sent,
@@ -398,15 +423,15 @@
 }
 
 impl<const LEASE_MS: u64, const RANGES: usize, const SESSIONS: bool>
-    Owned<LEASE_MS, RANGES, SESSIONS>
+    SimulatedNode<LEASE_MS, RANGES, SESSIONS>
 {
-    fn settings(view: Settings) -> stack::Settings {
-        let shards = (RANGES > 0).then_some(keeping::Settings {
+    fn settings(view: MembershipSettings) -> node::ClusterNodeSettings {
+        let shards = (RANGES > 0).then_some(shard_node::ShardMapSettings {
             count: RANGES,
             proposal: None,
         });
-        let sessions = SESSIONS.then(part::Settings::default);
-        stack::Settings {
+        let sessions = SESSIONS.then(classifier::ClassifierSettings::default);
+        node::ClusterNodeSettings {
             view,
             lease: Some(LEASE_MS * 1000),
             shards,
@@ -414,25 +439,31 @@
         }
     }
 
-    /// Staff propose a map at this door.
-    pub fn propose(&mut self, now: Micros, expect: u64, ranges: Vec<Range>, sends: &mut Vec<Send>) {
-        if let Some(keeping) = self.stack.keeping_mut() {
-            keeping.propose(now, expect, ranges);
+    /// operators propose a map at this gateway.
+    pub fn propose(
+        &mut self,
+        now: Micros,
+        expect: u64,
+        ranges: Vec<ShardRange>,
+        sends: &mut Vec<IndexedTransmit>,
+    ) {
+        if let Some(shard_map) = self.stack.shard_map_mut() {
+            shard_map.propose(now, expect, ranges);
         }
-        self.stack.wake(now, &mut self.packets);
+        self.stack.on_timer(now, &mut self.packets);
         self.hand_on(sends);
     }
 
-    /// Takes another roster over.
-    pub fn set_roster(
+    /// Takes another peer set over.
+    pub fn set_peers(
         &mut self,
         now: Micros,
-        places: impl Iterator<Item = Place>,
-        sends: &mut Vec<Send>,
+        places: impl Iterator<Item = PeerIndex>,
+        sends: &mut Vec<IndexedTransmit>,
     ) {
         let taken = self
             .stack
-            .set_roster(now, places.map(name_of).collect(), &mut self.packets);
+            .set_peers(now, places.map(name_of).collect(), &mut self.packets);
         taken.unwrap_or_else(|problem| unreachable!("{problem}"));
         self.hand_on(sends);
     }
@@ -441,68 +472,68 @@
     pub fn begin(
         &mut self,
         now: Micros,
-        birth: Birth,
-        places: impl Iterator<Item = Place>,
-        sends: &mut Vec<Send>,
+        birth: StartOptions,
+        places: impl Iterator<Item = PeerIndex>,
+        sends: &mut Vec<IndexedTransmit>,
     ) {
-        let view = Settings {
-            roster: places.map(name_of).collect(),
+        let view = MembershipSettings {
+            peers: places.map(name_of).collect(),
             name: name_of(birth.me),
             unix_ms: birth.unix / 1000,
             probe: birth.probe,
         };
-        let stack = Stack::new(now, Self::settings(view), birth.seed, &mut self.packets);
+        let stack = ClusterNode::new(now, Self::settings(view), birth.seed, &mut self.packets);
         self.stack = stack.unwrap_or_else(|problem| unreachable!("{problem}"));
         self.hand_on(sends);
     }
 
     /// Another process takes its name over.
-    pub fn hand_over(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    pub fn hand_over(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
         self.stack.hand_over(now, &mut self.packets);
         self.hand_on(sends);
     }
 
-    fn hand_on(&mut self, sends: &mut Vec<Send>) {
-        for Packet { to, bytes } in self.packets.drain(..) {
+    fn hand_on(&mut self, sends: &mut Vec<IndexedTransmit>) {
+        for Transmit { to, bytes } in self.packets.drain(..) {
             let sent = match bytes.first() {
-                Some(&crate::ownership::wire::VERSION) => Some(&mut self.sent),
+                Some(&crate::leadership::wire::VERSION) => Some(&mut self.sent),
                 Some(&crate::shards::wire::VERSION) => Some(&mut self.kept),
                 Some(&crate::sessions::wire::VERSION) => Some(&mut self.told),
                 _ => None,
             };
             if let Some(sent) = sent {
                 sent.messages += 1;
-                sent.bytes += bytes.len() as u64 + HEADERS as u64;
+                sent.bytes += bytes.len() as u64 + HEADER_BYTES as u64;
                 sent.largest = sent.largest.max(bytes.len());
             }
             let place = self.all.iter().position(|id| *id == to);
-            sends.extend(place.map(|to| Send { to, bytes }));
+            sends.extend(place.map(|to| IndexedTransmit { to, bytes }));
         }
     }
 }
 
-fn name_of(place: Place) -> String {
+fn name_of(place: PeerIndex) -> String {
     format!("n{place:03}")
 }
 
-impl<const LEASE_MS: u64, const RANGES: usize, const SESSIONS: bool> Engine
-    for Owned<LEASE_MS, RANGES, SESSIONS>
+impl<const LEASE_MS: u64, const RANGES: usize, const SESSIONS: bool> Protocol
+    for SimulatedNode<LEASE_MS, RANGES, SESSIONS>
 {
-    fn born(now: Micros, birth: Birth, sends: &mut Vec<Send>) -> Self {
-        let roster: Vec<String> = (0..birth.roster).map(name_of).collect();
-        let all = roster.iter().map(|name| id_of(name)).collect();
+    fn born(now: Micros, birth: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Self {
+        let peers: Vec<String> = (0..birth.peers).map(name_of).collect();
+        let all = peers.iter().map(|name| peer_id_of(name)).collect();
         let name = name_of(birth.me);
-        let view = Settings {
-            roster,
+        let view = MembershipSettings {
+            peers,
             name,
             unix_ms: birth.unix / 1000,
             probe: birth.probe,
         };
         let mut packets = Vec::new();
-        let stack = Stack::new(now, Self::settings(view), birth.seed, &mut packets);
+        let stack = ClusterNode::new(now, Self::settings(view), birth.seed, &mut packets);
         let stack = stack.unwrap_or_else(|problem| unreachable!("{problem}"));
         let (sent, kept, told) = Default::default();
-        let mut owned = Owned {
+        let mut owned = SimulatedNode {
             stack,
             all,
             packets,
@@ -513,21 +544,21 @@
         owned.hand_on(sends);
         owned
     }
-    fn receive(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<Send>) {
-        self.stack.receive(now, bytes, &mut self.packets);
+    fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<IndexedTransmit>) {
+        self.stack.on_datagram(now, bytes, &mut self.packets);
         self.hand_on(sends);
     }
-    fn due(&self) -> Option<Micros> {
-        Some(self.stack.due())
+    fn next_wakeup(&self) -> Option<Micros> {
+        Some(self.stack.next_wakeup())
     }
-    fn wake(&mut self, now: Micros, sends: &mut Vec<Send>) {
-        self.stack.wake(now, &mut self.packets);
+    fn on_timer(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
+        self.stack.on_timer(now, &mut self.packets);
         self.hand_on(sends);
     }
-    fn view(&self) -> Vec<State> {
+    fn view(&self) -> Vec<PeerState> {
         self.stack.view().states()
     }
-    fn leave(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    fn leave(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
         self.stack.leave(now, &mut self.packets);
         self.hand_on(sends);
     }
--- a/gateway-cluster/src/sim/tests.rs
+++ b/gateway-cluster/src/sim/tests.rs
@@ -2,55 +2,55 @@
 
 /// Tells everybody twice a second that it lives, and counts whom it hears.
 struct Shout {
-    birth: Birth,
+    birth: StartOptions,
     next: Micros,
     heard: Vec<u64>,
 }
 
-impl Engine for Shout {
-    fn born(now: Micros, birth: Birth, _: &mut Vec<Send>) -> Shout {
+impl Protocol for Shout {
+    fn born(now: Micros, birth: StartOptions, _: &mut Vec<IndexedTransmit>) -> Shout {
         Shout {
             birth,
             next: now,
-            heard: vec![0; birth.roster],
+            heard: vec![0; birth.peers],
         }
     }
-    fn receive(&mut self, _: Micros, bytes: &[u8], _: &mut Vec<Send>) {
+    fn on_datagram(&mut self, _: Micros, bytes: &[u8], _: &mut Vec<IndexedTransmit>) {
         self.heard[usize::from(bytes[0])] += 1;
     }
-    fn due(&self) -> Option<Micros> {
+    fn next_wakeup(&self) -> Option<Micros> {
         Some(self.next)
     }
-    fn wake(&mut self, now: Micros, sends: &mut Vec<Send>) {
+    fn on_timer(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
         self.next = now + self.birth.probe;
-        let others = (0..self.birth.roster).filter(|to| *to != self.birth.me);
-        sends.extend(others.map(|to| Send {
+        let others = (0..self.birth.peers).filter(|to| *to != self.birth.me);
+        sends.extend(others.map(|to| IndexedTransmit {
             to,
             bytes: vec![self.birth.me as u8],
         }));
     }
-    fn view(&self) -> Vec<State> {
+    fn view(&self) -> Vec<PeerState> {
         self.heard
             .iter()
             .map(|heard| {
                 if *heard > 0 {
-                    State::Alive
+                    PeerState::Alive
                 } else {
-                    State::Dead
+                    PeerState::Dead
                 }
             })
             .collect()
     }
 }
 
-fn fleet(seed: u64) -> Sim<Shout> {
+fn cluster(seed: u64) -> Sim<Shout> {
     let mut sim = Sim::new(4, 500_000, seed);
-    (0..4).for_each(|door| sim.start(door, 0));
+    (0..4).for_each(|gateway| sim.start(gateway, 0));
     sim
 }
 
-fn heard(sim: &Sim<Shout>, by: Place, of: Place) -> u64 {
-    sim.doors[by]
+fn heard(sim: &Sim<Shout>, by: PeerIndex, of: PeerIndex) -> u64 {
+    sim.gateways[by]
         .engine
         .as_ref()
         .map_or(0, |engine| engine.heard[of])
@@ -59,12 +59,12 @@
 #[test]
 fn a_seed_gives_the_same_run_again_and_another_gives_another() {
     let run = |seed| {
-        let mut sim = fleet(seed);
-        sim.weather = Weather {
+        let mut sim = cluster(seed);
+        sim.network = NetworkConditions {
             loss: 0.3,
             double: 0.2,
             jitter: 50_000,
-            ..Weather::default()
+            ..NetworkConditions::default()
         };
         sim.run_until(60_000_000);
         (0..16)
@@ -77,11 +77,11 @@
 
 #[test]
 fn datagrams_are_lost_and_doubled_as_often_as_told() {
-    let mut sim = fleet(1);
-    sim.weather = Weather {
+    let mut sim = cluster(1);
+    sim.network = NetworkConditions {
         loss: 0.25,
         double: 0.5,
-        ..Weather::default()
+        ..NetworkConditions::default()
     };
     sim.run_until(1_000_000_000);
     let came = heard(&sim, 0, 1) as f64 / 2000.0;
@@ -101,7 +101,7 @@
 
 #[test]
 fn a_cut_is_one_way_and_what_is_killed_or_stopped_is_silent() {
-    let mut sim = fleet(1);
+    let mut sim = cluster(1);
     sim.cut(0, 1, true);
     sim.kill(2);
     sim.stop(3, true);
@@ -124,7 +124,7 @@
         "its timers do not make up for what they missed"
     );
     sim.start(2, 0);
-    sim.partition(|door| door % 2);
+    sim.partition(|gateway| gateway % 2);
     let before = [heard(&sim, 0, 1), heard(&sim, 0, 2)];
     sim.run_until(20_000_000);
     assert!(heard(&sim, 0, 1) <= before[0] + 1 && heard(&sim, 0, 2) > before[1] + 10);
--- a/gateway-cluster/src/budget.rs
+++ b/gateway-cluster/src/token_bucket.rs
@@ -1,21 +1,21 @@
-//! What a door may send in any length of time.
+//! What a gateway may send in any length of time.
 
-use crate::engine::Micros;
+use crate::protocol::Micros;
 
 /// A token bucket: it is full at first, fills at an even rate, and holds no more than its size. In any time `t` no more
 /// is taken from it than its size and what comes in `t`.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub struct Bucket {
+pub struct TokenBucket {
     level: f64,
     size: f64,
     per_s: f64,
     filled: Micros,
 }
 
-impl Bucket {
+impl TokenBucket {
     /// A full one of this size that fills at this rate a second.
-    pub fn full(now: Micros, size: f64, per_s: f64) -> Bucket {
-        Bucket {
+    pub fn full(now: Micros, size: f64, per_s: f64) -> TokenBucket {
+        TokenBucket {
             level: size,
             size,
             per_s,
@@ -30,7 +30,7 @@
         self.level = (self.level + seconds * self.per_s).min(self.size);
     }
 
-    /// What is in it, as of the last [`Bucket::fill`].
+    /// What is in it, as of the last [`TokenBucket::fill`].
     pub fn level(&self) -> f64 {
         self.level
     }
@@ -40,7 +40,7 @@
         self.level >= amount + kept * self.size
     }
 
-    /// Takes so much, or all that there is. Whether there is enough is asked before ([`Bucket::has`]), as what is sent
+    /// Takes so much, or all that there is. Whether there is enough is asked before ([`TokenBucket::has`]), as what is sent
     /// takes from several at once or from none.
     pub fn take(&mut self, amount: f64) {
         self.level = (self.level - amount).max(0.0);
--- a/gateway-cluster/src/budget/tests.rs
+++ b/gateway-cluster/src/token_bucket/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn a_bucket_gives_its_size_at_once_and_then_its_rate() {
-    let mut bucket = Bucket::full(5_000_000, 14.0, 8.0);
+    let mut bucket = TokenBucket::full(5_000_000, 14.0, 8.0);
     let mut taken = 0;
     for now in (5_000_000..15_000_000).step_by(10_000) {
         bucket.fill(now);
--- a/gateway-cluster/src/wire.rs
+++ b/gateway-cluster/src/wire.rs
@@ -1,20 +1,20 @@
-//! What front doors send each other: one datagram each, bounded, with names of the roster and no addresses.
+//! What gateways send each other: one datagram each, bounded, with names of the peer set and no addresses.
 
-use crate::names::Id;
+use crate::peers::PeerId;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
 /// The first byte of each datagram.
 pub const VERSION: u8 = 1;
 /// Most bytes of a datagram's payload.
-pub const MOST_BYTES: usize = 1400;
+pub const MAX_DATAGRAM_BYTES: usize = 1400;
 /// Bytes that IP and UDP put before a datagram's payload. They count in all that is said of what is sent.
-pub const HEADERS: usize = 28;
+pub const HEADER_BYTES: usize = 28;
 
 /// The highest age of a doubt that is told apart, in tenths of a probe period.
-pub const OLDEST: u8 = 200;
+pub const MAX_SUSPICION_AGE: u8 = 200;
 
-/// One life of a front door and how often it has refuted a doubt, in one number that only grows: the life's start in
+/// One life of a gateway and how often it has refuted a doubt, in one number that only grows: the life's start in
 /// milliseconds above 16 bits, refutations below.
 pub type Incarnation = u64;
 
@@ -26,19 +26,19 @@
 
 /// Reads one. What is too long, of another version, or followed by anything is none.
 pub fn decode<T: DeserializeOwned>(version: u8, bytes: &[u8]) -> Option<T> {
-    if bytes.len() > MOST_BYTES {
+    if bytes.len() > MAX_DATAGRAM_BYTES {
         return None;
     }
     let ((told, datagram), rest) = postcard::take_from_bytes::<(u8, T)>(bytes).ok()?;
     (told == version && rest.is_empty()).then_some(datagram)
 }
 
-/// What is claimed of a front door.
+/// What is claimed of a gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
-pub enum Claim {
+pub enum UpdateStatus {
     /// It lives in this incarnation.
     Alive,
-    /// It has not answered, and that was found so many tenths of a probe period ago ([`OLDEST`] at the most).
+    /// It has not answered, and that was found so many tenths of a probe period ago ([`MAX_SUSPICION_AGE`] at the most).
     Suspect(u8),
     /// It is gone.
     Dead,
@@ -48,7 +48,7 @@
 
 /// What a view holds of one name, in two bits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Mark {
+pub enum PeerSummary {
     /// It lives, as far as is known.
     Alive,
     /// It lives, and refuted a claim or began a new life not long ago: that is worth telling.
@@ -59,63 +59,63 @@
     Dead,
 }
 
-/// What a view holds of the whole roster, name by name in order: what two views differ in shows at once, and nothing
-/// else has to be told. Of use between doors that have the same roster.
+/// What a view holds of the whole peer set, name by name in order: what two views differ in shows at once, and nothing
+/// else has to be told. Of use between gateways that have the same peer set.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Marks {
+pub struct ViewSummary {
     bits: Vec<u8>,
-    /// The sender has seen the fleet for long enough, without a stop, to speak of who lives.
+    /// The sender has seen the cluster for long enough, without a stop, to speak of who lives.
     pub vouches: bool,
 }
 
-impl Marks {
-    /// All alive in a roster of so many names.
-    pub fn none(names: usize) -> Marks {
-        Marks {
+impl ViewSummary {
+    /// All alive in a peer set of so many names.
+    pub fn none(names: usize) -> ViewSummary {
+        ViewSummary {
             bits: vec![0; names.div_ceil(4)],
             vouches: false,
         }
     }
 
     /// Sets the mark of one name.
-    pub fn set(&mut self, place: usize, mark: Mark) {
+    pub fn set(&mut self, place: usize, mark: PeerSummary) {
         if let Some(byte) = self.bits.get_mut(place / 4) {
             let shift = place % 4 * 2;
             *byte = *byte & !(3 << shift) | (mark as u8) << shift;
         }
     }
 
-    /// The mark of one name; what is beyond the roster is alive.
-    pub fn get(&self, place: usize) -> Mark {
+    /// The mark of one name; what is beyond the peer set is alive.
+    pub fn get(&self, place: usize) -> PeerSummary {
         match self
             .bits
             .get(place / 4)
             .map_or(0, |byte| byte >> (place % 4 * 2) & 3)
         {
-            0 => Mark::Alive,
-            1 => Mark::Raised,
-            2 => Mark::Doubted,
-            _ => Mark::Dead,
+            0 => PeerSummary::Alive,
+            1 => PeerSummary::Raised,
+            2 => PeerSummary::Doubted,
+            _ => PeerSummary::Dead,
         }
     }
 
     /// How many of so many names are gone.
     pub fn count_dead(&self, names: usize) -> usize {
         (0..names)
-            .filter(|place| self.get(*place) == Mark::Dead)
+            .filter(|place| self.get(*place) == PeerSummary::Dead)
             .count()
     }
 }
 
-/// A claim of one front door.
+/// A claim of one gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Update {
-    /// Of whom: its place in the sender's roster or its [`Id`], as the datagram says.
+    /// Of whom: its place in the sender's peer set or its [`PeerId`], as the datagram says.
     pub who: u32,
     /// In which incarnation.
     pub incarnation: Incarnation,
     /// What.
-    pub claim: Claim,
+    pub claim: UpdateStatus,
 }
 
 /// A claim as it is sent: lives by how far they are from the sender's, as most began not long before or after it.
@@ -130,10 +130,10 @@
 impl Packed {
     fn of(update: &Update, base: Incarnation) -> Packed {
         let claim = match update.claim {
-            Claim::Alive => 0,
-            Claim::Dead => 1,
-            Claim::Left => 2,
-            Claim::Suspect(age) => 3 + age.min(OLDEST),
+            UpdateStatus::Alive => 0,
+            UpdateStatus::Dead => 1,
+            UpdateStatus::Left => 2,
+            UpdateStatus::Suspect(age) => 3 + age.min(MAX_SUSPICION_AGE),
         };
         let life = (update.incarnation >> 16) as i64 - (base >> 16) as i64;
         Packed {
@@ -146,10 +146,10 @@
 
     fn update(&self, base: Incarnation) -> Option<Update> {
         let claim = match self.claim {
-            0 => Claim::Alive,
-            1 => Claim::Dead,
-            2 => Claim::Left,
-            told if told - 3 <= OLDEST => Claim::Suspect(told - 3),
+            0 => UpdateStatus::Alive,
+            1 => UpdateStatus::Dead,
+            2 => UpdateStatus::Left,
+            told if told - 3 <= MAX_SUSPICION_AGE => UpdateStatus::Suspect(told - 3),
             _ => return None,
         };
         let life = (base >> 16)
@@ -180,14 +180,14 @@
     /// The ping with this number has come.
     Ack(u32),
     /// Ping this one for me, and tell me how that went.
-    PingFor(u32, Id),
+    PingFor(u32, PeerId),
     /// It has answered.
     Reached(u32),
     /// It has not answered within a part of the probe period.
     Missed(u32),
     /// Nothing but claims.
     Gossip,
-    /// Send what differs from these marks.
+    /// Transmit what differs from these marks.
     Compare,
     /// Claims that differ: correct me where I am behind.
     Entries,
@@ -200,10 +200,10 @@
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Datagram {
-    /// The digest of the roster's names that the sender has.
-    pub roster: u32,
+    /// The digest of the peer set's names that the sender has.
+    pub peers: u32,
     /// Who sends it.
-    pub from: Id,
+    pub from: PeerId,
     /// In which incarnation.
     pub incarnation: Incarnation,
     /// The digest of the sender's view.
@@ -211,8 +211,8 @@
     /// What it is for.
     pub kind: Kind,
     /// What the sender's view holds of everybody: who can tell it more is asked to.
-    pub marks: Option<Marks>,
-    /// Claims go by places in the roster and not by names: they say something to those who have the same roster.
+    pub marks: Option<ViewSummary>,
+    /// Claims go by places in the peer set and not by names: they say something to those who have the same peer set.
     pub by_place: bool,
     /// Claims.
     pub updates: Vec<Update>,
@@ -222,25 +222,25 @@
 struct Written {
     version: u8,
     #[serde(with = "postcard::fixint::le")]
-    roster: u32,
+    peers: u32,
     #[serde(with = "postcard::fixint::le")]
-    from: Id,
+    from: PeerId,
     #[serde(with = "postcard::fixint::le")]
     incarnation: Incarnation,
     #[serde(with = "postcard::fixint::le")]
     digest: u32,
     kind: Kind,
-    marks: Option<Marks>,
+    marks: Option<ViewSummary>,
     by_place: bool,
     updates: Vec<Packed>,
 }
 
 impl Datagram {
-    /// Its bytes, [`MOST_BYTES`] at most: claims that have no room are left out, and how many went is told.
+    /// Its bytes, [`MAX_DATAGRAM_BYTES`] at most: claims that have no room are left out, and how many went is told.
     pub fn encode(&self) -> (Vec<u8>, usize) {
         let mut written = Written {
             version: VERSION,
-            roster: self.roster,
+            peers: self.peers,
             from: self.from,
             incarnation: self.incarnation,
             digest: self.digest,
@@ -252,7 +252,7 @@
         // A vector takes whatever comes: there is no error to have.
         let empty = postcard::to_allocvec(&written).unwrap_or_default().len();
         // The count of claims takes a second byte where they are many.
-        let mut room = MOST_BYTES.saturating_sub(empty + 1);
+        let mut room = MAX_DATAGRAM_BYTES.saturating_sub(empty + 1);
         for update in &self.updates {
             let packed = Packed::of(update, self.incarnation);
             let Some(rest) = room.checked_sub(packed.size()) else {
@@ -269,7 +269,7 @@
 
     /// Reads one. What is too long, of another version, or followed by anything is none.
     pub fn decode(bytes: &[u8]) -> Option<Datagram> {
-        if bytes.len() > MOST_BYTES || bytes.first() != Some(&VERSION) {
+        if bytes.len() > MAX_DATAGRAM_BYTES || bytes.first() != Some(&VERSION) {
             return None;
         }
         let (written, rest) = postcard::take_from_bytes::<Written>(bytes).ok()?;
@@ -279,7 +279,7 @@
             .map(|packed| packed.update(written.incarnation));
         let updates = updates.collect::<Option<Vec<Update>>>()?;
         let Written {
-            roster,
+            peers,
             from,
             incarnation,
             digest,
@@ -289,7 +289,7 @@
             ..
         } = written;
         rest.is_empty().then_some(Datagram {
-            roster,
+            peers,
             from,
             incarnation,
             digest,
--- a/gateway-cluster/src/wire/tests.rs
+++ b/gateway-cluster/src/wire/tests.rs
@@ -1,29 +1,36 @@
 use super::*;
-use crate::names::MOST_NAMES;
+use crate::peers::MAX_PEERS;
 use proptest::prelude::*;
 
 const NOW: Incarnation = 1_700_000_000_000 << 16;
 
-fn marks() -> Marks {
-    let mut marks = Marks::none(MOST_NAMES);
+fn marks() -> ViewSummary {
+    let mut marks = ViewSummary::none(MAX_PEERS);
     [0, 7, 8, 999]
         .iter()
-        .for_each(|place| marks.set(*place, Mark::Dead));
+        .for_each(|place| marks.set(*place, PeerSummary::Dead));
     marks
 }
 
 fn datagram(claims: usize, kind: Kind) -> Datagram {
     let marks = (kind == Kind::Compare).then(marks);
-    let claim = |n: usize| [Claim::Alive, Claim::Suspect(3), Claim::Dead, Claim::Left][n % 4];
+    let claim = |n: usize| {
+        [
+            UpdateStatus::Alive,
+            UpdateStatus::Suspect(3),
+            UpdateStatus::Dead,
+            UpdateStatus::Left,
+        ][n % 4]
+    };
     let update = |n: usize| Update {
         who: n as u32,
         incarnation: NOW - 1_000_000_000 * n as u64,
         claim: claim(n),
     };
     let updates = (0..claims).map(update).collect();
-    let (roster, by_place) = (u32::MAX, true);
+    let (peers, by_place) = (u32::MAX, true);
     Datagram {
-        roster,
+        peers,
         from: 7,
         incarnation: NOW,
         digest: 9,
@@ -37,16 +44,19 @@
 #[test]
 fn marks_are_set_and_read_and_what_is_beyond_them_is_none() {
     let mut marks = marks();
-    marks.set(5000, Mark::Dead);
-    marks.set(6, Mark::Raised);
-    marks.set(8, Mark::Doubted);
+    marks.set(5000, PeerSummary::Dead);
+    marks.set(6, PeerSummary::Raised);
+    marks.set(8, PeerSummary::Doubted);
     let set: Vec<_> = (0..5000)
-        .filter(|place| marks.get(*place) != Mark::Alive)
+        .filter(|place| marks.get(*place) != PeerSummary::Alive)
         .collect();
     assert_eq!(set, [0, 6, 7, 8, 999]);
-    assert_eq!((marks.get(6), marks.get(8)), (Mark::Raised, Mark::Doubted));
     assert_eq!(
-        (marks.count_dead(1000), Marks::none(9).count_dead(9)),
+        (marks.get(6), marks.get(8)),
+        (PeerSummary::Raised, PeerSummary::Doubted)
+    );
+    assert_eq!(
+        (marks.count_dead(1000), ViewSummary::none(9).count_dead(9)),
         (3, 0)
     );
 }
@@ -70,7 +80,7 @@
         );
         let (bytes, went) = datagram(1000, kind.clone()).encode();
         assert!(
-            bytes.len() <= MOST_BYTES && bytes.len() > MOST_BYTES - 20,
+            bytes.len() <= MAX_DATAGRAM_BYTES && bytes.len() > MAX_DATAGRAM_BYTES - 20,
             "{} bytes",
             bytes.len()
         );
@@ -79,7 +89,7 @@
     let far = Update {
         who: u32::MAX,
         incarnation: u64::MAX,
-        claim: Claim::Dead,
+        claim: UpdateStatus::Dead,
     };
     let mut far = Datagram {
         updates: vec![far; 5],
@@ -98,7 +108,7 @@
             *first = VERSION;
         }
         if let Some(read) = Datagram::decode(&bytes) {
-            prop_assert!(read.updates.len() * 4 <= MOST_BYTES);
+            prop_assert!(read.updates.len() * 4 <= MAX_DATAGRAM_BYTES);
         }
     }
 
--- a/gateway-cluster/tests/compatibility.rs
+++ b/gateway-cluster/tests/compatibility.rs
@@ -1,18 +1,18 @@
 //! Datagrams between front doors have the bytes that earlier builds sent.
 
 use alderhollow_recorded_bytes::RecordedBytes;
-use gateway_cluster::ownership::grants::Refusal;
-use gateway_cluster::ownership::rosters::{Mismatch, Told as RostersTold};
-use gateway_cluster::ownership::{wire as ownership, Fence, Holder};
+use gateway_cluster::leadership::configuration::{ConfigurationMismatch, ConfigurationReport};
+use gateway_cluster::leadership::voter::VoteRejection;
+use gateway_cluster::leadership::{wire as leadership, FencingToken, LeaseHolder};
 use gateway_cluster::sessions::evidence::{Report, Tally, Window};
-use gateway_cluster::sessions::keep::{Shown, Verdict};
+use gateway_cluster::sessions::verdicts::{EvidenceSummary, Verdict};
 use gateway_cluster::sessions::{wire as sessions, Pooling};
-use gateway_cluster::shards::decide::{Answer, Ballot, Named};
-use gateway_cluster::shards::keep::Marks as RangeMarks;
-use gateway_cluster::shards::wire::{self as shards, Told};
+use gateway_cluster::shards::consensus::{AcceptorReport, Ballot, MapId};
+use gateway_cluster::shards::leases::RangeSet;
+use gateway_cluster::shards::wire::{self as shards, FindingReport};
 use gateway_cluster::shards::Rule;
-use gateway_cluster::shards::{Hash, Map, Range};
-use gateway_cluster::wire::{Claim, Datagram, Kind, Mark, Marks, Update};
+use gateway_cluster::shards::{MapHash, ShardMap, ShardRange};
+use gateway_cluster::wire::{Datagram, Kind, PeerSummary, Update, UpdateStatus, ViewSummary};
 
 const INCARNATION: u64 = 1_700_000_000_000 << 16 | 3;
 
@@ -24,10 +24,10 @@
 }
 
 fn view_datagram(kind: Kind) -> Datagram {
-    let mut marks = Marks::none(9);
-    marks.set(1, Mark::Raised);
-    marks.set(2, Mark::Doubted);
-    marks.set(8, Mark::Dead);
+    let mut marks = ViewSummary::none(9);
+    marks.set(1, PeerSummary::Raised);
+    marks.set(2, PeerSummary::Doubted);
+    marks.set(8, PeerSummary::Dead);
     marks.vouches = true;
     let update = |who, claim| Update {
         who,
@@ -35,13 +35,13 @@
         claim,
     };
     let updates = vec![
-        update(1, Claim::Alive),
-        update(2, Claim::Suspect(17)),
-        update(3, Claim::Dead),
-        update(4, Claim::Left),
+        update(1, UpdateStatus::Alive),
+        update(2, UpdateStatus::Suspect(17)),
+        update(3, UpdateStatus::Dead),
+        update(4, UpdateStatus::Left),
     ];
     Datagram {
-        roster: 0x0102_0304,
+        peers: 0x0102_0304,
         from: 7,
         incarnation: INCARNATION,
         digest: 9,
@@ -82,56 +82,61 @@
 #[test]
 fn datagrams_of_the_office_encode_and_decode_as_recorded() {
     let mut recorded = fixture("ownership");
-    let holder = Holder { name: 5, life: 6 };
-    let refuse = |refusal| ownership::Kind::Refuse(4, refusal);
+    let holder = LeaseHolder {
+        name: 5,
+        incarnation: 6,
+    };
+    let refuse = |refusal| leadership::Kind::Refuse(4, refusal);
     let kinds = [
         (
             "prepare",
-            ownership::Kind::Prepare {
+            leadership::Kind::Prepare {
                 number: 4,
                 epoch: 9,
                 lease_ms: 3000,
             },
         ),
-        ("promise", ownership::Kind::Promise(4)),
+        ("promise", leadership::Kind::Promise(4)),
         (
             "ask",
-            ownership::Kind::Ask {
+            leadership::Kind::Ask {
                 number: 4,
                 epoch: 9,
                 lease_ms: 3000,
                 until: Some(123_456),
             },
         ),
-        ("grant", ownership::Kind::Grant(4)),
-        ("refuse_quiet", refuse(Refusal::Quiet(100))),
-        ("refuse_held", refuse(Refusal::Held(holder, 200))),
-        ("refuse_promised", refuse(Refusal::Promised(300))),
-        ("refuse_behind", refuse(Refusal::Behind(10))),
+        ("grant", leadership::Kind::Grant(4)),
+        ("refuse_quiet", refuse(VoteRejection::Quiet(100))),
+        ("refuse_held", refuse(VoteRejection::Held(holder, 200))),
+        ("refuse_promised", refuse(VoteRejection::Promised(300))),
+        ("refuse_behind", refuse(VoteRejection::Behind(10))),
         (
             "refuse_other_rosters",
-            refuse(Refusal::Rosters(Mismatch::Other)),
+            refuse(VoteRejection::Configuration(ConfigurationMismatch::Other)),
         ),
         (
             "refuse_changing_rosters",
-            refuse(Refusal::Rosters(Mismatch::Changing)),
+            refuse(VoteRejection::Configuration(
+                ConfigurationMismatch::Changing,
+            )),
         ),
         (
             "refuse_left_roster",
-            refuse(Refusal::Rosters(Mismatch::Left)),
+            refuse(VoteRejection::Configuration(ConfigurationMismatch::Left)),
         ),
-        ("refuse_lease", refuse(Refusal::Lease(4000))),
-        ("release", ownership::Kind::Release { epoch: 9, next: 8 }),
-        ("who", ownership::Kind::Who(4)),
+        ("refuse_lease", refuse(VoteRejection::LeaseDuration(4000))),
+        ("release", leadership::Kind::Release { epoch: 9, next: 8 }),
+        ("who", leadership::Kind::Who(4)),
         (
             "owner",
-            ownership::Kind::Owner {
+            leadership::Kind::Leader {
                 number: 4,
-                owner: Some((5, 9, 1500)),
+                leader: Some((5, 9, 1500)),
             },
         ),
     ];
-    let rosters = RostersTold {
+    let peer_sets = ConfigurationReport {
         now: 11,
         base: Some(12),
         retired: Some(13),
@@ -139,34 +144,34 @@
         seasoned: true,
     };
     for (name, kind) in kinds {
-        let datagram = ownership::Datagram {
+        let datagram = leadership::Datagram {
             from: 5,
-            life: 6,
-            to_life: 7,
+            incarnation: 6,
+            to_incarnation: 7,
             tick: 123_000,
-            rosters,
+            peer_sets,
             epoch: 9,
             kind,
         };
         recorded.check(
             name,
             &datagram,
-            ownership::Datagram::encode,
-            ownership::Datagram::decode,
+            leadership::Datagram::encode,
+            leadership::Datagram::decode,
         );
     }
     recorded.finish();
 }
 
-fn map() -> Map {
-    let range = |from, to, keeper: &str| Range {
+fn map() -> ShardMap {
+    let range = |from, to, owner: &str| ShardRange {
         from,
         to,
-        keeper: keeper.into(),
+        owner: owner.into(),
     };
-    Map {
+    ShardMap {
         version: 3,
-        parent: Hash(0xabcd),
+        parent: MapHash(0xabcd),
         epoch: 9,
         ranges: vec![range(0, 1 << 32, "n0"), range(1 << 32, 1 << 33, "n1")],
     }
@@ -179,30 +184,30 @@
         epoch: 9,
         attempt: 2,
     };
-    let named = Named {
+    let named = MapId {
         epoch: 9,
         version: 3,
-        hash: Hash(0x1234),
+        hash: MapHash(0x1234),
     };
-    let finding = |rule| Told {
+    let finding = |rule| FindingReport {
         rule,
         from: Some(1),
         to: Some(2),
         text: "a gap".into(),
     };
-    let waits = RangeMarks::of(12, |number| number == 3 || number == 11);
-    let answer = Answer {
+    let waits = RangeSet::of(12, |number| number == 3 || number == 11);
+    let answer = AcceptorReport {
         in_force: Some(named),
         accepted: Some((ballot, named)),
         memory: true,
     };
     let refusals =
-        Rule::ALL.map(|rule| shards::Kind::Refused(ballot, Hash(0x1234), vec![finding(rule)]));
+        Rule::ALL.map(|rule| shards::Kind::Refused(ballot, MapHash(0x1234), vec![finding(rule)]));
     let states = [
-        shards::State::None,
-        shards::State::Waiting,
-        shards::State::InForce,
-        shards::State::Refused,
+        shards::ProposalState::None,
+        shards::ProposalState::Waiting,
+        shards::ProposalState::InForce,
+        shards::ProposalState::Refused,
     ];
     let mut kinds = vec![
         ("learn".to_string(), shards::Kind::Learn(ballot)),
@@ -236,7 +241,7 @@
         ),
         (
             "accepted".to_string(),
-            shards::Kind::Accepted(ballot, Hash(0x1234)),
+            shards::Kind::Accepted(ballot, MapHash(0x1234)),
         ),
         (
             "have".to_string(),
@@ -247,17 +252,17 @@
             },
         ),
         ("left".to_string(), shards::Kind::Left),
-        ("fetch".to_string(), shards::Kind::Fetch(Hash(0x1234), 4)),
+        ("fetch".to_string(), shards::Kind::Fetch(MapHash(0x1234), 4)),
         (
             "part".to_string(),
             shards::Kind::Part {
-                hash: Hash(0x1234),
+                hash: MapHash(0x1234),
                 part: 1,
                 parts: 2,
                 bytes: vec![9, 8],
             },
         ),
-        ("offer".to_string(), shards::Kind::Offer(Hash(0x1234))),
+        ("offer".to_string(), shards::Kind::Offer(MapHash(0x1234))),
     ];
     kinds.extend(
         refusals
@@ -267,7 +272,7 @@
     );
     kinds.extend(states.into_iter().enumerate().map(|(number, state)| {
         let kind = shards::Kind::Answer {
-            hash: Hash(0x1234),
+            hash: MapHash(0x1234),
             state,
             findings: vec![finding(Rule::Gap)],
         };
@@ -276,8 +281,8 @@
     for (name, kind) in kinds {
         let datagram = shards::Datagram {
             from: 5,
-            life: 6,
-            to_life: 7,
+            incarnation: 6,
+            to_incarnation: 7,
             stamp: Some((8, 9)),
             kind,
         };
@@ -317,8 +322,8 @@
         control_changed: [5, 1],
     };
     let report = Report {
-        door: "n0".into(),
-        life: 6,
+        gateway: "n0".into(),
+        incarnation: 6,
         sequence: 4,
         customer: 99,
         held: Pooling::Transaction,
@@ -328,14 +333,14 @@
     let verdict = |pooling| Verdict {
         customer: 99,
         pooling,
-        fence: Fence {
+        fence: FencingToken {
             epoch: 9,
             version: 3,
         },
         round: (6, 2),
         age: 5_000_000,
         reports: vec!["n0".into(), "n1".into()],
-        evidence: Shown {
+        evidence: EvidenceSummary {
             kept: [1, 2],
             changed_in_run: [3, 4],
             changed_between: [5, 6],
@@ -348,9 +353,9 @@
         Pooling::Transaction,
         Pooling::Session,
     ];
-    let id_of = |name: &str| u32::from(name.as_bytes()[1]);
+    let peer_id_of = |name: &str| u32::from(name.as_bytes()[1]);
     let said = poolings
-        .map(|pooling| sessions::Said::new(&verdict(pooling), id_of))
+        .map(|pooling| sessions::VerdictMessage::new(&verdict(pooling), peer_id_of))
         .to_vec();
     let kinds = [
         (
@@ -365,7 +370,7 @@
         (
             "verdicts",
             sessions::Kind::Verdicts {
-                fence: Fence {
+                fence: FencingToken {
                     epoch: 9,
                     version: 3,
                 },
@@ -376,8 +381,8 @@
     for (name, kind) in kinds {
         let datagram = sessions::Datagram {
             from: 5,
-            life: 6,
-            to_life: 7,
+            incarnation: 6,
+            to_incarnation: 7,
             kind,
         };
         recorded.check(
@@ -412,7 +417,7 @@
         serde_json::to_string(&poolings).expect("encodes"),
         r#"["statement","unknown","transaction","session"]"#
     );
-    let evidence = serde_json::to_string(&Shown::default()).expect("encodes");
+    let evidence = serde_json::to_string(&EvidenceSummary::default()).expect("encodes");
     assert_eq!(
         evidence,
         r#"{"kept":[0,0],"changed_in_run":[0,0],"changed_between":[0,0],"control":[0,0]}"#
--- a/gateway-cluster/tests/keeping_model.rs
+++ b/gateway-cluster/tests/keeping_model.rs
@@ -1,52 +1,52 @@
-//! A model check of how a map is decided, staged and released over a change of the owner: three doors that accept and
-//! keep, two terms, one key, leases and their answers that are lost, late and sent again, and votes whose answers are
-//! lost. It runs the very rules that the doors go by (`shards::decide`, `shards::keep`); the office's part is taken for
-//! granted: of a term that another followed no act is of use.
-
-use gateway_cluster::names::{id_of, Id};
-use gateway_cluster::ownership::Fence;
-use gateway_cluster::shards::decide::{learn, Acceptor, Answer, Ballot, Named};
-use gateway_cluster::shards::keep::{waiting, Hand, Ledger, Marks};
-use gateway_cluster::shards::{Hash, Map, Range};
+//! A model check of how a map is decided, staged and released over a change of the leader: three gateways that accept and
+//! keep, two epochs, one key, leases and their answers that are lost, late and sent again, and votes whose answers are
+//! lost. It runs the very rules that the gateways go by (`shards::decide`, `shards::keep`); the leadership's part is taken for
+//! granted: of a epoch that another followed no act is of use.
+
+use gateway_cluster::leadership::FencingToken;
+use gateway_cluster::peers::{peer_id_of, PeerId};
+use gateway_cluster::shards::consensus::{learn, Acceptor, AcceptorReport, Ballot, MapId};
+use gateway_cluster::shards::leases::{waiting, GrantedLeases, LocalShards, RangeSet};
+use gateway_cluster::shards::{MapHash, ShardMap, ShardRange};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
 
-const DOORS: usize = 3;
-const NAMES: [&str; DOORS] = ["n0", "n1", "n2"];
+const GATEWAYS: usize = 3;
+const NAMES: [&str; GATEWAYS] = ["n0", "n1", "n2"];
 /// The length of a keep lease in ticks; on another's clock it is one longer.
 const KEEP: u64 = 2;
 const END: u64 = 6;
 /// Datagrams under way at a time.
 const UNDER_WAY: usize = 2;
 
-/// The maps by their hashes: the first, what the first owner proposes, and what the second does where it finds nothing.
-fn map(hash: u64) -> Map {
-    let (version, epoch, keeper) = [(1, 0, 0), (2, 1, 1), (2, 2, 2)][hash as usize - 1];
-    Map {
+/// The maps by their hashes: the first, what the first leader proposes, and what the second does where it finds nothing.
+fn map(hash: u64) -> ShardMap {
+    let (version, epoch, owner) = [(1, 0, 0), (2, 1, 1), (2, 2, 2)][hash as usize - 1];
+    ShardMap {
         version,
-        parent: Hash(version - 1),
+        parent: MapHash(version - 1),
         epoch,
-        ranges: vec![Range::new(0, 1, NAMES[keeper])],
+        ranges: vec![ShardRange::new(0, 1, NAMES[owner])],
     }
 }
 
-fn named(hash: u64) -> Named {
-    let Map { version, epoch, .. } = map(hash);
-    Named {
+fn named(hash: u64) -> MapId {
+    let ShardMap { version, epoch, .. } = map(hash);
+    MapId {
         epoch,
         version,
-        hash: Hash(hash),
+        hash: MapHash(hash),
     }
 }
 
-fn previous(hash: u64) -> Option<Map> {
+fn previous(hash: u64) -> Option<ShardMap> {
     (hash > 1).then(|| map(1))
 }
 
-fn door(name: Id) -> usize {
+fn gateway(name: PeerId) -> usize {
     NAMES
         .iter()
-        .position(|other| id_of(other) == name)
+        .position(|other| peer_id_of(other) == name)
         .expect("it is one of them")
 }
 
@@ -61,30 +61,30 @@
     Have(u64),
 }
 
-/// Between the owner and a door, in the term that it is of.
+/// Between the leader and a gateway, in the epoch that it is of.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Message {
     term: u64,
-    door: usize,
-    life: u64,
+    gateway: usize,
+    incarnation: u64,
     kind: Kind,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Stage {
-    Learning(BTreeMap<Id, Answer>),
+    Learning(BTreeMap<PeerId, AcceptorReport>),
     Deciding(u64, BTreeSet<usize>),
     Resting,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct State {
+struct ProposalState {
     now: u64,
     term: u64,
-    lives: [u64; DOORS],
-    acceptors: [Acceptor; DOORS],
-    hands: [Hand; DOORS],
-    ledger: Ledger,
+    lives: [u64; GATEWAYS],
+    acceptors: [Acceptor; GATEWAYS],
+    hands: [LocalShards; GATEWAYS],
+    ledger: GrantedLeases,
     stage: Stage,
     current: u64,
     under_way: BTreeSet<Message>,
@@ -96,15 +96,15 @@
     Tick,
     /// Another owns.
     Elect,
-    /// A door starts from nothing.
+    /// A gateway starts from nothing.
     Restart(usize),
-    /// The owner proposes a map.
+    /// The leader proposes a map.
     Propose,
-    /// A door answers what the owner asks as it begins.
+    /// A gateway answers what the leader asks as it begins.
     Learn(usize),
-    /// A door is asked to accept what is proposed, and whether its answer comes.
+    /// A gateway is asked to accept what is proposed, and whether its answer comes.
     Vote(usize, bool),
-    /// The owner sends a lease.
+    /// The leader sends a lease.
     Keep(usize),
     Deliver(Message),
 }
@@ -126,22 +126,22 @@
     restarts: true,
 };
 
-fn is_majority(has: &dyn Fn(Id) -> bool) -> bool {
-    NAMES.iter().filter(|name| has(id_of(name))).count() > DOORS / 2
+fn is_majority(has: &dyn Fn(PeerId) -> bool) -> bool {
+    NAMES.iter().filter(|name| has(peer_id_of(name))).count() > GATEWAYS / 2
 }
 
 impl Fleet {
-    fn waits(&self, state: &State) -> bool {
+    fn waits(&self, state: &ProposalState) -> bool {
         let version = map(state.current).version;
         let free = |name: &str| {
-            self.before_release || state.ledger.is_free(state.now, id_of(name), version)
+            self.before_release || state.ledger.is_free(state.now, peer_id_of(name), version)
         };
         waiting(&map(state.current), previous(state.current).as_ref(), free)
             .0
             .has(0)
     }
 
-    fn learned(&self, state: &mut State) {
+    fn learned(&self, state: &mut ProposalState) {
         let Stage::Learning(answers) = &state.stage else {
             return;
         };
@@ -159,7 +159,7 @@
     }
 
     /// Whether leases may be given: not before it is known what is in force, and what has to be finished.
-    fn rules(&self, state: &State) -> bool {
+    fn rules(&self, state: &ProposalState) -> bool {
         match &state.stage {
             Stage::Learning(_) => false,
             Stage::Deciding(map, _) => *map == 3 || state.term == 1,
@@ -167,19 +167,19 @@
         }
     }
 
-    fn deliver(&self, state: &mut State, message: Message) {
+    fn deliver(&self, state: &mut ProposalState, message: Message) {
         let Message {
             term,
-            door,
-            life,
+            gateway,
+            incarnation,
             kind,
         } = message;
-        let for_door = matches!(kind, Kind::Keep { .. });
-        if term != state.term || for_door && life != state.lives[door] {
+        let for_gateway = matches!(kind, Kind::Keep { .. });
+        if term != state.term || for_gateway && incarnation != state.lives[gateway] {
             // The stamp is of no use here.
             return;
         }
-        let name = id_of(NAMES[door]);
+        let name = peer_id_of(NAMES[gateway]);
         match kind {
             Kind::Keep {
                 map: hash,
@@ -187,45 +187,45 @@
                 until,
                 settled,
             } => {
-                let fence = Fence {
+                let fence = FencingToken {
                     epoch: term,
                     version: map(hash).version,
                 };
-                if !state.hands[door].allows(fence) {
+                if !state.hands[gateway].allows(fence) {
                     return;
                 }
-                state.acceptors[door].decided(term, named(hash), settled);
-                let marks = Marks::of(1, |_| waits);
-                if state.hands[door].keep(state.now, fence, Hash(hash), marks, until) {
+                state.acceptors[gateway].decided(term, named(hash), settled);
+                let marks = RangeSet::of(1, |_| waits);
+                if state.hands[gateway].keep(state.now, fence, MapHash(hash), marks, until) {
                     let kind = Kind::Have(fence.version);
                     state.under_way.insert(Message {
                         term,
-                        door,
-                        life,
+                        gateway,
+                        incarnation,
                         kind,
                     });
                 }
             }
-            Kind::Have(version) => state.ledger.took(name, life, version),
+            Kind::Have(version) => state.ledger.took(name, incarnation, version),
         }
     }
 }
 
 impl Fleet {
-    /// A door answers as the owner begins, who hears it.
-    fn learn(&self, state: &mut State, door: usize) {
+    /// A gateway answers as the leader begins, who hears it.
+    fn learn(&self, state: &mut ProposalState, gateway: usize) {
         let (name, ballot) = (
-            id_of(NAMES[door]),
+            peer_id_of(NAMES[gateway]),
             Ballot {
                 epoch: state.term,
                 attempt: 0,
             },
         );
-        let Some(answer) = state.acceptors[door].promise(ballot) else {
+        let Some(answer) = state.acceptors[gateway].promise(ballot) else {
             return;
         };
-        if state.hands[door].has_held() {
-            state.ledger.has_held(name, state.lives[door]);
+        if state.hands[gateway].has_held() {
+            state.ledger.has_held(name, state.lives[gateway]);
         }
         if let Stage::Learning(answers) = &mut state.stage {
             answers.insert(name, answer);
@@ -233,8 +233,8 @@
         self.learned(state);
     }
 
-    /// A door is asked to accept what is proposed.
-    fn vote(&self, state: &mut State, door: usize, heard: bool) {
+    /// A gateway is asked to accept what is proposed.
+    fn vote(&self, state: &mut ProposalState, gateway: usize, heard: bool) {
         let ballot = Ballot {
             epoch: state.term,
             attempt: 0,
@@ -244,64 +244,72 @@
         };
         let map = *map;
         // Who lacks the map before it cannot judge it.
-        let follows = state.acceptors[door].in_force().map(|known| known.hash.0) == Some(1);
-        if !follows || !state.acceptors[door].accept(ballot, named(map), false) || !heard {
+        let follows = state.acceptors[gateway]
+            .in_force()
+            .map(|known| known.hash.0)
+            == Some(1);
+        if !follows || !state.acceptors[gateway].accept(ballot, named(map), false) || !heard {
             return;
         }
-        votes.insert(door);
-        if is_majority(&|name| votes.contains(&self::door(name))) {
+        votes.insert(gateway);
+        if is_majority(&|name| votes.contains(&self::gateway(name))) {
             state.decided.insert((self::map(map).version, map));
             (state.current, state.stage) = (map, Stage::Resting);
         }
     }
 }
 
-/// Which doors keep the key.
-fn keepers(state: &State) -> Vec<usize> {
-    let keeps = |door: &usize| {
-        let hand = &state.hands[*door];
+/// Which gateways keep the key.
+fn owners(state: &ProposalState) -> Vec<usize> {
+    let keeps = |gateway: &usize| {
+        let hand = &state.hands[*gateway];
         let Some(hold) = hand.hold(state.now) else {
             return false;
         };
         let hash = hold.hash.0;
         !hand
-            .mine(state.now, NAMES[*door], &map(hash), previous(hash).as_ref())
+            .mine(
+                state.now,
+                NAMES[*gateway],
+                &map(hash),
+                previous(hash).as_ref(),
+            )
             .is_empty()
     };
-    (0..DOORS).filter(keeps).collect()
+    (0..GATEWAYS).filter(keeps).collect()
 }
 
 impl Model for Fleet {
-    type State = State;
+    type State = ProposalState;
     type Action = Act;
 
-    /// All have the first map, and have kept by it; the first owner knows that.
-    fn init_states(&self) -> Vec<State> {
+    /// All have the first map, and have kept by it; the first leader knows that.
+    fn init_states(&self) -> Vec<ProposalState> {
         let mut acceptor = Acceptor::default();
         acceptor.decided(1, named(1), true);
-        let mut hand = Hand::default();
+        let mut hand = LocalShards::default();
         hand.keep(
             0,
-            Fence {
+            FencingToken {
                 epoch: 1,
                 version: 1,
             },
-            Hash(1),
-            Marks::default(),
+            MapHash(1),
+            RangeSet::default(),
             KEEP,
         );
-        let mut ledger = Ledger::new(0, KEEP);
+        let mut ledger = GrantedLeases::new(0, KEEP);
         ledger.nobody_keeps(0);
         for name in NAMES {
-            ledger.give(id_of(name), 1, KEEP);
-            ledger.took(id_of(name), 1, 1);
+            ledger.give(peer_id_of(name), 1, KEEP);
+            ledger.took(peer_id_of(name), 1, 1);
         }
-        vec![State {
+        vec![ProposalState {
             now: 0,
             term: 1,
-            lives: [1; DOORS],
-            acceptors: [0; DOORS].map(|_| acceptor.clone()),
-            hands: [0; DOORS].map(|_| hand.clone()),
+            lives: [1; GATEWAYS],
+            acceptors: [0; GATEWAYS].map(|_| acceptor.clone()),
+            hands: [0; GATEWAYS].map(|_| hand.clone()),
             ledger,
             stage: Stage::Resting,
             current: 1,
@@ -310,7 +318,7 @@
         }]
     }
 
-    fn actions(&self, state: &State, acts: &mut Vec<Act>) {
+    fn actions(&self, state: &ProposalState, acts: &mut Vec<Act>) {
         acts.extend(state.under_way.iter().cloned().map(Act::Deliver));
         if state.now < END {
             acts.push(Act::Tick);
@@ -321,52 +329,54 @@
                 acts.push(Act::Propose);
             }
         }
-        if self.restarts && state.lives == [1; DOORS] {
-            acts.extend((0..DOORS).map(Act::Restart));
+        if self.restarts && state.lives == [1; GATEWAYS] {
+            acts.extend((0..GATEWAYS).map(Act::Restart));
         }
-        for (door, name) in NAMES.into_iter().enumerate() {
-            let (name, life) = (id_of(name), state.lives[door]);
+        for (gateway, name) in NAMES.into_iter().enumerate() {
+            let (name, incarnation) = (peer_id_of(name), state.lives[gateway]);
             match &state.stage {
                 Stage::Learning(answers) if !answers.contains_key(&name) => {
-                    acts.push(Act::Learn(door))
+                    acts.push(Act::Learn(gateway))
                 }
-                Stage::Deciding(_, votes) if !votes.contains(&door) => {
-                    acts.extend([Act::Vote(door, true), Act::Vote(door, false)]);
+                Stage::Deciding(_, votes) if !votes.contains(&gateway) => {
+                    acts.extend([Act::Vote(gateway, true), Act::Vote(gateway, false)]);
                 }
                 _ => {}
             }
             let has_room = state.under_way.len() < UNDER_WAY;
-            if has_room && self.rules(state) && state.ledger.may_give(state.now, name, life) {
-                acts.push(Act::Keep(door));
+            if has_room && self.rules(state) && state.ledger.may_give(state.now, name, incarnation)
+            {
+                acts.push(Act::Keep(gateway));
             }
         }
     }
 
-    fn next_state(&self, before: &State, act: Act) -> Option<State> {
+    fn next_state(&self, before: &ProposalState, act: Act) -> Option<ProposalState> {
         let mut state = before.clone();
         let (term, now) = (state.term, state.now);
         match act {
             Act::Tick => state.now += 1,
             Act::Elect => {
                 state.term = 2;
-                state.ledger = Ledger::new(now, KEEP);
+                state.ledger = GrantedLeases::new(now, KEEP);
                 if self.forgets_leases {
                     state.ledger.nobody_keeps(now);
                 }
                 state.stage = Stage::Learning(BTreeMap::new());
                 state.under_way.clear();
             }
-            Act::Restart(door) => {
-                state.lives[door] += 1;
-                (state.acceptors[door], state.hands[door]) = Default::default();
+            Act::Restart(gateway) => {
+                state.lives[gateway] += 1;
+                (state.acceptors[gateway], state.hands[gateway]) = Default::default();
             }
             Act::Propose => state.stage = Stage::Deciding(2, BTreeSet::new()),
-            Act::Learn(door) => self.learn(&mut state, door),
-            Act::Vote(door, heard) => self.vote(&mut state, door, heard),
-            Act::Keep(door) => {
-                let (name, life, until) = (id_of(NAMES[door]), state.lives[door], now + KEEP);
+            Act::Learn(gateway) => self.learn(&mut state, gateway),
+            Act::Vote(gateway, heard) => self.vote(&mut state, gateway, heard),
+            Act::Keep(gateway) => {
+                let (name, incarnation, until) =
+                    (peer_id_of(NAMES[gateway]), state.lives[gateway], now + KEEP);
                 let (waits, settled) = (self.waits(&state), state.stage == Stage::Resting);
-                state.ledger.give(name, life, until);
+                state.ledger.give(name, incarnation, until);
                 let kind = Kind::Keep {
                     map: state.current,
                     waits,
@@ -375,8 +385,8 @@
                 };
                 state.under_way.insert(Message {
                     term,
-                    door,
-                    life,
+                    gateway,
+                    incarnation,
                     kind,
                 });
             }
@@ -390,20 +400,20 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never two keepers", |_, state: &State| {
-                keepers(state).len() <= 1
+            Property::always("never two keepers", |_, state: &ProposalState| {
+                owners(state).len() <= 1
             }),
-            Property::always("a version is decided once", |_, state: &State| {
+            Property::always("a version is decided once", |_, state: &ProposalState| {
                 let versions: BTreeSet<u64> =
                     state.decided.iter().map(|(version, _)| *version).collect();
                 versions.len() == state.decided.len()
             }),
-            Property::sometimes("a second map is kept", |_, state: &State| {
-                state.current == 2 && keepers(state) == [1]
+            Property::sometimes("a second map is kept", |_, state: &ProposalState| {
+                state.current == 2 && owners(state) == [1]
             }),
             Property::sometimes(
                 "a new owner finishes what was accepted",
-                |_, state: &State| {
+                |_, state: &ProposalState| {
                     state.term == 2
                         && state.decided.contains(&(2, 2))
                         && state.stage == Stage::Resting
@@ -413,11 +423,11 @@
     }
 }
 
-fn check(fleet: Fleet, depth: usize) -> impl Checker<Fleet> {
+fn check(cluster: Fleet, depth: usize) -> impl Checker<Fleet> {
     let threads = std::thread::available_parallelism()
         .map_or(2, usize::from)
         .min(3);
-    fleet
+    cluster
         .checker()
         .threads(threads)
         .target_max_depth(depth)
@@ -426,7 +436,7 @@
 }
 
 #[test]
-fn no_key_has_two_keepers_and_no_version_two_maps_over_a_change_of_owner() {
+fn no_key_has_two_owners_and_no_version_two_maps_over_a_change_of_leader() {
     for (restarts, depth) in [(false, 12), (true, 10)] {
         let checker = check(
             Fleet {
@@ -447,12 +457,12 @@
 }
 
 /// Whether this comes up, at most so deep.
-fn finds(fleet: Fleet, depth: usize, what: &'static str) -> bool {
+fn finds(cluster: Fleet, depth: usize, what: &'static str) -> bool {
     let threads = std::thread::available_parallelism()
         .map_or(2, usize::from)
         .min(3);
     let finish = HasDiscoveries::AllOf(BTreeSet::from([what]));
-    let checker = fleet
+    let checker = cluster
         .checker()
         .threads(threads)
         .target_max_depth(depth)
@@ -469,7 +479,7 @@
 };
 
 #[test]
-fn the_check_reaches_a_second_map_and_one_that_a_new_owner_finishes() {
+fn the_check_reaches_a_second_map_and_one_that_a_new_leader_finishes() {
     assert!(finds(NO_RESTARTS, 12, "a second map is kept"));
     assert!(finds(
         NO_RESTARTS,
@@ -479,7 +489,7 @@
 }
 
 #[test]
-fn the_check_finds_a_keeper_that_starts_before_the_release() {
+fn the_check_finds_a_owner_that_starts_before_the_release() {
     assert!(finds(
         Fleet {
             before_release: true,
@@ -491,7 +501,7 @@
 }
 
 #[test]
-fn the_check_finds_a_new_owner_that_does_not_wait_for_the_leases_of_the_old_one() {
+fn the_check_finds_a_new_leader_that_does_not_wait_for_the_leases_of_the_old_one() {
     assert!(finds(
         Fleet {
             forgets_leases: true,
@@ -503,7 +513,7 @@
 }
 
 #[test]
-fn the_check_finds_a_new_owner_that_starts_afresh_though_a_majority_had_accepted_a_map() {
+fn the_check_finds_a_new_leader_that_starts_afresh_though_a_majority_had_accepted_a_map() {
     assert!(finds(
         Fleet {
             starts_afresh: true,
@@ -515,7 +525,7 @@
 }
 
 #[test]
-fn the_check_finds_a_door_that_started_from_nothing_and_counts_at_once() {
+fn the_check_finds_a_gateway_that_started_from_nothing_and_counts_at_once() {
     assert!(finds(
         Fleet {
             trusts_the_new: true,
--- a/gateway-cluster/tests/model.rs
+++ b/gateway-cluster/tests/model.rs
@@ -1,20 +1,22 @@
-//! A model check of the order of claims: one door that is killed and starts anew from nothing, two others that hold
+//! A model check of the order of claims: one gateway that is killed and starts anew from nothing, two others that hold
 //! views of it, and messages between them that are lost, doubled and late by any time. The model runs the very
 //! functions that the view goes by (`gateway_cluster::rules`).
 
-use gateway_cluster::rules::{life, of_self, raised, take, weigh, Held, Own, Weight};
-use gateway_cluster::wire::{Claim, Incarnation};
+use gateway_cluster::precedence::{
+    life, of_self, raised, take, weigh, KnownUpdate, Precedence, SelfUpdateAction,
+};
+use gateway_cluster::wire::{Incarnation, UpdateStatus};
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// Lives that the door may have, by their wall clock: the second may be set back behind the first.
+/// Lives that the gateway may have, by their wall clock: the second may be set back behind the first.
 const LIVES: usize = 3;
 /// Refutations that are told apart: what would go beyond is not followed.
 const REFUTED: u64 = 3;
 /// Messages under way at a time.
 const UNDER_WAY: usize = 3;
 
-/// The process of the door, if one runs.
+/// The process of the gateway, if one runs.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Process {
     own: Incarnation,
@@ -25,7 +27,7 @@
 /// What one of the two others holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Other {
-    held: Held,
+    held: KnownUpdate,
     doubted: bool,
     /// The highest incarnation that it ever held, to see that it goes back never.
     highest: Incarnation,
@@ -46,13 +48,17 @@
 }
 
 impl Message {
-    fn claim(self) -> Claim {
-        [Claim::Alive, Claim::Suspect(0), Claim::Dead][usize::from(self.claim)]
+    fn claim(self) -> UpdateStatus {
+        [
+            UpdateStatus::Alive,
+            UpdateStatus::Suspect(0),
+            UpdateStatus::Dead,
+        ][usize::from(self.claim)]
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct State {
+struct PeerState {
     process: Option<Process>,
     /// Lives that were begun, and the wall clock of the highest.
     begun: usize,
@@ -69,16 +75,16 @@
         back: bool,
     },
     Kill,
-    /// The door is no more young.
+    /// The gateway is no more young.
     Age,
-    /// The door says that it lives.
+    /// The gateway says that it lives.
     Speak(usize),
     /// One of the others doubts it, or holds it for gone after that.
     Doubt(usize),
     Verdict(usize),
-    /// One of the others tells the door, or the other one, what it holds.
+    /// One of the others tells the gateway, or the other one, what it holds.
     Tell(usize, To),
-    /// It believes the other one, which was out of reach, that the door lives.
+    /// It believes the other one, which was out of reach, that the gateway lives.
     Believe(usize),
     /// A message comes; it may come again.
     Deliver(Message),
@@ -87,7 +93,7 @@
 
 #[derive(Clone, Copy)]
 struct Order {
-    /// For the proof that the check can fail: claims of a higher life silence a door whatever they say.
+    /// For the proof that the check can fail: claims of a higher life silence a gateway whatever they say.
     silenced_by_verdicts: bool,
     /// For the same: an older life is taken for a later one.
     takes_older: bool,
@@ -100,12 +106,15 @@
 impl Order {
     fn hear(&self, other: &mut Other, message: Message) {
         let claim = message.claim();
-        let later = matches!(weigh(other.held, message.incarnation), Weight::Later { .. });
-        let equal = weigh(other.held, message.incarnation) == Weight::Equal;
+        let later = matches!(
+            weigh(other.held, message.incarnation),
+            Precedence::Later { .. }
+        );
+        let equal = weigh(other.held, message.incarnation) == Precedence::Equal;
         let before = other.held;
         other.held = take(other.held, message.incarnation, claim);
         if self.takes_older && life(message.incarnation) < life(before.incarnation) {
-            other.held = Held {
+            other.held = KnownUpdate {
                 incarnation: message.incarnation,
                 dead: false,
             };
@@ -113,7 +122,7 @@
         if later {
             other.doubted = false;
         }
-        if (later || equal) && !other.held.dead && claim != Claim::Alive {
+        if (later || equal) && !other.held.dead && claim != UpdateStatus::Alive {
             // A claim of a death is a doubt here, and a verdict only after that.
             other.doubted = true;
         }
@@ -128,9 +137,9 @@
         } = *process;
         let own = of_self(own, young, superseded, message.incarnation, message.claim());
         let own = match own {
-            Own::Outbid(_) if self.silenced_by_verdicts && !process.young => {
+            SelfUpdateAction::Outbid(_) if self.silenced_by_verdicts && !process.young => {
                 if life(message.incarnation) > life(process.own) {
-                    Own::Superseded
+                    SelfUpdateAction::Superseded
                 } else {
                     own
                 }
@@ -138,17 +147,19 @@
             own => own,
         };
         match own {
-            Own::Keep => {}
-            Own::Adopt(incarnation) => process.own = incarnation,
-            Own::Outbid(incarnation) => (process.own, process.superseded) = (incarnation, false),
-            Own::Superseded => process.superseded = true,
-            Own::Resume => process.superseded = false,
+            SelfUpdateAction::Keep => {}
+            SelfUpdateAction::Adopt(incarnation) => process.own = incarnation,
+            SelfUpdateAction::Outbid(incarnation) => {
+                (process.own, process.superseded) = (incarnation, false)
+            }
+            SelfUpdateAction::Superseded => process.superseded = true,
+            SelfUpdateAction::Resume => process.superseded = false,
         }
     }
 }
 
-/// Whether a verdict that this one holds of the door ends within one exchange, where nothing is lost: it tells the door
-/// what it holds, and the door speaks.
+/// Whether a verdict that this one holds of the gateway ends within one exchange, where nothing is lost: it tells the gateway
+/// what it holds, and the gateway speaks.
 fn is_refutable(order: &Order, process: Process, other: Other) -> bool {
     let (mut process, mut other) = (process, other);
     let told = Message {
@@ -169,12 +180,12 @@
 }
 
 impl Model for Order {
-    type State = State;
+    type State = PeerState;
     type Action = Act;
 
-    fn init_states(&self) -> Vec<State> {
+    fn init_states(&self) -> Vec<PeerState> {
         let other = Other {
-            held: Held {
+            held: KnownUpdate {
                 incarnation: 0,
                 dead: false,
             },
@@ -182,7 +193,7 @@
             highest: 0,
         };
         let (process, under_way) = (None, BTreeSet::new());
-        vec![State {
+        vec![PeerState {
             process,
             begun: 0,
             others: [other; 2],
@@ -191,7 +202,7 @@
         }]
     }
 
-    fn actions(&self, state: &State, acts: &mut Vec<Act>) {
+    fn actions(&self, state: &PeerState, acts: &mut Vec<Act>) {
         match state.process {
             None if state.begun < LIVES => {
                 acts.extend([Act::Start { back: false }, Act::Start { back: true }]);
@@ -225,7 +236,7 @@
         }
     }
 
-    fn next_state(&self, state: &State, act: Act) -> Option<State> {
+    fn next_state(&self, state: &PeerState, act: Act) -> Option<PeerState> {
         let mut next = state.clone();
         let mut send = None;
         match act {
@@ -268,7 +279,7 @@
             }
             Act::Believe(n) => {
                 let other = &mut next.others[n];
-                other.held = Held {
+                other.held = KnownUpdate {
                     incarnation: raised(other.held.incarnation),
                     dead: false,
                 };
@@ -291,7 +302,7 @@
         (next != *state).then_some(next)
     }
 
-    fn within_boundary(&self, state: &State) -> bool {
+    fn within_boundary(&self, state: &PeerState) -> bool {
         let incarnations = state.others.iter().map(|other| other.held.incarnation);
         let own = state.process.map(|process| process.own);
         incarnations
@@ -304,7 +315,7 @@
         vec![
             Property::always(
                 "no older incarnation goes before a newer one",
-                |_: &Order, state: &State| {
+                |_: &Order, state: &PeerState| {
                     state
                         .others
                         .iter()
@@ -313,7 +324,7 @@
             ),
             Property::always(
                 "each verdict on a door that lives can be refuted",
-                |order: &Order, state: &State| {
+                |order: &Order, state: &PeerState| {
                     let dead = state.others.iter().filter(|other| other.held.dead);
                     state.process.is_none_or(|process| {
                         dead.clone()
@@ -323,11 +334,11 @@
             ),
             Property::always(
                 "a verdict silences no process",
-                |_: &Order, state: &State| !state.wronged,
+                |_: &Order, state: &PeerState| !state.wronged,
             ),
             Property::sometimes(
                 "a new life whose clock was set back is held for alive",
-                |_: &Order, state: &State| {
+                |_: &Order, state: &PeerState| {
                     let wins = |process: Process| {
                         let lives = |other: &Other| {
                             !other.held.dead && other.held.incarnation == process.own
--- a/gateway-cluster/tests/ownership_model.rs
+++ b/gateway-cluster/tests/ownership_model.rs
@@ -1,28 +1,29 @@
-//! A model check of ownership: doors that ask for the office, grant it, stop between any two instructions and start anew
-//! from nothing, while what they send is lost, doubled and late by any time, and while the roster changes. The model
-//! runs the very functions that safety rests on: `Granter`, `Lease` and `Rosters`.
+//! A model check of ownership: gateways that ask for leadership, grant it, stop between any two instructions and start anew
+//! from nothing, while what they send is lost, doubled and late by any time, and while the peer set changes. The model
+//! runs the very functions that safety rests on: `LeaseVoter`, `CollectedVotes` and `PeerConfiguration`.
 //!
-//! What is simpler here than in `Office`, each time towards more orders of events rather than fewer:
+//! What is simpler here than in `LeaderElection`, each time towards more orders of events rather than fewer:
 //! * a candidate goes on to ask for grants whether or not a majority has promised;
-//! * nobody learns of a term from the head of a datagram, no door steps down for a later term, and nobody waits for the
-//!   view: all of that only makes doors refuse more;
+//! * nobody learns of a epoch from the head of a datagram, no gateway steps down for a later epoch, and nobody waits for the
+//!   view: all of that only makes gateways refuse more;
 //! * what is sent stays under way for good, so that it may come never, late and again.
 //!
-//! The rule at the receiver of an act (`Office::admit`) and the stamp that goes with it (`Office::stamp`) are stated
-//! here once more, as an office holds a random generator and is too large to be a part of a state.
+//! The rule at the receiver of an act (`LeaderElection::admit`) and the stamp that goes with it (`LeaderElection::stamp`) are stated
+//! here once more, as an leadership holds a random generator and is too large to be a part of a state.
 //!
-//! Clocks: each door has its own zero. The first door's clock is slow by a hundredth and all others are fast by one, the
-//! most that is assumed. The lease is two of the slow door's ticks, so that what a fast granter waits is two ticks too:
+//! Clocks: each gateway has its own zero. The first gateway's clock is slow by a hundredth and all others are fast by one, the
+//! most that is assumed. The lease is two of the slow gateway's ticks, so that what a fast granter waits is two ticks too:
 //! there is no slack in which a fault could hide.
 
-use gateway_cluster::engine::Micros;
-use gateway_cluster::names::Id;
-use gateway_cluster::ownership::grants::{Granter, Question};
-use gateway_cluster::ownership::lease::Lease;
-use gateway_cluster::ownership::office::{Office, Send, Settings};
-use gateway_cluster::ownership::rosters::{Rosters, Told};
-use gateway_cluster::ownership::wire::{self, Datagram};
-use gateway_cluster::ownership::{longer, shorter, Holder};
+use gateway_cluster::leadership::configuration::{ConfigurationReport, PeerConfiguration};
+use gateway_cluster::leadership::election::{ElectionSettings, LeaderElection};
+use gateway_cluster::leadership::voter::{LeaseVoter, VoteRequest};
+use gateway_cluster::leadership::votes::CollectedVotes;
+use gateway_cluster::leadership::wire::{self, Datagram};
+use gateway_cluster::leadership::{longer, shorter, LeaseHolder};
+use gateway_cluster::peers::PeerId;
+use gateway_cluster::protocol::Micros;
+use gateway_cluster::protocol::Transmit;
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::cmp::Ordering;
 use std::collections::{BTreeMap, BTreeSet};
@@ -35,10 +36,10 @@
 const FAST: Micros = 1_010_000;
 /// A little less than two ticks of the slow clock, so that a granter's word lasts for two of the fast one.
 const LEASE: Micros = 2 * SLOW - 1000;
-/// When the model begins: all doors were started at 0 and are past their quiet time.
+/// When the model begins: all gateways were started at 0 and are past their quiet time.
 const BEGIN: u8 = 3;
 
-type Names = &'static [Id];
+type Names = &'static [PeerId];
 
 /// Pieces that are taken out, to see that the check finds it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -46,15 +47,15 @@
     Nothing,
     /// The lease counts from the answer.
     QuestionTime,
-    /// A door that starts anew grants at once.
+    /// A gateway that starts anew grants at once.
     Quiet,
-    /// The receiver of an act does not look at its term.
+    /// The receiver of an act does not look at its epoch.
     Epoch,
     /// Nor at its deadline.
     Deadline,
     /// It looks at neither.
-    Fence,
-    /// While the roster changes the new one alone is won.
+    FencingToken,
+    /// While the peer set changes the new one alone is won.
     Joint,
     /// A granter does not remember a change that it granted under.
     Bars,
@@ -62,26 +63,26 @@
     Once,
     /// Two processes of one name are one holder.
     Lives,
-    /// What is given back late takes a later term's grant with it, as `Granter::release` does by itself.
+    /// What is given back late takes a later epoch's grant with it, as `LeaseVoter::release` does by itself.
     ReleasedTerm,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Act {
     epoch: u64,
-    to_life: u64,
+    to_incarnation: u64,
     until: Micros,
     /// For the check alone: the tick at which the lease is over that was looked at.
     over: u8,
 }
 
-/// Told rosters with an order, to be kept in a set.
+/// ConfigurationReport peer sets with an order, to be kept in a set.
 #[derive(Clone, Copy, PartialEq, Eq, Hash)]
-struct Rostered(Told);
+struct Rostered(ConfigurationReport);
 
 impl Debug for Rostered {
     fn fmt(&self, to: &mut Formatter<'_>) -> std::fmt::Result {
-        let Told { base, changes, .. } = self.0;
+        let ConfigurationReport { base, changes, .. } = self.0;
         write!(
             to,
             "{}{changes} changes",
@@ -92,7 +93,7 @@
 
 impl Ord for Rostered {
     fn cmp(&self, other: &Self) -> Ordering {
-        let key = |told: Told| {
+        let key = |told: ConfigurationReport| {
             (
                 told.now,
                 told.base,
@@ -122,7 +123,7 @@
     },
     Grant {
         number: u8,
-        to_life: u64,
+        to_incarnation: u64,
         tick: Micros,
     },
     Release {
@@ -136,8 +137,8 @@
 struct Message {
     from: usize,
     to: usize,
-    life: u64,
-    rosters: Rostered,
+    incarnation: u64,
+    peer_sets: Rostered,
     kind: Kind,
 }
 
@@ -147,16 +148,16 @@
     Preparing(u64),
     Asking(u64),
     Holding(u64),
-    /// It has given the office back and takes no part.
+    /// It has given leadership back and takes no part.
     Hushed,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Door {
-    life: u64,
-    granter: Granter,
-    rosters: Rosters,
-    held: Lease,
+    incarnation: u64,
+    granter: LeaseVoter,
+    peer_sets: PeerConfiguration,
+    held: CollectedVotes,
     /// Answers of any one, for the proof that each name counts once.
     answers: usize,
     until: Micros,
@@ -164,32 +165,32 @@
     number: u8,
     /// Questions that may still be answered: to whom, its number, and when it was asked.
     asked: BTreeMap<(usize, u8), Micros>,
-    /// The highest term that it asked for, or that its wall clock begins with.
+    /// The highest epoch that it asked for, or that its wall clock begins with.
     hint: u64,
     /// Lives and clocks of others, and when they were heard.
     heard: BTreeMap<usize, (u64, Micros, Micros)>,
-    fence: (u64, Option<Id>),
+    fence: (u64, Option<PeerId>),
     /// It has looked at its lease and is about to act.
     checked: Option<(usize, Act)>,
 }
 
-/// For the check alone: a term that was held, and by whose grants.
+/// For the check alone: a epoch that was held, and by whose grants.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct Term {
     epoch: u64,
-    holder: Holder,
+    holder: LeaseHolder,
     granters: BTreeSet<(usize, u64)>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct State {
     tick: u8,
-    doors: Vec<Arc<Door>>,
+    gateways: Vec<Arc<Door>>,
     under_way: BTreeSet<Message>,
     terms: Vec<Term>,
     restarts: u8,
     acts: u8,
-    /// An act was carried out; was refused; took effect after its lease; behind a later term.
+    /// An act was carried out; was refused; took effect after its lease; behind a later epoch.
     accepted: bool,
     refused: bool,
     late: bool,
@@ -199,26 +200,26 @@
 }
 
 impl State {
-    fn door(&mut self, process: usize) -> &mut Door {
-        Arc::make_mut(&mut self.doors[process])
+    fn gateway(&mut self, process: usize) -> &mut Door {
+        Arc::make_mut(&mut self.gateways[process])
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 enum Step {
     Tick,
-    /// A door begins to ask who would grant.
+    /// A gateway begins to ask who would grant.
     Begin(usize),
     /// It asks for grants.
     Ask(usize),
-    /// An owner, or one that was not answered, asks anew.
+    /// A leader, or one that was not answered, asks anew.
     AskAgain(usize),
     GiveUp(usize),
     Leave(usize),
     Restart(usize),
-    /// Its file names the new roster.
+    /// Its file names the new peer set.
     Set(usize),
-    /// An owner looks at its lease before an act; and acts, however much later.
+    /// A leader looks at its lease before an act; and acts, however much later.
     Check(usize, usize),
     Act(usize),
     Deliver(Message),
@@ -233,7 +234,7 @@
     Answered(usize, usize),
 }
 
-/// The first door owns by the third one's grant.
+/// The first gateway owns by the third one's grant.
 const OWNED: &[Opening] = &[
     Opening::Step(Step::Begin(0)),
     Opening::Asked(0, 2),
@@ -247,21 +248,21 @@
     Opening::Answered(2, 0),
 ];
 
-/// One fleet and the bounds of what is followed.
+/// One cluster and the bounds of what is followed.
 #[derive(Debug, Clone, Copy)]
 struct Fleet {
     /// The name of each process.
     processes: Names,
-    rosters: [Names; 2],
-    /// Processes whose file names the new roster from the start.
+    peer_sets: [Names; 2],
+    /// Processes whose file names the new peer set from the start.
     fresh: &'static [usize],
     /// Processes whose file is changed while they run.
     told: &'static [usize],
     opening: &'static [Opening],
     candidates: &'static [usize],
-    /// The terms that their wall clocks begin with, which may be wrong in any way.
+    /// The epochs that their wall clocks begin with, which may be wrong in any way.
     clocks: &'static [u64],
-    /// The last tick, the last term, and the most questions of one process.
+    /// The last tick, the last epoch, and the most questions of one process.
     ticks: u8,
     epochs: u64,
     questions: u8,
@@ -271,7 +272,7 @@
     prepares: bool,
     gives_up: bool,
     leaves: bool,
-    /// A file that names the new roster may name the old one again.
+    /// A file that names the new peer set may name the old one again.
     back: bool,
     /// Whether more is asked for than the rules promise.
     strict: bool,
@@ -280,7 +281,7 @@
 
 const THREE: Fleet = Fleet {
     processes: &[0, 1, 2],
-    rosters: [&[0, 1, 2], &[0, 1, 2]],
+    peer_sets: [&[0, 1, 2], &[0, 1, 2]],
     fresh: &[],
     told: &[],
     opening: &[],
@@ -312,29 +313,29 @@
 }
 
 impl Fleet {
-    fn holder(&self, process: usize, life: u64) -> Holder {
-        let life = if self.without == Without::Lives {
+    fn holder(&self, process: usize, incarnation: u64) -> LeaseHolder {
+        let incarnation = if self.without == Without::Lives {
             0
         } else {
-            100 * process as u64 + life
+            100 * process as u64 + incarnation
         };
-        Holder {
+        LeaseHolder {
             name: self.processes[process],
-            life,
+            incarnation,
         }
     }
 
-    fn fresh_door(&self, process: usize, tick: u8, life: u64, names: Names) -> Door {
+    fn fresh_gateway(&self, process: usize, tick: u8, incarnation: u64, names: Names) -> Door {
         let born = if self.without == Without::Quiet {
             0
         } else {
             tick
         };
         Door {
-            life,
-            granter: Granter::new(clock(process, born), LEASE),
-            rosters: Rosters::new(names.to_vec()),
-            held: Lease::default(),
+            incarnation,
+            granter: LeaseVoter::new(clock(process, born), LEASE),
+            peer_sets: PeerConfiguration::new(names.to_vec()),
+            held: CollectedVotes::default(),
             answers: 0,
             until: 0,
             stage: Stage::Idle,
@@ -347,55 +348,55 @@
         }
     }
 
-    fn question(&self, process: usize, door: &Door, epoch: u64) -> Question {
-        let holder = self.holder(process, door.life);
-        Question {
+    fn question(&self, process: usize, gateway: &Door, epoch: u64) -> VoteRequest {
+        let holder = self.holder(process, gateway.incarnation);
+        VoteRequest {
             holder,
             epoch,
             lease: LEASE,
-            rosters: door.rosters.told(),
+            peer_sets: gateway.peer_sets.told(),
         }
     }
 
     /// The end of the lease, by the rules or without one of them.
-    fn until(&self, door: &Door) -> Micros {
-        let held = &door.held;
+    fn until(&self, gateway: &Door) -> Micros {
+        let held = &gateway.held;
         match self.without {
             Without::Joint => {
-                let now = door
-                    .rosters
+                let now = gateway
+                    .peer_sets
                     .each()
                     .last()
                     .and_then(|bound| bound.names.clone());
-                held.until(&Rosters::new(now.unwrap_or_default()))
+                held.until(&PeerConfiguration::new(now.unwrap_or_default()))
             }
-            Without::Once if door.answers > door.rosters.names().len() / 2 => {
-                let has = door
-                    .rosters
+            Without::Once if gateway.answers > gateway.peer_sets.names().len() / 2 => {
+                let has = gateway
+                    .peer_sets
                     .names()
                     .into_iter()
                     .find(|name| held.has(*name));
-                has.map_or(0, |name| held.until(&Rosters::new(vec![name])))
+                has.map_or(0, |name| held.until(&PeerConfiguration::new(vec![name])))
             }
-            _ => held.until(&door.rosters),
+            _ => held.until(&gateway.peer_sets),
         }
     }
 
     fn sends(&self, state: &mut State, from: usize, to: usize, kind: Kind) {
-        let door = &state.doors[from];
-        let rosters = Rostered(door.rosters.told());
+        let gateway = &state.gateways[from];
+        let peer_sets = Rostered(gateway.peer_sets.told());
         state.under_way.insert(Message {
             from,
             to,
-            life: door.life,
-            rosters,
+            incarnation: gateway.incarnation,
+            peer_sets,
             kind,
         });
     }
 
-    /// All processes of other names in any of its rosters.
-    fn others(&self, door: &Door, process: usize) -> Vec<usize> {
-        let names = door.rosters.names();
+    /// All processes of other names in any of its peer sets.
+    fn others(&self, gateway: &Door, process: usize) -> Vec<usize> {
+        let names = gateway.peer_sets.names();
         let other = |to: &usize| {
             names.contains(&self.processes[*to]) && self.processes[*to] != self.processes[process]
         };
@@ -404,11 +405,12 @@
 
     fn asks(&self, state: &mut State, process: usize, epoch: u64) {
         let now = clock(process, state.tick);
-        let others = self.others(&state.doors[process], process);
-        let door = state.door(process);
-        door.number += 1;
-        let number = door.number;
-        door.asked
+        let others = self.others(&state.gateways[process], process);
+        let gateway = state.gateway(process);
+        gateway.number += 1;
+        let number = gateway.number;
+        gateway
+            .asked
             .extend(others.iter().map(|to| ((*to, number), now)));
         for to in others {
             self.sends(state, process, to, Kind::Ask { number, epoch });
@@ -416,10 +418,10 @@
     }
 
     fn asks_for_grants(&self, state: &mut State, process: usize) {
-        let Stage::Preparing(epoch) = state.doors[process].stage else {
+        let Stage::Preparing(epoch) = state.gateways[process].stage else {
             return;
         };
-        state.door(process).stage = Stage::Asking(epoch);
+        state.gateway(process).stage = Stage::Asking(epoch);
         self.asks(state, process, epoch);
         self.grants_itself(state, process, epoch);
         self.looks_at_lease(state, process);
@@ -427,42 +429,47 @@
 
     fn grants_itself(&self, state: &mut State, process: usize, epoch: u64) {
         let now = clock(process, state.tick);
-        let door = state.door(process);
-        let question = self.question(process, door, epoch);
-        if door
+        let gateway = state.gateway(process);
+        let question = self.question(process, gateway, epoch);
+        if gateway
             .granter
-            .grant(now, &question, &mut door.rosters)
+            .grant(now, &question, &mut gateway.peer_sets)
             .is_ok()
         {
-            door.held.granted(question.holder.name, now, LEASE);
-            if matches!(door.stage, Stage::Asking(_)) {
-                door.answers += 1;
+            gateway.held.granted(question.holder.name, now, LEASE);
+            if matches!(gateway.stage, Stage::Asking(_)) {
+                gateway.answers += 1;
             }
         }
     }
 
-    /// A majority of each roster has granted, or not yet.
+    /// A majority of each peer set has granted, or not yet.
     fn looks_at_lease(&self, state: &mut State, process: usize) {
         let now = clock(process, state.tick);
-        let life_of: Vec<u64> = state.doors.iter().map(|door| door.life).collect();
-        let door = state.door(process);
-        let (Stage::Asking(epoch) | Stage::Holding(epoch)) = door.stage else {
+        let incarnation_of: Vec<u64> = state
+            .gateways
+            .iter()
+            .map(|gateway| gateway.incarnation)
+            .collect();
+        let gateway = state.gateway(process);
+        let (Stage::Asking(epoch) | Stage::Holding(epoch)) = gateway.stage else {
             return;
         };
-        let until = self.until(door);
+        let until = self.until(gateway);
         if now >= until {
             return;
         }
-        door.until = door.until.max(until);
-        door.rosters.won();
-        if matches!(door.stage, Stage::Asking(_)) {
-            door.stage = Stage::Holding(epoch);
-            door.fence = (epoch, Some(self.processes[process]));
-            let granters = (0..life_of.len()).filter(|by| door.held.has(self.processes[*by]));
-            let granters = granters.map(|by| (by, life_of[by])).collect();
-            let holder = Holder {
-                life: door.life,
-                name: process as Id,
+        gateway.until = gateway.until.max(until);
+        gateway.peer_sets.won();
+        if matches!(gateway.stage, Stage::Asking(_)) {
+            gateway.stage = Stage::Holding(epoch);
+            gateway.fence = (epoch, Some(self.processes[process]));
+            let granters =
+                (0..incarnation_of.len()).filter(|by| gateway.held.has(self.processes[*by]));
+            let granters = granters.map(|by| (by, incarnation_of[by])).collect();
+            let holder = LeaseHolder {
+                incarnation: gateway.incarnation,
+                name: process as PeerId,
             };
             state.terms.push(Term {
                 epoch,
@@ -472,80 +479,84 @@
         }
     }
 
-    /// What was granted to one that counted other rosters says nothing for these.
-    fn rebinds(&self, state: &mut State, process: usize, before: Told) {
-        let door = state.door(process);
-        let after = door.rosters.told();
+    /// What was granted to one that counted other peer sets says nothing for these.
+    fn rebinds(&self, state: &mut State, process: usize, before: ConfigurationReport) {
+        let gateway = state.gateway(process);
+        let after = gateway.peer_sets.told();
         let same = (before.now, before.base) == (after.now, after.base);
         if same || before.now == after.now && after.base.is_none() {
             return;
         }
-        match door.stage {
+        match gateway.stage {
             Stage::Preparing(_) | Stage::Asking(_) => self.gives_up(state, process),
             Stage::Holding(_) => {
-                door.held = Lease::default();
-                door.asked.clear();
+                gateway.held = CollectedVotes::default();
+                gateway.asked.clear();
             }
             Stage::Idle | Stage::Hushed => {}
         }
     }
 
     fn gives_up(&self, state: &mut State, process: usize) {
-        if let Stage::Asking(epoch) = state.doors[process].stage {
-            for to in self.others(&state.doors[process], process) {
-                if state.doors[process].held.has(self.processes[to]) {
+        if let Stage::Asking(epoch) = state.gateways[process].stage {
+            for to in self.others(&state.gateways[process], process) {
+                if state.gateways[process].held.has(self.processes[to]) {
                     self.sends(state, process, to, Kind::Release { epoch });
                 }
             }
-            let holder = self.holder(process, state.doors[process].life);
-            state.door(process).granter.release(holder, epoch);
+            let holder = self.holder(process, state.gateways[process].incarnation);
+            state.gateway(process).granter.release(holder, epoch);
         }
-        let door = state.door(process);
-        (door.stage, door.until, door.held, door.answers) = (Stage::Idle, 0, Lease::default(), 0);
-        door.asked.clear();
+        let gateway = state.gateway(process);
+        (gateway.stage, gateway.until, gateway.held, gateway.answers) =
+            (Stage::Idle, 0, CollectedVotes::default(), 0);
+        gateway.asked.clear();
     }
 
     fn hears(&self, state: &mut State, message: Message) {
         let Message {
             from,
             to,
-            life,
-            rosters,
+            incarnation,
+            peer_sets,
             kind,
         } = message;
         let now = clock(to, state.tick);
-        if state.doors[to].stage == Stage::Hushed {
+        if state.gateways[to].stage == Stage::Hushed {
             return;
         }
-        let before = state.doors[to].rosters.told();
+        let before = state.gateways[to].peer_sets.told();
         if self.without != Without::Joint {
-            state.door(to).rosters.hear(rosters.0);
+            state.gateway(to).peer_sets.hear(peer_sets.0);
         }
         self.rebinds(state, to, before);
-        let holder = self.holder(from, life);
-        let door = state.door(to);
+        let holder = self.holder(from, incarnation);
+        let gateway = state.gateway(to);
         match kind {
             Kind::Prepare { epoch } => {
-                let question = Question {
+                let question = VoteRequest {
                     holder,
                     epoch,
                     lease: LEASE,
-                    rosters: rosters.0,
+                    peer_sets: peer_sets.0,
                 };
-                let _ = door.granter.promise(now, &question, &door.rosters);
+                let _ = gateway.granter.promise(now, &question, &gateway.peer_sets);
             }
             Kind::Ask { number, epoch } => {
-                let question = Question {
+                let question = VoteRequest {
                     holder,
                     epoch,
                     lease: LEASE,
-                    rosters: rosters.0,
+                    peer_sets: peer_sets.0,
                 };
                 let bars = self.without != Without::Bars;
-                let mut rosters = door.rosters.clone();
-                let granted = door.granter.grant(now, &question, &mut rosters).is_ok();
+                let mut peer_sets = gateway.peer_sets.clone();
+                let granted = gateway
+                    .granter
+                    .grant(now, &question, &mut peer_sets)
+                    .is_ok();
                 if bars {
-                    door.rosters = rosters;
+                    gateway.peer_sets = peer_sets;
                 }
                 if granted {
                     self.sends(
@@ -554,7 +565,7 @@
                         from,
                         Kind::Grant {
                             number,
-                            to_life: life,
+                            to_incarnation: incarnation,
                             tick: now,
                         },
                     );
@@ -562,16 +573,18 @@
             }
             Kind::Grant {
                 number,
-                to_life,
+                to_incarnation,
                 tick,
             } => {
-                let open = matches!(door.stage, Stage::Asking(_) | Stage::Holding(_));
+                let open = matches!(gateway.stage, Stage::Asking(_) | Stage::Holding(_));
                 let question = if self.without == Without::Once {
-                    door.asked.get(&(from, number)).copied()
+                    gateway.asked.get(&(from, number)).copied()
                 } else {
-                    door.asked.remove(&(from, number))
+                    gateway.asked.remove(&(from, number))
                 };
-                let (true, true, Some(asked)) = (open, to_life == door.life, question) else {
+                let (true, true, Some(asked)) =
+                    (open, to_incarnation == gateway.incarnation, question)
+                else {
                     return;
                 };
                 let asked = if self.without == Without::QuestionTime {
@@ -580,20 +593,20 @@
                     asked
                 };
                 if self.acts > 0 {
-                    let known = door.heard.entry(from).or_default();
-                    if known.0 != life || tick >= known.1 {
-                        *known = (life, tick, now);
+                    let known = gateway.heard.entry(from).or_default();
+                    if known.0 != incarnation || tick >= known.1 {
+                        *known = (incarnation, tick, now);
                     }
                 }
-                door.held.granted(self.processes[from], asked, LEASE);
-                door.answers += usize::from(self.without == Without::Once);
-                if let Stage::Holding(epoch) = door.stage {
+                gateway.held.granted(self.processes[from], asked, LEASE);
+                gateway.answers += usize::from(self.without == Without::Once);
+                if let Stage::Holding(epoch) = gateway.stage {
                     if let Some(term) = state
                         .terms
                         .iter_mut()
-                        .find(|t| t.epoch == epoch && t.holder.name == to as Id)
+                        .find(|t| t.epoch == epoch && t.holder.name == to as PeerId)
                     {
-                        term.granters.insert((from, life));
+                        term.granters.insert((from, incarnation));
                     }
                     self.grants_itself(state, to, epoch);
                 }
@@ -601,18 +614,21 @@
             }
             Kind::Release { epoch } => {
                 let whatever = self.without == Without::ReleasedTerm;
-                door.granter
+                gateway
+                    .granter
                     .release(holder, if whatever { u64::MAX } else { epoch });
             }
             Kind::Act(act) => {
-                let (known, of) = door.fence;
+                let (known, of) = gateway.fence;
                 let name = self.processes[from];
-                let looks_at_epoch = !matches!(self.without, Without::Epoch | Without::Fence);
-                let looks_at_time = !matches!(self.without, Without::Deadline | Without::Fence);
-                // As `Office::admit` has it.
+                let looks_at_epoch =
+                    !matches!(self.without, Without::Epoch | Without::FencingToken);
+                let looks_at_time =
+                    !matches!(self.without, Without::Deadline | Without::FencingToken);
+                // As `LeaderElection::admit` has it.
                 let old =
                     act.epoch < known || act.epoch == known && of.is_some_and(|of| of != name);
-                if act.to_life != door.life
+                if act.to_incarnation != gateway.incarnation
                     || looks_at_epoch && old
                     || looks_at_time && now >= act.until
                 {
@@ -623,8 +639,8 @@
                 state.behind |= old;
                 state.given |= self.holding(state).iter().any(|holder| *holder != from);
                 state.late |= state.tick >= act.over;
-                let door = state.door(to);
-                door.fence = door.fence.max((act.epoch, Some(name)));
+                let gateway = state.gateway(to);
+                gateway.fence = gateway.fence.max((act.epoch, Some(name)));
             }
         }
     }
@@ -652,13 +668,14 @@
             .expect("a step that changes something")
     }
 
-    /// Who holds the office at this instant, by its own belief.
+    /// Who holds leadership at this instant, by its own belief.
     fn holding(&self, state: &State) -> Vec<usize> {
         let holds = |process: &usize| {
-            let door = &state.doors[*process];
-            matches!(door.stage, Stage::Holding(_)) && clock(*process, state.tick) < door.until
+            let gateway = &state.gateways[*process];
+            matches!(gateway.stage, Stage::Holding(_))
+                && clock(*process, state.tick) < gateway.until
         };
-        (0..state.doors.len()).filter(holds).collect()
+        (0..state.gateways.len()).filter(holds).collect()
     }
 }
 
@@ -667,12 +684,12 @@
     type Action = Step;
 
     fn init_states(&self) -> Vec<State> {
-        let names = |process: usize| self.rosters[usize::from(self.fresh.contains(&process))];
-        let doors = (0..self.processes.len())
-            .map(|process| Arc::new(self.fresh_door(process, 0, 1, names(process))));
+        let names = |process: usize| self.peer_sets[usize::from(self.fresh.contains(&process))];
+        let gateways = (0..self.processes.len())
+            .map(|process| Arc::new(self.fresh_gateway(process, 0, 1, names(process))));
         let state = State {
             tick: BEGIN,
-            doors: doors.collect(),
+            gateways: gateways.collect(),
             under_way: BTreeSet::new(),
             terms: Vec::new(),
             restarts: 0,
@@ -694,9 +711,9 @@
         if state.tick < BEGIN + self.ticks {
             steps.push(Step::Tick);
         }
-        for (n, door) in state.doors.iter().enumerate() {
-            let over = clock(n, state.tick) >= door.until;
-            match door.stage {
+        for (n, gateway) in state.gateways.iter().enumerate() {
+            let over = clock(n, state.tick) >= gateway.until;
+            match gateway.stage {
                 Stage::Idle if self.candidates.contains(&n) => steps.push(Step::Begin(n)),
                 Stage::Holding(_) if over && self.candidates.contains(&n) => {
                     steps.push(Step::Begin(n))
@@ -704,21 +721,21 @@
                 Stage::Preparing(_) => steps.push(Step::Ask(n)),
                 _ => {}
             }
-            if matches!(door.stage, Stage::Holding(_)) && door.number < self.questions {
+            if matches!(gateway.stage, Stage::Holding(_)) && gateway.number < self.questions {
                 steps.push(Step::AskAgain(n));
             }
-            if self.gives_up && matches!(door.stage, Stage::Asking(_)) {
+            if self.gives_up && matches!(gateway.stage, Stage::Asking(_)) {
                 steps.push(Step::GiveUp(n));
             }
-            if matches!(door.stage, Stage::Holding(_)) && !over {
+            if matches!(gateway.stage, Stage::Holding(_)) && !over {
                 if self.leaves {
                     steps.push(Step::Leave(n));
                 }
-                if state.acts < self.acts && door.checked.is_none() {
-                    steps.extend(door.heard.keys().map(|to| Step::Check(n, *to)));
+                if state.acts < self.acts && gateway.checked.is_none() {
+                    steps.extend(gateway.heard.keys().map(|to| Step::Check(n, *to)));
                 }
             }
-            if door.checked.is_some() {
+            if gateway.checked.is_some() {
                 steps.push(Step::Act(n));
             }
             if state.restarts < self.restarts {
@@ -737,19 +754,26 @@
             Step::Tick => next.tick += 1,
             Step::Begin(n) => {
                 let now = clock(n, state.tick);
-                let door = next.door(n);
-                let epoch = door.hint.max(door.granter.highest()).max(door.fence.0) + 1;
-                let question = self.question(n, door, epoch);
+                let gateway = next.gateway(n);
+                let epoch = gateway
+                    .hint
+                    .max(gateway.granter.highest())
+                    .max(gateway.fence.0)
+                    + 1;
+                let question = self.question(n, gateway, epoch);
                 if epoch > self.epochs
-                    || door.granter.promise(now, &question, &door.rosters).is_err()
+                    || gateway
+                        .granter
+                        .promise(now, &question, &gateway.peer_sets)
+                        .is_err()
                 {
                     return None;
                 }
-                (door.stage, door.until, door.held, door.answers) =
-                    (Stage::Preparing(epoch), 0, Lease::default(), 0);
-                (door.hint, door.asked) = (epoch, BTreeMap::new());
+                (gateway.stage, gateway.until, gateway.held, gateway.answers) =
+                    (Stage::Preparing(epoch), 0, CollectedVotes::default(), 0);
+                (gateway.hint, gateway.asked) = (epoch, BTreeMap::new());
                 if self.prepares {
-                    for to in self.others(&state.doors[n], n) {
+                    for to in self.others(&state.gateways[n], n) {
                         self.sends(&mut next, n, to, Kind::Prepare { epoch });
                     }
                 } else {
@@ -758,85 +782,96 @@
             }
             Step::Ask(n) => self.asks_for_grants(&mut next, n),
             Step::AskAgain(n) => {
-                let (Stage::Asking(epoch) | Stage::Holding(epoch)) = state.doors[n].stage else {
+                let (Stage::Asking(epoch) | Stage::Holding(epoch)) = state.gateways[n].stage else {
                     return None;
                 };
                 self.asks(&mut next, n, epoch);
             }
             Step::GiveUp(n) => self.gives_up(&mut next, n),
             Step::Leave(n) => {
-                let Stage::Holding(epoch) = state.doors[n].stage else {
+                let Stage::Holding(epoch) = state.gateways[n].stage else {
                     return None;
                 };
-                for to in self.others(&state.doors[n], n) {
+                for to in self.others(&state.gateways[n], n) {
                     self.sends(&mut next, n, to, Kind::Release { epoch });
                 }
-                (next.door(n).stage, next.door(n).until) = (Stage::Hushed, 0);
-                next.door(n).asked.clear();
+                (next.gateway(n).stage, next.gateway(n).until) = (Stage::Hushed, 0);
+                next.gateway(n).asked.clear();
             }
             Step::Restart(n) => {
                 let changed = self.told.contains(&n)
-                    && state.doors[n].rosters.told().now
-                        != Rosters::new(self.rosters[0].to_vec()).told().now;
-                let names = self.rosters[usize::from(changed || self.fresh.contains(&n))];
-                next.doors[n] =
-                    Arc::new(self.fresh_door(n, state.tick, state.doors[n].life + 1, names));
+                    && state.gateways[n].peer_sets.told().now
+                        != PeerConfiguration::new(self.peer_sets[0].to_vec())
+                            .told()
+                            .now;
+                let names = self.peer_sets[usize::from(changed || self.fresh.contains(&n))];
+                next.gateways[n] = Arc::new(self.fresh_gateway(
+                    n,
+                    state.tick,
+                    state.gateways[n].incarnation + 1,
+                    names,
+                ));
                 next.restarts += 1;
             }
             Step::Set(n) => {
-                let before = state.doors[n].rosters.told();
-                next.door(n).rosters.set(self.rosters[1].to_vec());
-                if next.doors[n].rosters.told().now == before.now {
+                let before = state.gateways[n].peer_sets.told();
+                next.gateway(n).peer_sets.set(self.peer_sets[1].to_vec());
+                if next.gateways[n].peer_sets.told().now == before.now {
                     if !self.back {
                         return None;
                     }
-                    next.door(n).rosters.set(self.rosters[0].to_vec());
+                    next.gateway(n).peer_sets.set(self.peer_sets[0].to_vec());
                 }
                 if self.without == Without::Joint {
-                    next.door(n).rosters = Rosters::new(self.rosters[1].to_vec());
+                    next.gateway(n).peer_sets = PeerConfiguration::new(self.peer_sets[1].to_vec());
                 }
                 self.rebinds(&mut next, n, before);
             }
             Step::Check(n, to) => {
-                let door = next.door(n);
-                let Stage::Holding(epoch) = door.stage else {
+                let gateway = next.gateway(n);
+                let Stage::Holding(epoch) = gateway.stage else {
                     return None;
                 };
-                let (to_life, tick, heard) = *door.heard.get(&to)?;
-                // As `Office::stamp` has it.
-                let until = tick + shorter(door.until.saturating_sub(heard));
-                door.checked = Some((
+                let (to_incarnation, tick, heard) = *gateway.heard.get(&to)?;
+                // As `LeaderElection::stamp` has it.
+                let until = tick + shorter(gateway.until.saturating_sub(heard));
+                gateway.checked = Some((
                     to,
                     Act {
                         epoch,
-                        to_life,
+                        to_incarnation,
                         until,
-                        over: tick_of(n, door.until),
+                        over: tick_of(n, gateway.until),
                     },
                 ));
                 next.acts += 1;
             }
             Step::Act(n) => {
-                let (to, act) = next.door(n).checked.take()?;
+                let (to, act) = next.gateway(n).checked.take()?;
                 self.sends(&mut next, n, to, Kind::Act(act));
             }
             Step::Deliver(message) => self.hears(&mut next, message),
         }
         // An answer to a question that is not open any more is never looked at, and a question behind what was promised
-        // is always refused by a door that does not start anew.
+        // is always refused by a gateway that does not start anew.
         let lasts = next.restarts == self.restarts;
         let State {
-            doors, under_way, ..
+            gateways,
+            under_way,
+            ..
         } = &mut next;
         under_way.retain(|message| match message.kind {
             Kind::Grant {
-                number, to_life, ..
+                number,
+                to_incarnation,
+                ..
             } => {
-                let asker = &doors[message.to];
-                asker.life == to_life && asker.asked.contains_key(&(message.from, number))
+                let asker = &gateways[message.to];
+                asker.incarnation == to_incarnation
+                    && asker.asked.contains_key(&(message.from, number))
             }
             Kind::Prepare { epoch } | Kind::Ask { epoch, .. } => {
-                let to = &doors[message.to];
+                let to = &gateways[message.to];
                 !(lasts && to.granter.highest() > epoch)
             }
             _ => true,
@@ -846,8 +881,8 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         let mut properties = vec![
-            Property::always(ONE, |fleet: &Fleet, state: &State| {
-                fleet.holding(state).len() < 2
+            Property::always(ONE, |cluster: &Fleet, state: &State| {
+                cluster.holding(state).len() < 2
             }),
             Property::always(IN_TIME, |_: &Fleet, state: &State| !state.late),
             Property::always(IN_ORDER, |_: &Fleet, state: &State| !state.behind),
@@ -857,22 +892,22 @@
             Property::always(GROWS, |_: &Fleet, state: &State| {
                 pairs(state).all(|(one, other)| one.epoch < other.epoch || !shares(one, other))
             }),
-            Property::sometimes(NEXT, |fleet: &Fleet, state: &State| {
+            Property::sometimes(NEXT, |cluster: &Fleet, state: &State| {
                 let second = state.terms.len() > 1
                     && state.terms[0].holder.name != state.terms[1].holder.name;
-                second && !fleet.holding(state).is_empty()
+                second && !cluster.holding(state).is_empty()
             }),
-            Property::sometimes(ACTS, |fleet: &Fleet, state: &State| {
-                fleet.acts == 0 || state.accepted
+            Property::sometimes(ACTS, |cluster: &Fleet, state: &State| {
+                cluster.acts == 0 || state.accepted
             }),
-            Property::sometimes(REFUSES, |fleet: &Fleet, state: &State| {
-                fleet.acts == 0 || state.refused
+            Property::sometimes(REFUSES, |cluster: &Fleet, state: &State| {
+                cluster.acts == 0 || state.refused
             }),
-            Property::sometimes(CHANGED, |fleet: &Fleet, state: &State| {
-                let over = |door: &Arc<Door>| {
-                    !door.rosters.is_changing() && door.rosters.told().retired.is_some()
+            Property::sometimes(CHANGED, |cluster: &Fleet, state: &State| {
+                let over = |gateway: &Arc<Door>| {
+                    !gateway.peer_sets.is_changing() && gateway.peer_sets.told().retired.is_some()
                 };
-                fleet.told.is_empty() || state.doors.iter().any(over)
+                cluster.told.is_empty() || state.gateways.iter().any(over)
             }),
         ];
         if self.strict {
@@ -900,7 +935,7 @@
 const REFUSES: &str = "an act is refused";
 const CHANGED: &str = "a change of the roster is over";
 
-/// Each earlier and later term.
+/// Each earlier and later epoch.
 fn pairs(state: &State) -> impl Iterator<Item = (&Term, &Term)> {
     let later = |n: usize| state.terms[n + 1..].iter();
     state
@@ -915,10 +950,10 @@
     !one.granters.is_disjoint(&other.granters)
 }
 
-fn check(what: &str, fleet: Fleet, depth: usize, until: HasDiscoveries) -> impl Checker<Fleet> {
+fn check(what: &str, cluster: Fleet, depth: usize, until: HasDiscoveries) -> impl Checker<Fleet> {
     // One thread: only then all orders of so many steps are seen, the shortest first. Several checks go on side by side.
     let began = Instant::now();
-    let builder = fleet
+    let builder = cluster
         .checker()
         .threads(1)
         .target_max_depth(depth + 2)
@@ -937,8 +972,8 @@
 }
 
 /// All orders of so many steps keep the rules, and none of what makes that worth something is missing.
-fn holds(what: &str, fleet: Fleet, depth: usize, least: usize) {
-    let checker = check(what, fleet, depth, HasDiscoveries::AnyFailures);
+fn holds(what: &str, cluster: Fleet, depth: usize, least: usize) {
+    let checker = check(what, cluster, depth, HasDiscoveries::AnyFailures);
     for rule in [ONE, IN_TIME, IN_ORDER, ONE_EACH, GROWS] {
         if let Some(path) = checker.discovery(rule) {
             panic!("{rule}: {:#?}", path.into_actions());
@@ -953,9 +988,9 @@
 }
 
 /// The check finds a way to what a rule forbids: without the piece that it rests on, or beyond what is promised.
-fn finds(rule: &'static str, fleet: Fleet, depth: usize) {
-    let what = format!("without {:?}", fleet.without);
-    let checker = check(&what, fleet, depth, HasDiscoveries::AnyOf([rule].into()));
+fn finds(rule: &'static str, cluster: Fleet, depth: usize) {
+    let what = format!("without {:?}", cluster.without);
+    let checker = check(&what, cluster, depth, HasDiscoveries::AnyOf([rule].into()));
     let path = checker
         .discovery(rule)
         .expect("a counter-example")
@@ -971,7 +1006,7 @@
 };
 
 #[test]
-fn two_candidates_never_hold_the_office_at_one_instant() {
+fn two_candidates_never_hold_the_election_at_one_instant() {
     holds("two candidates", Fleet { ticks: 3, ..THREE }, 12, 50_000);
     let promises = Fleet {
         prepares: true,
@@ -992,7 +1027,7 @@
 }
 
 #[test]
-fn doors_that_start_from_nothing_grant_nobody_a_second_time() {
+fn gateways_that_start_from_nothing_grant_nobody_a_second_time() {
     holds(
         "restarts",
         Fleet {
@@ -1021,7 +1056,7 @@
 }
 
 #[test]
-fn a_roster_that_changes_never_has_two_holders() {
+fn a_peers_that_changes_never_has_two_holders() {
     holds("a change", CHANGING, 10, 50_000);
     holds(
         "taken back",
@@ -1047,7 +1082,7 @@
 }
 
 #[test]
-fn two_processes_of_one_name_never_hold_the_office_at_one_instant() {
+fn two_processes_of_one_name_never_hold_the_election_at_one_instant() {
     holds(
         "twins",
         Fleet {
@@ -1099,7 +1134,7 @@
 }
 
 #[test]
-fn the_check_finds_a_door_that_grants_right_after_its_start() {
+fn the_check_finds_a_gateway_that_grants_right_after_its_start() {
     finds(
         ONE,
         Fleet {
@@ -1147,7 +1182,7 @@
     finds(
         IN_TIME,
         Fleet {
-            without: Without::Fence,
+            without: Without::FencingToken,
             ..ACTS_TOO
         },
         8,
@@ -1155,7 +1190,7 @@
     finds(
         IN_ORDER,
         Fleet {
-            without: Without::Fence,
+            without: Without::FencingToken,
             ticks: 0,
             ..ACTS_TOO
         },
@@ -1163,17 +1198,17 @@
     );
 }
 
-/// One of three is replaced: majorities of the old and the new roster need not meet.
+/// One of three is replaced: majorities of the old and the new peer set need not meet.
 const CHANGING: Fleet = Fleet {
     processes: &[0, 1, 2, 3],
-    rosters: [&[0, 1, 2], &[0, 1, 3]],
+    peer_sets: [&[0, 1, 2], &[0, 1, 3]],
     fresh: &[3],
     told: &[0, 1, 2],
     clocks: &[1, 0, 0, 0],
     ..CALM
 };
 
-/// The second door owns by a majority of both rosters, and the change is over.
+/// The second gateway owns by a majority of both peer sets, and the change is over.
 const CHANGED_ONCE: &[Opening] = &[
     Opening::Step(Step::Set(1)),
     Opening::Step(Step::Begin(1)),
@@ -1213,7 +1248,7 @@
 
 const FOUR: Fleet = Fleet {
     processes: &[0, 1, 2, 3],
-    rosters: [&[0, 1, 2, 3], &[0, 1, 2, 3]],
+    peer_sets: [&[0, 1, 2, 3], &[0, 1, 2, 3]],
     clocks: &[0, 1, 0, 0],
     ticks: 0,
     ..CALM
@@ -1231,7 +1266,7 @@
     );
 }
 
-/// The first door owns by two others' grants.
+/// The first gateway owns by two others' grants.
 const OWNED_BY_THREE: &[Opening] = &[
     Opening::Step(Step::Begin(0)),
     Opening::Asked(0, 2),
@@ -1268,7 +1303,7 @@
     ..CALM
 };
 
-/// The first door's grant came too late.
+/// The first gateway's grant came too late.
 const TOO_LATE: &[Opening] = &[
     Opening::Step(Step::Begin(0)),
     Opening::Asked(0, 2),
@@ -1290,12 +1325,16 @@
     );
 }
 
-/// What an office sends when it is woken next for one of these.
-fn sends(office: &mut Office, now: &mut Micros, is: fn(&wire::Kind) -> bool) -> Vec<Send> {
+/// What an leadership sends when it is woken next for one of these.
+fn sends(
+    election: &mut LeaderElection,
+    now: &mut Micros,
+    is: fn(&wire::Kind) -> bool,
+) -> Vec<Transmit> {
     for _ in 0..100 {
         let mut sends = Vec::new();
-        *now = office.due().max(*now);
-        office.wake(*now, &mut sends);
+        *now = election.next_wakeup().max(*now);
+        election.on_timer(*now, &mut sends);
         sends.retain(|send| {
             Datagram::decode(&send.bytes).is_some_and(|datagram| is(&datagram.kind))
         });
@@ -1306,14 +1345,21 @@
     panic!("nothing of that kind was sent");
 }
 
-/// The asking door's questions and all that follows from them, between it and these alone; the rest is lost.
-fn talks(offices: &mut [Office], asker: Id, with: &[Id], first: Vec<Send>, now: Micros) {
-    let mut under_way: Vec<(Id, Send)> = first.into_iter().map(|send| (asker, send)).collect();
+/// The asking gateway's questions and all that follows from them, between it and these alone; the rest is lost.
+fn talks(
+    election_transmits: &mut [LeaderElection],
+    asker: PeerId,
+    with: &[PeerId],
+    first: Vec<Transmit>,
+    now: Micros,
+) {
+    let mut under_way: Vec<(PeerId, Transmit)> =
+        first.into_iter().map(|send| (asker, send)).collect();
     while !under_way.is_empty() {
         for (from, send) in std::mem::take(&mut under_way) {
             let (to, mut sends) = (send.to, Vec::new());
             if (from == asker && with.contains(&to)) || (to == asker && with.contains(&from)) {
-                offices[to as usize].receive(now, &send.bytes, &mut sends);
+                election_transmits[to as usize].on_datagram(now, &send.bytes, &mut sends);
             }
             under_way.extend(sends.into_iter().map(|send| (to, send)));
         }
@@ -1322,14 +1368,14 @@
 
 #[test]
 fn a_late_release_of_an_earlier_term_does_not_free_a_later_one() {
-    let settings = |name| Settings {
+    let settings = |name| ElectionSettings {
         names: vec![0, 1, 2, 3, 4],
         name,
         lease: 3_000_000,
         unix_ms: 1,
     };
-    let mut offices: Vec<Office> = (0..5)
-        .map(|name| Office::new(0, settings(name), u64::from(name)))
+    let mut election_transmits: Vec<LeaderElection> = (0..5)
+        .map(|name| LeaderElection::new(0, settings(name), u64::from(name)))
         .collect();
     let mut now = 4_000_000;
     let prepares = |kind: &wire::Kind| matches!(kind, wire::Kind::Prepare { .. });
@@ -1337,31 +1383,31 @@
     let asks = |kind: &wire::Kind| matches!(kind, wire::Kind::Ask { .. });
 
     // All promise, and the grants of all but one are lost.
-    let first = sends(&mut offices[0], &mut now, prepares);
+    let first = sends(&mut election_transmits[0], &mut now, prepares);
     let mut answers = Vec::new();
     for send in &first {
-        offices[send.to as usize].receive(now, &send.bytes, &mut answers);
+        election_transmits[send.to as usize].on_datagram(now, &send.bytes, &mut answers);
     }
     let mut questions = Vec::new();
     for answer in answers {
-        offices[0].receive(now, &answer.bytes, &mut questions);
+        election_transmits[0].on_datagram(now, &answer.bytes, &mut questions);
     }
-    questions.extend(sends(&mut offices[0], &mut now, asks));
-    talks(&mut offices, 0, &[1], questions, now);
-    let late = sends(&mut offices[0], &mut now, releases);
+    questions.extend(sends(&mut election_transmits[0], &mut now, asks));
+    talks(&mut election_transmits, 0, &[1], questions, now);
+    let late = sends(&mut election_transmits[0], &mut now, releases);
     // It asks once more, and three of five grant.
-    let second = sends(&mut offices[0], &mut now, prepares);
-    talks(&mut offices, 0, &[1, 2], second, now);
-    assert!(offices[0].epoch(now).is_some());
+    let second = sends(&mut election_transmits[0], &mut now, prepares);
+    talks(&mut election_transmits, 0, &[1, 2], second, now);
+    assert!(election_transmits[0].epoch(now).is_some());
     // What it gave back before that comes only now, and another one asks.
-    offices[1].receive(now, &late[0].bytes, &mut Vec::new());
+    election_transmits[1].on_datagram(now, &late[0].bytes, &mut Vec::new());
     now += 10_000;
-    let third = sends(&mut offices[3], &mut now, prepares);
-    talks(&mut offices, 3, &[1, 4], third, now);
-    let owners: Vec<usize> = (0..5)
-        .filter(|name| offices[*name].epoch(now).is_some())
+    let third = sends(&mut election_transmits[3], &mut now, prepares);
+    talks(&mut election_transmits, 3, &[1, 4], third, now);
+    let leaders: Vec<usize> = (0..5)
+        .filter(|name| election_transmits[*name].epoch(now).is_some())
         .collect();
-    assert_eq!(owners, [0], "at {now}");
+    assert_eq!(leaders, [0], "at {now}");
 }
 
 #[test]
@@ -1376,11 +1422,11 @@
     }
 }
 
-// What the rules do not promise: each of these orders of events is to be kept out by those who run the doors, or is
+// What the rules do not promise: each of these orders of events is to be kept out by those who run the gateways, or is
 // said in the page.
 
 #[test]
-fn a_door_that_restarts_with_the_roster_of_before_a_change_may_elect_a_second_owner() {
+fn a_gateway_that_restarts_with_the_peers_of_before_a_change_may_elect_a_second_leader() {
     const OPENING: &[Opening] = &[
         Opening::Step(Step::Set(1)),
         Opening::Step(Step::Begin(1)),
@@ -1404,7 +1450,7 @@
 }
 
 #[test]
-fn a_majority_of_the_new_roster_that_all_start_from_nothing_may_elect_a_second_owner() {
+fn a_majority_of_the_new_peers_that_all_start_from_nothing_may_elect_a_second_leader() {
     const OPENING: &[Opening] = &[
         Opening::Step(Step::Begin(0)),
         Opening::Asked(0, 2),
@@ -1412,7 +1458,7 @@
         Opening::Step(Step::Set(1)),
         Opening::Step(Step::Restart(1)),
     ];
-    let fleet = Fleet {
+    let cluster = Fleet {
         told: &[1],
         restarts: 1,
         opening: OPENING,
@@ -1424,7 +1470,7 @@
         Fleet {
             clocks: &[0, 0, 0, 1],
             candidates: &[3],
-            ..fleet
+            ..cluster
         },
         8,
     );
@@ -1432,18 +1478,18 @@
 
 #[test]
 fn a_term_may_be_held_twice_where_the_granter_of_both_forgot_between_and_clocks_were_set_back() {
-    let fleet = Fleet {
+    let cluster = Fleet {
         restarts: 1,
         opening: OWNED,
         clocks: &[0, 0, 0],
         strict: true,
         ..CALM
     };
-    finds(UNLIKE, fleet, 6);
+    finds(UNLIKE, cluster, 6);
 }
 
 #[test]
-fn an_act_of_before_the_office_was_given_back_may_take_effect_under_the_next_owner() {
+fn an_act_of_before_the_election_was_given_back_may_take_effect_under_the_next_leader() {
     finds(
         APART,
         Fleet {
