--- a/gateway-cluster/tests/sessions.rs
+++ b/gateway-cluster/tests/sessions.rs
@@ -1,24 +1,25 @@
-//! Classification of sessions: the counts, the test, the keeper, and all of it in drawn traffic whose truth is known. Each
+//! Classification of sessions: the counts, the test, the owner, and all of it in drawn traffic whose truth is known. Each
 //! failure names its seed.
 
-use gateway_cluster::engine::Micros;
+use gateway_cluster::protocol::Micros;
 use gateway_cluster::sessions::evidence::{
-    Conn, Evidence, Failure, Outcome, Report, Tally, Window,
+    ConnectionUse, Evidence, Failure, Outcome, Report, Tally, Window,
 };
 use gateway_cluster::sessions::judge::{self, Found};
-use gateway_cluster::sessions::keep::{
-    grant, Grant, Held, Input, Keeper, Limits, Output, Refused, Scene,
+use gateway_cluster::sessions::sim::{run, simulated_customers, Fault, Plan, SimulatedCustomer};
+use gateway_cluster::sessions::verdicts::{
+    grant, Grant, Input, LeaderContext, Limits, Output, VerdictAggregator, VerdictRejection,
+    VerdictTable,
 };
-use gateway_cluster::sessions::keep::{Usage, Verdict, FADE, FADE_SESSION};
-use gateway_cluster::sessions::sim::{people, run, Person, Plan, Trouble};
-use gateway_cluster::sessions::{Fence, Pooling};
+use gateway_cluster::sessions::verdicts::{Usage, Verdict, FADE, FADE_SESSION};
+use gateway_cluster::sessions::{FencingToken, Pooling};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 
 const SECOND: Micros = 1_000_000;
 const FAILED: Outcome = Outcome::Failed(Failure::Http500);
-const ONE: Fence = Fence {
+const ONE: FencingToken = FencingToken {
     epoch: 1,
     version: 1,
 };
@@ -38,11 +39,17 @@
     }
 }
 
-fn report(door: &str, life: u64, sequence: u64, in_run: [u16; 2], between: [u16; 2]) -> Report {
+fn report(
+    gateway: &str,
+    incarnation: u64,
+    sequence: u64,
+    in_run: [u16; 2],
+    between: [u16; 2],
+) -> Report {
     let (in_run, between) = (vec![(window(in_run), 1)], vec![(window(between), 1)]);
     Report {
-        door: door.into(),
-        life,
+        gateway: gateway.into(),
+        incarnation,
         sequence,
         customer: 7,
         held: Pooling::Unknown,
@@ -51,58 +58,52 @@
     }
 }
 
-/// Tells a keeper of two doors, `a` and `b`.
+/// Tells an owner of two gateways, `a` and `b`.
 fn tell(
-    keeper: &mut Keeper,
+    owner: &mut VerdictAggregator,
     now: Micros,
     input: Input,
     gone: &[&str],
     may_share: bool,
 ) -> Vec<Output> {
-    let scene = Scene {
+    let scene = LeaderContext {
         fence: ONE,
         keeps: &|_| true,
         set: &|_| vec!["a".to_string(), "b".to_string()],
-        gone: &|door| gone.contains(&door),
+        gone: &|gateway| gone.contains(&gateway),
         may_share,
     };
     let mut outputs = Vec::new();
-    keeper.handle(now, input, &scene, &mut outputs);
+    owner.handle(now, input, &scene, &mut outputs);
     outputs
 }
 
-fn keeper_of(reports: &[Report]) -> Keeper {
-    let mut keeper = Keeper::new(1, 100);
+fn owner_of(reports: &[Report]) -> VerdictAggregator {
+    let mut owner = VerdictAggregator::new(1, 100);
     for report in reports {
-        tell(
-            &mut keeper,
-            SECOND,
-            Input::Report(report.clone()),
-            &[],
-            true,
-        );
+        tell(&mut owner, SECOND, Input::Report(report.clone()), &[], true);
     }
-    keeper
+    owner
 }
 
-fn shown(keeper: &Keeper) -> Verdict {
-    keeper.verdict(SECOND, 7, ONE).expect("a report was taken")
+fn shown(owner: &VerdictAggregator) -> Verdict {
+    owner.verdict(SECOND, 7, ONE).expect("a report was taken")
 }
 
 /// Runs the three kinds and some at the edge, and holds what became of them against the bounds.
-fn told_apart(trouble: Trouble, seed: u64) {
+fn told_apart(trouble: Fault, seed: u64) {
     let plan = Plan {
-        doors: 2 + seed as usize % 3,
-        people: people(),
+        gateways: 2 + seed as usize % 3,
+        simulated_customers: simulated_customers(),
         trouble,
         time: 200 * SECOND,
         lossy: true,
         pool: true,
-        new_keeper: Some(130 * SECOND),
+        new_owner: Some(130 * SECOND),
         seed,
     };
     let out = run(&plan);
-    for (person, seen) in plan.people.iter().zip(&out.seen) {
+    for (person, seen) in plan.simulated_customers.iter().zip(&out.seen) {
         assert_eq!(
             seen.false_statements, 0,
             "{trouble:?}, seed {seed}: {person:?}"
@@ -119,7 +120,7 @@
         }
     }
     let free = plan
-        .people
+        .simulated_customers
         .iter()
         .zip(&out.seen)
         .filter(|(person, _)| person.truth == Pooling::Statement);
@@ -133,40 +134,40 @@
 
 #[test]
 fn customers_are_told_apart_in_calm_and_beside_a_backend_that_fails_in_part_or_for_all() {
-    told_apart(Trouble::Nothing, 1);
-    told_apart(Trouble::SickAlways, 2);
-    told_apart(Trouble::Fails, 3);
+    told_apart(Fault::Nothing, 1);
+    told_apart(Fault::SickAlways, 2);
+    told_apart(Fault::Fails, 3);
 }
 
 #[test]
-fn customers_are_told_apart_where_a_door_is_cut_off_and_where_backends_restart() {
-    told_apart(Trouble::CutDoor, 4);
-    told_apart(Trouble::Restarts, 5);
+fn customers_are_told_apart_where_a_gateway_is_cut_off_and_where_backends_restart() {
+    told_apart(Fault::CutDoor, 4);
+    told_apart(Fault::Restarts, 5);
 }
 
 #[test]
 fn customers_are_told_apart_in_overload_and_where_changes_fail_for_all() {
-    told_apart(Trouble::Overload, 6);
-    told_apart(Trouble::Stale, 7);
+    told_apart(Fault::Overload, 6);
+    told_apart(Fault::Stale, 7);
 }
 
 #[test]
 fn a_customer_that_turns_is_seen_from_new_evidence_and_everywhere_within_a_second() {
     for seed in 1..4 {
         let turns = Some((200 * SECOND, Pooling::Session));
-        let person = Person {
+        let person = SimulatedCustomer {
             turns,
-            ..Person::new(Pooling::Statement, 10.0)
+            ..SimulatedCustomer::new(Pooling::Statement, 10.0)
         };
-        let others = (0..20).map(|_| Person::new(Pooling::Statement, 1.0));
+        let others = (0..20).map(|_| SimulatedCustomer::new(Pooling::Statement, 1.0));
         let plan = Plan {
-            doors: 3,
-            people: std::iter::once(person).chain(others).collect(),
-            trouble: Trouble::Nothing,
+            gateways: 3,
+            simulated_customers: std::iter::once(person).chain(others).collect(),
+            trouble: Fault::Nothing,
             time: 300 * SECOND,
             lossy: true,
             pool: true,
-            new_keeper: None,
+            new_owner: None,
             seed,
         };
         let seen = run(&plan).seen.swap_remove(0);
@@ -181,16 +182,22 @@
     }
 }
 
-/// A door whose backend serves ten others well or badly, and a customer whose changed requests fail there; what is counted of it.
+/// A gateway whose backend serves ten others well or badly, and a customer whose changed requests fail there; what is counted of it.
 fn counted(others: u64, outcome: Outcome, own: Outcome) -> [u32; 2] {
-    let mut door = Evidence::new("a", 1, 100, 1);
+    let mut gateway = Evidence::new("a", 1, 100, 1);
     for second in 0..20 {
         for other in 0..others {
-            door.note(second * SECOND, 100 + other, 0, Conn::Kept, outcome);
+            gateway.note(
+                second * SECOND,
+                100 + other,
+                0,
+                ConnectionUse::Kept,
+                outcome,
+            );
         }
-        door.note(second * SECOND, 7, 0, Conn::ChangedBetween, own);
+        gateway.note(second * SECOND, 7, 0, ConnectionUse::ChangedBetween, own);
     }
-    let report = door.report(60 * SECOND, 7, Pooling::Unknown);
+    let report = gateway.report(60 * SECOND, 7, Pooling::Unknown);
     let (changed, failed) = report
         .between
         .iter()
@@ -228,39 +235,45 @@
     );
 }
 
-/// A door with room for so many, a hundred customers with evidence, and then three floods of ten thousand.
+/// A gateway with room for so many, a hundred customers with evidence, and then three floods of ten thousand.
 fn flooded(most: usize) -> Evidence {
-    let mut door = Evidence::new("a", 1, most, 1);
+    let mut gateway = Evidence::new("a", 1, most, 1);
     for second in 0..20 {
         for customer in 0..100 {
-            door.note(
+            gateway.note(
                 second * SECOND,
                 customer,
                 0,
-                Conn::ChangedBetween,
+                ConnectionUse::ChangedBetween,
                 Outcome::Fine,
             );
         }
-        door.settle(second * SECOND);
+        gateway.settle(second * SECOND);
     }
     for round in 0..3 {
         let now = (30 + 10 * round) * SECOND;
         for customer in 0..10_000 {
-            door.note(now, 1000 + customer, 0, Conn::ChangedBetween, Outcome::Fine);
+            gateway.note(
+                now,
+                1000 + customer,
+                0,
+                ConnectionUse::ChangedBetween,
+                Outcome::Fine,
+            );
         }
-        door.settle(now + 3 * SECOND);
+        gateway.settle(now + 3 * SECOND);
     }
-    assert_eq!(door.customers(), most);
+    assert_eq!(gateway.customers(), most);
     for customer in 0..100 {
         assert!(
-            !door
+            !gateway
                 .report(100 * SECOND, customer, Pooling::Unknown)
                 .between
                 .is_empty(),
             "customer {customer}"
         );
     }
-    door
+    gateway
 }
 
 #[test]
@@ -334,9 +347,9 @@
     );
     assert_eq!(free, 0, "of 1,000 with an effect");
     assert_eq!(judge::requests_to_share(), 21);
-    let doors = [vec![window([32, 0])], vec![window([14, 14])]];
+    let gateways = [vec![window([32, 0])], vec![window([14, 14])]];
     assert_eq!(
-        judge::test(&doors),
+        judge::test(&gateways),
         Found::Bound,
         "what one door saw before a turn hides nothing of another's"
     );
@@ -385,36 +398,36 @@
     fn reports_lost_doubled_and_late_change_nothing(
         order in prop::collection::vec((0usize..2, 1u64..3, 1u64..9), 1..60),
     ) {
-        let doors = ["a", "b"];
-        // What a door has counted grows with the number of its report.
-        let nth = |door: usize, life: u64, sequence: u64| {
-            let count = (10 * life + sequence) as u16;
-            report(doors[door], life, sequence, [count, 0], [count, 0])
+        let gateways = ["a", "b"];
+        // What a gateway has counted grows with the number of its report.
+        let nth = |gateway: usize, incarnation: u64, sequence: u64| {
+            let count = (10 * incarnation + sequence) as u16;
+            report(gateways[gateway], incarnation, sequence, [count, 0], [count, 0])
         };
-        let came: Vec<Report> = order.iter().map(|&(door, life, sequence)| nth(door, life, sequence)).collect();
+        let came: Vec<Report> = order.iter().map(|&(gateway, incarnation, sequence)| nth(gateway, incarnation, sequence)).collect();
         let mut last: Vec<(usize, u64, u64)> = Vec::new();
-        for &(door, life, sequence) in &order {
-            match last.iter_mut().find(|known| (known.0, known.1) == (door, life)) {
+        for &(gateway, incarnation, sequence) in &order {
+            match last.iter_mut().find(|known| (known.0, known.1) == (gateway, incarnation)) {
                 Some(known) => known.2 = known.2.max(sequence),
-                None => last.push((door, life, sequence)),
+                None => last.push((gateway, incarnation, sequence)),
             }
         }
         let highest: Vec<Report> =
-            last.iter().map(|&(door, life, sequence)| nth(door, life, sequence)).collect();
-        prop_assert_eq!(shown(&keeper_of(&came)).evidence, shown(&keeper_of(&highest)).evidence);
+            last.iter().map(|&(gateway, incarnation, sequence)| nth(gateway, incarnation, sequence)).collect();
+        prop_assert_eq!(shown(&owner_of(&came)).evidence, shown(&owner_of(&highest)).evidence);
     }
 }
 
 #[test]
-fn a_new_keeper_asks_anew_counts_nothing_twice_and_does_not_forget_caution() {
+fn a_new_owner_asks_anew_counts_nothing_twice_and_does_not_forget_caution() {
     let mut reports = [
         report("a", 1, 9, [20, 0], [12, 12]),
         report("b", 1, 4, [20, 0], [12, 12]),
     ];
-    let old = keeper_of(&reports);
+    let old = owner_of(&reports);
     assert_eq!(shown(&old).pooling, Pooling::Session);
-    let mut new = Keeper::new(2, 100);
-    // By now doors act on `session`, so what they see anew no longer speaks for it.
+    let mut new = VerdictAggregator::new(2, 100);
+    // By now gateways act on `session`, so what they see anew no longer speaks for it.
     reports[0] = Report {
         held: Pooling::Session,
         ..report("a", 1, 10, [0, 0], [0, 0])
@@ -428,7 +441,7 @@
     );
     assert!(
         outputs.contains(&Output::Ask {
-            door: "b".into(),
+            gateway: "b".into(),
             customer: 7
         }),
         "{outputs:?}"
@@ -454,12 +467,13 @@
 }
 
 #[test]
-fn a_door_that_restarts_is_counted_for_each_life_and_a_late_word_of_the_first_is_no_news() {
+fn a_gateway_that_restarts_is_counted_for_each_incarnation_and_a_late_word_of_the_first_is_no_news()
+{
     let first = report("a", 1, 9, [20, 0], [20, 0]);
     let second = report("a", 2, 1, [3, 0], [3, 0]);
     let late = report("a", 1, 8, [19, 0], [19, 0]);
     assert_eq!(
-        shown(&keeper_of(&[first, second, late]))
+        shown(&owner_of(&[first, second, late]))
             .evidence
             .changed_in_run,
         [23, 0]
@@ -467,30 +481,30 @@
 }
 
 #[test]
-fn sharing_waits_for_every_door_of_the_set_and_for_a_majority_and_caution_for_none() {
+fn sharing_waits_for_every_gateway_of_the_set_and_for_a_majority_and_caution_for_none() {
     let free = report("a", 1, 1, [32, 0], [32, 0]);
-    let mut keeper = Keeper::new(1, 100);
-    tell(&mut keeper, SECOND, Input::Report(free.clone()), &[], true);
-    assert_eq!(keeper.verdict_of(7), Pooling::Unknown, "b has not answered");
-    let outputs = tell(&mut keeper, 3 * SECOND, Input::Tick, &[], true);
+    let mut owner = VerdictAggregator::new(1, 100);
+    tell(&mut owner, SECOND, Input::Report(free.clone()), &[], true);
+    assert_eq!(owner.verdict_of(7), Pooling::Unknown, "b has not answered");
+    let outputs = tell(&mut owner, 3 * SECOND, Input::Tick, &[], true);
     assert!(
         outputs.contains(&Output::Ask {
-            door: "b".into(),
+            gateway: "b".into(),
             customer: 7
         }),
         "it is asked again"
     );
-    tell(&mut keeper, 5 * SECOND, Input::Tick, &["b"], false);
+    tell(&mut owner, 5 * SECOND, Input::Tick, &["b"], false);
     assert_eq!(
-        keeper.verdict_of(7),
+        owner.verdict_of(7),
         Pooling::Unknown,
         "this side is a minority"
     );
-    tell(&mut keeper, 7 * SECOND, Input::Tick, &["b"], true);
-    assert_eq!(keeper.verdict_of(7), Pooling::Statement, "b is gone");
+    tell(&mut owner, 7 * SECOND, Input::Tick, &["b"], true);
+    assert_eq!(owner.verdict_of(7), Pooling::Statement, "b is gone");
     let bound = report("a", 1, 2, [32, 0], [32, 32]);
-    let outputs = tell(&mut keeper, 8 * SECOND, Input::Report(bound), &[], false);
-    assert_eq!(keeper.verdict_of(7), Pooling::Session);
+    let outputs = tell(&mut owner, 8 * SECOND, Input::Report(bound), &[], false);
+    assert_eq!(owner.verdict_of(7), Pooling::Session);
     let said = |output: &&Output| matches!(output, Output::Say { verdict, .. } if verdict.pooling == Pooling::Session);
     assert_eq!(
         outputs.iter().filter(said).count(),
@@ -500,7 +514,7 @@
     let mut again = 0;
     for tick in 1..12 {
         let outputs = tell(
-            &mut keeper,
+            &mut owner,
             8 * SECOND + tick * SECOND / 12,
             Input::Tick,
             &[],
@@ -511,16 +525,16 @@
     assert_eq!(again, 10, "and five times more within the second");
 }
 
-fn verdict(pooling: Pooling, fence: Fence, round: u64) -> Verdict {
-    let mut verdict = shown(&keeper_of(&[report("a", 1, 1, [0, 0], [0, 0])]));
+fn verdict(pooling: Pooling, fence: FencingToken, round: u64) -> Verdict {
+    let mut verdict = shown(&owner_of(&[report("a", 1, 1, [0, 0], [0, 0])]));
     (verdict.pooling, verdict.fence, verdict.round) = (pooling, fence, (1, round));
     verdict
 }
 
 #[test]
-fn a_door_refuses_verdicts_of_a_replaced_keeper_late_ones_and_sharing_on_a_minority_side() {
-    let mut held = Held::new(10);
-    let two = Fence {
+fn a_gateway_refuses_verdicts_of_a_replaced_owner_late_ones_and_sharing_on_a_minority_side() {
+    let mut held = VerdictTable::new(10);
+    let two = FencingToken {
         epoch: 2,
         version: 1,
     };
@@ -531,18 +545,18 @@
     let old = held.take(0, verdict(Pooling::Statement, ONE, 9), true);
     assert_eq!(
         old,
-        Err(Refused::Old {
+        Err(VerdictRejection::Old {
             came: ONE,
             known: two
         })
     );
     assert_eq!(
         held.take(0, verdict(Pooling::Statement, two, 5), true),
-        Err(Refused::Late)
+        Err(VerdictRejection::Late)
     );
     assert_eq!(
         held.take(0, verdict(Pooling::Statement, two, 6), false),
-        Err(Refused::Minority)
+        Err(VerdictRejection::Minority)
     );
     assert_eq!(held.in_force(0, 7, 0, true), Pooling::Session);
     assert_eq!(
@@ -553,9 +567,9 @@
 }
 
 #[test]
-fn verdicts_stand_while_their_keeper_lives_and_fade_after_it_but_not_towards_sharing_on_a_minority_side(
+fn verdicts_stand_while_their_owner_lives_and_fade_after_it_but_not_towards_sharing_on_a_minority_side(
 ) {
-    let mut held = Held::new(10);
+    let mut held = VerdictTable::new(10);
     assert_eq!(
         held.take(0, verdict(Pooling::Statement, ONE, 1), true),
         Ok(())
--- a/gateway-cluster/tests/shards.rs
+++ b/gateway-cluster/tests/shards.rs
@@ -2,11 +2,11 @@
 //! spaces; single faults in the whole one.
 
 use gateway_cluster::shards::plan::{
-    joined, rebalance, without, NoPlan, GAIN, PRICE, SLACK_PARTS, START, STOP,
+    joined, rebalance, without, PlanError, GAIN, PRICE, SLACK_PARTS, START, STOP,
 };
 use gateway_cluster::shards::{
-    validate, Door, Finding, FleetState, Hash, Key, Limits, Map, NoHash, Range, Rule, KEYS,
-    MOST_OF_A_RULE,
+    validate, ClusterState, Finding, InvalidMapHash, Key, Limits, MapHash, PeerCondition, Rule,
+    ShardMap, ShardRange, KEYS, MAX_FINDINGS_PER_RULE,
 };
 use proptest::prelude::*;
 use proptest::test_runner::RngSeed;
@@ -16,23 +16,23 @@
 
 const SMALL: Key = 8;
 
-fn fleet(doors: &[(&str, Door)]) -> FleetState {
-    let doors = doors
+fn cluster(gateways: &[(&str, PeerCondition)]) -> ClusterState {
+    let gateways = gateways
         .iter()
-        .map(|(name, door)| (name.to_string(), *door))
+        .map(|(name, gateway)| (name.to_string(), *gateway))
         .collect();
-    FleetState {
-        doors,
-        ..FleetState::default()
+    ClusterState {
+        gateways,
+        ..ClusterState::default()
     }
 }
 
-fn alive(doors: usize) -> FleetState {
-    let doors = (0..doors)
-        .map(|door| (format!("n{door:03}"), Door::Alive))
+fn alive(gateways: usize) -> ClusterState {
+    let gateways = (0..gateways)
+        .map(|gateway| (format!("n{gateway:03}"), PeerCondition::Alive))
         .collect();
-    FleetState {
-        doors,
+    ClusterState {
+        gateways,
         epoch: 5,
         moving: Vec::new(),
     }
@@ -48,21 +48,21 @@
     }
 }
 
-fn map(ranges: &[(Key, Key, &str)]) -> Map {
+fn map(ranges: &[(Key, Key, &str)]) -> ShardMap {
     let ranges = ranges
         .iter()
-        .map(|(from, to, keeper)| Range::new(*from, *to, *keeper))
+        .map(|(from, to, owner)| ShardRange::new(*from, *to, *owner))
         .collect();
-    Map {
+    ShardMap {
         version: 1,
-        parent: Hash::NONE,
+        parent: MapHash::NONE,
         epoch: 0,
         ranges,
     }
 }
 
-fn next(old: &Map, ranges: Vec<Range>) -> Map {
-    Map {
+fn next(old: &ShardMap, ranges: Vec<ShardRange>) -> ShardMap {
+    ShardMap {
         version: old.version + 1,
         parent: old.hash(),
         epoch: old.epoch,
@@ -95,7 +95,7 @@
 
 /// What the validator has to find of these ranges, by marking each key that one covers, and each that one
 /// more does. A reversed range covers what it was meant to.
-fn counted(ranges: &[Range]) -> Vec<Finding> {
+fn counted(ranges: &[ShardRange]) -> Vec<Finding> {
     let (mut covered, mut again) = (0_u32, 0_u32);
     let (mut listed, mut before) = (Vec::new(), 0);
     for range in ranges {
@@ -122,7 +122,7 @@
             .into_iter()
             .map(|(from, to)| Finding::Overlap { from, to }),
     );
-    for &Range { from, to, .. } in ranges.iter().filter(|range| range.from >= range.to) {
+    for &ShardRange { from, to, .. } in ranges.iter().filter(|range| range.from >= range.to) {
         found.push(if from == to {
             Finding::Empty { from, to }
         } else {
@@ -144,10 +144,11 @@
 }
 
 /// Whether each key is covered once, and in order.
-fn is_whole(ranges: &[Range]) -> bool {
+fn is_whole(ranges: &[ShardRange]) -> bool {
     let mut at = 0;
-    let follows =
-        |range: &Range| range.from == std::mem::replace(&mut at, range.to) && range.from < range.to;
+    let follows = |range: &ShardRange| {
+        range.from == std::mem::replace(&mut at, range.to) && range.from < range.to
+    };
     ranges.iter().all(follows) && at == SMALL
 }
 
@@ -161,7 +162,7 @@
 /// Puts each of these bounds into the places of a map from one on, and holds the validator against the count.
 /// `sets` leaves out lists that differ by their order alone, and takes each in an order that its number
 /// gives.
-fn look(list: &mut Map, place: usize, bounds: &[(Key, Key)], sets: bool, looked: &mut Looked) {
+fn look(list: &mut ShardMap, place: usize, bounds: &[(Key, Key)], sets: bool, looked: &mut Looked) {
     if place < list.ranges.len() {
         for (number, (from, to)) in bounds.iter().enumerate() {
             (list.ranges[place].from, list.ranges[place].to) = (*from, *to);
@@ -177,29 +178,30 @@
         ranges.swap(1, 1 + looked.maps / 4 % 3);
     }
     let list = turned.as_ref().unwrap_or(list);
-    let doors = DOORS.get_or_init(|| fleet(&[("a", Door::Alive), ("b", Door::Alive)]));
-    let found = validate(None, list, doors, &small());
+    let gateways = GATEWAYS
+        .get_or_init(|| cluster(&[("a", PeerCondition::Alive), ("b", PeerCondition::Alive)]));
+    let found = validate(None, list, gateways, &small());
     assert_eq!(found, counted(&list.ranges), "{list:?}");
     assert_eq!(found.is_empty(), is_whole(&list.ranges), "{list:?}");
     looked.maps += 1;
     looked.whole += usize::from(found.is_empty());
 }
 
-static DOORS: OnceLock<FleetState> = OnceLock::new();
+static GATEWAYS: OnceLock<ClusterState> = OnceLock::new();
 
 /// All maps of so many ranges with these bounds, on several threads.
 fn look_at_all(ranges: usize, bounds: &[(Key, Key)], sets: bool) -> Looked {
     let next = AtomicUsize::new(0);
     let work = || {
         let mut looked = Looked::default();
-        // Both keepers, in turn: who it is plays no part in coverage.
+        // Both owners, in turn: who it is plays no part in coverage.
         let listed = ["a", "b", "a", "b"][..ranges]
             .iter()
-            .map(|keeper| Range::new(0, 0, *keeper))
+            .map(|owner| ShardRange::new(0, 0, *owner))
             .collect();
-        let mut list = Map {
+        let mut list = ShardMap {
             version: 1,
-            parent: Hash::NONE,
+            parent: MapHash::NONE,
             epoch: 0,
             ranges: listed,
         };
@@ -285,31 +287,35 @@
     );
 }
 
-/// A map of the whole space with these cuts, its keepers in turn.
-fn whole(cuts: &BTreeSet<Key>, doors: usize) -> Map {
+/// A map of the whole space with these cuts, its owners in turn.
+fn whole(cuts: &BTreeSet<Key>, gateways: usize) -> ShardMap {
     let mut ranges = Vec::new();
     let mut from = 0;
     for (number, to) in cuts.iter().copied().chain([KEYS]).enumerate() {
-        ranges.push(Range::new(from, to, format!("n{:03}", number % doors)));
+        ranges.push(ShardRange::new(
+            from,
+            to,
+            format!("n{:03}", number % gateways),
+        ));
         from = to;
     }
-    Map {
+    ShardMap {
         version: 7,
-        parent: Hash(3),
+        parent: MapHash(3),
         epoch: 5,
         ranges,
     }
 }
 
 /// What each single fault has to yield, at each range of the map.
-fn faults(good: &Map, at: usize) -> Vec<(Map, Vec<Finding>)> {
+fn faults(good: &ShardMap, at: usize) -> Vec<(ShardMap, Vec<Finding>)> {
     let mut faults = Vec::new();
-    let mut fault = |change: &dyn Fn(&mut Vec<Range>), finding: Finding| {
+    let mut fault = |change: &dyn Fn(&mut Vec<ShardRange>), finding: Finding| {
         let mut bad = good.clone();
         change(&mut bad.ranges);
         faults.push((bad, vec![finding]));
     };
-    let Range { from, to, .. } = good.ranges[at];
+    let ShardRange { from, to, .. } = good.ranges[at];
     let last = at + 1 == good.ranges.len();
     if to - from > 1 {
         fault(
@@ -329,12 +335,12 @@
                 to: from,
             },
         );
-        let Range {
+        let ShardRange {
             from: after,
             to: end,
             ..
         } = good.ranges[at];
-        let Range { from, to, .. } = good.ranges[at - 1];
+        let ShardRange { from, to, .. } = good.ranges[at - 1];
         assert_eq!(to, after, "up to {end}");
         fault(
             &|ranges| ranges.swap(at - 1, at),
@@ -364,7 +370,7 @@
         Finding::Overlap { from, to },
     );
     fault(
-        &|ranges| ranges.insert(at, Range::new(to, to, "n000")),
+        &|ranges| ranges.insert(at, ShardRange::new(to, to, "n000")),
         Finding::Empty { from: to, to },
     );
     let reversed = Finding::Reversed { from: to, to: from };
@@ -372,32 +378,33 @@
         &|ranges| (ranges[at].from, ranges[at].to) = (to, from),
         reversed,
     );
-    let keeper = |name: &str| name.to_string();
-    let (unknown, dead, leaving) = (keeper("n-1"), keeper("dead"), keeper("leaving"));
-    let name =
-        |name: &'static str| move |ranges: &mut Vec<Range>| ranges[at].keeper = name.to_string();
+    let owner = |name: &str| name.to_string();
+    let (unknown, dead, leaving) = (owner("n-1"), owner("dead"), owner("leaving"));
+    let name = |name: &'static str| {
+        move |ranges: &mut Vec<ShardRange>| ranges[at].owner = name.to_string()
+    };
     fault(
         &name("n-1"),
-        Finding::KeeperUnknown {
+        Finding::OwnerUnknown {
             from,
             to,
-            keeper: unknown,
+            owner: unknown,
         },
     );
     fault(
         &name("dead"),
-        Finding::KeeperDead {
+        Finding::OwnerDead {
             from,
             to,
-            keeper: dead,
+            owner: dead,
         },
     );
     fault(
         &name("leaving"),
-        Finding::KeeperLeaving {
+        Finding::OwnerLeaving {
             from,
             to,
-            keeper: leaving,
+            owner: leaving,
         },
     );
     faults
@@ -414,12 +421,12 @@
     #[test]
     fn a_single_fault_is_found_with_its_bounds_and_nothing_else(
         cuts in proptest::collection::btree_set(prop_oneof![1..KEYS, 1..4_u64, KEYS - 4..KEYS], 1..24),
-        doors in 1..6_usize,
+        gateways in 1..6_usize,
     ) {
-        let mut known = alive(doors);
-        known.doors.extend([("dead".to_string(), Door::Dead), ("leaving".to_string(), Door::Leaving)]);
+        let mut known = alive(gateways);
+        known.gateways.extend([("dead".to_string(), PeerCondition::Dead), ("leaving".to_string(), PeerCondition::Leaving)]);
         let limits = Limits { moved_permille: 1000, ..Limits::default() };
-        let old = whole(&cuts, doors);
+        let old = whole(&cuts, gateways);
         let good = next(&old, old.ranges.clone());
         prop_assert_eq!(validate(Some(&old), &good, &known, &limits), vec![]);
         for at in 0..good.ranges.len() {
@@ -429,18 +436,18 @@
         }
         let (version, parent) = (good.version, good.parent);
         for wrong in [0, version - 1, version + 1, u64::MAX] {
-            let bad = Map { version: wrong, ..good.clone() };
+            let bad = ShardMap { version: wrong, ..good.clone() };
             let finding = Finding::Version { version: wrong, needed: version };
             prop_assert_eq!(validate(Some(&old), &bad, &known, &limits), vec![finding]);
         }
-        for wrong in [Hash::NONE, Hash(parent.0 ^ 1), old.parent, good.hash()] {
-            let bad = Map { parent: wrong, ..good.clone() };
+        for wrong in [MapHash::NONE, MapHash(parent.0 ^ 1), old.parent, good.hash()] {
+            let bad = ShardMap { parent: wrong, ..good.clone() };
             let finding = Finding::Parent { parent: wrong, needed: parent };
             prop_assert_eq!(validate(Some(&old), &bad, &known, &limits), vec![finding]);
         }
-        let bad = Map { epoch: 4, ..good.clone() };
+        let bad = ShardMap { epoch: 4, ..good.clone() };
         prop_assert_eq!(validate(Some(&old), &bad, &known, &limits), vec![Finding::Epoch { epoch: 4, needed: 5 }]);
-        // A door that has heard of a newer owner knows better than the map in force.
+        // A gateway that has heard of a newer leader knows better than the map in force.
         known.epoch = 6;
         prop_assert_eq!(validate(Some(&old), &good, &known, &limits), vec![Finding::Epoch { epoch: 5, needed: 6 }]);
     }
@@ -457,10 +464,10 @@
         let limits = Limits { ranges: most, ..Limits::default() };
         let all = alive(first + more);
         let names: Vec<&str> = all.living().collect();
-        let mut now = Map::first(names[..first].iter().copied(), count, 5, &limits).expect("there are names");
+        let mut now = ShardMap::first(names[..first].iter().copied(), count, 5, &limits).expect("there are names");
         prop_assert_eq!(validate(None, &now, &alive(first), &limits), vec![]);
-        let step = |old: &Map, new: &Map, fleet: &FleetState| {
-            assert_eq!(validate(Some(old), new, fleet, &limits), vec![]);
+        let step = |old: &ShardMap, new: &ShardMap, cluster: &ClusterState| {
+            assert_eq!(validate(Some(old), new, cluster, &limits), vec![]);
             moves(old, new)
         };
         let even = KEYS / names.len() as u64;
@@ -479,18 +486,18 @@
         for name in &names[first..] {
             prop_assert!((least..=even).contains(&kept(&now, name)), "{} of {}", kept(&now, name), even);
         }
-        for door in if more > 0 { &names[..first] } else { &[] } {
-            prop_assert!(kept(&now, door) >= least);
+        for gateway in if more > 0 { &names[..first] } else { &[] } {
+            prop_assert!(kept(&now, gateway) >= least);
         }
 
         let mut fewer = all.clone();
         let dead = gone.min(names.len() - 1);
-        names[..dead].iter().for_each(|name| *fewer.doors.get_mut(*name).expect("its door") = Door::Dead);
+        names[..dead].iter().for_each(|name| *fewer.gateways.get_mut(*name).expect("its door") = PeerCondition::Dead);
         if let Some(new) = without(&now, &fewer, &limits).expect("a plan") {
             prop_assert!(step(&now, &new, &fewer).iter().all(|(_, from, _)| !fewer.is_alive(from)));
             now = new;
         }
-        prop_assert!(now.ranges.iter().all(|range| fewer.is_alive(&range.keeper)));
+        prop_assert!(now.ranges.iter().all(|range| fewer.is_alive(&range.owner)));
 
         let load: Vec<u64> = loads.iter().cycle().copied().take(now.ranges.len()).collect();
         if let Some(new) = rebalance(&now, &load, &fewer, &limits).expect("a plan") {
@@ -501,8 +508,8 @@
     }
 }
 
-/// What changes its keeper from one whole map to another: keys, who had them, who has them.
-fn moves(old: &Map, new: &Map) -> Vec<(u64, String, String)> {
+/// What changes its owner from one whole map to another: keys, who had them, who has them.
+fn moves(old: &ShardMap, new: &ShardMap) -> Vec<(u64, String, String)> {
     let bounds: BTreeSet<Key> = old
         .ranges
         .iter()
@@ -512,41 +519,41 @@
     let mut from = 0;
     let mut moves = Vec::new();
     for to in bounds {
-        let keeper = |map: &Map| map.keeper_of(from).expect("a whole map").to_string();
-        if keeper(old) != keeper(new) {
-            moves.push((to - from, keeper(old), keeper(new)));
+        let owner = |map: &ShardMap| map.owner_of(from).expect("a whole map").to_string();
+        if owner(old) != owner(new) {
+            moves.push((to - from, owner(old), owner(new)));
         }
         from = to;
     }
     moves
 }
 
-fn kept(map: &Map, name: &str) -> u64 {
+fn kept(map: &ShardMap, name: &str) -> u64 {
     map.ranges
         .iter()
-        .filter(|range| range.keeper == name)
-        .map(Range::keys)
+        .filter(|range| range.owner == name)
+        .map(ShardRange::keys)
         .sum()
 }
 
-fn heaviest(map: &Map, loads: &[u64]) -> u64 {
+fn heaviest(map: &ShardMap, loads: &[u64]) -> u64 {
     let mut carried = BTreeMap::<&str, u64>::new();
     map.ranges
         .iter()
         .zip(loads)
-        .for_each(|(range, load)| *carried.entry(&range.keeper).or_default() += load);
+        .for_each(|(range, load)| *carried.entry(&range.owner).or_default() += load);
     carried.into_values().max().unwrap_or(0)
 }
 
 #[test]
-fn keys_that_move_at_once_are_limited_unless_their_keeper_is_gone() {
+fn keys_that_move_at_once_are_limited_unless_their_owner_is_gone() {
     let limits = Limits {
         moved_permille: 250,
         ..small()
     };
     let old = map(&[(0, 4, "a"), (4, 8, "b")]);
     let three = next(&old, map(&[(0, 1, "a"), (1, 8, "b")]).ranges);
-    let both = fleet(&[("a", Door::Alive), ("b", Door::Alive)]);
+    let both = cluster(&[("a", PeerCondition::Alive), ("b", PeerCondition::Alive)]);
     assert_eq!(
         validate(Some(&old), &three, &both, &limits),
         [Finding::Moved { keys: 3, most: 2 }]
@@ -554,19 +561,24 @@
     let two = next(&old, map(&[(0, 2, "a"), (2, 8, "b")]).ranges);
     assert_eq!(validate(Some(&old), &two, &both, &limits), []);
     let all = next(&old, map(&[(0, 8, "b")]).ranges);
-    for gone in [Door::Dead, Door::Leaving] {
+    for gone in [PeerCondition::Dead, PeerCondition::Leaving] {
         assert_eq!(
             validate(
                 Some(&old),
                 &all,
-                &fleet(&[("a", gone), ("b", Door::Alive)]),
+                &cluster(&[("a", gone), ("b", PeerCondition::Alive)]),
                 &limits
             ),
             []
         );
     }
     assert_eq!(
-        validate(Some(&old), &all, &fleet(&[("b", Door::Alive)]), &limits),
+        validate(
+            Some(&old),
+            &all,
+            &cluster(&[("b", PeerCondition::Alive)]),
+            &limits
+        ),
         []
     );
     // Cut otherwise and moved nowhere.
@@ -589,18 +601,18 @@
 }
 
 #[test]
-fn a_keeper_over_its_share_is_found_unless_it_is_given_no_more() {
+fn a_owner_over_its_share_is_found_unless_it_is_given_no_more() {
     let limits = Limits {
         share_permille: 1500,
         ..small()
     };
-    let both = fleet(&[("a", Door::Alive), ("b", Door::Alive)]);
+    let both = cluster(&[("a", PeerCondition::Alive), ("b", PeerCondition::Alive)]);
     let (six, seven) = (
         map(&[(0, 6, "a"), (6, 8, "b")]),
         map(&[(0, 7, "a"), (7, 8, "b")]),
     );
     let found = [Finding::Share {
-        keeper: "a".into(),
+        owner: "a".into(),
         keys: 7,
         most: 6,
     }];
@@ -624,8 +636,8 @@
 
 #[test]
 fn keys_whose_last_move_is_not_over_stay() {
-    let mut both = fleet(&[("a", Door::Alive), ("b", Door::Alive)]);
-    // Told in any order, and twice.
+    let mut both = cluster(&[("a", PeerCondition::Alive), ("b", PeerCondition::Alive)]);
+    // FindingReport in any order, and twice.
     both.moving = vec![(5, 7), (1, 3), (2, 3), (7, 7)];
     let old = map(&[(0, 4, "a"), (4, 8, "b")]);
     let new = next(&old, map(&[(0, 2, "a"), (2, 6, "b"), (6, 8, "a")]).ranges);
@@ -644,11 +656,11 @@
 #[test]
 fn a_thousand_and_twenty_four_ranges_are_allowed_and_no_more() {
     let limits = Limits::default();
-    let most = Map::first(["a", "b"], 5000, 0, &limits).expect("there are names");
+    let most = ShardMap::first(["a", "b"], 5000, 0, &limits).expect("there are names");
     assert_eq!(most.ranges.len(), 1024);
-    let both = fleet(&[("a", Door::Alive), ("b", Door::Alive)]);
+    let both = cluster(&[("a", PeerCondition::Alive), ("b", PeerCondition::Alive)]);
     assert_eq!(validate(None, &most, &both, &limits), []);
-    let more = Map::first(
+    let more = ShardMap::first(
         ["a", "b"],
         1025,
         0,
@@ -669,11 +681,11 @@
 
 #[test]
 fn without_a_map_in_force_the_first_version_alone_has_no_parent() {
-    let both = fleet(&[("a", Door::Alive)]);
+    let both = cluster(&[("a", PeerCondition::Alive)]);
     let found = |version, parent| {
         validate(
             None,
-            &Map {
+            &ShardMap {
                 version,
                 parent,
                 ..map(&[(0, 8, "a")])
@@ -682,28 +694,28 @@
             &small(),
         )
     };
-    assert_eq!(found(1, Hash::NONE), []);
-    assert_eq!(found(9, Hash(4)), []);
+    assert_eq!(found(1, MapHash::NONE), []);
+    assert_eq!(found(9, MapHash(4)), []);
     assert_eq!(
-        found(1, Hash(4)),
-        [Finding::ParentOfFirst { parent: Hash(4) }]
+        found(1, MapHash(4)),
+        [Finding::ParentOfFirst { parent: MapHash(4) }]
     );
     assert_eq!(
-        found(9, Hash::NONE),
+        found(9, MapHash::NONE),
         [Finding::ParentMissing { version: 9 }]
     );
     assert_eq!(
-        found(0, Hash::NONE),
+        found(0, MapHash::NONE),
         [Finding::Version {
             version: 0,
             needed: 1
         }]
     );
-    let last = Map {
+    let last = ShardMap {
         version: u64::MAX,
         ..map(&[(0, 8, "a")])
     };
-    let after = Map {
+    let after = ShardMap {
         version: 0,
         parent: last.hash(),
         ..last.clone()
@@ -722,11 +734,11 @@
         ranges: 3,
         ..small()
     };
-    let mut known = fleet(&[
-        ("a", Door::Alive),
-        ("b", Door::Alive),
-        ("d", Door::Dead),
-        ("l", Door::Leaving),
+    let mut known = cluster(&[
+        ("a", PeerCondition::Alive),
+        ("b", PeerCondition::Alive),
+        ("d", PeerCondition::Dead),
+        ("l", PeerCondition::Leaving),
     ]);
     (known.epoch, known.moving) = (9, vec![(0, 8)]);
     let old = map(&[(0, 1, "a"), (1, 7, "d"), (7, 8, "b")]);
@@ -761,21 +773,21 @@
 #[test]
 fn hostile_maps_of_any_size_yield_few_findings_and_say_how_many_are_left_out() {
     let name = "x".repeat(10_000);
-    let mut ranges: Vec<Range> = (0..20_000)
-        .map(|at| Range::new(KEYS - at, u64::MAX - at, "n000"))
+    let mut ranges: Vec<ShardRange> = (0..20_000)
+        .map(|at| ShardRange::new(KEYS - at, u64::MAX - at, "n000"))
         .collect();
-    ranges.extend((0..20_000).map(|at| Range::new(3 * at + 1, 3 * at, "n000")));
-    ranges.extend((0..100).map(|at| Range::new(at, u64::MAX, name.as_str())));
-    let bad = Map {
+    ranges.extend((0..20_000).map(|at| ShardRange::new(3 * at + 1, 3 * at, "n000")));
+    ranges.extend((0..100).map(|at| ShardRange::new(at, u64::MAX, name.as_str())));
+    let bad = ShardMap {
         version: u64::MAX,
-        parent: Hash(1),
+        parent: MapHash(1),
         epoch: 0,
         ranges,
     };
     let old = whole(&BTreeSet::from([5, 9]), 2);
     let found = validate(Some(&old), &bad, &alive(2), &Limits::default());
     assert!(
-        found.len() <= Rule::ALL.len() * (MOST_OF_A_RULE + 1),
+        found.len() <= Rule::ALL.len() * (MAX_FINDINGS_PER_RULE + 1),
         "{}",
         found.len()
     );
@@ -790,8 +802,8 @@
             .filter(|found| *found == rule)
             .count()
     };
-    assert_eq!(of(Rule::Empty), MOST_OF_A_RULE + 1);
-    let left = 20_000 - MOST_OF_A_RULE;
+    assert_eq!(of(Rule::Empty), MAX_FINDINGS_PER_RULE + 1);
+    let left = 20_000 - MAX_FINDINGS_PER_RULE;
     assert_eq!(
         more(Rule::Empty).next(),
         Some(&Finding::More {
@@ -799,7 +811,7 @@
             more: left
         })
     );
-    assert_eq!(of(Rule::Keeper), MOST_OF_A_RULE + 1);
+    assert_eq!(of(Rule::Owner), MAX_FINDINGS_PER_RULE + 1);
     assert!(found.iter().all(|finding| finding.to_string().len() < 400));
     assert!(found
         .iter()
@@ -810,89 +822,92 @@
 fn the_first_map_follows_from_the_names_alone_and_is_even() {
     let limits = Limits::default();
     let first = |names: &[&'static str], count| {
-        Map::first(names.iter().copied(), count, 3, &limits).expect("names")
+        ShardMap::first(names.iter().copied(), count, 3, &limits).expect("names")
     };
     let one = first(&["n2", "n0", "n1"], 64);
     assert_eq!(one, first(&["n1", "n0", "n2", "n0"], 64));
     assert_eq!(
         (one.version, one.parent, one.epoch, one.ranges.len()),
-        (1, Hash::NONE, 3, 64)
+        (1, MapHash::NONE, 3, 64)
     );
     let of = |name: &str| {
         one.ranges
             .iter()
-            .filter(|range| range.keeper == name)
+            .filter(|range| range.owner == name)
             .count()
     };
     assert_eq!((of("n0"), of("n1"), of("n2")), (22, 21, 21));
-    assert_eq!(one.ranges[0], Range::new(0, 134_217_728, "n0"));
-    for (key, keeper) in [
+    assert_eq!(one.ranges[0], ShardRange::new(0, 134_217_728, "n0"));
+    for (key, owner) in [
         (0, Some("n0")),
         (134_217_728, Some("n0")),
         (22 * 134_217_728, Some("n1")),
     ] {
-        assert_eq!(one.keeper_of(key), keeper);
+        assert_eq!(one.owner_of(key), owner);
     }
     assert_eq!(
         (
-            one.keeper_of(KEYS - 1),
-            one.keeper_of(KEYS),
-            one.keeper_of(Key::MAX)
+            one.owner_of(KEYS - 1),
+            one.owner_of(KEYS),
+            one.owner_of(Key::MAX)
         ),
         (Some("n2"), None, None)
     );
     // Remainders are spread; there are as many ranges as names at least, and as keys at most.
     let sizes = |count, keys| {
-        let map = Map::first(["a", "b", "c"], count, 0, &Limits { keys, ..small() });
-        map.map(|map| map.ranges.iter().map(Range::keys).collect::<Vec<_>>())
+        let map = ShardMap::first(["a", "b", "c"], count, 0, &Limits { keys, ..small() });
+        map.map(|map| map.ranges.iter().map(ShardRange::keys).collect::<Vec<_>>())
     };
     assert_eq!(sizes(5, 8), Some(vec![2, 2, 2, 1, 1]));
     assert_eq!(sizes(1, 8), Some(vec![3, 3, 2]));
     assert_eq!(sizes(5, 2), Some(vec![1, 1]));
-    assert_eq!((sizes(5, 0), Map::first([], 5, 0, &limits)), (None, None));
+    assert_eq!(
+        (sizes(5, 0), ShardMap::first([], 5, 0, &limits)),
+        (None, None)
+    );
 }
 
 #[test]
 fn a_hash_is_fixed_and_depends_on_all_of_a_map() {
-    let one = Map {
+    let one = ShardMap {
         version: 2,
-        parent: Hash(1),
+        parent: MapHash(1),
         epoch: 3,
         ..map(&[(0, 4, "a"), (4, 8, "b")])
     };
-    // Doors of other builds have to come to the same: this never changes.
+    // Gateways of other builds have to come to the same: this never changes.
     assert_eq!(one.hash().to_string(), "b03f744556b56194");
     let mut others = vec![
-        Map {
+        ShardMap {
             version: 3,
             ..one.clone()
         },
-        Map {
-            parent: Hash(2),
+        ShardMap {
+            parent: MapHash(2),
             ..one.clone()
         },
-        Map {
+        ShardMap {
             epoch: 2,
             ..one.clone()
         },
-        Map {
+        ShardMap {
             ranges: one.ranges[..1].to_vec(),
             ..one.clone()
         },
     ];
-    let changes: [fn(&mut Range); 3] = [
+    let changes: [fn(&mut ShardRange); 3] = [
         |range| range.from += 1,
         |range| range.to += 1,
-        |range| range.keeper.push('b'),
+        |range| range.owner.push('b'),
     ];
     for change in changes {
         let mut other = one.clone();
         change(&mut other.ranges[0]);
         others.push(other);
     }
-    let hashes: BTreeSet<Hash> = others.iter().chain([&one]).map(Map::hash).collect();
+    let hashes: BTreeSet<MapHash> = others.iter().chain([&one]).map(ShardMap::hash).collect();
     assert_eq!(hashes.len(), 8);
-    assert_eq!("00000000000000ff".parse(), Ok(Hash(255)));
+    assert_eq!("00000000000000ff".parse(), Ok(MapHash(255)));
     for wrong in [
         "ff",
         "+0000000000000ff",
@@ -901,34 +916,38 @@
         "zz000000000000ff",
         "",
     ] {
-        assert_eq!(wrong.parse::<Hash>(), Err(NoHash), "{wrong}");
+        assert_eq!(wrong.parse::<MapHash>(), Err(InvalidMapHash), "{wrong}");
     }
 }
 
 #[test]
 fn a_map_goes_as_json_and_as_postcard_within_the_stated_bytes() {
     let text = r#"{"from":0,"to":4294967296,"keeper":"n0"}"#;
-    let range: Range = serde_json::from_str(text).expect("the form of the configuration");
-    assert_eq!(range, Range::new(0, 1 << 32, "n0"));
+    let range: ShardRange = serde_json::from_str(text).expect("the form of the configuration");
+    assert_eq!(range, ShardRange::new(0, 1 << 32, "n0"));
     assert_eq!(serde_json::to_string(&range).expect("text"), text);
     assert!(
-        serde_json::from_str::<Range>(r#"{"from":0,"to":1,"keeper":"n0","keper":"n1"}"#).is_err()
+        serde_json::from_str::<ShardRange>(r#"{"from":0,"to":1,"keeper":"n0","keper":"n1"}"#)
+            .is_err()
     );
     let names: Vec<String> = (0..64).map(|name| format!("{name:064}")).collect();
-    let mut most = Map::first(
+    let mut most = ShardMap::first(
         names.iter().map(String::as_str),
         1024,
         0,
         &Limits::default(),
     )
     .expect("names");
-    (most.version, most.parent, most.epoch) = (u64::MAX, Hash(u64::MAX), u64::MAX);
+    (most.version, most.parent, most.epoch) = (u64::MAX, MapHash(u64::MAX), u64::MAX);
     let bytes = postcard::to_allocvec(&most).expect("bytes");
     assert!(bytes.len() <= 76_832, "{}", bytes.len());
-    assert_eq!(postcard::from_bytes::<Map>(&bytes), Ok(most.clone()));
+    assert_eq!(postcard::from_bytes::<ShardMap>(&bytes), Ok(most.clone()));
     let json = serde_json::to_string(&most).expect("text");
     assert!(json.contains(r#""parent":"ffffffffffffffff""#));
-    assert_eq!(serde_json::from_str::<Map>(&json).expect("a map"), most);
+    assert_eq!(
+        serde_json::from_str::<ShardMap>(&json).expect("a map"),
+        most
+    );
 }
 
 /// All ways to give so many keys to these, as maps with a range for each run.
@@ -942,17 +961,17 @@
     .collect()
 }
 
-fn as_map(given: &[usize], names: &[&str]) -> Map {
-    let mut ranges: Vec<Range> = Vec::new();
+fn as_map(given: &[usize], names: &[&str]) -> ShardMap {
+    let mut ranges: Vec<ShardRange> = Vec::new();
     for (key, name) in (0..).zip(given) {
         match ranges.last_mut() {
-            Some(last) if last.keeper == names[*name] => last.to += 1,
-            _ => ranges.push(Range::new(key, key + 1, names[*name])),
+            Some(last) if last.owner == names[*name] => last.to += 1,
+            _ => ranges.push(ShardRange::new(key, key + 1, names[*name])),
         }
     }
-    Map {
+    ShardMap {
         version: 1,
-        parent: Hash::NONE,
+        parent: MapHash::NONE,
         epoch: 0,
         ranges,
     }
@@ -970,26 +989,26 @@
     )
 }
 
-fn read(map: &Map, keys: u32, names: &[&str]) -> Vec<usize> {
-    let keeper = |key| map.keeper_of(key).expect("a whole map");
+fn read(map: &ShardMap, keys: u32, names: &[&str]) -> Vec<usize> {
+    let owner = |key| map.owner_of(key).expect("a whole map");
     (0..Key::from(keys))
         .map(|key| {
             names
                 .iter()
-                .position(|name| *name == keeper(key))
+                .position(|name| *name == owner(key))
                 .expect("known")
         })
         .collect()
 }
 
 #[test]
-fn what_is_planned_without_a_keeper_moves_least_and_is_as_even_as_any_that_does() {
+fn what_is_planned_without_a_owner_moves_least_and_is_as_even_as_any_that_does() {
     let names = ["a", "b", "d", "gone"];
-    let known = fleet(&[
-        ("a", Door::Alive),
-        ("b", Door::Alive),
-        ("d", Door::Alive),
-        ("gone", Door::Dead),
+    let known = cluster(&[
+        ("a", PeerCondition::Alive),
+        ("b", PeerCondition::Alive),
+        ("d", PeerCondition::Alive),
+        ("gone", PeerCondition::Dead),
     ]);
     let limits = Limits {
         keys: 6,
@@ -1013,7 +1032,11 @@
 #[test]
 fn newcomers_get_their_even_part_by_the_fewest_keys_in_any_number_of_steps() {
     let names = ["a", "b", "d"];
-    let known = fleet(&[("a", Door::Alive), ("b", Door::Alive), ("d", Door::Alive)]);
+    let known = cluster(&[
+        ("a", PeerCondition::Alive),
+        ("b", PeerCondition::Alive),
+        ("d", PeerCondition::Alive),
+    ]);
     let all = given(6, &names);
     let count = |given: &[usize], name| given.iter().filter(|has| **has == name).count();
     for old in &all {
@@ -1052,10 +1075,10 @@
 }
 
 #[test]
-fn one_door_in_a_big_fleet_comes_and_goes_with_few_cuts() {
+fn one_gateway_in_a_big_cluster_comes_and_goes_with_few_cuts() {
     let limits = Limits::default();
     let (all, before) = (alive(300), alive(299));
-    let old = Map::first(before.living(), 900, 5, &limits).expect("names");
+    let old = ShardMap::first(before.living(), 900, 5, &limits).expect("names");
     let new = joined(&old, ["n299"], &all, &limits)
         .expect("a plan")
         .expect("a move");
@@ -1064,7 +1087,9 @@
     println!("joined: {} ranges", new.ranges.len());
     assert!(new.ranges.len() <= 910, "{}", new.ranges.len());
     let mut fewer = all.clone();
-    fewer.doors.insert("n007".to_string(), Door::Leaving);
+    fewer
+        .gateways
+        .insert("n007".to_string(), PeerCondition::Leaving);
     let less = without(&new, &fewer, &limits)
         .expect("a plan")
         .expect("a move");
@@ -1076,7 +1101,11 @@
 #[test]
 fn the_move_for_load_is_the_best_there_is_and_none_that_is_not_worth_it() {
     let names = ["a", "b", "d"];
-    let known = fleet(&[("a", Door::Alive), ("b", Door::Alive), ("d", Door::Alive)]);
+    let known = cluster(&[
+        ("a", PeerCondition::Alive),
+        ("b", PeerCondition::Alive),
+        ("d", PeerCondition::Alive),
+    ]);
     // Room for one move, of whichever range.
     let limits = Limits {
         keys: 8,
@@ -1084,27 +1113,27 @@
         ..small()
     };
     let mut planned = (0, 0);
-    for (keepers, loads) in given(4, &names).iter().flat_map(|keepers| {
+    for (owners, loads) in given(4, &names).iter().flat_map(|owners| {
         given(4, &["0", "1", "3", "9"])
             .into_iter()
-            .map(move |loads| (keepers, loads))
+            .map(move |loads| (owners, loads))
     }) {
         let loads: Vec<u64> = loads.iter().map(|load| [0, 1, 3, 9][*load]).collect();
-        let ranges = keepers.iter().zip((0..).step_by(2));
+        let ranges = owners.iter().zip((0..).step_by(2));
         let ranges = ranges
-            .map(|(keeper, from)| Range::new(from, from + 2, names[*keeper]))
+            .map(|(owner, from)| ShardRange::new(from, from + 2, names[*owner]))
             .collect();
-        let old = Map { ranges, ..map(&[]) };
-        let carried = |keepers: &[usize]| {
-            let of = |door| {
+        let old = ShardMap { ranges, ..map(&[]) };
+        let carried = |owners: &[usize]| {
+            let of = |gateway| {
                 (0..4)
-                    .filter(move |at| keepers[*at] == door)
+                    .filter(move |at| owners[*at] == gateway)
                     .map(|at| loads[at])
                     .sum::<u64>()
             };
             [of(0), of(1), of(2)]
         };
-        let before = carried(keepers);
+        let before = carried(owners);
         let heavy = before.iter().max().copied().unwrap_or(0);
         let from = before
             .iter()
@@ -1113,14 +1142,14 @@
         let all: u64 = loads.iter().sum();
         let mut best = None;
         for (at, to) in (0..4).flat_map(|at| (0..3).map(move |to| (at, to))) {
-            let mut after = keepers.clone();
+            let mut after = owners.clone();
             after[at] = to;
             let gain = heavy.saturating_sub(carried(&after)[from].max(carried(&after)[to]));
             // Two keys of an even part of 2: the whole price.
             let worth = gain > 0
                 && gain * 3 * 1000 >= all * GAIN.max(PRICE)
                 && heavy * 3 * 1000 > all * START;
-            if keepers[at] == from && to != from && worth {
+            if owners[at] == from && to != from && worth {
                 best = best.max(Some(gain));
             }
         }
@@ -1133,7 +1162,7 @@
                     .collect::<Vec<_>>(),
             );
             let to = (0..3)
-                .find(|door| after[*door] > before[*door])
+                .find(|gateway| after[*gateway] > before[*gateway])
                 .expect("who got it");
             assert_eq!(moves(&old, new).len(), 1);
             heavy - after[from].max(after[to])
@@ -1151,8 +1180,8 @@
         ..Limits::default()
     };
     let four = alive(4);
-    let old = Map::first(four.living(), 64, 5, &limits).expect("names");
-    // One door has the busy customers.
+    let old = ShardMap::first(four.living(), 64, 5, &limits).expect("names");
+    // One gateway has the busy customers.
     let loads: Vec<u64> = (0..64).map(|at| if at < 16 { 300 } else { 100 }).collect();
     let new = rebalance(&old, &loads, &four, &limits)
         .expect("a plan")
@@ -1165,16 +1194,20 @@
     println!("{} ranges moved", moves(&old, &new).len());
     assert_eq!(rebalance(&new, &loads, &four, &limits), Ok(None));
     // By nearly 6% up at the heaviest and down at the others, whichever that is.
-    for door in four.living() {
-        let wavers = |(range, load): (&Range, &u64)| {
-            if range.keeper == door {
+    for gateway in four.living() {
+        let wavers = |(range, load): (&ShardRange, &u64)| {
+            if range.owner == gateway {
                 load * 1059
             } else {
                 load * 941
             }
         };
         let loads: Vec<u64> = new.ranges.iter().zip(&loads).map(wavers).collect();
-        assert_eq!(rebalance(&new, &loads, &four, &limits), Ok(None), "{door}");
+        assert_eq!(
+            rebalance(&new, &loads, &four, &limits),
+            Ok(None),
+            "{gateway}"
+        );
     }
     // Whatever loads others tell.
     for load in [0, u64::MAX] {
@@ -1182,7 +1215,7 @@
     }
     assert_eq!(
         rebalance(&old, &[1], &four, &limits),
-        Err(NoPlan::Loads {
+        Err(PlanError::Loads {
             loads: 1,
             ranges: 64
         })
@@ -1195,9 +1228,9 @@
     let cuts = BTreeSet::from([1, KEYS / 2]);
     let mut old = whole(&cuts, 2);
     (
-        old.ranges[0].keeper,
-        old.ranges[1].keeper,
-        old.ranges[2].keeper,
+        old.ranges[0].owner,
+        old.ranges[1].owner,
+        old.ranges[2].owner,
     ) = ("n000".into(), "n000".into(), "n001".into());
     assert_eq!(rebalance(&old, &[4, 130, 66], &two, &limits), Ok(None));
     let new = rebalance(&old, &[6, 128, 66], &two, &limits)
@@ -1210,14 +1243,14 @@
 }
 
 #[test]
-fn neighbours_with_one_keeper_are_joined_where_a_cut_has_no_room() {
+fn neighbours_with_one_owner_are_joined_where_a_cut_has_no_room() {
     let limits = Limits {
         ranges: 3,
         ..Limits::default()
     };
     let three = alive(3);
     let mut now = whole(&BTreeSet::from([KEYS / 4, KEYS / 2]), 2);
-    (now.ranges[1].keeper, now.ranges[2].keeper) = ("n000".into(), "n001".into());
+    (now.ranges[1].owner, now.ranges[2].owner) = ("n000".into(), "n001".into());
     // A quarter is too much to give whole.
     while let Some(new) = joined(&now, ["n002"], &three, &limits).expect("a plan") {
         now = new;
@@ -1236,13 +1269,13 @@
         ..Limits::default()
     };
     let mut three = alive(3);
-    let old = Map::first(["n000", "n001"], 8, 5, &limits).expect("names");
+    let old = ShardMap::first(["n000", "n001"], 8, 5, &limits).expect("names");
     three.moving = old.ranges[2..6]
         .iter()
         .map(|range| (range.from, range.to))
         .collect();
-    let stays = |new: Map| {
-        (2..6).all(|at| new.keeper_of(old.ranges[at].from) == Some(&old.ranges[at].keeper))
+    let stays = |new: ShardMap| {
+        (2..6).all(|at| new.owner_of(old.ranges[at].from) == Some(&old.ranges[at].owner))
     };
     assert!(stays(
         joined(&old, ["n002"], &three, &limits)
@@ -1255,8 +1288,10 @@
             .expect("a plan")
             .expect("a move")
     ));
-    three.doors.insert("n000".to_string(), Door::Dead);
-    let Err(NoPlan::Refused(findings)) = without(&old, &three, &limits) else {
+    three
+        .gateways
+        .insert("n000".to_string(), PeerCondition::Dead);
+    let Err(PlanError::Refused(findings)) = without(&old, &three, &limits) else {
         panic!("it has to wait")
     };
     // Its two that move are neighbours.
@@ -1266,11 +1301,11 @@
 #[test]
 fn there_is_no_plan_for_nobody_or_from_a_map_that_is_not_whole() {
     let limits = small();
-    let one = fleet(&[("a", Door::Alive)]);
+    let one = cluster(&[("a", PeerCondition::Alive)]);
     let good = map(&[(0, 8, "a")]);
     assert_eq!(
-        without(&good, &FleetState::default(), &limits),
-        Err(NoPlan::NobodyLives)
+        without(&good, &ClusterState::default(), &limits),
+        Err(PlanError::NobodyLives)
     );
     for bad in [
         &[(0, 7, "a")][..],
@@ -1279,13 +1314,13 @@
         &[(4, 0, "a")],
         &[],
     ] {
-        assert_eq!(without(&map(bad), &one, &limits), Err(NoPlan::NotWhole));
+        assert_eq!(without(&map(bad), &one, &limits), Err(PlanError::NotWhole));
     }
-    let last = Map {
+    let last = ShardMap {
         version: u64::MAX,
         ..map(&[(0, 8, "gone")])
     };
-    assert_eq!(without(&last, &one, &limits), Err(NoPlan::LastVersion));
+    assert_eq!(without(&last, &one, &limits), Err(PlanError::LastVersion));
     assert_eq!(
         (
             without(&good, &one, &limits),
--- a/gateway-cluster/tests/steps/mod.rs
+++ b/gateway-cluster/tests/steps/mod.rs
@@ -1,15 +1,15 @@
-//! A simulated fleet that is looked at every few milliseconds, whatever it is waited for.
+//! A simulated cluster that is looked at every few milliseconds, whatever it is waited for.
 
-use gateway_cluster::engine::{Engine, Micros};
+use gateway_cluster::protocol::{Micros, Protocol};
 use gateway_cluster::sim::Sim;
 
 /// From one look to the next.
 const STEP: Micros = 5_000;
 
-/// A fleet with what has to hold of it at each step.
+/// A cluster with what has to hold of it at each step.
 pub trait Watched {
-    /// The simulated door.
-    type Door: Engine;
+    /// The simulated gateway.
+    type Door: Protocol;
 
     fn sim(&mut self) -> &mut Sim<Self::Door>;
 
--- a/quota-gateway/src/bin/quota-gateway/backends/attempts/tests.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/attempts/tests.rs
@@ -147,7 +147,7 @@
         let note = |outcome| Attempt {
             customer: 0xa1,
             server: 3,
-            conn: evidence::Conn::Kept,
+            conn: evidence::ConnectionUse::Kept,
             outcome,
         };
         assert_eq!(
--- a/quota-gateway/src/bin/quota-gateway/backends/pool.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/pool.rs
@@ -3,7 +3,7 @@
 use crate::backends::sessions::{Hold, Seen, Sessions, Watched, RUN_GAP};
 use crate::operators::cost::{Gauge, Held};
 use alderhollow_dataplane::link::Link;
-use gateway_cluster::sessions::evidence::{Conn, Outcome};
+use gateway_cluster::sessions::evidence::{ConnectionUse, Outcome};
 use hyper::header::HeaderMap;
 use oorandom::Rand32;
 use quota_gateway::{CustomerId, ServerId};
@@ -554,7 +554,12 @@
     }
 
     /// A customer's request goes out on a connection.
-    pub fn begin(&self, id: ServerId, customer: CustomerId, pooled: &mut Pooled) -> Option<Conn> {
+    pub fn begin(
+        &self,
+        id: ServerId,
+        customer: CustomerId,
+        pooled: &mut Pooled,
+    ) -> Option<ConnectionUse> {
         let watched = self.watched.get()?;
         let seen = pooled.seen.get_or_insert_with(|| watched.meet());
         Some(watched.begin(id, customer, seen))
@@ -572,7 +577,7 @@
         &self,
         id: ServerId,
         customer: CustomerId,
-        conn: Conn,
+        conn: ConnectionUse,
         ran: bool,
         outcome: Option<Outcome>,
     ) {
--- a/quota-gateway/src/bin/quota-gateway/backends/pool/tests.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/pool/tests.rs
@@ -258,7 +258,7 @@
 }
 
 /// A customer's request goes out.
-async fn go(pool: &Pool, customer: CustomerId) -> (Pooled, Conn) {
+async fn go(pool: &Pool, customer: CustomerId) -> (Pooled, ConnectionUse) {
     let place = pool.ready_at(ID).expect("it is ready");
     let until = Instant::now() + SECOND;
     let mut pooled = pool
@@ -272,14 +272,14 @@
 }
 
 /// It is answered.
-fn over(pool: &Pool, customer: CustomerId, (mut pooled, conn): (Pooled, Conn)) {
+fn over(pool: &Pool, customer: CustomerId, (mut pooled, conn): (Pooled, ConnectionUse)) {
     pooled.used += 1;
     pool.park(ID, pooled);
     pool.end(ID, customer, conn, true, Some(Outcome::Fine));
 }
 
 /// A whole request: which connection it went on, and what is told of that.
-async fn request(pool: &Pool, customer: CustomerId) -> (u64, Conn) {
+async fn request(pool: &Pool, customer: CustomerId) -> (u64, ConnectionUse) {
     let (pooled, conn) = go(pool, customer).await;
     let number = pooled.seen.as_ref().expect("it is watched").number();
     over(pool, customer, (pooled, conn));
@@ -291,33 +291,37 @@
     let (_listener, pool, told) = watched(10, &[]);
     assert_eq!(
         request(&pool, 1).await,
-        (1, Conn::Kept),
+        (1, ConnectionUse::Kept),
         "a first one leaves nothing behind"
     );
-    assert_eq!(request(&pool, 1).await, (1, Conn::Kept), "its own");
+    assert_eq!(request(&pool, 1).await, (1, ConnectionUse::Kept), "its own");
     sleep(RUN_GAP * 2).await;
-    assert_eq!(request(&pool, 1).await, (1, Conn::Kept), "still its own");
+    assert_eq!(
+        request(&pool, 1).await,
+        (1, ConnectionUse::Kept),
+        "still its own"
+    );
     assert_eq!(
         request(&pool, 2).await,
-        (1, Conn::Kept),
+        (1, ConnectionUse::Kept),
         "another's first one"
     );
     assert_eq!(
         request(&pool, 1).await,
-        (1, Conn::ChangedInRun),
+        (1, ConnectionUse::ChangedInRun),
         "another used it in between"
     );
     request(&pool, 2).await;
     sleep(RUN_GAP * 2).await;
     assert_eq!(
         request(&pool, 1).await,
-        (1, Conn::ChangedBetween),
+        (1, ConnectionUse::ChangedBetween),
         "the same, after the run"
     );
     let busy = go(&pool, 2).await;
     assert_eq!(
         request(&pool, 1).await,
-        (2, Conn::ChangedInRun),
+        (2, ConnectionUse::ChangedInRun),
         "on another"
     );
     sleep(RUN_GAP * 2).await;
@@ -325,7 +329,7 @@
     let (pooled, conn) = go(&pool, 2).await;
     assert_eq!(
         (pooled.seen.as_ref().map(|seen| seen.number()), conn),
-        (Some(2), Conn::ChangedInRun)
+        (Some(2), ConnectionUse::ChangedInRun)
     );
     over(&pool, 2, (pooled, conn));
     over(&pool, 2, busy);
@@ -337,7 +341,7 @@
     request(&pool, 2).await;
     assert_eq!(
         request(&pool, 1).await.1,
-        Conn::ChangedInRun,
+        ConnectionUse::ChangedInRun,
         "soon after a long one"
     );
     let notes = told.notes.take();
@@ -345,7 +349,7 @@
     let first = Attempt {
         customer: 1,
         server: ID,
-        conn: Conn::Kept,
+        conn: ConnectionUse::Kept,
         outcome: Outcome::Fine,
     };
     assert_eq!(notes.first(), Some(&first));
@@ -354,7 +358,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_request_that_never_ran_changes_nobodys_last_connection() {
     let (_listener, pool, told) = watched(10, &[]);
-    assert_eq!(request(&pool, 1).await, (1, Conn::Kept));
+    assert_eq!(request(&pool, 1).await, (1, ConnectionUse::Kept));
     for customer in [1, 2] {
         let (mut pooled, conn) = go(&pool, customer).await;
         pooled.used += 1;
@@ -365,12 +369,12 @@
     sleep(RUN_GAP * 2).await;
     assert_eq!(
         request(&pool, 1).await,
-        (1, Conn::Kept),
+        (1, ConnectionUse::Kept),
         "the other's was turned away"
     );
     assert_eq!(
         request(&pool, 2).await,
-        (1, Conn::Kept),
+        (1, ConnectionUse::Kept),
         "so it has no last one yet"
     );
     assert_eq!(told.notes.borrow().len(), 3, "what never ran is not told");
@@ -379,26 +383,26 @@
 #[tokio::test(start_paused = true)]
 async fn a_run_gets_its_own_connection_again_and_nobody_else_does_meanwhile() {
     let (_listener, pool, _) = watched(2, &[(1, Hold::Run)]);
-    assert_eq!(request(&pool, 1).await, (1, Conn::Kept));
+    assert_eq!(request(&pool, 1).await, (1, ConnectionUse::Kept));
     assert_eq!(
         request(&pool, 2).await,
-        (2, Conn::Kept),
+        (2, ConnectionUse::Kept),
         "it opens one, though one is idle"
     );
     sleep(REST).await;
     assert_eq!(
         request(&pool, 1).await,
-        (1, Conn::Kept),
+        (1, ConnectionUse::Kept),
         "its own, not the warmest"
     );
     assert_eq!(
         request(&pool, 1).await,
-        (1, Conn::Kept),
+        (1, ConnectionUse::Kept),
         "its own, after the rest"
     );
     sleep(REST).await;
     let busy = go(&pool, 2).await;
-    assert_eq!(busy.1, Conn::Kept);
+    assert_eq!(busy.1, ConnectionUse::Kept);
     let (pooled, conn) = go(&pool, 3).await;
     assert_eq!(
         pooled.seen.as_ref().map(|seen| seen.number()),
@@ -411,7 +415,7 @@
     let (number, conn) = request(&pool, 1).await;
     assert_eq!(
         (number, conn),
-        (2, Conn::ChangedBetween),
+        (2, ConnectionUse::ChangedBetween),
         "a run that is over goes on anywhere"
     );
     sleep(RUN_GAP).await;
@@ -443,15 +447,15 @@
 #[tokio::test(start_paused = true)]
 async fn a_private_connection_is_its_owners_alone_and_is_given_back() {
     let (_listener, pool, told) = watched(16, &[(1, Hold::Private), (3, Hold::Private)]);
-    assert_eq!(request(&pool, 1).await, (1, Conn::Kept));
+    assert_eq!(request(&pool, 1).await, (1, ConnectionUse::Kept));
     sleep(RUN_GAP * 2).await;
     assert_eq!(
         request(&pool, 2).await,
-        (2, Conn::Kept),
+        (2, ConnectionUse::Kept),
         "another opens its own"
     );
     let own = go(&pool, 1).await;
-    assert_eq!(own.1, Conn::Kept);
+    assert_eq!(own.1, ConnectionUse::Kept);
     assert_eq!(own.0.seen.as_ref().map(|seen| seen.number()), Some(1));
     assert_eq!(pool.private(), (1, 0));
     sleep(REST).await;
@@ -503,7 +507,7 @@
     let (_listener, pool, told) = watched(16, &[]);
     request(&pool, 1).await;
     told.holds.borrow_mut().insert(1, Hold::Private);
-    assert_eq!(request(&pool, 1).await, (1, Conn::Kept));
+    assert_eq!(request(&pool, 1).await, (1, ConnectionUse::Kept));
     assert_eq!((pool.private().0, pool.connections()), (1, (1, 0)));
 }
 
@@ -585,7 +589,7 @@
         .expect("it comes up");
     assert_eq!(pool.begin(ID, 1, &mut pooled), None);
     assert!(pooled.seen.is_none());
-    pool.end(ID, 1, Conn::Kept, true, Some(Outcome::Fine));
+    pool.end(ID, 1, ConnectionUse::Kept, true, Some(Outcome::Fine));
     assert!(pool.watched.get().is_none() && pool.private() == (0, 0));
 }
 
--- a/quota-gateway/src/bin/quota-gateway/backends/sessions.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/sessions.rs
@@ -4,8 +4,8 @@
 //! Beside it is what the pool remembers for that: who used each connection last, where each customer was last, and which
 //! connections are private.
 
-use gateway_cluster::sessions::evidence::{Conn, Outcome};
-use gateway_cluster::sessions::keep::{grant, Grant, Limits, Usage};
+use gateway_cluster::sessions::evidence::{ConnectionUse, Outcome};
+use gateway_cluster::sessions::verdicts::{grant, Grant, Limits, Usage};
 use lru::LruCache;
 use quota_gateway::{CustomerId, ServerId};
 use std::cell::{Cell, RefCell};
@@ -36,7 +36,7 @@
 pub struct Attempt {
     pub customer: CustomerId,
     pub server: ServerId,
-    pub conn: Conn,
+    pub conn: ConnectionUse,
     pub outcome: Outcome,
 }
 
@@ -51,7 +51,7 @@
 pub enum Sent {
     No,
     Unwatched,
-    On(Conn),
+    On(ConnectionUse),
 }
 
 /// Private connections, open or on their way. Ordered by backend, to count one's.
@@ -231,7 +231,7 @@
     }
 
     /// A request goes out. What it changes is told by how it stood before.
-    pub fn begin(&self, id: ServerId, customer: CustomerId, seen: &mut Seen) -> Conn {
+    pub fn begin(&self, id: ServerId, customer: CustomerId, seen: &mut Seen) -> ConnectionUse {
         let same = self.is_last(id, customer, seen);
         let now = Instant::now();
         let lasts = &mut *self.lasts.borrow_mut();
@@ -256,7 +256,7 @@
             by: customer,
             hold: seen.hold,
         });
-        Conn::of(same, since, micros(RUN_GAP))
+        ConnectionUse::of(same, since, micros(RUN_GAP))
     }
 
     /// The request that went out last on this connection never ran: neither side's last use has changed.
@@ -282,7 +282,7 @@
         &self,
         server: ServerId,
         customer: CustomerId,
-        conn: Conn,
+        conn: ConnectionUse,
         ran: bool,
         outcome: Option<Outcome>,
     ) {
--- a/quota-gateway/src/bin/quota-gateway/fleet/driver.rs
+++ b/quota-gateway/src/bin/quota-gateway/cluster/driver.rs
@@ -6,22 +6,25 @@
 
 use crate::backends::sessions::{Attempt, Hold, Sessions};
 use crate::clients::phase::{Phase, PhaseControl};
+use crate::cluster::settings::{ClusterSettings, ShardSettings};
 use crate::errors::{text, word};
-use crate::fleet::roster::{Roster, Shards};
-use gateway_cluster::budget::Bucket;
-use gateway_cluster::engine::{Micros, State};
-use gateway_cluster::names::{id_of, Id};
-use gateway_cluster::ownership::office::{Note, Office};
-use gateway_cluster::ownership::Refused;
-use gateway_cluster::sessions::keep::{self, Shown};
-use gateway_cluster::sessions::part;
+use gateway_cluster::leadership::election::{ElectionEvent, LeaderElection};
+use gateway_cluster::leadership::ActRejection;
+use gateway_cluster::membership::{
+    ChangeReason, DroppedDatagrams, MembershipChange, MembershipSettings, PartitionSide,
+};
+use gateway_cluster::node::{ClusterNode, ClusterNodeSettings};
+use gateway_cluster::peers::{peer_id_of, PeerId};
+use gateway_cluster::protocol::{Micros, PeerState, Transmit};
+use gateway_cluster::sessions::classifier;
+use gateway_cluster::sessions::verdicts::{self, EvidenceSummary};
 use gateway_cluster::sessions::Pooling;
-use gateway_cluster::shards::keeping::{self, Keeping};
-use gateway_cluster::shards::wire::Told;
-use gateway_cluster::shards::{Hash, Key, Rule};
-use gateway_cluster::stack::{self, Packet, Stack};
-use gateway_cluster::view::{Change, Dropped, Settings, Side, Why};
-use gateway_cluster::wire::{HEADERS, MOST_BYTES};
+use gateway_cluster::shards;
+use gateway_cluster::shards::node::ShardMapNode;
+use gateway_cluster::shards::wire::FindingReport;
+use gateway_cluster::shards::{Key, MapHash, Rule};
+use gateway_cluster::token_bucket::TokenBucket;
+use gateway_cluster::wire::{HEADER_BYTES, MAX_DATAGRAM_BYTES};
 use quota_gateway::CustomerId;
 use serde::Serialize;
 use std::cell::{Cell, RefCell};
@@ -47,26 +50,26 @@
 /// How long reading rests once too much has come.
 const REST: Duration = Duration::from_millis(20);
 /// A datagram that is longer is cut here, and dropped for its length.
-const BUFFER: usize = MOST_BYTES + 1;
+const BUFFER: usize = MAX_DATAGRAM_BYTES + 1;
 
 /// Of which part of the roster this front door can speak, for the parts of the program that go by it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Standing {
+pub struct PartitionStatus {
     /// Counts the changes, from 1 on; 0 while there is no view yet.
     pub version: u64,
-    pub side: Side,
+    pub side: PartitionSide,
 }
 
 /// This front door's part in the fleet.
-pub struct Fleet {
-    roster: RefCell<Roster>,
+pub struct Cluster {
+    roster: RefCell<ClusterSettings>,
     /// The others' names and addresses, also of those that the roster has no more while somebody is bound by the old one.
-    others: RefCell<BTreeMap<Id, (String, SocketAddrV4)>>,
-    part: RefCell<Option<Stack>>,
+    others: RefCell<BTreeMap<PeerId, (String, SocketAddrV4)>>,
+    part: RefCell<Option<ClusterNode>>,
     /// What is to be sent, empty between two events.
-    packets: RefCell<Vec<Packet>>,
-    received: Cell<Counted>,
-    standing: watch::Sender<Standing>,
+    packets: RefCell<Vec<Transmit>>,
+    received: Cell<DatagramCounts>,
+    standing: watch::Sender<PartitionStatus>,
     seed: u64,
     start: Instant,
     /// A roster was replaced, or the end is near: the task is to look.
@@ -75,14 +78,14 @@
 }
 
 #[derive(Debug, Clone, Copy, Default, Serialize)]
-struct Counted {
+struct DatagramCounts {
     messages: u64,
     bytes: u64,
 }
 
 /// What keeps this front door from its part in the fleet, or from saying how it stands.
 #[derive(Error, Debug)]
-pub enum FleetError {
+pub enum ClusterError {
     #[error(
         "no view yet: {listen} cannot be opened; end what holds that port, or set fleet.listen to a free one"
     )]
@@ -121,7 +124,7 @@
     )]
     RostersDiffer { name: String },
     #[error("an act of front door {name} on behalf of the fleet is refused: {why}")]
-    ActRefused { name: String, why: Refused },
+    ActRefused { name: String, why: ActRejection },
     #[error(
         "the shard map here was of another history: version {had} gives way to {taken}; look at the calls shards and owner \
          of every front door, and propose the map anew if it is not the one you want"
@@ -134,14 +137,14 @@
     NoCustomer { written: String },
     #[error("a shard map is refused: {finding}; call shards for all that is wrong with it, and correct fleet.shards.map")]
     MapRefused { finding: String },
-    /// As [`FleetError::RosterRefused`].
+    /// As [`ClusterError::RosterRefused`].
     #[error("no part in the fleet: {}; correct name and fleet, and start the process again", text(.0))]
     NoPart(String),
 }
 
 /// The answer to the call `fleet`.
 #[derive(Serialize)]
-struct Line<'a> {
+struct MembershipLine<'a> {
     name: &'a str,
     incarnation: u64,
     roster: usize,
@@ -151,9 +154,9 @@
     side: &'static str,
     settled_ms: u64,
     digest: String,
-    sent: Counted,
-    received: Counted,
-    dropped: Lost,
+    sent: DatagramCounts,
+    received: DatagramCounts,
+    dropped: DroppedLine,
 }
 
 /// The answer to the call `owner`.
@@ -173,8 +176,8 @@
 struct ShardsLine {
     version: u64,
     epoch: u64,
-    hash: Hash,
-    parent: Hash,
+    hash: MapHash,
+    parent: MapHash,
     ranges: usize,
     kept: BTreeMap<String, usize>,
     mine: Vec<(Key, Key)>,
@@ -186,13 +189,14 @@
 #[derive(Serialize)]
 struct SessionLine {
     customer: String,
-    keeper: Option<String>,
+    #[serde(rename = "keeper")]
+    owner: Option<String>,
     pooling: Pooling,
     epoch: u64,
     version: u64,
     age_ms: u64,
     reports: Vec<String>,
-    evidence: Shown,
+    evidence: EvidenceSummary,
 }
 
 #[derive(Serialize)]
@@ -220,14 +224,14 @@
     text: String,
 }
 
-impl From<Told> for FindingLine {
+impl From<FindingReport> for FindingLine {
     fn from(
-        Told {
+        FindingReport {
             rule,
             from,
             to,
             text,
-        }: Told,
+        }: FindingReport,
     ) -> FindingLine {
         FindingLine {
             rule,
@@ -239,20 +243,20 @@
 }
 
 #[derive(Serialize)]
-struct Lost {
+struct DroppedLine {
     malformed: u64,
     unknown: u64,
     stale: u64,
 }
 
 /// A customer's number, as the cookie has it.
-fn customer_of(id: &str) -> Result<CustomerId, FleetError> {
+fn customer_of(id: &str) -> Result<CustomerId, ClusterError> {
     let digits = id.len() == 16 && id.bytes().all(|byte| byte.is_ascii_hexdigit());
     let number = CustomerId::from_str_radix(id, 16).ok().filter(|_| digits);
-    number.ok_or_else(|| FleetError::NoCustomer { written: word(id) })
+    number.ok_or_else(|| ClusterError::NoCustomer { written: word(id) })
 }
 
-impl Sessions for Fleet {
+impl Sessions for Cluster {
     fn hold(&self, customer: CustomerId) -> Hold {
         if !self
             .roster
@@ -263,9 +267,9 @@
             return Hold::Any;
         }
         match self.with(|part, now, _| part.hold(now, customer)) {
-            Some(keep::Hold::Run) => Hold::Run,
-            Some(keep::Hold::Private) => Hold::Private,
-            Some(keep::Hold::Any) | None => Hold::Any,
+            Some(verdicts::ConnectionPolicy::Run) => Hold::Run,
+            Some(verdicts::ConnectionPolicy::Private) => Hold::Private,
+            Some(verdicts::ConnectionPolicy::Any) | None => Hold::Any,
         }
     }
 
@@ -283,26 +287,26 @@
 }
 
 /// Tells the log what has become of the shard map.
-fn tell_of_shards(note: &keeping::Note) {
+fn log_shard_map_event(note: &shards::node::ShardMapEvent) {
     match note {
-        keeping::Note::InForce(version, hash) => {
+        shards::node::ShardMapEvent::InForce(version, hash) => {
             info!(event = "shards", version, %hash, "the shard map of version {version} is in force: {hash}");
         }
-        keeping::Note::Moved(version) => {
+        shards::node::ShardMapEvent::Moved(version) => {
             info!(
                 event = "shards_moved",
                 version, "all keys of version {version} are with their keepers"
             );
         }
-        keeping::Note::OtherHistory(had, taken) => {
-            let problem = FleetError::OtherHistory {
+        shards::node::ShardMapEvent::OtherHistory(had, taken) => {
+            let problem = ClusterError::OtherHistory {
                 had: *had,
                 taken: *taken,
             };
             warn!(event = "shards_history", "{problem}");
         }
-        keeping::Note::Refused(finding) => {
-            let problem = FleetError::MapRefused {
+        shards::node::ShardMapEvent::Refused(finding) => {
+            let problem = ClusterError::MapRefused {
                 finding: text(finding),
             };
             warn!(event = "shards_refused", "{problem}");
@@ -310,35 +314,39 @@
     }
 }
 
-fn side_word(side: Side) -> &'static str {
+fn side_word(side: PartitionSide) -> &'static str {
     match side {
-        Side::Whole => "whole",
-        Side::Majority => "majority",
-        Side::Minority => "minority",
-        Side::Alone => "alone",
+        PartitionSide::Whole => "whole",
+        PartitionSide::Majority => "majority",
+        PartitionSide::Minority => "minority",
+        PartitionSide::Alone => "alone",
     }
 }
 
-fn state_word(state: State) -> &'static str {
+fn state_word(state: PeerState) -> &'static str {
     match state {
-        State::Alive => "alive",
-        State::Suspect => "suspect",
-        State::Dead => "dead",
+        PeerState::Alive => "alive",
+        PeerState::Suspect => "suspect",
+        PeerState::Dead => "dead",
     }
 }
 
-impl Fleet {
+impl Cluster {
     /// Takes part, as long as this process runs and no other has taken over.
-    pub fn start(roster: Roster, seed: u64, phase_control: &Rc<PhaseControl>) -> Rc<Fleet> {
-        let fleet = Rc::new(Fleet {
+    pub fn start(
+        roster: ClusterSettings,
+        seed: u64,
+        phase_control: &Rc<PhaseControl>,
+    ) -> Rc<Cluster> {
+        let fleet = Rc::new(Cluster {
             roster: RefCell::new(roster),
             others: RefCell::default(),
             part: RefCell::default(),
             packets: RefCell::default(),
             received: Cell::default(),
-            standing: watch::Sender::new(Standing {
+            standing: watch::Sender::new(PartitionStatus {
                 version: 0,
-                side: Side::Alone,
+                side: PartitionSide::Alone,
             }),
             seed,
             start: Instant::now(),
@@ -358,20 +366,20 @@
         dead_code,
         reason = "the narrow way for what goes by the side: limits without a registry, replicas"
     )]
-    pub fn standing(&self) -> watch::Receiver<Standing> {
+    pub fn standing(&self) -> watch::Receiver<PartitionStatus> {
         self.standing.subscribe()
     }
 
     /// Takes another roster over; a name or a port of this front door's own is not changed by it.
-    pub fn replace(&self, roster: Roster) {
+    pub fn replace(&self, roster: ClusterSettings) {
         if let Some((expect, map)) = roster
             .shards
             .as_ref()
             .and_then(|shards| shards.proposal.clone())
         {
             self.with(|part, now, _| {
-                if let Some(keeping) = part.keeping_mut() {
-                    keeping.propose(now, expect, map);
+                if let Some(shard_map) = part.shard_map_mut() {
+                    shard_map.propose(now, expect, map);
                 }
             });
             self.poke.notify_one();
@@ -402,12 +410,12 @@
             removed.len()
         );
         self.roster.borrow_mut().peers = roster.peers;
-        self.find_others();
+        self.resolve_peers();
         let names = self.roster.borrow().names();
-        let taken = self.with(|part, now, packets| part.set_roster(now, names, packets));
+        let taken = self.with(|part, now, packets| part.set_peers(now, names, packets));
         // It was checked as it was read; what the view has against it leaves the old one.
         if let Some(Err(problem)) = taken {
-            let problem = FleetError::RosterRefused(problem.to_string());
+            let problem = ClusterError::RosterRefused(problem.to_string());
             warn!(event = "roster_refused", %problem, "{problem}");
         }
         self.poke.notify_one();
@@ -420,31 +428,31 @@
     }
 
     /// Keeps the addresses of all names that somebody here is bound by.
-    fn find_others(&self) {
+    fn resolve_peers(&self) {
         let part = self.part.borrow();
         let bound = part
             .as_ref()
-            .and_then(Stack::office)
-            .map_or_else(Vec::new, Office::names);
+            .and_then(ClusterNode::election)
+            .map_or_else(Vec::new, LeaderElection::names);
         let others = &mut *self.others.borrow_mut();
         others.retain(|id, _| bound.contains(id));
         for (name, address) in &self.roster.borrow().peers {
-            others.insert(id_of(name), (name.clone(), *address));
+            others.insert(peer_id_of(name), (name.clone(), *address));
         }
     }
 
-    fn name_of(&self, id: Id) -> String {
+    fn name_of(&self, id: PeerId) -> String {
         let known = self.others.borrow().get(&id).map(|(name, _)| name.clone());
         let roster = self.roster.borrow();
         // Only what another door tells of one that this roster does not have yet.
         known
-            .or_else(|| (id == id_of(&roster.name)).then(|| roster.name.clone()))
+            .or_else(|| (id == peer_id_of(&roster.name)).then(|| roster.name.clone()))
             .unwrap_or_else(|| format!("{id:08x}"))
     }
 
     /// There is nothing to tell yet, as the port is not open.
-    fn no_view(&self) -> FleetError {
-        FleetError::NoView {
+    fn no_view(&self) -> ClusterError {
+        ClusterError::NoView {
             listen: self.roster.borrow().listen,
         }
     }
@@ -452,18 +460,18 @@
     /// The answer to staff who ask who owns; `None` where nobody is to.
     ///
     /// # Errors
-    /// As for [`Fleet::line`].
-    pub fn owner_line(&self) -> Result<Option<String>, FleetError> {
+    /// As for [`Cluster::line`].
+    pub fn leader_line(&self) -> Result<Option<String>, ClusterError> {
         if self.roster.borrow().lease.is_none() {
             return Ok(None);
         }
         let part = self.part.borrow();
-        let office = part.as_ref().and_then(Stack::office);
-        let office = office.ok_or_else(|| self.no_view())?;
-        let told = office.standing(self.now());
+        let election = part.as_ref().and_then(ClusterNode::election);
+        let election = election.ok_or_else(|| self.no_view())?;
+        let told = election.status(self.now());
         let line = OwnerLine {
             name: &self.roster.borrow().name,
-            owner: told.owner.map(|owner| self.name_of(owner)),
+            owner: told.leader.map(|owner| self.name_of(owner)),
             epoch: told.epoch,
             mine: told.mine,
             left_ms: told.left / 1000,
@@ -472,21 +480,21 @@
         };
         serde_json::to_string(&line)
             .map(Some)
-            .map_err(FleetError::Unwritable)
+            .map_err(ClusterError::Unwritable)
     }
 
     /// The answer to staff who ask for the shard map; `None` where there is to be none.
     ///
     /// # Errors
-    /// As for [`Fleet::line`].
-    pub fn shards_line(&self) -> Result<Option<String>, FleetError> {
+    /// As for [`Cluster::line`].
+    pub fn shards_line(&self) -> Result<Option<String>, ClusterError> {
         if self.roster.borrow().shards.is_none() {
             return Ok(None);
         }
         let part = self.part.borrow();
-        let keeping = part.as_ref().and_then(Stack::keeping);
-        let keeping = keeping.ok_or_else(|| self.no_view())?;
-        let told = keeping.standing(self.now());
+        let shard_map = part.as_ref().and_then(ClusterNode::shard_map);
+        let shard_map = shard_map.ok_or_else(|| self.no_view())?;
+        let told = shard_map.status(self.now());
         let next = told.next.map(|next| NextLine {
             version: next.version,
             waits_for: next.waits_for,
@@ -514,7 +522,7 @@
         };
         serde_json::to_string(&line)
             .map(Some)
-            .map_err(FleetError::Unwritable)
+            .map_err(ClusterError::Unwritable)
     }
 
     /// Whether sessions are classified.
@@ -525,8 +533,8 @@
     /// The answer to staff who ask for a customer's sessions; `None` where they are not classified.
     ///
     /// # Errors
-    /// As for [`Fleet::line`], and where that is no customer's ID.
-    pub fn session_line(&self, id: &str) -> Result<Option<String>, FleetError> {
+    /// As for [`Cluster::line`], and where that is no customer's ID.
+    pub fn session_line(&self, id: &str) -> Result<Option<String>, ClusterError> {
         if !self.has_sessions() {
             return Ok(None);
         }
@@ -538,7 +546,7 @@
         let told = told.ok_or_else(|| self.no_view())?;
         let line = SessionLine {
             customer: format!("{customer:016x}"),
-            keeper: told.keeper,
+            owner: told.owner,
             pooling: told.pooling,
             epoch: told.fence.epoch,
             version: told.fence.version,
@@ -548,50 +556,50 @@
         };
         serde_json::to_string(&line)
             .map(Some)
-            .map_err(FleetError::Unwritable)
+            .map_err(ClusterError::Unwritable)
     }
 
     /// The answer to staff who ask for the view.
     ///
     /// # Errors
     /// There is none yet, as the port is not open.
-    pub fn line(&self) -> Result<String, FleetError> {
+    pub fn line(&self) -> Result<String, ClusterError> {
         let part = self.part.borrow();
         let part = part.as_ref().ok_or_else(|| self.no_view())?;
         let view = part.view();
         let (messages, bytes) = part.sent();
         let states = view.states();
-        let of = |wanted: State| {
+        let of = |wanted: PeerState| {
             let names = view.names().iter().zip(&states);
             names
                 .filter(|(_, state)| **state == wanted)
                 .map(|(name, _)| name.as_str())
                 .collect()
         };
-        let Dropped {
+        let DroppedDatagrams {
             malformed,
             unknown,
             stale,
         } = part.dropped();
-        let line = Line {
+        let line = MembershipLine {
             name: &self.roster.borrow().name,
             incarnation: view.incarnation(),
             roster: states.len(),
-            alive: of(State::Alive),
-            suspect: of(State::Suspect),
-            dead: of(State::Dead),
+            alive: of(PeerState::Alive),
+            suspect: of(PeerState::Suspect),
+            dead: of(PeerState::Dead),
             side: side_word(view.side()),
             settled_ms: view.settled(self.now()) / 1000,
             digest: format!("{:016x}", view.digest()),
-            sent: Counted { messages, bytes },
+            sent: DatagramCounts { messages, bytes },
             received: self.received.get(),
-            dropped: Lost {
+            dropped: DroppedLine {
                 malformed,
                 unknown,
                 stale,
             },
         };
-        serde_json::to_string(&line).map_err(FleetError::Unwritable)
+        serde_json::to_string(&line).map_err(ClusterError::Unwritable)
     }
 
     async fn run(self: Rc<Self>, mut phase: watch::Receiver<Phase>) {
@@ -618,7 +626,7 @@
                 Err(error) => {
                     if !std::mem::replace(&mut told, true) {
                         let cause = error.to_string();
-                        let problem = FleetError::Port { listen, error };
+                        let problem = ClusterError::Port { listen, error };
                         warn!(event = "fleet_port", %listen, error = cause, "{problem}");
                     }
                     sleep(RETRY_PAUSE).await;
@@ -629,15 +637,15 @@
 
     /// Takes part on this socket until another process takes over, or, which is told by true, until the end.
     async fn take_part(&self, socket: &UdpSocket, phase: &mut watch::Receiver<Phase>) -> bool {
-        if self.part.borrow().is_none() && !self.be_born() {
+        if self.part.borrow().is_none() && !self.start_node() {
             return true;
         }
         self.with(|part, now, _| part.resume(now));
         self.send(socket);
         let mut buffer = [0; BUFFER];
-        let mut reading = Bucket::full(self.now(), BURST, PER_SECOND);
+        let mut reading = TokenBucket::full(self.now(), BURST, PER_SECOND);
         loop {
-            let Some(due) = self.part.borrow().as_ref().map(Stack::due) else {
+            let Some(due) = self.part.borrow().as_ref().map(ClusterNode::next_wakeup) else {
                 return true;
             };
             let due = self.start + Duration::from_micros(due);
@@ -658,18 +666,18 @@
                     }
                 }
                 () = sleep_until(due) => {
-                    self.with(|part, now, packets| part.wake(now, packets));
+                    self.with(|part, now, packets| part.on_timer(now, packets));
                 }
                 received = socket.recv_from(&mut buffer) => match received {
                     Ok((length, _)) => {
                         reading.fill(self.now());
                         reading.take(1.0);
                         let counted = self.received.get();
-                        self.received.set(Counted {
+                        self.received.set(DatagramCounts {
                             messages: counted.messages + 1,
-                            bytes: counted.bytes + (length + HEADERS) as u64,
+                            bytes: counted.bytes + (length + HEADER_BYTES) as u64,
                         });
-                        self.with(|part, now, packets| part.receive(now, &buffer[..length], packets));
+                        self.with(|part, now, packets| part.on_datagram(now, &buffer[..length], packets));
                         if !reading.has(1.0, 0.0) {
                             sleep(REST).await;
                         }
@@ -678,7 +686,7 @@
                     Err(error) if error.kind() == io::ErrorKind::ConnectionRefused => {}
                     Err(error) => {
                         let cause = error.to_string();
-                        let problem = FleetError::Socket(error);
+                        let problem = ClusterError::Socket(error);
                         warn!(event = "fleet_socket", error = cause, "{problem}");
                         sleep(RETRY_PAUSE).await;
                         return false;
@@ -690,33 +698,37 @@
         }
     }
 
-    fn be_born(&self) -> bool {
+    fn start_node(&self) -> bool {
         let unix = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
         let unix_ms = unix.as_millis() as u64;
-        let settings = {
-            let roster = self.roster.borrow();
-            let probe = roster.probe.as_micros() as Micros;
-            let view = Settings {
-                roster: roster.names(),
-                name: roster.name.clone(),
-                unix_ms,
-                probe,
+        let settings =
+            {
+                let roster = self.roster.borrow();
+                let probe = roster.probe.as_micros() as Micros;
+                let view = MembershipSettings {
+                    peers: roster.names(),
+                    name: roster.name.clone(),
+                    unix_ms,
+                    probe,
+                };
+                let shards = roster.shards.clone();
+                let shards = shards.map(|ShardSettings { count, proposal }| {
+                    shards::node::ShardMapSettings { count, proposal }
+                });
+                let sessions = roster
+                    .sessions
+                    .map(|_| classifier::ClassifierSettings::default());
+                let lease = roster.lease.map(|lease| lease.as_micros() as Micros);
+                ClusterNodeSettings {
+                    view,
+                    lease,
+                    shards,
+                    sessions,
+                }
             };
-            let shards = roster.shards.clone();
-            let shards =
-                shards.map(|Shards { count, proposal }| keeping::Settings { count, proposal });
-            let sessions = roster.sessions.map(|_| part::Settings::default());
-            let lease = roster.lease.map(|lease| lease.as_micros() as Micros);
-            stack::Settings {
-                view,
-                lease,
-                shards,
-                sessions,
-            }
-        };
-        let part = Stack::new(
+        let part = ClusterNode::new(
             self.now(),
             settings,
             self.seed ^ unix_ms,
@@ -725,18 +737,21 @@
         match part {
             Ok(part) => {
                 *self.part.borrow_mut() = Some(part);
-                self.find_others();
+                self.resolve_peers();
                 true
             }
             Err(problem) => {
-                let problem = FleetError::NoPart(problem.to_string());
+                let problem = ClusterError::NoPart(problem.to_string());
                 warn!(event = "no_fleet", %problem, "{problem}");
                 false
             }
         }
     }
 
-    fn with<T>(&self, act: impl FnOnce(&mut Stack, Micros, &mut Vec<Packet>) -> T) -> Option<T> {
+    fn with<T>(
+        &self,
+        act: impl FnOnce(&mut ClusterNode, Micros, &mut Vec<Transmit>) -> T,
+    ) -> Option<T> {
         let now = self.now();
         let mut part = self.part.borrow_mut();
         part.as_mut()
@@ -745,7 +760,7 @@
 
     fn send(&self, socket: &UdpSocket) {
         let others = self.others.borrow();
-        for Packet { to, bytes } in self.packets.borrow_mut().drain(..) {
+        for Transmit { to, bytes } in self.packets.borrow_mut().drain(..) {
             if let Some((_, address)) = others.get(&to) {
                 // What cannot be sent now is lost, as it may be on its way.
                 let _ = socket.try_send_to(&bytes, (*address).into());
@@ -754,53 +769,53 @@
     }
 
     /// Tells the log what has become of the office.
-    fn tell_of_office(&self, note: Note) {
+    fn log_election_event(&self, note: ElectionEvent) {
         match note {
-            Note::Won(epoch) => info!(
+            ElectionEvent::Won(epoch) => info!(
                 event = "owner",
                 epoch, "this front door owns, in term {epoch}"
             ),
-            Note::Lost(epoch) => {
+            ElectionEvent::Lost(epoch) => {
                 info!(
                     event = "owner_lost",
                     epoch, "this front door owns no more: term {epoch} is over"
                 )
             }
-            Note::Released(epoch) => {
+            ElectionEvent::Released(epoch) => {
                 info!(
                     event = "owner_released",
                     epoch, "this front door gave term {epoch} back"
                 )
             }
-            Note::Owner(owner, epoch) => {
+            ElectionEvent::Leader(owner, epoch) => {
                 let name = self.name_of(owner);
                 info!(
                     event = "owner",
                     name, epoch, "front door {name} owns, in term {epoch}"
                 );
             }
-            Note::Refused(from, why) => {
-                let problem = FleetError::ActRefused {
+            ElectionEvent::ActRejected(from, why) => {
+                let problem = ClusterError::ActRefused {
                     name: self.name_of(from),
                     why,
                 };
                 warn!(event = "act_refused", "{problem}");
             }
-            Note::LeaseDiffers(of, theirs_ms) => {
+            ElectionEvent::LeaseDiffers(of, theirs_ms) => {
                 let own_ms = self
                     .roster
                     .borrow()
                     .lease
                     .map_or(0, |lease| lease.as_millis() as u64);
-                let problem = FleetError::LeaseDiffers {
+                let problem = ClusterError::LeaseDiffers {
                     name: self.name_of(of),
                     theirs_ms,
                     own_ms,
                 };
                 warn!(event = "lease_differs", "{problem}");
             }
-            Note::RostersDiffer(of) => {
-                let problem = FleetError::RostersDiffer {
+            ElectionEvent::PeerSetsDiffer(of) => {
+                let problem = ClusterError::RostersDiffer {
                     name: self.name_of(of),
                 };
                 warn!(event = "rosters_differ", "{problem}");
@@ -812,27 +827,27 @@
     fn tell(&self) {
         let mut part = self.part.borrow_mut();
         let Some(part) = part.as_mut() else { return };
-        while let Some(note) = part.office_mut().and_then(Office::take_note) {
-            self.tell_of_office(note);
+        while let Some(note) = part.election_mut().and_then(LeaderElection::next_event) {
+            self.log_election_event(note);
         }
-        while let Some(note) = part.keeping_mut().and_then(Keeping::take_note) {
-            tell_of_shards(&note);
+        while let Some(note) = part.shard_map_mut().and_then(ShardMapNode::next_event) {
+            log_shard_map_event(&note);
         }
-        let view = part.view_mut();
-        while let Some(Change {
+        let view = part.membership_mut();
+        while let Some(MembershipChange {
             name,
             from,
             to,
             why,
-        }) = view.take_change()
+        }) = view.next_change()
         {
             let (from, to) = (state_word(from), state_word(to));
             let why = match why {
-                Why::NoAnswer => "no answer".into(),
-                Why::ToldBy(who) => format!("told by {who}"),
-                Why::NotRefuted => "the doubt was not refuted".into(),
-                Why::Returned => "returned".into(),
-                Why::Left => "it said that it goes".into(),
+                ChangeReason::NoAnswer => "no answer".into(),
+                ChangeReason::ToldBy(who) => format!("told by {who}"),
+                ChangeReason::NotRefuted => "the doubt was not refuted".into(),
+                ChangeReason::Returned => "returned".into(),
+                ChangeReason::Left => "it said that it goes".into(),
             };
             info!(
                 event = "fleet",
@@ -849,7 +864,7 @@
         self.standing.send_if_modified(|standing| {
             let changed = standing.version == 0 || standing.side != side;
             if changed {
-                *standing = Standing {
+                *standing = PartitionStatus {
                     version: standing.version + 1,
                     side,
                 };
--- a/quota-gateway/src/bin/quota-gateway/fleet/driver/tests.rs
+++ b/quota-gateway/src/bin/quota-gateway/cluster/driver/tests.rs
@@ -13,7 +13,7 @@
     ] {
         let problem = customer_of(bad).expect_err(bad);
         assert!(
-            matches!(problem, FleetError::NoCustomer { .. }),
+            matches!(problem, ClusterError::NoCustomer { .. }),
             "{problem}"
         );
     }
@@ -23,15 +23,15 @@
 fn the_answer_has_the_fields_that_staff_go_by() {
     let line = SessionLine {
         customer: format!("{:016x}", 0xb4d6_5521_u64),
-        keeper: None,
+        owner: None,
         pooling: Pooling::Statement,
         epoch: 17,
         version: 8,
         age_ms: 120,
         reports: vec!["n0".into()],
-        evidence: Shown {
+        evidence: EvidenceSummary {
             kept: [812, 1],
-            ..Shown::default()
+            ..EvidenceSummary::default()
         },
     };
     let told = serde_json::to_string(&line).expect("it can be written");
@@ -41,11 +41,11 @@
 
 #[test]
 fn answers_to_operators_calls_have_the_recorded_keys() {
-    let counted = Counted {
+    let counted = DatagramCounts {
         messages: 1,
         bytes: 2,
     };
-    let view = Line {
+    let view = MembershipLine {
         name: "n0",
         incarnation: 3,
         roster: 4,
@@ -57,7 +57,7 @@
         digest: "d".into(),
         sent: counted,
         received: counted,
-        dropped: Lost {
+        dropped: DroppedLine {
             malformed: 6,
             unknown: 7,
             stale: 8,
@@ -93,8 +93,8 @@
     let shards = ShardsLine {
         version: 3,
         epoch: 9,
-        hash: Hash(1),
-        parent: Hash(2),
+        hash: MapHash(1),
+        parent: MapHash(2),
         ranges: 2,
         kept: [("n0".to_string(), 2)].into(),
         mine: vec![(0, 5)],
--- a/quota-gateway/src/bin/quota-gateway/fleet/mod.rs
+++ b/quota-gateway/src/bin/quota-gateway/cluster/mod.rs
@@ -2,4 +2,4 @@
 //! and no allocation.
 
 pub mod driver;
-pub mod roster;
+pub mod settings;
--- a/quota-gateway/src/bin/quota-gateway/fleet/roster.rs
+++ b/quota-gateway/src/bin/quota-gateway/cluster/settings.rs
@@ -1,11 +1,13 @@
 //! The key `fleet` of the configuration: which front doors there are, and where this one reaches them.
 
 use crate::errors::word;
-use gateway_cluster::names::{id_of, MOST_NAMES};
-use gateway_cluster::ownership::office::least_lease;
-use gateway_cluster::ownership::MOST_LEASE;
-use gateway_cluster::shards::keeping;
-use gateway_cluster::shards::{validate, Door, Finding, FleetState, Hash, Limits, Map, Range};
+use gateway_cluster::leadership::election::min_lease;
+use gateway_cluster::leadership::MAX_LEASE;
+use gateway_cluster::peers::{peer_id_of, MAX_PEERS};
+use gateway_cluster::shards::node;
+use gateway_cluster::shards::{
+    validate, ClusterState, Finding, Limits, MapHash, PeerCondition, ShardMap, ShardRange,
+};
 use serde::Deserialize;
 use std::collections::BTreeMap;
 use std::net::{SocketAddr, SocketAddrV4};
@@ -15,21 +17,21 @@
 /// Most bytes of a name.
 const NAME_LIMIT: usize = 64;
 /// The probe period where the file does not say, and the bounds of one that it says, in milliseconds.
-const PROBE_MS: u64 = 500;
-const LEAST_PROBE_MS: u64 = 50;
-const MOST_PROBE_MS: u64 = 60_000;
+const DEFAULT_PROBE_MS: u64 = 500;
+const MIN_PROBE_MS: u64 = 50;
+const MAX_PROBE_MS: u64 = 60_000;
 
 /// The bounds of a lease, in milliseconds.
-const LEAST_LEASE_MS: u64 = 500;
-const MOST_LEASE_MS: u64 = MOST_LEASE / 1000;
+const MIN_LEASE_MS: u64 = 500;
+const MAX_LEASE_MS: u64 = MAX_LEASE / 1000;
 
 /// Ranges of a first map where the file does not say, and the most of any map.
-const RANGES: usize = 64;
-const MOST_RANGES: usize = 1024;
+const DEFAULT_RANGES: usize = 64;
+const MAX_RANGES: usize = 1024;
 
 /// What is wrong with the key `fleet`, or with the name that it needs.
 #[derive(Error, Debug, Clone, PartialEq, Eq)]
-pub enum RosterError {
+pub enum ClusterSettingsError {
     #[error(
         "name is not set, and fleet needs it; set name to what the other front doors call this one"
     )]
@@ -39,12 +41,12 @@
     )]
     Name { key: String },
     #[error(
-        "fleet.probe_ms: {probe_ms} is not between {LEAST_PROBE_MS} and {MOST_PROBE_MS}; set one that is, or leave \
-         the key out for {PROBE_MS}"
+        "fleet.probe_ms: {probe_ms} is not between {MIN_PROBE_MS} and {MAX_PROBE_MS}; set one that is, or leave \
+         the key out for {DEFAULT_PROBE_MS}"
     )]
     Probe { probe_ms: u64 },
     #[error(
-        "fleet.lease_ms: {lease_ms} is not between {LEAST_LEASE_MS} and {MOST_LEASE_MS}; set one that is, the same at \
+        "fleet.lease_ms: {lease_ms} is not between {MIN_LEASE_MS} and {MAX_LEASE_MS}; set one that is, the same at \
          every front door, or leave the key out for no owner"
     )]
     Lease { lease_ms: u64 },
@@ -69,8 +71,8 @@
         least_ms: u64,
     },
     #[error(
-        "fleet.shards.count: {count} is not between 1 and {MOST_RANGES}; set one that is, the same at every front door, or \
-         leave the key out for {RANGES}"
+        "fleet.shards.count: {count} is not between 1 and {MAX_RANGES}; set one that is, the same at every front door, or \
+         leave the key out for {DEFAULT_RANGES}"
     )]
     ShardCount { count: usize },
     #[error(
@@ -84,7 +86,7 @@
     SessionsAlone,
     #[error("fleet.peers: there are none; name every other front door there, or leave the key fleet out")]
     NoPeers,
-    #[error("fleet.peers: there are {peers}, and {} are the most; split the front doors into two fleets", MOST_NAMES - 1)]
+    #[error("fleet.peers: there are {peers}, and {} are the most; split the front doors into two fleets", MAX_PEERS - 1)]
     TooManyPeers { peers: usize },
     #[error("{key}: this is the front door's own name; leave it out of peers, or set name to the right one")]
     Own { key: String },
@@ -104,34 +106,34 @@
 
 /// What the file says.
 #[derive(Deserialize)]
-pub struct Told {
+pub struct ClusterDocument {
     listen: String,
-    peers: Vec<Peer>,
+    peers: Vec<PeerDocument>,
     probe_ms: Option<u64>,
     lease_ms: Option<u64>,
-    shards: Option<ToldShards>,
-    sessions: Option<Sessions>,
+    shards: Option<ShardsDocument>,
+    sessions: Option<SessionSettings>,
     /// Where this front door stands, for what it tells of servers.
     #[allow(dead_code)]
     zone: Option<String>,
 }
 
 #[derive(Deserialize)]
-struct ToldShards {
+struct ShardsDocument {
     count: Option<usize>,
     expect: Option<u64>,
-    map: Option<Vec<Range>>,
+    map: Option<Vec<ShardRange>>,
 }
 
 #[derive(Deserialize)]
-struct Peer {
+struct PeerDocument {
     name: String,
     address: String,
 }
 
 /// What is made of it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Roster {
+pub struct ClusterSettings {
     pub name: String,
     pub listen: SocketAddrV4,
     /// Every other name of the roster, and the address at which this front door reaches it.
@@ -140,14 +142,14 @@
     /// The lease of the owner's office, if there is to be one.
     pub lease: Option<Duration>,
     /// The shard map, if there is to be one.
-    pub shards: Option<Shards>,
+    pub shards: Option<ShardSettings>,
     /// The classifying of sessions, if there is to be any.
-    pub sessions: Option<Sessions>,
+    pub sessions: Option<SessionSettings>,
 }
 
 /// What the file says of sessions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Deserialize)]
-pub struct Sessions {
+pub struct SessionSettings {
     /// Whether verdicts are acted on. Where that is left out they are only made.
     #[serde(default)]
     pub pool: bool,
@@ -155,67 +157,70 @@
 
 /// What the file says of the shard map.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct Shards {
+pub struct ShardSettings {
     /// Ranges of a first map.
     pub count: usize,
     /// To replace the map of this version by one of these ranges.
-    pub proposal: Option<(u64, Vec<Range>)>,
+    pub proposal: Option<(u64, Vec<ShardRange>)>,
 }
 
-impl Roster {
+impl ClusterSettings {
     /// Checks what the file says.
     ///
     /// # Errors
     /// The first key that makes no sense.
-    pub fn read(name: Option<&str>, told: &Told) -> Result<Roster, RosterError> {
-        let name = name.ok_or(RosterError::NoName)?;
+    pub fn read(
+        name: Option<&str>,
+        told: &ClusterDocument,
+    ) -> Result<ClusterSettings, ClusterSettingsError> {
+        let name = name.ok_or(ClusterSettingsError::NoName)?;
         check_name("name", name)?;
-        let probe_ms = told.probe_ms.unwrap_or(PROBE_MS);
-        if !(LEAST_PROBE_MS..=MOST_PROBE_MS).contains(&probe_ms) {
-            return Err(RosterError::Probe { probe_ms });
+        let probe_ms = told.probe_ms.unwrap_or(DEFAULT_PROBE_MS);
+        if !(MIN_PROBE_MS..=MAX_PROBE_MS).contains(&probe_ms) {
+            return Err(ClusterSettingsError::Probe { probe_ms });
         }
         if told.peers.is_empty() {
-            return Err(RosterError::NoPeers);
+            return Err(ClusterSettingsError::NoPeers);
         }
-        if told.peers.len() >= MOST_NAMES {
-            return Err(RosterError::TooManyPeers {
+        if told.peers.len() >= MAX_PEERS {
+            return Err(ClusterSettingsError::TooManyPeers {
                 peers: told.peers.len(),
             });
         }
         let mut peers = BTreeMap::new();
-        let mut ids = BTreeMap::from([(id_of(name), name)]);
+        let mut ids = BTreeMap::from([(peer_id_of(name), name)]);
         for peer in &told.peers {
             let key = format!("fleet.peers[{}]", word(&peer.name));
             check_name(&key, &peer.name)?;
             if peer.name == name {
-                return Err(RosterError::Own { key });
+                return Err(ClusterSettingsError::Own { key });
             }
             let address = address(&key, &peer.address)?;
             if address.ip().is_unspecified()
                 || address.ip().is_multicast()
                 || address.ip().is_broadcast()
             {
-                return Err(RosterError::NoDoor { key, address });
+                return Err(ClusterSettingsError::NoDoor { key, address });
             }
             if peers.insert(peer.name.clone(), address).is_some() {
-                return Err(RosterError::Twice { key });
+                return Err(ClusterSettingsError::Twice { key });
             }
-            if let Some(other) = ids.insert(id_of(&peer.name), &peer.name) {
-                return Err(RosterError::Alike {
+            if let Some(other) = ids.insert(peer_id_of(&peer.name), &peer.name) {
+                return Err(ClusterSettingsError::Alike {
                     key,
                     other: other.to_string(),
                 });
             }
         }
         if told.sessions.is_some() && told.shards.is_none() {
-            return Err(RosterError::SessionsAlone);
+            return Err(ClusterSettingsError::SessionsAlone);
         }
         let peer_count = peers.len();
         let lease = told
             .lease_ms
             .map(|lease_ms| check_lease(lease_ms, peer_count))
             .transpose()?;
-        Ok(Roster {
+        Ok(ClusterSettings {
             name: name.to_string(),
             listen: address("fleet.listen", &told.listen)?,
             peers,
@@ -240,23 +245,23 @@
         let Some((_, ranges)) = proposal else {
             return Vec::new();
         };
-        let map = Map {
+        let map = ShardMap {
             version: 1,
-            parent: Hash::NONE,
+            parent: MapHash::NONE,
             epoch: 0,
             ranges: ranges.clone(),
         };
-        let doors = self
+        let gateways = self
             .names()
             .into_iter()
-            .map(|name| (name, Door::Alive))
+            .map(|name| (name, PeerCondition::Alive))
             .collect();
         validate(
             None,
             &map,
-            &FleetState {
-                doors,
-                ..FleetState::default()
+            &ClusterState {
+                gateways,
+                ..ClusterState::default()
             },
             &Limits::default(),
         )
@@ -272,13 +277,13 @@
     }
 }
 
-fn check_lease(lease_ms: u64, peers: usize) -> Result<Duration, RosterError> {
-    if !(LEAST_LEASE_MS..=MOST_LEASE_MS).contains(&lease_ms) {
-        return Err(RosterError::Lease { lease_ms });
+fn check_lease(lease_ms: u64, peers: usize) -> Result<Duration, ClusterSettingsError> {
+    if !(MIN_LEASE_MS..=MAX_LEASE_MS).contains(&lease_ms) {
+        return Err(ClusterSettingsError::Lease { lease_ms });
     }
-    let least_ms = least_lease(peers).div_ceil(1000);
+    let least_ms = min_lease(peers).div_ceil(1000);
     if lease_ms < least_ms {
-        return Err(RosterError::LeaseShort {
+        return Err(ClusterSettingsError::LeaseShort {
             lease_ms,
             names: peers + 1,
             least_ms,
@@ -288,58 +293,58 @@
 }
 
 fn check_shards(
-    told: &ToldShards,
+    told: &ShardsDocument,
     lease: Option<Duration>,
     peers: usize,
-) -> Result<Shards, RosterError> {
-    let lease_ms = lease.ok_or(RosterError::ShardsAlone)?.as_millis() as u64;
-    let least_ms = keeping::least_lease(peers).div_ceil(1000);
+) -> Result<ShardSettings, ClusterSettingsError> {
+    let lease_ms = lease.ok_or(ClusterSettingsError::ShardsAlone)?.as_millis() as u64;
+    let least_ms = node::min_lease(peers).div_ceil(1000);
     if lease_ms < least_ms {
-        return Err(RosterError::ShardsLeaseShort {
+        return Err(ClusterSettingsError::ShardsLeaseShort {
             lease_ms,
             names: peers + 1,
             least_ms,
         });
     }
-    let count = told.count.unwrap_or(RANGES);
-    if !(1..=MOST_RANGES).contains(&count) {
-        return Err(RosterError::ShardCount { count });
+    let count = told.count.unwrap_or(DEFAULT_RANGES);
+    if !(1..=MAX_RANGES).contains(&count) {
+        return Err(ClusterSettingsError::ShardCount { count });
     }
     match (told.expect, &told.map) {
-        (Some(expect), Some(map)) => Ok(Shards {
+        (Some(expect), Some(map)) => Ok(ShardSettings {
             count,
             proposal: Some((expect, map.clone())),
         }),
-        (None, None) => Ok(Shards {
+        (None, None) => Ok(ShardSettings {
             count,
             proposal: None,
         }),
-        _ => Err(RosterError::HalfProposal),
+        _ => Err(ClusterSettingsError::HalfProposal),
     }
 }
 
-fn check_name(key: &str, name: &str) -> Result<(), RosterError> {
+fn check_name(key: &str, name: &str) -> Result<(), ClusterSettingsError> {
     if name.is_empty()
         || name.len() > NAME_LIMIT
         || name
             .chars()
             .any(|char| char.is_whitespace() || char.is_control())
     {
-        return Err(RosterError::Name {
+        return Err(ClusterSettingsError::Name {
             key: key.to_string(),
         });
     }
     Ok(())
 }
 
-fn address(key: &str, text: &str) -> Result<SocketAddrV4, RosterError> {
+fn address(key: &str, text: &str) -> Result<SocketAddrV4, ClusterSettingsError> {
     match text.parse() {
         Ok(SocketAddr::V4(address)) if address.port() != 0 => Ok(address),
-        Ok(SocketAddr::V6(_)) => Err(RosterError::NotV4 {
+        Ok(SocketAddr::V6(_)) => Err(ClusterSettingsError::NotV4 {
             key: key.to_string(),
             written: word(text),
         }),
-        _ => Err(RosterError::NoAddress {
+        _ => Err(ClusterSettingsError::NoAddress {
             key: key.to_string(),
             written: word(text),
         }),
--- a/quota-gateway/src/bin/quota-gateway/fleet/roster/tests.rs
+++ b/quota-gateway/src/bin/quota-gateway/cluster/settings/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 use serde_json::{json, Value};
 
-fn read(name: Option<&str>, told: &Value) -> Result<Roster, RosterError> {
-    Roster::read(
+fn read(name: Option<&str>, told: &Value) -> Result<ClusterSettings, ClusterSettingsError> {
+    ClusterSettings::read(
         name,
         &serde_json::from_value(told.clone()).expect("its shape is right"),
     )
@@ -98,7 +98,7 @@
     hasty["probe_ms"] = json!(1);
     assert_eq!(
         read(Some("n0"), &hasty),
-        Err(RosterError::Probe { probe_ms: 1 })
+        Err(ClusterSettingsError::Probe { probe_ms: 1 })
     );
 }
 
@@ -107,12 +107,15 @@
     let mut told = peers(&[("n1", "10.0.0.1:7")]);
     told["sessions"] = json!({"pool": true});
     told["lease_ms"] = json!(3000);
-    assert_eq!(read(Some("n0"), &told), Err(RosterError::SessionsAlone));
+    assert_eq!(
+        read(Some("n0"), &told),
+        Err(ClusterSettingsError::SessionsAlone)
+    );
     told["shards"] = json!({});
     let pool = |told: &Value| read(Some("n0"), told).expect("it is good").sessions;
-    assert_eq!(pool(&told), Some(Sessions { pool: true }));
+    assert_eq!(pool(&told), Some(SessionSettings { pool: true }));
     told["sessions"] = json!({});
-    assert_eq!(pool(&told), Some(Sessions { pool: false }));
+    assert_eq!(pool(&told), Some(SessionSettings { pool: false }));
     told.as_object_mut().expect("an object").remove("sessions");
     assert_eq!(pool(&told), None);
 }
--- a/quota-gateway/src/bin/quota-gateway/errors/tests.rs
+++ b/quota-gateway/src/bin/quota-gateway/errors/tests.rs
@@ -1,12 +1,12 @@
 use crate::clients::phase::PhaseError;
-use crate::fleet::driver::FleetError;
-use crate::fleet::roster::RosterError;
+use crate::cluster::driver::ClusterError;
+use crate::cluster::settings::ClusterSettingsError;
 use crate::life::config::ConfigError;
 use crate::life::handover::HandoverError;
 use crate::operators::admin::CallError;
 use crate::operators::bans::BanError;
 use crate::StartError;
-use gateway_cluster::ownership::Refused;
+use gateway_cluster::leadership::ActRejection;
 use quota_gateway::InvalidSetting;
 use std::collections::BTreeSet;
 use std::path::{Path, PathBuf};
@@ -49,7 +49,7 @@
     };
     let word = || super::word(bad());
     vec![
-        every!(RosterError {
+        every!(ClusterSettingsError {
             NoName {},
             Name { key: key() },
             Probe { probe_ms: u64::MAX },
@@ -79,7 +79,7 @@
             Setting(setting),
             Time { key: "bounds.connectTimeout", ms: f64::MIN_POSITIVE },
             TooFewSockets { sockets: 5, least: 33 },
-            Roster(RosterError::NoName),
+            ClusterSettings(ClusterSettingsError::NoName),
         }),
         every!(StartError {
             Config(ConfigError::NoFile),
@@ -98,7 +98,7 @@
             Malformed(malformed()),
             System(failed()),
         }),
-        every!(FleetError {
+        every!(ClusterError {
             NoView { listen: at },
             Unwritable(malformed()),
             Port { listen: at, error: failed() },
@@ -106,7 +106,7 @@
             RosterRefused(bad()),
             LeaseDiffers { name: word(), theirs_ms: u32::MAX, own_ms: 60_000 },
             RostersDiffer { name: word() },
-            ActRefused { name: word(), why: Refused::Late { late_ms: u64::MAX } },
+            ActRefused { name: word(), why: ActRejection::Late { late_ms: u64::MAX } },
             OtherHistory { had: u64::MAX, taken: u64::MAX },
             NoCustomer { written: word() },
             MapRefused { finding: super::text(bad()) },
@@ -132,7 +132,7 @@
             NoSessions {},
             Phase(PhaseError::Ending),
             Ban(BanError::NoBackend),
-            Fleet(FleetError::NoPart(bad())),
+            Cluster(ClusterError::NoPart(bad())),
         }),
     ]
 }
--- a/quota-gateway/src/bin/quota-gateway/life/config.rs
+++ b/quota-gateway/src/bin/quota-gateway/life/config.rs
@@ -1,8 +1,8 @@
 //! Configuration: the environment and the JSON file it names, checked and turned into the module's terms.
 
 use crate::backends::discovery::List;
+use crate::cluster::settings::{self, ClusterSettings, ClusterSettingsError};
 use crate::errors::{text, word};
-use crate::fleet::roster::{self, Roster, RosterError};
 use crate::life::reload::differences;
 use crate::log::Form;
 use quota_gateway::{Class, Effect, InvalidSetting, Plan, Scope, Settings};
@@ -47,7 +47,7 @@
     )]
     TooFewSockets { sockets: usize, least: usize },
     #[error(transparent)]
-    Roster(#[from] RosterError),
+    ClusterSettings(#[from] ClusterSettingsError),
 }
 
 /// All that a front door is told at its start.
@@ -68,7 +68,7 @@
     pub connect_timeout: Duration,
     pub idle_timeout: Duration,
     /// The other front doors, if this one is to know them.
-    pub fleet: Option<Roster>,
+    pub fleet: Option<ClusterSettings>,
 }
 
 /// Names that stand on the sockets, each at the index by which the module knows it.
@@ -81,7 +81,7 @@
 #[derive(Deserialize)]
 struct File {
     name: Option<String>,
-    fleet: Option<roster::Told>,
+    fleet: Option<settings::ClusterDocument>,
     #[serde(default)]
     log: Form,
     listen: Option<String>,
@@ -204,7 +204,7 @@
 /// What is taken over from a configuration that was replaced, and the keys that are not before the next start.
 pub struct Replaced {
     pub discovery: SocketAddr,
-    pub roster: Option<Roster>,
+    pub roster: Option<ClusterSettings>,
     pub left: Vec<String>,
 }
 
@@ -240,7 +240,7 @@
         #[derive(Deserialize)]
         struct Told {
             discovery: String,
-            fleet: Option<roster::Told>,
+            fleet: Option<settings::ClusterDocument>,
         }
         let text = read_while_serving(&self.path)?;
         let Told { discovery, fleet } =
@@ -253,7 +253,9 @@
         let name = before.get("name").and_then(Value::as_str);
         let had = before.get("fleet").is_some_and(|fleet| !fleet.is_null());
         let fleet = fleet.filter(|_| had);
-        let roster = fleet.map(|told| Roster::read(name, &told)).transpose()?;
+        let roster = fleet
+            .map(|told| ClusterSettings::read(name, &told))
+            .transpose()?;
         let mut left = differences(&before, &after, &TAKEN_OVER);
         left.retain(|key| !TAKEN_OVER_BELOW.iter().any(|taken| key.starts_with(taken)));
         Ok(Replaced {
@@ -320,7 +322,7 @@
     })?;
     let fleet = file
         .fleet
-        .map(|told| Roster::read(file.name.as_deref(), &told))
+        .map(|told| ClusterSettings::read(file.name.as_deref(), &told))
         .transpose()?;
     let told = file.settings;
     let names = Names {
--- a/quota-gateway/src/bin/quota-gateway/main.rs
+++ b/quota-gateway/src/bin/quota-gateway/main.rs
@@ -3,9 +3,9 @@
 
 mod backends;
 mod clients;
+mod cluster;
 mod door;
 mod errors;
-mod fleet;
 mod life;
 mod log;
 mod operators;
@@ -17,10 +17,10 @@
 use clients::connections::{self, ConnectionContext};
 use clients::phase::{Phase, PhaseControl};
 use clients::stats::Stats;
+use cluster::driver::Cluster;
+use cluster::settings::ClusterSettings;
 use door::Door;
 use errors::text;
-use fleet::driver::Fleet;
-use fleet::roster::Roster;
 use life::config::{Config, ConfigError, Replaced, Source};
 use life::handover::{self, Numbers};
 use life::reload;
@@ -129,7 +129,7 @@
     let findings = config
         .fleet
         .as_ref()
-        .map_or_else(Vec::new, Roster::findings);
+        .map_or_else(Vec::new, ClusterSettings::findings);
     if !findings.is_empty() {
         findings
             .iter()
@@ -287,7 +287,7 @@
 
     let fleet = config
         .fleet
-        .map(|roster| Fleet::start(roster, config.seed, &phase_control));
+        .map(|roster| Cluster::start(roster, config.seed, &phase_control));
     if let Some(fleet) = fleet.as_ref().filter(|fleet| fleet.has_sessions()) {
         backends.pool.watch(fleet.clone());
     }
--- a/quota-gateway/src/bin/quota-gateway/operators/admin.rs
+++ b/quota-gateway/src/bin/quota-gateway/operators/admin.rs
@@ -1,8 +1,8 @@
 //! The operators' door: one line in, one answer out, on descriptors that clients do not compete for.
 
 use crate::clients::phase::PhaseError;
+use crate::cluster::driver::ClusterError;
 use crate::errors::text;
-use crate::fleet::driver::FleetError;
 use crate::operators::bans::BanError;
 use std::collections::VecDeque;
 use std::future::Future;
@@ -35,7 +35,7 @@
     Status,
     Stats,
     Cost,
-    Fleet,
+    Cluster,
     Owner,
     Shards,
     /// What is known of this customer's sessions.
@@ -89,7 +89,7 @@
     #[error(transparent)]
     Ban(#[from] BanError),
     #[error(transparent)]
-    Fleet(#[from] FleetError),
+    Cluster(#[from] ClusterError),
 }
 
 /// What carries a call out. The answer is its whole text.
@@ -202,7 +202,7 @@
         ("status", None) => Call::Status,
         ("stats", None) => Call::Stats,
         ("cost", None) => Call::Cost,
-        ("fleet", None) => Call::Fleet,
+        ("fleet", None) => Call::Cluster,
         ("owner", None) => Call::Owner,
         ("shards", None) => Call::Shards,
         ("standby", None) => Call::Standby,
--- a/quota-gateway/src/bin/quota-gateway/operators/admin/tests.rs
+++ b/quota-gateway/src/bin/quota-gateway/operators/admin/tests.rs
@@ -7,7 +7,7 @@
         (b"maint-on s-1", Call::TakeOut("s-1")),
         (b" maint-off  s-1 ", Call::GiveBack("s-1")),
         (b"cost", Call::Cost),
-        (b"fleet", Call::Fleet),
+        (b"fleet", Call::Cluster),
         (b"owner", Call::Owner),
         (b"shards", Call::Shards),
         (
--- a/quota-gateway/src/bin/quota-gateway/operators/staff.rs
+++ b/quota-gateway/src/bin/quota-gateway/operators/staff.rs
@@ -3,8 +3,8 @@
 use crate::backends::attempts::Backends;
 use crate::clients::phase::PhaseControl;
 use crate::clients::stats::Stats;
+use crate::cluster::driver::Cluster;
 use crate::door::Door;
-use crate::fleet::driver::Fleet;
 use crate::operators::admin::{Call, CallError, Operations};
 use crate::operators::cost::{self, Counted, Descriptors};
 use std::cell::Cell;
@@ -20,7 +20,7 @@
     /// Whether clients are taken.
     pub open: Rc<Cell<bool>>,
     /// What this process has to do with other front doors, if anything.
-    pub fleet: Option<Rc<Fleet>>,
+    pub fleet: Option<Rc<Cluster>>,
 }
 
 impl Staff {
@@ -58,7 +58,7 @@
                 Ok(whole(self.stats.line(&self.classes, known, excluded)))
             }
             Call::Cost => Ok(whole(cost::line(&self.counted()))),
-            Call::Fleet => match &self.fleet {
+            Call::Cluster => match &self.fleet {
                 Some(fleet) => Ok(whole(fleet.line()?)),
                 None => Err(CallError::NoFleet),
             },
@@ -66,7 +66,7 @@
                 let line = self
                     .fleet
                     .as_ref()
-                    .map_or(Ok(None), |fleet| fleet.owner_line())?;
+                    .map_or(Ok(None), |fleet| fleet.leader_line())?;
                 line.map(whole).ok_or(CallError::NoOwner)
             }
             Call::Shards => {
--- a/quota-gateway/tests/owner.rs
+++ b/quota-gateway/tests/owner.rs
@@ -7,10 +7,10 @@
 use fault_lab::check::Summary;
 use fault_lab::record::{Entry, Event, Life, Owner};
 use fault_lab::scripted::{closed_port, config, list, target, unused_port, Front, Peer, Program};
-use gateway_cluster::names::id_of;
-use gateway_cluster::ownership::longer;
-use gateway_cluster::ownership::rosters::Rosters;
-use gateway_cluster::ownership::wire::{Datagram, Kind};
+use gateway_cluster::leadership::configuration::PeerConfiguration;
+use gateway_cluster::leadership::longer;
+use gateway_cluster::leadership::wire::{Datagram, Kind};
+use gateway_cluster::peers::peer_id_of;
 use rustix::process::Signal;
 use serde_json::{json, Value};
 use stage::{carry, kept, SMALL};
@@ -823,15 +823,15 @@
 
 impl Stranger {
     fn new(epoch: u64) -> Stranger {
-        let rosters = Rosters::new(["n0", "n1", "n2"].map(id_of).to_vec());
-        let from = id_of("stranger");
+        let rosters = PeerConfiguration::new(["n0", "n1", "n2"].map(peer_id_of).to_vec());
+        let from = peer_id_of("stranger");
         let word = |kind| {
             let word = Datagram {
                 from,
-                life: 7,
-                to_life: 0,
+                incarnation: 7,
+                to_incarnation: 0,
                 tick: 1,
-                rosters: rosters.told(),
+                peer_sets: rosters.told(),
                 epoch: epoch + FAR,
                 kind,
             };
