--- a/alderhollow/examples/loopback-tier/main.rs
+++ b/alderhollow/examples/loopback-tier/main.rs
@@ -1,4 +1,4 @@
-//! Runs a whole tier on loopback: three doors, three stores, and stand-ins of all that they talk to. It hands in a
+//! Runs a whole tier on loopback: three gateways, three stores, and stand-ins of all that they talk to. It hands in a
 //! configuration, sends requests, streams and a batch job, cuts a backend off in the middle of an event, prints what came
 //! of each, and ends its processes.
 //!
--- a/alderhollow/examples/loopback-tier/tier.rs
+++ b/alderhollow/examples/loopback-tier/tier.rs
@@ -26,7 +26,7 @@
     SocketAddr::new(std::net::IpAddr::V4(Ipv4Addr::new(127, 0, 0, 4)), 18142);
 const BACKEND_PORT: u16 = 18080;
 /// Last parts of the addresses 127.0.0.x, one for each zone.
-const DOORS: [u8; 3] = [11, 12, 13];
+const GATEWAYS: [u8; 3] = [11, 12, 13];
 const STORES: [u8; 3] = [21, 22, 23];
 const BACKENDS: [u8; 3] = [31, 32, 33];
 /// How long a process may take to end after SIGTERM; the settings' `grace-s`.
@@ -62,24 +62,24 @@
         Ok(Surroundings { platform, backends })
     }
 
-    /// Clients' addresses of the doors.
+    /// Clients' addresses of the gateways.
     pub fn fronts(&self) -> Vec<SocketAddr> {
         addresses(PORTS.front)
     }
 
-    /// Readiness addresses of the doors.
+    /// Readiness addresses of the gateways.
     pub fn readiness(&self) -> Vec<SocketAddr> {
         addresses(PORTS.ready)
     }
 
-    /// Operators' addresses of the doors.
+    /// Operators' addresses of the gateways.
     pub fn controls(&self) -> Vec<SocketAddr> {
         addresses(PORTS.control)
     }
 }
 
 impl Processes {
-    /// Starts three doors and three stores, with their files below `folder`.
+    /// Starts three gateways and three stores, with their files below `folder`.
     pub fn start(binary: &Path, folder: &Path) -> io::Result<Processes> {
         start_processes(binary, folder).map(Processes)
     }
@@ -125,7 +125,7 @@
 }
 
 fn addresses(port: u16) -> Vec<SocketAddr> {
-    DOORS
+    GATEWAYS
         .iter()
         .map(|host| SocketAddr::from((loopback(*host), port)))
         .collect()
@@ -159,15 +159,15 @@
         platform: PLATFORM,
         first_start: true,
     };
-    let doors = ZONES
+    let gateways = ZONES
         .iter()
-        .zip(DOORS)
+        .zip(GATEWAYS)
         .map(|(zone, host)| (MachineClass::Edge, *zone, host));
     let stores = ZONES
         .iter()
         .zip(STORES)
         .map(|(zone, host)| (MachineClass::Storage, *zone, host));
-    doors
+    gateways
         .chain(stores)
         .map(|(class, zone, host)| start_process(binary, folder, &site, class, zone, host))
         .collect()
--- a/alderhollow/examples/loopback-tier/trial.rs
+++ b/alderhollow/examples/loopback-tier/trial.rs
@@ -13,9 +13,9 @@
 use tokio::time::Instant;
 
 const PATIENCE: Duration = Duration::from_secs(5);
-/// Time between two looks whether a door is ready.
+/// Time between two looks whether a gateway is ready.
 const READY_POLL: Duration = Duration::from_millis(100);
-/// How long the doors may take to be ready once the configuration is acknowledged.
+/// How long the gateways may take to be ready once the configuration is acknowledged.
 const READY_LIMIT: Duration = Duration::from_secs(10);
 /// `config-apply-ms` of the settings.
 const CONFIG_APPLY: Duration = Duration::from_millis(2_000);
@@ -33,7 +33,7 @@
         return;
     }
     wait_until_ready(tier, report).await;
-    requests_at_each_door(tier, report).await;
+    requests_at_each_gateway(tier, report).await;
     stream_over_a_cut(tier, report).await;
     batch_job(tier, report).await;
     change_configuration(tier, report).await;
@@ -65,22 +65,22 @@
 }
 
 async fn wait_until_ready(tier: &Surroundings, report: &mut Report) {
-    for door in tier.readiness() {
+    for gateway in tier.readiness() {
         let started = Instant::now();
-        while !is_ready(door).await && started.elapsed() < READY_LIMIT {
+        while !is_ready(gateway).await && started.elapsed() < READY_LIMIT {
             tokio::time::sleep(READY_POLL).await;
         }
         report.check(
             started.elapsed() < READY_LIMIT,
             format!(
-                "door {door} ready after {} ms more",
+                "door {gateway} ready after {} ms more",
                 started.elapsed().as_millis()
             ),
         );
     }
 }
 
-async fn is_ready(door: SocketAddr) -> bool {
+async fn is_ready(gateway: SocketAddr) -> bool {
     let order = Order {
         method: hyper::Method::GET,
         path: "/alderhollow/readyz".into(),
@@ -88,7 +88,7 @@
     };
     let caller = Operator {
         max_calls: 1,
-        ..Operator::new(vec![door])
+        ..Operator::new(vec![gateway])
     };
     caller
         .send(&order)
@@ -112,21 +112,21 @@
     }
 }
 
-async fn requests_at_each_door(tier: &Surroundings, report: &mut Report) {
-    for (number, door) in tier.fronts().into_iter().enumerate() {
+async fn requests_at_each_gateway(tier: &Surroundings, report: &mut Report) {
+    for (number, gateway) in tier.fronts().into_iter().enumerate() {
         let once = request(format!("a{number}"), format!("{ONCE}{number}"));
-        let outcome = client::send(door, &once).await;
+        let outcome = client::send(gateway, &once).await;
         let is_good = outcome
             .as_ref()
             .is_ok_and(|answer| answer.status == 200 && answer.seal.is_some());
         let status = outcome.map(|answer| answer.status);
-        report.check(is_good, format!("request at {door}: {status:?}"));
+        report.check(is_good, format!("request at {gateway}: {status:?}"));
         let chat = request(format!("b{number}"), format!("{CHAT}{number}"));
-        check_stream(door, &chat, report).await;
+        check_stream(gateway, &chat, report).await;
     }
     let unknown = request("c0".into(), "/nowhere/".into());
-    if let Some(door) = tier.fronts().first() {
-        let status = client::send(*door, &unknown)
+    if let Some(gateway) = tier.fronts().first() {
+        let status = client::send(*gateway, &unknown)
             .await
             .map(|answer| answer.status);
         report.check(
@@ -136,25 +136,25 @@
     }
 }
 
-async fn check_stream(door: SocketAddr, request: &ClientRequest, report: &mut Report) {
-    match client::stream(door, request).await {
+async fn check_stream(gateway: SocketAddr, request: &ClientRequest, report: &mut Report) {
+    match client::stream(gateway, request).await {
         Ok(answer) => {
             let is_whole =
                 answer.is_whole_from(1) && answer.text() == whole_text(&request.id, CHAT_EVENTS);
             let (status, count) = (answer.status, answer.events.len());
             let text = format!(
-                "stream {} at {door}: {status}, {count} events, {:?}",
+                "stream {} at {gateway}: {status}, {count} events, {:?}",
                 request.id, answer.end
             );
             report.check(status == 200 && is_whole && answer.seal.is_some(), text);
         }
-        Err(error) => report.failed(format!("stream {} at {door}: {error}", request.id)),
+        Err(error) => report.failed(format!("stream {} at {gateway}: {error}", request.id)),
     }
 }
 
-/// One backend cuts its next stream in the middle of an event; the door goes on at another one.
+/// One backend cuts its next stream in the middle of an event; the gateway goes on at another one.
 async fn stream_over_a_cut(tier: &Surroundings, report: &mut Report) {
-    let Some(door) = tier.fronts().first().copied() else {
+    let Some(gateway) = tier.fronts().first().copied() else {
         return;
     };
     if let Some(backend) = tier.backends.first() {
@@ -162,7 +162,7 @@
     }
     for number in 0..4 {
         let chat = request(format!("d{number}"), format!("{CHAT}cut"));
-        check_stream(door, &chat, report).await;
+        check_stream(gateway, &chat, report).await;
     }
     let cuts = tier
         .backends
@@ -174,8 +174,8 @@
 }
 
 async fn batch_job(tier: &Surroundings, report: &mut Report) {
-    let doors = tier.fronts();
-    let (Some(first), Some(last)) = (doors.first().copied(), doors.last().copied()) else {
+    let gateways = tier.fronts();
+    let (Some(first), Some(last)) = (gateways.first().copied(), gateways.last().copied()) else {
         return;
     };
     let items = (0..BATCH_ITEMS).map(|number| {
@@ -193,7 +193,7 @@
         items: items.collect(),
     };
     let started = Instant::now();
-    let (status, tries) = batch_client::submit_until_answered(&doors, &job, BATCH_LIMIT).await;
+    let (status, tries) = batch_client::submit_until_answered(&gateways, &job, BATCH_LIMIT).await;
     let took = started.elapsed().as_millis();
     let is_taken = matches!(status, Ok(202));
     report.check(
@@ -210,7 +210,7 @@
     );
 
     let mut failures = Vec::new();
-    let results = batch_client::read_to_end(&doors, &job, &mut failures).await;
+    let results = batch_client::read_to_end(&gateways, &job, &mut failures).await;
     let is_good = results.len() == BATCH_ITEMS && results.iter().all(is_whole);
     let took = started.elapsed().as_millis();
     report.check(
@@ -244,9 +244,9 @@
         format!("the same change again: {again:?}"),
     );
     tokio::time::sleep(CONFIG_APPLY).await;
-    for (number, door) in tier.fronts().into_iter().enumerate() {
+    for (number, gateway) in tier.fronts().into_iter().enumerate() {
         let later = request(format!("9{number}"), format!("{LATER}{number}"));
-        check_stream(door, &later, report).await;
+        check_stream(gateway, &later, report).await;
     }
     let version = operator
         .send(&Order::get_config())
--- a/alderhollow/examples/scale-run/hollow.rs
+++ b/alderhollow/examples/scale-run/hollow.rs
@@ -1,8 +1,8 @@
-//! Doors that do nothing but poll for their tables.
+//! Gateways that do nothing but poll for their tables.
 
 use alderhollow::distribution::message::{Answer, HeldVersions, Poll, Request, Stamp, Update};
 use alderhollow::internal::{Network, ServiceId};
-use alderhollow_model::identity::{Address, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, Incarnation, NodeInfo, Role};
 use std::cell::Cell;
 use std::net::SocketAddr;
 use std::rc::Rc;
@@ -10,7 +10,7 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-/// As real doors poll.
+/// As real gateways poll.
 const POLL_WAIT_MS: u32 = 400;
 const POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
 const RETRY_PAUSE: Duration = Duration::from_millis(100);
@@ -20,9 +20,9 @@
 /// Payloads and frames that passed.
 #[derive(Debug, Clone, Copy, Default)]
 pub struct Bytes {
-    /// From the doors to the core.
+    /// From the gateways to the core.
     pub sent: u64,
-    /// From the core to the doors.
+    /// From the core to the gateways.
     pub received: u64,
 }
 
@@ -36,90 +36,93 @@
     }
 }
 
-struct Door {
+struct Gateway {
     held: Cell<HeldVersions>,
     held_at: Cell<Instant>,
     bytes: Cell<Bytes>,
     primary: Cell<Option<SocketAddr>>,
 }
 
-/// All hollow doors. They end when this is dropped.
-pub struct HollowDoors {
-    doors: Vec<Rc<Door>>,
+/// All hollow gateways. They end when this is dropped.
+pub struct HollowGateways {
+    gateways: Vec<Rc<Gateway>>,
     tasks: Vec<AbortHandle>,
 }
 
-impl HollowDoors {
-    /// Starts to poll, each door on a connection of its own.
-    pub fn start(count: usize, core: Vec<SocketAddr>) -> HollowDoors {
-        let mut all = HollowDoors {
-            doors: Vec::new(),
+impl HollowGateways {
+    /// Starts to poll, each gateway on a connection of its own.
+    pub fn start(count: usize, core: Vec<SocketAddr>) -> HollowGateways {
+        let mut all = HollowGateways {
+            gateways: Vec::new(),
             tasks: Vec::new(),
         };
         for number in 0..count {
-            let door = Rc::new(Door {
+            let gateway = Rc::new(Gateway {
                 held: Cell::default(),
                 held_at: Cell::new(Instant::now()),
                 bytes: Cell::default(),
                 primary: Cell::default(),
             });
-            let task = tokio::task::spawn_local(poll(door.clone(), number, core.clone()));
+            let task = tokio::task::spawn_local(poll(gateway.clone(), number, core.clone()));
             all.tasks.push(task.abort_handle());
-            all.doors.push(door);
+            all.gateways.push(gateway);
         }
         all
     }
 
     /// How many there are.
     pub fn count(&self) -> usize {
-        self.doors.len()
+        self.gateways.len()
     }
 
     /// The control state that all hold at least.
     pub fn oldest_control(&self) -> u64 {
-        self.doors
+        self.gateways
             .iter()
-            .map(|door| door.held.get().control)
+            .map(|gateway| gateway.held.get().control)
             .min()
             .unwrap_or(0)
     }
 
     /// The newest control state that one holds.
     pub fn newest_control(&self) -> u64 {
-        self.doors
+        self.gateways
             .iter()
-            .map(|door| door.held.get().control)
+            .map(|gateway| gateway.held.get().control)
             .max()
             .unwrap_or(0)
     }
 
     /// The list of backends that all hold at least.
     pub fn oldest_backends(&self) -> Stamp {
-        self.doors
+        self.gateways
             .iter()
-            .map(|door| door.held.get().backends)
+            .map(|gateway| gateway.held.get().backends)
             .min()
             .unwrap_or_default()
     }
 
     /// The newest list of backends that one holds.
     pub fn newest_backends(&self) -> Stamp {
-        self.doors
+        self.gateways
             .iter()
-            .map(|door| door.held.get().backends)
+            .map(|gateway| gateway.held.get().backends)
             .max()
             .unwrap_or_default()
     }
 
     /// When each got its control state.
     pub fn held_at(&self) -> Vec<Instant> {
-        self.doors.iter().map(|door| door.held_at.get()).collect()
+        self.gateways
+            .iter()
+            .map(|gateway| gateway.held_at.get())
+            .collect()
     }
 
     /// What passed so far.
     pub fn bytes(&self) -> Bytes {
-        self.doors.iter().fold(Bytes::default(), |sum, door| {
-            let bytes = door.bytes.get();
+        self.gateways.iter().fold(Bytes::default(), |sum, gateway| {
+            let bytes = gateway.bytes.get();
             Bytes {
                 sent: sum.sent + bytes.sent,
                 received: sum.received + bytes.received,
@@ -127,33 +130,35 @@
         })
     }
 
-    /// Where the core's primary is, as the doors found.
+    /// Where the core's primary is, as the gateways found.
     pub fn primary(&self) -> Option<SocketAddr> {
-        self.doors.first().and_then(|door| door.primary.get())
+        self.gateways
+            .first()
+            .and_then(|gateway| gateway.primary.get())
     }
 }
 
-impl Drop for HollowDoors {
+impl Drop for HollowGateways {
     fn drop(&mut self) {
         self.tasks.iter().for_each(AbortHandle::abort);
     }
 }
 
-async fn poll(door: Rc<Door>, number: usize, core: Vec<SocketAddr>) {
+async fn poll(gateway: Rc<Gateway>, number: usize, core: Vec<SocketAddr>) {
     let network = Network::new(number as u64);
     let node = NodeInfo {
         node: format!("hollow-{number}"),
-        role: Role::Door,
+        role: Role::Gateway,
         zone: "east".into(),
-        life: LifeId(number as u64),
+        incarnation: Incarnation(number as u64),
         disk: None,
         internal: Address(SocketAddr::from(([127, 0, 0, 1], 1))),
         control: None,
     };
     for to in core.iter().cycle() {
-        while let Some(answer) = poll_once(&door, &network, &node, *to).await {
-            door.primary.set(Some(*to));
-            take(&door, answer);
+        while let Some(answer) = poll_once(&gateway, &network, &node, *to).await {
+            gateway.primary.set(Some(*to));
+            take(&gateway, answer);
         }
         tokio::time::sleep(RETRY_PAUSE).await;
     }
@@ -161,14 +166,14 @@
 
 /// The primary's answer; `None` from all others.
 async fn poll_once(
-    door: &Door,
+    gateway: &Gateway,
     network: &Network,
     node: &NodeInfo,
     to: SocketAddr,
 ) -> Option<Update> {
     let poll = Poll {
         node: node.clone(),
-        held: door.held.get(),
+        held: gateway.held.get(),
         wait_ms: POLL_WAIT_MS,
         leaving: false,
         batch_status: Vec::new().into(),
@@ -179,21 +184,21 @@
         .call(to, ServiceId::Distribution, request, POLL_TIMEOUT)
         .await
         .ok()?;
-    let mut bytes = door.bytes.get();
+    let mut bytes = gateway.bytes.get();
     bytes.sent += (sent + FRAME_BYTES) as u64;
     bytes.received += (answer.len() + FRAME_BYTES) as u64;
-    door.bytes.set(bytes);
+    gateway.bytes.set(bytes);
     match minicbor::decode(&answer).ok()? {
         Answer::Update(update) => Some(update),
         Answer::Hello(..) | Answer::NotPrimary(_) => None,
     }
 }
 
-fn take(door: &Door, update: Update) {
-    let mut held = door.held.get();
+fn take(gateway: &Gateway, update: Update) {
+    let mut held = gateway.held.get();
     if let Some(control) = update.control {
         held.control = control.version;
-        door.held_at.set(Instant::now());
+        gateway.held_at.set(Instant::now());
     }
     if let Some(list) = update.backends {
         held.backends = Stamp {
@@ -204,5 +209,5 @@
     if let Some(senders) = update.senders {
         held.senders = senders.stamp;
     }
-    door.held.set(held);
+    gateway.held.set(held);
 }
--- a/alderhollow/examples/scale-run/real_core.rs
+++ b/alderhollow/examples/scale-run/real_core.rs
@@ -1,4 +1,4 @@
-//! The real core: three doors on loopback.
+//! The real core: three gateways on loopback.
 
 use crate::usage::{sample, CoreSample, Sample};
 use alderhollow_standins::operator::{Operator, Order};
@@ -32,7 +32,7 @@
 /// Routes of the configuration: with each change one of them gets another name.
 const ROUTES: u64 = 20;
 
-/// The doors of the core, with a platform whose list names backends that are not there.
+/// The gateways of the core, with a platform whose list names backends that are not there.
 pub struct RealCore {
     processes: Vec<TierProcess>,
     platform: Platform,
@@ -66,7 +66,7 @@
         let processes = ZONES
             .into_iter()
             .zip(HOSTS)
-            .map(|(zone, host)| start_door(binary, &folder, &site, zone, host))
+            .map(|(zone, host)| start_gateway(binary, &folder, &site, zone, host))
             .collect::<io::Result<Vec<_>>>()?;
         Ok(RealCore {
             processes,
@@ -77,7 +77,7 @@
         })
     }
 
-    /// Where hollow doors poll.
+    /// Where hollow gateways poll.
     pub fn internal_addresses(&self) -> Vec<SocketAddr> {
         addresses(PORTS.internal[0])
     }
@@ -170,7 +170,7 @@
         .collect()
 }
 
-fn start_door(
+fn start_gateway(
     binary: &Path,
     folder: &Path,
     site: &Site,
--- a/alderhollow/src/balance/backends.rs
+++ b/alderhollow/src/balance/backends.rs
@@ -313,7 +313,7 @@
         self.member(id).is_some_and(Member::may_get_requests)
     }
 
-    /// Takes an instance out for the rest of this life.
+    /// Takes an instance out for the rest of this incarnation.
     pub(super) fn forget(&mut self, id: &str) {
         self.gone.insert(id.to_string());
         let Some(service) = self.service_of.remove(id) else {
--- a/alderhollow/src/batch_api/admission.rs
+++ b/alderhollow/src/batch_api/admission.rs
@@ -8,7 +8,7 @@
 use quota_gateway::batch_admission::{BatchAdmission, BatchDecision, MeterReading};
 use std::cell::RefCell;
 
-/// The coin of one door.
+/// The coin of one gateway.
 pub struct Admission {
     clock: SteadyClock,
     coin: RefCell<BatchAdmission>,
--- a/alderhollow/src/batch_api/endpoints.rs
+++ b/alderhollow/src/batch_api/endpoints.rs
@@ -24,7 +24,7 @@
 use tokio::time::Instant;
 
 /// While nothing was handed over, a batch job waits so long for a primary that takes it; its client may then come again
-/// at another door.
+/// at another gateway.
 const SUBMIT_UNSERVED: Duration = Duration::from_millis(250);
 /// Once the end of a hand-over is unknown, so long is spent on finding it out, unless the client waits for less.
 const SUBMIT_UNKNOWN: Duration = Duration::from_millis(3_000);
@@ -39,7 +39,7 @@
 /// Kept of the client's time for the way back.
 const WAY_BACK: Duration = Duration::from_millis(50);
 
-/// The batch calls of a door. Clones are the same.
+/// The batch calls of a gateway. Clones are the same.
 #[derive(Clone)]
 pub struct StoreEndpoints {
     link: Rc<dyn StoreLink>,
@@ -58,7 +58,7 @@
 
 impl StoreEndpoints {
     /// Endpoints that follow the tables for the group's primary.
-    /// `seed` is this life's own.
+    /// `seed` is this incarnation's own.
     pub fn new(
         link: Rc<dyn StoreLink>,
         snapshots: SnapshotReceiver,
--- a/alderhollow/src/batch_api/endpoints/tests.rs
+++ b/alderhollow/src/batch_api/endpoints/tests.rs
@@ -1,9 +1,9 @@
-//! A door's answers about batch jobs, against scripted stores.
+//! A gateway's answers about batch jobs, against scripted stores.
 
 use super::*;
 use crate::batch_api::store_calls::{StoreAnswerFuture, StoreCallError};
 use crate::batch_protocol::{StoreAnswer, TenantReading};
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::{BatchGroup, ControlView, GroupMember, Snapshot};
 use hyper::Request;
 use std::cell::{Cell, RefCell};
@@ -87,7 +87,7 @@
         node: format!("store-{number}"),
         role: Role::Store,
         zone: "a".to_string(),
-        life: LifeId(number),
+        incarnation: Incarnation(number),
         disk: Some(DiskId(number)),
         internal: Address(address),
         control: None,
@@ -483,8 +483,8 @@
     beyond: 9_000_000,
 };
 
-/// A door at a primary whose readings show a full quota, and the sender of its tables.
-async fn door_at_a_full_quota() -> (
+/// A gateway at a primary whose readings show a full quota, and the sender of its tables.
+async fn gateway_at_a_full_quota() -> (
     Rc<TakingPrimary>,
     StoreEndpoints,
     watch::Sender<Arc<Snapshot>>,
@@ -513,7 +513,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_coin_refuses_only_what_a_fresh_reading_shows_not_to_fit() {
-    let (primary, endpoints, _sender) = door_at_a_full_quota().await;
+    let (primary, endpoints, _sender) = gateway_at_a_full_quota().await;
     assert_eq!(
         hand_in_with_quota(&endpoints, "first", 1_000)
             .await
@@ -549,7 +549,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn a_job_that_is_accepted_already_gets_202_whatever_the_coin_says() {
-    let (primary, endpoints, _sender) = door_at_a_full_quota().await;
+    let (primary, endpoints, _sender) = gateway_at_a_full_quota().await;
     for _ in 0..100 {
         assert_eq!(
             hand_in_with_quota(&endpoints, "known", 1_000)
@@ -568,7 +568,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn the_coins_word_stands_soon_where_the_primary_is_silent() {
-    let (primary, endpoints, sender) = door_at_a_full_quota().await;
+    let (primary, endpoints, sender) = gateway_at_a_full_quota().await;
     assert_eq!(
         hand_in_with_quota(&endpoints, "known", 1_000)
             .await
--- a/alderhollow/src/batch_api/mod.rs
+++ b/alderhollow/src/batch_api/mod.rs
@@ -1,4 +1,4 @@
-//! The clients' side of batch jobs at a door (PROTOCOL.md, *Batch jobs*): calls come in as HTTP, are checked here, and go on
+//! The clients' side of batch jobs at a gateway (PROTOCOL.md, *Batch jobs*): calls come in as HTTP, are checked here, and go on
 //! to the primary of the group of stores.
 
 pub mod admission;
--- a/alderhollow/src/batch_api/store_calls.rs
+++ b/alderhollow/src/batch_api/store_calls.rs
@@ -1,4 +1,4 @@
-//! Calls of a door to the primary of the group of stores that keeps the batch job, asked again at a successor until the end is known.
+//! Calls of a gateway to the primary of the group of stores that keeps the batch job, asked again at a successor until the end is known.
 
 use crate::batch_protocol::{StoreAnswer, StoreCall, StoreReply, TenantReading};
 use crate::internal::{CallError, Network, ServiceId};
@@ -93,7 +93,7 @@
 /// Asks the primary of the job's group until there is an answer or patience ends. Gives the newest reading that came along.
 ///
 /// A batch job is large. It is offered first, by a small call: where it would not be taken, its body stays here. Bodies of
-/// jobs that are refused, sent anew every few milliseconds by every door, fill the primary's link, so that it hears neither
+/// jobs that are refused, sent anew every few milliseconds by every gateway, fill the primary's link, so that it hears neither
 /// the core nor its members.
 pub async fn ask_primary(
     link: &dyn StoreLink,
--- a/alderhollow/src/batch_protocol.rs
+++ b/alderhollow/src/batch_protocol.rs
@@ -1,4 +1,4 @@
-//! What doors and stores say to each other about batch jobs, over the tier's own protocol.
+//! What gateways and stores say to each other about batch jobs, over the tier's own protocol.
 
 use alderhollow_batch::job::{JobId, NewJob};
 use alderhollow_batch::message::Message;
@@ -7,13 +7,13 @@
 use alderhollow_model::snapshot::GroupId;
 use minicbor::{Decode, Encode};
 
-/// A door's call to the primary of the job's group (`ServiceId::Batch`).
+/// A gateway's call to the primary of the job's group (`ServiceId::Batch`).
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum StoreCall {
     /// Take a batch job.
     #[n(0)]
     Submit {
-        /// Names the client's try; the same when the door asks again.
+        /// Names the client's try; the same when the gateway asks again.
         #[n(0)]
         try_id: u64,
         /// The batch job.
--- a/alderhollow/src/cli/mod.rs
+++ b/alderhollow/src/cli/mod.rs
@@ -8,7 +8,7 @@
 use crate::role::RoleError;
 use crate::settings::{Settings, SettingsError};
 use crate::status::StatusError;
-use crate::{control_plane, door, logging, store};
+use crate::{control_plane, gateway, logging, store};
 use alderhollow_model::identity::Role;
 use alderhollow_storage::StorageError;
 use clap::{Args, Parser, Subcommand};
@@ -37,7 +37,8 @@
 enum Command {
     /// Serve clients and operators, with the settings file that ALDERHOLLOW_BOOT names. With a disk, also keep the core's
     /// state.
-    Door(RoleArguments),
+    #[command(alias = "door")]
+    Gateway(RoleArguments),
     /// Keep the core's state and serve operators, but no clients, with the settings file that ALDERHOLLOW_BOOT names.
     Core(RoleArguments),
     /// Keep batch jobs, with the settings file that ALDERHOLLOW_BOOT names.
@@ -124,7 +125,7 @@
 
 fn run(command_line: CommandLine) -> Result<(), CommandError> {
     match command_line.command {
-        Command::Door(arguments) => run_role(Role::Door, command_line.log_level, arguments),
+        Command::Gateway(arguments) => run_role(Role::Gateway, command_line.log_level, arguments),
         Command::Core(arguments) => run_role(Role::Core, command_line.log_level, arguments),
         Command::Store(arguments) => run_role(Role::Store, command_line.log_level, arguments),
         Command::Check(arguments) => check::run(&arguments),
@@ -153,7 +154,7 @@
             listener::start(settings.ip, place).await;
         }
         match role {
-            Role::Door => door::run(settings).await,
+            Role::Gateway => gateway::run(settings).await,
             Role::Store => store::run(settings).await,
             Role::Core => control_plane::run(settings).await,
         }
--- a/alderhollow/src/control_plane/mod.rs
+++ b/alderhollow/src/control_plane/mod.rs
@@ -1,5 +1,5 @@
 //! What a process does that serves operators: it answers or redirects their calls and, with a disk, is a member of the
-//! core. Doors do so beside serving clients; the role `core` does nothing else.
+//! core. Gateways do so beside serving clients; the role `core` does nothing else.
 //!
 //! | part | does |
 //! | --- | --- |
--- a/alderhollow/src/core/membership.rs
+++ b/alderhollow/src/core/membership.rs
@@ -1,5 +1,5 @@
 //! How a disk becomes a member: the seeds' disks found the core at the first start of the whole system; every other disk
-//! asks the primary to be taken in. Where machines of the core's own keep it, doors' disks stay outside.
+//! asks the primary to be taken in. Where machines of the core's own keep it, gateways' disks stay outside.
 
 use super::contact::Contact;
 use super::driver::Core;
--- a/alderhollow/src/core/mod.rs
+++ b/alderhollow/src/core/mod.rs
@@ -1,5 +1,5 @@
 //! Puts a member of the core ([`alderhollow_coordination::replica::Replica`]) on the disk, the network and the clock, in
-//! door processes that have a disk.
+//! gateway processes that have a disk.
 //!
 //! | part | does |
 //! | --- | --- |
--- a/alderhollow/src/discovery/reader.rs
+++ b/alderhollow/src/discovery/reader.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Between two readings. Each call to the platform is priced; a drain must reach all doors within `drain-ms` (seconds).
+/// Between two readings. Each call to the platform is priced; a drain must reach all gateways within `drain-ms` (seconds).
 const READ_INTERVAL: Duration = Duration::from_millis(700);
 /// Between two readings as long as the list is empty.
 const FIRST_READ_INTERVAL: Duration = Duration::from_millis(250);
--- a/alderhollow/src/distribution/message.rs
+++ b/alderhollow/src/distribution/message.rs
@@ -32,7 +32,7 @@
     /// Whether the asker is about to end.
     #[n(3)]
     pub leaving: bool,
-    /// What a store reports of its batch group; empty from doors.
+    /// What a store reports of its batch group; empty from gateways.
     #[n(4)]
     pub batch_status: ByteVec,
 }
--- a/alderhollow/src/distribution/placers.rs
+++ b/alderhollow/src/distribution/placers.rs
@@ -113,8 +113,8 @@
         let room = match node.role {
             Role::Core if node.node != primary => 0,
             Role::Core => 1,
-            Role::Door if node.disk.is_none() => 2,
-            Role::Door => 3,
+            Role::Gateway if node.disk.is_none() => 2,
+            Role::Gateway => 3,
             Role::Store => 4,
         };
         (
--- a/alderhollow/src/door/clients.rs
+++ b/alderhollow/src/gateway/clients.rs
@@ -1,9 +1,9 @@
-//! Serves clients' requests at the front of a door.
+//! Serves clients' requests at the front of a gateway.
 
 use crate::batch_api::endpoints::StoreEndpoints;
 use crate::distribution::validity::TableValidity;
-use crate::front::phase::Phase;
-use crate::front::{Front, FrontSettings};
+use crate::http_server::phase::Phase;
+use crate::http_server::{Front, FrontSettings};
 use crate::node::{random_seed, Node};
 use crate::settings::Settings;
 use std::io;
--- a/alderhollow/src/door/endings.rs
+++ b/alderhollow/src/gateway/endings.rs
@@ -1,4 +1,4 @@
-//! The planned end: SIGTERM ends a door in phases.
+//! The planned end: SIGTERM ends a gateway in phases.
 
 use super::clients::Clients;
 use crate::control_plane::ControlPlane;
@@ -9,7 +9,7 @@
 use alderhollow_model::identity::Role;
 use std::io;
 
-/// Runs until the door is told to end and has ended its work.
+/// Runs until the gateway is told to end and has ended its work.
 pub async fn run_until_ended(
     settings: &Settings,
     node: &Node,
@@ -17,7 +17,11 @@
     readiness: &Readiness,
     clients: Option<Clients>,
 ) -> io::Result<()> {
-    tokio::task::spawn_local(reload::follow(node.clone(), Role::Door, reload::hangups()?));
+    tokio::task::spawn_local(reload::follow(
+        node.clone(),
+        Role::Gateway,
+        reload::hangups()?,
+    ));
     terminated().await?;
     log::info!("told to end: no longer ready");
     readiness.leave();
--- a/alderhollow/src/door/mod.rs
+++ b/alderhollow/src/gateway/mod.rs
@@ -1,4 +1,4 @@
-//! The role of a door: takes clients' requests and operators' calls; where it has a disk, it is a member of the core.
+//! The role of a gateway: takes clients' requests and operators' calls; where it has a disk, it is a member of the core.
 //!
 //! | part | does |
 //! | --- | --- |
@@ -16,7 +16,7 @@
 use crate::settings::Settings;
 use alderhollow_model::identity::Role;
 
-/// Runs a door until it is told to end.
+/// Runs a gateway until it is told to end.
 pub async fn run(settings: Settings) -> Result<(), RoleError> {
     log::info!("door {} in zone {}", settings.node, settings.zone);
     let node = Node::new(&settings);
@@ -31,7 +31,7 @@
             })?),
             None => None,
         };
-    let control_plane = ControlPlane::start(&settings, &node, Role::Door).await?;
+    let control_plane = ControlPlane::start(&settings, &node, Role::Gateway).await?;
     let clients = match settings.listen.front {
         Some(address) => Some(clients::serve(address, &settings, &node).await?),
         None => None,
--- a/alderhollow/src/front/mod.rs
+++ b/alderhollow/src/http_server/mod.rs
@@ -1,4 +1,4 @@
-//! The front of a door: takes clients' connections, reads their requests and answers them (PROTOCOL.md, *Requests* and
+//! The front of a gateway: takes clients' connections, reads their requests and answers them (PROTOCOL.md, *Requests* and
 //! *Answers*). What goes to backends is [`crate::exchange`]'s, what is about batch jobs is [`crate::batch_api`]'s.
 
 pub mod body;
@@ -66,7 +66,7 @@
     pub validity: Option<TableValidity>,
 }
 
-/// The front of one door.
+/// The front of one gateway.
 pub struct Front {
     settings: FrontSettings,
     exchange: Rc<Exchange>,
@@ -181,7 +181,7 @@
         }
     }
 
-    /// The answer where the tables name no route: 404 only while they may be taken for the newest. A door that was cut off
+    /// The answer where the tables name no route: 404 only while they may be taken for the newest. A gateway that was cut off
     /// may lack a route that is in force by now.
     fn no_such_route(&self) -> Response<AnswerBody> {
         match self
--- a/alderhollow/src/front/relay.rs
+++ b/alderhollow/src/http_server/relay.rs
@@ -159,7 +159,7 @@
     }
 }
 
-/// The door's answer where no backend was asked.
+/// The gateway's answer where no backend was asked.
 pub fn not_now() -> Response<AnswerBody> {
     replies::come_again(replies::COME_AGAIN)
 }
--- a/alderhollow/src/front/replies.rs
+++ b/alderhollow/src/http_server/replies.rs
@@ -1,4 +1,4 @@
-//! The door's own answers. None of them has a backend's stamp.
+//! The gateway's own answers. None of them has a backend's stamp.
 
 use super::body::AnswerBody;
 use hyper::body::Bytes;
--- a/alderhollow/src/internal/frame.rs
+++ b/alderhollow/src/internal/frame.rs
@@ -60,7 +60,7 @@
     Core,
     /// Finding the primary, and the long-polls for tables.
     Distribution,
-    /// Calls of doors to the primary of a batch group.
+    /// Calls of gateways to the primary of a batch group.
     Batch,
     /// Replication between stores.
     Replication,
--- a/alderhollow/src/invariant.rs
+++ b/alderhollow/src/invariant.rs
@@ -15,7 +15,7 @@
     Invariant named "invariant" {
         /// A batch job that is accepted leaves its route's count of waiting tokens within the route's limit.
         QuotaAtAcceptance => "quota_at_acceptance",
-        /// The epoch of the batch group that a store acts on never falls within the store's life.
+        /// The epoch of the batch group that a store acts on never falls within the store's incarnation.
         GroupEpochRises => "group_epoch_rises",
         /// What a route's coordinator has given out to all groups together stays within the route's limit.
         QuotaGrantsWithinLimit => "quota_grants_within_limit",
--- a/alderhollow/src/lib.rs
+++ b/alderhollow/src/lib.rs
@@ -1,4 +1,4 @@
-//! The serving tier: doors, control plane and stores. This crate puts the state machines of the others on sockets,
+//! The serving tier: gateways, control plane and stores. This crate puts the state machines of the others on sockets,
 //! disks and clocks (`docs/serving-tier.md`).
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
@@ -14,11 +14,11 @@
 pub mod core;
 pub mod discovery;
 pub mod distribution;
-pub mod door;
 pub mod exchange;
 pub mod executor;
 pub mod finding;
-pub mod front;
+pub mod gateway;
+pub mod http_server;
 pub mod internal;
 pub mod invariant;
 pub mod logging;
--- a/alderhollow/src/metrics/batch_api.rs
+++ b/alderhollow/src/metrics/batch_api.rs
@@ -1,4 +1,4 @@
-//! Metrics of the doors' batch interface.
+//! Metrics of the gateways' batch interface.
 
 use super::family::{label, Counter, CounterFamily, Description, Durations, Registrar};
 use crate::batch_protocol::StoreCall;
--- a/alderhollow/src/metrics/internal.rs
+++ b/alderhollow/src/metrics/internal.rs
@@ -36,7 +36,7 @@
         Core => "core",
         /// Polls for tables.
         Distribution => "distribution",
-        /// Calls of doors to stores.
+        /// Calls of gateways to stores.
         Batch => "batch",
         /// Between stores.
         Replication => "replication",
--- a/alderhollow/src/metrics/mod.rs
+++ b/alderhollow/src/metrics/mod.rs
@@ -6,7 +6,7 @@
 //! | part | holds |
 //! | --- | --- |
 //! | [`family`] | counters, gauges and histograms with labels of known values |
-//! | [`batch_api`] | the doors' batch interface |
+//! | [`batch_api`] | the gateways' batch interface |
 //! | [`internal`] | the network between the tier's processes |
 //! | [`store`] | batch jobs, their runs, their replication and the journal |
 //! | [`core`] | the core's member, and answers to polls |
@@ -32,7 +32,7 @@
 /// All metrics of a process.
 pub struct Metrics {
     registry: Registry,
-    /// The doors' batch interface.
+    /// The gateways' batch interface.
     pub batch_api: batch_api::BatchApiMetrics,
     /// The network between the tier's processes.
     pub internal: internal::InternalMetrics,
--- a/alderhollow/src/node.rs
+++ b/alderhollow/src/node.rs
@@ -17,7 +17,7 @@
 use crate::settings::reload::SeedReader;
 use crate::settings::Settings;
 use crate::SnapshotReceiver;
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::ControlView;
 use std::cell::{OnceCell, RefCell};
 use std::collections::hash_map::RandomState;
@@ -83,7 +83,7 @@
         });
         let snapshots = self.snapshots.clone();
         let placers =
-            PlacementClient::start(self.network.clone(), snapshots, LifeId(random_seed()));
+            PlacementClient::start(self.network.clone(), snapshots, Incarnation(random_seed()));
         let exchange = Exchange::with_placement(
             self.clock.instant(0),
             random_seed(),
@@ -151,7 +151,7 @@
         node: settings.node.clone(),
         role,
         zone: settings.zone.clone(),
-        life: LifeId(random_seed()),
+        incarnation: Incarnation(random_seed()),
         disk,
         internal: Address(internal_address(settings)),
         control: settings.listen.control.map(Address),
--- a/alderhollow/src/operator_api/calls.rs
+++ b/alderhollow/src/operator_api/calls.rs
@@ -65,7 +65,7 @@
         /// The answer rests on a lease that runs until then; it isn't to be given later. `None`: it holds for ever.
         valid_until: Option<Instant>,
     },
-    /// Another door decides.
+    /// Another gateway decides.
     Elsewhere(SocketAddr),
     /// Nothing was changed; nobody can decide now.
     Unavailable,
--- a/alderhollow/src/operator_api/mod.rs
+++ b/alderhollow/src/operator_api/mod.rs
@@ -1,4 +1,4 @@
-//! The operators' calls, served on `listen.control` of doors.
+//! The operators' calls, served on `listen.control` of gateways.
 //!
 //! | part | does |
 //! | --- | --- |
--- a/alderhollow/src/operator_api/service.rs
+++ b/alderhollow/src/operator_api/service.rs
@@ -18,13 +18,13 @@
 use std::rc::Rc;
 use tokio::sync::mpsc;
 
-/// Decides calls for one door.
+/// Decides calls for one gateway.
 pub struct OperatorService {
     /// The core's member in this process; `None` where it has no disk.
     pub authority: Option<Rc<ControlAuthority>>,
     /// Where the core is.
     pub directory: Directory,
-    /// Where this door takes operators' calls.
+    /// Where this gateway takes operators' calls.
     pub own_address: SocketAddr,
     /// Zones of the settings.
     pub zones: BTreeSet<String>,
--- a/alderhollow/src/placement/client.rs
+++ b/alderhollow/src/placement/client.rs
@@ -5,7 +5,7 @@
 use crate::internal::{Network, ServiceId};
 use crate::metrics;
 use crate::SnapshotReceiver;
-use alderhollow_model::identity::LifeId;
+use alderhollow_model::identity::Incarnation;
 use std::cell::RefCell;
 use std::collections::BTreeMap;
 use std::net::SocketAddr;
@@ -50,11 +50,11 @@
 }
 
 impl PlacementClient {
-    /// A client of a sender in this life; it starts the task that carries the reports.
+    /// A client of a sender in this incarnation; it starts the task that carries the reports.
     pub fn start(
         network: Network,
         snapshots: SnapshotReceiver,
-        sender: LifeId,
+        sender: Incarnation,
     ) -> Rc<PlacementClient> {
         let client = Rc::new(PlacementClient {
             network,
--- a/alderhollow/src/placement/ledger.rs
+++ b/alderhollow/src/placement/ledger.rs
@@ -5,7 +5,7 @@
 
 use super::message::{AttemptId, Demand, Event, PlaceRequest, Placement, Report, UnderWay};
 use crate::balance::{Balancer, Explanation, Millis, Outcome};
-use alderhollow_model::identity::LifeId;
+use alderhollow_model::identity::Incarnation;
 use alderhollow_model::snapshot::Snapshot;
 use std::collections::BTreeMap;
 
@@ -40,7 +40,7 @@
 #[derive(Debug)]
 pub struct Ledger {
     balancer: Balancer,
-    senders: BTreeMap<LifeId, Sender>,
+    senders: BTreeMap<Incarnation, Sender>,
     looked_at: Millis,
 }
 
@@ -128,7 +128,7 @@
         }
     }
 
-    fn take_event(&mut self, now: Millis, sender: LifeId, event: &Event) {
+    fn take_event(&mut self, now: Millis, sender: Incarnation, event: &Event) {
         match event {
             Event::Started(under_way) => self.start(now, sender, under_way, StartTime::JustNow),
             Event::Began(number) => {
@@ -141,7 +141,7 @@
     }
 
     /// Makes the sender's attempts those that it tells. Later ones than `newest` may be on their way to it.
-    fn reconcile(&mut self, now: Millis, sender: LifeId, newest: u64, under_way: &[UnderWay]) {
+    fn reconcile(&mut self, now: Millis, sender: Incarnation, newest: u64, under_way: &[UnderWay]) {
         let is_told = |number: u64| under_way.iter().any(|told| told.number == number);
         let known = self
             .senders
@@ -160,7 +160,7 @@
     }
 
     /// Notes an attempt that the sender began; nothing if it is known.
-    fn start(&mut self, now: Millis, sender: LifeId, told: &UnderWay, start_time: StartTime) {
+    fn start(&mut self, now: Millis, sender: Incarnation, told: &UnderWay, start_time: StartTime) {
         if let Some(attempt) = self.number_of(sender, told.number) {
             if told.has_begun {
                 self.balancer.began(now, attempt);
@@ -181,7 +181,7 @@
         }
     }
 
-    fn end(&mut self, now: Millis, sender: LifeId, number: u64, outcome: Outcome) {
+    fn end(&mut self, now: Millis, sender: Incarnation, number: u64, outcome: Outcome) {
         let attempt = self
             .senders
             .get_mut(&sender)
@@ -191,7 +191,7 @@
         }
     }
 
-    fn book(&mut self, now: Millis, sender: LifeId, number: u64, attempt: u64) {
+    fn book(&mut self, now: Millis, sender: Incarnation, number: u64, attempt: u64) {
         let known = self.hear(now, sender);
         let replaced = known.attempts.insert(number, attempt);
         let oldest = match known.attempts.len() > MAX_ATTEMPTS {
@@ -204,7 +204,7 @@
             .for_each(|gone| self.balancer.withdraw(gone));
     }
 
-    fn withdraw(&mut self, sender: LifeId, number: u64) {
+    fn withdraw(&mut self, sender: Incarnation, number: u64) {
         let attempt = self
             .senders
             .get_mut(&sender)
@@ -214,15 +214,15 @@
             .for_each(|attempt| self.balancer.withdraw(attempt));
     }
 
-    fn number_of(&self, sender: LifeId, number: u64) -> Option<u64> {
+    fn number_of(&self, sender: Incarnation, number: u64) -> Option<u64> {
         self.senders.get(&sender)?.attempts.get(&number).copied()
     }
 
-    fn may_note(&self, sender: LifeId) -> bool {
+    fn may_note(&self, sender: Incarnation) -> bool {
         self.senders.len() < MAX_SENDERS || self.senders.contains_key(&sender)
     }
 
-    fn hear(&mut self, now: Millis, sender: LifeId) -> &mut Sender {
+    fn hear(&mut self, now: Millis, sender: Incarnation) -> &mut Sender {
         let known = self.senders.entry(sender).or_default();
         known.heard_at = now;
         known
@@ -234,16 +234,16 @@
         }
         self.looked_at = now;
         let is_silent = |sender: &Sender| now - sender.heard_at > SENDER_SILENCE_MS;
-        let silent: Vec<LifeId> = self
+        let silent: Vec<Incarnation> = self
             .senders
             .iter()
             .filter(|(_, sender)| is_silent(sender))
-            .map(|(life, _)| *life)
+            .map(|(incarnation, _)| *incarnation)
             .collect();
-        for life in silent {
+        for incarnation in silent {
             let attempts = self
                 .senders
-                .remove(&life)
+                .remove(&incarnation)
                 .map(|sender| sender.attempts)
                 .unwrap_or_default();
             attempts
--- a/alderhollow/src/placement/message.rs
+++ b/alderhollow/src/placement/message.rs
@@ -1,15 +1,15 @@
 //! Messages of [`ServiceId::Placement`](crate::internal::ServiceId).
 
 use crate::balance::{NoBackend, Outcome, Prompt, Wanted};
-use alderhollow_model::identity::LifeId;
+use alderhollow_model::identity::Incarnation;
 use minicbor::{Decode, Encode};
 
-/// Names an attempt: numbers are drawn by its sender and never used again in one life.
+/// Names an attempt: numbers are drawn by its sender and never used again in one incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct AttemptId {
     /// The sender.
     #[n(0)]
-    pub sender: LifeId,
+    pub sender: Incarnation,
     /// The attempt among those of the sender.
     #[n(1)]
     pub number: u64,
@@ -233,7 +233,7 @@
     Events {
         /// The sender.
         #[n(0)]
-        sender: LifeId,
+        sender: Incarnation,
         /// The events.
         #[n(1)]
         events: Vec<Event>,
@@ -243,7 +243,7 @@
     Whole {
         /// The sender.
         #[n(0)]
-        sender: LifeId,
+        sender: Incarnation,
         /// Counts the sender's reports of this kind to any placer: an older one changes nothing.
         #[n(1)]
         sequence: u64,
@@ -258,7 +258,7 @@
 
 impl Report {
     /// Who sent it.
-    pub fn sender(&self) -> LifeId {
+    pub fn sender(&self) -> Incarnation {
         match self {
             Report::Events { sender, .. } | Report::Whole { sender, .. } => *sender,
         }
--- a/alderhollow/src/placement/reports.rs
+++ b/alderhollow/src/placement/reports.rs
@@ -1,7 +1,7 @@
 //! What a sender tells the placers of its attempts. No I/O and no clock.
 
 use super::message::{Demand, End, Event, Report, UnderWay};
-use alderhollow_model::identity::LifeId;
+use alderhollow_model::identity::Incarnation;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// An attempt of this sender that a placer is told of.
@@ -16,7 +16,7 @@
 /// Keeps the attempts under way, by the zones of their backends.
 #[derive(Debug)]
 pub struct Reports {
-    sender: LifeId,
+    sender: Incarnation,
     newest: u64,
     sequence: u64,
     under_way: BTreeMap<u64, Known>,
@@ -27,8 +27,8 @@
 }
 
 impl Reports {
-    /// None yet, for a sender in this life.
-    pub fn new(sender: LifeId) -> Reports {
+    /// None yet, for a sender in this incarnation.
+    pub fn new(sender: Incarnation) -> Reports {
         Reports {
             sender,
             newest: 0,
@@ -40,7 +40,7 @@
     }
 
     /// The sender.
-    pub fn sender(&self) -> LifeId {
+    pub fn sender(&self) -> Incarnation {
         self.sender
     }
 
--- a/alderhollow/src/ready/mod.rs
+++ b/alderhollow/src/ready/mod.rs
@@ -1,4 +1,4 @@
-//! Tells the platform whether this door is to get new connections.
+//! Tells the platform whether this gateway is to get new connections.
 
 use crate::SnapshotReceiver;
 use dropshot::{
@@ -26,12 +26,12 @@
         }
     }
 
-    /// Calls the door not ready from now on.
+    /// Calls the gateway not ready from now on.
     pub fn leave(&self) {
         self.leaving.store(true, Ordering::Relaxed);
     }
 
-    /// Whether the door serves: a primary validated tables with a configuration and with backends in this life.
+    /// Whether the gateway serves: a primary validated tables with a configuration and with backends in this incarnation.
     pub fn is_ready(&self) -> bool {
         let snapshot = self.snapshots.borrow();
         !self.leaving.load(Ordering::Relaxed)
@@ -61,7 +61,7 @@
         .map_err(Box::new)
 }
 
-/// 200 while the door is ready, else 503.
+/// 200 while the gateway is ready, else 503.
 #[endpoint { method = GET, path = "/alderhollow/readyz", unpublished = true }]
 async fn readyz(context: RequestContext<Readiness>) -> Result<Response<Body>, HttpError> {
     let status = match context.context().is_ready() {
--- a/alderhollow/src/routing.rs
+++ b/alderhollow/src/routing.rs
@@ -81,7 +81,7 @@
 /// Spreads the requests of each route over its services. The draws of a route are not independent ones: they go round the
 /// unit interval in even steps (a low-discrepancy sequence), so that any run of requests comes to within a few requests of
 /// the weights. Processes begin at places that are spread evenly too, by their place in the list of senders, so that the
-/// first few requests at each of many doors also keep to the weights together.
+/// first few requests at each of many gateways also keep to the weights together.
 #[derive(Debug)]
 pub struct ServicePicker {
     random: Rand64,
--- a/alderhollow/src/settings/mod.rs
+++ b/alderhollow/src/settings/mod.rs
@@ -144,7 +144,7 @@
     pub status: Duration,
     /// After this, nothing of an ended batch job starts.
     pub cancel: Duration,
-    /// After this, a batch job is found through every door.
+    /// After this, a batch job is found through every gateway.
     pub settle: Duration,
     /// Share by which a quota may be passed.
     pub quota_over: f64,
--- a/alderhollow/src/settings/reading.rs
+++ b/alderhollow/src/settings/reading.rs
@@ -43,7 +43,7 @@
 fn role_by_parties(serves: &[String]) -> Option<Role> {
     let serves_party = |party: &str| serves.iter().any(|served| served == party);
     if serves_party(EDGE) {
-        return Some(Role::Door);
+        return Some(Role::Gateway);
     }
     if serves_party(CONTROL_PLANE) {
         return Some(Role::Core);
@@ -213,7 +213,7 @@
 }
 
 fn read_cloud(keys: Keys, role: Option<Role>, findings: &mut Findings) -> Cloud {
-    let address = if matches!(role, Some(Role::Door | Role::Core)) {
+    let address = if matches!(role, Some(Role::Gateway | Role::Core)) {
         keys.required_address(
             findings,
             "address",
--- a/alderhollow/src/status/display.rs
+++ b/alderhollow/src/status/display.rs
@@ -33,7 +33,7 @@
         line(
             f,
             "life",
-            format_args!("{:016x}, {} ms", self.node.life.0, self.uptime_ms),
+            format_args!("{:016x}, {} ms", self.node.incarnation.0, self.uptime_ms),
         )?;
         match self.node.disk {
             Some(disk) => line(f, "disk", disk)?,
--- a/alderhollow/src/status/message.rs
+++ b/alderhollow/src/status/message.rs
@@ -47,7 +47,7 @@
     /// Its part in the core; `None` without a disk of the core.
     #[n(4)]
     pub core: Option<CoreStatus>,
-    /// Its part in the batch groups; `None` at doors.
+    /// Its part in the batch groups; `None` at gateways.
     #[n(5)]
     pub store: Option<StoreStatus>,
 }
@@ -55,7 +55,7 @@
 /// The tables that a process acts on.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct TablesStatus {
-    /// How long ago the newest poll was sent that a primary with a lease answered; `None` if there is none in this life.
+    /// How long ago the newest poll was sent that a primary with a lease answered; `None` if there is none in this incarnation.
     #[n(0)]
     pub validated_ms_ago: Option<u64>,
     /// Version of the control state; 0: none.
--- a/alderhollow/src/store/calls.rs
+++ b/alderhollow/src/store/calls.rs
@@ -1,4 +1,4 @@
-//! Serves the doors' calls at a store.
+//! Serves the gateways' calls at a store.
 
 use super::group_engine::GroupEngine;
 use super::group_quota::{submit_now, Answered, End};
@@ -23,10 +23,10 @@
 const RESULT_BYTES: usize = 1_000_000 - 256;
 /// Longest hold of a read.
 const LONGEST_HOLD_MS: u32 = 5_000;
-/// Longest wait for an operation's end. The door asks again.
+/// Longest wait for an operation's end. The gateway asks again.
 const END_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// The service of doors' calls.
+/// The service of gateways' calls.
 pub struct CallHandler(pub Rc<StoreNode>);
 
 impl Handler for CallHandler {
@@ -36,7 +36,7 @@
             let call = minicbor::decode(&payload).map_err(|_| Refusal::Malformed)?;
             drop(payload);
             let answer = serve(&node, call).await;
-            // Nothing that was encoded by this program fails to be; a door takes this for an unknown end.
+            // Nothing that was encoded by this program fails to be; a gateway takes this for an unknown end.
             Ok(minicbor::to_vec(answer).unwrap_or_default())
         })
     }
--- a/alderhollow/src/store/group_engine.rs
+++ b/alderhollow/src/store/group_engine.rs
@@ -223,7 +223,7 @@
     /// Tables are validated for a while, though: a newer epoch may name this disk again, and its primary may have brought it
     /// up to date, while the poll that brings the tables is on its way. So a group that follows a newer epoch is kept.
     ///
-    /// Writes under way have ended: their tickets must not be taken for those of the group's next life at this store.
+    /// Writes under way have ended: their tickets must not be taken for those of the group's next incarnation at this store.
     pub(super) fn may_be_dropped(&self, now_ms: u64) -> bool {
         let is_over = |left_at: u64| now_ms.saturating_sub(left_at) >= KEEP_LEFT_MS;
         let has_left = self.left_at_ms.get().is_some_and(is_over);
--- a/alderhollow/src/store/group_engine/tests.rs
+++ b/alderhollow/src/store/group_engine/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 use alderhollow_batch::message::{Message, StreamId};
-use alderhollow_model::identity::{Address, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::GroupMember;
 
 const DISK: DiskId = DiskId(1);
@@ -19,7 +19,7 @@
         node: format!("store-{disk}"),
         role: Role::Store,
         zone: "a".to_string(),
-        life: LifeId(disk),
+        incarnation: Incarnation(disk),
         disk: Some(DiskId(disk)),
         internal: Address(([127, 0, 0, 1], 7660).into()),
         control: None,
--- a/alderhollow/src/store/group_quota.rs
+++ b/alderhollow/src/store/group_quota.rs
@@ -69,7 +69,7 @@
 enum WaitingSubmission {
     /// A batch job that is here.
     Job(WaitingJob),
-    /// A batch job that is still at the door.
+    /// A batch job that is still at the gateway.
     Offer(WaitingOffer),
 }
 
--- a/alderhollow/src/store/group_quota/tests.rs
+++ b/alderhollow/src/store/group_quota/tests.rs
@@ -5,7 +5,7 @@
 use alderhollow_batch::job::{Item, ItemRequest, JobId};
 use alderhollow_batch::quota::account::{REFUSAL_PAUSE_MS, SUBMISSION_PATIENCE_MS};
 use alderhollow_batch::quota::Decision;
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::{BatchGroup, GroupMember};
 use std::sync::Arc;
 
@@ -21,7 +21,7 @@
         node: "store-1".to_string(),
         role: Role::Store,
         zone: "a".to_string(),
-        life: LifeId(1),
+        incarnation: Incarnation(1),
         disk: Some(DISK),
         internal: Address(([127, 0, 0, 1], 7660).into()),
         control: None,
--- a/alderhollow/src/store/mod.rs
+++ b/alderhollow/src/store/mod.rs
@@ -1,5 +1,5 @@
 //! The role `store`: keeps batch jobs on its disk with the other members of the batch groups that it belongs to and, as
-//! the primary of some, serves the doors' calls and runs the items.
+//! the primary of some, serves the gateways' calls and runs the items.
 //!
 //! | part | does |
 //! | --- | --- |
@@ -11,7 +11,7 @@
 //! | [`journal_records`] | records and snapshots of all groups in one journal |
 //! | [`journal_queue`] | its writes, in order, and their ends; compaction; a disk that fails |
 //! | [`waiting`] | calls that wait for an end or a result |
-//! | [`calls`] | serves the doors' calls |
+//! | [`calls`] | serves the gateways' calls |
 //! | [`group_quota`] | a group's accounts and coordinator of the routes' shared limits of waiting tokens |
 //! | [`quota_exchange`] | carries reports and grants between them over the network |
 //! | [`item_starts`] | chooses the items to start, over all led groups |
--- a/alderhollow/src/store/node.rs
+++ b/alderhollow/src/store/node.rs
@@ -290,7 +290,7 @@
     }
 
     /// Drops the groups that this store has surely left (`GroupEngine::may_be_dropped`) from memory, and by a new
-    /// snapshot from disk: what the journal holds of them must not stand before what a later life of the group here
+    /// snapshot from disk: what the journal holds of them must not stand before what a later incarnation of the group here
     /// writes.
     pub fn drop_left_groups(&self, now_ms: u64) {
         let groups = self.groups();
--- a/alderhollow/standins/src/batch_client.rs
+++ b/alderhollow/standins/src/batch_client.rs
@@ -113,7 +113,7 @@
 
 /// Hands the batch job in once; gives the status.
 pub async fn submit(
-    door: SocketAddr,
+    gateway: SocketAddr,
     job: &BatchJob,
     patience: Duration,
 ) -> Result<u16, CallError> {
@@ -128,22 +128,22 @@
         .header(header::REQUEST_ID, &job.id)
         .header("content-type", "application/json")
         .body(Full::new(body.into()))?;
-    Ok(call(door, request, patience).await?.status().as_u16())
+    Ok(call(gateway, request, patience).await?.status().as_u16())
 }
 
-/// Hands the batch job in at the doors in turn until one answers anything but 503 or `patience` is over, as clients do;
+/// Hands the batch job in at the gateways in turn until one answers anything but 503 or `patience` is over, as clients do;
 /// gives the last status and the number of tries.
 pub async fn submit_until_answered(
-    doors: &[SocketAddr],
+    gateways: &[SocketAddr],
     job: &BatchJob,
     patience: Duration,
 ) -> (Result<u16, CallError>, u32) {
     let end = Instant::now() + patience;
     let mut tries = 0;
     let mut status = Err(CallError::Unexpected("there is no door".into()));
-    for door in doors.iter().cycle() {
+    for gateway in gateways.iter().cycle() {
         tries += 1;
-        status = submit(*door, job, patience).await;
+        status = submit(*gateway, job, patience).await;
         let is_answered = matches!(status, Ok(status) if status != SERVICE_UNAVAILABLE);
         if is_answered || Instant::now() >= end {
             break;
@@ -155,7 +155,7 @@
 
 /// Reads the results from position `after` on; the status if it isn't 200.
 pub async fn read(
-    door: SocketAddr,
+    gateway: SocketAddr,
     job: &BatchJob,
     after: usize,
 ) -> Result<Result<ResultPage, u16>, CallError> {
@@ -167,7 +167,7 @@
     )
     .header(header::WAIT_MS, WAIT.as_millis().to_string())
     .body(Full::default())?;
-    let answer = call(door, request, patience).await?;
+    let answer = call(gateway, request, patience).await?;
     let status = answer.status().as_u16();
     let body = read_whole(answer.into_body(), patience).await?;
     if status != 200 {
@@ -178,15 +178,15 @@
     Ok(Ok(page))
 }
 
-/// Reads until all items are listed, at the doors in turn. Each failure is noted in `failures`.
+/// Reads until all items are listed, at the gateways in turn. Each failure is noted in `failures`.
 pub async fn read_to_end(
-    doors: &[SocketAddr],
+    gateways: &[SocketAddr],
     job: &BatchJob,
     failures: &mut Vec<String>,
 ) -> Vec<ItemResult> {
     let mut results = Vec::new();
-    for door in doors.iter().cycle() {
-        match read(*door, job, results.len()).await {
+    for gateway in gateways.iter().cycle() {
+        match read(*gateway, job, results.len()).await {
             Ok(Ok(page)) => {
                 let is_last = results.len() + page.results.len() >= page.total;
                 results.extend(page.results);
@@ -194,8 +194,8 @@
                     break;
                 }
             }
-            Ok(Err(status)) => failures.push(format!("read at {door}: {status}")),
-            Err(error) => failures.push(format!("read at {door}: {error}")),
+            Ok(Err(status)) => failures.push(format!("read at {gateway}: {status}")),
+            Err(error) => failures.push(format!("read at {gateway}: {error}")),
         }
         tokio::time::sleep(READ_PAUSE).await;
     }
@@ -207,24 +207,28 @@
 
 /// Asks for the body of an item; the status if it isn't 200.
 pub async fn item_body(
-    door: SocketAddr,
+    gateway: SocketAddr,
     job: &BatchJob,
     item: &str,
     patience: Duration,
 ) -> Result<Result<Vec<u8>, u16>, CallError> {
     let path = format!("/alderhollow/items/{}?id={item}", job.id);
     let request = request_for(Method::GET, &path, job).body(Full::default())?;
-    let answer = call(door, request, patience).await?;
+    let answer = call(gateway, request, patience).await?;
     let status = answer.status().as_u16();
     let body = read_whole(answer.into_body(), patience).await?;
     Ok(if status == 200 { Ok(body) } else { Err(status) })
 }
 
 /// Ends the batch job; gives the status.
-pub async fn end(door: SocketAddr, job: &BatchJob, patience: Duration) -> Result<u16, CallError> {
+pub async fn end(
+    gateway: SocketAddr,
+    job: &BatchJob,
+    patience: Duration,
+) -> Result<u16, CallError> {
     let path = format!("/alderhollow/lots/{}", job.id);
     let request = request_for(Method::DELETE, &path, job).body(Full::<Bytes>::default())?;
-    Ok(call(door, request, patience).await?.status().as_u16())
+    Ok(call(gateway, request, patience).await?.status().as_u16())
 }
 
 fn request_for(method: Method, path: &str, job: &BatchJob) -> hyper::http::request::Builder {
--- a/alderhollow/standins/src/client.rs
+++ b/alderhollow/standins/src/client.rs
@@ -101,8 +101,8 @@
 }
 
 /// Sends a request and reads the whole answer.
-pub async fn send(door: SocketAddr, request: &ClientRequest) -> Result<WholeAnswer, CallError> {
-    let answer = call(door, request.build()?, request.patience).await?;
+pub async fn send(gateway: SocketAddr, request: &ClientRequest) -> Result<WholeAnswer, CallError> {
+    let answer = call(gateway, request.build()?, request.patience).await?;
     let status = answer.status().as_u16();
     let seal = header_of(&answer, header::RESPONSE_SEAL);
     let request_id = header_of(&answer, header::REQUEST_ID);
@@ -116,8 +116,11 @@
 }
 
 /// Sends a request and reads its answer as a stream of events.
-pub async fn stream(door: SocketAddr, request: &ClientRequest) -> Result<StreamAnswer, CallError> {
-    let answer = call(door, request.build()?, request.patience).await?;
+pub async fn stream(
+    gateway: SocketAddr,
+    request: &ClientRequest,
+) -> Result<StreamAnswer, CallError> {
+    let answer = call(gateway, request.build()?, request.patience).await?;
     let status = answer.status().as_u16();
     let seal = header_of(&answer, header::RESPONSE_SEAL);
     let mut events = Vec::new();
--- a/alderhollow/standins/src/operator.rs
+++ b/alderhollow/standins/src/operator.rs
@@ -1,4 +1,4 @@
-//! An operator: sends orders to the doors' control addresses until one is acknowledged or refused.
+//! An operator: sends orders to the gateways' control addresses until one is acknowledged or refused.
 
 use crate::http::{call, read_whole, CallError};
 use http_body_util::Full;
@@ -84,11 +84,11 @@
     Redirected(SocketAddr, String),
 }
 
-/// An operator and the doors that it knows.
+/// An operator and the gateways that it knows.
 #[derive(Debug, Clone)]
 pub struct Operator {
     /// Control addresses.
-    pub doors: Vec<SocketAddr>,
+    pub gateways: Vec<SocketAddr>,
     /// How long one call may take.
     pub call_patience: Duration,
     /// Pause after the first failure; it doubles with each, up to [`LONGEST_PAUSE`].
@@ -104,26 +104,26 @@
 
 impl Operator {
     /// An operator with the usual patience.
-    pub fn new(doors: Vec<SocketAddr>) -> Operator {
+    pub fn new(gateways: Vec<SocketAddr>) -> Operator {
         Operator {
-            doors,
+            gateways,
             call_patience: Duration::from_secs(1),
             first_pause: Duration::from_millis(50),
             max_calls: 40,
         }
     }
 
-    /// Sends `order` to one door after the other until there is a clear answer.
+    /// Sends `order` to one gateway after the other until there is a clear answer.
     pub async fn send(&self, order: &Order) -> Result<OrderAnswer, CallError> {
         let mut pause = self.first_pause;
         let mut last = CallError::Unexpected("no door is known".into());
-        for (door, calls) in self.doors.iter().cycle().zip(1..=self.max_calls) {
-            match self.send_once(*door, order).await {
+        for (gateway, calls) in self.gateways.iter().cycle().zip(1..=self.max_calls) {
+            match self.send_once(*gateway, order).await {
                 Ok(answer) if is_clear(answer.status) => {
                     return Ok(OrderAnswer { calls, ..answer })
                 }
                 Ok(answer) => {
-                    last = CallError::Unexpected(format!("status {} from {door}", answer.status))
+                    last = CallError::Unexpected(format!("status {} from {gateway}", answer.status))
                 }
                 Err(error) => last = error,
             }
@@ -133,9 +133,13 @@
         Err(last)
     }
 
-    /// Sends `order` to `door` and follows redirections.
-    async fn send_once(&self, door: SocketAddr, order: &Order) -> Result<OrderAnswer, CallError> {
-        let mut at = (door, order.path.clone());
+    /// Sends `order` to `gateway` and follows redirections.
+    async fn send_once(
+        &self,
+        gateway: SocketAddr,
+        order: &Order,
+    ) -> Result<OrderAnswer, CallError> {
+        let mut at = (gateway, order.path.clone());
         for _ in 0..=MAX_REDIRECTIONS {
             match self.call(at.0, &at.1, order).await? {
                 Call::Answered(answer) => return Ok(answer),
--- a/alderhollow/standins/src/settings.rs
+++ b/alderhollow/standins/src/settings.rs
@@ -8,7 +8,7 @@
 /// Class of a machine, and with it the role of its process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum MachineClass {
-    /// Runs a door.
+    /// Runs a gateway.
     Edge,
     /// Runs a store.
     Storage,
--- a/alderhollow/standins/tests/batch_client.rs
+++ b/alderhollow/standins/tests/batch_client.rs
@@ -81,13 +81,13 @@
     local(async {
         let submitted = Rc::new(RefCell::new(Vec::new()));
         let server = store(submitted.clone()).await;
-        let (door, job) = (server.address(), job());
-        assert_eq!(submit(door, &job, PATIENCE).await.unwrap(), 202);
+        let (gateway, job) = (server.address(), job());
+        assert_eq!(submit(gateway, &job, PATIENCE).await.unwrap(), 202);
         let sent: serde_json::Value = serde_json::from_slice(&submitted.borrow()).unwrap();
         assert_eq!(sent["requests"][1]["body"], "aTI=");
         assert_eq!(sent["requests"][1]["tokens"], 540);
         let mut failures = Vec::new();
-        let results = read_to_end(&[door], &job, &mut failures).await;
+        let results = read_to_end(&[gateway], &job, &mut failures).await;
         let ids: Vec<&str> = results.iter().map(|result| result.id.as_str()).collect();
         assert_eq!(ids, ["i1", "i2", "i3"]);
         assert!(results
@@ -95,14 +95,14 @@
             .all(|result| result.state == ResultState::Completed && result.text == "done"));
         assert_eq!(failures.len(), 1);
         assert_eq!(
-            item_body(door, &job, "i2", PATIENCE).await.unwrap(),
+            item_body(gateway, &job, "i2", PATIENCE).await.unwrap(),
             Ok(b"i2".to_vec())
         );
         assert_eq!(
-            item_body(door, &job, "i9", PATIENCE).await.unwrap(),
+            item_body(gateway, &job, "i9", PATIENCE).await.unwrap(),
             Err(404)
         );
-        assert_eq!(end(door, &job, PATIENCE).await.unwrap(), 200);
+        assert_eq!(end(gateway, &job, PATIENCE).await.unwrap(), 200);
     })
     .await;
 }
--- a/alderhollow/standins/tests/operator.rs
+++ b/alderhollow/standins/tests/operator.rs
@@ -1,4 +1,4 @@
-//! The operator: redirections, further doors, clear answers.
+//! The operator: redirections, further gateways, clear answers.
 
 use alderhollow_standins::http::{Server, ServerBody};
 use alderhollow_standins::operator::{Operator, Order};
@@ -79,7 +79,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_order_goes_to_another_door_after_a_failure() {
+async fn an_order_goes_to_another_gateway_after_a_failure() {
     local(async {
         let gone = free_address();
         let (busy, _) = control(503, None).await;
@@ -95,7 +95,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn doors_that_redirect_to_each_other_bring_an_error_in_the_end() {
+async fn gateways_that_redirect_to_each_other_bring_an_error_in_the_end() {
     local(async {
         let (end, _) = control(307, Some("http://nowhere".into())).await;
         let (start, calls) = control(307, redirection(end.address())).await;
--- a/alderhollow/standins/tests/settings.rs
+++ b/alderhollow/standins/tests/settings.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn a_door_listens_at_its_own_address() {
+fn a_gateway_listens_at_its_own_address() {
     let file: toml::Table = settings_file(&site(), &machine(MachineClass::Edge))
         .unwrap()
         .parse()
--- a/alderhollow/tests/balance_choice.rs
+++ b/alderhollow/tests/balance_choice.rs
@@ -111,7 +111,7 @@
 }
 
 #[test]
-fn doors_of_a_zone_send_a_prefix_to_the_same_backend_of_their_zone() {
+fn gateways_of_a_zone_send_a_prefix_to_the_same_backend_of_their_zone() {
     let tables = Tables::new(ENGINES, 9, 4);
     let mut one = tables.balancer(&node_name(0), ZONES[1], 0.0);
     let mut other = tables.balancer(&node_name(1), ZONES[1], 0.0);
--- a/alderhollow/tests/batch_scale.rs
+++ b/alderhollow/tests/batch_scale.rs
@@ -75,7 +75,7 @@
     }
 }
 
-/// A tier of three doors and six stores whose batch jobs can be handed in.
+/// A tier of three gateways and six stores whose batch jobs can be handed in.
 async fn start_tier(stores: &[Place]) -> Tier {
     let mut tier = Tier::prepare(TIER_NUMBER, EVENT_PAUSE).await;
     for place in SEEDS.iter().chain(stores) {
@@ -94,11 +94,11 @@
     tier
 }
 
-/// Hands all jobs in, at the doors in turn.
-fn submit_all(doors: [SocketAddr; 3]) -> Vec<JoinHandle<()>> {
+/// Hands all jobs in, at the gateways in turn.
+fn submit_all(gateways: [SocketAddr; 3]) -> Vec<JoinHandle<()>> {
     let submit = |number: usize| async move {
         let job = batch_job(number);
-        let (status, tries) = batch_client::submit_until_answered(&doors, &job, LIMIT).await;
+        let (status, tries) = batch_client::submit_until_answered(&gateways, &job, LIMIT).await;
         assert!(
             matches!(status, Ok(202)),
             "job {number} after {tries} tries: {status:?}"
@@ -122,7 +122,7 @@
     in_runtime(async {
         let stores: Vec<Place> = (0..STORES).map(Place::Store).collect();
         let tier = start_tier(&stores).await;
-        let submissions = submit_all(SEEDS.map(|door| tier.front(door)));
+        let submissions = submit_all(SEEDS.map(|gateway| tier.front(gateway)));
         let mut running_time = RunningTime::default();
         let end = tokio::time::Instant::now() + LIMIT;
         while finished_items(&tier) < JOBS * ITEMS_PER_JOB {
--- a/alderhollow/tests/choice_explanation.rs
+++ b/alderhollow/tests/choice_explanation.rs
@@ -9,11 +9,11 @@
 };
 use alderhollow::status::message::{ChoiceReport, Request};
 use alderhollow_model::backend::BackendState;
-use alderhollow_model::identity::LifeId;
+use alderhollow_model::identity::Incarnation;
 use balance_support::{wanted, Tables, ENGINES, PLAIN, ZONES};
 use proptest::prelude::*;
 
-const SENDER: LifeId = LifeId(1);
+const SENDER: Incarnation = Incarnation(1);
 /// The random part of a price, by which equal backends share: a choice may cost so much more than the least.
 const NOISE_MS: f64 = 0.5;
 
--- a/alderhollow/tests/compatibility.rs
+++ b/alderhollow/tests/compatibility.rs
@@ -36,7 +36,7 @@
 use alderhollow_coordination::replica::inspection::read_member;
 use alderhollow_coordination::replica::interface::{self as replica, StateMachine};
 use alderhollow_model::backend::{Backend, BackendList, BackendState};
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::{BatchGroup, GroupId, GroupMember, Placer, Senders};
 use alderhollow_recorded_bytes::{is_recording, RecordedBytes};
 use alderhollow_storage::{FolderDisk, Journal};
@@ -81,7 +81,7 @@
         node: format!("machine-{host}"),
         role,
         zone: "east".into(),
-        life: LifeId(0x77),
+        incarnation: Incarnation(0x77),
         disk: Some(DiskId(u64::from(host))),
         internal: address(host),
         control: Some(Address(SocketAddr::from(([10, 0, 0, host], 8146)))),
@@ -161,7 +161,7 @@
         sequence: 6,
     };
     let poll = Poll {
-        node: node(1, Role::Door),
+        node: node(1, Role::Gateway),
         held: HeldVersions {
             control: 5,
             backends: stamp,
@@ -377,7 +377,7 @@
 fn placement_messages_encode_and_decode_as_recorded() {
     let mut recorded = fixture("placement.txt");
     let attempt = AttemptId {
-        sender: LifeId(5),
+        sender: Incarnation(5),
         number: 9,
     };
     check(
@@ -429,12 +429,12 @@
         &mut recorded,
         "events",
         &placement::Report::Events {
-            sender: LifeId(5),
+            sender: Incarnation(5),
             events,
         },
     );
     let whole = placement::Report::Whole {
-        sender: LifeId(5),
+        sender: Incarnation(5),
         sequence: 3,
         newest: 9,
         under_way: vec![under_way],
@@ -463,7 +463,7 @@
         silent_members: vec![DiskId(0x91)],
     };
     StatusReport {
-        node: node(1, Role::Door),
+        node: node(1, Role::Gateway),
         uptime_ms: 12_345,
         core_view: core_view(),
         tables: TablesStatus {
--- a/alderhollow/tests/control/mod.rs
+++ b/alderhollow/tests/control/mod.rs
@@ -7,7 +7,7 @@
 };
 use alderhollow::control_state::ControlState;
 use alderhollow_coordination::replica::interface::{self as replica, StateMachine};
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use serde_json::{json, Value};
 
 /// What became of an order.
@@ -96,7 +96,7 @@
         node: node.to_string(),
         role: Role::Store,
         zone: zone.to_string(),
-        life: LifeId(1),
+        incarnation: Incarnation(1),
         disk: Some(DiskId(disk)),
         internal: Address("10.0.0.1:7000".parse().expect("address")),
         control: None,
--- a/alderhollow/tests/control_plane.rs
+++ b/alderhollow/tests/control_plane.rs
@@ -1,4 +1,4 @@
-//! The control plane of three doors with disks and one without, on loopback: founding, operators' calls, readiness.
+//! The control plane of three gateways with disks and one without, on loopback: founding, operators' calls, readiness.
 
 mod control_plane_support;
 
@@ -30,13 +30,13 @@
 async fn start(net: &Net) {
     net.start_platform().await;
     for machine in 1..=3 {
-        net.start_door(machine, true);
+        net.start_gateway(machine, true);
     }
-    net.start_door(4, false);
+    net.start_gateway(4, false);
 }
 
 #[test]
-fn doors_found_a_core_and_act_on_the_first_configuration() {
+fn gateways_found_a_core_and_act_on_the_first_configuration() {
     run(|net| async move {
         start(&net).await;
         let taken = net
@@ -177,11 +177,11 @@
 }
 
 #[test]
-fn one_door_alone_decides_nothing() {
+fn one_gateway_alone_decides_nothing() {
     run(|net| async move {
         net.start_platform().await;
-        net.start_door(1, true);
-        net.start_door(4, false);
+        net.start_gateway(1, true);
+        net.start_gateway(4, false);
         let mut answers = 0;
         while answers < 10 {
             for machine in [1, 4] {
@@ -229,7 +229,7 @@
     serde_json::from_str(body).expect("JSON")
 }
 
-/// Reads at each door without following its pointers: whoever answers, answers this document; gives how many did.
+/// Reads at each gateway without following its pointers: whoever answers, answers this document; gives how many did.
 async fn read_everywhere(net: &Net, newest: &Value) -> u32 {
     let mut answered = 0;
     for machine in 1..=4 {
@@ -255,11 +255,11 @@
         start(&net).await;
         let mut answered = 0;
         for version in 1..=8 {
-            let door = 1 + u8::try_from(version % 4).expect("a door");
+            let gateway = 1 + u8::try_from(version % 4).expect("a door");
             let mut newest = document_in(&config(version));
             let taken = if version % 2 == 1 {
                 net.operate(
-                    door,
+                    gateway,
                     Method::PUT,
                     CONFIG,
                     Some(version - 1),
@@ -271,7 +271,7 @@
                     "header-timeout-ms": 3000, "idle-timeout-ms": 15000});
                 newest["limits"] = limits.clone();
                 let change = json!({"config-version": version, "limits": limits}).to_string();
-                net.operate(door, Method::PATCH, CONFIG, Some(version - 1), &change)
+                net.operate(gateway, Method::PATCH, CONFIG, Some(version - 1), &change)
                     .await
             };
             assert_eq!(taken.status, StatusCode::OK, "{}", taken.body);
@@ -285,7 +285,7 @@
     });
 }
 
-/// Serves a door's control address, where each read is decided as `reply` says.
+/// Serves a gateway's control address, where each read is decided as `reply` says.
 fn serve_decided(
     net: &Net,
     machine: u8,
--- a/alderhollow/tests/control_plane_support/mod.rs
+++ b/alderhollow/tests/control_plane_support/mod.rs
@@ -1,6 +1,6 @@
-//! Doors of one tier in one process, on loopback, with a platform that lists one backend, and an operator.
+//! Gateways of one tier in one process, on loopback, with a platform that lists one backend, and an operator.
 
-use alderhollow::door;
+use alderhollow::gateway;
 use alderhollow::settings::Settings;
 use alderhollow_model::identity::Role;
 use http::{HeaderMap, Method, Request, StatusCode};
@@ -76,7 +76,7 @@
         format!("{}:{CONTROL_PORT}", self.ip(machine))
     }
 
-    /// Settings of a door; the seeds are machines 1 to 3.
+    /// Settings of a gateway; the seeds are machines 1 to 3.
     pub fn settings(&self, machine: u8, has_disk: bool) -> Settings {
         let ip = self.ip(machine);
         let seeds: Vec<String> = (1..=3)
@@ -126,16 +126,18 @@
             seeds = seeds.join(", "),
             platform = self.ip(100),
         );
-        Settings::parse(&text, Role::Door).expect("settings that can be read")
+        Settings::parse(&text, Role::Gateway).expect("settings that can be read")
     }
 
-    /// Starts a door that runs as long as the test.
-    pub fn start_door(&self, machine: u8, has_disk: bool) {
+    /// Starts a gateway that runs as long as the test.
+    pub fn start_gateway(&self, machine: u8, has_disk: bool) {
         if has_disk {
             std::fs::create_dir_all(self.folder.join(machine.to_string())).expect("a folder");
         }
         let settings = self.settings(machine, has_disk);
-        tokio::task::spawn_local(async move { door::run(settings).await.expect("the door runs") });
+        tokio::task::spawn_local(
+            async move { gateway::run(settings).await.expect("the door runs") },
+        );
     }
 
     /// Starts the platform, which lists one backend.
@@ -150,7 +152,7 @@
         });
     }
 
-    /// Whether a door calls itself ready.
+    /// Whether a gateway calls itself ready.
     pub async fn is_ready(&self, machine: u8) -> bool {
         let url = format!(
             "http://{}:{READY_PORT}/alderhollow/readyz",
@@ -161,7 +163,7 @@
             .is_some_and(|answer| answer.status == StatusCode::OK)
     }
 
-    /// Calls one door, without following its answer.
+    /// Calls one gateway, without following its answer.
     pub async fn call_once(&self, machine: u8, method: Method, path: &str) -> Option<Answer> {
         call(
             method,
--- a/alderhollow/tests/core_discovery.rs
+++ b/alderhollow/tests/core_discovery.rs
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn doors_that_hear_both_halves_of_a_core_follow_the_newer_and_never_go_back() {
+fn gateways_that_hear_both_halves_of_a_core_follow_the_newer_and_never_go_back() {
     for seed in 0..100 {
         block_on_paused(async {
             let members = if seed % 2 == 0 { 3 } else { 5 };
--- a/alderhollow/tests/core_discovery/world.rs
+++ b/alderhollow/tests/core_discovery/world.rs
@@ -14,7 +14,7 @@
 use alderhollow::internal::CallError;
 use alderhollow::settings::reload;
 use alderhollow::SnapshotReceiver;
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::ControlView;
 use oorandom::Rand32;
 use std::cell::{Cell, RefCell};
@@ -563,9 +563,9 @@
         read_seeds(shared, process, &directory);
         let node = NodeInfo {
             node: format!("edge-{process}"),
-            role: Role::Door,
+            role: Role::Gateway,
             zone: "zone-1".into(),
-            life: LifeId(self.random.rand_u32().into()),
+            incarnation: Incarnation(self.random.rand_u32().into()),
             disk: has_disk.then(|| DiskId(u64::from(process))),
             internal: Address(address(process)),
             control: None,
--- a/alderhollow/tests/core_processes.rs
+++ b/alderhollow/tests/core_processes.rs
@@ -1,4 +1,4 @@
-//! Doors as processes: what restarts, planned ends, lost disks and SIGHUP leave of the core.
+//! Gateways as processes: what restarts, planned ends, lost disks and SIGHUP leave of the core.
 
 mod process_support;
 
@@ -9,15 +9,15 @@
 const SERVICE_UNAVAILABLE: u16 = 503;
 
 #[test]
-fn a_configuration_outlives_the_kill_of_all_doors() {
+fn a_configuration_outlives_the_kill_of_all_gateways() {
     run(|mut tier| async move {
         tier.found().await;
         assert_eq!(tier.put_config(1, 4).await, OK);
-        for door in 1..=3 {
-            tier.kill(door);
+        for gateway in 1..=3 {
+            tier.kill(gateway);
         }
-        for door in 1..=3 {
-            tier.start(door, true, false);
+        for gateway in 1..=3 {
+            tier.start(gateway, true, false);
         }
         assert_eq!(tier.config_version().await, Some(4));
         assert_eq!(tier.put_config(4, 7).await, OK);
@@ -58,55 +58,56 @@
 }
 
 #[test]
-fn a_door_reads_its_settings_again_at_sighup_and_goes_on() {
+fn a_gateway_reads_its_settings_again_at_sighup_and_goes_on() {
     run(|mut tier| async move {
         tier.found().await;
         tier.start(4, false, false);
         assert_eq!(tier.config_version().await, Some(1));
-        for door in 1..=4 {
-            tier.until_ready(door).await;
-            tier.hang_up(door);
-            tier.until_logged(door, "the settings are read again").await;
+        for gateway in 1..=4 {
+            tier.until_ready(gateway).await;
+            tier.hang_up(gateway);
+            tier.until_logged(gateway, "the settings are read again")
+                .await;
         }
         assert_eq!(tier.put_config(1, 2).await, OK);
-        assert!((1..=4).all(|door| !tier.has_ended(door)));
+        assert!((1..=4).all(|gateway| !tier.has_ended(gateway)));
     });
 }
 
 #[test]
-fn seeds_that_turned_over_to_doors_without_a_disk_learn_of_the_core_after_all_were_killed() {
+fn seeds_that_turned_over_to_gateways_without_a_disk_learn_of_the_core_after_all_were_killed() {
     run(|mut tier| async move {
         tier.found().await;
-        for door in 4..=6 {
-            tier.start(door, false, false);
+        for gateway in 4..=6 {
+            tier.start(gateway, false, false);
         }
         assert_eq!(tier.put_config(1, 4).await, OK);
-        for door in 1..=6 {
-            tier.kill(door);
+        for gateway in 1..=6 {
+            tier.kill(gateway);
         }
         tier.name_seeds([4, 5, 6]);
-        for door in 1..=6 {
-            tier.start(door, door <= 3, false);
+        for gateway in 1..=6 {
+            tier.start(gateway, gateway <= 3, false);
         }
-        for door in 1..=6 {
-            tier.until_ready(door).await;
+        for gateway in 1..=6 {
+            tier.until_ready(gateway).await;
         }
         assert_eq!(tier.config_version().await, Some(4));
     });
 }
 
-/// Reads that a door finds at its wake, so many of them.
+/// Reads that a gateway finds at its wake, so many of them.
 const READS: usize = 20;
 /// A lease without renewal has ended after this.
 const LEASE: Duration = Duration::from_millis(1_000);
 
-/// Reads that wait for a halted door, and more that come while it wakes: none is answered with an older version.
-async fn wakes_without_an_older_answer(tier: &Tier, door: u8, newest: u64) {
-    let mut reads: Vec<_> = (0..READS).map(|_| tier.begin_read(door)).collect();
+/// Reads that wait for a halted gateway, and more that come while it wakes: none is answered with an older version.
+async fn wakes_without_an_older_answer(tier: &Tier, gateway: u8, newest: u64) {
+    let mut reads: Vec<_> = (0..READS).map(|_| tier.begin_read(gateway)).collect();
     tokio::time::sleep(Duration::from_millis(50)).await;
-    tier.resume(door);
+    tier.resume(gateway);
     for _ in 0..READS {
-        reads.push(tier.begin_read(door));
+        reads.push(tier.begin_read(gateway));
         tokio::time::sleep(Duration::from_millis(5)).await;
     }
     for read in reads {
@@ -135,7 +136,7 @@
 }
 
 #[test]
-fn a_door_without_a_disk_that_stood_still_answers_no_older_configuration_at_its_wake() {
+fn a_gateway_without_a_disk_that_stood_still_answers_no_older_configuration_at_its_wake() {
     run(|mut tier| async move {
         tier.found().await;
         tier.start(4, false, false);
@@ -151,14 +152,14 @@
     run(|mut tier| async move {
         tier.found().await;
         let primary = tier.primary().await;
-        let others: Vec<u8> = (1..=3).filter(|door| *door != primary).collect();
-        others.iter().for_each(|door| tier.pause(*door));
+        let others: Vec<u8> = (1..=3).filter(|gateway| *gateway != primary).collect();
+        others.iter().for_each(|gateway| tier.pause(*gateway));
         tokio::time::sleep(LEASE).await;
         for _ in 0..READS {
             let answer = tier.begin_read(primary).await.expect("a read");
             assert_eq!(answer, ReadAnswer::NotSure(SERVICE_UNAVAILABLE));
         }
-        others.iter().for_each(|door| tier.resume(*door));
+        others.iter().for_each(|gateway| tier.resume(*gateway));
         assert_eq!(tier.config_version().await, Some(1));
         assert_eq!(tier.put_config(1, 2).await, OK);
     });
--- a/alderhollow/tests/distribution.rs
+++ b/alderhollow/tests/distribution.rs
@@ -15,7 +15,7 @@
 use alderhollow::distribution::tables::{Tables, TablesError};
 use alderhollow::distribution::validity::TableValidity;
 use alderhollow_model::backend::{Backend, BackendList, BackendState};
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::{ControlView, Senders};
 use proptest::prelude::*;
 use std::cell::{Cell, RefCell};
@@ -42,9 +42,9 @@
 fn node(name: &str, last: u8) -> NodeInfo {
     NodeInfo {
         node: name.into(),
-        role: Role::Door,
+        role: Role::Gateway,
         zone: "hobart-depot".into(),
-        life: LifeId(u64::from(last)),
+        incarnation: Incarnation(u64::from(last)),
         disk: None,
         internal: Address(address(last)),
         control: None,
--- a/alderhollow/tests/early_answers.rs
+++ b/alderhollow/tests/early_answers.rs
@@ -12,14 +12,14 @@
 use std::rc::Rc;
 use std::sync::Arc;
 use support::client::{ask, Client};
-use support::door::*;
+use support::gateway::*;
 use support::run;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::net::{TcpListener, TcpStream};
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// More than the sockets between door and backend hold.
+/// More than the sockets between gateway and backend hold.
 const BODY_BYTES: usize = 900_000;
 const BODY_LIMIT: u64 = 1_000_000;
 const RECEIVE_BUFFER: usize = 4_096;
@@ -76,10 +76,13 @@
     }
 }
 
-/// A door over this backend alone, that takes long bodies.
-async fn door(backend: SocketAddr) -> Door {
-    let door = Door::start(0).await;
-    let known = snapshot(vec![support::door::backend("b0", Address(backend))], true);
+/// A gateway over this backend alone, that takes long bodies.
+async fn gateway(backend: SocketAddr) -> Gateway {
+    let gateway = Gateway::start(0).await;
+    let known = snapshot(
+        vec![support::gateway::backend("b0", Address(backend))],
+        true,
+    );
     let config = known.control.config.as_ref().expect("a configuration");
     let mut config = Config::clone(config);
     config.limits.max_body_bytes = BODY_LIMIT;
@@ -88,28 +91,28 @@
         config: Some(Arc::new(config)),
         ..Default::default()
     };
-    door.snapshots.send_replace(Arc::new(Snapshot {
+    gateway.snapshots.send_replace(Arc::new(Snapshot {
         control: Arc::new(control),
         ..known
     }));
-    door
+    gateway
 }
 
 #[test]
 fn a_backend_that_answers_early_gets_nothing_else_where_the_rest_of_the_body_is_due() {
     run(async {
         let backend = EarlyBackend::default();
-        let door = door(backend.start().await).await;
+        let gateway = gateway(backend.start().await).await;
         let body: String = (0..BODY_BYTES)
             .map(|place| char::from(b'a' + (place % 23) as u8))
             .collect();
-        let mut client = Client::connect(door.address).await;
+        let mut client = Client::connect(gateway.address).await;
         client.write(&request("/often/1", "", &body)).await;
         let reply = client.reply().await.expect("the early answer");
         assert_eq!((reply.status, reply.body.as_str()), (200, "ok"));
         // The next request comes while the first backend connection still wants the rest of the body.
         assert_eq!(
-            ask(door.address, &request("/often/2", "", "x"))
+            ask(gateway.address, &request("/often/2", "", "x"))
                 .await
                 .status,
             200
@@ -120,9 +123,9 @@
             "a connection whose body is not through carries no other request"
         );
         backend.reads_on.notify_one();
-        // The door's end of all exchanges ends the connections that it keeps.
-        door.running.abort();
-        drop(door);
+        // The gateway's end of all exchanges ends the connections that it keeps.
+        gateway.running.abort();
+        drop(gateway);
         while backend.connections.borrow()[0].is_empty() {
             backend.ended.notified().await;
         }
--- a/alderhollow/tests/founding.rs
+++ b/alderhollow/tests/founding.rs
@@ -2,7 +2,7 @@
 
 use alderhollow::control_plane::founding_check::Prospect;
 use alderhollow::distribution::message::{Answer, CoreMember, CoreView};
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use std::net::SocketAddr;
 
 fn address() -> Address {
@@ -14,7 +14,7 @@
         node: "machine-1".into(),
         role,
         zone: "east".into(),
-        life: LifeId(1),
+        incarnation: Incarnation(1),
         disk: has_disk.then_some(DiskId(7)),
         internal: address(),
         control: Some(address()),
@@ -38,20 +38,20 @@
 
 #[test]
 fn seeds_without_a_disk_cannot_found_the_core() {
-    let doors = [
-        hello(Role::Door, false, CoreView::default()),
-        hello(Role::Door, false, CoreView::default()),
+    let gateways = [
+        hello(Role::Gateway, false, CoreView::default()),
+        hello(Role::Gateway, false, CoreView::default()),
     ];
-    assert_eq!(Prospect::of(&doors), Prospect::Impossible);
+    assert_eq!(Prospect::of(&gateways), Prospect::Impossible);
     let store = [hello(Role::Store, true, CoreView::default())];
     assert_eq!(Prospect::of(&store), Prospect::Impossible);
 }
 
 #[test]
 fn one_seed_that_may_keep_the_core_suffices() {
-    for role in [Role::Door, Role::Core] {
+    for role in [Role::Gateway, Role::Core] {
         let seeds = [
-            hello(Role::Door, false, CoreView::default()),
+            hello(Role::Gateway, false, CoreView::default()),
             hello(role, true, CoreView::default()),
         ];
         assert_eq!(Prospect::of(&seeds), Prospect::Possible);
@@ -61,7 +61,7 @@
 #[test]
 fn a_core_that_a_seed_knows_is_enough() {
     assert_eq!(
-        Prospect::of(&[hello(Role::Door, false, core())]),
+        Prospect::of(&[hello(Role::Gateway, false, core())]),
         Prospect::Possible
     );
 }
@@ -69,7 +69,7 @@
 #[test]
 fn a_seed_that_is_silent_leaves_it_open() {
     assert_eq!(
-        Prospect::of(&[None, hello(Role::Door, false, CoreView::default())]),
+        Prospect::of(&[None, hello(Role::Gateway, false, CoreView::default())]),
         Prospect::Unknown
     );
 }
--- a/alderhollow/tests/group_balance.rs
+++ b/alderhollow/tests/group_balance.rs
@@ -416,7 +416,7 @@
     let member = |at: u64| {
         let disk = DiskId((at % store_count + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15));
         let mut node = store(&format!("storage-{:02}", at % store_count), "north", disk.0);
-        node.life.0 = disk.0.rotate_left(17);
+        node.incarnation.0 = disk.0.rotate_left(17);
         GroupMember { disk, node }
     };
     let group = |at: u64| {
--- a/alderhollow/tests/front.rs
+++ b/alderhollow/tests/http_server.rs
@@ -1,4 +1,4 @@
-//! The front of a door: requests, answers, and what becomes of them when backends fail.
+//! The front of a gateway: requests, answers, and what becomes of them when backends fail.
 
 mod support;
 
@@ -10,33 +10,36 @@
 use std::time::Duration;
 use support::backend::*;
 use support::client::{ask, Client};
-use support::door::*;
+use support::gateway::*;
 use support::run;
 use tokio::time::sleep;
 
 #[test]
 fn no_route_is_404_and_no_validated_table_503() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         assert_eq!(
-            ask(door.address, &request("/none/1", "", "")).await.status,
+            ask(gateway.address, &request("/none/1", "", ""))
+                .await
+                .status,
             404
         );
         assert_eq!(
             ask(
-                door.address,
+                gateway.address,
                 "GET /once/1 HTTP/1.1\r\nHost: other.example\r\n\r\n"
             )
             .await
             .status,
             404
         );
-        door.snapshots
+        gateway
+            .snapshots
             .send_replace(Arc::new(snapshot(Vec::new(), false)));
-        let reply = ask(door.address, &request("/once/1", "", "")).await;
+        let reply = ask(gateway.address, &request("/once/1", "", "")).await;
         assert_eq!(reply.status, 503);
         assert!(reply.header("retry-after").is_some());
-        assert!(door.backends.seen().is_empty());
+        assert!(gateway.backends.seen().is_empty());
     });
 }
 
@@ -45,17 +48,19 @@
     run(async {
         const CONFIG_APPLY: Duration = Duration::from_secs(3_600);
         let (polls, clock) = (PollState::default(), SteadyClock::start());
-        let door = Door::start_with(
+        let gateway = Gateway::start_with(
             1,
             Some(TableValidity::new(polls.clone(), clock, CONFIG_APPLY)),
         )
         .await;
-        let reply = ask(door.address, &request("/none/1", "", "")).await;
+        let reply = ask(gateway.address, &request("/none/1", "", "")).await;
         assert_eq!(reply.status, 503);
         assert!(reply.header("retry-after").is_some());
         polls.note_validated(clock.now_ms());
         assert_eq!(
-            ask(door.address, &request("/none/1", "", "")).await.status,
+            ask(gateway.address, &request("/none/1", "", ""))
+                .await
+                .status,
             404
         );
     });
@@ -64,12 +69,13 @@
 #[test]
 fn who_comes_before_the_first_tables_is_told_to_come_when_the_core_has_a_primary_again() {
     run(async {
-        let door = Door::start(1).await;
-        door.snapshots
+        let gateway = Gateway::start(1).await;
+        gateway
+            .snapshots
             .send_replace(Arc::new(snapshot(Vec::new(), false)));
         let mut told = Vec::new();
         for _ in 0..2 {
-            let reply = ask(door.address, &request("/once/1", "", "x")).await;
+            let reply = ask(gateway.address, &request("/once/1", "", "x")).await;
             assert_eq!(reply.status, 503);
             told.push(
                 reply
@@ -87,46 +93,50 @@
 #[test]
 fn limits_bound_heads_and_bodies() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         let long = "x".repeat(2000);
         let reply = ask(
-            door.address,
+            gateway.address,
             &request("/often/1", &format!("Long: {long}\r\n"), ""),
         )
         .await;
         assert_eq!(reply.status, 431);
-        let reply = ask(door.address, &request("/often/1", "", &"x".repeat(5001))).await;
+        let reply = ask(gateway.address, &request("/often/1", "", &"x".repeat(5001))).await;
         assert_eq!(reply.status, 413);
         let chunked = "POST /often/1 HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: r1\r\n\
                        Transfer-Encoding: chunked\r\n\r\n";
         let body = format!("{:x}\r\n{}\r\n0\r\n\r\n", 5001, "x".repeat(5001));
         assert_eq!(
-            ask(door.address, &format!("{chunked}{body}")).await.status,
+            ask(gateway.address, &format!("{chunked}{body}"))
+                .await
+                .status,
             413
         );
-        assert!(door.backends.seen().is_empty());
-        door.backends.script(served("ok"));
+        assert!(gateway.backends.seen().is_empty());
+        gateway.backends.script(served("ok"));
         let body = format!("{:x}\r\n{}\r\n0\r\n\r\n", 5000, "x".repeat(5000));
         assert_eq!(
-            ask(door.address, &format!("{chunked}{body}")).await.status,
+            ask(gateway.address, &format!("{chunked}{body}"))
+                .await
+                .status,
             200
         );
-        assert_eq!(door.backends.seen()[0].body.len(), 5000);
+        assert_eq!(gateway.backends.seen()[0].body.len(), 5000);
     });
 }
 
 #[test]
 fn a_request_and_its_answer_go_on_unchanged_but_for_their_connections() {
     run(async {
-        let door = Door::start(1).await;
-        door.backends.script(answer(
+        let gateway = Gateway::start(1).await;
+        gateway.backends.script(answer(
             "200 OK",
             "Response-Seal: s9\r\nVersions: 4\r\nKeep-Alive: timeout=5\r\nConnection: X-Hop\r\nX-Hop: 1\r\n",
             "the bytes",
         ));
         let headers = "Model: m\r\nConnection: X-Mine\r\nX-Mine: 1\r\nTE: trailers\r\n";
         let reply = ask(
-            door.address,
+            gateway.address,
             &request("/often/a%20b/../c?q=1&r=%2F", headers, "in"),
         )
         .await;
@@ -144,7 +154,7 @@
         for name in ["x-hop", "keep-alive", "connection"] {
             assert_eq!(reply.header(name), None, "{name}");
         }
-        let seen = &door.backends.seen()[0];
+        let seen = &gateway.backends.seen()[0];
         assert!(
             seen.head
                 .starts_with("POST /often/a%20b/../c?q=1&r=%2F HTTP/1.1\r\n"),
@@ -176,11 +186,11 @@
 #[test]
 fn the_routes_timeout_bounds_the_clients_deadline() {
     run(async {
-        let door = Door::start(1).await;
-        door.backends.script(served("ok"));
+        let gateway = Gateway::start(1).await;
+        gateway.backends.script(served("ok"));
         let request = request("/once/1", "", "").replace("Deadline-Ms: 2500", "Deadline-Ms: 60000");
-        assert_eq!(ask(door.address, &request).await.status, 200);
-        let left: u64 = door.backends.seen()[0]
+        assert_eq!(ask(gateway.address, &request).await.status, 200);
+        let left: u64 = gateway.backends.seen()[0]
             .header("deadline-ms")
             .expect("one")
             .parse()
@@ -193,14 +203,18 @@
 fn a_second_attempt_is_handed_what_is_left_of_the_time() {
     run(async {
         const LOST: Duration = Duration::from_millis(700);
-        let door = Door::start(2).await;
-        door.backends.script(vec![Step::Pause(LOST), Step::Reset]);
-        door.backends.script(served("ok"));
+        let gateway = Gateway::start(2).await;
+        gateway
+            .backends
+            .script(vec![Step::Pause(LOST), Step::Reset]);
+        gateway.backends.script(served("ok"));
         assert_eq!(
-            ask(door.address, &request("/often/1", "", "x")).await.body,
+            ask(gateway.address, &request("/often/1", "", "x"))
+                .await
+                .body,
             "ok"
         );
-        let handed: Vec<u64> = door.backends.seen().iter().map(deadline_of).collect();
+        let handed: Vec<u64> = gateway.backends.seen().iter().map(deadline_of).collect();
         assert_eq!(handed.len(), 2);
         assert!(handed[0] <= 2_500, "{handed:?}");
         let left = handed[0] - LOST.as_millis() as u64;
@@ -219,12 +233,12 @@
 fn what_was_not_executed_goes_to_another_backend() {
     run(async {
         for path in ["/once/1", "/often/1", "/tokens/1"] {
-            let door = Door::start(2).await;
-            door.backends.script(declined());
-            door.backends.script(served("ok"));
-            let reply = ask(door.address, &request(path, "", "x")).await;
+            let gateway = Gateway::start(2).await;
+            gateway.backends.script(declined());
+            gateway.backends.script(served("ok"));
+            let reply = ask(gateway.address, &request(path, "", "x")).await;
             assert_eq!((reply.status, reply.body.as_str()), (200, "ok"));
-            let seen = door.backends.seen();
+            let seen = gateway.backends.seen();
             assert_ne!(seen[0].backend, seen[1].backend);
         }
     });
@@ -233,11 +247,12 @@
 #[test]
 fn what_no_backend_takes_is_refused_with_a_time_to_come_again() {
     run(async {
-        let door = Door::start(2).await;
-        door.backends.script(declined());
-        door.backends
+        let gateway = Gateway::start(2).await;
+        gateway.backends.script(declined());
+        gateway
+            .backends
             .script(answer("421 Misdirected Request", "", ""));
-        let reply = ask(door.address, &request("/once/1", "", "x")).await;
+        let reply = ask(gateway.address, &request("/once/1", "", "x")).await;
         assert_eq!(reply.status, 503);
         let pause: f64 = reply
             .header("retry-after")
@@ -246,22 +261,24 @@
             .expect("seconds");
         assert!(pause > 0.0 && pause < 1.0);
         assert_eq!(reply.header("response-seal"), None);
-        assert_eq!(door.backends.seen().len(), 2);
+        assert_eq!(gateway.backends.seen().len(), 2);
     });
 }
 
 #[test]
 fn another_instance_at_the_address_is_left() {
     run(async {
-        let door = Door::start(2).await;
-        door.backends.script(answer(
+        let gateway = Gateway::start(2).await;
+        gateway.backends.script(answer(
             "421 Misdirected Request",
             "Instance-Id: i-1\r\n",
             "",
         ));
-        door.backends.script(served("ok"));
+        gateway.backends.script(served("ok"));
         assert_eq!(
-            ask(door.address, &request("/once/1", "", "x")).await.status,
+            ask(gateway.address, &request("/once/1", "", "x"))
+                .await
+                .status,
             200
         );
     });
@@ -275,17 +292,21 @@
                 "HTTP/1.1 200 OK\r\nRequest-Id: r0\r\nResponse-Seal: s\r\nContent-Length: 3\r\n\r\nold";
             vec![Step::Write(text.into())]
         };
-        let door = Door::start(2).await;
-        door.backends.script(foreign());
+        let gateway = Gateway::start(2).await;
+        gateway.backends.script(foreign());
         assert_eq!(
-            ask(door.address, &request("/once/1", "", "x")).await.status,
+            ask(gateway.address, &request("/once/1", "", "x"))
+                .await
+                .status,
             502
         );
-        assert_eq!(door.backends.seen().len(), 1);
-        door.backends.script(foreign());
-        door.backends.script(served("new"));
+        assert_eq!(gateway.backends.seen().len(), 1);
+        gateway.backends.script(foreign());
+        gateway.backends.script(served("new"));
         assert_eq!(
-            ask(door.address, &request("/often/1", "", "x")).await.body,
+            ask(gateway.address, &request("/often/1", "", "x"))
+                .await
+                .body,
             "new"
         );
     });
@@ -294,64 +315,76 @@
 #[test]
 fn a_connection_that_holds_a_surplus_answer_carries_no_further_request() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         let mut twice = served("first");
         twice.extend(served("surplus"));
-        door.backends.script(twice);
+        gateway.backends.script(twice);
         assert_eq!(
-            ask(door.address, &request("/once/1", "", "x")).await.body,
+            ask(gateway.address, &request("/once/1", "", "x"))
+                .await
+                .body,
             "first"
         );
         tokio::time::sleep(Duration::from_millis(50)).await;
-        door.backends.script(served("second"));
+        gateway.backends.script(served("second"));
         assert_eq!(
-            ask(door.address, &request("/once/2", "", "x")).await.body,
+            ask(gateway.address, &request("/once/2", "", "x"))
+                .await
+                .body,
             "second"
         );
-        assert_eq!(door.backends.accepted.get(), 2);
+        assert_eq!(gateway.backends.accepted.get(), 2);
     });
 }
 
 #[test]
 fn a_connection_that_has_rested_is_used_again_unless_the_backend_closes_it() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         for _ in 0..3 {
-            door.backends.script(served("ok"));
+            gateway.backends.script(served("ok"));
             assert_eq!(
-                ask(door.address, &request("/once/1", "", "x")).await.status,
+                ask(gateway.address, &request("/once/1", "", "x"))
+                    .await
+                    .status,
                 200
             );
             tokio::time::sleep(Duration::from_millis(50)).await;
         }
-        assert_eq!(door.backends.accepted.get(), 1);
-        door.backends.script(answer(
+        assert_eq!(gateway.backends.accepted.get(), 1);
+        gateway.backends.script(answer(
             "200 OK",
             "Response-Seal: s\r\nConnection: close\r\n",
             "ok",
         ));
         assert_eq!(
-            ask(door.address, &request("/once/1", "", "x")).await.status,
+            ask(gateway.address, &request("/once/1", "", "x"))
+                .await
+                .status,
             200
         );
         tokio::time::sleep(Duration::from_millis(50)).await;
-        door.backends.script(answer(
+        gateway.backends.script(answer(
             "200 OK",
             "Response-Seal: s\r\nKeep-Alive: timeout=1\r\n",
             "ok",
         ));
         assert_eq!(
-            ask(door.address, &request("/once/1", "", "x")).await.status,
+            ask(gateway.address, &request("/once/1", "", "x"))
+                .await
+                .status,
             200
         );
-        assert_eq!(door.backends.accepted.get(), 2);
+        assert_eq!(gateway.backends.accepted.get(), 2);
         tokio::time::sleep(Duration::from_millis(900)).await;
-        door.backends.script(served("ok"));
+        gateway.backends.script(served("ok"));
         assert_eq!(
-            ask(door.address, &request("/once/1", "", "x")).await.status,
+            ask(gateway.address, &request("/once/1", "", "x"))
+                .await
+                .status,
             200
         );
-        assert_eq!(door.backends.accepted.get(), 3);
+        assert_eq!(gateway.backends.accepted.get(), 3);
     });
 }
 
@@ -370,28 +403,32 @@
             ],
         ];
         for cut in cuts {
-            let door = Door::start(3).await;
-            door.backends.script(cut.clone());
+            let gateway = Gateway::start(3).await;
+            gateway.backends.script(cut.clone());
             assert_eq!(
-                ask(door.address, &request("/once/1", "", "x")).await.status,
+                ask(gateway.address, &request("/once/1", "", "x"))
+                    .await
+                    .status,
                 502
             );
-            assert_eq!(door.backends.seen().len(), 1);
-            door.backends.script(cut.clone());
-            door.backends.script(served("ok"));
+            assert_eq!(gateway.backends.seen().len(), 1);
+            gateway.backends.script(cut.clone());
+            gateway.backends.script(served("ok"));
             assert_eq!(
-                ask(door.address, &request("/often/1", "", "x")).await.body,
+                ask(gateway.address, &request("/often/1", "", "x"))
+                    .await
+                    .body,
                 "ok"
             );
-            door.backends.script(cut.clone());
-            door.backends.script(cut.clone());
+            gateway.backends.script(cut.clone());
+            gateway.backends.script(cut.clone());
             assert_eq!(
-                ask(door.address, &request("/often/1", "", "x"))
+                ask(gateway.address, &request("/often/1", "", "x"))
                     .await
                     .status,
                 502
             );
-            assert_eq!(door.backends.seen().len(), 5, "two backends at most");
+            assert_eq!(gateway.backends.seen().len(), 5, "two backends at most");
         }
     });
 }
@@ -400,23 +437,23 @@
 fn a_failure_that_ran_passes_unchanged_once_no_other_backend_may_run_it() {
     run(async {
         let failed = || answer("500 Internal Server Error", "Response-Seal: s5\r\n", "why");
-        let door = Door::start(3).await;
-        door.backends.script(failed());
-        let reply = ask(door.address, &request("/once/1", "", "x")).await;
+        let gateway = Gateway::start(3).await;
+        gateway.backends.script(failed());
+        let reply = ask(gateway.address, &request("/once/1", "", "x")).await;
         assert_eq!((reply.status, reply.body.as_str()), (500, "why"));
         assert_eq!(reply.header("response-seal").as_deref(), Some("s5"));
-        door.backends.script(failed());
-        door.backends.script(served("ok"));
+        gateway.backends.script(failed());
+        gateway.backends.script(served("ok"));
         assert_eq!(
-            ask(door.address, &request("/often/1", "", "x"))
+            ask(gateway.address, &request("/often/1", "", "x"))
                 .await
                 .status,
             200
         );
-        door.backends.script(failed());
-        door.backends.script(vec![Step::Reset]);
+        gateway.backends.script(failed());
+        gateway.backends.script(vec![Step::Reset]);
         assert_eq!(
-            ask(door.address, &request("/often/1", "", "x"))
+            ask(gateway.address, &request("/often/1", "", "x"))
                 .await
                 .status,
             500
@@ -446,9 +483,9 @@
             ),
         ];
         for answer in answers {
-            let door = Door::start(2).await;
-            door.backends.script(answer);
-            let reply = ask(door.address, &request("/once/1", "", "x")).await;
+            let gateway = Gateway::start(2).await;
+            gateway.backends.script(answer);
+            let reply = ask(gateway.address, &request("/once/1", "", "x")).await;
             assert_eq!((reply.status, reply.header("response-seal")), (502, None));
         }
     });
@@ -457,20 +494,20 @@
 #[test]
 fn a_long_answer_passes_as_it_comes_and_an_early_end_is_seen() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         let long = "y".repeat(200_000);
-        door.backends.script(served(&long));
-        let reply = ask(door.address, &request("/once/1", "", "x")).await;
+        gateway.backends.script(served(&long));
+        let reply = ask(gateway.address, &request("/once/1", "", "x")).await;
         assert_eq!((reply.body.len(), reply.whole), (200_000, true));
         let head =
             "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: s\r\nContent-Length: 200000\r\n\r\n";
-        door.backends.script(vec![
+        gateway.backends.script(vec![
             Step::Write(format!("{head}{}", &long[..150_000])),
             Step::Close,
         ]);
-        let reply = ask(door.address, &request("/often/1", "", "x")).await;
+        let reply = ask(gateway.address, &request("/often/1", "", "x")).await;
         assert_eq!((reply.status, reply.whole), (200, false));
-        assert_eq!(door.backends.seen().len(), 2);
+        assert_eq!(gateway.backends.seen().len(), 2);
     });
 }
 
@@ -483,7 +520,7 @@
         use alderhollow::exchange::Unanswered;
         use hyper::header::{HeaderMap, HeaderValue};
 
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         let wanted = Wanted {
             service: "plain",
             prompt: None,
@@ -498,29 +535,31 @@
         // Once over a connection that is opened for it, once over one that has rested.
         for warm in [false, true] {
             if warm {
-                door.list(|list| {
+                gateway.list(|list| {
                     list.iter_mut()
                         .for_each(|one| one.state = alderhollow_model::backend::BackendState::Ready)
                 });
-                door.backends.script(served("ok"));
+                gateway.backends.script(served("ok"));
                 assert_eq!(
-                    ask(door.address, &request("/once/1", "", "x")).await.status,
+                    ask(gateway.address, &request("/once/1", "", "x"))
+                        .await
+                        .status,
                     200
                 );
                 tokio::time::sleep(Duration::from_millis(50)).await;
             }
-            let before = door.backends.seen().len();
-            let attempt = door.exchange.choose(&wanted).expect("a backend");
+            let before = gateway.backends.seen().len();
+            let attempt = gateway.exchange.choose(&wanted).expect("a backend");
             let patience = Patience::until(tokio::time::Instant::now() + Duration::from_secs(1));
             if warm {
-                door.drain_all();
+                gateway.drain_all();
             }
             let (sent, ()) = tokio::join!(
-                door.exchange.send(attempt, &outbound, None, &patience),
-                async { door.drain_all() }
+                gateway.exchange.send(attempt, &outbound, None, &patience),
+                async { gateway.drain_all() }
             );
             assert_eq!(sent.err(), Some(Unanswered::NotRun(Outcome::Cancelled)));
-            assert_eq!(door.backends.seen().len(), before);
+            assert_eq!(gateway.backends.seen().len(), before);
         }
     });
 }
@@ -528,25 +567,31 @@
 #[test]
 fn a_new_start_of_a_backend_gets_a_new_connection() {
     run(async {
-        let door = Door::start(1).await;
-        door.backends.script(served("ok"));
+        let gateway = Gateway::start(1).await;
+        gateway.backends.script(served("ok"));
         assert_eq!(
-            ask(door.address, &request("/once/1", "", "x")).await.status,
+            ask(gateway.address, &request("/once/1", "", "x"))
+                .await
+                .status,
             200
         );
         tokio::time::sleep(Duration::from_millis(50)).await;
-        door.list(|list| {
+        gateway.list(|list| {
             list.iter_mut()
                 .for_each(|backend| backend.id = "b0-again".into())
         });
-        door.backends.script(served("ok"));
+        gateway.backends.script(served("ok"));
         assert_eq!(
-            ask(door.address, &request("/once/1", "", "x")).await.status,
+            ask(gateway.address, &request("/once/1", "", "x"))
+                .await
+                .status,
             200
         );
-        assert_eq!(door.backends.accepted.get(), 2);
+        assert_eq!(gateway.backends.accepted.get(), 2);
         assert_eq!(
-            door.backends.seen()[1].header("target-instance").as_deref(),
+            gateway.backends.seen()[1]
+                .header("target-instance")
+                .as_deref(),
             Some("b0-again")
         );
     });
@@ -562,15 +607,15 @@
                 vec![stream_head("s1"), chunk(&event(1)), Step::Hang],
             ),
         ] {
-            let door = Door::start(1).await;
+            let gateway = Gateway::start(1).await;
             let begins = steps.len() > 1;
-            door.backends.script(steps);
-            let mut client = Client::connect(door.address).await;
+            gateway.backends.script(steps);
+            let mut client = Client::connect(gateway.address).await;
             client.write(&request(path, "", "x")).await;
             if begins {
                 client.read_until("text 1").await;
             } else {
-                while door.backends.seen().is_empty() {
+                while gateway.backends.seen().is_empty() {
                     tokio::task::yield_now().await;
                 }
             }
@@ -578,7 +623,7 @@
             for _ in 0..100 {
                 tokio::task::yield_now().await;
             }
-            assert_eq!(door.backends.left.get(), 1, "{path}");
+            assert_eq!(gateway.backends.left.get(), 1, "{path}");
         }
     });
 }
@@ -586,11 +631,13 @@
 #[test]
 fn a_request_whose_backend_says_nothing_is_answered_at_its_deadline() {
     run(async {
-        let door = Door::start(2).await;
-        door.backends.script(vec![Step::Hang]);
+        let gateway = Gateway::start(2).await;
+        gateway.backends.script(vec![Step::Hang]);
         let began = tokio::time::Instant::now();
         assert_eq!(
-            ask(door.address, &request("/once/1", "", "x")).await.status,
+            ask(gateway.address, &request("/once/1", "", "x"))
+                .await
+                .status,
             504
         );
         assert!(
@@ -598,20 +645,20 @@
             "{:?}",
             began.elapsed()
         );
-        assert_eq!(door.backends.seen().len(), 1);
+        assert_eq!(gateway.backends.seen().len(), 1);
     });
 }
 
 #[test]
 fn a_client_that_reads_no_more_holds_no_backend_beyond_its_deadline() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         // More than all buffers on the way hold.
-        door.backends.script(served(&"y".repeat(64 << 20)));
-        let mut client = Client::connect(door.address).await;
+        gateway.backends.script(served(&"y".repeat(64 << 20)));
+        let mut client = Client::connect(gateway.address).await;
         let began = tokio::time::Instant::now();
         client.write(&request("/once/1", "", "x")).await;
-        while door.backends.left.get() == 0 {
+        while gateway.backends.left.get() == 0 {
             tokio::time::sleep(Duration::from_millis(50)).await;
             assert!(began.elapsed() < Duration::from_secs(4));
         }
@@ -622,7 +669,7 @@
 #[test]
 fn calls_about_batch_jobs_go_to_their_endpoints() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         let get = |path: &str| format!("GET {path} HTTP/1.1\r\nHost: shop.example\r\n\r\n");
         let calls = [
             request("/jobs/1", "", "{}"),
@@ -630,20 +677,20 @@
             get("/alderhollow/items/j1?id=i1"),
         ];
         for call in calls {
-            let reply = ask(door.address, &call).await;
+            let reply = ask(gateway.address, &call).await;
             assert_eq!(reply.status, 503);
             assert!(reply.header("retry-after").is_some());
         }
-        assert_eq!(ask(door.address, &get("/jobs/1")).await.status, 404);
+        assert_eq!(ask(gateway.address, &get("/jobs/1")).await.status, 404);
     });
 }
 
 #[test]
-fn the_parts_of_a_split_get_their_shares_of_a_doors_requests() {
+fn the_parts_of_a_split_get_their_shares_of_a_gateways_requests() {
     run(async {
         const REQUESTS: usize = 300;
-        let door = Door::start(2).await;
-        let mut snapshot = (**door.snapshots.borrow()).clone();
+        let gateway = Gateway::start(2).await;
+        let mut snapshot = (**gateway.snapshots.borrow()).clone();
         let mut config = (**snapshot.control.config.as_ref().expect("a configuration")).clone();
         let parts = serde_json::json!([{"service": "plain", "weight": 70}, {"service": "other", "weight": 30}]);
         config.routes[0].service = None;
@@ -659,11 +706,11 @@
             ..Default::default()
         };
         (snapshot.control, snapshot.backends) = (Arc::new(control), Arc::new(backends));
-        door.snapshots.send_replace(Arc::new(snapshot));
-        let mut client = Client::connect(door.address).await;
+        gateway.snapshots.send_replace(Arc::new(snapshot));
+        let mut client = Client::connect(gateway.address).await;
         for number in 0..REQUESTS {
             // A part that answers 503 is left for no other part.
-            door.backends.script(if number % 10 == 0 {
+            gateway.backends.script(if number % 10 == 0 {
                 declined()
             } else {
                 served("ok")
@@ -671,7 +718,7 @@
             client.write(&request("/once/1", "", "x")).await;
             assert!(client.reply().await.is_some());
         }
-        let seen = door.backends.seen();
+        let seen = gateway.backends.seen();
         let of_other = seen.iter().filter(|seen| seen.backend == "b1").count();
         assert_eq!(seen.len(), REQUESTS);
         assert!(
--- a/alderhollow/tests/inspection.rs
+++ b/alderhollow/tests/inspection.rs
@@ -7,7 +7,7 @@
 };
 use alderhollow_batch::job::{Item, ItemRequest, ItemResult, JobId, NewJob, ResultState};
 use alderhollow_batch::records::Entry;
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::{GroupId, Placer};
 use alderhollow_storage::{FolderDisk, Journal};
 use std::collections::BTreeMap;
@@ -168,7 +168,7 @@
             node: "machine-1".into(),
             role,
             zone: "east".into(),
-            life: LifeId(0x77),
+            incarnation: Incarnation(0x77),
             disk: Some(DiskId(IDENTITY)),
             internal: address(1, 7660),
             control: None,
@@ -214,8 +214,8 @@
 }
 
 #[test]
-fn the_status_of_a_door_names_its_part_in_the_core() {
-    let mut report = report(Role::Door);
+fn the_status_of_a_gateway_names_its_part_in_the_core() {
+    let mut report = report(Role::Gateway);
     report.core = Some(CoreStatus {
         role: CoreRole::Primary,
         epoch: 2,
@@ -226,8 +226,8 @@
 }
 
 #[test]
-fn the_status_of_a_door_without_tables_says_so() {
-    let mut report = report(Role::Door);
+fn the_status_of_a_gateway_without_tables_says_so() {
+    let mut report = report(Role::Gateway);
     report.node.disk = None;
     report.core_view = CoreView::default();
     report.tables = TablesStatus::default();
@@ -281,7 +281,7 @@
 
 #[test]
 fn a_status_report_survives_its_encoding() {
-    let mut report = report(Role::Door);
+    let mut report = report(Role::Gateway);
     report.core = Some(CoreStatus {
         role: CoreRole::Candidate,
         epoch: 2,
--- a/alderhollow/tests/kept_connections.rs
+++ b/alderhollow/tests/kept_connections.rs
@@ -2,29 +2,29 @@
 
 mod support;
 
-use alderhollow::front::phase::Phase;
+use alderhollow::http_server::phase::Phase;
 use alderhollow_model::config::Limits;
 use alderhollow_model::snapshot::{ControlView, Snapshot};
 use std::sync::Arc;
 use std::time::Duration;
 use support::backend::*;
 use support::client::Client;
-use support::door::*;
+use support::gateway::*;
 use support::run;
 use tokio::time::{sleep, Instant};
 
-/// As in the configuration of the tests' door.
+/// As in the configuration of the tests' gateway.
 const IDLE: Duration = Duration::from_secs(15);
 const HEADER: Duration = Duration::from_secs(3);
 /// Moments around a close: before it by so many milliseconds, or after it.
 const AROUND_MS: std::ops::RangeInclusive<i64> = -4..=4;
 
 /// A client that has had one answer on its connection.
-async fn kept(door: &Door) -> Client {
-    let mut client = Client::connect(door.address).await;
+async fn kept(gateway: &Gateway) -> Client {
+    let mut client = Client::connect(gateway.address).await;
     // Of a request that was not passed on.
-    door.backends.drop_scripts();
-    door.backends.script(served("first"));
+    gateway.backends.drop_scripts();
+    gateway.backends.script(served("first"));
     client.write(&named("first")).await;
     assert_eq!(client.reply().await.expect("an answer").body, "first");
     client
@@ -45,17 +45,18 @@
 }
 
 /// Whether a request was passed on.
-fn passed_on(door: &Door, id: &str) -> bool {
-    door.backends
+fn passed_on(gateway: &Gateway, id: &str) -> bool {
+    gateway
+        .backends
         .seen()
         .iter()
         .any(|seen| seen.header("request-id").as_deref() == Some(id))
 }
 
 /// Checks that the request `id` was answered if it was passed on, and whether it was.
-async fn answered_if_passed_on(door: &Door, client: &mut Client, id: &str) -> bool {
+async fn answered_if_passed_on(gateway: &Gateway, client: &mut Client, id: &str) -> bool {
     let reply = client.reply().await;
-    if passed_on(door, id) {
+    if passed_on(gateway, id) {
         let reply = reply.unwrap_or_else(|| {
             panic!("{id} was passed on and its connection closed without an answer")
         });
@@ -65,8 +66,8 @@
     false
 }
 
-fn with_limits(door: &Door, limits: Limits) {
-    let before = door.snapshots.borrow().clone();
+fn with_limits(gateway: &Gateway, limits: Limits) {
+    let before = gateway.snapshots.borrow().clone();
     let mut config = (**before.control.config.as_ref().expect("a configuration")).clone();
     config.config_version += 1;
     config.limits = limits;
@@ -75,7 +76,7 @@
         config: Some(Arc::new(config)),
         ..Default::default()
     };
-    door.snapshots.send_replace(Arc::new(Snapshot {
+    gateway.snapshots.send_replace(Arc::new(Snapshot {
         control: Arc::new(control),
         ..(*before).clone()
     }));
@@ -84,15 +85,15 @@
 #[test]
 fn a_request_that_meets_the_idle_timeout_is_answered_or_not_passed_on() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         let mut reached = 0;
         for by_ms in AROUND_MS {
-            let mut client = kept(&door).await;
+            let mut client = kept(&gateway).await;
             sleep(shifted(IDLE, by_ms)).await;
-            door.backends.script(served("second"));
+            gateway.backends.script(served("second"));
             let id = format!("idle{by_ms}");
             client.offer(&named(&id)).await;
-            let was_passed_on = answered_if_passed_on(&door, &mut client, &id).await;
+            let was_passed_on = answered_if_passed_on(&gateway, &mut client, &id).await;
             assert!(
                 was_passed_on || by_ms >= 0,
                 "{by_ms} ms: closed before its time"
@@ -109,17 +110,17 @@
 #[test]
 fn a_head_that_meets_the_header_timeout_is_answered_or_not_passed_on() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         let mut reached = 0;
         for by_ms in AROUND_MS {
-            let mut client = kept(&door).await;
+            let mut client = kept(&gateway).await;
             let id = format!("head{by_ms}");
             let text = named(&id);
             client.write(&text[..40]).await;
             sleep(shifted(HEADER, by_ms)).await;
-            door.backends.script(served("second"));
+            gateway.backends.script(served("second"));
             client.offer(&text[40..]).await;
-            reached += u32::from(answered_if_passed_on(&door, &mut client, &id).await);
+            reached += u32::from(answered_if_passed_on(&gateway, &mut client, &id).await);
         }
         assert!(
             (4..9).contains(&reached),
@@ -131,8 +132,8 @@
 #[test]
 fn the_time_for_a_head_holds_on_a_kept_connection_too() {
     run(async {
-        let door = Door::start(1).await;
-        let mut client = kept(&door).await;
+        let gateway = Gateway::start(1).await;
+        let mut client = kept(&gateway).await;
         sleep(Duration::from_secs(1)).await;
         client.write(&named("half")[..40]).await;
         let began = Instant::now();
@@ -148,35 +149,35 @@
 #[test]
 fn a_body_that_does_not_come_is_not_passed_on() {
     run(async {
-        let door = Door::start(1).await;
-        let mut client = kept(&door).await;
+        let gateway = Gateway::start(1).await;
+        let mut client = kept(&gateway).await;
         let text =
             request("/once/x", "", "0123456789").replace("Request-Id: r1", "Request-Id: stalled");
         client.write(&text[..text.len() - 5]).await;
         assert_eq!(client.reply().await.expect("an answer").status, 408);
-        assert!(!passed_on(&door, "stalled"));
+        assert!(!passed_on(&gateway, "stalled"));
     });
 }
 
 #[test]
 fn requests_that_meet_the_start_of_leaving_are_answered_or_not_passed_on() {
     for by_ms in AROUND_MS {
-        // Each door leaves once.
+        // Each gateway leaves once.
         run(async {
-            let door = Door::start(1).await;
-            let mut client = kept(&door).await;
+            let gateway = Gateway::start(1).await;
+            let mut client = kept(&gateway).await;
             let begun = Instant::now();
             let at = begun + Duration::from_millis(20);
             let leave = async {
                 tokio::time::sleep_until(at).await;
-                door.phase.send_replace(Phase::Leaving);
+                gateway.phase.send_replace(Phase::Leaving);
             };
             let id = format!("leave{by_ms}");
-            door.backends.script(served("second"));
+            gateway.backends.script(served("second"));
             let ask = async {
                 tokio::time::sleep_until(begun + shifted(Duration::from_millis(20), by_ms)).await;
                 client.offer(&named(&id)).await;
-                answered_if_passed_on(&door, &mut client, &id).await
+                answered_if_passed_on(&gateway, &mut client, &id).await
             };
             // Whoever is polled first acts first in the same moment.
             let was_passed_on = tokio::join!(ask, leave).0;
@@ -191,31 +192,31 @@
 #[test]
 fn limits_that_change_cut_no_kept_connection_with_a_request_on_it() {
     run(async {
-        let door = Door::start(1).await;
-        let mut busy = kept(&door).await;
-        let mut idle = kept(&door).await;
+        let gateway = Gateway::start(1).await;
+        let mut busy = kept(&gateway).await;
+        let mut idle = kept(&gateway).await;
         let mut steps = vec![Step::Pause(Duration::from_millis(1_500))];
         steps.extend(served("busy"));
-        door.backends.script(steps);
+        gateway.backends.script(steps);
         busy.write(&named("busy")).await;
-        while !passed_on(&door, "busy") {
+        while !passed_on(&gateway, "busy") {
             tokio::task::yield_now().await;
         }
         let short = Limits {
             header_timeout_ms: 50,
             idle_timeout_ms: 50,
-            ..door_limits(&door)
+            ..gateway_limits(&gateway)
         };
-        with_limits(&door, short);
-        assert!(answered_if_passed_on(&door, &mut busy, "busy").await);
-        door.backends.script(served("idle"));
+        with_limits(&gateway, short);
+        assert!(answered_if_passed_on(&gateway, &mut busy, "busy").await);
+        gateway.backends.script(served("idle"));
         idle.offer(&named("idle")).await;
-        answered_if_passed_on(&door, &mut idle, "idle").await;
+        answered_if_passed_on(&gateway, &mut idle, "idle").await;
     });
 }
 
-fn door_limits(door: &Door) -> Limits {
-    let snapshot = door.snapshots.borrow();
+fn gateway_limits(gateway: &Gateway) -> Limits {
+    let snapshot = gateway.snapshots.borrow();
     snapshot
         .control
         .config
@@ -228,29 +229,29 @@
 #[test]
 fn a_request_behind_another_on_a_connection_that_closes_is_answered_or_not_passed_on() {
     run(async {
-        let door = Door::start(1).await;
-        let mut client = kept(&door).await;
+        let gateway = Gateway::start(1).await;
+        let mut client = kept(&gateway).await;
         let mut steps = vec![Step::Pause(Duration::from_millis(200))];
         steps.extend(served("before"));
-        door.backends.script(steps);
-        door.backends.script(served("behind"));
+        gateway.backends.script(steps);
+        gateway.backends.script(served("behind"));
         client.write(&(named("before") + &named("behind"))).await;
-        while !passed_on(&door, "before") {
+        while !passed_on(&gateway, "before") {
             tokio::task::yield_now().await;
         }
-        door.phase.send_replace(Phase::Leaving);
-        assert!(answered_if_passed_on(&door, &mut client, "before").await);
-        answered_if_passed_on(&door, &mut client, "behind").await;
+        gateway.phase.send_replace(Phase::Leaving);
+        assert!(answered_if_passed_on(&gateway, &mut client, "before").await);
+        answered_if_passed_on(&gateway, &mut client, "behind").await;
     });
 }
 
 #[test]
 fn a_request_without_an_answer_at_the_end_of_the_time_for_leaving_gets_one() {
     run(async {
-        let door = Door::start(1).await;
-        let mut client = kept(&door).await;
-        door.backends.script(vec![Step::Hang]);
-        let config = door.snapshots.borrow().clone();
+        let gateway = Gateway::start(1).await;
+        let mut client = kept(&gateway).await;
+        gateway.backends.script(vec![Step::Hang]);
+        let config = gateway.snapshots.borrow().clone();
         let mut longer = (**config.control.config.as_ref().expect("a configuration")).clone();
         longer
             .routes
@@ -261,18 +262,18 @@
             config: Some(Arc::new(longer)),
             ..Default::default()
         };
-        door.snapshots.send_replace(Arc::new(Snapshot {
+        gateway.snapshots.send_replace(Arc::new(Snapshot {
             control: Arc::new(control),
             ..(*config).clone()
         }));
         client
             .write(&named("long").replace("Deadline-Ms: 2500", "Deadline-Ms: 50000"))
             .await;
-        while !passed_on(&door, "long") {
+        while !passed_on(&gateway, "long") {
             tokio::task::yield_now().await;
         }
         let began = Instant::now();
-        door.phase.send_replace(Phase::Leaving);
+        gateway.phase.send_replace(Phase::Leaving);
         let reply = client
             .reply()
             .await
@@ -282,7 +283,7 @@
             (504, Some("close"))
         );
         assert!(client.ends().await);
-        door.running.await.expect("it ends");
+        gateway.running.await.expect("it ends");
         assert!(began.elapsed() <= GRACE, "{:?}", began.elapsed());
     });
 }
--- a/alderhollow/tests/leaving.rs
+++ b/alderhollow/tests/leaving.rs
@@ -1,40 +1,40 @@
-//! How the front of a door ends.
+//! How the front of a gateway ends.
 
 mod support;
 
-use alderhollow::front::phase::Phase;
+use alderhollow::http_server::phase::Phase;
 use std::time::Duration;
 use support::backend::*;
 use support::client::{ask, Client};
-use support::door::*;
+use support::gateway::*;
 use support::run;
 use tokio::time::{sleep, Instant};
 
 #[test]
 fn who_is_served_or_half_read_is_answered_and_who_is_idle_sent_off() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         let pause = Step::Pause(Duration::from_millis(1000));
-        let mut busy = Client::connect(door.address).await;
+        let mut busy = Client::connect(gateway.address).await;
         let mut steps = vec![pause];
         steps.extend(served("busy"));
-        door.backends.script(steps);
+        gateway.backends.script(steps);
         busy.write(&request("/once/busy", "", "x")).await;
-        while door.backends.seen().is_empty() {
+        while gateway.backends.seen().is_empty() {
             tokio::task::yield_now().await;
         }
-        let mut idle = Client::connect(door.address).await;
-        door.backends.script(served("idle"));
+        let mut idle = Client::connect(gateway.address).await;
+        gateway.backends.script(served("idle"));
         idle.write(&request("/once/idle", "", "x")).await;
         assert_eq!(idle.reply().await.expect("an answer").body, "idle");
-        let mut half = Client::connect(door.address).await;
+        let mut half = Client::connect(gateway.address).await;
         let text = request("/once/half", "", "x");
         half.write(&text[..30]).await;
         sleep(Duration::from_millis(20)).await;
 
-        door.phase.send_replace(Phase::Leaving);
+        gateway.phase.send_replace(Phase::Leaving);
         assert!(idle.ends().await);
-        door.backends.script(served("half"));
+        gateway.backends.script(served("half"));
         half.write(&text[30..]).await;
         for (client, body) in [(&mut half, "half"), (&mut busy, "busy")] {
             let reply = client.reply().await.expect("an answer");
@@ -50,17 +50,17 @@
 #[test]
 fn clients_that_still_come_are_served_until_the_platform_has_noticed() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         let began = Instant::now();
-        door.phase.send_replace(Phase::Leaving);
+        gateway.phase.send_replace(Phase::Leaving);
         sleep(Duration::from_millis(2000)).await;
-        door.backends.script(served("late"));
-        let reply = ask(door.address, &request("/once/late", "", "x")).await;
+        gateway.backends.script(served("late"));
+        let reply = ask(gateway.address, &request("/once/late", "", "x")).await;
         assert_eq!(
             (reply.body.as_str(), reply.header("connection").as_deref()),
             ("late", Some("close"))
         );
-        door.running.await.expect("it ends");
+        gateway.running.await.expect("it ends");
         let took = began.elapsed();
         assert!(
             took >= Duration::from_millis(2500) && took < Duration::from_millis(3500),
@@ -72,21 +72,21 @@
 #[test]
 fn one_that_holds_on_ends_with_the_time_for_leaving() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         let many: Vec<Step> = (1..=100)
             .flat_map(|id| [chunk(&event(id)), Step::Pause(Duration::from_millis(200))])
             .collect();
         let mut steps = vec![stream_head("s")];
         steps.extend(many);
-        door.backends.script(steps);
-        let mut client = Client::connect(door.address).await;
+        gateway.backends.script(steps);
+        let mut client = Client::connect(gateway.address).await;
         let request =
             request("/talk/1", "", "x").replace("Deadline-Ms: 2500", "Deadline-Ms: 20000");
         client.write(&request).await;
         client.read_until(&event(3)).await;
         let began = Instant::now();
-        door.phase.send_replace(Phase::Leaving);
-        door.running.await.expect("it ends");
+        gateway.phase.send_replace(Phase::Leaving);
+        gateway.running.await.expect("it ends");
         assert!(began.elapsed() <= GRACE, "{:?}", began.elapsed());
         assert!(!client.reply().await.expect("what came").whole);
     });
--- a/alderhollow/tests/own_core_machines.rs
+++ b/alderhollow/tests/own_core_machines.rs
@@ -1,4 +1,4 @@
-//! The core on machines of its own: processes with the role `core`, and doors without a disk. What founding, growth,
+//! The core on machines of its own: processes with the role `core`, and gateways without a disk. What founding, growth,
 //! replacement, kills and lost disks leave of it.
 
 mod process_support;
@@ -19,17 +19,17 @@
 }
 
 #[test]
-fn doors_without_a_disk_redirect_operators_to_a_core_of_its_own_and_become_ready() {
+fn gateways_without_a_disk_redirect_operators_to_a_core_of_its_own_and_become_ready() {
     run(|mut tier| async move {
-        for door in 7..=8 {
-            tier.start(door, false, true);
+        for gateway in 7..=8 {
+            tier.start(gateway, false, true);
         }
         tier.found_on_own_machines().await;
-        for door in 7..=8 {
-            tier.until_ready(door).await;
-            assert_eq!(tier.config_version_at(door).await, Some(1));
+        for gateway in 7..=8 {
+            tier.until_ready(gateway).await;
+            assert_eq!(tier.config_version_at(gateway).await, Some(1));
             assert_eq!(
-                tier.begin_read(door).await.expect("a read"),
+                tier.begin_read(gateway).await.expect("a read"),
                 ReadAnswer::NotSure(307)
             );
         }
@@ -122,15 +122,15 @@
 }
 
 #[test]
-fn a_doors_disk_stays_outside_a_core_on_machines_of_its_own() {
+fn a_gateways_disk_stays_outside_a_core_on_machines_of_its_own() {
     run(|mut tier| async move {
         tier.start(7, true, true);
         tier.found_on_own_machines().await;
         tier.until_ready(7).await;
         tier.start_core(4, true);
         tier.until_member(4).await;
-        let door = tier.status(7).await;
-        assert_eq!(door.core.expect("it has a disk").role, CoreRole::Outside);
+        let gateway = tier.status(7).await;
+        assert_eq!(gateway.core.expect("it has a disk").role, CoreRole::Outside);
         assert_eq!(tier.config_version_at(7).await, Some(1));
     });
 }
@@ -138,11 +138,11 @@
 #[test]
 fn a_deployment_whose_seeds_cannot_keep_the_core_says_so_at_the_start() {
     run(|mut tier| async move {
-        for door in 1..=4 {
-            tier.start(door, false, true);
+        for gateway in 1..=4 {
+            tier.start(gateway, false, true);
         }
-        for door in 1..=4 {
-            tier.until_logged(door, "nobody can keep the core").await;
+        for gateway in 1..=4 {
+            tier.until_logged(gateway, "nobody can keep the core").await;
         }
     });
 }
--- a/alderhollow/tests/placement.rs
+++ b/alderhollow/tests/placement.rs
@@ -11,7 +11,7 @@
     AttemptId, Demand, End, Event, PlaceRequest, Placement, Report, UnderWay,
 };
 use alderhollow::placement::reports::Reports;
-use alderhollow_model::identity::{Address, LifeId};
+use alderhollow_model::identity::{Address, Incarnation};
 use alderhollow_model::snapshot::Placer;
 use balance_support::{node_name, wanted, Tables, ENGINES, ZONES};
 use proptest::prelude::*;
@@ -24,8 +24,8 @@
 use tokio::task::LocalSet;
 use tokio::time::Instant;
 
-const FIRST: LifeId = LifeId(1);
-const SECOND: LifeId = LifeId(2);
+const FIRST: Incarnation = Incarnation(1);
+const SECOND: Incarnation = Incarnation(2);
 /// Slots of a backend in the tests' tables.
 const SLOTS: u64 = 64;
 
@@ -55,7 +55,13 @@
     }
 }
 
-fn place(ledger: &mut Ledger, now: f64, sender: LifeId, number: u64, demand: &Demand) -> Placement {
+fn place(
+    ledger: &mut Ledger,
+    now: f64,
+    sender: Incarnation,
+    number: u64,
+    demand: &Demand,
+) -> Placement {
     let attempt = AttemptId { sender, number };
     ledger.place(
         now,
@@ -73,7 +79,7 @@
     }
 }
 
-fn events(sender: LifeId, events: Vec<Event>) -> Report {
+fn events(sender: Incarnation, events: Vec<Event>) -> Report {
     Report::Events { sender, events }
 }
 
@@ -375,7 +381,7 @@
     let mut ledger = ledger(1);
     let mut running = 0;
     for number in 1..=SLOTS {
-        let sender = LifeId(1 + number % 5);
+        let sender = Incarnation(1 + number % 5);
         running += u64::from(matches!(
             place(&mut ledger, 0.0, sender, number, &item(10)),
             Placement::At { .. }
@@ -473,11 +479,11 @@
     place(&mut ledger, 10.0, SECOND, 1, &demand(100));
     ledger.take_report(SENDER_SILENCE_MS + 5.0, &events(SECOND, Vec::new()));
     assert_eq!((ledger.senders(), ledger.attempts()), (1, 1));
-    // Its restart is another life, whose numbers begin anew.
+    // Its restart is another incarnation, whose numbers begin anew.
     place(
         &mut ledger,
         SENDER_SILENCE_MS + 6.0,
-        LifeId(3),
+        Incarnation(3),
         1,
         &demand(100),
     );
@@ -610,11 +616,14 @@
 }
 
 fn any_report() -> impl Strategy<Value = Report> {
-    let life = (1_u64..4).prop_map(LifeId);
-    let some = (life.clone(), prop::collection::vec(any_event(), 0..5))
+    let incarnation = (1_u64..4).prop_map(Incarnation);
+    let some = (
+        incarnation.clone(),
+        prop::collection::vec(any_event(), 0..5),
+    )
         .prop_map(|(sender, events)| Report::Events { sender, events });
     let whole = (
-        life,
+        incarnation,
         0_u64..5,
         0_u64..6,
         prop::collection::vec(any_event(), 0..4),
@@ -646,15 +655,15 @@
             now += wait;
             ledger.take_report(now, &report);
             if let Some(tokens) = placed {
-                place(&mut ledger, now, LifeId(1 + index as u64 % 3), 10 + index as u64, &demand(tokens));
+                place(&mut ledger, now, Incarnation(1 + index as u64 % 3), 10 + index as u64, &demand(tokens));
             }
         }
         now += SENDER_SILENCE_MS + 1_000.0;
-        ledger.take_report(now, &events(LifeId(9), Vec::new()));
+        ledger.take_report(now, &events(Incarnation(9), Vec::new()));
         prop_assert_eq!(ledger.attempts(), 0);
         // Nothing is known of the backends' load any more: a request finds nothing ahead of it. A backend that timed out may
         // still be avoided.
-        let placement = place(&mut ledger, now + 10_000.0, LifeId(9), 1, &demand(100));
+        let placement = place(&mut ledger, now + 10_000.0, Incarnation(9), 1, &demand(100));
         let is_free = matches!(placement, Placement::At { wait_ms, .. } if wait_ms == 0.0);
         prop_assert!(is_free, "{:?}", placement);
     }
@@ -684,7 +693,7 @@
     let demand =
         Demand::of(&wanted("dahu75a", Some(&prompt)), Vec::new()).expect("it has a prompt");
     let attempt = AttemptId {
-        sender: LifeId(u64::MAX),
+        sender: Incarnation(u64::MAX),
         number: 100_000,
     };
     let question = minicbor::to_vec(PlaceRequest {
@@ -699,7 +708,7 @@
     };
     let answer = minicbor::to_vec(answer).expect("bytes").len();
     let ends = vec![Event::Began(100_000), Event::Ended(100_000, End::Served)];
-    let report = minicbor::to_vec(events(LifeId(u64::MAX), ends))
+    let report = minicbor::to_vec(events(Incarnation(u64::MAX), ends))
         .expect("bytes")
         .len();
     assert!(
--- a/alderhollow/tests/placers.rs
+++ b/alderhollow/tests/placers.rs
@@ -1,7 +1,7 @@
 //! Who is named placer of a zone.
 
 use alderhollow::distribution::placers::{PlacerAssignment, PLACER_TIMEOUT_MS};
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use std::net::SocketAddr;
 
 const PRIMARY: &str = "core-1";
@@ -12,8 +12,8 @@
         node: name.to_string(),
         role,
         zone: zone.to_string(),
-        life: LifeId(u64::from(last)),
-        disk: (role != Role::Door).then_some(DiskId(u64::from(last))),
+        incarnation: Incarnation(u64::from(last)),
+        disk: (role != Role::Gateway).then_some(DiskId(u64::from(last))),
         internal: Address(SocketAddr::from(([10, 0, 0, last], 7660))),
         control: None,
     }
@@ -39,8 +39,8 @@
     let nodes = [
         node(PRIMARY, Role::Core, "east"),
         node("core-2", Role::Core, "east"),
-        node("door-3", Role::Door, "east"),
-        node("door-4", Role::Door, "west"),
+        node("door-3", Role::Gateway, "east"),
+        node("door-4", Role::Gateway, "west"),
         node("store-5", Role::Store, "west"),
         node("store-6", Role::Store, "north"),
     ];
@@ -54,15 +54,15 @@
 
 #[test]
 fn a_placer_stays_one_while_it_polls_and_has_a_successor_when_it_falls_silent_or_leaves() {
-    let doors = [
-        node("door-1", Role::Door, "east"),
-        node("door-2", Role::Door, "east"),
+    let gateways = [
+        node("door-1", Role::Gateway, "east"),
+        node("door-2", Role::Gateway, "east"),
     ];
     let mut assignment = PlacerAssignment::begin(&[], 0);
-    hear(&mut assignment, &doors[..1], 0);
+    hear(&mut assignment, &gateways[..1], 0);
     assert_eq!(named(&assignment), [("east", "door-1")]);
     let better = node("core-9", Role::Core, "east");
-    hear(&mut assignment, &[doors[0].clone(), better.clone()], 100);
+    hear(&mut assignment, &[gateways[0].clone(), better.clone()], 100);
     assert_eq!(named(&assignment), [("east", "door-1")], "it polls");
     assert!(hear(
         &mut assignment,
@@ -70,7 +70,7 @@
         101 + PLACER_TIMEOUT_MS
     ));
     assert_eq!(named(&assignment), [("east", "core-9")], "it was silent");
-    hear(&mut assignment, &doors, 200 + PLACER_TIMEOUT_MS);
+    hear(&mut assignment, &gateways, 200 + PLACER_TIMEOUT_MS);
     assignment.heard(&better, true, 201 + PLACER_TIMEOUT_MS);
     assert!(
         assignment.renew(PRIMARY, 201 + PLACER_TIMEOUT_MS),
@@ -81,15 +81,15 @@
 
 #[test]
 fn a_new_primary_waits_for_the_placers_that_it_knows() {
-    let doors = [
-        node("door-1", Role::Door, "east"),
-        node("door-2", Role::Door, "east"),
+    let gateways = [
+        node("door-1", Role::Gateway, "east"),
+        node("door-2", Role::Gateway, "east"),
     ];
     let mut former = PlacerAssignment::begin(&[], 0);
-    hear(&mut former, &doors[1..], 0);
+    hear(&mut former, &gateways[1..], 0);
     let mut assignment = PlacerAssignment::begin(former.placers(), 5_000);
-    hear(&mut assignment, &doors[..1], 5_010);
+    hear(&mut assignment, &gateways[..1], 5_010);
     assert_eq!(named(&assignment), [("east", "door-2")]);
-    hear(&mut assignment, &doors[..1], 5_001 + PLACER_TIMEOUT_MS);
+    hear(&mut assignment, &gateways[..1], 5_001 + PLACER_TIMEOUT_MS);
     assert_eq!(named(&assignment), [("east", "door-1")], "it never came");
 }
--- a/alderhollow/tests/poll_client.rs
+++ b/alderhollow/tests/poll_client.rs
@@ -9,7 +9,7 @@
 use alderhollow::distribution::tables::Tables;
 use alderhollow::internal::Network;
 use alderhollow::SnapshotReceiver;
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::ControlView;
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -100,9 +100,9 @@
     directory.set_seeds(vec![own_address()]);
     let node = NodeInfo {
         node: "edge-1".into(),
-        role: Role::Door,
+        role: Role::Gateway,
         zone: "zone-1".into(),
-        life: LifeId(1),
+        incarnation: Incarnation(1),
         disk: Some(DiskId(1)),
         internal: Address(own_address()),
         control: None,
--- a/alderhollow/tests/process_support/mod.rs
+++ b/alderhollow/tests/process_support/mod.rs
@@ -1,4 +1,4 @@
-//! Doors and processes of the core as processes on loopback, with a platform whose list is empty.
+//! Gateways and processes of the core as processes on loopback, with a platform whose list is empty.
 // Each file of tests uses a part of it.
 #![allow(dead_code)]
 
@@ -34,13 +34,13 @@
 /// The settings' `grace-s`.
 const GRACE: Duration = Duration::from_secs(8);
 
-/// How a door logs its part in the core.
+/// How a gateway logs its part in the core.
 const PARTS: [&str; 3] = ["core: primary", "core: follows", "core: not a member"];
 
 /// Longest time that a read waits for its answer.
 const READ_PATIENCE: Duration = Duration::from_secs(10);
 
-/// How one door answers a read of the configuration.
+/// How one gateway answers a read of the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ReadAnswer {
     /// 200 with this version.
@@ -68,11 +68,11 @@
     LocalSet::new().block_on(&runtime, bounded);
 }
 
-/// The doors of one test: no other test, nor another run of them, has the same addresses and folders.
+/// The gateways of one test: no other test, nor another run of them, has the same addresses and folders.
 pub struct Tier {
     first_octets: [u8; 2],
     folder: PathBuf,
-    doors: BTreeMap<u8, TierProcess>,
+    gateways: BTreeMap<u8, TierProcess>,
     seeds: [u8; 3],
     _platform: Platform,
 }
@@ -97,21 +97,21 @@
         Tier {
             first_octets,
             folder,
-            doors: BTreeMap::new(),
+            gateways: BTreeMap::new(),
             seeds: [1, 2, 3],
             _platform: platform,
         }
     }
 
-    /// Starts the three doors that found the core.
+    /// Starts the three gateways that found the core.
     pub async fn found(&mut self) {
-        for door in 1..=3 {
-            self.start(door, true, true);
+        for gateway in 1..=3 {
+            self.start(gateway, true, true);
         }
         self.put_config(0, 1).await;
     }
 
-    /// The settings of doors that start from now on name these doors as seeds, in place of doors 1 to 3.
+    /// The settings of gateways that start from now on name these gateways as seeds, in place of gateways 1 to 3.
     pub fn name_seeds(&mut self, seeds: [u8; 3]) {
         self.seeds = seeds;
     }
@@ -124,9 +124,9 @@
         self.put_config(0, 1).await;
     }
 
-    /// Starts a door.
-    pub fn start(&mut self, door: u8, has_disk: bool, first_start: bool) {
-        self.start_machine(MachineClass::Edge, door, has_disk, first_start);
+    /// Starts a gateway.
+    pub fn start(&mut self, gateway: u8, has_disk: bool, first_start: bool) {
+        self.start_machine(MachineClass::Edge, gateway, has_disk, first_start);
     }
 
     /// Starts a process that keeps the core and serves no clients.
@@ -134,15 +134,24 @@
         self.start_machine(MachineClass::Core, machine, true, first_start);
     }
 
-    fn start_machine(&mut self, class: MachineClass, door: u8, has_disk: bool, first_start: bool) {
-        let folder = self.door_folder(door);
+    fn start_machine(
+        &mut self,
+        class: MachineClass,
+        gateway: u8,
+        has_disk: bool,
+        first_start: bool,
+    ) {
+        let folder = self.gateway_folder(gateway);
         let data_dir = has_disk.then(|| folder.join("data"));
         std::fs::create_dir_all(data_dir.as_ref().unwrap_or(&folder)).expect("a folder");
         let settings = folder.join("node.toml");
-        std::fs::write(&settings, self.settings(class, door, data_dir, first_start))
-            .expect("the settings");
+        std::fs::write(
+            &settings,
+            self.settings(class, gateway, data_dir, first_start),
+        )
+        .expect("the settings");
         let binary = Path::new(env!("CARGO_BIN_EXE_alderhollow"));
-        let name = format!("{}-{door}", class.name());
+        let name = format!("{}-{gateway}", class.name());
         let process = TierProcess::start(
             &name,
             binary,
@@ -150,13 +159,14 @@
             &settings,
             &folder.join("log"),
         );
-        self.doors.insert(door, process.expect("the door starts"));
+        self.gateways
+            .insert(gateway, process.expect("the door starts"));
     }
 
     fn settings(
         &self,
         class: MachineClass,
-        door: u8,
+        gateway: u8,
         data_dir: Option<PathBuf>,
         first_start: bool,
     ) -> String {
@@ -171,55 +181,59 @@
             first_start,
         };
         let machine = Machine {
-            node: format!("{}-{door}", class.name()),
+            node: format!("{}-{gateway}", class.name()),
             class,
-            ip: ip(self.first_octets, door),
-            zone: format!("zone-{door}"),
+            ip: ip(self.first_octets, gateway),
+            zone: format!("zone-{gateway}"),
             data_dir,
         };
         settings_file(&site, &machine).expect("settings")
     }
 
-    fn door_folder(&self, door: u8) -> PathBuf {
-        self.folder.join(door.to_string())
+    fn gateway_folder(&self, gateway: u8) -> PathBuf {
+        self.folder.join(gateway.to_string())
     }
 
-    fn control(&self, door: u8) -> SocketAddr {
-        SocketAddr::from((ip(self.first_octets, door), PORTS.control))
+    fn control(&self, gateway: u8) -> SocketAddr {
+        SocketAddr::from((ip(self.first_octets, gateway), PORTS.control))
     }
 
-    /// Kills a door at once.
-    pub fn kill(&mut self, door: u8) {
-        self.doors
-            .remove(&door)
+    /// Kills a gateway at once.
+    pub fn kill(&mut self, gateway: u8) {
+        self.gateways
+            .remove(&gateway)
             .expect("a door that runs")
             .kill()
             .expect("it is killed");
     }
 
-    /// Takes a killed door's disk away.
-    pub fn wipe(&self, door: u8) {
-        std::fs::remove_dir_all(self.door_folder(door)).expect("the disk goes");
+    /// Takes a killed gateway's disk away.
+    pub fn wipe(&self, gateway: u8) {
+        std::fs::remove_dir_all(self.gateway_folder(gateway)).expect("the disk goes");
     }
 
-    /// Halts a door until [`Tier::resume`].
-    pub fn pause(&self, door: u8) {
-        self.doors[&door].pause().expect("the signal is sent");
+    /// Halts a gateway until [`Tier::resume`].
+    pub fn pause(&self, gateway: u8) {
+        self.gateways[&gateway].pause().expect("the signal is sent");
     }
 
-    /// Lets a halted door go on.
-    pub fn resume(&self, door: u8) {
-        self.doors[&door].resume().expect("the signal is sent");
+    /// Lets a halted gateway go on.
+    pub fn resume(&self, gateway: u8) {
+        self.gateways[&gateway]
+            .resume()
+            .expect("the signal is sent");
     }
 
-    /// Tells a door that its settings have changed.
-    pub fn hang_up(&self, door: u8) {
-        self.doors[&door].hang_up().expect("the signal is sent");
+    /// Tells a gateway that its settings have changed.
+    pub fn hang_up(&self, gateway: u8) {
+        self.gateways[&gateway]
+            .hang_up()
+            .expect("the signal is sent");
     }
 
-    /// Stops a door as the platform does; tells whether it ended by itself, without an error, in time.
-    pub async fn stop(&mut self, door: u8) -> bool {
-        let mut process = self.doors.remove(&door).expect("a door that runs");
+    /// Stops a gateway as the platform does; tells whether it ended by itself, without an error, in time.
+    pub async fn stop(&mut self, gateway: u8) -> bool {
+        let mut process = self.gateways.remove(&gateway).expect("a door that runs");
         process.terminate().expect("the signal is sent");
         process
             .wait(GRACE)
@@ -228,25 +242,28 @@
             .is_some_and(|status| status.success())
     }
 
-    /// Whether a door has ended.
-    pub fn has_ended(&mut self, door: u8) -> bool {
-        !matches!(self.doors.get_mut(&door).expect("a door").ended(), Ok(None))
+    /// Whether a gateway has ended.
+    pub fn has_ended(&mut self, gateway: u8) -> bool {
+        !matches!(
+            self.gateways.get_mut(&gateway).expect("a door").ended(),
+            Ok(None)
+        )
     }
 
-    /// What a door has logged.
-    pub fn log(&self, door: u8) -> String {
-        std::fs::read_to_string(self.door_folder(door).join("log")).unwrap_or_default()
+    /// What a gateway has logged.
+    pub fn log(&self, gateway: u8) -> String {
+        std::fs::read_to_string(self.gateway_folder(gateway).join("log")).unwrap_or_default()
     }
 
-    /// Waits until a door has logged a text.
-    pub async fn until_logged(&self, door: u8, text: &str) {
-        while !self.log(door).contains(text) {
+    /// Waits until a gateway has logged a text.
+    pub async fn until_logged(&self, gateway: u8, text: &str) {
+        while !self.log(gateway).contains(text) {
             tokio::task::yield_now().await;
         }
     }
 
-    /// Waits until a door's disk is a member of the core, and the change that made it one has ended.
-    pub async fn until_member(&self, door: u8) {
+    /// Waits until a gateway's disk is a member of the core, and the change that made it one has ended.
+    pub async fn until_member(&self, gateway: u8) {
         let is_member = |log: String| {
             let last = log
                 .lines()
@@ -254,14 +271,14 @@
                 .map(str::to_string);
             last.is_some_and(|line| !line.contains("not yet"))
         };
-        while !is_member(self.log(door)) {
+        while !is_member(self.log(gateway)) {
             tokio::task::yield_now().await;
         }
     }
 
     /// Version of the configuration as one process answers or redirects.
-    pub async fn config_version_at(&self, door: u8) -> Option<u64> {
-        let operator = Operator::new(vec![self.control(door)]);
+    pub async fn config_version_at(&self, gateway: u8) -> Option<u64> {
+        let operator = Operator::new(vec![self.control(gateway)]);
         let answer = operator
             .send(&Order::get_config())
             .await
@@ -270,14 +287,14 @@
     }
 
     /// What a process says of itself.
-    pub async fn status(&self, door: u8) -> StatusReport {
-        let address = SocketAddr::from((ip(self.first_octets, door), PORTS.internal[0]));
+    pub async fn status(&self, gateway: u8) -> StatusReport {
+        let address = SocketAddr::from((ip(self.first_octets, gateway), PORTS.internal[0]));
         status::ask(address).await.expect("a status")
     }
 
-    /// Waits until a door calls itself ready.
-    pub async fn until_ready(&self, door: u8) {
-        let address = SocketAddr::from((ip(self.first_octets, door), PORTS.ready));
+    /// Waits until a gateway calls itself ready.
+    pub async fn until_ready(&self, gateway: u8) {
+        let address = SocketAddr::from((ip(self.first_octets, gateway), PORTS.ready));
         loop {
             let request = Request::get("/alderhollow/readyz").header("host", address.to_string());
             let request = request.body(Full::new(Bytes::new())).expect("a request");
@@ -289,23 +306,23 @@
         }
     }
 
-    /// The door that answers for the core itself.
+    /// The gateway that answers for the core itself.
     pub async fn primary(&self) -> u8 {
         loop {
-            for door in self.doors.keys() {
-                let log = self.log(*door);
+            for gateway in self.gateways.keys() {
+                let log = self.log(*gateway);
                 let last = log
                     .lines()
                     .rfind(|line| PARTS.iter().any(|part| line.contains(part)));
                 if last.is_some_and(|line| line.contains(PARTS[0])) {
-                    return *door;
+                    return *gateway;
                 }
             }
             tokio::task::yield_now().await;
         }
     }
 
-    /// Has the doors that run take a configuration; the answer's status.
+    /// Has the gateways that run take a configuration; the answer's status.
     pub async fn put_config(&self, base: u64, version: u64) -> u16 {
         self.operate(&Order::put_config(base, config(version)))
             .await
@@ -318,16 +335,21 @@
         serde_json::from_slice::<serde_json::Value>(&answer.body).ok()?["config-version"].as_u64()
     }
 
-    /// Begins to read the configuration at one door; the answer is waited for in the background, without following it.
-    pub fn begin_read(&self, door: u8) -> JoinHandle<ReadAnswer> {
-        let address = self.control(door);
+    /// Begins to read the configuration at one gateway; the answer is waited for in the background, without following it.
+    pub fn begin_read(&self, gateway: u8) -> JoinHandle<ReadAnswer> {
+        let address = self.control(gateway);
         tokio::task::spawn_local(
             async move { read_at(address).await.unwrap_or(ReadAnswer::Silence) },
         )
     }
 
     async fn operate(&self, order: &Order) -> OrderAnswer {
-        let operator = Operator::new(self.doors.keys().map(|door| self.control(*door)).collect());
+        let operator = Operator::new(
+            self.gateways
+                .keys()
+                .map(|gateway| self.control(*gateway))
+                .collect(),
+        );
         operator.send(order).await.expect("a clear answer")
     }
 }
--- a/alderhollow/tests/processes.rs
+++ b/alderhollow/tests/processes.rs
@@ -66,14 +66,14 @@
     String::from_utf8_lossy(&program.stdout).into_owned()
 }
 
-async fn submit(doors: &[SocketAddr], job: &BatchJob) {
-    let (status, tries) = batch_client::submit_until_answered(doors, job, LIMIT).await;
+async fn submit(gateways: &[SocketAddr], job: &BatchJob) {
+    let (status, tries) = batch_client::submit_until_answered(gateways, job, LIMIT).await;
     assert!(matches!(status, Ok(202)), "after {tries} tries: {status:?}");
 }
 
-async fn read_to_end(doors: &[SocketAddr], job: &BatchJob) -> Vec<ItemResult> {
+async fn read_to_end(gateways: &[SocketAddr], job: &BatchJob) -> Vec<ItemResult> {
     let mut failures = Vec::new();
-    let read = batch_client::read_to_end(doors, job, &mut failures);
+    let read = batch_client::read_to_end(gateways, job, &mut failures);
     let results = tokio::time::timeout(LIMIT, read).await;
     assert!(
         !failures.iter().any(|failure| failure.ends_with("404")),
@@ -96,12 +96,12 @@
 }
 
 #[test]
-fn a_door_that_is_told_to_end_finishes_its_stream() {
+fn a_gateway_that_is_told_to_end_finishes_its_stream() {
     in_turn(async {
         let mut tier = Tier::start(1, Duration::from_millis(150)).await;
-        let door = SEEDS[0];
+        let gateway = SEEDS[0];
         let request = stream_request("a1", "chat", 20 * TOKENS_PER_EVENT);
-        let front = tier.front(door);
+        let front = tier.front(gateway);
         let stream = tokio::task::spawn_local(async move { client::stream(front, &request).await });
         until("the stream runs", || {
             let runs = tier
@@ -119,7 +119,7 @@
             parts: Vec::new(),
             except: Vec::new(),
         };
-        let choice = tier.choice(door, asked).await.expect("the door answers");
+        let choice = tier.choice(gateway, asked).await.expect("the door answers");
         let as_sender = choice
             .as_sender
             .expect("the door sends to the service's backends");
@@ -129,9 +129,9 @@
             "{as_sender:?}"
         );
         assert!(as_sender.chosen().is_some(), "{as_sender:?}");
-        tier.process(door).terminate().unwrap();
+        tier.process(gateway).terminate().unwrap();
         until("the door is not ready", || async {
-            !tier.is_ready(door).await
+            !tier.is_ready(gateway).await
         })
         .await;
         let answer = stream.await.unwrap().unwrap();
@@ -143,7 +143,7 @@
             answer.events
         );
         assert_eq!(answer.text(), whole_text("a1", 20));
-        let status = tier.process(door).wait(GRACE).await.unwrap();
+        let status = tier.process(gateway).wait(GRACE).await.unwrap();
         assert!(status.is_some_and(|status| status.success()), "{status:?}");
     });
 }
@@ -179,8 +179,8 @@
             .await;
         assert_eq!(answer.status, 200);
         assert_eq!(tier.config_version().await, Some(9));
-        for door in SEEDS.into_iter().filter(|door| *door != primary) {
-            let front = tier.front(door);
+        for gateway in SEEDS.into_iter().filter(|gateway| *gateway != primary) {
+            let front = tier.front(gateway);
             until("the new route is served", || async {
                 let request = stream_request("b1", "latest", TOKENS_PER_EVENT);
                 client::stream(front, &request)
@@ -196,9 +196,9 @@
 fn a_batch_job_outlives_the_store_that_accepted_it() {
     in_turn(async {
         let mut tier = Tier::start(3, Duration::from_millis(60)).await;
-        let doors = SEEDS.map(|door| tier.front(door));
+        let gateways = SEEDS.map(|gateway| tier.front(gateway));
         let job = batch_job("c");
-        submit(&doors, &job).await;
+        submit(&gateways, &job).await;
         let primary = tier
             .primary_store()
             .await
@@ -209,13 +209,13 @@
             found.contains("batch jobs: 1 open, 0 complete, 0 ended by their clients\n"),
             "{found}"
         );
-        let results = read_to_end(&doors, &job).await;
+        let results = read_to_end(&gateways, &job).await;
         assert_complete(&job, &results);
-        let again = read_to_end(&doors, &job).await;
+        let again = read_to_end(&gateways, &job).await;
         assert_eq!(again, results, "results keep their positions");
         let second = batch_job("d");
-        submit(&doors, &second).await;
-        assert_complete(&second, &read_to_end(&doors, &second).await);
+        submit(&gateways, &second).await;
+        assert_complete(&second, &read_to_end(&gateways, &second).await);
     });
 }
 
@@ -223,9 +223,9 @@
 fn a_batch_job_and_a_configuration_outlive_a_kill_of_all_processes_and_the_loss_of_a_stores_disk() {
     in_turn(async {
         let mut tier = Tier::start(7, Duration::from_millis(60)).await;
-        let doors = SEEDS.map(|door| tier.front(door));
+        let gateways = SEEDS.map(|gateway| tier.front(gateway));
         let job = batch_job("g");
-        submit(&doors, &job).await;
+        submit(&gateways, &job).await;
         let lost = tier
             .primary_store()
             .await
@@ -238,14 +238,14 @@
             tier.start_process(place, false);
         }
         assert_eq!(tier.config_version().await, Some(3));
-        let front = doors[0];
+        let front = gateways[0];
         until("the batch job can be read", || async {
             let read = batch_client::read(front, &job, 0).await;
             assert!(!matches!(read, Ok(Err(404))), "never 404");
             matches!(read, Ok(Ok(_)))
         })
         .await;
-        assert_complete(&job, &read_to_end(&doors, &job).await);
+        assert_complete(&job, &read_to_end(&gateways, &job).await);
     });
 }
 
@@ -257,10 +257,10 @@
         for place in SEEDS.into_iter().chain(STORES) {
             tier.process(place).hang_up().unwrap();
         }
-        let doors = SEEDS.map(|door| tier.front(door));
+        let gateways = SEEDS.map(|gateway| tier.front(gateway));
         let job = batch_job("e");
-        submit(&doors, &job).await;
-        assert_complete(&job, &read_to_end(&doors, &job).await);
+        submit(&gateways, &job).await;
+        assert_complete(&job, &read_to_end(&gateways, &job).await);
         for place in SEEDS.into_iter().chain(STORES) {
             assert!(
                 matches!(tier.process(place).ended(), Ok(None)),
@@ -269,10 +269,11 @@
         }
         let after = [tier.status(SEEDS[1]).await, tier.status(STORES[1]).await];
         let lives = |reports: &[Option<_>; 2]| {
-            let life = |report: &alderhollow::status::message::StatusReport| report.node.life;
+            let incarnation =
+                |report: &alderhollow::status::message::StatusReport| report.node.incarnation;
             reports
                 .each_ref()
-                .map(|report| report.as_ref().map(life).expect("it answers"))
+                .map(|report| report.as_ref().map(incarnation).expect("it answers"))
         };
         assert_eq!(lives(&before), lives(&after));
     });
@@ -282,47 +283,50 @@
 fn machines_start_in_any_order_the_seeds_last() {
     in_turn(async {
         let mut tier = Tier::prepare(5, SHORT_PAUSE).await;
-        let late_door = Place::Door(3);
-        for place in STORES.into_iter().chain([late_door]) {
+        let late_gateway = Place::Gateway(3);
+        for place in STORES.into_iter().chain([late_gateway]) {
             tier.start_process(place, true);
         }
         until("all that started answer", || async {
-            tier.status(STORES[0]).await.is_some() && tier.status(late_door).await.is_some()
+            tier.status(STORES[0]).await.is_some() && tier.status(late_gateway).await.is_some()
         })
         .await;
         assert!(
-            !tier.is_ready(late_door).await,
+            !tier.is_ready(late_gateway).await,
             "nobody has validated its tables"
         );
         for place in SEEDS {
             tier.start_process(place, true);
         }
-        tier.settle(&[SEEDS[0], SEEDS[1], SEEDS[2], late_door])
+        tier.settle(&[SEEDS[0], SEEDS[1], SEEDS[2], late_gateway])
             .await;
-        let doors = [tier.front(late_door), tier.front(SEEDS[0])];
+        let gateways = [tier.front(late_gateway), tier.front(SEEDS[0])];
         let job = batch_job("f");
-        submit(&doors, &job).await;
-        assert_complete(&job, &read_to_end(&doors, &job).await);
+        submit(&gateways, &job).await;
+        assert_complete(&job, &read_to_end(&gateways, &job).await);
     });
 }
 
 #[test]
-fn a_door_with_an_empty_disk_at_its_old_address_is_a_new_member() {
+fn a_gateway_with_an_empty_disk_at_its_old_address_is_a_new_member() {
     in_turn(async {
         let mut tier = Tier::start(6, SHORT_PAUSE).await;
-        let door = SEEDS[1];
+        let gateway = SEEDS[1];
         let old_disk = tier
-            .status(door)
+            .status(gateway)
             .await
             .and_then(|report| report.node.disk)
             .expect("it has a disk");
-        tier.process(door).kill().unwrap();
-        tier.wipe(door);
-        tier.start_process(door, false);
+        tier.process(gateway).kill().unwrap();
+        tier.wipe(gateway);
+        tier.start_process(gateway, false);
         until(
             "the new disk is a member in place of the old one",
             || async {
-                let Some(new_disk) = tier.status(door).await.and_then(|report| report.node.disk)
+                let Some(new_disk) = tier
+                    .status(gateway)
+                    .await
+                    .and_then(|report| report.node.disk)
                 else {
                     return false;
                 };
@@ -337,7 +341,7 @@
         )
         .await;
         assert_eq!(tier.config_version().await, Some(3));
-        until("the door is ready", || tier.is_ready(door)).await;
+        until("the door is ready", || tier.is_ready(gateway)).await;
         let answer = tier
             .order(&Order::put_config(3, configuration(5, &[])))
             .await;
--- a/alderhollow/tests/processor_quota.rs
+++ b/alderhollow/tests/processor_quota.rs
@@ -15,17 +15,17 @@
     period: Duration::from_millis(100),
 };
 const PAUSE: Duration = Duration::from_millis(5);
-/// Requests that are sent one after the other to each door.
+/// Requests that are sent one after the other to each gateway.
 const REQUESTS: u32 = 40;
 const TOKENS: u64 = 60;
-/// The least number of periods in which a door must have been stopped for the test to show something.
+/// The least number of periods in which a gateway must have been stopped for the test to show something.
 const LEAST_PERIODS: u32 = 5;
 
-/// Sends streams to all doors and returns how many were whole.
-async fn send_streams(tier: &Tier, doors: &[Place], name: &str) -> usize {
+/// Sends streams to all gateways and returns how many were whole.
+async fn send_streams(tier: &Tier, gateways: &[Place], name: &str) -> usize {
     let mut clients = tokio::task::JoinSet::new();
-    for (index, door) in doors.iter().enumerate() {
-        let front = tier.front(*door);
+    for (index, gateway) in gateways.iter().enumerate() {
+        let front = tier.front(*gateway);
         let name = format!("{name}{index}");
         clients.spawn_local(async move {
             let mut whole = 0;
@@ -58,11 +58,11 @@
 
         let whole = send_streams(&tier, &SEEDS, "calm").await;
         let throttled = quota.throttled();
-        for door in SEEDS {
-            let periods = throttled[&tier.process(door).id()].periods;
+        for gateway in SEEDS {
+            let periods = throttled[&tier.process(gateway).id()].periods;
             assert!(
                 periods >= LEAST_PERIODS,
-                "the quota of {door:?} was spent in {periods} periods only"
+                "the quota of {gateway:?} was spent in {periods} periods only"
             );
         }
         assert_eq!(
@@ -82,7 +82,10 @@
 
         quota.release(tier.process(primary).id());
         tier.process(primary).kill().unwrap();
-        let others: Vec<Place> = SEEDS.into_iter().filter(|door| *door != primary).collect();
+        let others: Vec<Place> = SEEDS
+            .into_iter()
+            .filter(|gateway| *gateway != primary)
+            .collect();
         let sending = send_streams(&tier, &others, "killed");
         let ordering = async {
             let answer = tier
--- a/alderhollow/tests/routing.rs
+++ b/alderhollow/tests/routing.rs
@@ -91,13 +91,13 @@
     assert_eq!(pick_service(&split(&[]), 0.3), None);
 }
 
-/// The shares of a route's services in so many requests, each at one of the doors by chance.
-fn shares(route: &Route, doors: &mut [ServicePicker], requests: usize, seed: u64) -> Vec<f64> {
+/// The shares of a route's services in so many requests, each at one of the gateways by chance.
+fn shares(route: &Route, gateways: &mut [ServicePicker], requests: usize, seed: u64) -> Vec<f64> {
     let mut random = Rand64::new(u128::from(seed));
     let mut counts = vec![0.0; route.services().len()];
     for _ in 0..requests {
-        let door = random.rand_range(0..doors.len() as u64) as usize;
-        let picked = doors[door].pick(route).expect("one has weight");
+        let gateway = random.rand_range(0..gateways.len() as u64) as usize;
+        let picked = gateways[gateway].pick(route).expect("one has weight");
         let index: usize = picked.trim_start_matches('s').parse().expect("an index");
         counts[index] += 1.0;
     }
@@ -107,7 +107,7 @@
 /// Pickers at random places, of processes that don't know their ranks.
 fn pickers(count: u64, seed: u64) -> Vec<ServicePicker> {
     (0..count)
-        .map(|door| ServicePicker::new(seed * 1_000 + door))
+        .map(|gateway| ServicePicker::new(seed * 1_000 + gateway))
         .collect()
 }
 
@@ -139,12 +139,15 @@
 ];
 
 #[test]
-fn any_run_of_requests_at_one_door_keeps_to_the_weights() {
+fn any_run_of_requests_at_one_gateway_keeps_to_the_weights() {
     for seed in 0..200 {
         for weights in SPLITS {
-            let mut door = pickers(1, seed);
+            let mut gateway = pickers(1, seed);
             for requests in [100, 300] {
-                let off = farthest(&shares(&split(weights), &mut door, requests, seed), weights);
+                let off = farthest(
+                    &shares(&split(weights), &mut gateway, requests, seed),
+                    weights,
+                );
                 assert!(
                     off * requests as f64 <= 4.0,
                     "seed {seed}, {weights:?}, {requests}: {off}"
@@ -155,11 +158,11 @@
 }
 
 /// In how many of 1,000 runs of 300 requests a share is off by more than a day's tolerance, and by more than the rule's.
-fn runs_off(weights: &[f64], doors: impl Fn(u64) -> Vec<ServicePicker>) -> (u32, u32) {
+fn runs_off(weights: &[f64], gateways: impl Fn(u64) -> Vec<ServicePicker>) -> (u32, u32) {
     let (mut over_tolerance, mut over_rule) = (0, 0);
     for seed in 0..1_000 {
         let route = named_split(&format!("route{seed}"), weights);
-        let off = farthest(&shares(&route, &mut doors(seed), 300, seed), weights);
+        let off = farthest(&shares(&route, &mut gateways(seed), 300, seed), weights);
         over_tolerance += u32::from(off > 0.05);
         over_rule += u32::from(off > 0.2);
     }
@@ -167,12 +170,12 @@
 }
 
 #[test]
-fn many_doors_with_few_requests_each_keep_to_the_weights_together() {
+fn many_gateways_with_few_requests_each_keep_to_the_weights_together() {
     for count in [2, 12, 78, 300] {
         for weights in SPLITS {
             let off = runs_off(weights, |_| ranked(count));
             println!("{count} doors, {weights:?}: {off:?} of 1000 runs off");
-            // With one request a door, the first draws alone decide, and chance leaves some doors out.
+            // With one request a gateway, the first draws alone decide, and chance leaves some gateways out.
             let most = if count < 300 { 0 } else { 5 };
             assert!(
                 off.0 <= most && off.1 == 0,
@@ -183,7 +186,7 @@
 }
 
 #[test]
-fn doors_that_do_not_know_their_ranks_are_less_far_off_than_independent_draws() {
+fn gateways_that_do_not_know_their_ranks_are_less_far_off_than_independent_draws() {
     for count in [12, 78] {
         let (over_tolerance, over_rule) = runs_off(&[50.0, 50.0], |seed| pickers(count, seed));
         println!("{count} doors: {over_tolerance} of 1000 runs off");
@@ -198,10 +201,10 @@
 #[test]
 fn a_change_of_weights_holds_from_the_next_request_on() {
     for seed in 0..200 {
-        let mut door = pickers(1, seed);
-        shares(&split(&[90.0, 10.0]), &mut door, 57, seed);
+        let mut gateway = pickers(1, seed);
+        shares(&split(&[90.0, 10.0]), &mut gateway, 57, seed);
         for weights in [[10.0, 90.0], [0.0, 100.0], [100.0, 0.0]] {
-            let off = farthest(&shares(&split(&weights), &mut door, 100, seed), &weights);
+            let off = farthest(&shares(&split(&weights), &mut gateway, 100, seed), &weights);
             assert!(
                 off <= if weights.contains(&0.0) { 0.0 } else { 0.04 },
                 "seed {seed}, {weights:?}: {off}"
--- a/alderhollow/tests/settings.rs
+++ b/alderhollow/tests/settings.rs
@@ -7,7 +7,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-const DOOR: &str = include_str!("fixtures/door.toml");
+const GATEWAY: &str = include_str!("fixtures/door.toml");
 const STORE: &str = include_str!("fixtures/store.toml");
 
 fn lines(findings: &[Finding]) -> String {
@@ -23,8 +23,8 @@
 }
 
 #[test]
-fn a_doors_settings_are_read() {
-    let settings = Settings::parse(DOOR, Role::Door).expect("valid");
+fn a_gateways_settings_are_read() {
+    let settings = Settings::parse(GATEWAY, Role::Gateway).expect("valid");
     assert_eq!(settings.node, "front-north-1");
     assert_eq!(settings.internal_ports, 7000..=7015);
     assert_eq!(settings.seeds.len(), 2);
@@ -62,17 +62,19 @@
 }
 
 #[test]
-fn a_door_may_have_no_disk_but_a_store_must() {
-    let diskless = DOOR.replace("data-dir = \"/data/door\"\n", "");
+fn a_gateway_may_have_no_disk_but_a_store_must() {
+    let diskless = GATEWAY.replace("data-dir = \"/data/door\"\n", "");
     assert_eq!(
-        Settings::parse(&diskless, Role::Door)
+        Settings::parse(&diskless, Role::Gateway)
             .expect("valid")
             .data_dir,
         None
     );
-    let empty = DOOR.replace("/data/door", "");
+    let empty = GATEWAY.replace("/data/door", "");
     assert_eq!(
-        Settings::parse(&empty, Role::Door).expect("valid").data_dir,
+        Settings::parse(&empty, Role::Gateway)
+            .expect("valid")
+            .data_dir,
         None
     );
     let store = STORE.replace("data-dir = \"/data/store\"\n", "");
@@ -81,7 +83,7 @@
 
 /// Settings of a process that serves operators alone.
 fn core_settings() -> String {
-    DOOR.replace(
+    GATEWAY.replace(
         "serves = [\"edge\",\"control_plane\"]",
         "serves = [\"control_plane\"]",
     )
@@ -113,14 +115,14 @@
 fn an_empty_file_gives_all_missing_keys_at_once() {
     insta::assert_snapshot!(
         "empty_door",
-        findings_of("serves = [\"edge\", \"control_plane\"]", Role::Door)
+        findings_of("serves = [\"edge\", \"control_plane\"]", Role::Gateway)
     );
     insta::assert_snapshot!("empty_store", findings_of("", Role::Store));
 }
 
 #[test]
 fn senseless_values_are_named_with_their_lines() {
-    let text = DOOR
+    let text = GATEWAY
         .replace("\"10.9.0.12\"\n", "\"10.9.0\"\n")
         .replace("[7000,7015]", "[7015,7000]")
         .replace("first-start = true", "first-start = \"yes\"")
@@ -134,7 +136,7 @@
         .replace("contact-ms = 3000", "contact-ms = 1e300")
         .replace("north = \"coast\"", "north = 3")
         .replace("lag-ms = 800", "lag-ms = []");
-    insta::assert_snapshot!(findings_of(&text, Role::Door));
+    insta::assert_snapshot!(findings_of(&text, Role::Gateway));
 }
 
 #[test]
@@ -149,9 +151,9 @@
 
 #[test]
 fn a_file_cut_anywhere_never_panics() {
-    for end in 0..DOOR.len() {
-        if let Some(text) = DOOR.get(..end) {
-            let _ = Settings::parse(text, Role::Door);
+    for end in 0..GATEWAY.len() {
+        if let Some(text) = GATEWAY.get(..end) {
+            let _ = Settings::parse(text, Role::Gateway);
         }
     }
 }
@@ -159,7 +161,7 @@
 proptest! {
     #[test]
     fn any_text_gives_settings_or_findings(text in "\\PC{0,200}") {
-        if let Err(findings) = Settings::parse(&text, Role::Door) {
+        if let Err(findings) = Settings::parse(&text, Role::Gateway) {
             prop_assert!(!findings.is_empty());
         }
     }
@@ -172,14 +174,14 @@
             "[1,2]", "[\"\"]", "1979-05-27", "0xffffffff", "\"a\\nb\"",
         ]),
     ) {
-        let mut lines: Vec<String> = DOOR.lines().map(str::to_string).collect();
+        let mut lines: Vec<String> = GATEWAY.lines().map(str::to_string).collect();
         if let Some(changed) = lines.get_mut(line) {
             if let Some((key, _)) = changed.clone().split_once(" = ") {
                 *changed = format!("{key} = {value}");
             }
         }
         let text = lines.join("\n");
-        if let Err(findings) = Settings::parse(&text, Role::Door) {
+        if let Err(findings) = Settings::parse(&text, Role::Gateway) {
             prop_assert!(!findings.is_empty());
             prop_assert!(findings.iter().all(|finding| !finding.to_string().contains('\n')));
         }
--- a/alderhollow/tests/soak.rs
+++ b/alderhollow/tests/soak.rs
@@ -8,7 +8,7 @@
 //!     ALDERHOLLOW_SOAK_SEEDS=1-20 ALDERHOLLOW_SOAK_SECONDS=40 cargo test -p alderhollow --test soak -- --nocapture
 //!
 //! Settings give each process one address, which it listens at and announces, so links between two processes can't be
-//! cut on loopback; the links to backends and from clients to doors can.
+//! cut on loopback; the links to backends and from clients to gateways can.
 
 #[path = "soak/clients.rs"]
 mod clients;
@@ -98,7 +98,7 @@
     judge(seed, world).await
 }
 
-/// Reads every accepted job from its first result to its end, at the doors in turn.
+/// Reads every accepted job from its first result to its end, at the gateways in turn.
 async fn read_all_in_calm(world: &Rc<World>) {
     let jobs = world
         .record
@@ -117,17 +117,17 @@
     }
 }
 
-async fn read_to_end(world: Rc<World>, mut readable: Readable, first_door: usize) {
+async fn read_to_end(world: Rc<World>, mut readable: Readable, first_gateway: usize) {
     let end = Instant::now() + CALM_LIMIT;
     let total = readable.job.items.len();
     let mut after = 0;
-    for door in world
-        .door_relays
+    for gateway in world
+        .gateway_relays
         .iter()
         .cycle()
-        .skip(first_door % world.door_relays.len())
+        .skip(first_gateway % world.gateway_relays.len())
     {
-        clients::read_page(&world, door.address(), &readable, after).await;
+        clients::read_page(&world, gateway.address(), &readable, after).await;
         let Some(newest) = world.record.borrow().readable_job(&readable.job.id) else {
             return;
         };
--- a/alderhollow/tests/soak/clients.rs
+++ b/alderhollow/tests/soak/clients.rs
@@ -75,9 +75,9 @@
         self.random.rand_range(0..count as u64) as usize
     }
 
-    fn draw_door(&mut self) -> SocketAddr {
-        let door = self.draw_index(self.world.door_relays.len());
-        self.world.door_relays[door].address()
+    fn draw_gateway(&mut self) -> SocketAddr {
+        let gateway = self.draw_index(self.world.gateway_relays.len());
+        self.world.gateway_relays[gateway].address()
     }
 
     fn choose_accepted(&mut self) -> Option<Readable> {
@@ -132,9 +132,9 @@
     }
 
     async fn hand_in(&mut self, job: &BatchJob) -> TryEnd {
-        let door = self.draw_door();
+        let gateway = self.draw_gateway();
         self.world.record.borrow_mut().try_begins(job);
-        let end = try_end(batch_client::submit(door, job, PATIENCE).await);
+        let end = try_end(batch_client::submit(gateway, job, PATIENCE).await);
         let tier = self.world.tier.borrow();
         self.world
             .record
@@ -148,14 +148,14 @@
     }
 
     async fn read(&mut self, chosen: &Readable) {
-        let (door, after) = (self.draw_door(), self.draw_index(chosen.known + 1));
-        read_page(&self.world, door, chosen, after).await;
+        let (gateway, after) = (self.draw_gateway(), self.draw_index(chosen.known + 1));
+        read_page(&self.world, gateway, chosen, after).await;
     }
 
     async fn ask_body(&mut self, chosen: &Readable) {
-        let (door, index) = (self.draw_door(), self.draw_index(chosen.job.items.len()));
+        let (gateway, index) = (self.draw_gateway(), self.draw_index(chosen.job.items.len()));
         let item = &chosen.job.items[index];
-        let answer = batch_client::item_body(door, &chosen.job, &item.id, PATIENCE).await;
+        let answer = batch_client::item_body(gateway, &chosen.job, &item.id, PATIENCE).await;
         if let Ok(Ok(body)) = answer {
             let is_right = BASE64_STANDARD.encode(body) == item.body;
             self.world
@@ -166,9 +166,9 @@
     }
 
     async fn end(&mut self, job: &BatchJob) {
-        let door = self.draw_door();
+        let gateway = self.draw_gateway();
         self.world.record.borrow_mut().end_asked(&job.id);
-        let answer = batch_client::end(door, job, PATIENCE).await;
+        let answer = batch_client::end(gateway, job, PATIENCE).await;
         if matches!(answer, Ok(OK)) {
             self.world.record.borrow_mut().end_acknowledged(&job.id);
         }
@@ -176,8 +176,8 @@
 }
 
 /// Reads a page of a job, and notes what came.
-pub async fn read_page(world: &World, door: SocketAddr, chosen: &Readable, after: usize) {
-    match batch_client::read(door, &chosen.job, after).await {
+pub async fn read_page(world: &World, gateway: SocketAddr, chosen: &Readable, after: usize) {
+    match batch_client::read(gateway, &chosen.job, after).await {
         Ok(Ok(page)) => {
             let tier = world.tier.borrow();
             world.record.borrow_mut().read(
--- a/alderhollow/tests/soak/relay.rs
+++ b/alderhollow/tests/soak/relay.rs
@@ -1,4 +1,4 @@
-//! A relay in front of a stand-in or of a door: passes bytes, breaks its connections, or loses what comes back.
+//! A relay in front of a stand-in or of a gateway: passes bytes, breaks its connections, or loses what comes back.
 
 use std::io;
 use std::net::SocketAddr;
--- a/alderhollow/tests/soak/troubles.rs
+++ b/alderhollow/tests/soak/troubles.rs
@@ -29,8 +29,8 @@
     Process(Place),
     /// The way to a backend, by its place in the list.
     BackendLink(usize),
-    /// The clients' way to a door, by its place in the list.
-    DoorLink(usize),
+    /// The clients' way to a gateway, by its place in the list.
+    GatewayLink(usize),
     /// A backend, by its place in the list.
     Backend(usize),
 }
@@ -71,19 +71,19 @@
 }
 
 impl Trouble {
-    fn draw(random: &mut Rand64, places: &[Place], doors: usize, backends: usize) -> Trouble {
+    fn draw(random: &mut Rand64, places: &[Place], gateways: usize, backends: usize) -> Trouble {
         let span =
             Duration::from_millis(random.rand_range(SHORTEST_TROUBLE_MS..LONGEST_TROUBLE_MS));
         let process = Target::Process(places[draw_index(random, places.len())]);
         let backend = draw_index(random, backends);
-        let door = draw_index(random, doors);
+        let gateway = draw_index(random, gateways);
         let (target, kind) = match random.rand_range(0..10) {
             0..=2 => (process, Kind::Kill),
             3..=4 => (process, Kind::Pause),
             5 => (Target::BackendLink(backend), Kind::Cut),
             6 => (Target::BackendLink(backend), Kind::LoseAnswers),
-            7 => (Target::DoorLink(door), Kind::Cut),
-            8 => (Target::DoorLink(door), Kind::LoseAnswers),
+            7 => (Target::GatewayLink(gateway), Kind::Cut),
+            8 => (Target::GatewayLink(gateway), Kind::LoseAnswers),
             _ => (Target::Backend(backend), Kind::Faults(draw_faults(random))),
         };
         Trouble { target, kind, span }
@@ -179,7 +179,7 @@
         let trouble = Trouble::draw(
             &mut random,
             &world.places,
-            world.door_relays.len(),
+            world.gateway_relays.len(),
             world.backend_relays.len(),
         );
         if Instant::now() + trouble.span >= end {
