--- a/alderhollow/tests/soak/world.rs
+++ b/alderhollow/tests/soak/world.rs
@@ -14,7 +14,7 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-const DISKLESS_DOORS: [Place; 2] = [Place::DisklessDoor(0), Place::DisklessDoor(1)];
+const DISKLESS_GATEWAYS: [Place; 2] = [Place::DisklessGateway(0), Place::DisklessGateway(1)];
 const STORES: u8 = 5;
 /// Few slots: what waits takes longer to run than an ended job's items may still come.
 const PACE: BackendPace = BackendPace {
@@ -23,7 +23,7 @@
 };
 /// Hosts of the relays on the tier's part of loopback.
 const BACKEND_RELAYS: u8 = 61;
-const DOOR_RELAYS: u8 = 71;
+const GATEWAY_RELAYS: u8 = 71;
 /// Version that [`Tier::settle`] hands in.
 const SETTLED_VERSION: u64 = 3;
 
@@ -32,9 +32,9 @@
     pub tier: RefCell<Tier>,
     pub places: Vec<Place>,
     pub backend_relays: Vec<Relay>,
-    /// The clients' way to each door.
-    pub door_relays: Vec<Relay>,
-    /// Where operators reach the doors.
+    /// The clients' way to each gateway.
+    pub gateway_relays: Vec<Relay>,
+    /// Where operators reach the gateways.
     pub controls: Vec<SocketAddr>,
     pub record: RefCell<Record>,
     pub configurations: RefCell<ConfigurationRecord>,
@@ -47,8 +47,8 @@
         let mut tier = Tier::prepare_backends(number, PACE).await;
         tier.options = metrics::options();
         let backend_relays = relay_backends(&tier).await;
-        let doors: Vec<Place> = SEEDS.into_iter().chain(DISKLESS_DOORS).collect();
-        let places: Vec<Place> = doors
+        let gateways: Vec<Place> = SEEDS.into_iter().chain(DISKLESS_GATEWAYS).collect();
+        let places: Vec<Place> = gateways
             .iter()
             .copied()
             .chain((0..STORES).map(Place::Store))
@@ -56,12 +56,12 @@
         for place in &places {
             tier.start_process(*place, true);
         }
-        tier.settle(&doors).await;
+        tier.settle(&gateways).await;
         let first = Order::put_config(SETTLED_VERSION, soak_configuration(FIRST_VERSION));
         assert_eq!(tier.order(&first).await.status, 200);
         World {
-            door_relays: relay_doors(&tier, &doors).await,
-            controls: tier.operator().doors,
+            gateway_relays: relay_gateways(&tier, &gateways).await,
+            controls: tier.operator().gateways,
             tier: RefCell::new(tier),
             places,
             backend_relays,
@@ -82,7 +82,7 @@
     pub fn relay(&self, target: Target) -> &Relay {
         match target {
             Target::BackendLink(index) => &self.backend_relays[index],
-            Target::DoorLink(index) => &self.door_relays[index],
+            Target::GatewayLink(index) => &self.gateway_relays[index],
             Target::Process(_) | Target::Backend(_) => unreachable!("{target:?} is no link"),
         }
     }
@@ -106,11 +106,11 @@
     relays
 }
 
-/// Puts a relay between the clients and each door.
-async fn relay_doors(tier: &Tier, doors: &[Place]) -> Vec<Relay> {
+/// Puts a relay between the clients and each gateway.
+async fn relay_gateways(tier: &Tier, gateways: &[Place]) -> Vec<Relay> {
     let mut relays = Vec::new();
-    for (door, host) in doors.iter().zip(DOOR_RELAYS..) {
-        let relay = Relay::start(tier.standin_address(host), tier.front(*door)).await;
+    for (gateway, host) in gateways.iter().zip(GATEWAY_RELAYS..) {
+        let relay = Relay::start(tier.standin_address(host), tier.front(*gateway)).await;
         relays.push(relay.expect("a port"));
     }
     relays
--- a/alderhollow/tests/store/main.rs
+++ b/alderhollow/tests/store/main.rs
@@ -1,4 +1,4 @@
-//! Three stores with one batch group or several, a door's batch calls and a backend in one process, over loopback: jobs
+//! Three stores with one batch group or several, a gateway's batch calls and a backend in one process, over loopback: jobs
 //! are kept by all members, run by the primary, and stand at its successor. The disks are in memory.
 //!
 //! | part | tests |
--- a/alderhollow/tests/store/quota.rs
+++ b/alderhollow/tests/store/quota.rs
@@ -146,23 +146,23 @@
     }
 }
 
-/// Doors of one seed would name their tries alike, so that one's refused try would be another's.
-static NEXT_DOOR_SEED: AtomicU64 = AtomicU64::new(100);
+/// Gateways of one seed would name their tries alike, so that one's refused try would be another's.
+static NEXT_GATEWAY_SEED: AtomicU64 = AtomicU64::new(100);
 
 /// Bytes of a body that is offered before it is sent.
 const LARGE_BODY: usize = 64 * 1024;
 
-/// Hands a large job of one item in at a new door, until it is decided; the answer, and how often the body was sent.
+/// Hands a large job of one item in at a new gateway, until it is decided; the answer, and how often the body was sent.
 async fn hand_in_large(tier: &Tier, id: &str) -> (u16, usize) {
     loop {
-        let seed = NEXT_DOOR_SEED.fetch_add(1, Ordering::Relaxed);
+        let seed = NEXT_GATEWAY_SEED.fetch_add(1, Ordering::Relaxed);
         let network = Network::new(10);
         let link = Rc::new(CountedNetwork {
             network,
             offers: Cell::new(0),
             hand_overs: Cell::new(0),
         });
-        let door = StoreEndpoints::new(
+        let gateway = StoreEndpoints::new(
             link.clone(),
             tier.tables.subscribe(),
             SteadyClock::start(),
@@ -170,7 +170,7 @@
         );
         let items = [job_item("i0", &vec![7; LARGE_BODY])];
         let status = tier
-            .hand_in_through(&door, id, &items, 4_000)
+            .hand_in_through(&gateway, id, &items, 4_000)
             .await
             .status()
             .as_u16();
--- a/alderhollow/tests/store/tier.rs
+++ b/alderhollow/tests/store/tier.rs
@@ -1,4 +1,4 @@
-//! Stores, a door's batch calls and a backend in one process.
+//! Stores, a gateway's batch calls and a backend in one process.
 
 use crate::batch_backend::{BatchBackend, Reply};
 use crate::batch_tables::{backend, config, snapshot_of_groups};
@@ -16,7 +16,7 @@
 use alderhollow::store::node::{NodeJournal, NodeParts, StoreNode};
 use alderhollow::store::replication::ReplicationHandler;
 use alderhollow::store::runs::Runs;
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::{BatchGroup, GroupId, GroupMember, Snapshot};
 use alderhollow_storage::{FaultDisk, Journal, Writer};
 use base64::prelude::{Engine as _, BASE64_STANDARD};
@@ -97,7 +97,7 @@
             node: format!("store-{number}"),
             role: Role::Store,
             zone: "a".to_string(),
-            life: LifeId(number),
+            incarnation: Incarnation(number),
             disk: Some(id),
             internal: Address(address),
             control: None,
@@ -325,10 +325,10 @@
             .await
     }
 
-    /// Hands a job in at a door.
+    /// Hands a job in at a gateway.
     pub async fn hand_in_through(
         &self,
-        door: &StoreEndpoints,
+        gateway: &StoreEndpoints,
         id: &str,
         items: &[Value],
         deadline_ms: u64,
@@ -340,12 +340,13 @@
             .body(Bytes::from(json!({ "requests": items }).to_string()))
             .expect("a request");
         let route = Some(Arc::new(config(1, self.quota).routes.remove(0)));
-        door.serve(BatchCall {
-            request,
-            route,
-            received_at: Instant::now(),
-        })
-        .await
+        gateway
+            .serve(BatchCall {
+                request,
+                route,
+                received_at: Instant::now(),
+            })
+            .await
     }
 
     pub async fn submit(&self, items: usize) -> u16 {
--- a/alderhollow/tests/streams.rs
+++ b/alderhollow/tests/streams.rs
@@ -1,11 +1,11 @@
-//! Streams of events through the front of a door.
+//! Streams of events through the front of a gateway.
 
 mod support;
 
 use std::time::Duration;
 use support::backend::*;
 use support::client::{ask, Client};
-use support::door::*;
+use support::gateway::*;
 use support::run;
 use tokio::time::Instant;
 
@@ -21,12 +21,12 @@
 fn a_whole_stream_passes_whole() {
     run(async {
         for path in ["/tokens/1", "/talk/1"] {
-            let door = Door::start(2).await;
-            door.backends.script(stream(1..=9, vec![last_chunk()]));
-            let reply = ask(door.address, &request(path, "", "x")).await;
+            let gateway = Gateway::start(2).await;
+            gateway.backends.script(stream(1..=9, vec![last_chunk()]));
+            let reply = ask(gateway.address, &request(path, "", "x")).await;
             assert_eq!((reply.status, reply.whole), (200, true));
             assert_eq!(reply.body, events(1..=9));
-            assert_eq!(door.backends.seen()[0].header("last-event-id"), None);
+            assert_eq!(gateway.backends.seen()[0].header("last-event-id"), None);
         }
     });
 }
@@ -35,11 +35,12 @@
 fn events_pass_on_as_they_come() {
     run(async {
         for path in ["/tokens/1", "/talk/1"] {
-            let door = Door::start(1).await;
+            let gateway = Gateway::start(1).await;
             let pause = Step::Pause(Duration::from_millis(200));
-            door.backends
+            gateway
+                .backends
                 .script(stream(1..=1, vec![pause, chunk(&event(2)), Step::Hang]));
-            let mut client = Client::connect(door.address).await;
+            let mut client = Client::connect(gateway.address).await;
             let began = Instant::now();
             client.write(&request(path, "", "x")).await;
             client.read_until(&event(1)).await;
@@ -63,14 +64,14 @@
             vec![chunk(&event(2)), Step::Hang],
         ];
         for cut in cuts {
-            let door = Door::start(3).await;
-            door.backends.script(stream(1..=3, cut));
-            door.backends.script(stream(4..=9, vec![last_chunk()]));
-            let reply = ask(door.address, &request("/tokens/1", "", "x")).await;
+            let gateway = Gateway::start(3).await;
+            gateway.backends.script(stream(1..=3, cut));
+            gateway.backends.script(stream(4..=9, vec![last_chunk()]));
+            let reply = ask(gateway.address, &request("/tokens/1", "", "x")).await;
             assert_eq!((reply.status, reply.whole), (200, true));
             assert_eq!(reply.body, events(1..=9));
             assert_eq!(reply.header("response-seal").as_deref(), Some("from 1"));
-            let seen = door.backends.seen();
+            let seen = gateway.backends.seen();
             assert_eq!(seen[1].header("last-event-id").as_deref(), Some("3"));
             assert_eq!(seen[1].header("request-id").as_deref(), Some("r1"));
             assert_ne!(seen[0].backend, seen[1].backend);
@@ -81,38 +82,39 @@
 #[test]
 fn a_stream_that_no_backend_goes_on_with_is_seen_to_be_cut() {
     run(async {
-        let door = Door::start(3).await;
-        door.backends.script(stream(1..=3, vec![Step::Close]));
-        door.backends.script(stream(4..=5, vec![Step::Close]));
-        let reply = ask(door.address, &request("/tokens/1", "", "x")).await;
+        let gateway = Gateway::start(3).await;
+        gateway.backends.script(stream(1..=3, vec![Step::Close]));
+        gateway.backends.script(stream(4..=5, vec![Step::Close]));
+        let reply = ask(gateway.address, &request("/tokens/1", "", "x")).await;
         assert_eq!((reply.whole, reply.body), (false, events(1..=5)));
-        assert_eq!(door.backends.seen().len(), 2, "two backends at most");
+        assert_eq!(gateway.backends.seen().len(), 2, "two backends at most");
     });
 }
 
 #[test]
 fn a_stream_that_may_not_be_resumed_is_cut_where_its_backend_cuts_it() {
     run(async {
-        let door = Door::start(3).await;
-        door.backends
+        let gateway = Gateway::start(3).await;
+        gateway
+            .backends
             .script(stream(1..=3, vec![chunk("id: 4"), Step::Close]));
-        let reply = ask(door.address, &request("/talk/1", "", "x")).await;
+        let reply = ask(gateway.address, &request("/talk/1", "", "x")).await;
         assert_eq!((reply.status, reply.whole), (200, false));
         assert_eq!(reply.body, events(1..=3) + "id: 4");
-        assert_eq!(door.backends.seen().len(), 1);
+        assert_eq!(gateway.backends.seen().len(), 1);
     });
 }
 
 #[test]
 fn a_stream_whose_end_cannot_be_told_from_a_cut_is_not_whole() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         let head = "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: s\r\nContent-Type: text/event-stream\r\n\r\n";
-        door.backends.script(vec![
+        gateway.backends.script(vec![
             Step::Write(format!("{head}{}", events(1..=2))),
             Step::Close,
         ]);
-        let reply = ask(door.address, &request("/talk/1", "", "x")).await;
+        let reply = ask(gateway.address, &request("/talk/1", "", "x")).await;
         assert!(!reply.whole);
     });
 }
@@ -120,16 +122,16 @@
 #[test]
 fn a_client_that_resumes_is_served_from_its_event_on() {
     run(async {
-        let door = Door::start(2).await;
-        door.backends.script(stream(6..=6, vec![Step::Close]));
-        door.backends.script(stream(7..=9, vec![last_chunk()]));
+        let gateway = Gateway::start(2).await;
+        gateway.backends.script(stream(6..=6, vec![Step::Close]));
+        gateway.backends.script(stream(7..=9, vec![last_chunk()]));
         let reply = ask(
-            door.address,
+            gateway.address,
             &request("/tokens/1", "Last-Event-Id: 5\r\n", "x"),
         )
         .await;
         assert_eq!((reply.whole, reply.body), (true, events(6..=9)));
-        let seen = door.backends.seen();
+        let seen = gateway.backends.seen();
         let asked: Vec<_> = seen
             .iter()
             .filter_map(|seen| seen.header("last-event-id"))
@@ -141,21 +143,21 @@
 #[test]
 fn a_silent_backend_is_left_before_and_between_events_where_another_one_goes_on() {
     run(async {
-        let door = Door::start(3).await;
-        door.backends.script(vec![Step::Hang]);
-        door.backends.script(stream(1..=3, vec![last_chunk()]));
+        let gateway = Gateway::start(3).await;
+        gateway.backends.script(vec![Step::Hang]);
+        gateway.backends.script(stream(1..=3, vec![last_chunk()]));
         let began = Instant::now();
-        let reply = ask(door.address, &request("/tokens/1", "", "x")).await;
+        let reply = ask(gateway.address, &request("/tokens/1", "", "x")).await;
         assert_eq!((reply.whole, reply.body), (true, events(1..=3)));
         assert!(
             began.elapsed() < Duration::from_millis(900),
             "{:?}",
             began.elapsed()
         );
-        door.backends.script(stream(1..=3, vec![Step::Hang]));
-        door.backends.script(stream(4..=5, vec![last_chunk()]));
+        gateway.backends.script(stream(1..=3, vec![Step::Hang]));
+        gateway.backends.script(stream(4..=5, vec![last_chunk()]));
         let began = Instant::now();
-        let reply = ask(door.address, &request("/tokens/1", "", "x")).await;
+        let reply = ask(gateway.address, &request("/tokens/1", "", "x")).await;
         assert_eq!((reply.whole, reply.body), (true, events(1..=5)));
         assert!(
             began.elapsed() < Duration::from_millis(1500),
@@ -168,11 +170,12 @@
 #[test]
 fn a_silent_backend_without_another_one_is_waited_for() {
     run(async {
-        let door = Door::start(1).await;
+        let gateway = Gateway::start(1).await;
         let pause = Step::Pause(Duration::from_millis(2000));
-        door.backends
+        gateway
+            .backends
             .script(stream(1..=1, vec![pause, chunk(&event(2)), last_chunk()]));
-        let reply = ask(door.address, &request("/tokens/1", "", "x")).await;
+        let reply = ask(gateway.address, &request("/tokens/1", "", "x")).await;
         assert_eq!((reply.whole, reply.body), (true, events(1..=2)));
     });
 }
@@ -180,12 +183,13 @@
 #[test]
 fn a_stream_that_may_not_be_resumed_is_never_left_for_its_silence() {
     run(async {
-        let door = Door::start(2).await;
+        let gateway = Gateway::start(2).await;
         let pause = Step::Pause(Duration::from_millis(2000));
-        door.backends
+        gateway
+            .backends
             .script(stream(1..=1, vec![pause, chunk(&event(2)), last_chunk()]));
-        let reply = ask(door.address, &request("/talk/1", "", "x")).await;
+        let reply = ask(gateway.address, &request("/talk/1", "", "x")).await;
         assert_eq!((reply.whole, reply.body), (true, events(1..=2)));
-        assert_eq!(door.backends.seen().len(), 1);
+        assert_eq!(gateway.backends.seen().len(), 1);
     });
 }
--- a/alderhollow/tests/support/client.rs
+++ b/alderhollow/tests/support/client.rs
@@ -44,7 +44,7 @@
             .expect("it is read");
     }
 
-    /// Writes to a connection that the door may have closed.
+    /// Writes to a connection that the gateway may have closed.
     pub async fn offer(&mut self, text: &str) {
         // What is lost then, the missing answer tells.
         let _ = self.stream.write_all(text.as_bytes()).await;
--- a/alderhollow/tests/support/door.rs
+++ b/alderhollow/tests/support/gateway.rs
@@ -1,12 +1,12 @@
-//! A door's front over emulated backends.
+//! A gateway's front over emulated backends.
 
 use super::backend::Backends;
 use alderhollow::balance::Balancer;
 use alderhollow::batch_api::{not_now, BatchAnswer, BatchCall, BatchEndpoints};
 use alderhollow::distribution::validity::TableValidity;
 use alderhollow::exchange::Exchange;
-use alderhollow::front::phase::Phase;
-use alderhollow::front::{Front, FrontSettings};
+use alderhollow::http_server::phase::Phase;
+use alderhollow::http_server::{Front, FrontSettings};
 use alderhollow_model::backend::{Backend, BackendList, BackendState};
 use alderhollow_model::config::Config;
 use alderhollow_model::identity::Address;
@@ -48,7 +48,7 @@
     }
 }
 
-pub struct Door {
+pub struct Gateway {
     pub address: SocketAddr,
     pub backends: Backends,
     pub exchange: Rc<Exchange>,
@@ -57,14 +57,14 @@
     pub running: JoinHandle<()>,
 }
 
-impl Door {
-    /// A door over so many backends, `b0` and on.
-    pub async fn start(count: usize) -> Door {
-        Door::start_with(count, None).await
+impl Gateway {
+    /// A gateway over so many backends, `b0` and on.
+    pub async fn start(count: usize) -> Gateway {
+        Gateway::start_with(count, None).await
     }
 
     /// The same, where only tables with this validity are the newest.
-    pub async fn start_with(count: usize, validity: Option<TableValidity>) -> Door {
+    pub async fn start_with(count: usize, validity: Option<TableValidity>) -> Gateway {
         let backends = Backends::default();
         let mut list = Vec::new();
         for number in 0..count {
@@ -88,7 +88,7 @@
         let address = listener.local_addr().expect("an address");
         let (phase, following) = watch::channel(Phase::Running);
         let running = spawn_local(front.run(listener, following));
-        Door {
+        Gateway {
             address,
             backends,
             exchange,
--- a/alderhollow/tests/support/mod.rs
+++ b/alderhollow/tests/support/mod.rs
@@ -4,7 +4,7 @@
 
 pub mod backend;
 pub mod client;
-pub mod door;
+pub mod gateway;
 
 use std::future::Future;
 use tokio::task::LocalSet;
--- a/alderhollow/tests/tier_support/mod.rs
+++ b/alderhollow/tests/tier_support/mod.rs
@@ -50,33 +50,33 @@
 /// One machine's place in a tier: a class and a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Place {
-    Door(u8),
-    /// A door without a disk.
-    DisklessDoor(u8),
+    Gateway(u8),
+    /// A gateway without a disk.
+    DisklessGateway(u8),
     Store(u8),
 }
 
-/// The doors whose addresses are the seeds.
-pub const SEEDS: [Place; 3] = [Place::Door(0), Place::Door(1), Place::Door(2)];
+/// The gateways whose addresses are the seeds.
+pub const SEEDS: [Place; 3] = [Place::Gateway(0), Place::Gateway(1), Place::Gateway(2)];
 pub const STORES: [Place; 3] = [Place::Store(0), Place::Store(1), Place::Store(2)];
 
 impl Place {
     fn host(self) -> u8 {
         match self {
-            Place::Door(number) => 11 + number,
-            Place::DisklessDoor(number) => 16 + number,
+            Place::Gateway(number) => 11 + number,
+            Place::DisklessGateway(number) => 16 + number,
             Place::Store(number) => 21 + number,
         }
     }
 
     fn zone(self) -> &'static str {
-        let (Place::Door(number) | Place::DisklessDoor(number) | Place::Store(number)) = self;
+        let (Place::Gateway(number) | Place::DisklessGateway(number) | Place::Store(number)) = self;
         ZONES[usize::from(number) % ZONES.len()]
     }
 
     fn class(self) -> MachineClass {
         match self {
-            Place::Door(_) | Place::DisklessDoor(_) => MachineClass::Edge,
+            Place::Gateway(_) | Place::DisklessGateway(_) => MachineClass::Edge,
             Place::Store(_) => MachineClass::Storage,
         }
     }
@@ -166,7 +166,7 @@
         }
     }
 
-    /// A tier of three doors and three stores, with its first configuration, in which all are in touch.
+    /// A tier of three gateways and three stores, with its first configuration, in which all are in touch.
     pub async fn start(number: u8, event_pause: Duration) -> Tier {
         let mut tier = Tier::prepare(number, event_pause).await;
         for place in SEEDS.into_iter().chain(STORES) {
@@ -176,9 +176,9 @@
         tier
     }
 
-    /// Hands the first configuration in and waits until these doors are ready, the core has three members and the
+    /// Hands the first configuration in and waits until these gateways are ready, the core has three members and the
     /// batch group is active.
-    pub async fn settle(&self, doors: &[Place]) {
+    pub async fn settle(&self, gateways: &[Place]) {
         let answer = self
             .order(&Order::put_config(0, configuration(3, &[])))
             .await;
@@ -188,8 +188,8 @@
             "{}",
             String::from_utf8_lossy(&answer.body)
         );
-        for door in doors {
-            until("the door is ready", || self.is_ready(*door)).await;
+        for gateway in gateways {
+            until("the door is ready", || self.is_ready(*gateway)).await;
         }
         self.settle_groups().await;
     }
@@ -212,7 +212,7 @@
         let folder = self.folder.join(&name);
         let data_dir = self.data_dir(place);
         std::fs::create_dir_all(&data_dir).unwrap();
-        let has_disk = !matches!(place, Place::DisklessDoor(_));
+        let has_disk = !matches!(place, Place::DisklessGateway(_));
         let site = Site {
             first_start,
             ..self.site.clone()
@@ -265,9 +265,9 @@
         std::fs::remove_dir_all(self.data_dir(place)).unwrap();
     }
 
-    /// Where clients reach a door.
-    pub fn front(&self, door: Place) -> SocketAddr {
-        self.address(door, self.site.ports.front)
+    /// Where clients reach a gateway.
+    pub fn front(&self, gateway: Place) -> SocketAddr {
+        self.address(gateway, self.site.ports.front)
     }
 
     /// Where the tier's own messages reach a process.
@@ -302,9 +302,9 @@
             .as_u64()
     }
 
-    /// Whether a door calls itself ready.
-    pub async fn is_ready(&self, door: Place) -> bool {
-        let address = self.address(door, self.site.ports.ready);
+    /// Whether a gateway calls itself ready.
+    pub async fn is_ready(&self, gateway: Place) -> bool {
+        let address = self.address(gateway, self.site.ports.ready);
         let order = Order {
             path: "/alderhollow/readyz".into(),
             ..Order::get_config()
@@ -329,12 +329,12 @@
         status::ask_choice(self.internal(place), demand).await.ok()
     }
 
-    /// The door that holds the core's lease.
+    /// The gateway that holds the core's lease.
     pub async fn core_primary(&self) -> Option<(Place, StatusReport)> {
         for place in self
             .processes
             .keys()
-            .filter(|place| matches!(place, Place::Door(_)))
+            .filter(|place| matches!(place, Place::Gateway(_)))
         {
             let Some(report) = self.status(*place).await else {
                 continue;
--- a/batch/src/api.rs
+++ b/batch/src/api.rs
@@ -8,7 +8,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Token(pub u64);
 
-/// Names one try of a client as a door took it, drawn at random by the door. When the door asks again after an unknown
+/// Names one try of a client as a gateway took it, drawn at random by the gateway. When the gateway asks again after an unknown
 /// end it gives the same one: once a try was refused as over quota, no late copy of it is accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct TryId(pub u64);
@@ -93,7 +93,7 @@
     Invalid,
 }
 
-/// What a door offers of a job before it hands it in.
+/// What a gateway offers of a job before it hands it in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct JobOffer<'a> {
     /// The job.
--- a/batch/src/engine/calls.rs
+++ b/batch/src/engine/calls.rs
@@ -21,7 +21,7 @@
 const RESULT_JSON_BYTES: usize = 48;
 
 impl Engine {
-    /// A client hands in a job, at a try that the door has named.
+    /// A client hands in a job, at a try that the gateway has named.
     ///
     /// The same job is told by its id alone. Under a limit of [`Engine::set_quota_limit`], a job that does not fit is
     /// answered [`Submitted::NotSure`]: only the route's coordinator can tell whether it is over quota.
@@ -77,7 +77,7 @@
         self.is_sure(now_ms) && may_accept && self.routes.contains_key(route)
     }
 
-    /// A door asks whether a job would be taken, before it sends the job itself, which is large. An offer without tokens
+    /// A gateway asks whether a job would be taken, before it sends the job itself, which is large. An offer without tokens
     /// asks only whether the job is known: it is never refused for want of room, so that nothing is remembered of it.
     pub fn offer(&mut self, now_ms: u64, try_id: TryId, offer: &JobOffer) -> Offered {
         self.now_ms = now_ms;
--- a/batch/src/quota/account.rs
+++ b/batch/src/quota/account.rs
@@ -12,7 +12,7 @@
 pub const IDLE_PERIOD_MS: u64 = 1_000;
 /// A report that has no answer for so long is given up.
 pub const ANSWER_PATIENCE_MS: u64 = 300;
-/// A submission waits for room so long at most. A door waits longer for its answer.
+/// A submission waits for room so long at most. A gateway waits longer for its answer.
 pub const SUBMISSION_PATIENCE_MS: u64 = 600;
 /// A submission that may ever fit is refused after so long at least: by then the other groups have reported what ended there before.
 pub const REFUSAL_PAUSE_MS: u64 = 300;
--- a/batch/src/quota/meter.rs
+++ b/batch/src/quota/meter.rs
@@ -1,4 +1,4 @@
-//! The meter of a tenant's waiting tokens, as its coordinator reads it for the doors' coins: one reading a period. A
+//! The meter of a tenant's waiting tokens, as its coordinator reads it for the gateways' coins: one reading a period. A
 //! tenant is a batch route.
 
 use super::message::QuotaReading;
--- a/batch/tests/engine/cluster.rs
+++ b/batch/tests/engine/cluster.rs
@@ -7,7 +7,7 @@
 use alderhollow_batch::engine::Engine;
 use alderhollow_batch::job::{Item, ItemRequest, JobId, NewJob, ResultState};
 use alderhollow_batch::message::Message;
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::{BatchGroup, GroupMember};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -291,7 +291,7 @@
         node: format!("store-{disk}"),
         role: Role::Store,
         zone: "zone".to_owned(),
-        life: LifeId(disk),
+        incarnation: Incarnation(disk),
         disk: Some(DiskId(disk)),
         internal: Address(SocketAddr::from(([127, 0, 0, 1], 1))),
         control: None,
--- a/batch/tests/simulation/clients.rs
+++ b/batch/tests/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients, each with one job, and the doors that they meet.
+//! Clients, each with one job, and the gateways that they meet.
 
 use crate::oracle::Oracle;
 use crate::stores::{Answer, Call, ROUTE};
@@ -6,9 +6,9 @@
 use alderhollow_batch::job::{Header, Item, ItemRequest, JobId, NewJob};
 use oorandom::Rand64;
 
-/// How long a door looks for a clear answer to one try.
+/// How long a gateway looks for a clear answer to one try.
 const TRY_MS: u64 = 2_500;
-/// How long a door waits for a store's answer.
+/// How long a gateway waits for a store's answer.
 pub const CALL_MS: u64 = 700;
 /// Tries of a client.
 const TRIES: u32 = 6;
@@ -32,7 +32,7 @@
     GaveUp,
 }
 
-/// A client, with the door that it meets.
+/// A client, with the gateway that it meets.
 pub struct Client {
     pub job: NewJob,
     stage: Stage,
@@ -208,7 +208,7 @@
         Step::Wait(PAUSE_MS)
     }
 
-    /// The door has an answer of a store to the job handed in.
+    /// The gateway has an answer of a store to the job handed in.
     fn submitted(&mut self, now_ms: u64, answer: Answer, oracle: &mut Oracle) -> Step {
         let Stage::Trying {
             until_ms, unknown, ..
@@ -236,7 +236,7 @@
         self.next_try(oracle)
     }
 
-    /// The door answers 429 or 503.
+    /// The gateway answers 429 or 503.
     fn refused(&mut self, oracle: &mut Oracle) -> Step {
         self.next_try(oracle)
     }
--- a/batch/tests/simulation/core.rs
+++ b/batch/tests/simulation/core.rs
@@ -1,7 +1,7 @@
 //! The core: names the group under epochs, as the control plane is to do it.
 
 use alderhollow_batch::api::GroupStatus;
-use alderhollow_model::identity::{Address, DiskId, LifeId, NodeInfo, Role};
+use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::{BatchGroup, GroupMember};
 use std::collections::{BTreeMap, BTreeSet};
 use std::net::SocketAddr;
@@ -234,7 +234,7 @@
         node: disk.to_string(),
         role: Role::Store,
         zone: "zone".to_owned(),
-        life: LifeId(0),
+        incarnation: Incarnation(0),
         disk: Some(disk),
         internal: Address(SocketAddr::from(([127, 0, 0, 1], 1))),
         control: None,
--- a/batch/tests/simulation/main.rs
+++ b/batch/tests/simulation/main.rs
@@ -1,4 +1,4 @@
-//! Seeded simulation of several stores, a core that names the group, doors, clients and backends, under loss, delay and
+//! Seeded simulation of several stores, a core that names the group, gateways, clients and backends, under loss, delay and
 //! doubling of messages, kills, losses of power, lost disks, frozen processes and cuts.
 //!
 //! The oracle is the rules for batch jobs, see `oracle.rs`.
--- a/batch/tests/simulation/processes.rs
+++ b/batch/tests/simulation/processes.rs
@@ -157,7 +157,7 @@
         self.answer(caller, answer);
     }
 
-    /// An answer goes back to a client's door.
+    /// An answer goes back to a client's gateway.
     pub fn answer(&mut self, caller: Caller, answer: Answer) {
         if self.random.rand_float() >= self.faults.loss {
             let delay_ms = self.delay();
--- a/batch/tests/simulation/stores.rs
+++ b/batch/tests/simulation/stores.rs
@@ -73,7 +73,7 @@
     },
 }
 
-/// A client's call, as a door passes it on.
+/// A client's call, as a gateway passes it on.
 #[derive(Debug, Clone)]
 pub enum Call {
     Submit {
--- a/model/src/config.rs
+++ b/model/src/config.rs
@@ -74,7 +74,7 @@
     /// An item may be given up so long after its batch job was first sent.
     #[serde(default)]
     pub retention_s: Option<f64>,
-    /// Tokens that may wait on the route over all doors; 0: no limit.
+    /// Tokens that may wait on the route over all gateways; 0: no limit.
     #[serde(default)]
     pub max_queued_tokens: u64,
 }
--- a/model/src/identity.rs
+++ b/model/src/identity.rs
@@ -15,16 +15,16 @@
     }
 }
 
-/// One life of a process: drawn at random at its start.
+/// One incarnation of a process: drawn at random at its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct LifeId(#[n(0)] pub u64);
+pub struct Incarnation(#[n(0)] pub u64);
 
 /// Which role a process plays.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Role {
     /// Serves clients and operators.
     #[n(0)]
-    Door,
+    Gateway,
     /// Keeps batch jobs.
     #[n(1)]
     Store,
@@ -37,7 +37,7 @@
     /// The name of the role, which is also its subcommand.
     pub fn name(self) -> &'static str {
         match self {
-            Role::Door => "door",
+            Role::Gateway => "door",
             Role::Store => "store",
             Role::Core => "core",
         }
@@ -46,7 +46,7 @@
     /// Whether a process with this role and a disk may be a member of the core.
     pub fn may_join_core(self) -> bool {
         match self {
-            Role::Door | Role::Core => true,
+            Role::Gateway | Role::Core => true,
             Role::Store => false,
         }
     }
@@ -54,7 +54,7 @@
     /// Whether a process with this role sends requests or items to backends.
     pub fn sends_to_backends(self) -> bool {
         match self {
-            Role::Door | Role::Store => true,
+            Role::Gateway | Role::Store => true,
             Role::Core => false,
         }
     }
@@ -72,9 +72,9 @@
     /// Its zone.
     #[n(2)]
     pub zone: String,
-    /// This life of it.
+    /// This incarnation of it.
     #[n(3)]
-    pub life: LifeId,
+    pub incarnation: Incarnation,
     /// Its disk, where it has one.
     #[n(4)]
     pub disk: Option<DiskId>,
--- a/model/src/snapshot.rs
+++ b/model/src/snapshot.rs
@@ -1,5 +1,5 @@
 //! What one process acts on: immutable tables that are swapped whole. Each table has its own version and never goes back
-//! within one life of a process.
+//! within one incarnation of a process.
 
 use crate::backend::BackendList;
 use crate::config::Config;
@@ -147,6 +147,6 @@
     pub backends_at_ms: u64,
     /// Who else sends.
     pub senders: Arc<Senders>,
-    /// Whether a primary with a valid lease has validated these tables in this life.
+    /// Whether a primary with a valid lease has validated these tables in this incarnation.
     pub validated: bool,
 }
--- a/placement-model/src/policy.rs
+++ b/placement-model/src/policy.rs
@@ -8,7 +8,7 @@
 use alderhollow::placement::offers::{zones_to_ask, Offers};
 use alderhollow_model::backend::{Backend, BackendList, BackendState};
 use alderhollow_model::config::{Config, Engine as EngineConfig, Service};
-use alderhollow_model::identity::{Address, LifeId};
+use alderhollow_model::identity::{Address, Incarnation};
 use alderhollow_model::snapshot::{ControlView, Senders, Snapshot};
 use clap::ValueEnum;
 use std::collections::BTreeMap;
@@ -83,7 +83,7 @@
         config: Some(Arc::new(config)),
         ..ControlView::default()
     };
-    let count = settings.senders.doors + settings.senders.stores;
+    let count = settings.senders.gateways + settings.senders.stores;
     let nodes = (0..count)
         .map(|sender| format!("sender-{sender:04}"))
         .collect();
@@ -135,7 +135,7 @@
     /// The choosers of a policy.
     pub fn new(policy: Policy, settings: &Settings) -> Chooser {
         let all = settings.engines.zones;
-        let senders = settings.senders.doors + settings.senders.stores;
+        let senders = settings.senders.gateways + settings.senders.stores;
         let choosers = match policy {
             Policy::Blind => Choosers::Senders(
                 (0..senders)
@@ -183,7 +183,7 @@
                 ..
             } => {
                 let attempt = AttemptId {
-                    sender: LifeId(request.sender as u64),
+                    sender: Incarnation(request.sender as u64),
                     number: index as u64,
                 };
                 let question = PlaceRequest {
@@ -277,7 +277,7 @@
 }
 
 fn report(due_ms: f64, zone: usize, request: &Request, event: Event) -> Pending {
-    let sender = LifeId(request.sender as u64);
+    let sender = Incarnation(request.sender as u64);
     Pending {
         due_ms,
         zone,
--- a/placement-model/src/settings.rs
+++ b/placement-model/src/settings.rs
@@ -58,7 +58,7 @@
 #[serde(deny_unknown_fields)]
 pub struct Senders {
     /// Those that pass on what clients ask for.
-    pub doors: usize,
+    pub gateways: usize,
     /// Those that run items.
     pub stores: usize,
     /// Until a placer knows what a sender reports.
@@ -163,7 +163,7 @@
                 "engines.tokens_per_event",
                 settings.engines.tokens_per_event as f64,
             ),
-            ("senders.doors", settings.senders.doors as f64),
+            ("senders.doors", settings.senders.gateways as f64),
             ("senders.stores", settings.senders.stores as f64),
         ];
         match figures
--- a/placement-model/src/traffic.rs
+++ b/placement-model/src/traffic.rs
@@ -69,9 +69,9 @@
     let events = size(class.events.mean, class.events.sigma, class.events.max, rng);
     let is_item = class.priority >= LOW_RANK;
     let (first, count) = if is_item {
-        (settings.senders.doors, settings.senders.stores)
+        (settings.senders.gateways, settings.senders.stores)
     } else {
-        (0, settings.senders.doors)
+        (0, settings.senders.gateways)
     };
     let part = ((index as u64 + 1) << 32) | thing;
     let tokens_out = events * settings.engines.tokens_per_event;
