--- a/alderhollow/examples/loopback-tier/main.rs
+++ b/alderhollow/examples/loopback-tier/main.rs
@@ -24,6 +24,10 @@
     /// The program to run.
     #[arg(long, default_value = "target/tier/alderhollow")]
     binary: PathBuf,
+    /// Another build of the program: once all steps are done, each process is restarted with it, one after the other, and
+    /// then with the first one again, with requests and a batch job after each restart.
+    #[arg(long)]
+    other_binary: Option<PathBuf>,
     /// Folder for settings, data and logs; removed at the end unless it is named here.
     #[arg(long)]
     folder: Option<PathBuf>,
@@ -71,6 +75,9 @@
     };
     if let Some(reason) = broken_off {
         report.failed(reason);
+    } else if let Some(other) = &arguments.other_binary {
+        let builds = [other.as_path(), arguments.binary.as_path()];
+        trial::run_rolling_restarts(&surroundings, &mut processes, builds, &mut report).await;
     }
     processes.stop(&mut report).await;
     if is_own_folder && report.is_good() {
--- a/alderhollow/examples/loopback-tier/tier.rs
+++ b/alderhollow/examples/loopback-tier/tier.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeMap;
 use std::io;
 use std::net::{Ipv4Addr, SocketAddr};
-use std::path::Path;
+use std::path::{Path, PathBuf};
 use std::time::Duration;
 
 const ZONES: [&str; 3] = ["east", "middle", "west"];
@@ -34,8 +34,19 @@
 /// Time between two looks whether a process has ended.
 const END_POLL: Duration = Duration::from_millis(200);
 
+/// A machine of the tier and the process that runs on it.
+struct Node {
+    class: MachineClass,
+    zone: &'static str,
+    host: u8,
+    process: TierProcess,
+}
+
 /// The tier's processes.
-pub struct Processes(Vec<TierProcess>);
+pub struct Processes {
+    folder: PathBuf,
+    nodes: Vec<Node>,
+}
 
 /// What stands around the processes.
 pub struct Surroundings {
@@ -81,15 +92,72 @@
 impl Processes {
     /// Starts three gateways and three stores, with their files below `folder`.
     pub fn start(binary: &Path, folder: &Path) -> io::Result<Processes> {
-        start_processes(binary, folder).map(Processes)
+        let gateways = ZONES
+            .iter()
+            .zip(GATEWAYS)
+            .map(|(zone, host)| (MachineClass::Edge, *zone, host));
+        let stores = ZONES
+            .iter()
+            .zip(STORES)
+            .map(|(zone, host)| (MachineClass::Storage, *zone, host));
+        let start = |(class, zone, host)| {
+            let process = start_process(binary, folder, true, class, zone, host)?;
+            Ok(Node {
+                class,
+                zone,
+                host,
+                process,
+            })
+        };
+        Ok(Processes {
+            folder: folder.to_path_buf(),
+            nodes: gateways
+                .chain(stores)
+                .map(start)
+                .collect::<io::Result<_>>()?,
+        })
+    }
+
+    /// How many there are.
+    pub fn count(&self) -> usize {
+        self.nodes.len()
+    }
+
+    /// Ends one process and starts it again from another build, with its settings and data.
+    pub async fn replace(&mut self, index: usize, binary: &Path, report: &mut Report) {
+        let Some(node) = self.nodes.get_mut(index) else {
+            return;
+        };
+        let name = node.process.name().to_string();
+        if let Err(error) = node.process.terminate() {
+            report.failed(format!("{name} can't be asked to end: {error}"));
+        }
+        match node.process.wait(GRACE).await {
+            Ok(Some(status)) if status.success() => {}
+            other => report.failed(format!("{name} did not end as asked: {other:?}")),
+        }
+        match start_process(
+            binary,
+            &self.folder,
+            false,
+            node.class,
+            node.zone,
+            node.host,
+        ) {
+            Ok(process) => {
+                node.process = process;
+                report.good(format!("{name} restarted with {}", binary.display()));
+            }
+            Err(error) => report.failed(format!("{name} can't be started again: {error}")),
+        }
     }
 
     /// Waits until one of them has ended by itself; gives its name.
     pub async fn first_end(&mut self) -> String {
         loop {
-            for process in &mut self.0 {
-                if !matches!(process.ended(), Ok(None)) {
-                    return process.name().to_string();
+            for node in &mut self.nodes {
+                if !matches!(node.process.ended(), Ok(None)) {
+                    return node.process.name().to_string();
                 }
             }
             tokio::time::sleep(END_POLL).await;
@@ -98,7 +166,7 @@
 
     /// Ends all processes: asks first, kills after the grace.
     pub async fn stop(&mut self, report: &mut Report) {
-        for process in &mut self.0 {
+        for process in self.nodes.iter_mut().map(|node| &mut node.process) {
             match process.ended() {
                 Ok(None) => {}
                 other => {
@@ -109,7 +177,7 @@
                 report.failed(format!("{} can't be asked to end: {error}", process.name()));
             }
         }
-        for process in &mut self.0 {
+        for process in self.nodes.iter_mut().map(|node| &mut node.process) {
             match process.wait(GRACE).await {
                 Ok(Some(status)) => report.check(
                     status.success(),
@@ -148,8 +216,8 @@
     Backend::start(SocketAddr::from((loopback(host), BACKEND_PORT)), settings).await
 }
 
-fn start_processes(binary: &Path, folder: &Path) -> io::Result<Vec<TierProcess>> {
-    let site = Site {
+fn site(first_start: bool) -> Site {
+    Site {
         ports: PORTS,
         zones: ZONES
             .iter()
@@ -157,26 +225,14 @@
             .collect::<BTreeMap<_, _>>(),
         seeds: addresses(PORTS.control),
         platform: PLATFORM,
-        first_start: true,
-    };
-    let gateways = ZONES
-        .iter()
-        .zip(GATEWAYS)
-        .map(|(zone, host)| (MachineClass::Edge, *zone, host));
-    let stores = ZONES
-        .iter()
-        .zip(STORES)
-        .map(|(zone, host)| (MachineClass::Storage, *zone, host));
-    gateways
-        .chain(stores)
-        .map(|(class, zone, host)| start_process(binary, folder, &site, class, zone, host))
-        .collect()
+        first_start,
+    }
 }
 
 fn start_process(
     binary: &Path,
     folder: &Path,
-    site: &Site,
+    first_start: bool,
     class: MachineClass,
     zone: &str,
     host: u8,
@@ -193,7 +249,7 @@
         data_dir: Some(data_dir),
     };
     let settings = own_folder.join("node.toml");
-    let text = settings_file(site, &machine).map_err(io::Error::other)?;
+    let text = settings_file(&site(first_start), &machine).map_err(io::Error::other)?;
     std::fs::write(&settings, text)?;
     TierProcess::start(
         &node,
--- a/alderhollow/examples/loopback-tier/trial.rs
+++ b/alderhollow/examples/loopback-tier/trial.rs
@@ -2,13 +2,14 @@
 
 use crate::configuration::{self, CHAT, HOST, LATER, LOTS, ONCE};
 use crate::report::Report;
-use crate::tier::Surroundings;
+use crate::tier::{Processes, Surroundings};
 use alderhollow_standins::backend::Fault;
 use alderhollow_standins::batch_client::{self, BatchJob, Item, ItemResult, ResultState};
 use alderhollow_standins::client::{self, ClientRequest};
 use alderhollow_standins::events::whole_text;
 use alderhollow_standins::operator::{Operator, Order};
 use std::net::SocketAddr;
+use std::path::Path;
 use std::time::Duration;
 use tokio::time::Instant;
 
@@ -27,15 +28,18 @@
 const BATCH_TOKENS: (u64, u64) = (540, 60);
 const BATCH_EVENTS: u64 = 3;
 
+/// Name of the steps after the first start, which goes before the ids of their requests.
+const FIRST_ROUND: &str = "";
+
 /// Runs all steps.
 pub async fn run(tier: &Surroundings, report: &mut Report) {
     if !hand_in_configuration(tier, report).await {
         return;
     }
     wait_until_ready(tier, report).await;
-    requests_at_each_gateway(tier, report).await;
+    requests_at_each_gateway(tier, FIRST_ROUND, report).await;
     stream_over_a_cut(tier, report).await;
-    batch_job(tier, report).await;
+    batch_job(tier, FIRST_ROUND, report).await;
     change_configuration(tier, report).await;
     report.good(format!(
         "the platform was called {} times",
@@ -43,6 +47,25 @@
     ));
 }
 
+/// Restarts every process with another build and then with the first one again, one process at a time, and sends
+/// requests, streams and a batch job after each restart: processes of both builds then serve side by side.
+pub async fn run_rolling_restarts(
+    tier: &Surroundings,
+    processes: &mut Processes,
+    builds: [&Path; 2],
+    report: &mut Report,
+) {
+    for (pass, build) in builds.into_iter().enumerate() {
+        for index in 0..processes.count() {
+            processes.replace(index, build, report).await;
+            wait_until_ready(tier, report).await;
+            let round = format!("{pass}{index}");
+            requests_at_each_gateway(tier, &round, report).await;
+            batch_job(tier, &round, report).await;
+        }
+    }
+}
+
 async fn hand_in_configuration(tier: &Surroundings, report: &mut Report) -> bool {
     let order = Order::put_config(0, configuration::first().to_string().into_bytes());
     let started = Instant::now();
@@ -73,7 +96,7 @@
         report.check(
             started.elapsed() < READY_LIMIT,
             format!(
-                "door {gateway} ready after {} ms more",
+                "gateway {gateway} ready after {} ms more",
                 started.elapsed().as_millis()
             ),
         );
@@ -112,19 +135,19 @@
     }
 }
 
-async fn requests_at_each_gateway(tier: &Surroundings, report: &mut Report) {
+async fn requests_at_each_gateway(tier: &Surroundings, round: &str, report: &mut Report) {
     for (number, gateway) in tier.fronts().into_iter().enumerate() {
-        let once = request(format!("a{number}"), format!("{ONCE}{number}"));
+        let once = request(format!("{round}a{number}"), format!("{ONCE}{number}"));
         let outcome = client::send(gateway, &once).await;
         let is_good = outcome
             .as_ref()
             .is_ok_and(|answer| answer.status == 200 && answer.seal.is_some());
         let status = outcome.map(|answer| answer.status);
         report.check(is_good, format!("request at {gateway}: {status:?}"));
-        let chat = request(format!("b{number}"), format!("{CHAT}{number}"));
+        let chat = request(format!("{round}b{number}"), format!("{CHAT}{number}"));
         check_stream(gateway, &chat, report).await;
     }
-    let unknown = request("c0".into(), "/nowhere/".into());
+    let unknown = request(format!("{round}c0"), "/nowhere/".into());
     if let Some(gateway) = tier.fronts().first() {
         let status = client::send(*gateway, &unknown)
             .await
@@ -173,23 +196,23 @@
     report.good(format!("streams that a backend cut off meanwhile: {cuts}"));
 }
 
-async fn batch_job(tier: &Surroundings, report: &mut Report) {
+async fn batch_job(tier: &Surroundings, round: &str, report: &mut Report) {
     let gateways = tier.fronts();
     let (Some(first), Some(last)) = (gateways.first().copied(), gateways.last().copied()) else {
         return;
     };
     let items = (0..BATCH_ITEMS).map(|number| {
         Item::new(
-            &format!("e{number}"),
+            &format!("{round}e{number}"),
             &format!("{LOTS}item/{number}"),
             BATCH_TOKENS,
             b"lot",
         )
     });
     let job = BatchJob {
-        id: "f0".into(),
+        id: format!("{round}f0"),
         host: HOST.into(),
-        path: format!("{LOTS}f0"),
+        path: format!("{LOTS}{round}f0"),
         items: items.collect(),
     };
     let started = Instant::now();
