--- a/alderhollow/examples/day-mixer/catalogue.rs
+++ b/alderhollow/examples/day-mixer/catalogue.rs
@@ -1,7 +1,7 @@
 //! The troubles, planned work and final faults that days are drawn from.
 
 /// A kind of trouble with the forms that it takes.
-pub struct Trouble {
+pub(crate) struct Trouble {
     /// Its name at the bench.
     pub kind: &'static str,
     /// The machines that it strikes; empty: the bench's choice.
@@ -85,7 +85,7 @@
 const STORES: &[&str] = &["core", "store"];
 
 /// Troubles.
-pub const TROUBLES: &[Trouble] = &[
+pub(crate) const TROUBLES: &[Trouble] = &[
     up_to(lasting(trouble("node_kill", STORES, KILLS), 0.5, 12.0), 2),
     up_to(lasting(trouble("node_freeze", STORES, KILLS), 0.4, 20.0), 2),
     up_to(
@@ -149,7 +149,7 @@
 ];
 
 /// Planned work.
-pub const PLANNED: &[Trouble] = &[
+pub(crate) const PLANNED: &[Trouble] = &[
     trouble("seed_turnover", ANY, NONE),
     with(trouble("hup", ANY, NONE), &[("share", 1.0), ("gap_s", 2.0)]),
     up_to(
@@ -202,10 +202,10 @@
 ];
 
 /// Changes of the configuration.
-pub const CHANGES: &[&str] = &["route", "weights", "timeout", "tenant", "quota", "idle"];
+pub(crate) const CHANGES: &[&str] = &["route", "weights", "timeout", "tenant", "quota", "idle"];
 
 /// Final faults.
-pub const CLOSINGS: &[(&str, &[&str])] = &[
+pub(crate) const CLOSINGS: &[(&str, &[&str])] = &[
     (
         "power_off_all",
         &["", "timed", "taken", "all", "all taken", "all timed"],
--- a/alderhollow/examples/day-mixer/day.rs
+++ b/alderhollow/examples/day-mixer/day.rs
@@ -16,7 +16,7 @@
 const USUAL_CHANGES: u32 = 14;
 
 /// The quiet day of a site with drawn troubles.
-pub fn draw(site: &Table, seed: u64, random: &mut Rand32) -> Result<Table, MixerError> {
+pub(crate) fn draw(site: &Table, seed: u64, random: &mut Rand32) -> Result<Table, MixerError> {
     let mut day = quiet_day(site)?;
     day.insert("name".into(), format!("mixed-{seed}").into());
     day.insert("seed".into(), Value::Integer(i64::from(random.rand_u32())));
@@ -114,7 +114,7 @@
 }
 
 /// One of some things.
-pub fn pick<'a, T>(things: &'a [T], random: &mut Rand32) -> &'a T {
+pub(crate) fn pick<'a, T>(things: &'a [T], random: &mut Rand32) -> &'a T {
     let count = u32::try_from(things.len()).unwrap_or(u32::MAX);
     &things[random.rand_range(0..count) as usize]
 }
--- a/alderhollow/examples/day-mixer/sheet.rs
+++ b/alderhollow/examples/day-mixer/sheet.rs
@@ -15,7 +15,7 @@
 const DISKS_FOR_TWO: i64 = 6;
 
 /// The site with other machines.
-pub fn draw(site: &Table, random: &mut Rand32) -> Result<Table, MixerError> {
+pub(crate) fn draw(site: &Table, random: &mut Rand32) -> Result<Table, MixerError> {
     let mut site = site.clone();
     let core_disks = *pick(CORE_DISKS, random);
     let stores = *pick(STORES, random);
--- a/alderhollow/examples/loopback-tier/configuration.rs
+++ b/alderhollow/examples/loopback-tier/configuration.rs
@@ -3,26 +3,26 @@
 use serde_json::json;
 
 /// Host of all routes.
-pub const HOST: &str = "shop.example";
+pub(crate) const HOST: &str = "shop.example";
 /// Service of all routes.
-pub const SERVICE: &str = "model";
+pub(crate) const SERVICE: &str = "model";
 /// Path of the backends' health check.
-pub const HEALTH_PATH: &str = "/healthz";
+pub(crate) const HEALTH_PATH: &str = "/healthz";
 /// Prefix of streams that may be resumed.
-pub const CHAT: &str = "/chat/";
+pub(crate) const CHAT: &str = "/chat/";
 /// Prefix of requests that run at most once.
-pub const ONCE: &str = "/once/";
+pub(crate) const ONCE: &str = "/once/";
 /// Prefix of batch jobs.
-pub const LOTS: &str = "/lots/";
+pub(crate) const LOTS: &str = "/lots/";
 /// Prefix of a route that a later change adds.
-pub const LATER: &str = "/later/";
+pub(crate) const LATER: &str = "/later/";
 /// Number of the first configuration.
-pub const FIRST_VERSION: u64 = 3;
+pub(crate) const FIRST_VERSION: u64 = 3;
 /// Number of the change.
-pub const SECOND_VERSION: u64 = 8;
+pub(crate) const SECOND_VERSION: u64 = 8;
 
 /// The first configuration.
-pub fn first() -> serde_json::Value {
+pub(crate) fn first() -> serde_json::Value {
     json!({
         "config-version": FIRST_VERSION,
         "routes": [stream_route("chat", CHAT), once_route(), batch_route()],
@@ -38,7 +38,7 @@
 }
 
 /// A change that adds a route.
-pub fn change() -> serde_json::Value {
+pub(crate) fn change() -> serde_json::Value {
     json!({
         "config-version": SECOND_VERSION,
         "upsert": {"routes": [stream_route("later", LATER)]},
--- a/alderhollow/examples/loopback-tier/report.rs
+++ b/alderhollow/examples/loopback-tier/report.rs
@@ -2,24 +2,24 @@
 
 /// The findings so far.
 #[derive(Default)]
-pub struct Report {
+pub(crate) struct Report {
     failures: usize,
 }
 
 impl Report {
     /// Notes that something was as it should be.
-    pub fn good(&mut self, text: impl AsRef<str>) {
+    pub(crate) fn good(&mut self, text: impl AsRef<str>) {
         println!("ok      {}", text.as_ref());
     }
 
     /// Notes that something was not.
-    pub fn failed(&mut self, text: impl AsRef<str>) {
+    pub(crate) fn failed(&mut self, text: impl AsRef<str>) {
         self.failures += 1;
         println!("FAILED  {}", text.as_ref());
     }
 
     /// Notes either.
-    pub fn check(&mut self, is_good: bool, text: impl AsRef<str>) {
+    pub(crate) fn check(&mut self, is_good: bool, text: impl AsRef<str>) {
         match is_good {
             true => self.good(text),
             false => self.failed(text),
@@ -27,7 +27,7 @@
     }
 
     /// Whether nothing failed.
-    pub fn is_good(&self) -> bool {
+    pub(crate) fn is_good(&self) -> bool {
         self.failures == 0
     }
 }
--- a/alderhollow/examples/loopback-tier/tier.rs
+++ b/alderhollow/examples/loopback-tier/tier.rs
@@ -43,13 +43,13 @@
 }
 
 /// The tier's processes.
-pub struct Processes {
+pub(crate) struct Processes {
     folder: PathBuf,
     nodes: Vec<Node>,
 }
 
 /// What stands around the processes.
-pub struct Surroundings {
+pub(crate) struct Surroundings {
     /// The platform's list.
     pub platform: Platform,
     /// The model backends.
@@ -58,7 +58,7 @@
 
 impl Surroundings {
     /// Starts the stand-ins.
-    pub async fn start() -> io::Result<Surroundings> {
+    pub(crate) async fn start() -> io::Result<Surroundings> {
         let mut backends = Vec::new();
         for (zone, host) in ZONES.iter().zip(BACKENDS) {
             backends.push(start_backend(zone, host).await?);
@@ -74,24 +74,24 @@
     }
 
     /// Clients' addresses of the gateways.
-    pub fn fronts(&self) -> Vec<SocketAddr> {
+    pub(crate) fn fronts(&self) -> Vec<SocketAddr> {
         addresses(PORTS.front)
     }
 
     /// Readiness addresses of the gateways.
-    pub fn readiness(&self) -> Vec<SocketAddr> {
+    pub(crate) fn readiness(&self) -> Vec<SocketAddr> {
         addresses(PORTS.ready)
     }
 
     /// Operators' addresses of the gateways.
-    pub fn controls(&self) -> Vec<SocketAddr> {
+    pub(crate) fn controls(&self) -> Vec<SocketAddr> {
         addresses(PORTS.control)
     }
 }
 
 impl Processes {
     /// Starts three gateways and three stores, with their files below `folder`.
-    pub fn start(binary: &Path, folder: &Path) -> io::Result<Processes> {
+    pub(crate) fn start(binary: &Path, folder: &Path) -> io::Result<Processes> {
         let gateways = ZONES
             .iter()
             .zip(GATEWAYS)
@@ -119,12 +119,12 @@
     }
 
     /// How many there are.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.nodes.len()
     }
 
     /// Ends one process and starts it again from another build, with its settings and data.
-    pub async fn replace(&mut self, index: usize, binary: &Path, report: &mut Report) {
+    pub(crate) async fn replace(&mut self, index: usize, binary: &Path, report: &mut Report) {
         let Some(node) = self.nodes.get_mut(index) else {
             return;
         };
@@ -153,7 +153,7 @@
     }
 
     /// Waits until one of them has ended by itself; gives its name.
-    pub async fn first_end(&mut self) -> String {
+    pub(crate) async fn first_end(&mut self) -> String {
         loop {
             for node in &mut self.nodes {
                 if !matches!(node.process.ended(), Ok(None)) {
@@ -165,12 +165,12 @@
     }
 
     /// Ends all processes: asks first, kills after the grace.
-    pub async fn stop(&mut self, report: &mut Report) {
+    pub(crate) async fn stop(&mut self, report: &mut Report) {
         for process in self.nodes.iter_mut().map(|node| &mut node.process) {
             match process.ended() {
                 Ok(None) => {}
                 other => {
-                    report.failed(format!("{} had ended by itself: {other:?}", process.name()))
+                    report.failed(format!("{} had ended by itself: {other:?}", process.name()));
                 }
             }
             if let Err(error) = process.terminate() {
@@ -185,7 +185,7 @@
                 ),
                 Ok(None) => report.failed(format!("{} had to be killed", process.name())),
                 Err(error) => {
-                    report.failed(format!("{} can't be waited for: {error}", process.name()))
+                    report.failed(format!("{} can't be waited for: {error}", process.name()));
                 }
             }
         }
--- a/alderhollow/examples/loopback-tier/trial.rs
+++ b/alderhollow/examples/loopback-tier/trial.rs
@@ -32,7 +32,7 @@
 const FIRST_ROUND: &str = "";
 
 /// Runs all steps.
-pub async fn run(tier: &Surroundings, report: &mut Report) {
+pub(crate) async fn run(tier: &Surroundings, report: &mut Report) {
     if !hand_in_configuration(tier, report).await {
         return;
     }
@@ -49,7 +49,7 @@
 
 /// Restarts every process with another build and then with the first one again, one process at a time, and sends
 /// requests, streams and a batch job after each restart: processes of both builds then serve side by side.
-pub async fn run_rolling_restarts(
+pub(crate) async fn run_rolling_restarts(
     tier: &Surroundings,
     processes: &mut Processes,
     builds: [&Path; 2],
@@ -190,7 +190,7 @@
     let cuts = tier
         .backends
         .iter()
-        .flat_map(|backend| backend.runs())
+        .flat_map(alderhollow_standins::backend::Backend::runs)
         .filter(|run| !run.is_whole)
         .count();
     report.good(format!("streams that a backend cut off meanwhile: {cuts}"));
--- a/alderhollow/examples/scale-run/hollow.rs
+++ b/alderhollow/examples/scale-run/hollow.rs
@@ -19,7 +19,7 @@
 
 /// Payloads and frames that passed.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Bytes {
+pub(crate) struct Bytes {
     /// From the gateways to the core.
     pub sent: u64,
     /// From the core to the gateways.
@@ -28,7 +28,7 @@
 
 impl Bytes {
     /// What passed since an earlier count.
-    pub fn since(&self, earlier: &Bytes) -> Bytes {
+    pub(crate) fn since(&self, earlier: &Bytes) -> Bytes {
         Bytes {
             sent: self.sent - earlier.sent,
             received: self.received - earlier.received,
@@ -44,14 +44,14 @@
 }
 
 /// All hollow gateways. They end when this is dropped.
-pub struct HollowGateways {
+pub(crate) struct HollowGateways {
     gateways: Vec<Rc<Gateway>>,
     tasks: Vec<AbortHandle>,
 }
 
 impl HollowGateways {
     /// Starts to poll, each gateway on a connection of its own.
-    pub fn start(count: usize, core: Vec<SocketAddr>) -> HollowGateways {
+    pub(crate) fn start(count: usize, core: Vec<SocketAddr>) -> HollowGateways {
         let mut all = HollowGateways {
             gateways: Vec::new(),
             tasks: Vec::new(),
@@ -71,12 +71,12 @@
     }
 
     /// How many there are.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.gateways.len()
     }
 
     /// The control state that all hold at least.
-    pub fn oldest_control(&self) -> u64 {
+    pub(crate) fn oldest_control(&self) -> u64 {
         self.gateways
             .iter()
             .map(|gateway| gateway.held.get().control)
@@ -85,7 +85,7 @@
     }
 
     /// The newest control state that one holds.
-    pub fn newest_control(&self) -> u64 {
+    pub(crate) fn newest_control(&self) -> u64 {
         self.gateways
             .iter()
             .map(|gateway| gateway.held.get().control)
@@ -94,7 +94,7 @@
     }
 
     /// The list of backends that all hold at least.
-    pub fn oldest_backends(&self) -> Stamp {
+    pub(crate) fn oldest_backends(&self) -> Stamp {
         self.gateways
             .iter()
             .map(|gateway| gateway.held.get().backends)
@@ -103,7 +103,7 @@
     }
 
     /// The newest list of backends that one holds.
-    pub fn newest_backends(&self) -> Stamp {
+    pub(crate) fn newest_backends(&self) -> Stamp {
         self.gateways
             .iter()
             .map(|gateway| gateway.held.get().backends)
@@ -112,7 +112,7 @@
     }
 
     /// When each got its control state.
-    pub fn held_at(&self) -> Vec<Instant> {
+    pub(crate) fn held_at(&self) -> Vec<Instant> {
         self.gateways
             .iter()
             .map(|gateway| gateway.held_at.get())
@@ -120,7 +120,7 @@
     }
 
     /// What passed so far.
-    pub fn bytes(&self) -> Bytes {
+    pub(crate) fn bytes(&self) -> Bytes {
         self.gateways.iter().fold(Bytes::default(), |sum, gateway| {
             let bytes = gateway.bytes.get();
             Bytes {
@@ -131,7 +131,7 @@
     }
 
     /// Where the core's primary is, as the gateways found.
-    pub fn primary(&self) -> Option<SocketAddr> {
+    pub(crate) fn primary(&self) -> Option<SocketAddr> {
         self.gateways
             .first()
             .and_then(|gateway| gateway.primary.get())
--- a/alderhollow/examples/scale-run/real_core.rs
+++ b/alderhollow/examples/scale-run/real_core.rs
@@ -15,7 +15,7 @@
 use tokio::time::Instant;
 
 /// How late the platform's list shows a change.
-pub const LIST_LAG_MS: u64 = PLATFORM_LAG_MS;
+pub(crate) const LIST_LAG_MS: u64 = PLATFORM_LAG_MS;
 const ZONES: [&str; 3] = ["east", "middle", "west"];
 const REGION: &str = "coast";
 const PORTS: Ports = Ports {
@@ -33,7 +33,7 @@
 const ROUTES: u64 = 20;
 
 /// The gateways of the core, with a platform whose list names backends that are not there.
-pub struct RealCore {
+pub(crate) struct RealCore {
     processes: Vec<TierProcess>,
     platform: Platform,
     instances: Vec<Instance>,
@@ -43,7 +43,7 @@
 
 impl RealCore {
     /// Starts the processes.
-    pub async fn start(binary: &Path, backends: usize) -> io::Result<RealCore> {
+    pub(crate) async fn start(binary: &Path, backends: usize) -> io::Result<RealCore> {
         let list = ListSettings {
             lag: Duration::from_millis(PLATFORM_LAG_MS),
             rate_per_s: PLATFORM_RATE_PER_S,
@@ -78,12 +78,12 @@
     }
 
     /// Where hollow gateways poll.
-    pub fn internal_addresses(&self) -> Vec<SocketAddr> {
+    pub(crate) fn internal_addresses(&self) -> Vec<SocketAddr> {
         addresses(PORTS.internal[0])
     }
 
     /// Hands a new configuration in, until it is acknowledged.
-    pub async fn change_configuration(&mut self, limit: Duration) -> io::Result<()> {
+    pub(crate) async fn change_configuration(&mut self, limit: Duration) -> io::Result<()> {
         let order = Order::put_config(self.config_version, configuration(self.config_version + 1));
         let end = Instant::now() + limit;
         loop {
@@ -102,7 +102,7 @@
     }
 
     /// Has the platform list the first backend in its other state.
-    pub fn change_backend(&mut self) {
+    pub(crate) fn change_backend(&mut self) {
         if let Some(first) = self.instances.first_mut() {
             first.state = match first.state {
                 ListedState::Ready => ListedState::Draining,
@@ -113,7 +113,7 @@
     }
 
     /// What the processes have used so far.
-    pub fn usage(&self, primary: Option<SocketAddr>) -> io::Result<CoreSample> {
+    pub(crate) fn usage(&self, primary: Option<SocketAddr>) -> io::Result<CoreSample> {
         let mut sampled = CoreSample {
             primary: Sample::default(),
             others_ticks: 0.0,
@@ -130,7 +130,7 @@
     }
 
     /// Ends the processes and removes their files.
-    pub async fn stop(mut self) -> io::Result<()> {
+    pub(crate) async fn stop(mut self) -> io::Result<()> {
         for process in &mut self.processes {
             process.terminate()?;
         }
--- a/alderhollow/examples/scale-run/usage.rs
+++ b/alderhollow/examples/scale-run/usage.rs
@@ -9,7 +9,7 @@
 
 /// Processor time so far and memory now.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Sample {
+pub(crate) struct Sample {
     /// Processor time in ticks.
     pub ticks: u64,
     /// Memory in use, in kB.
@@ -18,7 +18,7 @@
 
 /// Samples of the core: its primary, and the mean of the others.
 #[derive(Debug, Clone, Copy)]
-pub struct CoreSample {
+pub(crate) struct CoreSample {
     /// The primary.
     pub primary: Sample,
     /// Ticks of the other members, the mean.
@@ -27,7 +27,7 @@
 
 /// What was used over some time.
 #[derive(Debug, Clone, Copy)]
-pub struct Usage {
+pub(crate) struct Usage {
     /// Of one processor, in percent.
     pub primary_percent: f64,
     /// The same, the mean of the other members.
@@ -38,7 +38,7 @@
 
 impl CoreSample {
     /// What was used since an earlier sample.
-    pub fn since(&self, earlier: &CoreSample, seconds: u64) -> Usage {
+    pub(crate) fn since(&self, earlier: &CoreSample, seconds: u64) -> Usage {
         let percent = |ticks: f64| 100.0 * ticks / TICKS_PER_S / seconds as f64;
         Usage {
             primary_percent: percent((self.primary.ticks - earlier.primary.ticks) as f64),
@@ -49,7 +49,7 @@
 }
 
 /// Reads a process's counts.
-pub fn sample(process: u32) -> io::Result<Sample> {
+pub(crate) fn sample(process: u32) -> io::Result<Sample> {
     let folder = Path::new("/proc").join(process.to_string());
     let stat = std::fs::read_to_string(folder.join("stat"))?;
     let status = std::fs::read_to_string(folder.join("status"))?;
--- a/alderhollow/standins/src/backend/answer.rs
+++ b/alderhollow/standins/src/backend/answer.rs
@@ -155,7 +155,7 @@
             path: request
                 .uri()
                 .path_and_query()
-                .map(|path| path.to_string())
+                .map(std::string::ToString::to_string)
                 .unwrap_or_default(),
             body: request.body().to_vec(),
             first_event,
--- a/alderhollow/standins/src/operator.rs
+++ b/alderhollow/standins/src/operator.rs
@@ -123,7 +123,8 @@
                     return Ok(OrderAnswer { calls, ..answer })
                 }
                 Ok(answer) => {
-                    last = CallError::Unexpected(format!("status {} from {gateway}", answer.status))
+                    last =
+                        CallError::Unexpected(format!("status {} from {gateway}", answer.status));
                 }
                 Err(error) => last = error,
             }
--- a/alderhollow/tests/balance_support/mod.rs
+++ b/alderhollow/tests/balance_support/mod.rs
@@ -11,15 +11,15 @@
 use std::sync::Arc;
 
 /// The service of model engines.
-pub const ENGINES: &str = "engines";
+pub(crate) const ENGINES: &str = "engines";
 /// The plain service.
-pub const PLAIN: &str = "plain";
+pub(crate) const PLAIN: &str = "plain";
 /// Zones of the deployment.
-pub const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
+pub(crate) const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
 /// The tables from which snapshots are made.
 #[derive(Clone)]
-pub struct Tables {
+pub(crate) struct Tables {
     pub backends: Vec<Backend>,
     pub evacuated: BTreeSet<String>,
     pub senders: Vec<String>,
@@ -32,7 +32,7 @@
 
 impl Tables {
     /// Backends of one service, spread over the zones, and senders `node-0`, `node-1` and so on.
-    pub fn new(service: &str, backends: usize, senders: usize) -> Tables {
+    pub(crate) fn new(service: &str, backends: usize, senders: usize) -> Tables {
         Tables {
             backends: (0..backends).map(|index| backend(service, index)).collect(),
             evacuated: BTreeSet::new(),
@@ -45,7 +45,7 @@
     }
 
     /// A snapshot that is got at `now`.
-    pub fn snapshot(&self, now: Millis) -> Snapshot {
+    pub(crate) fn snapshot(&self, now: Millis) -> Snapshot {
         let config = Config {
             services: vec![self.service(ENGINES, true), self.service(PLAIN, false)],
             routes: vec![self.route()],
@@ -74,7 +74,7 @@
     }
 
     /// A balancer that has taken them in.
-    pub fn balancer(&self, node: &str, zone: &str, now: Millis) -> Balancer {
+    pub(crate) fn balancer(&self, node: &str, zone: &str, now: Millis) -> Balancer {
         let mut balancer = Balancer::new(node, zone, 7);
         balancer.set_cold_bounds(COLD_BOUNDS);
         balancer.update(now, &self.snapshot(now));
@@ -107,18 +107,18 @@
 }
 
 /// The bounds that the tests use.
-pub const COLD_BOUNDS: ColdBounds = ColdBounds {
+pub(crate) const COLD_BOUNDS: ColdBounds = ColdBounds {
     over: 1.5,
     slack: 5.0,
 };
 
 /// Name of a sender.
-pub fn node_name(index: usize) -> String {
+pub(crate) fn node_name(index: usize) -> String {
     format!("node-{index}")
 }
 
 /// A ready backend.
-pub fn backend(service: &str, index: usize) -> Backend {
+pub(crate) fn backend(service: &str, index: usize) -> Backend {
     Backend {
         id: format!("i-{service}-{index}"),
         service: service.to_string(),
@@ -131,7 +131,7 @@
 }
 
 /// A prompt with one shared part and one of its own.
-pub fn prompt(shared: u64, own: u64) -> Prompt {
+pub(crate) fn prompt(shared: u64, own: u64) -> Prompt {
     Prompt {
         parts: vec![(shared, 5000), (own, 500)],
         tokens_in: 5500,
@@ -140,7 +140,7 @@
 }
 
 /// A request of the highest rank.
-pub fn wanted<'a>(service: &'a str, prompt: Option<&'a Prompt>) -> Wanted<'a> {
+pub(crate) fn wanted<'a>(service: &'a str, prompt: Option<&'a Prompt>) -> Wanted<'a> {
     Wanted {
         service,
         prompt,
--- a/alderhollow/tests/configuration.rs
+++ b/alderhollow/tests/configuration.rs
@@ -379,7 +379,7 @@
         let document = json!({"config-version": 1, "routes": items(&held)});
         let patch = json!({"config-version": 2, "upsert": {"routes": items(&upserts)}, "delete": {"routes": deletes}});
         let result = apply_patch(&document, &patch).expect("applies");
-        let mut expected = held.clone();
+        let mut expected = held;
         expected.retain(|name, _| !deletes.contains(name));
         expected.extend(upserts);
         let found: BTreeMap<String, u32> = result["routes"].as_array().expect("list").iter()
--- a/alderhollow/tests/group_simulation/halves.rs
+++ b/alderhollow/tests/group_simulation/halves.rs
@@ -9,7 +9,7 @@
 
 /// A cut.
 #[derive(Debug)]
-pub struct Halves {
+pub(super) struct Halves {
     /// When it ends.
     until: u64,
     /// The disks of one half; machines that come meanwhile are in the other.
@@ -20,7 +20,7 @@
 
 impl World {
     /// Cuts the network into two halves by chance for some seconds; the core's primary hears both, or one alone.
-    pub fn cut_into_halves(&mut self) {
+    pub(super) fn cut_into_halves(&mut self) {
         let mut disks: Vec<DiskId> = self.machines.iter().map(|machine| machine.disk).collect();
         let mut one = BTreeSet::new();
         for _ in 0..self.machines.len() / 2 {
@@ -43,14 +43,14 @@
     }
 
     /// Whether a cut lies between two machines.
-    pub fn are_apart(&self, first: usize, second: usize) -> bool {
+    pub(super) fn are_apart(&self, first: usize, second: usize) -> bool {
         let is_in_one = |halves: &Halves, at: usize| halves.one.contains(&self.machines[at].disk);
         self.current_halves()
             .is_some_and(|halves| is_in_one(halves, first) != is_in_one(halves, second))
     }
 
     /// Whether a cut lies between a machine and the core's primary.
-    pub fn is_cut_from_core(&self, at: usize) -> bool {
+    pub(super) fn is_cut_from_core(&self, at: usize) -> bool {
         let is_cut = |halves: &Halves| {
             halves.core_hears_other_alone && halves.one.contains(&self.machines[at].disk)
         };
--- a/alderhollow/tests/group_simulation/mod.rs
+++ b/alderhollow/tests/group_simulation/mod.rs
@@ -167,12 +167,12 @@
 }
 
 /// Plays one seed.
-pub fn run(seed: u64, stores: usize, tolerate: usize) -> Result<(), String> {
+pub(crate) fn run(seed: u64, stores: usize, tolerate: usize) -> Result<(), String> {
     play(World::new(seed, stores, tolerate))
 }
 
 /// Plays one seed in which the network is cut into two halves now and then, whatever else is lost.
-pub fn run_with_halves(seed: u64, stores: usize, tolerate: usize) -> Result<(), String> {
+pub(crate) fn run_with_halves(seed: u64, stores: usize, tolerate: usize) -> Result<(), String> {
     let mut world = World::new(seed, stores, tolerate);
     world.may_be_cut = true;
     play(world)
--- a/alderhollow/tests/group_simulation/rest.rs
+++ b/alderhollow/tests/group_simulation/rest.rs
@@ -8,7 +8,7 @@
 
 impl World {
     /// All groups are whole and active, and what is to be emptied is empty.
-    pub fn check_rest(&self) -> Result<(), String> {
+    pub(super) fn check_rest(&self) -> Result<(), String> {
         if self.state.groups().is_empty() {
             return Err("no group".to_string());
         }
@@ -52,7 +52,10 @@
     }
 
     /// Each group acknowledged more than it had.
-    pub fn check_progress(&self, before: &BTreeMap<GroupId, BTreeSet<u64>>) -> Result<(), String> {
+    pub(super) fn check_progress(
+        &self,
+        before: &BTreeMap<GroupId, BTreeSet<u64>>,
+    ) -> Result<(), String> {
         let count =
             |all: &BTreeMap<GroupId, BTreeSet<u64>>, id| all.get(&id).map_or(0, BTreeSet::len);
         let stalled = self
@@ -67,7 +70,7 @@
     }
 
     /// The policy came to rest, and what the stores carry is even.
-    pub fn check_balance(&self) -> Result<(), String> {
+    pub(super) fn check_balance(&self) -> Result<(), String> {
         if self.last_request + QUIET_MS > self.now {
             return Err(format!(
                 "the policy still asks for changes at {}",
--- a/alderhollow/tests/http_server.rs
+++ b/alderhollow/tests/http_server.rs
@@ -536,8 +536,9 @@
         for warm in [false, true] {
             if warm {
                 gateway.list(|list| {
-                    list.iter_mut()
-                        .for_each(|one| one.state = alderhollow_model::backend::BackendState::Ready)
+                    list.iter_mut().for_each(|one| {
+                        one.state = alderhollow_model::backend::BackendState::Ready
+                    });
                 });
                 gateway.backends.script(served("ok"));
                 assert_eq!(
@@ -578,7 +579,7 @@
         tokio::time::sleep(Duration::from_millis(50)).await;
         gateway.list(|list| {
             list.iter_mut()
-                .for_each(|backend| backend.id = "b0-again".into())
+                .for_each(|backend| backend.id = "b0-again".into());
         });
         gateway.backends.script(served("ok"));
         assert_eq!(
--- a/alderhollow/tests/metrics.rs
+++ b/alderhollow/tests/metrics.rs
@@ -24,7 +24,7 @@
     let bounded = async {
         tokio::time::timeout(PATIENCE, test)
             .await
-            .expect("ends in time")
+            .expect("ends in time");
     };
     LocalSet::new().block_on(&runtime, bounded);
 }
@@ -162,7 +162,7 @@
     let violate = || {
         invariant::check(Invariant::QuotaAtAcceptance, false, || {
             "11 of 10".to_owned()
-        })
+        });
     };
     assert!(std::panic::catch_unwind(violate).is_err());
     invariant::tolerate_violations();
--- a/alderhollow/tests/placement.rs
+++ b/alderhollow/tests/placement.rs
@@ -698,7 +698,7 @@
     };
     let question = minicbor::to_vec(PlaceRequest {
         attempt,
-        demand: demand.clone(),
+        demand: demand,
     })
     .expect("bytes")
     .len();
--- a/alderhollow/tests/process_support/mod.rs
+++ b/alderhollow/tests/process_support/mod.rs
@@ -42,7 +42,7 @@
 
 /// How one gateway answers a read of the configuration.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ReadAnswer {
+pub(crate) enum ReadAnswer {
     /// 200 with this version.
     Version(u64),
     /// Another status.
@@ -52,7 +52,7 @@
 }
 
 /// Runs a test with its own tier, within bounded time.
-pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Tier) -> F) {
+pub(crate) fn run<F: Future<Output = ()>>(test: impl FnOnce(Tier) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -69,7 +69,7 @@
 }
 
 /// The gateways of one test: no other test, nor another run of them, has the same addresses and folders.
-pub struct Tier {
+pub(crate) struct Tier {
     first_octets: [u8; 2],
     folder: PathBuf,
     gateways: BTreeMap<u8, TierProcess>,
@@ -104,7 +104,7 @@
     }
 
     /// Starts the three gateways that found the core.
-    pub async fn found(&mut self) {
+    pub(crate) async fn found(&mut self) {
         for gateway in 1..=3 {
             self.start(gateway, true, true);
         }
@@ -112,12 +112,12 @@
     }
 
     /// The settings of gateways that start from now on name these gateways as seeds, in place of gateways 1 to 3.
-    pub fn name_seeds(&mut self, seeds: [u8; 3]) {
+    pub(crate) fn name_seeds(&mut self, seeds: [u8; 3]) {
         self.seeds = seeds;
     }
 
     /// Starts the three machines of the core's own that found the core.
-    pub async fn found_on_own_machines(&mut self) {
+    pub(crate) async fn found_on_own_machines(&mut self) {
         for machine in 1..=3 {
             self.start_core(machine, true);
         }
@@ -125,12 +125,12 @@
     }
 
     /// Starts a gateway.
-    pub fn start(&mut self, gateway: u8, has_disk: bool, first_start: bool) {
+    pub(crate) fn start(&mut self, gateway: u8, has_disk: bool, first_start: bool) {
         self.start_machine(MachineClass::Edge, gateway, has_disk, first_start);
     }
 
     /// Starts a process that keeps the core and serves no clients.
-    pub fn start_core(&mut self, machine: u8, first_start: bool) {
+    pub(crate) fn start_core(&mut self, machine: u8, first_start: bool) {
         self.start_machine(MachineClass::Core, machine, true, first_start);
     }
 
@@ -199,7 +199,7 @@
     }
 
     /// Kills a gateway at once.
-    pub fn kill(&mut self, gateway: u8) {
+    pub(crate) fn kill(&mut self, gateway: u8) {
         self.gateways
             .remove(&gateway)
             .expect("a door that runs")
@@ -208,31 +208,31 @@
     }
 
     /// Takes a killed gateway's disk away.
-    pub fn wipe(&self, gateway: u8) {
+    pub(crate) fn wipe(&self, gateway: u8) {
         std::fs::remove_dir_all(self.gateway_folder(gateway)).expect("the disk goes");
     }
 
     /// Halts a gateway until [`Tier::resume`].
-    pub fn pause(&self, gateway: u8) {
+    pub(crate) fn pause(&self, gateway: u8) {
         self.gateways[&gateway].pause().expect("the signal is sent");
     }
 
     /// Lets a halted gateway go on.
-    pub fn resume(&self, gateway: u8) {
+    pub(crate) fn resume(&self, gateway: u8) {
         self.gateways[&gateway]
             .resume()
             .expect("the signal is sent");
     }
 
     /// Tells a gateway that its settings have changed.
-    pub fn hang_up(&self, gateway: u8) {
+    pub(crate) fn hang_up(&self, gateway: u8) {
         self.gateways[&gateway]
             .hang_up()
             .expect("the signal is sent");
     }
 
     /// Stops a gateway as the platform does; tells whether it ended by itself, without an error, in time.
-    pub async fn stop(&mut self, gateway: u8) -> bool {
+    pub(crate) async fn stop(&mut self, gateway: u8) -> bool {
         let mut process = self.gateways.remove(&gateway).expect("a door that runs");
         process.terminate().expect("the signal is sent");
         process
@@ -243,7 +243,7 @@
     }
 
     /// Whether a gateway has ended.
-    pub fn has_ended(&mut self, gateway: u8) -> bool {
+    pub(crate) fn has_ended(&mut self, gateway: u8) -> bool {
         !matches!(
             self.gateways.get_mut(&gateway).expect("a door").ended(),
             Ok(None)
@@ -251,19 +251,19 @@
     }
 
     /// What a gateway has logged.
-    pub fn log(&self, gateway: u8) -> String {
+    pub(crate) fn log(&self, gateway: u8) -> String {
         std::fs::read_to_string(self.gateway_folder(gateway).join("log")).unwrap_or_default()
     }
 
     /// Waits until a gateway has logged a text.
-    pub async fn until_logged(&self, gateway: u8, text: &str) {
+    pub(crate) async fn until_logged(&self, gateway: u8, text: &str) {
         while !self.log(gateway).contains(text) {
             tokio::task::yield_now().await;
         }
     }
 
     /// Waits until a gateway's disk is a member of the core, and the change that made it one has ended.
-    pub async fn until_member(&self, gateway: u8) {
+    pub(crate) async fn until_member(&self, gateway: u8) {
         let is_member = |log: String| {
             let last = log
                 .lines()
@@ -277,7 +277,7 @@
     }
 
     /// Version of the configuration as one process answers or redirects.
-    pub async fn config_version_at(&self, gateway: u8) -> Option<u64> {
+    pub(crate) async fn config_version_at(&self, gateway: u8) -> Option<u64> {
         let operator = Operator::new(vec![self.control(gateway)]);
         let answer = operator
             .send(&Order::get_config())
@@ -287,13 +287,13 @@
     }
 
     /// What a process says of itself.
-    pub async fn status(&self, gateway: u8) -> StatusReport {
+    pub(crate) async fn status(&self, gateway: u8) -> StatusReport {
         let address = SocketAddr::from((ip(self.first_octets, gateway), PORTS.internal[0]));
         status::ask(address).await.expect("a status")
     }
 
     /// Waits until a gateway calls itself ready.
-    pub async fn until_ready(&self, gateway: u8) {
+    pub(crate) async fn until_ready(&self, gateway: u8) {
         let address = SocketAddr::from((ip(self.first_octets, gateway), PORTS.ready));
         loop {
             let request = Request::get("/alderhollow/readyz").header("host", address.to_string());
@@ -307,7 +307,7 @@
     }
 
     /// The gateway that answers for the core itself.
-    pub async fn primary(&self) -> u8 {
+    pub(crate) async fn primary(&self) -> u8 {
         loop {
             for gateway in self.gateways.keys() {
                 let log = self.log(*gateway);
@@ -323,20 +323,20 @@
     }
 
     /// Has the gateways that run take a configuration; the answer's status.
-    pub async fn put_config(&self, base: u64, version: u64) -> u16 {
+    pub(crate) async fn put_config(&self, base: u64, version: u64) -> u16 {
         self.operate(&Order::put_config(base, config(version)))
             .await
             .status
     }
 
     /// Version of the configuration as read back.
-    pub async fn config_version(&self) -> Option<u64> {
+    pub(crate) async fn config_version(&self) -> Option<u64> {
         let answer = self.operate(&Order::get_config()).await;
         serde_json::from_slice::<serde_json::Value>(&answer.body).ok()?["config-version"].as_u64()
     }
 
     /// Begins to read the configuration at one gateway; the answer is waited for in the background, without following it.
-    pub fn begin_read(&self, gateway: u8) -> JoinHandle<ReadAnswer> {
+    pub(crate) fn begin_read(&self, gateway: u8) -> JoinHandle<ReadAnswer> {
         let address = self.control(gateway);
         tokio::task::spawn_local(
             async move { read_at(address).await.unwrap_or(ReadAnswer::Silence) },
--- a/alderhollow/tests/soak/clients.rs
+++ b/alderhollow/tests/soak/clients.rs
@@ -37,7 +37,7 @@
 }
 
 /// Lets all clients act until `end`.
-pub async fn act(world: &Rc<World>, seed: u64, end: Instant) {
+pub(crate) async fn act(world: &Rc<World>, seed: u64, end: Instant) {
     let clients: Vec<_> = (0..CLIENTS)
         .map(|number| {
             let client = Client {
@@ -176,7 +176,7 @@
 }
 
 /// Reads a page of a job, and notes what came.
-pub async fn read_page(world: &World, gateway: SocketAddr, chosen: &Readable, after: usize) {
+pub(crate) async fn read_page(world: &World, gateway: SocketAddr, chosen: &Readable, after: usize) {
     match batch_client::read(gateway, &chosen.job, after).await {
         Ok(Ok(page)) => {
             let tier = world.tier.borrow();
--- a/alderhollow/tests/soak/configurations.rs
+++ b/alderhollow/tests/soak/configurations.rs
@@ -12,26 +12,26 @@
 use tokio::time::Instant;
 
 /// `max-attempts` of the batch route.
-pub const MAX_ATTEMPTS: u32 = 3;
+pub(crate) const MAX_ATTEMPTS: u32 = 3;
 /// `max-queued-tokens` of the batch route.
 const QUOTA: u64 = 6_000;
 /// `QUOTA` times 1 + `quota-over` of the settings.
-pub const QUOTA_LIMIT: u64 = QUOTA + QUOTA / 10;
+pub(crate) const QUOTA_LIMIT: u64 = QUOTA + QUOTA / 10;
 /// Version of the configuration that a tier starts with.
-pub const FIRST_VERSION: u64 = 4;
+pub(crate) const FIRST_VERSION: u64 = 4;
 const LONGEST_PAUSE_MS: u64 = 2_500;
 const MOST_CALLS: u32 = 8;
 const OK: u16 = 200;
 
 /// What an operator knows of the configurations.
-pub struct ConfigurationRecord {
+pub(crate) struct ConfigurationRecord {
     acknowledged: u64,
     sent: BTreeSet<u64>,
 }
 
 impl ConfigurationRecord {
     /// The first configuration is acknowledged.
-    pub fn new() -> ConfigurationRecord {
+    pub(crate) fn new() -> ConfigurationRecord {
         ConfigurationRecord {
             acknowledged: FIRST_VERSION,
             sent: BTreeSet::from([FIRST_VERSION]),
@@ -39,12 +39,12 @@
     }
 
     /// Number of changes that were sent.
-    pub fn changes(&self) -> usize {
+    pub(crate) fn changes(&self) -> usize {
         self.sent.len() - 1
     }
 
     /// Checks the version that is read back at the end.
-    pub fn check(&self, read: Option<u64>) -> Option<Violation> {
+    pub(crate) fn check(&self, read: Option<u64>) -> Option<Violation> {
         let is_good = read
             .is_some_and(|version| version >= self.acknowledged && self.sent.contains(&version));
         (!is_good).then_some(Violation::ConfigurationLost {
@@ -55,7 +55,7 @@
 }
 
 /// The configuration of one version: a batch route with a small quota, and other routes that come and go.
-pub fn soak_configuration(version: u64) -> Vec<u8> {
+pub(crate) fn soak_configuration(version: u64) -> Vec<u8> {
     let more: &[&str] = if version.is_multiple_of(2) {
         &[]
     } else {
@@ -72,7 +72,7 @@
 }
 
 /// Changes the configuration every now and then until `end`.
-pub async fn change(world: Rc<World>, seed: u64, end: Instant) {
+pub(crate) async fn change(world: Rc<World>, seed: u64, end: Instant) {
     let mut random = Rand64::new(u128::from(seed) << 8 | 0xff);
     let operator = Operator {
         max_calls: MOST_CALLS,
@@ -99,7 +99,7 @@
 }
 
 /// Number of the configuration that is read back.
-pub async fn read_version(operator: &Operator) -> Option<u64> {
+pub(crate) async fn read_version(operator: &Operator) -> Option<u64> {
     let answer = operator.send(&Order::get_config()).await.ok()?;
     let document: Value = serde_json::from_slice(&answer.body).ok()?;
     document["config-version"].as_u64()
--- a/alderhollow/tests/soak/metrics.rs
+++ b/alderhollow/tests/soak/metrics.rs
@@ -9,14 +9,14 @@
 use std::process::Command;
 use std::time::Duration;
 
-pub const PORT: u16 = 18_151;
+pub(crate) const PORT: u16 = 18_151;
 const PATH: &str = "/metrics";
 const OPTION: &str = "--metrics";
 const FAMILY: &str = "alderhollow_invariant_violations_total";
 const PATIENCE: Duration = Duration::from_secs(3);
 
 /// The options with which a process tells its metrics; none if the program has no such option.
-pub fn options() -> Vec<String> {
+pub(crate) fn options() -> Vec<String> {
     let help = Command::new(env!("CARGO_BIN_EXE_alderhollow"))
         .args(["store", "--help"])
         .output();
@@ -28,7 +28,7 @@
 }
 
 /// Rules that a process counted as broken since its start; `None` if it tells none.
-pub async fn counted(process: &str, address: SocketAddr) -> Option<Violation> {
+pub(crate) async fn counted(process: &str, address: SocketAddr) -> Option<Violation> {
     let request = Request::get(PATH).header("host", address.to_string());
     let request = request.body(Full::<Bytes>::default()).ok()?;
     let answer = call(address, request, PATIENCE).await.ok()?;
--- a/alderhollow/tests/soak/plan.rs
+++ b/alderhollow/tests/soak/plan.rs
@@ -14,14 +14,14 @@
 const MOST_SECONDS: u64 = 60;
 
 /// What to play.
-pub struct Plan {
+pub(crate) struct Plan {
     pub seeds: RangeInclusive<u64>,
     pub trouble: Duration,
 }
 
 impl Plan {
     /// The plan that the environment names.
-    pub fn from_environment() -> Plan {
+    pub(crate) fn from_environment() -> Plan {
         let seeds = std::env::var(SEEDS_VARIABLE).map_or(SHORT_SEEDS, |text| read_seeds(&text));
         let seconds =
             std::env::var(SECONDS_VARIABLE).map_or(SHORT_SECONDS, |text| read_number(&text));
--- a/alderhollow/tests/soak/record.rs
+++ b/alderhollow/tests/soak/record.rs
@@ -10,7 +10,7 @@
 use tokio::time::Instant;
 
 /// Events of each item's answer.
-pub const ITEM_EVENTS: u64 = 3;
+pub(crate) const ITEM_EVENTS: u64 = 3;
 /// `cancel-ms` of the settings.
 const CANCEL: Duration = Duration::from_millis(3_000);
 const REJECTED: u16 = 422;
@@ -32,11 +32,11 @@
 }
 
 /// What became of all items at the backends, by their ids.
-pub struct Truth(BTreeMap<String, ItemTruth>);
+pub(crate) struct Truth(BTreeMap<String, ItemTruth>);
 
 impl Truth {
     /// What these backends ran.
-    pub fn of(backends: &[Backend]) -> Truth {
+    pub(crate) fn of(backends: &[Backend]) -> Truth {
         let mut items: BTreeMap<String, ItemTruth> = BTreeMap::new();
         for backend in backends {
             backend.for_each_run(|run| {
@@ -61,7 +61,7 @@
 
 /// How a try to hand a batch job in ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum TryEnd {
+pub(crate) enum TryEnd {
     /// 202.
     Accepted,
     /// 429 or 503: nothing of it runs.
@@ -94,7 +94,7 @@
 
 /// A batch job that may be read.
 #[derive(Clone)]
-pub struct Readable {
+pub(crate) struct Readable {
     pub job: BatchJob,
     /// Results that were read before.
     pub known: usize,
@@ -103,7 +103,7 @@
 
 /// How much a soak did.
 #[derive(Debug, Default, Clone, Copy)]
-pub struct Counts {
+pub(crate) struct Counts {
     pub accepted: u64,
     pub refused: u64,
     pub unknown: u64,
@@ -114,7 +114,7 @@
 
 /// All that happened, and the rules that were broken.
 #[derive(Default)]
-pub struct Record {
+pub(crate) struct Record {
     jobs: BTreeMap<String, JobRecord>,
     pub violations: Vec<Violation>,
     pub counts: Counts,
@@ -122,7 +122,7 @@
 
 impl Record {
     /// A client is about to hand a batch job in.
-    pub fn try_begins(&mut self, job: &BatchJob) {
+    pub(crate) fn try_begins(&mut self, job: &BatchJob) {
         let new = || JobRecord {
             job: job.clone(),
             tries: 0,
@@ -136,7 +136,7 @@
     }
 
     /// A try has ended.
-    pub fn try_ended(&mut self, id: &str, end: TryEnd, backends: &[Backend]) {
+    pub(crate) fn try_ended(&mut self, id: &str, end: TryEnd, backends: &[Backend]) {
         let Some(record) = self.jobs.get_mut(id) else {
             return;
         };
@@ -174,14 +174,14 @@
     }
 
     /// A client asks for a job's end.
-    pub fn end_asked(&mut self, id: &str) {
+    pub(crate) fn end_asked(&mut self, id: &str) {
         if let Some(record) = self.jobs.get_mut(id) {
             record.is_end_asked = true;
         }
     }
 
     /// A job's end was acknowledged.
-    pub fn end_acknowledged(&mut self, id: &str) {
+    pub(crate) fn end_acknowledged(&mut self, id: &str) {
         if let Some(record) = self.jobs.get_mut(id) {
             record.end_acknowledged.get_or_insert_with(Instant::now);
             self.counts.ended += 1;
@@ -189,13 +189,13 @@
     }
 
     /// The accepted jobs.
-    pub fn readable(&self) -> Vec<Readable> {
+    pub(crate) fn readable(&self) -> Vec<Readable> {
         let accepted = self.jobs.values().filter(|record| record.is_accepted);
         accepted.map(readable).collect()
     }
 
     /// One accepted job as it is now.
-    pub fn readable_job(&self, id: &str) -> Option<Readable> {
+    pub(crate) fn readable_job(&self, id: &str) -> Option<Readable> {
         self.jobs
             .get(id)
             .filter(|record| record.is_accepted)
@@ -203,7 +203,7 @@
     }
 
     /// An accepted job was answered 404.
-    pub fn not_found(&mut self, id: &str) {
+    pub(crate) fn not_found(&mut self, id: &str) {
         let is_end_asked = self.jobs.get(id).is_some_and(|record| record.is_end_asked);
         if !is_end_asked {
             self.violations.push(Violation::NotFound {
@@ -213,7 +213,7 @@
     }
 
     /// A client that knew of `known` results read a page from position `after` on.
-    pub fn read(
+    pub(crate) fn read(
         &mut self,
         id: &str,
         after: usize,
@@ -256,7 +256,7 @@
     }
 
     /// A body was answered.
-    pub fn body(&mut self, job: &BatchJob, item: &str, is_right: bool) {
+    pub(crate) fn body(&mut self, job: &BatchJob, item: &str, is_right: bool) {
         if !is_right {
             self.violations.push(Violation::WrongBody {
                 job: job.id.clone(),
@@ -266,7 +266,7 @@
     }
 
     /// Once all clients are done: what ran although nobody wanted it, and what has not come.
-    pub fn check_end(&mut self, backends: &[Backend]) {
+    pub(crate) fn check_end(&mut self, backends: &[Backend]) {
         let truth = Truth::of(backends);
         let found = self
             .jobs
--- a/alderhollow/tests/soak/relay.rs
+++ b/alderhollow/tests/soak/relay.rs
@@ -11,7 +11,7 @@
 
 /// What a relay does.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum RelayMode {
+pub(crate) enum RelayMode {
     /// Passes all bytes.
     Pass,
     /// Breaks all connections, and takes new ones only to break them.
@@ -21,7 +21,7 @@
 }
 
 /// A relay that listens until it is dropped.
-pub struct Relay {
+pub(crate) struct Relay {
     address: SocketAddr,
     mode: watch::Sender<RelayMode>,
     task: JoinHandle<()>,
@@ -29,7 +29,7 @@
 
 impl Relay {
     /// Relays connections at `address` to `upstream`.
-    pub async fn start(address: SocketAddr, upstream: SocketAddr) -> io::Result<Relay> {
+    pub(crate) async fn start(address: SocketAddr, upstream: SocketAddr) -> io::Result<Relay> {
         let listener = TcpListener::bind(address).await?;
         let address = listener.local_addr()?;
         let (mode, modes) = watch::channel(RelayMode::Pass);
@@ -42,12 +42,12 @@
     }
 
     /// Where it listens.
-    pub fn address(&self) -> SocketAddr {
+    pub(crate) fn address(&self) -> SocketAddr {
         self.address
     }
 
     /// Has it do something else from now on.
-    pub fn set_mode(&self, mode: RelayMode) {
+    pub(crate) fn set_mode(&self, mode: RelayMode) {
         self.mode.send_replace(mode);
     }
 }
--- a/alderhollow/tests/soak/timeline.rs
+++ b/alderhollow/tests/soak/timeline.rs
@@ -8,7 +8,7 @@
 
 /// Beginning or end of a trouble.
 #[derive(Debug, Clone, Copy)]
-pub enum Edge {
+pub(crate) enum Edge {
     Begin,
     End,
 }
@@ -20,14 +20,14 @@
 }
 
 /// The troubles so far, in order.
-pub struct Timeline {
+pub(crate) struct Timeline {
     started: Instant,
     entries: RefCell<Vec<Entry>>,
 }
 
 impl Timeline {
     /// A timeline whose times count from now.
-    pub fn new() -> Timeline {
+    pub(crate) fn new() -> Timeline {
         Timeline {
             started: Instant::now(),
             entries: RefCell::default(),
@@ -35,7 +35,7 @@
     }
 
     /// Notes the beginning or the end of a trouble.
-    pub fn note(&self, edge: Edge, trouble: &Trouble) {
+    pub(crate) fn note(&self, edge: Edge, trouble: &Trouble) {
         let entry = Entry {
             at: self.started.elapsed(),
             edge,
@@ -45,12 +45,12 @@
     }
 
     /// Time since its beginning.
-    pub fn elapsed(&self) -> Duration {
+    pub(crate) fn elapsed(&self) -> Duration {
         self.started.elapsed()
     }
 
     /// Number of troubles that began.
-    pub fn troubles(&self) -> usize {
+    pub(crate) fn troubles(&self) -> usize {
         self.entries
             .borrow()
             .iter()
--- a/alderhollow/tests/soak/troubles.rs
+++ b/alderhollow/tests/soak/troubles.rs
@@ -24,7 +24,7 @@
 
 /// What a trouble strikes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Target {
+pub(crate) enum Target {
     /// A process.
     Process(Place),
     /// The way to a backend, by its place in the list.
@@ -37,7 +37,7 @@
 
 /// What a trouble does.
 #[derive(Debug, Clone)]
-pub enum Kind {
+pub(crate) enum Kind {
     /// The process is killed, and started again at the end.
     Kill,
     /// The process stands still.
@@ -52,7 +52,7 @@
 
 /// A trouble.
 #[derive(Debug, Clone)]
-pub struct Trouble {
+pub(crate) struct Trouble {
     target: Target,
     kind: Kind,
     span: Duration,
@@ -119,7 +119,7 @@
     fn end(&self, world: &World) {
         match (&self.kind, self.target) {
             (Kind::Kill, Target::Process(place)) => {
-                world.tier.borrow_mut().start_process(place, false)
+                world.tier.borrow_mut().start_process(place, false);
             }
             (Kind::Pause, Target::Process(place)) => {
                 world
@@ -130,7 +130,7 @@
                     .expect("a process of this tier");
             }
             (Kind::Cut | Kind::LoseAnswers, target) => {
-                world.relay(target).set_mode(RelayMode::Pass)
+                world.relay(target).set_mode(RelayMode::Pass);
             }
             _ => {}
         }
@@ -154,7 +154,7 @@
 }
 
 /// Strikes until `end`; all that was struck is well again when this returns.
-pub async fn strike(world: Rc<World>, seed: u64, end: Instant) {
+pub(crate) async fn strike(world: Rc<World>, seed: u64, end: Instant) {
     let struck = Rc::new(RefCell::new(BTreeSet::new()));
     let lanes: Vec<_> = (0..LANES)
         .map(|lane| {
--- a/alderhollow/tests/soak/violation.rs
+++ b/alderhollow/tests/soak/violation.rs
@@ -5,7 +5,7 @@
 
 /// A broken rule, as seen from outside.
 #[derive(Debug, Clone, Error)]
-pub enum Violation {
+pub(crate) enum Violation {
     #[error("{job}: accepted, but answered 404")]
     NotFound { job: String },
     #[error("{job}: accepted, but in calm only {listed} of {total} results can be read")]
--- a/alderhollow/tests/soak/world.rs
+++ b/alderhollow/tests/soak/world.rs
@@ -28,7 +28,7 @@
 const SETTLED_VERSION: u64 = 3;
 
 /// The tier of one seed.
-pub struct World {
+pub(crate) struct World {
     pub tier: RefCell<Tier>,
     pub places: Vec<Place>,
     pub backend_relays: Vec<Relay>,
@@ -43,7 +43,7 @@
 
 impl World {
     /// A tier in which all are in touch. `number` tells its addresses and folder from others' of this process.
-    pub async fn start(number: u8) -> World {
+    pub(crate) async fn start(number: u8) -> World {
         let mut tier = Tier::prepare_backends(number, PACE).await;
         tier.options = metrics::options();
         let backend_relays = relay_backends(&tier).await;
@@ -72,14 +72,14 @@
     }
 
     /// Notes what a process has counted of broken rules by itself.
-    pub async fn note_counted(&self, place: Place) {
+    pub(crate) async fn note_counted(&self, place: Place) {
         let address = self.tier.borrow().at_port(place, metrics::PORT);
         let counted = metrics::counted(&format!("{place:?}"), address).await;
         self.record.borrow_mut().violations.extend(counted);
     }
 
     /// The relay of a link.
-    pub fn relay(&self, target: Target) -> &Relay {
+    pub(crate) fn relay(&self, target: Target) -> &Relay {
         match target {
             Target::BackendLink(index) => &self.backend_relays[index],
             Target::GatewayLink(index) => &self.gateway_relays[index],
--- a/alderhollow/tests/store/tier.rs
+++ b/alderhollow/tests/store/tier.rs
@@ -33,15 +33,15 @@
 use tokio::task::AbortHandle;
 use tokio::time::Instant;
 
-pub const DISK_BYTES: u64 = 64 * 1024 * 1024;
+pub(crate) const DISK_BYTES: u64 = 64 * 1024 * 1024;
 /// Tokens of an item that [`Tier::hand_in`] makes.
-pub const ITEM_TOKENS: u64 = 100;
+pub(crate) const ITEM_TOKENS: u64 = 100;
 /// Batch jobs are kept so long.
-pub const STATUS: Duration = Duration::from_secs(120);
+pub(crate) const STATUS: Duration = Duration::from_secs(120);
 /// The core validates this process from here on.
-pub const FOR_EVER: u64 = u64::MAX / 2;
+pub(crate) const FOR_EVER: u64 = u64::MAX / 2;
 
-pub struct Store {
+pub(crate) struct Store {
     pub member: GroupMember,
     pub node: Rc<StoreNode>,
     pub poll: PollState,
@@ -50,7 +50,7 @@
 }
 
 impl Store {
-    pub async fn start(
+    pub(crate) async fn start(
         number: u64,
         disk: FaultDisk,
         snapshots: watch::Receiver<Arc<Snapshot>>,
@@ -102,7 +102,10 @@
             internal: Address(address),
             control: None,
         };
-        let tasks = tasks.iter().map(|task| task.abort_handle()).collect();
+        let tasks = tasks
+            .iter()
+            .map(tokio::task::JoinHandle::abort_handle)
+            .collect();
         Store {
             member: GroupMember {
                 disk: id,
@@ -116,14 +119,14 @@
     }
 
     /// The process ends.
-    pub fn stop(&self) {
+    pub(crate) fn stop(&self) {
         self.tasks.iter().for_each(AbortHandle::abort);
     }
 }
 
 /// A group as the core decides on it; stores by their places.
 #[derive(Clone, Copy)]
-pub struct Plan<'a> {
+pub(crate) struct Plan<'a> {
     pub epoch: u64,
     pub primary: usize,
     pub members: &'a [usize],
@@ -132,7 +135,7 @@
 
 impl<'a> Plan<'a> {
     /// Without learners.
-    pub fn new(epoch: u64, primary: usize, members: &'a [usize]) -> Plan<'a> {
+    pub(crate) fn new(epoch: u64, primary: usize, members: &'a [usize]) -> Plan<'a> {
         Plan {
             epoch,
             primary,
@@ -143,7 +146,7 @@
 }
 
 /// Three groups, each led by another store and with two members.
-pub const THREE_GROUPS: [Plan; 3] = [
+pub(crate) const THREE_GROUPS: [Plan; 3] = [
     Plan {
         epoch: 1,
         primary: 0,
@@ -164,7 +167,7 @@
     },
 ];
 
-pub struct Tier {
+pub(crate) struct Tier {
     pub stores: Vec<Store>,
     pub backend: BatchBackend,
     pub endpoints: StoreEndpoints,
@@ -173,11 +176,11 @@
 }
 
 impl Tier {
-    pub async fn start(script: Vec<Reply>, quota: u64) -> Tier {
+    pub(crate) async fn start(script: Vec<Reply>, quota: u64) -> Tier {
         Tier::start_validated(script, quota, Some(FOR_EVER)).await
     }
 
-    pub async fn start_validated(
+    pub(crate) async fn start_validated(
         script: Vec<Reply>,
         quota: u64,
         validated_at: Option<u64>,
@@ -185,11 +188,11 @@
         Tier::start_all(script, quota, validated_at, &[Plan::new(1, 0, &[0, 1, 2])]).await
     }
 
-    pub async fn start_with(script: Vec<Reply>, quota: u64, plans: &[Plan<'_>]) -> Tier {
+    pub(crate) async fn start_with(script: Vec<Reply>, quota: u64, plans: &[Plan<'_>]) -> Tier {
         Tier::start_all(script, quota, Some(FOR_EVER), plans).await
     }
 
-    pub async fn start_all(
+    pub(crate) async fn start_all(
         script: Vec<Reply>,
         quota: u64,
         validated_at: Option<u64>,
@@ -224,7 +227,7 @@
     }
 
     /// The core decides on a group.
-    pub fn set_group(&self, epoch: u64, primary: usize, members: &[usize]) {
+    pub(crate) fn set_group(&self, epoch: u64, primary: usize, members: &[usize]) {
         self.set_groups(
             epoch,
             &[Plan {
@@ -237,7 +240,7 @@
     }
 
     /// The core decides on all groups.
-    pub fn set_groups(&self, version: u64, plans: &[Plan]) {
+    pub(crate) fn set_groups(&self, version: u64, plans: &[Plan]) {
         let member = |index: &usize| self.stores[*index].member.clone();
         let group = |plan: &Plan| BatchGroup {
             epoch: plan.epoch,
@@ -256,7 +259,7 @@
     }
 
     /// Three stores on these disks in place of the present ones, which have ended.
-    pub async fn restart_on(self, disks: Vec<FaultDisk>) -> Tier {
+    pub(crate) async fn restart_on(self, disks: Vec<FaultDisk>) -> Tier {
         let (tables, snapshots) = watch::channel(Arc::<Snapshot>::default());
         let mut stores = Vec::new();
         for (number, disk) in disks.into_iter().enumerate() {
@@ -277,7 +280,7 @@
     }
 
     /// All stores lose their power.
-    pub fn lose_power(&self) -> Vec<FaultDisk> {
+    pub(crate) fn lose_power(&self) -> Vec<FaultDisk> {
         let lose = |store: &Store| {
             store.stop();
             store.disk.fail_power_after(0);
@@ -286,7 +289,7 @@
         self.stores.iter().map(lose).collect()
     }
 
-    pub async fn call(&self, method: &str, path: &str, wait_ms: u64) -> Response<Bytes> {
+    pub(crate) async fn call(&self, method: &str, path: &str, wait_ms: u64) -> Response<Bytes> {
         let request = Request::builder()
             .method(method)
             .uri(path)
@@ -302,12 +305,17 @@
     }
 
     /// Hands a job in for a client that waits so long.
-    pub async fn hand_in(&self, id: &str, items: usize, deadline_ms: u64) -> Response<Bytes> {
+    pub(crate) async fn hand_in(
+        &self,
+        id: &str,
+        items: usize,
+        deadline_ms: u64,
+    ) -> Response<Bytes> {
         self.hand_in_items(id, "i", items, deadline_ms).await
     }
 
     /// Hands a job in whose items' ids begin with a text.
-    pub async fn hand_in_items(
+    pub(crate) async fn hand_in_items(
         &self,
         id: &str,
         prefix: &str,
@@ -326,7 +334,7 @@
     }
 
     /// Hands a job in at a gateway.
-    pub async fn hand_in_through(
+    pub(crate) async fn hand_in_through(
         &self,
         gateway: &StoreEndpoints,
         id: &str,
@@ -349,17 +357,17 @@
             .await
     }
 
-    pub async fn submit(&self, items: usize) -> u16 {
+    pub(crate) async fn submit(&self, items: usize) -> u16 {
         self.hand_in("j1", items, 4_000).await.status().as_u16()
     }
 
     /// All results, once there are as many as items.
-    pub async fn results(&self) -> Vec<Value> {
+    pub(crate) async fn results(&self) -> Vec<Value> {
         self.results_of("j1").await
     }
 
     /// All results of a job, once there are as many as items.
-    pub async fn results_of(&self, id: &str) -> Vec<Value> {
+    pub(crate) async fn results_of(&self, id: &str) -> Vec<Value> {
         let mut all = Vec::new();
         loop {
             let path = format!("/alderhollow/lots/{id}?after={}", all.len());
@@ -382,18 +390,18 @@
         }
     }
 
-    pub async fn status(&self, method: &str, path: &str) -> u16 {
+    pub(crate) async fn status(&self, method: &str, path: &str) -> u16 {
         self.call(method, path, 0).await.status().as_u16()
     }
 }
 
 /// An item as a client hands it in.
-pub fn job_item(id: &str, body: &[u8]) -> Value {
+pub(crate) fn job_item(id: &str, body: &[u8]) -> Value {
     let body = BASE64_STANDARD.encode(body);
     json!({"id": id, "path": "/b/1", "headers": {"Model": "m"}, "body": body, "tokens": ITEM_TOKENS})
 }
 
-pub fn in_local_set(test: impl Future<Output = ()>) {
+pub(crate) fn in_local_set(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -401,7 +409,7 @@
     tokio::task::LocalSet::new().block_on(&runtime, test);
 }
 
-pub fn ids(results: &[Value]) -> Vec<String> {
+pub(crate) fn ids(results: &[Value]) -> Vec<String> {
     let mut ids: Vec<_> = results
         .iter()
         .filter_map(|result| result["id"].as_str().map(str::to_string))
@@ -411,7 +419,7 @@
 }
 
 /// Whether a store may start items of any group.
-pub fn may_start(store: &Store) -> bool {
+pub(crate) fn may_start(store: &Store) -> bool {
     store
         .node
         .groups()
@@ -420,7 +428,7 @@
 }
 
 /// Ids of jobs that a group keeps, of so many groups.
-pub fn jobs_of_group(group: usize, of: usize, count: usize) -> Vec<String> {
+pub(crate) fn jobs_of_group(group: usize, of: usize, count: usize) -> Vec<String> {
     let ids = (0..).map(|number| format!("job-{number}"));
     ids.filter(|id| GroupId::of_key(id, of) == GroupId::at(group))
         .take(count)
@@ -428,7 +436,7 @@
 }
 
 /// How many jobs a store keeps of each group of which it has anything.
-pub fn jobs_by_group(store: &Store) -> Vec<(u32, usize)> {
+pub(crate) fn jobs_by_group(store: &Store) -> Vec<(u32, usize)> {
     let jobs = |group: &Rc<alderhollow::store::group_engine::GroupEngine>| {
         store.node.look(group, |engine, _| engine.jobs())
     };
--- a/alderhollow/tests/support/backend.rs
+++ b/alderhollow/tests/support/backend.rs
@@ -13,7 +13,7 @@
 
 /// One step of an answer. `{id}` in what is written stands for the request's id.
 #[derive(Clone)]
-pub enum Step {
+pub(crate) enum Step {
     Write(String),
     Pause(Duration),
     Close,
@@ -24,19 +24,19 @@
 
 /// A request that reached a backend.
 #[derive(Clone, Debug)]
-pub struct Seen {
+pub(crate) struct Seen {
     pub backend: String,
     pub head: String,
     pub body: String,
 }
 
 impl Seen {
-    pub fn header(&self, name: &str) -> Option<String> {
+    pub(crate) fn header(&self, name: &str) -> Option<String> {
         header(&self.head, name)
     }
 }
 
-pub fn header(head: &str, name: &str) -> Option<String> {
+pub(crate) fn header(head: &str, name: &str) -> Option<String> {
     head.lines().skip(1).find_map(|line| {
         let (found, value) = line.split_once(':')?;
         found
@@ -46,7 +46,7 @@
 }
 
 #[derive(Clone, Default)]
-pub struct Backends {
+pub(crate) struct Backends {
     scripts: Rc<RefCell<VecDeque<Vec<Step>>>>,
     seen: Rc<RefCell<Vec<Seen>>>,
     /// Connections that were accepted, and those that their peer ended while the backend hung or wrote.
@@ -55,20 +55,20 @@
 }
 
 impl Backends {
-    pub fn script(&self, steps: Vec<Step>) {
+    pub(crate) fn script(&self, steps: Vec<Step>) {
         self.scripts.borrow_mut().push_back(steps);
     }
 
     /// Drops the scripts that no request has used.
-    pub fn drop_scripts(&self) {
+    pub(crate) fn drop_scripts(&self) {
         self.scripts.borrow_mut().clear();
     }
 
-    pub fn seen(&self) -> Vec<Seen> {
+    pub(crate) fn seen(&self) -> Vec<Seen> {
         self.seen.borrow().clone()
     }
 
-    pub async fn start(&self, id: &str) -> SocketAddr {
+    pub(crate) async fn start(&self, id: &str) -> SocketAddr {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
             .await
             .expect("a free port");
@@ -147,41 +147,41 @@
 }
 
 /// A whole answer of a backend.
-pub fn answer(status: &str, headers: &str, body: &str) -> Vec<Step> {
+pub(crate) fn answer(status: &str, headers: &str, body: &str) -> Vec<Step> {
     let length = body.len();
     vec![Step::Write(format!(
         "HTTP/1.1 {status}\r\nRequest-Id: {{id}}\r\n{headers}Content-Length: {length}\r\n\r\n{body}"
     ))]
 }
 
-pub fn served(body: &str) -> Vec<Step> {
+pub(crate) fn served(body: &str) -> Vec<Step> {
     answer("200 OK", "Response-Seal: s1\r\n", body)
 }
 
-pub fn declined() -> Vec<Step> {
+pub(crate) fn declined() -> Vec<Step> {
     answer("503 Service Unavailable", "Not-Executed: 1\r\n", "")
 }
 
 /// The head of a stream of events.
-pub fn stream_head(seal: &str) -> Step {
+pub(crate) fn stream_head(seal: &str) -> Step {
     Step::Write(format!(
         "HTTP/1.1 200 OK\r\nRequest-Id: {{id}}\r\nResponse-Seal: {seal}\r\nContent-Type: text/event-stream\r\n\
          Transfer-Encoding: chunked\r\n\r\n"
     ))
 }
 
-pub fn chunk(text: &str) -> Step {
+pub(crate) fn chunk(text: &str) -> Step {
     Step::Write(format!("{:x}\r\n{text}\r\n", text.len()))
 }
 
-pub fn last_chunk() -> Step {
+pub(crate) fn last_chunk() -> Step {
     Step::Write("0\r\n\r\n".into())
 }
 
-pub fn event(id: u64) -> String {
+pub(crate) fn event(id: u64) -> String {
     format!("id: {id}\ndata: text {id}\n\n")
 }
 
-pub fn events(ids: std::ops::RangeInclusive<u64>) -> String {
+pub(crate) fn events(ids: std::ops::RangeInclusive<u64>) -> String {
     ids.map(event).collect()
 }
--- a/alderhollow/tests/support/batch_backend.rs
+++ b/alderhollow/tests/support/batch_backend.rs
@@ -12,7 +12,7 @@
 
 /// What the backend does with one request.
 #[derive(Debug, Clone)]
-pub enum Reply {
+pub(crate) enum Reply {
     /// The events from the one that is asked for on, to the end.
     Whole,
     /// As [`Reply::Whole`], cut after so many bytes of events.
@@ -39,13 +39,13 @@
 
 /// One request as it came.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Request {
+pub(crate) struct Request {
     pub head: String,
     pub body: Vec<u8>,
 }
 
 impl Request {
-    pub fn header(&self, name: &str) -> Option<String> {
+    pub(crate) fn header(&self, name: &str) -> Option<String> {
         let lines = self.head.lines().skip(1);
         let mut pairs = lines.filter_map(|line| line.split_once(':'));
         let found = pairs.find(|(key, _)| key.eq_ignore_ascii_case(name));
@@ -54,15 +54,15 @@
 }
 
 /// Data of the events of each item.
-pub const EVENTS: [&str; 4] = ["one", "", "three \u{e4}", "four"];
+pub(crate) const EVENTS: [&str; 4] = ["one", "", "three \u{e4}", "four"];
 
 /// What an item's whole text is.
-pub fn whole_text() -> String {
+pub(crate) fn whole_text() -> String {
     EVENTS.join("\n")
 }
 
 /// The events from one id on.
-pub fn events_from(first: usize) -> String {
+pub(crate) fn events_from(first: usize) -> String {
     let numbered = EVENTS
         .iter()
         .enumerate()
@@ -83,14 +83,14 @@
 
 /// The backend. Once its script is over it answers [`Reply::Whole`].
 #[derive(Clone)]
-pub struct BatchBackend {
+pub(crate) struct BatchBackend {
     pub address: SocketAddr,
     shared: Rc<Shared>,
 }
 
 impl BatchBackend {
     /// Starts it within the current `LocalSet`.
-    pub async fn start(script: Vec<Reply>) -> BatchBackend {
+    pub(crate) async fn start(script: Vec<Reply>) -> BatchBackend {
         let listener = TcpListener::bind("127.0.0.1:0").await.expect("a port");
         let address = listener.local_addr().expect("an address");
         let shared = Rc::new(Shared {
@@ -106,12 +106,12 @@
         BatchBackend { address, shared }
     }
 
-    pub fn requests(&self) -> Vec<Request> {
+    pub(crate) fn requests(&self) -> Vec<Request> {
         self.shared.requests.borrow().clone()
     }
 
     /// Waits until so many requests have come.
-    pub async fn until_requests(&self, count: usize) {
+    pub(crate) async fn until_requests(&self, count: usize) {
         loop {
             let changed = self.shared.changed.notified();
             if self.shared.requests.borrow().len() >= count {
@@ -122,7 +122,7 @@
     }
 
     /// Waits until so many connections were closed by the other side while they were silent.
-    pub async fn until_closed(&self, count: usize) {
+    pub(crate) async fn until_closed(&self, count: usize) {
         loop {
             let changed = self.shared.changed.notified();
             if *self.shared.closed.borrow() >= count {
--- a/alderhollow/tests/support/batch_tables.rs
+++ b/alderhollow/tests/support/batch_tables.rs
@@ -9,10 +9,10 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-pub const ROUTE: &str = "r-batch";
-pub const HOST: &str = "b.example";
+pub(crate) const ROUTE: &str = "r-batch";
+pub(crate) const HOST: &str = "b.example";
 
-pub fn config(version: u64, max_queued_tokens: u64) -> Config {
+pub(crate) fn config(version: u64, max_queued_tokens: u64) -> Config {
     serde_json::from_value(serde_json::json!({
         "config-version": version,
         "routes": [{
@@ -25,7 +25,7 @@
     .expect("a configuration")
 }
 
-pub fn backend(id: &str, address: SocketAddr) -> Backend {
+pub(crate) fn backend(id: &str, address: SocketAddr) -> Backend {
     Backend {
         id: id.to_string(),
         service: "s".to_string(),
@@ -37,7 +37,7 @@
     }
 }
 
-pub fn snapshot(
+pub(crate) fn snapshot(
     config: Config,
     backends: Vec<Backend>,
     sequence: u64,
@@ -46,7 +46,7 @@
     snapshot_of_groups(config, backends, sequence, group.into_iter().collect())
 }
 
-pub fn snapshot_of_groups(
+pub(crate) fn snapshot_of_groups(
     config: Config,
     backends: Vec<Backend>,
     sequence: u64,
--- a/alderhollow/tests/support/client.rs
+++ b/alderhollow/tests/support/client.rs
@@ -7,7 +7,7 @@
 
 /// What a client has read.
 #[derive(Debug)]
-pub struct Reply {
+pub(crate) struct Reply {
     pub status: u16,
     pub head: String,
     pub body: String,
@@ -16,18 +16,18 @@
 }
 
 impl Reply {
-    pub fn header(&self, name: &str) -> Option<String> {
+    pub(crate) fn header(&self, name: &str) -> Option<String> {
         header(&self.head, name)
     }
 }
 
-pub struct Client {
+pub(crate) struct Client {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 impl Client {
-    pub async fn connect(address: SocketAddr) -> Client {
+    pub(crate) async fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address).await.expect("it accepts");
         // Else a second piece waits for the peer's acknowledgement in real time, while the tests' clock leaps.
         stream.set_nodelay(true).expect("a socket");
@@ -37,7 +37,7 @@
         }
     }
 
-    pub async fn write(&mut self, text: &str) {
+    pub(crate) async fn write(&mut self, text: &str) {
         self.stream
             .write_all(text.as_bytes())
             .await
@@ -45,13 +45,13 @@
     }
 
     /// Writes to a connection that the gateway may have closed.
-    pub async fn offer(&mut self, text: &str) {
+    pub(crate) async fn offer(&mut self, text: &str) {
         // What is lost then, the missing answer tells.
         let _ = self.stream.write_all(text.as_bytes()).await;
     }
 
     /// The next answer; `None` if the connection ends before one begins.
-    pub async fn reply(&mut self) -> Option<Reply> {
+    pub(crate) async fn reply(&mut self) -> Option<Reply> {
         loop {
             let ended = !matches!(self.stream.read_buf(&mut self.buffer).await, Ok(1..));
             if let Some((reply, length)) = parse(&self.buffer, ended) {
@@ -65,12 +65,12 @@
     }
 
     /// Whether the connection ends without a byte.
-    pub async fn ends(&mut self) -> bool {
+    pub(crate) async fn ends(&mut self) -> bool {
         self.buffer.is_empty() && matches!(self.stream.read_buf(&mut self.buffer).await, Ok(0))
     }
 
     /// Reads until what has come contains `text`.
-    pub async fn read_until(&mut self, text: &str) {
+    pub(crate) async fn read_until(&mut self, text: &str) {
         while !String::from_utf8_lossy(&self.buffer).contains(text) {
             let read = self
                 .stream
@@ -125,7 +125,7 @@
 }
 
 /// One request on a connection of its own.
-pub async fn ask(address: SocketAddr, request: &str) -> Reply {
+pub(crate) async fn ask(address: SocketAddr, request: &str) -> Reply {
     let mut client = Client::connect(address).await;
     client.write(request).await;
     client.reply().await.expect("an answer")
--- a/alderhollow/tests/support/gateway.rs
+++ b/alderhollow/tests/support/gateway.rs
@@ -37,7 +37,7 @@
  "services":[{"name":"plain","max-conns":100}],
  "limits":{"max-header-bytes":2000,"max-body-bytes":5000,"header-timeout-ms":3000,"idle-timeout-ms":15000}}"#;
 
-pub const GRACE: Duration = Duration::from_secs(8);
+pub(crate) const GRACE: Duration = Duration::from_secs(8);
 
 /// Endpoints without stores: each call gets 503.
 struct NoStores;
@@ -48,7 +48,7 @@
     }
 }
 
-pub struct Gateway {
+pub(crate) struct Gateway {
     pub address: SocketAddr,
     pub backends: Backends,
     pub exchange: Rc<Exchange>,
@@ -59,12 +59,12 @@
 
 impl Gateway {
     /// A gateway over so many backends, `b0` and on.
-    pub async fn start(count: usize) -> Gateway {
+    pub(crate) async fn start(count: usize) -> Gateway {
         Gateway::start_with(count, None).await
     }
 
     /// The same, where only tables with this validity are the newest.
-    pub async fn start_with(count: usize, validity: Option<TableValidity>) -> Gateway {
+    pub(crate) async fn start_with(count: usize, validity: Option<TableValidity>) -> Gateway {
         let backends = Backends::default();
         let mut list = Vec::new();
         for number in 0..count {
@@ -99,21 +99,21 @@
     }
 
     /// Changes the list of backends.
-    pub fn list(&self, change: impl Fn(&mut Vec<Backend>)) {
+    pub(crate) fn list(&self, change: impl Fn(&mut Vec<Backend>)) {
         let mut list = self.snapshots.borrow().backends.backends.clone();
         change(&mut list);
         self.snapshots.send_replace(Arc::new(snapshot(list, true)));
     }
 
-    pub fn drain_all(&self) {
+    pub(crate) fn drain_all(&self) {
         self.list(|list| {
             list.iter_mut()
-                .for_each(|backend| backend.state = BackendState::Draining)
+                .for_each(|backend| backend.state = BackendState::Draining);
         });
     }
 }
 
-pub fn backend(id: &str, address: Address) -> Backend {
+pub(crate) fn backend(id: &str, address: Address) -> Backend {
     Backend {
         id: id.into(),
         service: "plain".into(),
@@ -125,7 +125,7 @@
     }
 }
 
-pub fn snapshot(backends: Vec<Backend>, validated: bool) -> Snapshot {
+pub(crate) fn snapshot(backends: Vec<Backend>, validated: bool) -> Snapshot {
     let config: Config = serde_json::from_str(CONFIG).expect("a configuration");
     Snapshot {
         control: Arc::new(ControlView {
@@ -144,7 +144,7 @@
 }
 
 /// A request to the shop with the id `r1`.
-pub fn request(path: &str, headers: &str, body: &str) -> String {
+pub(crate) fn request(path: &str, headers: &str, body: &str) -> String {
     let length = body.len();
     format!(
         "POST {path} HTTP/1.1\r\nHost: shop.example\r\nRequest-Id: r1\r\nDeadline-Ms: 2500\r\n{headers}\
--- a/alderhollow/tests/tier_support/mod.rs
+++ b/alderhollow/tests/tier_support/mod.rs
@@ -24,17 +24,17 @@
 use tokio::time::Instant;
 
 /// Longest wait for one condition: far more than needed, for machines that are busy.
-pub const LIMIT: Duration = Duration::from_secs(40);
+pub(crate) const LIMIT: Duration = Duration::from_secs(40);
 /// Time between two looks at a condition.
 const LOOK: Duration = Duration::from_millis(50);
 /// Longest time between SIGTERM and a process's end: `grace-s` of the settings, and some for a busy machine.
-pub const GRACE: Duration = Duration::from_secs(20);
+pub(crate) const GRACE: Duration = Duration::from_secs(20);
 
 /// Requests that a backend works on at once, unless a test says otherwise.
 const USUAL_SLOTS: u32 = 16;
 
-pub const HOST: &str = "shop.example";
-pub const SERVICE: &str = "model";
+pub(crate) const HOST: &str = "shop.example";
+pub(crate) const SERVICE: &str = "model";
 const REGION: &str = "coast";
 /// A tier has a network of its own, so its ports are nobody else's. They lie below those that the system gives out by
 /// itself; none is tried out first, as a listener may live on for a moment in a child that another thread has forked.
@@ -49,7 +49,7 @@
 
 /// One machine's place in a tier: a class and a number.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Place {
+pub(crate) enum Place {
     Gateway(u8),
     /// A gateway without a disk.
     DisklessGateway(u8),
@@ -57,8 +57,8 @@
 }
 
 /// The gateways whose addresses are the seeds.
-pub const SEEDS: [Place; 3] = [Place::Gateway(0), Place::Gateway(1), Place::Gateway(2)];
-pub const STORES: [Place; 3] = [Place::Store(0), Place::Store(1), Place::Store(2)];
+pub(crate) const SEEDS: [Place; 3] = [Place::Gateway(0), Place::Gateway(1), Place::Gateway(2)];
+pub(crate) const STORES: [Place; 3] = [Place::Store(0), Place::Store(1), Place::Store(2)];
 
 impl Place {
     fn host(self) -> u8 {
@@ -84,7 +84,7 @@
 
 /// How much the backends of a tier do.
 #[derive(Debug, Clone, Copy)]
-pub struct BackendPace {
+pub(crate) struct BackendPace {
     /// Requests that one works on at once.
     pub slots: u32,
     /// Time before each event.
@@ -92,7 +92,7 @@
 }
 
 /// A tier with what stands around it. Its processes are killed when it is dropped.
-pub struct Tier {
+pub(crate) struct Tier {
     processes: BTreeMap<Place, TierProcess>,
     pub backends: Vec<Backend>,
     pub platform: Platform,
@@ -109,7 +109,7 @@
 impl Tier {
     /// The stand-ins of a tier whose processes have yet to be started. `number` is the test's own; an event of a stream
     /// comes after `event_pause`.
-    pub async fn prepare(number: u8, event_pause: Duration) -> Tier {
+    pub(crate) async fn prepare(number: u8, event_pause: Duration) -> Tier {
         Tier::prepare_backends(
             number,
             BackendPace {
@@ -121,7 +121,7 @@
     }
 
     /// As [`Tier::prepare`], with backends of this pace.
-    pub async fn prepare_backends(number: u8, pace: BackendPace) -> Tier {
+    pub(crate) async fn prepare_backends(number: u8, pace: BackendPace) -> Tier {
         let [_, _, high, low] = std::process::id().to_be_bytes();
         let network = [127, high.wrapping_add(number.wrapping_mul(16)) | 1, low];
         let address = |host: u8, port: u16| SocketAddr::from((ip(network, host), port));
@@ -167,7 +167,7 @@
     }
 
     /// A tier of three gateways and three stores, with its first configuration, in which all are in touch.
-    pub async fn start(number: u8, event_pause: Duration) -> Tier {
+    pub(crate) async fn start(number: u8, event_pause: Duration) -> Tier {
         let mut tier = Tier::prepare(number, event_pause).await;
         for place in SEEDS.into_iter().chain(STORES) {
             tier.start_process(place, true);
@@ -178,7 +178,7 @@
 
     /// Hands the first configuration in and waits until these gateways are ready, the core has three members and the
     /// batch group is active.
-    pub async fn settle(&self, gateways: &[Place]) {
+    pub(crate) async fn settle(&self, gateways: &[Place]) {
         let answer = self
             .order(&Order::put_config(0, configuration(3, &[])))
             .await;
@@ -195,7 +195,7 @@
     }
 
     /// Waits until the core has three members and the batch group is active.
-    pub async fn settle_groups(&self) {
+    pub(crate) async fn settle_groups(&self) {
         until("the core is whole and the batch group active", || async {
             let members = self
                 .core_primary()
@@ -207,7 +207,7 @@
     }
 
     /// Starts the process of a place, with what its disk holds.
-    pub fn start_process(&mut self, place: Place, first_start: bool) {
+    pub(crate) fn start_process(&mut self, place: Place, first_start: bool) {
         let name = format!("{}-{}-{}", place.class().name(), place.zone(), place.host());
         let folder = self.folder.join(&name);
         let data_dir = self.data_dir(place);
@@ -235,53 +235,53 @@
     }
 
     /// Folder of settings, data and logs.
-    pub fn folder(&self) -> &Path {
+    pub(crate) fn folder(&self) -> &Path {
         &self.folder
     }
 
     /// An address of this tier's part of loopback, for stand-ins; the port is any.
-    pub fn standin_address(&self, host: u8) -> SocketAddr {
+    pub(crate) fn standin_address(&self, host: u8) -> SocketAddr {
         SocketAddr::from((ip(self.network, host), 0))
     }
 
     /// Where a process listens on a port that all machines use.
-    pub fn at_port(&self, place: Place, port: u16) -> SocketAddr {
+    pub(crate) fn at_port(&self, place: Place, port: u16) -> SocketAddr {
         self.address(place, port)
     }
 
     /// Folder of a place's disk.
-    pub fn data_dir(&self, place: Place) -> PathBuf {
+    pub(crate) fn data_dir(&self, place: Place) -> PathBuf {
         let name = format!("{}-{}-{}", place.class().name(), place.zone(), place.host());
         self.folder.join(name).join("data")
     }
 
     /// The process of a place.
-    pub fn process(&mut self, place: Place) -> &mut TierProcess {
+    pub(crate) fn process(&mut self, place: Place) -> &mut TierProcess {
         self.processes.get_mut(&place).expect("it was started")
     }
 
     /// Empties a place's disk.
-    pub fn wipe(&self, place: Place) {
+    pub(crate) fn wipe(&self, place: Place) {
         std::fs::remove_dir_all(self.data_dir(place)).unwrap();
     }
 
     /// Where clients reach a gateway.
-    pub fn front(&self, gateway: Place) -> SocketAddr {
+    pub(crate) fn front(&self, gateway: Place) -> SocketAddr {
         self.address(gateway, self.site.ports.front)
     }
 
     /// Where the tier's own messages reach a process.
-    pub fn internal(&self, place: Place) -> SocketAddr {
+    pub(crate) fn internal(&self, place: Place) -> SocketAddr {
         self.address(place, self.site.ports.internal[0])
     }
 
     /// An operator who knows the seeds.
-    pub fn operator(&self) -> Operator {
+    pub(crate) fn operator(&self) -> Operator {
         Operator::new(self.site.seeds.clone())
     }
 
     /// Sends an order until it has an answer that isn't 503.
-    pub async fn order(&self, order: &Order) -> OrderAnswer {
+    pub(crate) async fn order(&self, order: &Order) -> OrderAnswer {
         let end = Instant::now() + LIMIT;
         loop {
             let answer = self.operator().send(order).await;
@@ -294,7 +294,7 @@
     }
 
     /// Number of the configuration that operators read back.
-    pub async fn config_version(&self) -> Option<u64> {
+    pub(crate) async fn config_version(&self) -> Option<u64> {
         let answer = self.order(&Order::get_config()).await;
         serde_json::from_slice::<Value>(&answer.body)
             .ok()?
@@ -303,7 +303,7 @@
     }
 
     /// Whether a gateway calls itself ready.
-    pub async fn is_ready(&self, gateway: Place) -> bool {
+    pub(crate) async fn is_ready(&self, gateway: Place) -> bool {
         let address = self.address(gateway, self.site.ports.ready);
         let order = Order {
             path: "/alderhollow/readyz".into(),
@@ -320,17 +320,17 @@
     }
 
     /// What a process tells of itself.
-    pub async fn status(&self, place: Place) -> Option<StatusReport> {
+    pub(crate) async fn status(&self, place: Place) -> Option<StatusReport> {
         status::ask(self.internal(place)).await.ok()
     }
 
     /// Where a process would send a request to the model's backends now, and why.
-    pub async fn choice(&self, place: Place, demand: Demand) -> Option<ChoiceReport> {
+    pub(crate) async fn choice(&self, place: Place, demand: Demand) -> Option<ChoiceReport> {
         status::ask_choice(self.internal(place), demand).await.ok()
     }
 
     /// The gateway that holds the core's lease.
-    pub async fn core_primary(&self) -> Option<(Place, StatusReport)> {
+    pub(crate) async fn core_primary(&self) -> Option<(Place, StatusReport)> {
         for place in self
             .processes
             .keys()
@@ -351,7 +351,7 @@
     }
 
     /// A store that is the primary of an active epoch of a batch group and validated; the only one while there is one group.
-    pub async fn primary_store(&self) -> Option<Place> {
+    pub(crate) async fn primary_store(&self) -> Option<Place> {
         for place in self
             .processes
             .keys()
@@ -386,7 +386,7 @@
 }
 
 /// Waits until a condition holds; panics if it takes too long.
-pub async fn until<F: Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
+pub(crate) async fn until<F: Future<Output = bool>>(what: &str, mut holds: impl FnMut() -> F) {
     let end = Instant::now() + LIMIT;
     while !holds().await {
         assert!(Instant::now() < end, "this took too long: {what}");
@@ -395,7 +395,7 @@
 }
 
 /// A configuration with a resumable stream, a batch route, and one more stream route for each name.
-pub fn configuration(version: u64, more: &[&str]) -> Vec<u8> {
+pub(crate) fn configuration(version: u64, more: &[&str]) -> Vec<u8> {
     let mut routes = vec![stream_route("chat"), batch_route()];
     routes.extend(more.iter().map(|name| stream_route(name)));
     json!({
@@ -431,7 +431,7 @@
 }
 
 /// A request for a stream on the route `route`.
-pub fn stream_request(id: &str, route: &str, tokens_out: u64) -> ClientRequest {
+pub(crate) fn stream_request(id: &str, route: &str, tokens_out: u64) -> ClientRequest {
     let headers = vec![
         ("Model".to_string(), "m".to_string()),
         ("Token-Usage".to_string(), format!("210,{tokens_out}")),
--- a/batch/src/engine/calls.rs
+++ b/batch/src/engine/calls.rs
@@ -10,9 +10,9 @@
 use std::collections::HashSet;
 
 /// Most items of a job.
-pub const MOST_ITEMS: usize = 200;
+pub(super) const MOST_ITEMS: usize = 200;
 /// Longest id of a job or an item.
-pub const LONGEST_ID: usize = 256;
+pub(super) const LONGEST_ID: usize = 256;
 /// How long a refused try is remembered: longer than any copy of it can be late.
 const REFUSED_MEMORY_MS: u64 = 60_000;
 /// Most refused tries that are remembered.
--- a/batch/src/engine/commits.rs
+++ b/batch/src/engine/commits.rs
@@ -7,7 +7,7 @@
 
 /// A record that is not committed.
 #[derive(Debug)]
-pub struct Commit {
+pub(super) struct Commit {
     /// Its index.
     pub index: u64,
     /// The job that it is about.
@@ -20,7 +20,7 @@
 
 /// What a record says.
 #[derive(Debug, Clone, Copy)]
-pub enum Change {
+pub(super) enum Change {
     /// The job was accepted.
     Accepted {
         /// Its size, roughly.
@@ -39,7 +39,7 @@
 
 /// What is committed of a job.
 #[derive(Debug, Default)]
-pub struct JobView {
+pub(super) struct JobView {
     /// Whether its acceptance is.
     pub accepted: bool,
     /// Positions that may be read.
@@ -148,7 +148,7 @@
         self.newest_commit_ms = self.now_ms;
         match change {
             Change::Accepted { bytes } => {
-                self.pending_bytes = self.pending_bytes.saturating_sub(bytes)
+                self.pending_bytes = self.pending_bytes.saturating_sub(bytes);
             }
             Change::Results { count, .. } => {
                 self.uncommitted_results = self.uncommitted_results.saturating_sub(count);
--- a/batch/src/engine/overload.rs
+++ b/batch/src/engine/overload.rs
@@ -31,7 +31,7 @@
 
 /// The windows of a primary.
 #[derive(Debug)]
-pub struct Windows {
+pub(super) struct Windows {
     /// Items in flight: from the start of a run until the result is committed.
     pub runs: CongestionWindow,
     /// Bytes of jobs that are not committed.
--- a/batch/tests/engine/cluster.rs
+++ b/batch/tests/engine/cluster.rs
@@ -14,10 +14,10 @@
 use std::sync::Arc;
 
 /// The route of all jobs.
-pub const ROUTE: &str = "route";
+pub(crate) const ROUTE: &str = "route";
 
 /// A store.
-pub struct Store {
+pub(crate) struct Store {
     pub engine: Engine,
     /// What is on disk.
     pub records: Vec<Vec<u8>>,
@@ -27,7 +27,7 @@
 }
 
 /// Some stores.
-pub struct Cluster {
+pub(crate) struct Cluster {
     pub now_ms: u64,
     pub stores: BTreeMap<u64, Store>,
     /// Stores that nothing reaches nor leaves.
@@ -41,7 +41,7 @@
 
 impl Cluster {
     /// Stores 1 to `count`, which know the route but no group.
-    pub fn new(count: u64) -> Cluster {
+    pub(crate) fn new(count: u64) -> Cluster {
         let mut cluster = Cluster {
             now_ms: 1_000,
             stores: BTreeMap::new(),
@@ -56,7 +56,7 @@
     }
 
     /// Stores 1 to `count` as members of epoch 1 under store 1, which is validated.
-    pub fn active(count: u64) -> Cluster {
+    pub(crate) fn active(count: u64) -> Cluster {
         let mut cluster = Cluster::new(count);
         let members: Vec<u64> = (1..=count).collect();
         cluster.set_group(1, 1, &members, &[]);
@@ -67,7 +67,7 @@
     }
 
     /// Starts a store on what its disk holds.
-    pub fn start(&mut self, store: u64, records: Vec<Vec<u8>>) {
+    pub(crate) fn start(&mut self, store: u64, records: Vec<Vec<u8>>) {
         let mut engine = Engine::restore(DiskId(store), self.now_ms, None, &records)
             .expect("a disk that can be read");
         engine.set_routes(self.now_ms, 1, routes(terms()));
@@ -83,17 +83,23 @@
     }
 
     /// Ends a store's process and starts it anew; what is held before the disk is lost.
-    pub fn restart(&mut self, store: u64) {
+    pub(crate) fn restart(&mut self, store: u64) {
         let records = self.stores.remove(&store).expect("a store").records;
         self.start(store, records);
     }
 
-    pub fn engine(&mut self, store: u64) -> &mut Engine {
+    pub(crate) fn engine(&mut self, store: u64) -> &mut Engine {
         &mut self.stores.get_mut(&store).expect("a store").engine
     }
 
     /// Tells every store that isn't cut of the group.
-    pub fn set_group(&mut self, epoch: u64, primary: u64, members: &[u64], learners: &[u64]) {
+    pub(crate) fn set_group(
+        &mut self,
+        epoch: u64,
+        primary: u64,
+        members: &[u64],
+        learners: &[u64],
+    ) {
         let group = Arc::new(group(epoch, primary, members, learners));
         let now_ms = self.now_ms;
         let reached: Vec<u64> = self
@@ -109,13 +115,13 @@
     }
 
     /// The core validates a store for the next second.
-    pub fn validate(&mut self, store: u64) {
+    pub(crate) fn validate(&mut self, store: u64) {
         let until_ms = self.now_ms + 1_000;
         self.engine(store).set_validated_until(until_ms);
     }
 
     /// Lets time pass, validating a store.
-    pub fn pass(&mut self, span_ms: u64, validated: u64) {
+    pub(crate) fn pass(&mut self, span_ms: u64, validated: u64) {
         let end_ms = self.now_ms + span_ms;
         while self.now_ms < end_ms {
             self.now_ms = end_ms.min(self.now_ms + 100);
@@ -129,7 +135,7 @@
     }
 
     /// Carries out all outputs until there are none.
-    pub fn settle(&mut self) {
+    pub(crate) fn settle(&mut self) {
         loop {
             let mut outputs = Vec::new();
             for (id, store) in &mut self.stores {
@@ -172,7 +178,7 @@
     }
 
     /// Hands a message to a store.
-    pub fn deliver(&mut self, from: u64, to: u64, message: Message) {
+    pub(crate) fn deliver(&mut self, from: u64, to: u64, message: Message) {
         let now_ms = self.now_ms;
         if let Some(store) = self.stores.get_mut(&to) {
             store.engine.receive(now_ms, DiskId(from), message);
@@ -180,7 +186,7 @@
     }
 
     /// Lets a store's disk do what it held.
-    pub fn release_writes(&mut self, store: u64) {
+    pub(crate) fn release_writes(&mut self, store: u64) {
         let now_ms = self.now_ms;
         let store = self.stores.get_mut(&store).expect("a store");
         store.holds_writes = false;
@@ -191,7 +197,7 @@
     }
 
     /// Hands a job in at a store, and lets everything happen.
-    pub fn submit(&mut self, store: u64, job: NewJob) -> Submitted {
+    pub(crate) fn submit(&mut self, store: u64, job: NewJob) -> Submitted {
         let now_ms = self.now_ms;
         self.tries += 1;
         let try_id = TryId(1_000_000 + self.tries);
@@ -201,7 +207,7 @@
     }
 
     /// Hands a job in at a store, which must come to accept it.
-    pub fn accept(&mut self, store: u64, job: NewJob) {
+    pub(crate) fn accept(&mut self, store: u64, job: NewJob) {
         let Submitted::Pending(token) = self.submit(store, job) else {
             panic!("not taken")
         };
@@ -209,20 +215,20 @@
     }
 
     /// Takes items to run.
-    pub fn work(&mut self, store: u64, max: usize) -> Vec<ItemStart> {
+    pub(crate) fn work(&mut self, store: u64, max: usize) -> Vec<ItemStart> {
         let now_ms = self.now_ms;
         self.engine(store).take_work(now_ms, ROUTE, max)
     }
 
     /// Ends a run, and lets everything happen.
-    pub fn end_run(&mut self, store: u64, run: RunId, end: RunEnd) {
+    pub(crate) fn end_run(&mut self, store: u64, run: RunId, end: RunEnd) {
         let now_ms = self.now_ms;
         self.engine(store).run_ended(now_ms, run, end);
         self.settle();
     }
 
     /// The readable results of a job at a store: item id, state, text.
-    pub fn results(&mut self, store: u64, job: &str) -> Vec<(String, ResultState, String)> {
+    pub(crate) fn results(&mut self, store: u64, job: &str) -> Vec<(String, ResultState, String)> {
         let now_ms = self.now_ms;
         match self
             .engine(store)
@@ -240,7 +246,7 @@
 }
 
 /// What the route says.
-pub fn terms() -> RouteTerms {
+pub(crate) fn terms() -> RouteTerms {
     RouteTerms {
         run_target_ms: 2_000,
         retention_ms: 10_000,
@@ -250,12 +256,12 @@
 }
 
 /// The one route, with terms.
-pub fn routes(terms: RouteTerms) -> BTreeMap<String, RouteTerms> {
+pub(crate) fn routes(terms: RouteTerms) -> BTreeMap<String, RouteTerms> {
     BTreeMap::from([(ROUTE.to_owned(), terms)])
 }
 
 /// A job of items `ID-0`, `ID-1` and so on.
-pub fn job(id: &str, items: usize, tokens: u64) -> NewJob {
+pub(crate) fn job(id: &str, items: usize, tokens: u64) -> NewJob {
     let new_item = |index| Item {
         id: format!("{id}-{index}"),
         tokens,
@@ -276,7 +282,7 @@
 }
 
 /// A group of stores.
-pub fn group(epoch: u64, primary: u64, members: &[u64], learners: &[u64]) -> BatchGroup {
+pub(crate) fn group(epoch: u64, primary: u64, members: &[u64], learners: &[u64]) -> BatchGroup {
     let all = |disks: &[u64]| disks.iter().map(|disk| member(*disk)).collect();
     BatchGroup {
         epoch,
--- a/batch/tests/engine/link_ceiling/clients.rs
+++ b/batch/tests/engine/link_ceiling/clients.rs
@@ -11,7 +11,7 @@
 /// texts to readers.
 const CEILING_JOBS_PER_S: f64 = 15.6;
 /// How long a client waits for its acceptance, all tries together.
-pub const PATIENCE_MS: u64 = 1_000;
+pub(super) const PATIENCE_MS: u64 = 1_000;
 /// Pause after a refusal.
 const RETRY_MS: u64 = 300;
 
@@ -34,7 +34,7 @@
 }
 
 /// All clients.
-pub struct Clients {
+pub(super) struct Clients {
     pause_ms: f64,
     next_job_ms: f64,
     by_job: BTreeMap<JobId, Client>,
@@ -44,7 +44,7 @@
 
 impl Clients {
     /// Clients that hand in `load` times what the link can pass.
-    pub fn new(now_ms: u64, load: u32) -> Clients {
+    pub(super) fn new(now_ms: u64, load: u32) -> Clients {
         Clients {
             pause_ms: 1_000.0 / (CEILING_JOBS_PER_S * f64::from(load)),
             next_job_ms: now_ms as f64,
@@ -55,7 +55,7 @@
     }
 
     /// The jobs to hand in now: new ones, and those whose pause after a refusal is over.
-    pub fn due(&mut self, now_ms: u64) -> Vec<NewJob> {
+    pub(super) fn due(&mut self, now_ms: u64) -> Vec<NewJob> {
         while self.next_job_ms <= now_ms as f64 {
             self.next_job_ms += self.pause_ms;
             let id = JobId(format!("job-{:06}", self.by_job.len()));
@@ -77,7 +77,7 @@
     }
 
     /// The answer to a job that was handed in.
-    pub fn submitted(&mut self, now_ms: u64, id: &JobId, answer: Submitted) {
+    pub(super) fn submitted(&mut self, now_ms: u64, id: &JobId, answer: Submitted) {
         let client = self.by_job.get_mut(id).expect("a client");
         client.next_try_ms = None;
         match answer {
@@ -91,7 +91,7 @@
     }
 
     /// An acceptance is committed.
-    pub fn committed(&mut self, now_ms: u64, token: Token) {
+    pub(super) fn committed(&mut self, now_ms: u64, token: Token) {
         let Some(id) = self.by_token.get(&token) else {
             return;
         };
@@ -105,20 +105,20 @@
     }
 
     /// Position from which on a client reads; `None` if it has given up.
-    pub fn reads_from(&self, id: &JobId) -> Option<u32> {
+    pub(super) fn reads_from(&self, id: &JobId) -> Option<u32> {
         let client = self.by_job.get(id)?;
         client.answered_ms.map(|_| client.read)
     }
 
     /// A client has results up to this position.
-    pub fn has_read(&mut self, id: &JobId, next: u32) {
+    pub(super) fn has_read(&mut self, id: &JobId, next: u32) {
         if let Some(client) = self.by_job.get_mut(id) {
             client.read = next;
         }
     }
 
     /// The longest time between a job's being taken and its commit, or the present moment.
-    pub fn longest_commit_ms(&self, now_ms: u64) -> u64 {
+    pub(super) fn longest_commit_ms(&self, now_ms: u64) -> u64 {
         let open = self.by_job.values().filter_map(|client| client.taken);
         open.map(|(_, taken_ms)| now_ms - taken_ms)
             .fold(self.longest_commit_ms, u64::max)
--- a/batch/tests/engine/link_ceiling/group.rs
+++ b/batch/tests/engine/link_ceiling/group.rs
@@ -14,7 +14,7 @@
 use std::sync::Arc;
 
 const PRIMARY: u64 = 1;
-pub const MEMBERS: [u64; 4] = [1, 2, 3, 4];
+pub(super) const MEMBERS: [u64; 4] = [1, 2, 3, 4];
 const START_MS: u64 = 1_000;
 /// Items that run at once, more than enough for what the link passes.
 const MOST_RUNS: usize = 400;
@@ -33,7 +33,7 @@
 }
 
 /// The group, its clients and its backends.
-pub struct CongestedGroup {
+pub(super) struct CongestedGroup {
     pub now_ms: u64,
     pub clients: Clients,
     engines: BTreeMap<u64, Engine>,
@@ -48,7 +48,7 @@
 
 impl CongestedGroup {
     /// An active group under `load` times what the link can pass.
-    pub fn new(load: u32) -> CongestedGroup {
+    pub(super) fn new(load: u32) -> CongestedGroup {
         let terms = RouteTerms {
             run_target_ms: 60_000,
             retention_ms: 120_000,
@@ -79,7 +79,7 @@
     }
 
     /// Tells all stores of a new epoch of the same primary.
-    pub fn set_group(&mut self, epoch: u64, members: &[u64], learners: &[u64]) {
+    pub(super) fn set_group(&mut self, epoch: u64, members: &[u64], learners: &[u64]) {
         let group = Arc::new(group(epoch, PRIMARY, members, learners));
         for engine in self.engines.values_mut() {
             engine.set_group(self.now_ms, group.clone());
@@ -88,13 +88,13 @@
     }
 
     /// Whether the primary's epoch is active.
-    pub fn is_active(&mut self) -> bool {
+    pub(super) fn is_active(&mut self) -> bool {
         let now_ms = self.now_ms;
         self.primary().status(now_ms).active
     }
 
     /// Lets time pass under load; gives the useful results of that time.
-    pub fn pass(&mut self, span_ms: u64) -> u64 {
+    pub(super) fn pass(&mut self, span_ms: u64) -> u64 {
         let before = self.useful_results;
         (0..span_ms).for_each(|_| {
             self.submit_due();
--- a/batch/tests/engine/link_ceiling/link.rs
+++ b/batch/tests/engine/link_ceiling/link.rs
@@ -8,7 +8,7 @@
 const BYTES_PER_MS: usize = 7_500;
 
 /// Something that the primary sends.
-pub enum Parcel {
+pub(super) enum Parcel {
     /// A message to a member.
     Replication { to: u64, message: Message },
     /// An item's request to a backend.
@@ -29,19 +29,19 @@
 
 /// The link, with what waits for it.
 #[derive(Default)]
-pub struct Link {
+pub(super) struct Link {
     waiting: VecDeque<(Parcel, usize)>,
 }
 
 impl Link {
     /// Puts a parcel behind all others.
-    pub fn push(&mut self, parcel: Parcel) {
+    pub(super) fn push(&mut self, parcel: Parcel) {
         let bytes = parcel.bytes();
         self.waiting.push_back((parcel, bytes));
     }
 
     /// Passes what fits in one millisecond; gives the parcels that are through.
-    pub fn pass_one_ms(&mut self) -> Vec<Parcel> {
+    pub(super) fn pass_one_ms(&mut self) -> Vec<Parcel> {
         let mut room = BYTES_PER_MS;
         let mut through = Vec::new();
         while let Some((parcel, left)) = self.waiting.pop_front() {
--- a/batch/tests/quota/coordinator.rs
+++ b/batch/tests/quota/coordinator.rs
@@ -4,14 +4,14 @@
     home_group, Coordinator, CoordinatorId, Decision, QuotaGrant, QuotaReport, ReportId,
 };
 
-pub const ID: CoordinatorId = CoordinatorId {
+pub(crate) const ID: CoordinatorId = CoordinatorId {
     epoch: 5,
     session: 2,
 };
-pub const MAX: u64 = 1_000;
+pub(crate) const MAX: u64 = 1_000;
 
 /// A report of a group at epoch 1.
-pub fn report(group: u32, sequence: u64, used: u64, wanted: u64) -> QuotaReport {
+pub(crate) fn report(group: u32, sequence: u64, used: u64, wanted: u64) -> QuotaReport {
     QuotaReport {
         coordinator: ID,
         route: "route".to_owned(),
--- a/batch/tests/quota/simulation/jobs.rs
+++ b/batch/tests/quota/simulation/jobs.rs
@@ -5,7 +5,7 @@
 
 /// A job.
 #[derive(Debug, Clone)]
-pub struct Job {
+pub(super) struct Job {
     pub group: usize,
     pub tokens: u64,
     /// Taken by a primary whose successor was active already: no member keeps it.
@@ -20,14 +20,14 @@
 
 /// All jobs by number.
 #[derive(Debug, Default)]
-pub struct Jobs {
+pub(super) struct Jobs {
     newest: u64,
     pub all: BTreeMap<u64, Job>,
 }
 
 impl Jobs {
     /// A job that a primary has taken and that is not committed.
-    pub fn add(&mut self, group: usize, tokens: u64, is_void: bool) -> u64 {
+    pub(super) fn add(&mut self, group: usize, tokens: u64, is_void: bool) -> u64 {
         let job = Job {
             group,
             tokens,
@@ -42,13 +42,13 @@
     }
 
     /// Tokens that are accepted and that no backend has finished.
-    pub fn waiting(&self) -> u64 {
+    pub(super) fn waiting(&self) -> u64 {
         let waits = |job: &&Job| job.is_accepted && !job.is_finished;
         self.all.values().filter(waits).map(|job| job.tokens).sum()
     }
 
     /// What a primary that takes over finds: each pending job stands there or is lost; what stands there is accepted.
-    pub fn take_over(&mut self, random: &mut Rand32, group: usize) -> BTreeMap<u64, u64> {
+    pub(super) fn take_over(&mut self, random: &mut Rand32, group: usize) -> BTreeMap<u64, u64> {
         let mut is_kept = |job: &Job| !job.is_void && random.rand_range(0..2) == 0;
         self.all
             .retain(|_, job| job.group != group || job.is_accepted || is_kept(job));
@@ -63,7 +63,7 @@
     }
 
     /// Drops what nobody counts any more.
-    pub fn forget_finished(&mut self) {
+    pub(super) fn forget_finished(&mut self) {
         self.all.retain(|_, job| !job.is_finish_committed);
     }
 }
--- a/batch/tests/quota/simulation/network.rs
+++ b/batch/tests/quota/simulation/network.rs
@@ -6,7 +6,7 @@
 
 /// What is on its way.
 #[derive(Debug, Clone)]
-pub enum Packet {
+pub(super) enum Packet {
     /// To a coordinator.
     Report(QuotaReport),
     /// Back to an account.
@@ -15,7 +15,7 @@
 
 /// A packet with its ends, as indices of processes.
 #[derive(Debug, Clone)]
-pub struct Envelope {
+pub(super) struct Envelope {
     pub from: usize,
     pub to: usize,
     pub packet: Packet,
@@ -23,7 +23,7 @@
 
 /// How bad the network is.
 #[derive(Debug, Clone, Copy)]
-pub struct Quality {
+pub(super) struct Quality {
     /// Parts of a hundred that are lost.
     pub lost: u32,
     /// Parts of a hundred that come twice.
@@ -38,14 +38,20 @@
 
 /// Delivers in an order of its own.
 #[derive(Debug, Default)]
-pub struct Network {
+pub(super) struct Network {
     sent: u64,
     on_the_way: BTreeMap<(u64, u64), Envelope>,
 }
 
 impl Network {
     /// Sends a packet: it may be lost, doubled or late.
-    pub fn send(&mut self, now_ms: u64, quality: Quality, random: &mut Rand32, envelope: Envelope) {
+    pub(super) fn send(
+        &mut self,
+        now_ms: u64,
+        quality: Quality,
+        random: &mut Rand32,
+        envelope: Envelope,
+    ) {
         if random.rand_range(0..100) < quality.lost {
             return;
         }
@@ -69,7 +75,7 @@
     }
 
     /// The next one that has come.
-    pub fn next(&mut self, now_ms: u64) -> Option<Envelope> {
+    pub(super) fn next(&mut self, now_ms: u64) -> Option<Envelope> {
         let entry = self.on_the_way.first_entry()?;
         (entry.key().0 <= now_ms).then(|| entry.remove())
     }
--- a/batch/tests/quota/simulation/oracle.rs
+++ b/batch/tests/quota/simulation/oracle.rs
@@ -16,7 +16,7 @@
 
 /// What came of a play.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Tally {
+pub(super) struct Tally {
     /// Jobs that were accepted.
     pub accepted: u64,
     /// Clients of calm times that were answered.
@@ -27,7 +27,7 @@
 
 /// Watches a play.
 #[derive(Debug)]
-pub struct Oracle {
+pub(super) struct Oracle {
     seed: u64,
     max: u64,
     is_calm: bool,
@@ -37,7 +37,7 @@
 }
 
 impl Oracle {
-    pub fn new(seed: u64, max: u64, is_calm: bool) -> Oracle {
+    pub(super) fn new(seed: u64, max: u64, is_calm: bool) -> Oracle {
         Oracle {
             seed,
             max,
@@ -48,7 +48,7 @@
     }
 
     /// Jobs were accepted; so much waits now in truth.
-    pub fn check_sum(&self, now_ms: u64, waiting: u64) {
+    pub(super) fn check_sum(&self, now_ms: u64, waiting: u64) {
         assert!(
             waiting <= self.max,
             "seed {}, {now_ms} ms: {waiting} tokens wait",
@@ -57,7 +57,7 @@
     }
 
     /// Notes what all primaries count together.
-    pub fn count(&mut self, now_ms: u64, counted: u64) {
+    pub(super) fn count(&mut self, now_ms: u64, counted: u64) {
         self.counts.push_back((now_ms, counted));
         while self
             .counts
@@ -69,7 +69,13 @@
     }
 
     /// A client got its answer.
-    pub fn settled(&mut self, now_ms: u64, step_ms: u64, client: Client, outcome: QuotaOutcome) {
+    pub(super) fn settled(
+        &mut self,
+        now_ms: u64,
+        step_ms: u64,
+        client: Client,
+        outcome: QuotaOutcome,
+    ) {
         let waited_ms = now_ms - client.since_ms;
         assert!(
             waited_ms <= SUBMISSION_PATIENCE_MS + step_ms,
@@ -94,7 +100,7 @@
     }
 
     /// No client is left alone at a process that is alive.
-    pub fn still_waits(&self, now_ms: u64, step_ms: u64, client: Client) {
+    pub(super) fn still_waits(&self, now_ms: u64, step_ms: u64, client: Client) {
         let patience_ms = SUBMISSION_PATIENCE_MS + step_ms;
         assert!(
             client.since_ms + patience_ms >= now_ms,
--- a/batch/tests/quota/simulation/process.rs
+++ b/batch/tests/quota/simulation/process.rs
@@ -3,18 +3,18 @@
 use alderhollow_batch::quota::{Account, Coordinator, CoordinatorId, SubmissionId};
 use std::collections::BTreeMap;
 
-pub const ROUTE: &str = "route";
+pub(super) const ROUTE: &str = "route";
 
 /// A client that waits.
 #[derive(Debug, Clone, Copy)]
-pub struct Client {
+pub(super) struct Client {
     pub tokens: u64,
     pub since_ms: u64,
 }
 
 /// A primary.
 #[derive(Debug)]
-pub struct Process {
+pub(super) struct Process {
     pub group: usize,
     pub epoch: u64,
     pub session: u64,
@@ -40,7 +40,7 @@
 }
 
 impl Process {
-    pub fn new(
+    pub(super) fn new(
         group: usize,
         session: u64,
         epochs: Vec<u64>,
@@ -68,16 +68,16 @@
         }
     }
 
-    pub fn is_alive(&self, now_ms: u64) -> bool {
+    pub(super) fn is_alive(&self, now_ms: u64) -> bool {
         self.ends_ms.is_none_or(|ends_ms| now_ms < ends_ms)
     }
 
-    pub fn used(&self) -> u64 {
+    pub(super) fn used(&self) -> u64 {
         self.counted.values().sum()
     }
 
     /// It has read all jobs of its group: it serves from now on.
-    pub fn activate(&mut self, counted: BTreeMap<u64, u64>, is_home: bool) {
+    pub(super) fn activate(&mut self, counted: BTreeMap<u64, u64>, is_home: bool) {
         self.is_active = true;
         self.counted = counted;
         let id = CoordinatorId {
@@ -88,7 +88,7 @@
     }
 
     /// Reads the states of the core that have come.
-    pub fn read_news(&mut self, now_ms: u64, home: usize) {
+    pub(super) fn read_news(&mut self, now_ms: u64, home: usize) {
         while let Some(entry) = self
             .news
             .first_entry()
@@ -104,7 +104,7 @@
 }
 
 /// Takes what is due out of a schedule.
-pub fn due(schedule: &mut BTreeMap<u64, Vec<u64>>, now_ms: u64) -> Vec<u64> {
+pub(super) fn due(schedule: &mut BTreeMap<u64, Vec<u64>>, now_ms: u64) -> Vec<u64> {
     let later = schedule.split_off(&(now_ms + 1));
     std::mem::replace(schedule, later)
         .into_values()
--- a/batch/tests/quota/simulation/world.rs
+++ b/batch/tests/quota/simulation/world.rs
@@ -16,7 +16,7 @@
 
 /// What a play is like.
 #[derive(Debug, Clone, Copy)]
-pub struct Settings {
+pub(super) struct Settings {
     pub groups: usize,
     pub max: u64,
     pub end_ms: u64,
@@ -35,7 +35,7 @@
 }
 
 impl Settings {
-    pub fn troubled(seed: u64) -> Settings {
+    pub(super) fn troubled(seed: u64) -> Settings {
         let mut random = Rand32::new(seed ^ 0x5e77);
         let quality = Quality {
             lost: random.rand_range(0..20),
@@ -53,14 +53,14 @@
     }
 
     /// All troubles, and cuts into halves.
-    pub fn with_halves(seed: u64) -> Settings {
+    pub(super) fn with_halves(seed: u64) -> Settings {
         Settings {
             has_halves: true,
             ..Settings::troubled(seed)
         }
     }
 
-    pub fn calm(seed: u64) -> Settings {
+    pub(super) fn calm(seed: u64) -> Settings {
         let mut random = Rand32::new(seed ^ 0xca14);
         let delay_ms = random.rand_range(1..10);
         let quality = Quality {
@@ -109,7 +109,7 @@
 }
 
 /// The whole.
-pub struct World {
+pub(super) struct World {
     settings: Settings,
     random: Rand32,
     now_ms: u64,
@@ -127,7 +127,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, settings: Settings) -> World {
+    pub(super) fn new(seed: u64, settings: Settings) -> World {
         let home = home_group(ROUTE, settings.groups as u32) as usize;
         let mut world = World {
             settings,
@@ -151,7 +151,7 @@
     }
 
     /// Plays to the end; gives what came of it.
-    pub fn run(mut self) -> Tally {
+    pub(super) fn run(mut self) -> Tally {
         while self.now_ms < self.settings.end_ms {
             self.now_ms += STEP_MS;
             self.step();
@@ -482,7 +482,7 @@
             let counters = process
                 .coordinator
                 .as_ref()
-                .map(|coordinator| coordinator.counters());
+                .map(alderhollow_batch::quota::Coordinator::counters);
             assert_eq!(counters.map_or(0, |counters| counters.violations), 0);
         }
     }
--- a/batch/tests/simulation/backends.rs
+++ b/batch/tests/simulation/backends.rs
@@ -4,7 +4,7 @@
 use oorandom::Rand64;
 
 /// Data of the events of an item.
-pub fn events(item_id: &str) -> Vec<String> {
+pub(crate) fn events(item_id: &str) -> Vec<String> {
     let count = 1 + item_id.bytes().map(u64::from).sum::<u64>() % 4;
     (1..=count)
         .map(|event| format!("{item_id}/{event}"))
@@ -12,18 +12,18 @@
 }
 
 /// Whether no backend can do the item.
-pub fn is_undoable(item_id: &str) -> bool {
+pub(crate) fn is_undoable(item_id: &str) -> bool {
     item_id.bytes().map(u64::from).sum::<u64>() % 17 == 0
 }
 
 /// The text of the first events.
-pub fn text(item_id: &str, count: usize) -> String {
+pub(crate) fn text(item_id: &str, count: usize) -> String {
     let events: Vec<String> = events(item_id).into_iter().take(count).collect();
     events.join("\n")
 }
 
 /// How a run ends, by luck.
-pub fn run(start: &ItemStart, random: &mut Rand64) -> RunEnd {
+pub(crate) fn run(start: &ItemStart, random: &mut Rand64) -> RunEnd {
     let all = events(&start.item_id).len();
     let from = start
         .resume
--- a/batch/tests/simulation/clients.rs
+++ b/batch/tests/simulation/clients.rs
@@ -9,7 +9,7 @@
 /// How long a gateway looks for a clear answer to one try.
 const TRY_MS: u64 = 2_500;
 /// How long a gateway waits for a store's answer.
-pub const CALL_MS: u64 = 700;
+pub(crate) const CALL_MS: u64 = 700;
 /// Tries of a client.
 const TRIES: u32 = 6;
 /// Pause between two tries, and between two reads.
@@ -33,7 +33,7 @@
 }
 
 /// A client, with the gateway that it meets.
-pub struct Client {
+pub(crate) struct Client {
     pub job: NewJob,
     stage: Stage,
     tries_left: u32,
@@ -43,7 +43,7 @@
 }
 
 /// What a client does next.
-pub enum Step {
+pub(crate) enum Step {
     /// Call a store; the call's number.
     Call(u64, Call),
     /// Come again later.
@@ -52,7 +52,7 @@
 }
 
 impl Client {
-    pub fn new(number: usize, random: &mut Rand64) -> Client {
+    pub(crate) fn new(number: usize, random: &mut Rand64) -> Client {
         let count = random.rand_range(1..6);
         let items = (0..count)
             .map(|item| new_item(number, item, random))
@@ -78,12 +78,12 @@
     }
 
     /// Whether it reads.
-    pub fn is_reading(&self) -> bool {
+    pub(crate) fn is_reading(&self) -> bool {
         self.stage == Stage::Reading
     }
 
     /// Its turn.
-    pub fn step(&mut self, now_ms: u64, oracle: &mut Oracle, random: &mut Rand64) -> Step {
+    pub(crate) fn step(&mut self, now_ms: u64, oracle: &mut Oracle, random: &mut Rand64) -> Step {
         match &self.stage {
             Stage::Trying { .. } => self.submit(),
             Stage::Pausing => {
@@ -152,7 +152,7 @@
     }
 
     /// No answer came in time.
-    pub fn timed_out(&mut self, now_ms: u64, call: u64, oracle: &mut Oracle) -> Step {
+    pub(crate) fn timed_out(&mut self, now_ms: u64, call: u64, oracle: &mut Oracle) -> Step {
         if call != self.newest_call {
             return Step::Nothing;
         }
@@ -164,7 +164,7 @@
     }
 
     /// A store answered.
-    pub fn answered(
+    pub(crate) fn answered(
         &mut self,
         now_ms: u64,
         call: u64,
--- a/batch/tests/simulation/core.rs
+++ b/batch/tests/simulation/core.rs
@@ -25,7 +25,7 @@
     status: GroupStatus,
 }
 
-pub struct Core {
+pub(crate) struct Core {
     pub group: Option<Arc<BatchGroup>>,
     pub previous: Option<Arc<BatchGroup>>,
     /// Stores that hold all that was acknowledged: members of every epoch since the newest that is known as active.
@@ -34,7 +34,7 @@
 }
 
 impl Core {
-    pub fn new() -> Core {
+    pub(crate) fn new() -> Core {
         Core {
             group: None,
             previous: None,
@@ -44,7 +44,7 @@
     }
 
     /// A store polls.
-    pub fn poll(&mut self, now_ms: u64, disk: DiskId, status: GroupStatus) {
+    pub(crate) fn poll(&mut self, now_ms: u64, disk: DiskId, status: GroupStatus) {
         assert_eq!(
             status.behind, None,
             "a primary was named that isn't complete"
@@ -71,14 +71,14 @@
     }
 
     /// Whether a store may act as the primary of the newest epoch for now.
-    pub fn validates(&self, disk: DiskId) -> bool {
+    pub(crate) fn validates(&self, disk: DiskId) -> bool {
         self.group
             .as_ref()
             .is_some_and(|group| group.primary == disk)
     }
 
     /// Decides on a new epoch where one is needed.
-    pub fn decide(&mut self, now_ms: u64) {
+    pub(crate) fn decide(&mut self, now_ms: u64) {
         let live: Vec<DiskId> = self.live(now_ms).collect();
         let Some(group) = self.group.clone() else {
             if live.len() >= COPIES {
@@ -140,7 +140,7 @@
             .find(|disk| !members.contains(disk) && !learners.contains(disk));
         match (ready, fresh) {
             (Some(index), _) if members.len() < MOST_MEMBERS => {
-                members.push(learners.remove(index))
+                members.push(learners.remove(index));
             }
             (_, Some(fresh)) => learners.push(*fresh),
             _ => return,
@@ -150,7 +150,7 @@
 
     /// Changes the group as planned, as rebalancing does: a learner that caught up comes in, or, once all members are equal
     /// again, another than the primary goes. False: neither may be now.
-    pub fn exchange_member(&mut self) -> bool {
+    pub(crate) fn exchange_member(&mut self) -> bool {
         let Some(group) = self.group.clone() else {
             return false;
         };
--- a/batch/tests/simulation/oracle.rs
+++ b/batch/tests/simulation/oracle.rs
@@ -6,17 +6,17 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Tokens that may wait.
-pub const LIMIT: u64 = 500;
+pub(crate) const LIMIT: u64 = 500;
 /// Answers of 500 after which an item may be given up.
-pub const MAX_ATTEMPTS: u32 = 2;
+pub(crate) const MAX_ATTEMPTS: u32 = 2;
 /// An item may be given up so long after its job was first sent.
-pub const RETENTION_MS: u64 = 8_000;
+pub(crate) const RETENTION_MS: u64 = 8_000;
 /// Nothing of an ended job may reach a backend so long after the end was acknowledged.
 const CANCEL_MS: u64 = 3_000;
 
 /// A result as a client read it.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct SeenResult {
+pub(crate) struct SeenResult {
     pub id: String,
     pub state: ResultState,
     pub text: String,
@@ -32,7 +32,7 @@
 
 /// What is true of a job.
 #[derive(Debug)]
-pub struct JobTruth {
+pub(crate) struct JobTruth {
     pub job: NewJob,
     pub first_sent_ms: u64,
     /// A 202 was given.
@@ -49,13 +49,13 @@
 
 /// All that happened.
 #[derive(Debug, Default)]
-pub struct Oracle {
+pub(crate) struct Oracle {
     pub jobs: BTreeMap<JobId, JobTruth>,
 }
 
 impl Oracle {
     /// A client sends a job for the first time.
-    pub fn sent(&mut self, now_ms: u64, job: &NewJob) {
+    pub(crate) fn sent(&mut self, now_ms: u64, job: &NewJob) {
         let truth = JobTruth {
             job: job.clone(),
             first_sent_ms: now_ms,
@@ -74,14 +74,14 @@
         self.jobs.insert(job.id.clone(), truth);
     }
 
-    pub fn job(&mut self, id: &JobId) -> &mut JobTruth {
+    pub(crate) fn job(&mut self, id: &JobId) -> &mut JobTruth {
         self.jobs
             .get_mut(id)
             .expect("only jobs that were sent are known")
     }
 
     /// QUOTA: a 202 is given.
-    pub fn accepted(&mut self, now_ms: u64, id: &JobId) {
+    pub(crate) fn accepted(&mut self, now_ms: u64, id: &JobId) {
         self.job(id).accepted = true;
         let waiting: u64 = self.jobs.values().map(|job| job.waiting(now_ms)).sum();
         assert!(
@@ -91,7 +91,7 @@
     }
 
     /// UNASKED, REFUSED: an item reaches a backend.
-    pub fn run_begins(&mut self, now_ms: u64, id: &JobId) {
+    pub(crate) fn run_begins(&mut self, now_ms: u64, id: &JobId) {
         let job = self.job(id);
         assert!(!job.refused, "REFUSED: an item of {id} runs");
         let ended_ms = job.end_acknowledged_ms;
@@ -104,7 +104,7 @@
     }
 
     /// A backend ends a run.
-    pub fn run_ends(&mut self, id: &JobId, item_id: &str, end: &RunEnd) {
+    pub(crate) fn run_ends(&mut self, id: &JobId, item_id: &str, end: &RunEnd) {
         let item = self
             .job(id)
             .items
@@ -119,14 +119,14 @@
     }
 
     /// REFUSED: the last try of a job was refused.
-    pub fn refused(&mut self, id: &JobId) {
+    pub(crate) fn refused(&mut self, id: &JobId) {
         let job = self.job(id);
         assert!(!job.accepted && !job.ran, "REFUSED: an item of {id} ran");
         job.refused = true;
     }
 
     /// LOST, TWICE, MIXED, ORDER: a client reads results from a position on, having known so many when it asked.
-    pub fn read(
+    pub(crate) fn read(
         &mut self,
         now_ms: u64,
         id: &JobId,
@@ -142,7 +142,7 @@
         for (position, result) in (after..).zip(results) {
             match job.seen.get(position) {
                 Some(before) => {
-                    assert_eq!(before, result, "TWICE: position {position} of {id} changed")
+                    assert_eq!(before, result, "TWICE: position {position} of {id} changed");
                 }
                 None => {
                     assert_eq!(job.seen.len(), position, "a gap in the positions of {id}");
@@ -207,7 +207,7 @@
     }
 
     /// After all trouble: the job is whole.
-    pub fn check_whole(&self) {
+    pub(crate) fn check_whole(&self) {
         let id = &self.job.id;
         if self.end_asked {
             return;
--- a/batch/tests/simulation/processes.rs
+++ b/batch/tests/simulation/processes.rs
@@ -9,7 +9,7 @@
 
 impl World {
     /// Something happens to a process; `life`: only to that one.
-    pub fn reach(&mut self, slot: usize, disk: DiskId, life: Option<u64>, what: ToProcess) {
+    pub(crate) fn reach(&mut self, slot: usize, disk: DiskId, life: Option<u64>, what: ToProcess) {
         let machine = &mut self.slots[slot];
         let Some(process) = &machine.process else {
             return;
@@ -25,7 +25,7 @@
         self.pump(slot);
     }
 
-    pub fn process_takes(&mut self, slot: usize, what: ToProcess) {
+    pub(crate) fn process_takes(&mut self, slot: usize, what: ToProcess) {
         let machine = &mut self.slots[slot];
         let Some(process) = &mut machine.process else {
             return;
@@ -104,7 +104,7 @@
         }
     }
 
-    pub fn process_called(&mut self, slot: usize, caller: Caller, call: Call) {
+    pub(crate) fn process_called(&mut self, slot: usize, caller: Caller, call: Call) {
         let Some(process) = &mut self.slots[slot].process else {
             return;
         };
@@ -158,7 +158,7 @@
     }
 
     /// An answer goes back to a client's gateway.
-    pub fn answer(&mut self, caller: Caller, answer: Answer) {
+    pub(crate) fn answer(&mut self, caller: Caller, answer: Answer) {
         if self.random.rand_float() >= self.faults.loss {
             let delay_ms = self.delay();
             self.after(delay_ms, Event::ClientAnswered { caller, answer });
@@ -166,7 +166,7 @@
     }
 
     /// Carries out what a process wants.
-    pub fn pump(&mut self, slot: usize) {
+    pub(crate) fn pump(&mut self, slot: usize) {
         let Some(process) = &mut self.slots[slot].process else {
             return;
         };
@@ -195,7 +195,7 @@
         }
     }
 
-    pub fn carry_out(&mut self, slot: usize, life: u64, output: Output) {
+    pub(crate) fn carry_out(&mut self, slot: usize, life: u64, output: Output) {
         let disk = self.slots[slot].disk.id;
         match output {
             Output::Send { to, message } => {
@@ -248,7 +248,7 @@
         }
     }
 
-    pub fn core_polled(
+    pub(crate) fn core_polled(
         &mut self,
         slot: usize,
         life: u64,
@@ -276,7 +276,7 @@
     }
 
     /// An item reaches a backend, unless its run was cancelled on the way.
-    pub fn run_arrives(
+    pub(crate) fn run_arrives(
         &mut self,
         slot: usize,
         life: u64,
--- a/batch/tests/simulation/stores.rs
+++ b/batch/tests/simulation/stores.rs
@@ -12,10 +12,10 @@
 use crate::oracle::{SeenResult, LIMIT, MAX_ATTEMPTS, RETENTION_MS};
 
 /// Name of the one route.
-pub const ROUTE: &str = "route";
+pub(crate) const ROUTE: &str = "route";
 
 /// A machine.
-pub struct Slot {
+pub(crate) struct Slot {
     pub disk: SimDisk,
     pub process: Option<Process>,
     pub frozen: bool,
@@ -27,7 +27,7 @@
 }
 
 /// One life of a process.
-pub struct Process {
+pub(crate) struct Process {
     pub life: u64,
     pub engine: Engine,
     /// Its steady clock is ahead of the simulation's by so much.
@@ -40,14 +40,14 @@
 
 /// Who waits for an answer.
 #[derive(Debug, Clone, Copy)]
-pub struct Caller {
+pub(crate) struct Caller {
     pub client: usize,
     pub call: u64,
 }
 
 /// Something that happens to a process.
 #[derive(Debug, Clone)]
-pub enum ToProcess {
+pub(crate) enum ToProcess {
     Message {
         from: DiskId,
         bytes: Vec<u8>,
@@ -75,7 +75,7 @@
 
 /// A client's call, as a gateway passes it on.
 #[derive(Debug, Clone)]
-pub enum Call {
+pub(crate) enum Call {
     Submit {
         try_id: TryId,
         job: NewJob,
@@ -96,7 +96,7 @@
 
 /// What a store answers to a call.
 #[derive(Debug, Clone)]
-pub enum Answer {
+pub(crate) enum Answer {
     /// 202 or 200.
     Done,
     OverQuota,
@@ -115,7 +115,7 @@
 }
 
 impl Slot {
-    pub fn new(id: DiskId) -> Slot {
+    pub(crate) fn new(id: DiskId) -> Slot {
         Slot {
             disk: SimDisk::new(id),
             process: None,
@@ -127,7 +127,7 @@
     }
 
     /// Starts a process on what the disk holds.
-    pub fn start(&mut self, life: u64, now_ms: u64, clock_ahead_ms: u64) {
+    pub(crate) fn start(&mut self, life: u64, now_ms: u64, clock_ahead_ms: u64) {
         let clock = now_ms + clock_ahead_ms;
         let (snapshot, records) = (self.disk.snapshot.as_deref(), &self.disk.records);
         let mut engine = Engine::restore(self.disk.id, clock, snapshot, records)
@@ -159,7 +159,7 @@
 }
 
 /// A read's answer, as it goes to the client.
-pub fn read_answer(answer: ReadAnswer<'_>, after: u32, known: usize) -> Answer {
+pub(crate) fn read_answer(answer: ReadAnswer<'_>, after: u32, known: usize) -> Answer {
     match answer {
         ReadAnswer::Results {
             total,
--- a/batch/tests/simulation/troubles.rs
+++ b/batch/tests/simulation/troubles.rs
@@ -11,7 +11,7 @@
 
 impl World {
     /// Troubles and their ends.
-    pub fn strike(&mut self, event: Event) {
+    pub(crate) fn strike(&mut self, event: Event) {
         let slot = self.random.rand_range(0..STORES as u64) as usize;
         let span_ms = match event {
             Event::CutOff | Event::Halves => self.random.rand_range(LONG_CUT_MS),
@@ -133,7 +133,7 @@
         }
     }
 
-    pub fn kill(&mut self, slot: usize, power: bool) {
+    pub(crate) fn kill(&mut self, slot: usize, power: bool) {
         let pause_ms = self.random.rand_range(50..RESTART_MS);
         self.kill_for(slot, power, pause_ms);
     }
@@ -151,7 +151,7 @@
 
     /// A disk is lost, where the tolerance of one machine allows it: nothing else is in trouble, nor soon will be. In the
     /// same moment all others may lose power, or surely do.
-    pub fn wipe(&mut self, slot: usize, others_lose_power: bool) {
+    pub(crate) fn wipe(&mut self, slot: usize, others_lose_power: bool) {
         let disk = self.slots[slot].disk.id;
         let calm = self.now_ms >= self.trouble_until_ms && self.cuts.is_empty();
         let is_well = |slot: &Slot| slot.process.is_some() && !slot.frozen && !slot.cut_from_core;
@@ -200,7 +200,7 @@
         }
     }
 
-    pub fn restart(&mut self, slot: usize) {
+    pub(crate) fn restart(&mut self, slot: usize) {
         if self.slots[slot].process.is_some() {
             return;
         }
@@ -228,7 +228,7 @@
         );
     }
 
-    pub fn thaw(&mut self, slot: usize) {
+    pub(crate) fn thaw(&mut self, slot: usize) {
         if !std::mem::take(&mut self.slots[slot].frozen) {
             return;
         }
@@ -238,7 +238,7 @@
         }
     }
 
-    pub fn heal(&mut self) {
+    pub(crate) fn heal(&mut self) {
         self.faults.loss = 0.0;
         self.cuts.clear();
         for slot in 0..STORES {
--- a/batch/tests/simulation/world.rs
+++ b/batch/tests/simulation/world.rs
@@ -11,29 +11,29 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 
-pub const STORES: usize = 4;
-pub const CLIENTS: usize = 14;
+pub(crate) const STORES: usize = 4;
+pub(crate) const CLIENTS: usize = 14;
 /// Troubles and new jobs come until then.
-pub const TROUBLE_MS: u64 = 10_000;
+pub(crate) const TROUBLE_MS: u64 = 10_000;
 /// Everything must be whole by then.
-pub const END_MS: u64 = 22_000;
-pub const TICK_MS: u64 = 50;
-pub const POLL_MS: u64 = 200;
-pub const VALIDATED_MS: u64 = 1_000;
+pub(crate) const END_MS: u64 = 22_000;
+pub(crate) const TICK_MS: u64 = 50;
+pub(crate) const POLL_MS: u64 = 200;
+pub(crate) const VALIDATED_MS: u64 = 1_000;
 /// Longest and shortest time for which a store is cut off from all.
-pub const LONG_CUT_MS: std::ops::Range<u64> = 2_000..7_000;
+pub(crate) const LONG_CUT_MS: std::ops::Range<u64> = 2_000..7_000;
 /// Longest life and pause of a store that comes and goes.
-pub const FLICKER_MS: u64 = 150;
+pub(crate) const FLICKER_MS: u64 = 150;
 /// Longest pause before a process starts again.
-pub const RESTART_MS: u64 = 2_500;
+pub(crate) const RESTART_MS: u64 = 2_500;
 /// A store counts as lost so long after it is back.
-pub const CATCH_UP_MS: u64 = 3_000;
+pub(crate) const CATCH_UP_MS: u64 = 3_000;
 /// Runs that one store has under way at most.
-pub const RUNS: usize = 4;
+pub(crate) const RUNS: usize = 4;
 
 /// How many troubles of each kind, and the share of messages that are lost, doubled and late.
 #[derive(Debug, Clone, Copy)]
-pub struct Faults {
+pub(crate) struct Faults {
     pub kills: u32,
     pub freezes: u32,
     pub cuts: u32,
@@ -53,7 +53,7 @@
 
 /// What was played.
 #[derive(Debug, Default)]
-pub struct Totals {
+pub(crate) struct Totals {
     pub accepted: u64,
     pub refused: u64,
     pub listed: u64,
@@ -64,7 +64,7 @@
 }
 
 impl Totals {
-    pub fn add(&mut self, other: &Totals) {
+    pub(crate) fn add(&mut self, other: &Totals) {
         self.accepted += other.accepted;
         self.refused += other.refused;
         self.listed += other.listed;
@@ -76,7 +76,7 @@
 }
 
 /// Something that happens.
-pub enum Event {
+pub(crate) enum Event {
     ToSlot {
         slot: usize,
         disk: DiskId,
@@ -156,9 +156,9 @@
 }
 
 /// What a store reports at a poll.
-pub type PollStatus = alderhollow_batch::api::GroupStatus;
+pub(crate) type PollStatus = alderhollow_batch::api::GroupStatus;
 
-pub struct World {
+pub(crate) struct World {
     pub seed: u64,
     pub now_ms: u64,
     pub random: Rand64,
@@ -181,7 +181,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, faults: Faults) -> World {
+    pub(crate) fn new(seed: u64, faults: Faults) -> World {
         let mut random = Rand64::new(u128::from(seed) * 7_919 + 1);
         let slots = (0..STORES as u64)
             .map(|slot| Slot::new(DiskId(slot + 1)))
@@ -211,7 +211,7 @@
     }
 
     /// Plays it all.
-    pub fn play(mut self) -> Totals {
+    pub(crate) fn play(mut self) -> Totals {
         let seed = self.seed;
         let played = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| self.run()));
         match played {
@@ -223,7 +223,7 @@
         }
     }
 
-    pub fn run(&mut self) -> Totals {
+    pub(crate) fn run(&mut self) -> Totals {
         self.schedule();
         while let Some(Reverse((at_ms, number))) = self.events.pop() {
             if at_ms > END_MS {
@@ -258,18 +258,18 @@
         }
     }
 
-    pub fn at(&mut self, at_ms: u64, event: Event) {
+    pub(crate) fn at(&mut self, at_ms: u64, event: Event) {
         self.newest_event += 1;
         self.events.push(Reverse((at_ms, self.newest_event)));
         self.bodies.insert(self.newest_event, event);
     }
 
-    pub fn after(&mut self, delay_ms: u64, event: Event) {
+    pub(crate) fn after(&mut self, delay_ms: u64, event: Event) {
         self.at(self.now_ms + delay_ms, event);
     }
 
     /// Starts and troubles.
-    pub fn schedule(&mut self) {
+    pub(crate) fn schedule(&mut self) {
         for slot in 0..STORES {
             let at_ms = self.random.rand_range(0..300);
             self.at(at_ms, Event::Restart { slot });
@@ -317,12 +317,12 @@
         self.at(TROUBLE_MS + 1_000, Event::Heal);
     }
 
-    pub fn trouble(&mut self, event: Event) {
+    pub(crate) fn trouble(&mut self, event: Event) {
         let at_ms = self.random.rand_range(1_000..TROUBLE_MS);
         self.at(at_ms, event);
     }
 
-    pub fn happen(&mut self, event: Event) {
+    pub(crate) fn happen(&mut self, event: Event) {
         match event {
             Event::ToSlot {
                 slot,
@@ -383,13 +383,13 @@
         }
     }
 
-    pub fn delay(&mut self) -> u64 {
+    pub(crate) fn delay(&mut self) -> u64 {
         let late = self.random.rand_float() < self.faults.loss / 2.0;
         self.random.rand_range(1..if late { 800 } else { 15 })
     }
 
     /// Sends something to a store, unless it gets lost; perhaps twice.
-    pub fn send(&mut self, slot: usize, disk: DiskId, what: ToProcess, may_double: bool) {
+    pub(crate) fn send(&mut self, slot: usize, disk: DiskId, what: ToProcess, may_double: bool) {
         if self.random.rand_float() < self.faults.loss {
             return;
         }
@@ -418,7 +418,7 @@
     }
 
     /// Does what a client wants.
-    pub fn client_steps(&mut self, client: usize, step: Step) {
+    pub(crate) fn client_steps(&mut self, client: usize, step: Step) {
         match step {
             Step::Nothing => {}
             Step::Wait(delay_ms) => self.after(delay_ms, Event::ClientTurn { client }),
@@ -446,7 +446,7 @@
     }
 
     /// All acknowledged jobs are whole, and read.
-    pub fn check_end(&self) {
+    pub(crate) fn check_end(&self) {
         for job in self.oracle.jobs.values().filter(|job| job.accepted) {
             job.check_whole();
         }
--- a/fault-lab/src/backend.rs
+++ b/fault-lab/src/backend.rs
@@ -224,7 +224,7 @@
                 backend: self.number,
                 customer,
                 ran,
-            })
+            });
         };
         let mode = *self.mode.borrow();
         let arrival = lock(&self.model).arrive(now, class);
--- a/fault-lab/src/check.rs
+++ b/fault-lab/src/check.rs
@@ -347,7 +347,7 @@
     for entry in entries {
         match &entry.event {
             Event::Arrived { id, backend, .. } => {
-                arrived.entry(id).or_default().push((entry.us, *backend))
+                arrived.entry(id).or_default().push((entry.us, *backend));
             }
             Event::Done {
                 id,
@@ -576,7 +576,7 @@
         match &entry.event {
             Event::Backend { state, .. } if state == "restart" => finding.cases += 1,
             Event::Tipped { backend } => {
-                finding.break_rule(|| format!("b{backend} fell over at {} ms", entry.us / 1000))
+                finding.break_rule(|| format!("b{backend} fell over at {} ms", entry.us / 1000));
             }
             _ => {}
         }
@@ -598,7 +598,7 @@
                 starting.insert(door, entry.us);
             }
             Life::Crashed => {
-                finding.break_rule(|| format!("d{door} ended by itself at {} ms", entry.us / 1000))
+                finding.break_rule(|| format!("d{door} ended by itself at {} ms", entry.us / 1000));
             }
             _ => drop(starting.remove(&door)),
         }
--- a/fault-lab/src/check/fleet_tests.rs
+++ b/fault-lab/src/check/fleet_tests.rs
@@ -370,10 +370,7 @@
         1
     );
     // One answer within the other's time, and one that gives up what it had under the same version.
-    assert_eq!(
-        broken(&[one.clone(), vec![map(1, 550, 2, "g", 2, &[(5, 6)])]]),
-        1
-    );
+    assert_eq!(broken(&[one, vec![map(1, 550, 2, "g", 2, &[(5, 6)])]]), 1);
     let released = [keeps(0, 1, 0, 400, &[(0, 10)]), keeps(0, 1, 500, 900, &[])];
     assert_eq!(
         broken(&[released.concat(), keeps(1, 1, 402, 900, &[(0, 10)])]),
--- a/fault-lab/src/check/tests.rs
+++ b/fault-lab/src/check/tests.rs
@@ -345,7 +345,7 @@
         entries.push(Entry {
             us: ms * 1000,
             event,
-        })
+        });
     };
     let ban = Event::Call {
         door: 1,
--- a/fault-lab/src/check/told.rs
+++ b/fault-lab/src/check/told.rs
@@ -96,7 +96,7 @@
     }
 
     /// Whether each life that ran at the one moment was over by the other, so that what all knew together may be gone.
-    pub fn all_anew(&self, from: Micros, to: Micros) -> bool {
+    pub(super) fn all_anew(&self, from: Micros, to: Micros) -> bool {
         (0..self.doors).all(|door| {
             let times =
                 |of: &HashMap<usize, Vec<Micros>>| of.get(&door).cloned().unwrap_or_default();
@@ -139,7 +139,7 @@
 }
 
 impl<'a> Told<'a> {
-    pub fn of(doors: usize, entries: &'a [Entry]) -> Told<'a> {
+    pub(super) fn of(doors: usize, entries: &'a [Entry]) -> Told<'a> {
         let lives = Lives::of(doors, entries);
         let (mut owners, mut shards): (Vec<Vec<_>>, Vec<Vec<_>>) = Default::default();
         let (mut between_lives, mut lease) = (0, None);
--- a/fault-lab/src/kinds.rs
+++ b/fault-lab/src/kinds.rs
@@ -262,7 +262,7 @@
             }
             // Each backend tells within some milliseconds after each whole second. Those before the traffic do not count.
             Event::Connections { open, .. } if !sent.is_empty() => {
-                *samples.entry(entry.us / 1_000_000).or_default() += open
+                *samples.entry(entry.us / 1_000_000).or_default() += open;
             }
             _ => {}
         }
--- a/fault-lab/src/kinds/tests.rs
+++ b/fault-lab/src/kinds/tests.rs
@@ -206,7 +206,7 @@
         entries.push(Entry {
             us: ms * 1000,
             event,
-        })
+        });
     };
     tell(
         900,
--- a/fault-lab/src/report.rs
+++ b/fault-lab/src/report.rs
@@ -49,7 +49,7 @@
             };
         }
     }
-    for line in figures.bound.iter().flat_map(|bound| bound.lines()) {
+    for line in figures.bound.iter().flat_map(super::kinds::Bound::lines) {
         let _ = writeln!(text, "  {line}");
     }
     text
--- a/fault-lab/src/run.rs
+++ b/fault-lab/src/run.rs
@@ -729,7 +729,7 @@
                 Ok(run) => break (run, writer),
                 // Another program may have taken a port meanwhile: the next ground has others.
                 Err(error) if tries < TRIES && error.to_string().contains("cannot listen") => {
-                    tries += 1
+                    tries += 1;
                 }
                 Err(error) => return Err(error),
             }
--- a/fault-lab/src/run/polls.rs
+++ b/fault-lab/src/run/polls.rs
@@ -25,7 +25,7 @@
 
 /// Who told last that it owns the fleet, and when that was asked.
 #[derive(Clone, Default)]
-pub struct LastOwner(Arc<Mutex<Option<(Micros, usize)>>>);
+pub(super) struct LastOwner(Arc<Mutex<Option<(Micros, usize)>>>);
 
 impl LastOwner {
     fn tell(&self, asked: Micros, door: usize) {
@@ -36,13 +36,13 @@
         }
     }
 
-    pub fn door(&self) -> Option<usize> {
+    pub(super) fn door(&self) -> Option<usize> {
         lock(&self.0).map(|(_, door)| door)
     }
 }
 
 /// Asks one front door for `owner`, for ever.
-pub async fn owner(door: usize, staff: SocketAddr, recorder: Recorder, last: LastOwner) {
+pub(super) async fn owner(door: usize, staff: SocketAddr, recorder: Recorder, last: LastOwner) {
     let calls = ["owner".to_string()];
     ask(
         &calls,
@@ -66,7 +66,7 @@
 }
 
 /// Asks one front door for `shards`, for ever.
-pub async fn shards(door: usize, staff: SocketAddr, recorder: Recorder) {
+pub(super) async fn shards(door: usize, staff: SocketAddr, recorder: Recorder) {
     let calls = ["shards".to_string()];
     ask(
         &calls,
@@ -85,7 +85,7 @@
 }
 
 /// Some customers of each plan, so that asking for them stays cheap however many there are.
-pub fn some_of(customers: &[Customer]) -> Vec<u64> {
+pub(super) fn some_of(customers: &[Customer]) -> Vec<u64> {
     let mut taken: BTreeMap<usize, usize> = BTreeMap::new();
     let mut take = |customer: &&Customer| {
         let taken = taken.entry(customer.plan).or_default();
@@ -100,7 +100,12 @@
 }
 
 /// Asks one front door for `session` of these customers in turn, for ever.
-pub async fn sessions(door: usize, staff: SocketAddr, recorder: Recorder, mut customers: Vec<u64>) {
+pub(super) async fn sessions(
+    door: usize,
+    staff: SocketAddr,
+    recorder: Recorder,
+    mut customers: Vec<u64>,
+) {
     // Doors begin with different ones: one that changes is seen sooner by some door.
     let first = door.checked_rem(customers.len()).unwrap_or(0);
     customers.rotate_left(first);
--- a/fault-lab/src/scenario.rs
+++ b/fault-lab/src/scenario.rs
@@ -320,7 +320,7 @@
                 }
                 Term::One(kind, number) => names.push(format!("{}{number}", kind.letter())),
                 Term::All(kind) => {
-                    names.extend((0..count(kind)).map(|n| format!("{}{n}", kind.letter())))
+                    names.extend((0..count(kind)).map(|n| format!("{}{n}", kind.letter())));
                 }
                 Term::Part {
                     kind,
--- a/fault-lab/tests/network.rs
+++ b/fault-lab/tests/network.rs
@@ -189,7 +189,7 @@
     let net = net();
     let (mut near, mut far, ..) = pair(&net).await;
     net.change("a", "b", |condition| {
-        condition.jitter = Duration::from_millis(5)
+        condition.jitter = Duration::from_millis(5);
     });
     let wanted: Vec<u8> = (0..300_000u32).map(|n| (n % 251) as u8).collect();
     let sent = wanted.clone();
@@ -218,7 +218,7 @@
             near.send_to(&number.to_be_bytes(), relay)
                 .await
                 .map(drop)
-                .expect("it goes out")
+                .expect("it goes out");
         }
     };
     /// All that comes up to this number.
--- a/placement-model/src/engine.rs
+++ b/placement-model/src/engine.rs
@@ -144,7 +144,7 @@
                     progress.push(Progress::Began(running.request));
                 }
                 Some(_) => {
-                    times.longest_pause_ms = times.longest_pause_ms.max(now - running.event_at)
+                    times.longest_pause_ms = times.longest_pause_ms.max(now - running.event_at);
                 }
             }
             running.event_at = now;
--- a/quota-gateway/benches/cost/calls.rs
+++ b/quota-gateway/benches/cost/calls.rs
@@ -5,7 +5,7 @@
 
 /// System calls by kind.
 #[derive(Clone, Copy, Default)]
-pub struct Calls {
+pub(crate) struct Calls {
     pub reads: u64,
     pub writes: u64,
     pub others: u64,
@@ -13,7 +13,7 @@
 
 /// Traces the process until `done`, and then until its next call. `None` where the system does not allow it.
 #[cfg(all(target_os = "linux", target_arch = "x86_64", target_env = "gnu"))]
-pub fn count(pid: u32, tracing: &AtomicBool, done: &AtomicBool) -> Option<Calls> {
+pub(crate) fn count(pid: u32, tracing: &AtomicBool, done: &AtomicBool) -> Option<Calls> {
     use nix::libc;
     use nix::sys::ptrace;
     use nix::sys::wait::{waitpid, WaitStatus};
--- a/quota-gateway/benches/cost/door.rs
+++ b/quota-gateway/benches/cost/door.rs
@@ -13,7 +13,7 @@
 /// Unit of the processor times in `/proc/PID/stat`.
 const TICK_US: f64 = 10_000.0;
 
-pub struct Door {
+pub(crate) struct Door {
     child: Child,
     folder: PathBuf,
     pub address: SocketAddr,
@@ -21,7 +21,7 @@
 
 /// What the process has used up to now.
 #[derive(Clone, Copy, Default)]
-pub struct Used {
+pub(crate) struct Used {
     /// Processor time in microseconds: all, and the program's own part of it.
     pub processor: f64,
     pub user: f64,
@@ -33,7 +33,7 @@
 
 impl Door {
     /// One of so many front doors, before this fleet.
-    pub fn start(program: &Path, fleet: &Fleet, gateways: u32) -> Door {
+    pub(crate) fn start(program: &Path, fleet: &Fleet, gateways: u32) -> Door {
         let free = || {
             TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
                 .and_then(|at| at.local_addr())
@@ -72,11 +72,11 @@
         door
     }
 
-    pub fn pid(&self) -> u32 {
+    pub(crate) fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    pub fn used(&self) -> Used {
+    pub(crate) fn used(&self) -> Used {
         let file = |name: &str| {
             fs::read_to_string(format!("/proc/{}/{name}", self.pid()))
                 .expect("the system's figures")
--- a/quota-gateway/benches/cost/main.rs
+++ b/quota-gateway/benches/cost/main.rs
@@ -321,7 +321,7 @@
             repeat: false,
         };
         let count = allocation_counter::measure(|| {
-            gateway.handle(now, Event::Request(request), &mut actions)
+            gateway.handle(now, Event::Request(request), &mut actions);
         });
         counts[0] += count.count_total;
         if actions
@@ -371,7 +371,7 @@
                     .next()
                     .and_then(|word| word.parse().ok())
                     .unwrap_or(rounds)
-                    .clamp(1, 50)
+                    .clamp(1, 50);
             }
             "--only" => only = words.next(),
             // What cargo adds.
--- a/quota-gateway/benches/cost/standins.rs
+++ b/quota-gateway/benches/cost/standins.rs
@@ -13,7 +13,7 @@
 use tokio::time::sleep;
 
 /// Runs this to its end, with tasks of its own beside it.
-pub fn run<T>(work: impl Future<Output = T>) -> T {
+pub(crate) fn run<T>(work: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -71,13 +71,13 @@
 }
 
 /// Where the backends and discovery are. They serve until the program ends.
-pub struct Fleet {
+pub(crate) struct Fleet {
     pub backends: Vec<SocketAddr>,
     pub discovery: SocketAddr,
 }
 
 /// So many backends whose answers take so long and bear so many bytes.
-pub fn fleet(backends: usize, work: Duration, size: usize) -> Fleet {
+pub(crate) fn fleet(backends: usize, work: Duration, size: usize) -> Fleet {
     let (listeners, addresses): (Vec<_>, Vec<_>) = (0..backends).map(|_| listener()).unzip();
     let (calls, discovery) = listener();
     thread::spawn(move || {
@@ -106,7 +106,7 @@
 }
 
 /// A request as a client of the platform sends it.
-pub fn request(plan: &str, customer: u64) -> Vec<u8> {
+pub(crate) fn request(plan: &str, customer: u64) -> Vec<u8> {
     format!(
         "GET /read/balance HTTP/1.1\r\nHost: backend.local\r\nX-Request-Id: 9b1f03aa5c7e2d41\r\nX-Class: read\r\n\
          Plan: {plan}\r\nCookie: client={customer:016x}\r\nX-Deadline: 4000m\r\n\
@@ -115,13 +115,13 @@
     .into_bytes()
 }
 
-pub struct Client {
+pub(crate) struct Client {
     stream: TcpStream,
     buffer: Vec<u8>,
 }
 
 impl Client {
-    pub async fn connect(address: SocketAddr) -> Client {
+    pub(crate) async fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address)
             .await
             .expect("the front door accepts");
@@ -133,7 +133,7 @@
     }
 
     /// The answer's status. All of its body has come.
-    pub async fn ask(&mut self, request: &[u8]) -> u16 {
+    pub(crate) async fn ask(&mut self, request: &[u8]) -> u16 {
         self.stream
             .write_all(request)
             .await
@@ -170,7 +170,7 @@
 }
 
 /// Asks so often over so many connections at once; returns how many answers were not `status`.
-pub async fn load(
+pub(crate) async fn load(
     address: SocketAddr,
     connections: usize,
     each: usize,
--- a/quota-gateway/src/balance.rs
+++ b/quota-gateway/src/balance.rs
@@ -2,7 +2,9 @@
 //! in hand, the pace and the failures that answers show, and the warmth of those that started lately.
 
 use crate::control::blend;
-use crate::interface::*;
+use crate::interface::{
+    Effect, Lifecycle, ListKind, Millis, Outcome, Scope, ServerEntry, ServerId, Settings,
+};
 use crate::quota::{Bucket, Pace, NEVER};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
--- a/quota-gateway/src/bin/quota-gateway/backends/attempts.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/attempts.rs
@@ -22,7 +22,7 @@
 
 /// Most bytes of a body that are gathered before it goes on, either way, and the longest that this may hold back the
 /// answer's beginning where its length is not known, or what a refusal or an error says by its head.
-pub const BODY_LIMIT: usize = 64 * 1024;
+pub(crate) const BODY_LIMIT: usize = 64 * 1024;
 const HOLD: Duration = Duration::from_millis(50);
 /// How long a body that goes on as it comes may bring nothing, or its reader take nothing.
 const STALL: Duration = Duration::from_secs(10);
@@ -30,7 +30,7 @@
 const WAITED: Duration = Duration::from_millis(5);
 
 /// A client's request as it goes on to a backend.
-pub struct Message {
+pub(crate) struct Message {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
@@ -44,7 +44,7 @@
 }
 
 /// An attempt that is to be made.
-pub struct Order {
+pub(crate) struct Order {
     pub server: ServerId,
     pub message: Rc<Message>,
     /// When the request was here.
@@ -57,7 +57,7 @@
 }
 
 /// How an attempt ended.
-pub struct End {
+pub(crate) struct End {
     pub outcome: Outcome,
     /// The customer's use in the meter's last period, as a share of its rate.
     pub used: Option<f64>,
@@ -99,7 +99,7 @@
     }
 }
 
-pub struct Backends {
+pub(crate) struct Backends {
     pub pool: Pool,
     /// Bytes of `ahead` that are not this process's any more.
     given: Cell<usize>,
@@ -108,7 +108,7 @@
 }
 
 impl Backends {
-    pub fn new(pool: Pool, ahead: usize) -> Backends {
+    pub(crate) fn new(pool: Pool, ahead: usize) -> Backends {
         Backends {
             pool,
             given: Cell::new(0),
@@ -117,7 +117,7 @@
     }
 
     /// Leaves idle connections and the room for reading ahead to another process, or takes them up again.
-    pub fn keep_no_more(&self, none: bool) {
+    pub(crate) fn keep_no_more(&self, none: bool) {
         if none {
             self.given
                 .set(self.given.get() + self.ahead.forget_permits(Semaphore::MAX_PERMITS));
@@ -129,7 +129,7 @@
 
     /// One attempt. It is over, and its socket closed or idle again, when this returns. `wanted` tells
     /// whether the request still waits for an answer, `cancel` calls the attempt off.
-    pub async fn attempt(
+    pub(crate) async fn attempt(
         &self,
         order: &Order,
         cancel: impl Future,
--- a/quota-gateway/src/bin/quota-gateway/backends/attempts/tests.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/attempts/tests.rs
@@ -182,7 +182,7 @@
 async fn an_attempt_that_is_called_off_as_its_connection_comes_up_writes_nothing() {
     let cancel = Rc::new(Notify::new());
     let came_of_it = meanwhile(order(Duration::from_secs(9)), cancel.clone(), || {
-        cancel.notify_one()
+        cancel.notify_one();
     })
     .await;
     assert_eq!(came_of_it, (Outcome::Moot, 0));
@@ -340,7 +340,12 @@
         );
         let got = match (end.answer, told.take()) {
             (Some(answer), None) => Some(Ok(answer.into_body())),
-            (None, Some(flow)) => Some(flow.into_body().collect().await.map(|all| all.to_bytes())),
+            (None, Some(flow)) => Some(
+                flow.into_body()
+                    .collect()
+                    .await
+                    .map(http_body_util::Collected::to_bytes),
+            ),
             (None, None) => None,
             (Some(_), Some(_)) => panic!("{case}: two answers"),
         };
--- a/quota-gateway/src/bin/quota-gateway/backends/catalog.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/catalog.rs
@@ -15,7 +15,7 @@
 type Targets = BTreeMap<String, Target>;
 
 #[derive(Default)]
-pub struct Catalog {
+pub(crate) struct Catalog {
     /// What is in force.
     targets: Targets,
     /// The newest version taken in, and when that was told, in Unix time.
@@ -33,12 +33,12 @@
 }
 
 impl Catalog {
-    pub fn targets(&self) -> Vec<Target> {
+    pub(crate) fn targets(&self) -> Vec<Target> {
         self.targets.values().cloned().collect()
     }
 
     /// Takes a list in at `now`, in Unix time. What follows from it.
-    pub fn take_in(&mut self, kind: ListKind, list: List, now: Millis) -> (ListKind, List) {
+    pub(crate) fn take_in(&mut self, kind: ListKind, list: List, now: Millis) -> (ListKind, List) {
         let is_older = kind != ListKind::Cached && list.rev < self.rev;
         if !is_older && self.behind.is_none() {
             apply(&mut self.targets, kind, &list);
--- a/quota-gateway/src/bin/quota-gateway/backends/discovery.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/discovery.rs
@@ -62,14 +62,14 @@
 
 /// The list of backends, or what changed in it.
 #[derive(Deserialize)]
-pub struct List {
+pub(crate) struct List {
     pub rev: u64,
     pub all: bool,
     pub targets: Vec<Target>,
 }
 
 #[derive(Clone, Deserialize, Serialize)]
-pub struct Target {
+pub(crate) struct Target {
     pub uid: String,
     pub endpoint: String,
     #[serde(default)]
@@ -86,7 +86,7 @@
 
 #[derive(Deserialize, Serialize, Clone, Copy, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum State {
+pub(crate) enum State {
     Ready,
     Draining,
     Gone,
@@ -115,7 +115,7 @@
 }
 
 /// When discovery is called, and how long it may take. It is told the time.
-pub struct CallSchedule {
+pub(crate) struct CallSchedule {
     rng: Rand32,
     spread: Duration,
     first: Duration,
@@ -132,7 +132,7 @@
 
 impl CallSchedule {
     /// `callers` is how many front doors there are whose calls are work for discovery.
-    pub fn new(callers: u32, seed: u64, now: Instant) -> CallSchedule {
+    pub(crate) fn new(callers: u32, seed: u64, now: Instant) -> CallSchedule {
         let spread = SPREAD_PER_CALLER * callers;
         let first = spread.max(BACK_OFF);
         CallSchedule {
@@ -235,7 +235,7 @@
 
 /// Watches for ever, at the latest of `addresses`, from the version `last` on if one is held, and hands what it is
 /// told to `told`. Whatever the agent does, the list held stays in force.
-pub async fn watch(
+pub(crate) async fn watch(
     addresses: watch::Receiver<SocketAddr>,
     told: impl Fn(ListKind, List),
     last: Option<u64>,
--- a/quota-gateway/src/bin/quota-gateway/backends/pool.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/pool.rs
@@ -37,13 +37,13 @@
 /// Where a backend is, and which of its lives it is in: a new start, a new address, a drain, a ban or leaving the list
 /// ends one, and no connection of it is used in the next.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Place {
+pub(crate) struct Place {
     pub address: SocketAddr,
     generation: u64,
 }
 
 /// A connection.
-pub struct Pooled {
+pub(crate) struct Pooled {
     pub link: Link,
     pub since: Instant,
     /// The life of its backend that it was opened in. No two have the same number, at whatever address.
@@ -81,7 +81,7 @@
     }
 
     /// Takes in what the backend says of how long it keeps the connection.
-    pub fn heed(&mut self, headers: &HeaderMap) {
+    pub(crate) fn heed(&mut self, headers: &HeaderMap) {
         if let Some(told) = alderhollow_dataplane::headers::keep_alive(headers) {
             self.keep = self.keep.min(told.mul_f64(IDLE_PART));
         }
@@ -99,7 +99,7 @@
 
 /// What the connections went through since the last report.
 #[derive(Default)]
-pub struct Tally {
+pub(crate) struct Tally {
     pub exchanges: u32,
     opened: u32,
     unopened: u32,
@@ -115,7 +115,7 @@
     }
 }
 
-pub struct Pool {
+pub(crate) struct Pool {
     known: RefCell<BTreeMap<ServerId, Backend>>,
     /// Those that staff have taken out, known or not.
     out: RefCell<BTreeSet<ServerId>>,
@@ -139,7 +139,7 @@
 }
 
 impl Pool {
-    pub fn new(
+    pub(crate) fn new(
         descriptors: Arc<Semaphore>,
         written: Rc<Cell<u64>>,
         connect_timeout: Duration,
@@ -166,12 +166,12 @@
 
     /// Tells `sessions` of each attempt from here on, and holds customers as it says. To be called once, at the start:
     /// the descriptors that are there then are those of the door.
-    pub fn watch(&self, sessions: Rc<dyn Sessions>) {
+    pub(crate) fn watch(&self, sessions: Rc<dyn Sessions>) {
         let watched = || Box::new(Watched::new(sessions, self.descriptors.available_permits()));
         self.watched.get_or_init(watched);
     }
 
-    pub fn is_watched(&self) -> bool {
+    pub(crate) fn is_watched(&self) -> bool {
         self.watched.get().is_some()
     }
 
@@ -180,14 +180,14 @@
         dead_code,
         reason = "for staff, where the fleet's sessions are switched on"
     )]
-    pub fn private(&self) -> (usize, u64) {
+    pub(crate) fn private(&self) -> (usize, u64) {
         self.watched
             .get()
             .map_or((0, 0), |watched| watched.private())
     }
 
     /// Notes where a backend is, when it started and whether it takes new requests.
-    pub fn put(&self, id: ServerId, address: SocketAddr, start: f64, ready: bool) {
+    pub(crate) fn put(&self, id: ServerId, address: SocketAddr, start: f64, ready: bool) {
         let mut known = self.known.borrow_mut();
         let same = known
             .get(&id)
@@ -218,12 +218,12 @@
     }
 
     /// Forgets the backends that `keep` does not name.
-    pub fn retain(&self, keep: impl Fn(ServerId) -> bool) {
+    pub(crate) fn retain(&self, keep: impl Fn(ServerId) -> bool) {
         self.known.borrow_mut().retain(|id, _| keep(*id));
     }
 
     /// Takes a backend out or back in, whatever the list says of it.
-    pub fn take_out(&self, id: ServerId, out: bool) {
+    pub(crate) fn take_out(&self, id: ServerId, out: bool) {
         if !out {
             self.out.borrow_mut().remove(&id);
             return;
@@ -236,12 +236,12 @@
     }
 
     /// Closes idle connections, now and from here on, or no longer does.
-    pub fn keep_no_more(&self, none: bool) {
+    pub(crate) fn keep_no_more(&self, none: bool) {
         self.keep_none.set(none);
         while none && self.shed_idle() {}
     }
 
-    pub fn any_ready(&self) -> bool {
+    pub(crate) fn any_ready(&self) -> bool {
         let out = self.out.borrow();
         self.known
             .borrow()
@@ -249,17 +249,17 @@
             .any(|(id, backend)| backend.ready && !out.contains(id))
     }
 
-    pub fn lists(&self, id: ServerId) -> bool {
+    pub(crate) fn lists(&self, id: ServerId) -> bool {
         self.known.borrow().contains_key(&id)
     }
 
     /// How many backends the list holds.
-    pub fn count(&self) -> usize {
+    pub(crate) fn count(&self) -> usize {
         self.known.borrow().len()
     }
 
     /// The connections that are idle, and those that carry an exchange or are on their way.
-    pub fn connections(&self) -> (usize, usize) {
+    pub(crate) fn connections(&self) -> (usize, usize) {
         let idle = self
             .known
             .borrow()
@@ -271,7 +271,7 @@
 
     /// Closes the idle connection that has been so for the longest time, a private one only if there is no other; false
     /// if there is none.
-    pub fn shed_idle(&self) -> bool {
+    pub(crate) fn shed_idle(&self) -> bool {
         let mut known = self.known.borrow_mut();
         let mut oldest: Option<((bool, Instant), ServerId, usize)> = None;
         for (id, backend) in known.iter() {
@@ -296,7 +296,7 @@
 
     /// Closes connections that have been idle for long or that the other side has closed, and reports on failures.
     /// It rests while nothing of that is due: a connection that is closed ends its rest, or one more that is idle.
-    pub async fn sweep(&self) {
+    pub(crate) async fn sweep(&self) {
         let mut reported = Instant::now();
         loop {
             let mut report_at = self
@@ -342,7 +342,7 @@
     }
 
     /// Ends the sweep's rest.
-    pub fn stir(&self) {
+    pub(crate) fn stir(&self) {
         if self.resting.replace(false) {
             self.stir.notify_one();
         }
@@ -372,7 +372,7 @@
     }
 
     /// Where a backend is that takes new requests.
-    pub fn ready_at(&self, id: ServerId) -> Option<Place> {
+    pub(crate) fn ready_at(&self, id: ServerId) -> Option<Place> {
         if self.out.borrow().contains(&id) {
             return None;
         }
@@ -385,7 +385,7 @@
 
     /// An idle connection that still stands: the warmest that has rested, or else the one that will have done so first,
     /// after that. `None` if there is none, or none will have rested by `until`.
-    pub async fn idle(&self, id: ServerId, until: Instant) -> Option<Pooled> {
+    pub(crate) async fn idle(&self, id: ServerId, until: Instant) -> Option<Pooled> {
         self.idle_that(id, until, |_| true).await
     }
 
@@ -434,7 +434,7 @@
     /// A run gets its own one again, if need be after the rest. Nobody else is given that until the run is over by
     /// `RUN_GAP`: they open one. Only where that cannot be done do they get it, as a request that fails for want of a
     /// connection fails for certain. Nobody else is ever given a private one.
-    pub async fn have(
+    pub(crate) async fn have(
         &self,
         id: ServerId,
         place: Place,
@@ -554,7 +554,7 @@
     }
 
     /// A customer's request goes out on a connection.
-    pub fn begin(
+    pub(crate) fn begin(
         &self,
         id: ServerId,
         customer: CustomerId,
@@ -566,14 +566,14 @@
     }
 
     /// The request that went out on it last never ran.
-    pub fn take_back(&self, id: ServerId, pooled: &mut Pooled) {
+    pub(crate) fn take_back(&self, id: ServerId, pooled: &mut Pooled) {
         if let (Some(watched), Some(seen)) = (self.watched.get(), &mut pooled.seen) {
             watched.take_back(id, seen);
         }
     }
 
     /// An attempt is over that had gone out.
-    pub fn end(
+    pub(crate) fn end(
         &self,
         id: ServerId,
         customer: CustomerId,
@@ -586,7 +586,7 @@
         }
     }
 
-    pub async fn connect(&self, place: Place) -> Option<Pooled> {
+    pub(crate) async fn connect(&self, place: Place) -> Option<Pooled> {
         let descriptor = loop {
             match self.descriptors.clone().try_acquire_owned() {
                 Ok(descriptor) => break descriptor,
@@ -628,13 +628,13 @@
     }
 
     /// Puts a connection by for the next exchange, unless its backend's life is over or it is not to be kept.
-    pub fn park(&self, id: ServerId, mut pooled: Pooled) {
+    pub(crate) fn park(&self, id: ServerId, mut pooled: Pooled) {
         pooled.since = Instant::now();
         self.put_back(id, pooled);
     }
 
     /// The same for one that has carried nothing since it was taken out: it has been idle all the time.
-    pub fn put_back(&self, id: ServerId, pooled: Pooled) {
+    pub(crate) fn put_back(&self, id: ServerId, pooled: Pooled) {
         let life = self.ready_at(id).map(|place| place.generation);
         if self.keep_none.get() || life != Some(pooled.life) || pooled.keep.is_zero() {
             return;
--- a/quota-gateway/src/bin/quota-gateway/backends/sessions.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/sessions.rs
@@ -16,13 +16,13 @@
 use tokio::time::Instant;
 
 /// The longest pause within a run, from the end of a request to the next one.
-pub const RUN_GAP: Duration = Duration::from_millis(100);
+pub(crate) const RUN_GAP: Duration = Duration::from_millis(100);
 /// Customers' last connections that are remembered: the one longest unused goes first.
-pub const MOST: usize = 10_000;
+pub(crate) const MOST: usize = 10_000;
 
 /// How a customer's requests are to share connections.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Hold {
+pub(crate) enum Hold {
     /// Any connection.
     Any,
     /// The customer's last one, within a run.
@@ -33,7 +33,7 @@
 
 /// What became of one attempt on a connection, for whoever watches sessions.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Attempt {
+pub(crate) struct Attempt {
     pub customer: CustomerId,
     pub server: ServerId,
     pub conn: ConnectionUse,
@@ -41,14 +41,14 @@
 }
 
 /// What the pool asks and tells. It asks once for each attempt.
-pub trait Sessions {
+pub(crate) trait Sessions {
     fn hold(&self, customer: CustomerId) -> Hold;
     fn note(&self, attempt: Attempt);
 }
 
 /// How far an attempt has come.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Sent {
+pub(crate) enum Sent {
     No,
     Unwatched,
     On(ConnectionUse),
@@ -58,7 +58,7 @@
 type Owned = Rc<RefCell<BTreeSet<(ServerId, CustomerId)>>>;
 
 /// A customer's right to one private connection at one backend. It lasts as long as the connection.
-pub struct Private {
+pub(crate) struct Private {
     key: (ServerId, CustomerId),
     all: Owned,
 }
@@ -77,7 +77,7 @@
 }
 
 /// What is remembered of one connection.
-pub struct Seen {
+pub(crate) struct Seen {
     number: u64,
     /// How the customer is held whose request goes out on it next.
     hold: Hold,
@@ -89,32 +89,32 @@
 
 impl Seen {
     #[cfg(test)]
-    pub fn number(&self) -> u64 {
+    pub(crate) fn number(&self) -> u64 {
         self.number
     }
 
-    pub fn is_private(&self) -> bool {
+    pub(crate) fn is_private(&self) -> bool {
         self.owner.is_some()
     }
 
-    pub fn is_owned_by(&self, customer: CustomerId) -> bool {
+    pub(crate) fn is_owned_by(&self, customer: CustomerId) -> bool {
         self.owner
             .as_ref()
             .is_some_and(|owner| owner.key.1 == customer)
     }
 
     /// Whether a customer may have it that has no claim of its own to it. `since` is the end of its last use.
-    pub fn is_free(&self, customer: CustomerId, since: Instant, spare_runs: bool) -> bool {
+    pub(crate) fn is_free(&self, customer: CustomerId, since: Instant, spare_runs: bool) -> bool {
         let in_run =
             |last: Use| last.hold == Hold::Run && last.by != customer && since.elapsed() < RUN_GAP;
         self.owner.is_none() && !(spare_runs && self.last.is_some_and(in_run))
     }
 
-    pub fn hold_next(&mut self, hold: Hold) {
+    pub(crate) fn hold_next(&mut self, hold: Hold) {
         self.hold = hold;
     }
 
-    pub fn give(&mut self, owner: Private) {
+    pub(crate) fn give(&mut self, owner: Private) {
         self.owner = Some(owner);
     }
 }
@@ -130,7 +130,7 @@
 }
 
 /// All that is remembered while someone watches.
-pub struct Watched {
+pub(crate) struct Watched {
     sessions: Rc<dyn Sessions>,
     lasts: RefCell<LruCache<(ServerId, CustomerId), Last>>,
     numbers: Cell<u64>,
@@ -143,7 +143,7 @@
 }
 
 impl Watched {
-    pub fn new(sessions: Rc<dyn Sessions>, descriptors: usize) -> Watched {
+    pub(crate) fn new(sessions: Rc<dyn Sessions>, descriptors: usize) -> Watched {
         Watched {
             sessions,
             lasts: RefCell::new(LruCache::new(
@@ -157,17 +157,17 @@
         }
     }
 
-    pub fn hold(&self, customer: CustomerId) -> Hold {
+    pub(crate) fn hold(&self, customer: CustomerId) -> Hold {
         self.sessions.hold(customer)
     }
 
     /// The longest that a private connection may stand idle.
-    pub fn unused(&self) -> Duration {
+    pub(crate) fn unused(&self) -> Duration {
         Duration::from_micros(self.limits.unused)
     }
 
     /// A connection that is new to it.
-    pub fn meet(&self) -> Box<Seen> {
+    pub(crate) fn meet(&self) -> Box<Seen> {
         self.numbers.set(self.numbers.get() + 1);
         Box::new(Seen {
             number: self.numbers.get(),
@@ -179,7 +179,7 @@
     }
 
     /// Whether it is the customer's last connection there, and nobody's since.
-    pub fn is_last(&self, id: ServerId, customer: CustomerId, seen: &Seen) -> bool {
+    pub(crate) fn is_last(&self, id: ServerId, customer: CustomerId, seen: &Seen) -> bool {
         let last = self
             .lasts
             .borrow()
@@ -189,7 +189,12 @@
     }
 
     /// A right to one more private connection, if there is room for it.
-    pub fn grant(&self, id: ServerId, customer: CustomerId, backends: usize) -> Option<Private> {
+    pub(crate) fn grant(
+        &self,
+        id: ServerId,
+        customer: CustomerId,
+        backends: usize,
+    ) -> Option<Private> {
         let count = |count: usize| u32::try_from(count).unwrap_or(u32::MAX);
         let key = (id, customer);
         let all = self.owned.borrow().len();
@@ -216,22 +221,27 @@
     }
 
     /// Counts a request that shares though it is to have a connection of its own.
-    pub fn share<T>(&self) -> Option<T> {
+    pub(crate) fn share<T>(&self) -> Option<T> {
         self.shared.set(self.shared.get() + 1);
         None
     }
 
-    pub fn has_private(&self, id: ServerId, customer: CustomerId) -> bool {
+    pub(crate) fn has_private(&self, id: ServerId, customer: CustomerId) -> bool {
         self.owned.borrow().contains(&(id, customer))
     }
 
     /// Private connections, and requests that had to share for want of one.
-    pub fn private(&self) -> (usize, u64) {
+    pub(crate) fn private(&self) -> (usize, u64) {
         (self.owned.borrow().len(), self.shared.get())
     }
 
     /// A request goes out. What it changes is told by how it stood before.
-    pub fn begin(&self, id: ServerId, customer: CustomerId, seen: &mut Seen) -> ConnectionUse {
+    pub(crate) fn begin(
+        &self,
+        id: ServerId,
+        customer: CustomerId,
+        seen: &mut Seen,
+    ) -> ConnectionUse {
         let same = self.is_last(id, customer, seen);
         let now = Instant::now();
         let lasts = &mut *self.lasts.borrow_mut();
@@ -260,7 +270,7 @@
     }
 
     /// The request that went out last on this connection never ran: neither side's last use has changed.
-    pub fn take_back(&self, id: ServerId, seen: &mut Seen) {
+    pub(crate) fn take_back(&self, id: ServerId, seen: &mut Seen) {
         let Some(undone) = seen.last else { return };
         seen.last = seen.before.take();
         let lasts = &mut *self.lasts.borrow_mut();
@@ -278,7 +288,7 @@
     }
 
     /// An attempt is over that had gone out. Without an outcome it says nothing.
-    pub fn end(
+    pub(crate) fn end(
         &self,
         server: ServerId,
         customer: CustomerId,
@@ -303,7 +313,7 @@
     }
 
     #[cfg(test)]
-    pub fn remembered(&self) -> usize {
+    pub(crate) fn remembered(&self) -> usize {
         self.lasts.borrow().len()
     }
 }
--- a/quota-gateway/src/bin/quota-gateway/clients/connections.rs
+++ b/quota-gateway/src/bin/quota-gateway/clients/connections.rs
@@ -62,7 +62,7 @@
 ];
 
 /// What every connection needs.
-pub struct ConnectionContext {
+pub(crate) struct ConnectionContext {
     pub door: Rc<Door>,
     pub backends: Rc<Backends>,
     pub names: Names,
@@ -76,7 +76,7 @@
 }
 
 /// Accepts clients until the shutdown closes the door, then returns once every connection has ended.
-pub async fn serve(
+pub(crate) async fn serve(
     listener: TcpListener,
     context: Rc<ConnectionContext>,
     descriptors: Arc<Semaphore>,
@@ -460,7 +460,7 @@
     })
 }
 
-pub fn customer(cookies: &str) -> Option<u64> {
+pub(crate) fn customer(cookies: &str) -> Option<u64> {
     let digits = cookies
         .split(';')
         .find_map(|cookie| cookie.trim().strip_prefix("client="))?;
--- a/quota-gateway/src/bin/quota-gateway/clients/mod.rs
+++ b/quota-gateway/src/bin/quota-gateway/clients/mod.rs
@@ -1,5 +1,5 @@
 //! What faces the clients: their connections, how they are sent away, and what became of their requests.
 
-pub mod connections;
-pub mod phase;
-pub mod stats;
+pub(crate) mod connections;
+pub(crate) mod phase;
+pub(crate) mod stats;
--- a/quota-gateway/src/bin/quota-gateway/clients/phase.rs
+++ b/quota-gateway/src/bin/quota-gateway/clients/phase.rs
@@ -13,7 +13,7 @@
 const EMPTY_AFTER: Duration = Duration::from_millis(1500);
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Phase {
+pub(crate) enum Phase {
     Serving,
     /// Clients still come; each answer closes its connection.
     Leaving,
@@ -27,7 +27,7 @@
 
 impl Phase {
     /// As staff read it.
-    pub fn word(self) -> &'static str {
+    pub(crate) fn word(self) -> &'static str {
         match self {
             Phase::Serving => "serving",
             Phase::Leaving | Phase::Emptying => "sending clients away",
@@ -39,14 +39,14 @@
 
 /// Why clients cannot be sent away or taken again.
 #[derive(Error, Debug, Clone, Copy, PartialEq, Eq)]
-pub enum PhaseError {
+pub(crate) enum PhaseError {
     #[error("another process has taken over; call that one at its own admin_addr")]
     HandedOver,
     #[error("this process is ending; call the one that replaces it, or start one")]
     Ending,
 }
 
-pub struct PhaseControl {
+pub(crate) struct PhaseControl {
     phase: watch::Sender<Phase>,
     /// Counts the changes: a timer of an earlier one has no say.
     turn: Cell<u64>,
@@ -54,17 +54,17 @@
 }
 
 impl PhaseControl {
-    pub fn new() -> Rc<PhaseControl> {
+    pub(crate) fn new() -> Rc<PhaseControl> {
         Rc::new(PhaseControl {
             phase: watch::Sender::new(Phase::Serving),
             turn: Cell::new(0),
             ending: Cell::new(false),
         })
     }
-    pub fn phase(&self) -> Phase {
+    pub(crate) fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
-    pub fn watch(&self) -> watch::Receiver<Phase> {
+    pub(crate) fn watch(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
 
@@ -72,7 +72,7 @@
     ///
     /// # Errors
     /// Clients are another process's already.
-    pub fn stand_by(self: &Rc<Self>) -> Result<(), PhaseError> {
+    pub(crate) fn stand_by(self: &Rc<Self>) -> Result<(), PhaseError> {
         match self.phase() {
             Phase::HandedOver => return Err(PhaseError::HandedOver),
             Phase::Serving => {}
@@ -93,7 +93,7 @@
     ///
     /// # Errors
     /// Clients are another process's already, or this one is ending, which nothing takes back.
-    pub fn take_up(&self) -> Result<(), PhaseError> {
+    pub(crate) fn take_up(&self) -> Result<(), PhaseError> {
         if self.phase() == Phase::HandedOver {
             return Err(PhaseError::HandedOver);
         }
@@ -107,29 +107,29 @@
     }
 
     /// Whether staff have clients sent away, and no end is under way.
-    pub fn stands_by(&self) -> bool {
+    pub(crate) fn stands_by(&self) -> bool {
         !self.ending.get() && matches!(self.phase(), Phase::Leaving | Phase::Emptying)
     }
 
     /// Another process takes clients from here on.
-    pub fn hand_over(&self) {
+    pub(crate) fn hand_over(&self) {
         self.change(Phase::HandedOver);
     }
     /// There is no other process any more.
-    pub fn resume(&self) {
+    pub(crate) fn resume(&self) {
         if !self.ending.get() && self.phase() == Phase::HandedOver {
             self.change(Phase::Serving);
         }
     }
 
     /// The process is told to end. What `standby` has closed already stays so.
-    pub fn end(&self) {
+    pub(crate) fn end(&self) {
         self.ending.set(true);
         if self.phase() == Phase::Serving {
             self.change(Phase::Leaving);
         }
     }
-    pub fn close(&self) {
+    pub(crate) fn close(&self) {
         self.change(Phase::Closing);
     }
 
--- a/quota-gateway/src/bin/quota-gateway/clients/stats.rs
+++ b/quota-gateway/src/bin/quota-gateway/clients/stats.rs
@@ -11,7 +11,7 @@
 
 /// How a request ended.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fate {
+pub(crate) enum Fate {
     Served,
     Refused,
     Failed,
@@ -26,7 +26,7 @@
 
 /// All counts are from this process's start.
 #[derive(Default)]
-pub struct Stats {
+pub(crate) struct Stats {
     ended: RefCell<Vec<Ended>>,
     /// Attempts whose last byte was written.
     pub attempts: Rc<Cell<u64>>,
@@ -39,7 +39,7 @@
 }
 
 impl Stats {
-    pub fn new(classes: usize) -> Rc<Stats> {
+    pub(crate) fn new(classes: usize) -> Rc<Stats> {
         Rc::new(Stats {
             ended: vec![Ended::default(); classes].into(),
             ..Stats::default()
@@ -47,7 +47,7 @@
     }
 
     /// A request of this class, from here until the entry is dropped.
-    pub fn enter(self: &Rc<Self>, class: usize) -> Entry {
+    pub(crate) fn enter(self: &Rc<Self>, class: usize) -> Entry {
         Entry {
             stats: self.clone(),
             class,
@@ -57,7 +57,7 @@
     }
 
     /// How many requests have come, those in hand too.
-    pub fn requests(&self) -> u64 {
+    pub(crate) fn requests(&self) -> u64 {
         let ended = self.ended.borrow();
         self.in_flight.get()
             + ended
@@ -67,7 +67,7 @@
     }
 
     /// One line of JSON.
-    pub fn line(&self, classes: &[String], known: usize, excluded: usize) -> String {
+    pub(crate) fn line(&self, classes: &[String], known: usize, excluded: usize) -> String {
         let by_class = |count: fn(&Ended) -> u64| -> Map<String, Value> {
             let ended = self.ended.borrow();
             classes
@@ -92,7 +92,7 @@
 }
 
 /// Stands for one request. Dropped, it counts how that ended: as a failure, unless something else came about.
-pub struct Entry {
+pub(crate) struct Entry {
     stats: Rc<Stats>,
     class: usize,
     taken: bool,
@@ -101,7 +101,7 @@
 
 impl Entry {
     /// The request is here to its last byte.
-    pub fn taken(&mut self) {
+    pub(crate) fn taken(&mut self) {
         if !std::mem::replace(&mut self.taken, true) {
             self.stats.in_flight.set(self.stats.in_flight.get() + 1);
         }
@@ -124,7 +124,7 @@
 
 /// An answer's body. The request that it answers ends with it: as `fate` says if all of it was taken to be
 /// written, else as a failure.
-pub struct Answered<B> {
+pub(crate) struct Answered<B> {
     body: B,
     entry: Option<Entry>,
     fate: Fate,
@@ -133,7 +133,7 @@
 }
 
 impl<B: Body> Answered<B> {
-    pub fn new(body: B, entry: Option<Entry>, fate: Fate) -> Answered<B> {
+    pub(crate) fn new(body: B, entry: Option<Entry>, fate: Fate) -> Answered<B> {
         let mut answered = Answered {
             body,
             entry,
--- a/quota-gateway/src/bin/quota-gateway/door.rs
+++ b/quota-gateway/src/bin/quota-gateway/door.rs
@@ -24,7 +24,7 @@
 use tracing::{info, warn};
 
 /// The final answer to a client.
-pub enum Answer {
+pub(crate) enum Answer {
     Served(Response<Outgoing>),
     /// Trying again is harmless; after so long, if that is not nought.
     Refused(Millis),
@@ -92,7 +92,7 @@
     actions: Vec<Action>,
 }
 
-pub struct Door {
+pub(crate) struct Door {
     clock: Clock,
     zones: Vec<String>,
     backends: Rc<Backends>,
@@ -102,7 +102,7 @@
 }
 
 impl Door {
-    pub fn new(
+    pub(crate) fn new(
         settings: Settings,
         seed: u64,
         zones: Vec<String>,
@@ -132,7 +132,7 @@
     }
 
     /// Takes a request in; `expires_in` and the id are filled in here.
-    pub fn admit(
+    pub(crate) fn admit(
         self: &Rc<Self>,
         mut request: Request,
         message: Message,
@@ -163,7 +163,7 @@
     }
 
     /// Fails all that is still in flight, as the program has to end.
-    pub fn fail_all(self: &Rc<Self>) {
+    pub(crate) fn fail_all(self: &Rc<Self>) {
         let answers: Vec<_> = self
             .inner
             .borrow_mut()
@@ -177,7 +177,7 @@
     }
 
     /// Takes in the list of backends or a change to it, for itself and for the module.
-    pub fn servers(self: &Rc<Self>, kind: ListKind, list: List) {
+    pub(crate) fn servers(self: &Rc<Self>, kind: ListKind, list: List) {
         let now = self.clock.start_unix + self.clock.now();
         let (kind, list) = self.inner.borrow_mut().catalog.take_in(kind, list, now);
         let mut entries = Vec::with_capacity(list.targets.len());
@@ -245,7 +245,7 @@
     }
 
     /// How many backends the list holds, and how many of them get nothing.
-    pub fn backends(&self) -> (usize, usize) {
+    pub(crate) fn backends(&self) -> (usize, usize) {
         (
             self.backends.pool.count(),
             self.inner.borrow().gateway.excluded(self.clock.now()),
@@ -256,7 +256,7 @@
     ///
     /// # Errors
     /// What is to be told to the caller: nobody has that name, or another process could not learn of it.
-    pub fn take_out(self: &Rc<Self>, uid: &str) -> Result<(), BanError> {
+    pub(crate) fn take_out(self: &Rc<Self>, uid: &str) -> Result<(), BanError> {
         if !self.knows(uid) {
             return Err(BanError::NoBackend);
         }
@@ -271,7 +271,7 @@
     ///
     /// # Errors
     /// As for [`Door::take_out`].
-    pub fn give_back(self: &Rc<Self>, uid: &str) -> Result<(), BanError> {
+    pub(crate) fn give_back(self: &Rc<Self>, uid: &str) -> Result<(), BanError> {
         if !self.knows(uid) {
             return Err(BanError::NoBackend);
         }
@@ -295,7 +295,7 @@
     }
 
     /// Follows what the other process of this front door was told.
-    pub async fn follow_bans(self: Rc<Self>) {
+    pub(crate) async fn follow_bans(self: Rc<Self>) {
         let (mut read, mut changes) = (Standing::default(), self.bans.changes());
         loop {
             if let Ok(now) = self.bans.read() {
@@ -353,38 +353,38 @@
     }
 
     /// What a successor is told: the list, and when the clock began.
-    pub fn targets(&self) -> Vec<Target> {
+    pub(crate) fn targets(&self) -> Vec<Target> {
         self.inner.borrow().catalog.targets()
     }
-    pub fn epoch(&self) -> Millis {
+    pub(crate) fn epoch(&self) -> Millis {
         self.clock.start_unix
     }
     /// What it is left, and what this process still has out.
-    pub fn hand_over(&self) -> HandoverState {
+    pub(crate) fn hand_over(&self) -> HandoverState {
         self.backends.keep_no_more(true);
         self.inner.borrow_mut().gateway.hand_over()
     }
-    pub fn open(&self) -> BTreeMap<CustomerId, u32> {
+    pub(crate) fn open(&self) -> BTreeMap<CustomerId, u32> {
         self.inner.borrow().gateway.open()
     }
     /// The successor is gone.
-    pub fn alone(self: &Rc<Self>) {
+    pub(crate) fn alone(self: &Rc<Self>) {
         self.backends.keep_no_more(false);
         self.handle(Event::Alone);
     }
     /// What the predecessor leaves, and what it still has out.
-    pub fn take_over(&self, state: HandoverState) {
+    pub(crate) fn take_over(&self, state: HandoverState) {
         self.inner
             .borrow_mut()
             .gateway
             .take_over(self.clock.now(), state);
     }
-    pub fn elsewhere(self: &Rc<Self>, open: BTreeMap<CustomerId, u32>) {
+    pub(crate) fn elsewhere(self: &Rc<Self>, open: BTreeMap<CustomerId, u32>) {
         self.handle(Event::Elsewhere(open));
     }
 
     /// Wakes the module when its timers are due.
-    pub async fn keep_time(self: Rc<Self>) {
+    pub(crate) async fn keep_time(self: Rc<Self>) {
         loop {
             let next = {
                 let Inner {
@@ -570,7 +570,7 @@
 }
 
 /// A client's handle on its request. Dropped before that has come, it tells the module that the client left.
-pub struct RequestHandle {
+pub(crate) struct RequestHandle {
     door: Rc<Door>,
     id: RequestId,
     answer: oneshot::Receiver<Answer>,
@@ -578,7 +578,7 @@
 
 impl RequestHandle {
     /// The final answer. Guards against a request that nothing answers: it fails at `deadline`.
-    pub async fn answer(mut self, deadline: Instant) -> Answer {
+    pub(crate) async fn answer(mut self, deadline: Instant) -> Answer {
         tokio::select! {
             biased;
             answer = &mut self.answer => answer.unwrap_or(Answer::Failed),
--- a/quota-gateway/src/bin/quota-gateway/errors.rs
+++ b/quota-gateway/src/bin/quota-gateway/errors.rs
@@ -10,12 +10,12 @@
 const TEXT_LIMIT: usize = 120;
 
 /// A word from outside, fit to stand in a line: short, and with nothing that would end the line or hide in it.
-pub fn word(from_outside: impl Display) -> String {
+pub(crate) fn word(from_outside: impl Display) -> String {
     cut(&from_outside.to_string(), WORD_LIMIT)
 }
 
 /// As [`word`], for a whole text.
-pub fn text(from_outside: impl Display) -> String {
+pub(crate) fn text(from_outside: impl Display) -> String {
     cut(&from_outside.to_string(), TEXT_LIMIT)
 }
 
--- a/quota-gateway/src/bin/quota-gateway/life/alarms.rs
+++ b/quota-gateway/src/bin/quota-gateway/life/alarms.rs
@@ -10,14 +10,14 @@
 
 /// Timers in the order in which they are due. Nearly all are for requests that are over by then: those wake
 /// nobody, and take no room for long.
-pub struct Alarms {
+pub(crate) struct Alarms {
     due: BinaryHeap<Reverse<(Instant, u64)>>,
     /// How many there may be before they are looked through.
     most: usize,
 }
 
 impl Alarms {
-    pub fn new() -> Alarms {
+    pub(crate) fn new() -> Alarms {
         Alarms {
             due: BinaryHeap::new(),
             most: FEW,
@@ -25,7 +25,12 @@
     }
 
     /// Sets one, and tells whether it is due before all others.
-    pub fn set(&mut self, at: Instant, token: u64, is_open: impl Fn(RequestId) -> bool) -> bool {
+    pub(crate) fn set(
+        &mut self,
+        at: Instant,
+        token: u64,
+        is_open: impl Fn(RequestId) -> bool,
+    ) -> bool {
         if self.due.len() >= self.most {
             self.due
                 .retain(|Reverse((_, token))| is_of_use(*token, &is_open));
@@ -41,7 +46,7 @@
     }
 
     /// When the next one is due that is still of use. Those before it are forgotten.
-    pub fn next(&mut self, is_open: impl Fn(RequestId) -> bool) -> Option<Instant> {
+    pub(crate) fn next(&mut self, is_open: impl Fn(RequestId) -> bool) -> Option<Instant> {
         loop {
             let Reverse((at, token)) = *self.due.peek()?;
             if is_of_use(token, &is_open) {
@@ -52,7 +57,7 @@
     }
 
     /// Takes the one that is due next.
-    pub fn take(&mut self) -> Option<u64> {
+    pub(crate) fn take(&mut self) -> Option<u64> {
         self.due.pop().map(|Reverse((_, token))| token)
     }
 }
--- a/quota-gateway/src/bin/quota-gateway/life/config.rs
+++ b/quota-gateway/src/bin/quota-gateway/life/config.rs
@@ -51,7 +51,7 @@
 }
 
 /// All that a front door is told at its start.
-pub struct Config {
+pub(crate) struct Config {
     /// The form of the log's lines.
     pub log: Form,
     pub listen: SocketAddr,
@@ -72,7 +72,7 @@
 }
 
 /// Names that stand on the sockets, each at the index by which the module knows it.
-pub struct Names {
+pub(crate) struct Names {
     pub classes: Vec<String>,
     pub plans: Vec<String>,
     pub zones: Vec<String>,
@@ -196,13 +196,13 @@
 }
 
 /// The file that holds the configuration, and what stood there at the start.
-pub struct Source {
+pub(crate) struct Source {
     path: PathBuf,
     text: String,
 }
 
 /// What is taken over from a configuration that was replaced, and the keys that are not before the next start.
-pub struct Replaced {
+pub(crate) struct Replaced {
     pub discovery: SocketAddr,
     pub roster: Option<ClusterSettings>,
     pub left: Vec<String>,
@@ -217,7 +217,7 @@
     ///
     /// # Errors
     /// No file is named, or it cannot be read.
-    pub fn open(path: Option<PathBuf>) -> Result<Source, ConfigError> {
+    pub(crate) fn open(path: Option<PathBuf>) -> Result<Source, ConfigError> {
         let path = path.or_else(|| env::var_os("BALANCER_CONFIG").map(PathBuf::from));
         let path = path.ok_or(ConfigError::NoFile)?;
         let text = read(&path)?;
@@ -228,7 +228,7 @@
     ///
     /// # Errors
     /// The first thing that is missing or makes no sense.
-    pub fn config(&self) -> Result<Config, ConfigError> {
+    pub(crate) fn config(&self) -> Result<Config, ConfigError> {
         parse(&self.text, |name| env::var(name).ok())
     }
 
@@ -236,7 +236,7 @@
     ///
     /// # Errors
     /// The first thing that is missing or makes no sense.
-    pub fn reload(&self) -> Result<Replaced, ConfigError> {
+    pub(crate) fn reload(&self) -> Result<Replaced, ConfigError> {
         #[derive(Deserialize)]
         struct Told {
             discovery: String,
--- a/quota-gateway/src/bin/quota-gateway/life/handover.rs
+++ b/quota-gateway/src/bin/quota-gateway/life/handover.rs
@@ -57,7 +57,7 @@
 
 /// Why one process does not take over from another. Clients are served all the same, by the one or by both.
 #[derive(Error, Debug)]
-pub enum HandoverError {
+pub(crate) enum HandoverError {
     #[error(
         "it listens at another address, {listens}; set one address for both, or a $TMPDIR for each"
     )]
@@ -99,7 +99,7 @@
 
 /// What the first process says with its listening socket.
 #[derive(Serialize, Deserialize)]
-pub struct Introduction {
+pub(crate) struct Introduction {
     /// Unix time at which its clock began, in milliseconds: both go by one clock.
     pub epoch: f64,
     pub targets: Vec<Target>,
@@ -112,13 +112,13 @@
 
 /// The names of what a process speaks of by number, each at its number.
 #[derive(Clone, Serialize, Deserialize)]
-pub struct Numbers {
+pub(crate) struct Numbers {
     classes: Vec<String>,
     plans: Vec<String>,
 }
 
 impl Numbers {
-    pub fn of(names: &Names) -> Numbers {
+    pub(crate) fn of(names: &Names) -> Numbers {
         Numbers {
             classes: names.classes.clone(),
             plans: names.plans.clone(),
@@ -131,13 +131,13 @@
 }
 
 /// The second process's way to the first.
-pub struct Predecessor {
+pub(crate) struct Predecessor {
     pub introduction: Introduction,
     stream: BufReader<UnixStream>,
 }
 
 /// Listens for clients. Another process that does so at the same address is no obstacle.
-pub fn listen(address: SocketAddr) -> io::Result<TcpListener> {
+pub(crate) fn listen(address: SocketAddr) -> io::Result<TcpListener> {
     let domain = socket2::Domain::for_address(address);
     let socket = socket2::Socket::new(domain, socket2::Type::STREAM, Some(socket2::Protocol::TCP))?;
     socket.set_reuse_address(true)?;
@@ -161,7 +161,7 @@
 }
 
 /// Asks the running process, if there is one, for its listening socket. `None` if there is none, or if it does not answer.
-pub async fn join(shared: &Path, address: SocketAddr) -> Option<(TcpListener, Predecessor)> {
+pub(crate) async fn join(shared: &Path, address: SocketAddr) -> Option<(TcpListener, Predecessor)> {
     let folder = File::open(shared).ok()?;
     let connecting = UnixStream::connect(short(shared, &folder, NAME));
     let stream = timeout(STEP, connecting).await.ok()?.ok()?;
@@ -235,7 +235,7 @@
 impl Predecessor {
     /// Takes over: from here on clients are this process's. What the first one knows is left alone where its numbers
     /// stand for something else here: a customer would have what is another plan's.
-    pub async fn take_over(
+    pub(crate) async fn take_over(
         &mut self,
         door: &Rc<Door>,
         numbers: &Numbers,
@@ -264,7 +264,7 @@
 
     /// Waits until this process is `ready` to serve, but for no longer than clients can wait, and not at all once the
     /// first process has gone: it says nothing before it is asked to hand over.
-    pub async fn wait(&mut self, ready: impl Future) {
+    pub(crate) async fn wait(&mut self, ready: impl Future) {
         tokio::select! {
             _ = self.stream.fill_buf() => {}
             _ = timeout(SERVES_WITHIN, ready) => {}
@@ -273,7 +273,7 @@
 
     /// Follows what the first process has out until it has ended. If this one is to end before, clients are the first
     /// one's again as soon as this one takes no more, and not only when the last answer here is over.
-    pub async fn follow(mut self, door: Rc<Door>, phase_control: Rc<PhaseControl>) {
+    pub(crate) async fn follow(mut self, door: Rc<Door>, phase_control: Rc<PhaseControl>) {
         let mut phase = phase_control.watch();
         let closing = async {
             let left = phase
@@ -345,7 +345,7 @@
 }
 
 /// Waits for successors, for as long as this process runs. `listener` is what a successor is handed.
-pub async fn host(
+pub(crate) async fn host(
     shared: PathBuf,
     listener: TcpListener,
     numbers: Numbers,
@@ -465,7 +465,7 @@
 }
 
 /// The list as the first process has it.
-pub fn as_list(targets: Vec<Target>) -> List {
+pub(crate) fn as_list(targets: Vec<Target>) -> List {
     List {
         rev: 0,
         all: true,
--- a/quota-gateway/src/bin/quota-gateway/life/reload.rs
+++ b/quota-gateway/src/bin/quota-gateway/life/reload.rs
@@ -8,14 +8,14 @@
 
 /// The keys at which two configurations differ, apart from those at the top that `but` names. Entries of lists that
 /// bear a name are matched by it, others by their place.
-pub fn differences(before: &Value, after: &Value, but: &[&str]) -> Vec<String> {
+pub(crate) fn differences(before: &Value, after: &Value, but: &[&str]) -> Vec<String> {
     let mut found = Vec::new();
     compare("", before, after, but, &mut found);
     found
 }
 
 /// The keys as one phrase, bounded in length.
-pub fn phrase(keys: &[String]) -> String {
+pub(crate) fn phrase(keys: &[String]) -> String {
     let named: Vec<String> = keys
         .iter()
         .take(NAMED)
--- a/quota-gateway/src/bin/quota-gateway/log.rs
+++ b/quota-gateway/src/bin/quota-gateway/log.rs
@@ -10,13 +10,13 @@
 use tracing_subscriber::fmt::{FmtContext, FormatEvent, FormatFields};
 use tracing_subscriber::registry::LookupSpan;
 
-/// Most bytes that a pipe which can be written to takes at once (PIPE_BUF of pipe(7)): a longer line is cut.
+/// Most bytes that a pipe which can be written to takes at once (`PIPE_BUF` of pipe(7)): a longer line is cut.
 const LINE_LIMIT: usize = 4096;
 
 /// The form of the lines.
 #[derive(Deserialize, Debug, Clone, Copy, Default, PartialEq, Eq)]
 #[serde(rename_all = "snake_case")]
-pub enum Form {
+pub(crate) enum Form {
     /// `quota-gateway: ` and the message, for people.
     #[default]
     Plain,
@@ -25,7 +25,7 @@
 }
 
 /// Lines go to standard error from here on.
-pub fn start(form: Form) {
+pub(crate) fn start(form: Form) {
     let writer = move || Lines { form };
     let builder = tracing_subscriber::fmt()
         .with_writer(writer)
--- a/quota-gateway/src/bin/quota-gateway/main.rs
+++ b/quota-gateway/src/bin/quota-gateway/main.rs
@@ -91,12 +91,12 @@
 }
 
 /// A front door: admits clients' requests by quota and spreads them over backends. What it serves, and where, is in
-/// a file of JSON that BALANCER_CONFIG names; BALANCER_LISTEN, BALANCER_DISCOVERY and BALANCER_ADMIN_ADDR go before
+/// a file of JSON that `BALANCER_CONFIG` names; `BALANCER_LISTEN`, `BALANCER_DISCOVERY` and `BALANCER_ADMIN_ADDR` go before
 /// what the file says.
 #[derive(Parser)]
 #[command(name = "quota-gateway", version)]
 struct Arguments {
-    /// Take the configuration from this file, whatever BALANCER_CONFIG names
+    /// Take the configuration from this file, whatever `BALANCER_CONFIG` names
     #[arg(long, value_name = "FILE")]
     config: Option<PathBuf>,
     /// Read and check the configuration as a start would, say what it holds, and end: 0 if it is good, 1 if not
--- a/quota-gateway/src/bin/quota-gateway/operators/admin.rs
+++ b/quota-gateway/src/bin/quota-gateway/operators/admin.rs
@@ -19,7 +19,7 @@
 
 /// Most callers that are waited for. One more pushes out the one who has kept silent for the longest time, and is
 /// taken in once that one's descriptor is free.
-pub const CALLERS: usize = 16;
+pub(crate) const CALLERS: usize = 16;
 /// Most bytes of a line, and the time that it may take to come.
 const LINE_LIMIT: usize = 256;
 const PATIENCE: Duration = Duration::from_secs(5);
@@ -31,7 +31,7 @@
 
 /// A call.
 #[derive(Debug, PartialEq, Eq)]
-pub enum Call<'a> {
+pub(crate) enum Call<'a> {
     Status,
     Stats,
     Cost,
@@ -48,7 +48,7 @@
 
 /// Why a call is not carried out, or not even taken.
 #[derive(Error, Debug)]
-pub enum CallError {
+pub(crate) enum CallError {
     #[error("the line is no UTF-8; send plain words")]
     NotUtf8,
     #[error("the line is empty; send the name of a call")]
@@ -93,7 +93,7 @@
 }
 
 /// What carries a call out. The answer is its whole text.
-pub trait Operations {
+pub(crate) trait Operations {
     fn carry_out(&self, call: Call<'_>) -> impl Future<Output = Result<String, CallError>>;
 }
 
@@ -104,7 +104,7 @@
 }
 
 /// Answers callers for ever.
-pub async fn serve(listener: TcpListener, operations: Rc<impl Operations + 'static>) {
+pub(crate) async fn serve(listener: TcpListener, operations: Rc<impl Operations + 'static>) {
     let mut callers: VecDeque<Caller> = VecDeque::new();
     loop {
         let stream = match listener.accept().await {
