--- a/quota-gateway/src/bin/quota-gateway/operators/bans.rs
+++ b/quota-gateway/src/bin/quota-gateway/operators/bans.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 /// Most bytes of a backend's name: in hexadecimal it has to fit a file's name.
-pub const NAME_LIMIT: usize = 100;
+pub(crate) const NAME_LIMIT: usize = 100;
 /// For how long it is kept that a backend came back: it is warm by then.
 const KEPT: Duration = Duration::from_secs(120);
 /// How often the files are looked at where the system cannot tell of changes: both processes must know of each
@@ -27,7 +27,7 @@
 
 /// Why a backend is not out or back, or not for every process of this front door.
 #[derive(Error, Debug)]
-pub enum BanError {
+pub(crate) enum BanError {
     #[error("no backend has this ID; look it up in discovery's list")]
     NoBackend,
     #[error(
@@ -46,24 +46,24 @@
 
 /// What the files say.
 #[derive(Debug, Default, Clone, PartialEq, Eq)]
-pub struct Standing {
+pub(crate) struct Standing {
     pub out: BTreeSet<String>,
     pub back: BTreeMap<String, SystemTime>,
 }
 
-pub struct Bans {
+pub(crate) struct Bans {
     folder: PathBuf,
 }
 
 impl Bans {
     /// The bans under this folder, which the processes share.
-    pub fn new(shared: &Path) -> Bans {
+    pub(crate) fn new(shared: &Path) -> Bans {
         Bans {
             folder: shared.join("bans"),
         }
     }
 
-    pub fn read(&self) -> io::Result<Standing> {
+    pub(crate) fn read(&self) -> io::Result<Standing> {
         let mut standing = Standing::default();
         let entries = match fs::read_dir(&self.folder) {
             Err(error) if error.kind() == io::ErrorKind::NotFound => return Ok(standing),
@@ -85,13 +85,13 @@
         Ok(standing)
     }
 
-    pub fn take_out(&self, uid: &str) -> io::Result<()> {
+    pub(crate) fn take_out(&self, uid: &str) -> io::Result<()> {
         fs::create_dir_all(&self.folder)?;
         fs::File::create(self.folder.join(format!("{OUT}{}", hex(uid)))).map(drop)
     }
 
     /// The note that it came back is there before the ban goes: no one sees it neither out nor cold.
-    pub fn give_back(&self, uid: &str) -> io::Result<()> {
+    pub(crate) fn give_back(&self, uid: &str) -> io::Result<()> {
         fs::create_dir_all(&self.folder)?;
         let back = self.folder.join(format!("{BACK}{}", hex(uid)));
         let made = fs::write(back, b"back");
@@ -102,7 +102,7 @@
     }
 
     /// Tells of changes to the files from here on.
-    pub fn changes(&self) -> Changes {
+    pub(crate) fn changes(&self) -> Changes {
         let made = fs::create_dir_all(&self.folder);
         let flags = CreateFlags::CLOEXEC | CreateFlags::NONBLOCK;
         // The system's queue of changes is read as a pipe is.
@@ -119,7 +119,7 @@
     }
 
     /// Removes what is of no use any more.
-    pub fn tidy(&self) {
+    pub(crate) fn tidy(&self) {
         for (uid, at) in self.read().unwrap_or_default().back {
             if at.elapsed().is_ok_and(|age| age > KEPT) {
                 let _ = fs::remove_file(self.folder.join(format!("{BACK}{}", hex(&uid))));
@@ -129,7 +129,7 @@
 }
 
 /// Changes to the files, as the system tells of them: a program with nothing to do is not woken to look.
-pub struct Changes {
+pub(crate) struct Changes {
     folder: PathBuf,
     events: Option<pipe::Receiver>,
     /// Whether the system was last found to watch the folder.
@@ -154,7 +154,7 @@
     }
 
     /// Waits until something may have changed since the last call.
-    pub async fn next(&mut self) {
+    pub(crate) async fn next(&mut self) {
         match self.events.as_ref().filter(|_| self.watched) {
             Some(events) if take(events).await.is_ok() => {}
             _ => sleep(LOOK).await,
@@ -179,7 +179,7 @@
 
 /// Where the processes of one front door meet. It bears the clients' address: where several front doors are given one
 /// `$TMPDIR`, they stay apart.
-pub fn shared_folder(listen: SocketAddr) -> PathBuf {
+pub(crate) fn shared_folder(listen: SocketAddr) -> PathBuf {
     let folder = env::temp_dir().join(format!("brassport-{listen}").replace([':', '[', ']'], "-"));
     // What cannot be made is missed, and reported, where it is used.
     let _ = fs::create_dir_all(&folder);
--- a/quota-gateway/src/bin/quota-gateway/operators/cost.rs
+++ b/quota-gateway/src/bin/quota-gateway/operators/cost.rs
@@ -13,17 +13,17 @@
 
 /// How many of one kind there are. Each holds a [`Held`], so the count cannot drift, however one ends.
 #[derive(Clone, Default)]
-pub struct Gauge(Rc<Cell<usize>>);
+pub(crate) struct Gauge(Rc<Cell<usize>>);
 
 /// One that counts, until it is dropped.
-pub struct Held(Gauge);
+pub(crate) struct Held(Gauge);
 
 impl Gauge {
-    pub fn hold(&self) -> Held {
+    pub(crate) fn hold(&self) -> Held {
         self.0.set(self.0.get() + 1);
         Held(self.clone())
     }
-    pub fn get(&self) -> usize {
+    pub(crate) fn get(&self) -> usize {
         self.0.get()
     }
 }
@@ -36,7 +36,7 @@
 
 /// Descriptors by what they are for.
 #[derive(Default)]
-pub struct Descriptors {
+pub(crate) struct Descriptors {
     pub clients: usize,
     pub backends_idle: usize,
     /// Those that carry an exchange or are on their way.
@@ -63,7 +63,7 @@
 }
 
 /// What the program itself has counted since its start.
-pub struct Counted {
+pub(crate) struct Counted {
     pub descriptors: Descriptors,
     pub requests: u64,
     pub attempts: u64,
@@ -72,7 +72,7 @@
 }
 
 /// One line of JSON.
-pub fn line(counted: &Counted) -> String {
+pub(crate) fn line(counted: &Counted) -> String {
     let read = |path| fs::read_to_string(path).ok();
     let mut line = Map::new();
     if let Some((user, system)) = read("/proc/self/stat").as_deref().and_then(processor_ms) {
--- a/quota-gateway/src/bin/quota-gateway/operators/cost/tests.rs
+++ b/quota-gateway/src/bin/quota-gateway/operators/cost/tests.rs
@@ -34,7 +34,7 @@
 fn a_gauge_counts_what_is_held_however_that_ends() {
     let gauge = Gauge::default();
     let first = gauge.hold();
-    let other = gauge.clone().hold();
+    let other = gauge.hold();
     assert_eq!(gauge.get(), 2);
     drop(first);
     let _ = std::panic::catch_unwind(std::panic::AssertUnwindSafe(move || {
--- a/quota-gateway/src/bin/quota-gateway/operators/mod.rs
+++ b/quota-gateway/src/bin/quota-gateway/operators/mod.rs
@@ -1,6 +1,6 @@
 //! What faces staff: the calls that they make, the bans, and what the process costs.
 
-pub mod admin;
-pub mod bans;
-pub mod cost;
-pub mod staff;
+pub(crate) mod admin;
+pub(crate) mod bans;
+pub(crate) mod cost;
+pub(crate) mod staff;
--- a/quota-gateway/src/bin/quota-gateway/operators/staff.rs
+++ b/quota-gateway/src/bin/quota-gateway/operators/staff.rs
@@ -11,7 +11,7 @@
 use std::rc::Rc;
 use tokio::runtime::Handle;
 
-pub struct Staff {
+pub(crate) struct Staff {
     pub door: Rc<Door>,
     pub backends: Rc<Backends>,
     pub stats: Rc<Stats>,
--- a/quota-gateway/src/bin/simulator-adapter.rs
+++ b/quota-gateway/src/bin/simulator-adapter.rs
@@ -64,7 +64,7 @@
                 )));
             };
             panic::catch_unwind(AssertUnwindSafe(|| {
-                gateway.handle(clock, event, &mut actions)
+                gateway.handle(clock, event, &mut actions);
             }))
         }
     };
--- a/quota-gateway/src/control.rs
+++ b/quota-gateway/src/control.rs
@@ -5,7 +5,10 @@
 //! rate of all gateways is taken from the meter, and the class of the lowest worth goes first.
 
 use crate::balance::{Errand, Fleet};
-use crate::interface::*;
+use crate::interface::{
+    Account, Action, AttemptEnd, CustomerId, Effect, Event, HandoverState, InvalidSetting,
+    ListKind, LoadEstimates, Millis, Outcome, Request, RequestId, ServerEntry, ServerId, Settings,
+};
 use crate::quota::{Customer, CHANCE_FLOOR, METER_LAG, NEVER};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
@@ -574,7 +577,7 @@
                 self.refuse(id, self.settings.max_retry_after, actions);
             }
             Some(_) if !self.under_ceiling(&request) => {
-                self.refuse(id, self.settings.max_retry_after, actions)
+                self.refuse(id, self.settings.max_retry_after, actions);
             }
             Some(server) => {
                 // Without a rate nothing reads these, and nothing would take them off again.
--- a/quota-gateway/src/quota.rs
+++ b/quota-gateway/src/quota.rs
@@ -2,7 +2,7 @@
 //! rate, and the chance that follows from them and the meter.
 
 use crate::control::blend;
-use crate::interface::*;
+use crate::interface::{Millis, Plan, Request, RequestId};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
--- a/quota-gateway/src/wire.rs
+++ b/quota-gateway/src/wire.rs
@@ -1,7 +1,10 @@
 //! The codec of the simulator's wire: frames, records and settings to and from the types of
 //! [`crate::interface`]. It translates and decides nothing.
 
-use crate::interface::*;
+use crate::interface::{
+    Action, AttemptEnd, Class, Effect, Event, Lifecycle, ListKind, Outcome, Plan, Request, Scope,
+    ServerEntry, Settings,
+};
 use std::collections::BTreeMap;
 use std::fmt;
 use std::io::{self, Read};
@@ -441,7 +444,7 @@
                 out.extend(retry_after.to_be_bytes());
             }),
             Action::Fail(request) => {
-                self.record(88, instance, |out| out.extend(request.to_be_bytes()))
+                self.record(88, instance, |out| out.extend(request.to_be_bytes()));
             }
             Action::Cancel { request, attempt } => self.record(86, instance, |out| {
                 out.extend(request.to_be_bytes());
--- a/quota-gateway/tests/cold.rs
+++ b/quota-gateway/tests/cold.rs
@@ -250,10 +250,10 @@
                 }
                 Action::Fail(request) => drop(self.open.remove(&(gateway, request))),
                 Action::Cancel { request, attempt } => {
-                    self.ended(gateway, request, attempt, Outcome::Cancelled)
+                    self.ended(gateway, request, attempt, Outcome::Cancelled);
                 }
                 Action::Timer { at, token } => {
-                    self.at(at.max(self.now), Happening::Timer(gateway, token))
+                    self.at(at.max(self.now), Happening::Timer(gateway, token));
                 }
                 Action::FollowServers | Action::Log(_) => {}
             }
@@ -394,7 +394,7 @@
                     }
                 }
                 Happening::Done(gateway, request, attempt) => {
-                    self.ended(gateway, request, attempt, Outcome::Ok)
+                    self.ended(gateway, request, attempt, Outcome::Ok);
                 }
                 Happening::Timer(gateway, token) => self.event(gateway, Event::Timer(token)),
                 Happening::Leave(gateway, request) => {
--- a/quota-gateway/tests/common/mod.rs
+++ b/quota-gateway/tests/common/mod.rs
@@ -3,14 +3,14 @@
 
 use quota_gateway::*;
 
-pub struct Host {
+pub(crate) struct Host {
     pub gateway: Gateway,
     pub now: Millis,
     pub actions: Vec<Action>,
     next: RequestId,
 }
 
-pub fn settings() -> Settings {
+pub(crate) fn settings() -> Settings {
     let class = |worth, effect| Class {
         worth,
         aim: 1000.0,
@@ -74,7 +74,7 @@
     }
 }
 
-pub fn server(id: ServerId) -> ServerEntry {
+pub(crate) fn server(id: ServerId) -> ServerEntry {
     ServerEntry {
         id,
         zone: 0,
@@ -86,11 +86,11 @@
 }
 
 impl Host {
-    pub fn new(settings: Settings, servers: &[ServerEntry]) -> Host {
+    pub(crate) fn new(settings: Settings, servers: &[ServerEntry]) -> Host {
         Host::with_seed(settings, servers, 7)
     }
 
-    pub fn with_seed(settings: Settings, servers: &[ServerEntry], seed: u64) -> Host {
+    pub(crate) fn with_seed(settings: Settings, servers: &[ServerEntry], seed: u64) -> Host {
         let gateway = Gateway::new(settings, seed, 0.0).expect("the settings make sense");
         let mut host = Host {
             gateway,
@@ -106,14 +106,14 @@
     }
 
     /// Hands over one event and returns what it led to.
-    pub fn event(&mut self, event: Event) -> Vec<Action> {
+    pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
         self.actions.extend(actions.iter().cloned());
         actions
     }
 
-    pub fn ask(
+    pub(crate) fn ask(
         &mut self,
         customer: CustomerId,
         plan: usize,
@@ -125,7 +125,7 @@
     }
 
     /// A client's further try with so much of its time left.
-    pub fn ask_again(
+    pub(crate) fn ask_again(
         &mut self,
         customer: CustomerId,
         class: usize,
@@ -159,7 +159,7 @@
         self.event(Event::Request(request))
     }
 
-    pub fn end(
+    pub(crate) fn end(
         &mut self,
         request: RequestId,
         attempt: u8,
@@ -179,7 +179,7 @@
     }
 
     /// Fires every timer set so far that is due by `until`, in order, and moves the clock there.
-    pub fn run_timers(&mut self, until: Millis) -> Vec<Action> {
+    pub(crate) fn run_timers(&mut self, until: Millis) -> Vec<Action> {
         let mut all = Vec::new();
         loop {
             let due = self
@@ -201,7 +201,7 @@
     }
 }
 
-pub fn sends(actions: &[Action]) -> Vec<ServerId> {
+pub(crate) fn sends(actions: &[Action]) -> Vec<ServerId> {
     let target = |action: &Action| match action {
         Action::Send { server, .. } => Some(*server),
         _ => None,
@@ -209,13 +209,13 @@
     actions.iter().filter_map(target).collect()
 }
 
-pub fn refused(actions: &[Action]) -> bool {
+pub(crate) fn refused(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Refuse { .. }))
 }
 
-pub fn failed(actions: &[Action]) -> bool {
+pub(crate) fn failed(actions: &[Action]) -> bool {
     actions
         .iter()
         .any(|action| matches!(action, Action::Fail(_)))
--- a/quota-gateway/tests/daily.rs
+++ b/quota-gateway/tests/daily.rs
@@ -61,7 +61,7 @@
     assert_eq!(spread(&mut host, 100).get(&1), None);
     full(&mut host, vec![server(2)]);
     assert_eq!(host.gateway.excluded(host.now), 0, "it is not in the list");
-    full(&mut host, list.clone());
+    full(&mut host, list);
     assert_eq!(
         spread(&mut host, 100).get(&1),
         None,
--- a/quota-gateway/tests/front_door.rs
+++ b/quota-gateway/tests/front_door.rs
@@ -419,7 +419,7 @@
     let backends = [Peer::start(), Peer::start()];
     let (old, new) = (Peer::start(), Peer::start());
     let known = list(&[target("s-00000001", backends[0].address, "ready")]);
-    let mut config = config(old.address, known.clone());
+    let mut config = config(old.address, known);
     let front = FRONT.start(&config);
     let mut watch = old.next();
     let mut client = front.client();
--- a/quota-gateway/tests/hand_over.rs
+++ b/quota-gateway/tests/hand_over.rs
@@ -196,13 +196,13 @@
             .arg(&path)
             .status()
             .expect("mkfifo runs")
-            .success())
+            .success());
     };
     let endless = || std::os::unix::fs::symlink("/dev/zero", &path).expect("a link");
     let long = || {
         File::create(&path)
             .and_then(|file| file.set_len(300 << 20))
-            .expect("a long file")
+            .expect("a long file");
     };
     let folder = || std::fs::create_dir(&path).expect("a folder");
     let cases: [(&str, &dyn Fn()); 4] = [
--- a/quota-gateway/tests/stage/mod.rs
+++ b/quota-gateway/tests/stage/mod.rs
@@ -10,7 +10,7 @@
 use std::sync::{Condvar, Mutex};
 
 /// A fleet with little to do, so that a busy machine is not mistaken for a fault of the program.
-pub const SMALL: &str = r#"
+pub(crate) const SMALL: &str = r#"
 name = "small"
 about = "for tests"
 seconds = 5
@@ -45,7 +45,7 @@
 "#;
 
 /// Where a run's files are.
-pub fn folder_of(name: &str) -> PathBuf {
+pub(crate) fn folder_of(name: &str) -> PathBuf {
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
@@ -80,7 +80,7 @@
 }
 
 /// Runs a scenario.
-pub fn carry(name: &str, text: &str) -> (Summary, Vec<Entry>) {
+pub(crate) fn carry(name: &str, text: &str) -> (Summary, Vec<Entry>) {
     let _room = Room::take();
     let scenario = Scenario::parse(name, text).expect("it makes sense");
     let launcher = Launcher::new(env!("CARGO_BIN_EXE_quota-gateway"));
@@ -101,7 +101,7 @@
 }
 
 /// All checks are kept; returns the named one.
-pub fn kept(summary: &Summary, check: &str) -> Finding {
+pub(crate) fn kept(summary: &Summary, check: &str) -> Finding {
     for finding in &summary.findings {
         assert_eq!(finding.broken, 0, "{finding:?}");
     }
--- a/quota-gateway/tests/wire.rs
+++ b/quota-gateway/tests/wire.rs
@@ -265,7 +265,7 @@
     let mut oversized = whole.clone();
     oversized[8..12].copy_from_slice(&u32::MAX.to_be_bytes());
     assert!(read(&oversized).is_err());
-    let mut crowded = whole.clone();
+    let mut crowded = whole;
     crowded[12..16].copy_from_slice(&2u32.to_be_bytes());
     assert!(read(&crowded).is_err());
     assert!(read(&frame(f64::NAN, &[], &[])).is_err());
