--- a/alderhollow/examples/loopback-tier/main.rs
+++ b/alderhollow/examples/loopback-tier/main.rs
@@ -4,7 +4,6 @@
 //!
 //!     cargo build --locked --profile tier -p alderhollow
 //!     cargo run --example loopback-tier -p alderhollow
-#![forbid(unsafe_code)]
 
 mod configuration;
 mod report;
--- a/alderhollow/examples/scale-run/main.rs
+++ b/alderhollow/examples/scale-run/main.rs
@@ -3,7 +3,6 @@
 //!
 //!     cargo build --locked --profile tier -p alderhollow
 //!     cargo run --example scale-run -p alderhollow
-#![forbid(unsafe_code)]
 
 mod hollow;
 mod real_core;
--- a/alderhollow/src/balance/choice.rs
+++ b/alderhollow/src/balance/choice.rs
@@ -83,7 +83,7 @@
                 }
             }
             Admission::Full(until) => {
-                room_at = Some(room_at.map_or(until, |soonest| soonest.min(until)))
+                room_at = Some(room_at.map_or(until, |soonest| soonest.min(until)));
             }
         }
     }
--- a/alderhollow/src/balance/health.rs
+++ b/alderhollow/src/balance/health.rs
@@ -186,7 +186,7 @@
             Outcome::TimedOut if record.began => self.average_failure(now, 1.0),
             Outcome::TimedOut => self.failed(now, record, FIRST_PAUSE_AFTER_SILENCE_MS, draw),
             Outcome::Cancelled if was_silent && !record.began => {
-                self.failed(now, record, FIRST_PAUSE_AFTER_SILENCE_MS, draw)
+                self.failed(now, record, FIRST_PAUSE_AFTER_SILENCE_MS, draw);
             }
             Outcome::Cancelled | Outcome::OtherInstance => {}
         }
--- a/alderhollow/src/balance/mod.rs
+++ b/alderhollow/src/balance/mod.rs
@@ -460,7 +460,7 @@
         };
         match took {
             Some(took) if unread.reads_at_once => {
-                reading.learn(unread.tokens, took, &mut member.speed)
+                reading.learn(unread.tokens, took, &mut member.speed);
             }
             _ => {}
         }
--- a/alderhollow/src/batch_api/document.rs
+++ b/alderhollow/src/batch_api/document.rs
@@ -66,6 +66,9 @@
 }
 
 /// Reads and checks a batch job.
+///
+/// # Errors
+/// The body is no batch job: no JSON, empty, or an item is invalid.
 pub fn read(body: &[u8]) -> Result<Vec<HandedItem>, DocumentError> {
     let document: Document =
         serde_json::from_slice(body).map_err(|error| DocumentError::Json(error.to_string()))?;
--- a/alderhollow/src/batch_api/path.rs
+++ b/alderhollow/src/batch_api/path.rs
@@ -44,6 +44,9 @@
 }
 
 /// Reads a path and its query.
+///
+/// # Errors
+/// The path or its query names no job, item or position.
 pub fn read(path: &str, query: Option<&str>) -> Result<Target, PathError> {
     let query = query.unwrap_or("");
     if let Some(job) = path.strip_prefix(LOTS) {
--- a/alderhollow/src/cli/check.rs
+++ b/alderhollow/src/cli/check.rs
@@ -10,7 +10,7 @@
 /// What to check.
 #[derive(Debug, Args)]
 #[group(required = true, multiple = true)]
-pub struct Arguments {
+pub(super) struct Arguments {
     /// A settings file of a process (TOML).
     #[arg(long, value_name = "FILE")]
     settings: Option<PathBuf>,
@@ -20,7 +20,7 @@
 }
 
 /// Checks the files and prints each finding with its file and position.
-pub fn run(arguments: &Arguments) -> Result<(), CommandError> {
+pub(super) fn run(arguments: &Arguments) -> Result<(), CommandError> {
     let mut count = 0;
     if let Some(path) = &arguments.settings {
         let text = String::from_utf8_lossy(&read(path)?).into_owned();
--- a/alderhollow/src/cli/inspect.rs
+++ b/alderhollow/src/cli/inspect.rs
@@ -13,7 +13,7 @@
 use std::path::Path;
 
 /// Prints what the folder of a process that is not running holds.
-pub fn run(folder: &Path) -> Result<(), CommandError> {
+pub(super) fn run(folder: &Path) -> Result<(), CommandError> {
     std::fs::read_dir(folder).map_err(|source| CommandError::NoFile {
         path: folder.to_path_buf(),
         source,
--- a/alderhollow/src/cli/mod.rs
+++ b/alderhollow/src/cli/mod.rs
@@ -35,13 +35,13 @@
 
 #[derive(Debug, Subcommand)]
 enum Command {
-    /// Serve clients and operators, with the settings file that ALDERHOLLOW_BOOT names. With a disk, also keep the core's
+    /// Serve clients and operators, with the settings file that `ALDERHOLLOW_BOOT` names. With a disk, also keep the core's
     /// state.
     #[command(alias = "door")]
     Gateway(RoleArguments),
-    /// Keep the core's state and serve operators, but no clients, with the settings file that ALDERHOLLOW_BOOT names.
+    /// Keep the core's state and serve operators, but no clients, with the settings file that `ALDERHOLLOW_BOOT` names.
     Core(RoleArguments),
-    /// Keep batch jobs, with the settings file that ALDERHOLLOW_BOOT names.
+    /// Keep batch jobs, with the settings file that `ALDERHOLLOW_BOOT` names.
     Store(RoleArguments),
     /// Check a settings file or a configuration, and print all that is wrong.
     Check(check::Arguments),
--- a/alderhollow/src/cli/status.rs
+++ b/alderhollow/src/cli/status.rs
@@ -8,7 +8,7 @@
 
 /// Whom to ask, and for what.
 #[derive(Debug, Args)]
-pub struct Arguments {
+pub(super) struct Arguments {
     /// Its internal address: its `ip` and the first of its `internal-ports`.
     address: SocketAddr,
     /// Print instead which backend of this service a request would go to now, and why. Nothing is sent to it.
@@ -47,7 +47,7 @@
 }
 
 /// Asks a process and prints its answer.
-pub fn run(arguments: &Arguments) -> Result<(), CommandError> {
+pub(super) fn run(arguments: &Arguments) -> Result<(), CommandError> {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()?;
--- a/alderhollow/src/configuration/check.rs
+++ b/alderhollow/src/configuration/check.rs
@@ -12,6 +12,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Checks a whole document. All findings come at once.
+///
+/// # Errors
+/// All findings, if there are any.
 pub fn check(document: &Value) -> Result<Config, InvalidConfig> {
     let mut findings = Vec::new();
     if !document.is_object() {
--- a/alderhollow/src/configuration/json.rs
+++ b/alderhollow/src/configuration/json.rs
@@ -20,6 +20,9 @@
 }
 
 /// Reads a text that must hold one JSON value and nothing else.
+///
+/// # Errors
+/// The text is no JSON, holds more than one value, or repeats a key.
 pub fn read_json(text: &[u8]) -> Result<Value, JsonError> {
     let mut deserializer = serde_json::Deserializer::from_slice(text);
     let value = StrictValue
--- a/alderhollow/src/configuration/mod.rs
+++ b/alderhollow/src/configuration/mod.rs
@@ -35,12 +35,18 @@
 }
 
 /// Reads and checks the text of a whole configuration.
+///
+/// # Errors
+/// All findings, or where the text is no JSON.
 pub fn check_text(text: &[u8]) -> Result<Config, InvalidConfig> {
     let document = read_json(text).map_err(|error| InvalidConfig::from(error.finding()))?;
     check(&document)
 }
 
 /// The `config-version` of a document or of a change.
+///
+/// # Errors
+/// The field is missing or no whole number.
 pub fn version_of(document: &Value) -> Result<ConfigVersion, Finding> {
     let position = "config-version";
     let Some(value) = document.get(position) else {
--- a/alderhollow/src/configuration/patch.rs
+++ b/alderhollow/src/configuration/patch.rs
@@ -12,6 +12,9 @@
 /// Applies a change to a document: names under `delete` are removed from their lists, then items under `upsert` replace
 /// those of the same name in place, or are added at the end. Other fields of the change (`config-version`, `limits`)
 /// take the place of the document's; objects are merged by key. The result has yet to be checked.
+///
+/// # Errors
+/// The change is no object, or names what cannot be changed.
 pub fn apply_patch(document: &Value, patch: &Value) -> Result<Value, InvalidConfig> {
     let mut result = document.as_object().cloned().unwrap_or_default();
     let Some(patch) = patch.as_object() else {
--- a/alderhollow/src/configuration/schema.rs
+++ b/alderhollow/src/configuration/schema.rs
@@ -9,7 +9,7 @@
 /// A route.
 #[derive(Debug, Clone, Config)]
 #[config(rename_all = "kebab-case", allow_unknown_fields)]
-pub struct RouteSchema {
+pub(super) struct RouteSchema {
     /// Unique name.
     #[setting(required, validate = not_empty)]
     pub name: Option<String>,
@@ -60,7 +60,7 @@
 /// A part of a split route.
 #[derive(Debug, Clone, Config)]
 #[config(rename_all = "kebab-case", allow_unknown_fields)]
-pub struct WeightedServiceSchema {
+pub(super) struct WeightedServiceSchema {
     /// The service's name.
     #[setting(required, validate = not_empty)]
     pub service: Option<String>,
@@ -72,7 +72,7 @@
 /// A service.
 #[derive(Debug, Clone, Config)]
 #[config(rename_all = "kebab-case", allow_unknown_fields)]
-pub struct ServiceSchema {
+pub(super) struct ServiceSchema {
     /// Unique name.
     #[setting(required, validate = not_empty)]
     pub name: Option<String>,
@@ -95,7 +95,7 @@
 /// A model engine.
 #[derive(Debug, Clone, Config)]
 #[config(rename_all = "kebab-case", allow_unknown_fields)]
-pub struct EngineSchema {
+pub(super) struct EngineSchema {
     /// Not negative.
     #[setting(validate = not_negative)]
     pub slots: Option<f64>,
@@ -110,7 +110,7 @@
 /// Bounds on what a client may send.
 #[derive(Debug, Clone, Config)]
 #[config(rename_all = "kebab-case", allow_unknown_fields)]
-pub struct LimitsSchema {
+pub(super) struct LimitsSchema {
     /// Not negative.
     #[setting(validate = not_negative)]
     pub max_header_bytes: Option<f64>,
@@ -126,7 +126,7 @@
 }
 
 /// The type of a route by its name.
-pub fn route_type_by_name(name: &str) -> Option<RouteType> {
+pub(super) fn route_type_by_name(name: &str) -> Option<RouteType> {
     match name {
         "idempotent" => Some(RouteType::Idempotent),
         "non_idempotent" => Some(RouteType::NonIdempotent),
--- a/alderhollow/src/executor/events.rs
+++ b/alderhollow/src/executor/events.rs
@@ -47,6 +47,9 @@
     }
 
     /// Takes the next piece of the answer.
+    ///
+    /// # Errors
+    /// The stream breaks the format of events, or its limits.
     pub fn push(&mut self, piece: &[u8]) -> Result<(), EventError> {
         self.partial.extend_from_slice(piece);
         while let Some((length, next)) = self.end_of_event() {
--- a/alderhollow/src/executor/outbound.rs
+++ b/alderhollow/src/executor/outbound.rs
@@ -31,6 +31,9 @@
 }
 
 /// Makes the request of an item.
+///
+/// # Errors
+/// The item's path or one of its headers is invalid.
 pub fn of_item(item: &ItemStart) -> Result<Outbound, ItemError> {
     let path: PathAndQuery = item.request.path.parse().map_err(http::Error::from)?;
     let mut headers = HeaderMap::new();
--- a/alderhollow/src/gateway/clients.rs
+++ b/alderhollow/src/gateway/clients.rs
@@ -25,19 +25,19 @@
 const BYTES_PER_MB: u64 = 1 << 20;
 
 /// The front as it runs.
-pub struct Clients {
+pub(super) struct Clients {
     phase: watch::Sender<Phase>,
     front: JoinHandle<()>,
 }
 
 impl Clients {
     /// Sends clients off from now on.
-    pub fn leave(&self) {
+    pub(super) fn leave(&self) {
         self.phase.send_replace(Phase::Leaving);
     }
 
     /// Waits until the last of them is served, or the time for that is over.
-    pub async fn ended(self) {
+    pub(super) async fn ended(self) {
         let _ = self.front.await;
     }
 }
@@ -46,7 +46,11 @@
 ///
 /// # Errors
 /// The address can't be listened on.
-pub async fn serve(address: SocketAddr, settings: &Settings, node: &Node) -> io::Result<Clients> {
+pub(super) async fn serve(
+    address: SocketAddr,
+    settings: &Settings,
+    node: &Node,
+) -> io::Result<Clients> {
     let listener = TcpListener::bind(address).await?;
     let exchange = node.begin_exchanges(settings);
     let network = Rc::new(node.network.clone());
--- a/alderhollow/src/gateway/endings.rs
+++ b/alderhollow/src/gateway/endings.rs
@@ -10,7 +10,7 @@
 use std::io;
 
 /// Runs until the gateway is told to end and has ended its work.
-pub async fn run_until_ended(
+pub(super) async fn run_until_ended(
     settings: &Settings,
     node: &Node,
     control_plane: ControlPlane,
--- a/alderhollow/src/gateway/mod.rs
+++ b/alderhollow/src/gateway/mod.rs
@@ -17,6 +17,9 @@
 use alderhollow_model::identity::Role;
 
 /// Runs a gateway until it is told to end.
+///
+/// # Errors
+/// An address cannot be listened on, or the data folder cannot be opened.
 pub async fn run(settings: Settings) -> Result<(), RoleError> {
     log::info!("door {} in zone {}", settings.node, settings.zone);
     let node = Node::new(&settings);
--- a/alderhollow/src/http_server/client.rs
+++ b/alderhollow/src/http_server/client.rs
@@ -25,7 +25,7 @@
 const LAST_LOOK: Duration = Duration::from_millis(1000);
 
 /// Serves one client's connection to its end.
-pub async fn serve(front: Rc<Front>, stream: TcpStream, mut phase: watch::Receiver<Phase>) {
+pub(super) async fn serve(front: Rc<Front>, stream: TcpStream, mut phase: watch::Receiver<Phase>) {
     let _ = stream.set_nodelay(true);
     let stream = Rc::new(stream);
     let limits = front.limits();
--- a/alderhollow/src/http_server/giving_up.rs
+++ b/alderhollow/src/http_server/giving_up.rs
@@ -6,20 +6,20 @@
 
 /// Tells the requests under way when they are given up.
 #[derive(Default)]
-pub struct GivingUp {
+pub(super) struct GivingUp {
     is_due: Cell<bool>,
     told: Notify,
 }
 
 impl GivingUp {
     /// All requests that have no answer yet are given up from now on.
-    pub fn begin(&self) {
+    pub(super) fn begin(&self) {
         self.is_due.set(true);
         self.told.notify_waiters();
     }
 
     /// Waits until they are.
-    pub async fn due(&self) {
+    pub(super) async fn due(&self) {
         let told = self.told.notified();
         if !self.is_due.get() {
             told.await;
--- a/alderhollow/src/http_server/intake.rs
+++ b/alderhollow/src/http_server/intake.rs
@@ -21,7 +21,7 @@
 
 /// Why a request is not taken in. None of these has gone to a backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub enum IntakeError {
+pub(super) enum IntakeError {
     /// The head is larger than the configuration allows.
     #[error("the head is too large")]
     HeadTooLarge,
@@ -41,7 +41,7 @@
 
 impl IntakeError {
     /// What the client gets.
-    pub fn reply(self) -> Response<AnswerBody> {
+    pub(super) fn reply(self) -> Response<AnswerBody> {
         match self {
             IntakeError::HeadTooLarge => {
                 replies::plain(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)
@@ -55,11 +55,11 @@
 }
 
 /// Bytes of bodies that may be here at once, over all requests.
-pub struct BodyRoom(Cell<usize>);
+pub(super) struct BodyRoom(Cell<usize>);
 
 impl BodyRoom {
     /// Room for so many bytes.
-    pub fn new(bytes: usize) -> Rc<BodyRoom> {
+    pub(super) fn new(bytes: usize) -> Rc<BodyRoom> {
         Rc::new(BodyRoom(Cell::new(bytes)))
     }
 }
@@ -91,7 +91,7 @@
 }
 
 /// A body that is here whole.
-pub struct Gathered {
+pub(super) struct Gathered {
     /// The bytes.
     pub bytes: Bytes,
     _taken: Taken,
@@ -101,7 +101,11 @@
 ///
 /// # Errors
 /// It does not, or it announces a body that does not.
-pub fn check_head(head: &Parts, body: &Incoming, limits: &Limits) -> Result<(), IntakeError> {
+pub(super) fn check_head(
+    head: &Parts,
+    body: &Incoming,
+    limits: &Limits,
+) -> Result<(), IntakeError> {
     if head_bytes(head) as u64 > limits.max_header_bytes {
         return Err(IntakeError::HeadTooLarge);
     }
@@ -132,7 +136,7 @@
 ///
 /// # Errors
 /// It does not come, or it may not be kept.
-pub async fn gather(
+pub(super) async fn gather(
     mut body: Incoming,
     limits: &Limits,
     room: &Rc<BodyRoom>,
--- a/alderhollow/src/http_server/relay.rs
+++ b/alderhollow/src/http_server/relay.rs
@@ -36,7 +36,7 @@
 }
 
 /// Serves a request. Dropping the future, or the answer's body, gives it up and ends the backend's work.
-pub async fn serve(exchange: Rc<Exchange>, job: Rc<Job>) -> Response<AnswerBody> {
+pub(super) async fn serve(exchange: Rc<Exchange>, job: Rc<Job>) -> Response<AnswerBody> {
     let mut tries = Tries::new(exchange, job);
     // The newest failure of a backend, for want of anything better.
     let mut failure: Option<Whole> = None;
@@ -160,6 +160,6 @@
 }
 
 /// The gateway's answer where no backend was asked.
-pub fn not_now() -> Response<AnswerBody> {
+pub(super) fn not_now() -> Response<AnswerBody> {
     replies::come_again(replies::COME_AGAIN)
 }
--- a/alderhollow/src/http_server/replies.rs
+++ b/alderhollow/src/http_server/replies.rs
@@ -7,20 +7,20 @@
 use std::time::Duration;
 
 /// When a client may come again where nothing better is known.
-pub const COME_AGAIN: Duration = Duration::from_millis(200);
+pub(super) const COME_AGAIN: Duration = Duration::from_millis(200);
 /// The longest and the shortest pause that a client is told.
 const LONGEST_PAUSE: Duration = Duration::from_secs(5);
 const SHORTEST_PAUSE: Duration = Duration::from_millis(20);
 
 /// An answer without a body.
-pub fn plain(status: StatusCode) -> Response<AnswerBody> {
+pub(super) fn plain(status: StatusCode) -> Response<AnswerBody> {
     let mut response = Response::new(AnswerBody::whole(Bytes::new()));
     *response.status_mut() = status;
     response
 }
 
 /// 503: the request has not run and never will; it may come again.
-pub fn come_again(after: Duration) -> Response<AnswerBody> {
+pub(super) fn come_again(after: Duration) -> Response<AnswerBody> {
     let mut response = plain(StatusCode::SERVICE_UNAVAILABLE);
     let seconds = after.clamp(SHORTEST_PAUSE, LONGEST_PAUSE).as_secs_f64();
     if let Ok(seconds) = HeaderValue::from_str(&format!("{seconds:.3}")) {
--- a/alderhollow/src/http_server/stream.rs
+++ b/alderhollow/src/http_server/stream.rs
@@ -13,7 +13,7 @@
 ///
 /// # Errors
 /// The answer is not whole.
-pub async fn pass_pieces(
+pub(super) async fn pass_pieces(
     tries: Tries,
     mut answer: Answer,
     first: Bytes,
@@ -40,7 +40,7 @@
 ///
 /// # Errors
 /// No backend goes on: the stream is cut short.
-pub async fn pass_events(
+pub(super) async fn pass_events(
     mut tries: Tries,
     mut answer: Answer,
     first: Bytes,
--- a/alderhollow/src/http_server/tries.rs
+++ b/alderhollow/src/http_server/tries.rs
@@ -36,7 +36,7 @@
 const LEAST_WAIT: Duration = Duration::from_millis(5);
 
 /// A request on its way to backends.
-pub struct Job {
+pub(super) struct Job {
     /// Its route.
     pub route: Arc<Route>,
     /// The service that the route's weights gave it.
@@ -75,7 +75,7 @@
 
 /// A try that no backend will serve.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum GivenUp {
+pub(super) enum GivenUp {
     /// It has not run and never will.
     NotRun {
         /// When it may come again.
@@ -89,7 +89,7 @@
 
 impl GivenUp {
     /// What the client gets.
-    pub fn reply(self) -> Response<AnswerBody> {
+    pub(super) fn reply(self) -> Response<AnswerBody> {
         match self {
             GivenUp::NotRun { come_again } => replies::come_again(come_again),
             GivenUp::Failed => replies::plain(StatusCode::BAD_GATEWAY),
@@ -99,7 +99,7 @@
 }
 
 /// The attempts of one try.
-pub struct Tries {
+pub(super) struct Tries {
     exchange: Rc<Exchange>,
     job: Rc<Job>,
     /// Backends that it was offered to.
@@ -113,7 +113,7 @@
 
 impl Tries {
     /// None yet.
-    pub fn new(exchange: Rc<Exchange>, job: Rc<Job>) -> Tries {
+    pub(super) fn new(exchange: Rc<Exchange>, job: Rc<Job>) -> Tries {
         Tries {
             exchange,
             job,
@@ -125,12 +125,12 @@
     }
 
     /// The request.
-    pub fn job(&self) -> &Rc<Job> {
+    pub(super) fn job(&self) -> &Rc<Job> {
         &self.job
     }
 
     /// Whether the request may go to a further backend although one may have run it.
-    pub fn may_run_again(&self) -> bool {
+    pub(super) fn may_run_again(&self) -> bool {
         let most = self.job.route.max_attempts.unwrap_or(1);
         let again =
             self.may_have_run == 0 || (self.job.route.may_repeat() && self.may_have_run < most);
@@ -138,7 +138,7 @@
     }
 
     /// What the client gets if nothing more is tried.
-    pub fn give_up(&self) -> GivenUp {
+    pub(super) fn give_up(&self) -> GivenUp {
         match self.may_have_run {
             0 => GivenUp::NotRun {
                 come_again: COME_AGAIN,
@@ -152,7 +152,10 @@
     ///
     /// # Errors
     /// None does, or none may be asked any more.
-    pub async fn next_answer(&mut self, resume_after: Option<u64>) -> Result<Answer, GivenUp> {
+    pub(super) async fn next_answer(
+        &mut self,
+        resume_after: Option<u64>,
+    ) -> Result<Answer, GivenUp> {
         loop {
             let attempt = self.next_attempt().await?;
             self.tried.push(attempt.backend().id.clone());
@@ -216,7 +219,7 @@
     }
 
     /// Waits for the next piece of an answer that has begun; `Err` says how the attempt has ended.
-    pub async fn next_piece(
+    pub(super) async fn next_piece(
         &self,
         answer: &mut Answer,
         wait: Wait,
@@ -266,7 +269,7 @@
 
 /// What is waited for.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Wait {
+pub(super) enum Wait {
     /// The first byte of the body.
     Beginning,
     /// Another event of a stream that another backend may go on with.
--- a/alderhollow/src/internal/client.rs
+++ b/alderhollow/src/internal/client.rs
@@ -94,6 +94,9 @@
     }
 
     /// Sends a request and waits for its answer, `timeout` at most.
+    ///
+    /// # Errors
+    /// The peer cannot be reached, refuses the call, or does not answer in time.
     pub async fn call(
         &self,
         to: SocketAddr,
--- a/alderhollow/src/internal/frame.rs
+++ b/alderhollow/src/internal/frame.rs
@@ -174,6 +174,9 @@
     }
 
     /// Reads one frame; `None` if the connection ended between two.
+    ///
+    /// # Errors
+    /// The connection broke, or the frame has an unknown version, kind or length.
     pub async fn read<R: AsyncRead + Unpin>(from: &mut R) -> Result<Option<Frame>, FrameError> {
         let mut length = [0; LENGTH_BYTES];
         if from.read(&mut length[..1]).await? == 0 {
--- a/alderhollow/src/internal/send_queue.rs
+++ b/alderhollow/src/internal/send_queue.rs
@@ -7,12 +7,12 @@
 use tokio::sync::{mpsc, oneshot};
 
 /// Most frames that wait for one peer.
-pub const MAX_QUEUED_FRAMES: usize = 512;
+pub(super) const MAX_QUEUED_FRAMES: usize = 512;
 /// While frames of so many bytes wait for one peer, no further one is taken. A single frame may be larger.
-pub const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
+pub(super) const MAX_QUEUED_BYTES: usize = 4 * 1024 * 1024;
 
 /// A frame that waits to be written.
-pub struct Outgoing {
+pub(super) struct Outgoing {
     /// What it is.
     pub kind: FrameKind,
     /// Whose.
@@ -24,7 +24,7 @@
 }
 
 /// A call whose answer is waited for.
-pub struct PendingCall {
+pub(super) struct PendingCall {
     /// Takes the answer.
     pub answer: oneshot::Sender<Result<Vec<u8>, Refusal>>,
     /// Whether a byte of it may have gone out.
@@ -33,7 +33,7 @@
 
 /// Why a frame is not taken.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum NotQueued {
+pub(super) enum NotQueued {
     /// Too much waits.
     Full,
     /// The connection has just ended.
@@ -42,19 +42,19 @@
 
 /// The end that takes frames. Clones are the same queue.
 #[derive(Clone)]
-pub struct SendQueue {
+pub(super) struct SendQueue {
     frames: mpsc::Sender<Outgoing>,
     bytes: Rc<Cell<usize>>,
 }
 
 /// The end that gives frames to the connection.
-pub struct QueuedFrames {
+pub(super) struct QueuedFrames {
     frames: mpsc::Receiver<Outgoing>,
     bytes: Rc<Cell<usize>>,
 }
 
 /// An empty queue.
-pub fn send_queue() -> (SendQueue, QueuedFrames) {
+pub(super) fn send_queue() -> (SendQueue, QueuedFrames) {
     let (sender, receiver) = mpsc::channel(MAX_QUEUED_FRAMES);
     let bytes = Rc::new(Cell::new(0));
     (
@@ -71,7 +71,7 @@
 
 impl SendQueue {
     /// Adds a frame, unless too much waits.
-    pub fn push(&self, outgoing: Outgoing) -> Result<(), NotQueued> {
+    pub(super) fn push(&self, outgoing: Outgoing) -> Result<(), NotQueued> {
         if self.bytes.get() >= MAX_QUEUED_BYTES {
             return Err(NotQueued::Full);
         }
@@ -87,20 +87,20 @@
     }
 
     /// Whether the connection has ended.
-    pub fn is_closed(&self) -> bool {
+    pub(super) fn is_closed(&self) -> bool {
         self.frames.is_closed()
     }
 }
 
 impl QueuedFrames {
     /// Waits for the next frame; `None` once nobody can add one.
-    pub async fn next(&mut self) -> Option<Outgoing> {
+    pub(super) async fn next(&mut self) -> Option<Outgoing> {
         let outgoing = self.frames.recv().await;
         self.taken(outgoing)
     }
 
     /// The next frame, if one waits.
-    pub fn next_if_here(&mut self) -> Option<Outgoing> {
+    pub(super) fn next_if_here(&mut self) -> Option<Outgoing> {
         let outgoing = self.frames.try_recv().ok();
         self.taken(outgoing)
     }
--- a/alderhollow/src/internal/socket.rs
+++ b/alderhollow/src/internal/socket.rs
@@ -12,7 +12,7 @@
 const KEEPALIVE_INTERVAL: Duration = Duration::from_secs(2);
 
 /// Sets the options of a connection to or from a peer.
-pub fn prepare(stream: &TcpStream) -> io::Result<()> {
+pub(super) fn prepare(stream: &TcpStream) -> io::Result<()> {
     stream.set_nodelay(true)?;
     let socket = SockRef::from(stream);
     socket.set_tcp_user_timeout(Some(USER_TIMEOUT))?;
--- a/alderhollow/src/lib.rs
+++ b/alderhollow/src/lib.rs
@@ -1,7 +1,5 @@
 //! The serving tier: gateways, control plane and stores. This crate puts the state machines of the others on sockets,
 //! disks and clocks (`docs/serving-tier.md`).
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod balance;
 pub mod batch_api;
--- a/alderhollow/src/logging.rs
+++ b/alderhollow/src/logging.rs
@@ -8,6 +8,9 @@
 pub const DEFAULT_LEVEL: LevelFilter = LevelFilter::Info;
 
 /// Sets up the process's logs. Entries below the level cost a comparison.
+///
+/// # Errors
+/// The process has a logger already.
 pub fn start(level: LevelFilter) -> Result<(), SetLoggerError> {
     let started = Instant::now();
     Dispatch::new()
--- a/alderhollow/src/main.rs
+++ b/alderhollow/src/main.rs
@@ -1,5 +1,4 @@
 //! The serving tier's program.
-#![forbid(unsafe_code)]
 
 use std::process::ExitCode;
 
--- a/alderhollow/src/metrics/family.rs
+++ b/alderhollow/src/metrics/family.rs
@@ -216,7 +216,7 @@
         });
         registered
             .inspect_err(|error| {
-                log::error!("the metric {} can't be registered: {error}", described.name)
+                log::error!("the metric {} can't be registered: {error}", described.name);
             })
             .ok()
     }
--- a/alderhollow/src/metrics/listener.rs
+++ b/alderhollow/src/metrics/listener.rs
@@ -69,7 +69,7 @@
     match TcpListener::bind(address).await {
         Ok(listener) => drop(tokio::task::spawn_local(serve(listener, place.path))),
         Err(error) => {
-            log::warn!("the metrics can't be told, as {address} can't be listened on: {error}")
+            log::warn!("the metrics can't be told, as {address} can't be listened on: {error}");
         }
     }
 }
--- a/alderhollow/src/node.rs
+++ b/alderhollow/src/node.rs
@@ -96,6 +96,9 @@
     }
 
     /// Serves the internal port and begins to poll for tables. `services` are the role's own, beside the distribution.
+    ///
+    /// # Errors
+    /// The internal port cannot be listened on.
     pub async fn join(
         &self,
         info: NodeInfo,
--- a/alderhollow/src/operator_api/server.rs
+++ b/alderhollow/src/operator_api/server.rs
@@ -25,6 +25,9 @@
 }
 
 /// Serves `listen.control`; the server ends when it is dropped.
+///
+/// # Errors
+/// The address cannot be listened on.
 pub fn serve(
     address: SocketAddr,
     context: OperatorContext,
--- a/alderhollow/src/ready/mod.rs
+++ b/alderhollow/src/ready/mod.rs
@@ -42,6 +42,9 @@
 }
 
 /// Serves `listen.ready`; the server ends when it is dropped.
+///
+/// # Errors
+/// The address cannot be listened on.
 pub fn serve(
     address: SocketAddr,
     readiness: Readiness,
--- a/alderhollow/src/settings/keys.rs
+++ b/alderhollow/src/settings/keys.rs
@@ -14,14 +14,14 @@
 
 /// What is wrong with a text so far.
 #[derive(Debug)]
-pub struct Findings<'a> {
+pub(super) struct Findings<'a> {
     text: &'a str,
     found: Vec<Finding>,
 }
 
 impl<'a> Findings<'a> {
     /// None yet, for a text.
-    pub fn new(text: &'a str) -> Findings<'a> {
+    pub(super) fn new(text: &'a str) -> Findings<'a> {
         Findings {
             text,
             found: Vec::new(),
@@ -29,18 +29,18 @@
     }
 
     /// Adds one at a place in the text.
-    pub fn add_at(&mut self, span: Range<usize>, message: impl Into<String>) {
+    pub(super) fn add_at(&mut self, span: Range<usize>, message: impl Into<String>) {
         let position = format!("line {}", self.line_of(span.start));
         self.found.push(Finding::new(position, message));
     }
 
     /// Adds one about the file as a whole.
-    pub fn add(&mut self, message: impl Into<String>) {
+    pub(super) fn add(&mut self, message: impl Into<String>) {
         self.found.push(Finding::new("settings", message));
     }
 
     /// All of them.
-    pub fn into_vec(self) -> Vec<Finding> {
+    pub(super) fn into_vec(self) -> Vec<Finding> {
         self.found
     }
 
@@ -56,14 +56,14 @@
 
 /// One table of the file, by the name under which messages speak of it (empty: the top).
 #[derive(Debug, Clone, Copy)]
-pub struct Keys<'t, 'i> {
+pub(super) struct Keys<'t, 'i> {
     name: &'t str,
     table: Option<&'t DeTable<'i>>,
 }
 
 impl<'t, 'i> Keys<'t, 'i> {
     /// The top table.
-    pub fn top(table: &'t DeTable<'i>) -> Keys<'t, 'i> {
+    pub(super) fn top(table: &'t DeTable<'i>) -> Keys<'t, 'i> {
         Keys {
             name: "",
             table: Some(table),
@@ -71,7 +71,7 @@
     }
 
     /// A table below; one that is missing is like an empty one.
-    pub fn table(&self, name: &'t str, findings: &mut Findings) -> Keys<'t, 'i> {
+    pub(super) fn table(&self, name: &'t str, findings: &mut Findings) -> Keys<'t, 'i> {
         let Some(value) = self.value(name) else {
             return Keys { name, table: None };
         };
@@ -86,7 +86,7 @@
     }
 
     /// All keys with texts as values; others are findings.
-    pub fn texts(&self, findings: &mut Findings) -> Vec<(String, String)> {
+    pub(super) fn texts(&self, findings: &mut Findings) -> Vec<(String, String)> {
         let mut texts = Vec::new();
         for (key, value) in self.table.into_iter().flatten() {
             match value.get_ref().as_str() {
@@ -157,21 +157,26 @@
     }
 
     /// A text that must be there.
-    pub fn required_text(&self, findings: &mut Findings, key: &str, what: &str) -> Option<String> {
+    pub(super) fn required_text(
+        &self,
+        findings: &mut Findings,
+        key: &str,
+        what: &str,
+    ) -> Option<String> {
         self.required(findings, key, what, |value| {
             value.as_str().map(str::to_string)
         })
     }
 
     /// A text.
-    pub fn text(&self, findings: &mut Findings, key: &str) -> Option<String> {
+    pub(super) fn text(&self, findings: &mut Findings, key: &str) -> Option<String> {
         self.optional(findings, key, "a text in quotes", |value| {
             value.as_str().map(str::to_string)
         })
     }
 
     /// Texts in a list; a missing list is empty.
-    pub fn text_list(&self, findings: &mut Findings, key: &str) -> Vec<String> {
+    pub(super) fn text_list(&self, findings: &mut Findings, key: &str) -> Vec<String> {
         let list = self.optional(findings, key, "a list of texts", |value| {
             value
                 .as_array()?
@@ -183,14 +188,14 @@
     }
 
     /// An IP address that must be there.
-    pub fn required_ip(&self, findings: &mut Findings, key: &str) -> Option<IpAddr> {
+    pub(super) fn required_ip(&self, findings: &mut Findings, key: &str) -> Option<IpAddr> {
         self.required(findings, key, "this machine's IP address", |value| {
             value.as_str()?.parse().ok()
         })
     }
 
     /// An address with a port.
-    pub fn address(&self, findings: &mut Findings, key: &str) -> Option<SocketAddr> {
+    pub(super) fn address(&self, findings: &mut Findings, key: &str) -> Option<SocketAddr> {
         self.optional(
             findings,
             key,
@@ -200,7 +205,7 @@
     }
 
     /// An address with a port that must be there.
-    pub fn required_address(
+    pub(super) fn required_address(
         &self,
         findings: &mut Findings,
         key: &str,
@@ -211,7 +216,7 @@
     }
 
     /// Addresses in a list that must hold at least one.
-    pub fn required_addresses(
+    pub(super) fn required_addresses(
         &self,
         findings: &mut Findings,
         key: &str,
@@ -228,7 +233,7 @@
     }
 
     /// A range of ports, given as its first and its last, that must be there.
-    pub fn required_ports(&self, findings: &mut Findings, key: &str) -> Option<(u16, u16)> {
+    pub(super) fn required_ports(&self, findings: &mut Findings, key: &str) -> Option<(u16, u16)> {
         let what = "the first and the last free port, such as [7660, 7675]";
         self.required(findings, key, what, |value| {
             let array = value.as_array()?;
@@ -242,32 +247,32 @@
     }
 
     /// True or false; `default` where the key is missing.
-    pub fn flag(&self, findings: &mut Findings, key: &str, default: bool) -> bool {
+    pub(super) fn flag(&self, findings: &mut Findings, key: &str, default: bool) -> bool {
         self.optional(findings, key, "true or false", |value| value.as_bool())
             .unwrap_or(default)
     }
 
     /// True or false; must be there.
-    pub fn required_flag(&self, findings: &mut Findings, key: &str) -> Option<bool> {
+    pub(super) fn required_flag(&self, findings: &mut Findings, key: &str) -> Option<bool> {
         self.required(findings, key, "true or false", |value| value.as_bool())
     }
 
     /// A number that is not negative.
-    pub fn number(&self, findings: &mut Findings, key: &str) -> Option<f64> {
+    pub(super) fn number(&self, findings: &mut Findings, key: &str) -> Option<f64> {
         self.optional(findings, key, "a number that is not negative", |value| {
             number_of(value).filter(|number| *number >= 0.0)
         })
     }
 
     /// A number above 0.
-    pub fn positive(&self, findings: &mut Findings, key: &str) -> Option<f64> {
+    pub(super) fn positive(&self, findings: &mut Findings, key: &str) -> Option<f64> {
         self.optional(findings, key, "a number above 0", |value| {
             number_of(value).filter(|number| *number > 0.0)
         })
     }
 
     /// A whole number that is not negative.
-    pub fn count(&self, findings: &mut Findings, key: &str) -> Option<u64> {
+    pub(super) fn count(&self, findings: &mut Findings, key: &str) -> Option<u64> {
         self.optional(
             findings,
             key,
@@ -277,7 +282,12 @@
     }
 
     /// A span in milliseconds; `default` where the key is missing.
-    pub fn milliseconds(&self, findings: &mut Findings, key: &str, default: Duration) -> Duration {
+    pub(super) fn milliseconds(
+        &self,
+        findings: &mut Findings,
+        key: &str,
+        default: Duration,
+    ) -> Duration {
         self.span(
             findings,
             key,
@@ -288,7 +298,12 @@
     }
 
     /// A span in seconds; `default` where the key is missing.
-    pub fn seconds(&self, findings: &mut Findings, key: &str, default: Duration) -> Duration {
+    pub(super) fn seconds(
+        &self,
+        findings: &mut Findings,
+        key: &str,
+        default: Duration,
+    ) -> Duration {
         self.span(
             findings,
             key,
@@ -313,7 +328,7 @@
     }
 
     /// A level of log entries.
-    pub fn log_level(&self, findings: &mut Findings, key: &str) -> Option<log::LevelFilter> {
+    pub(super) fn log_level(&self, findings: &mut Findings, key: &str) -> Option<log::LevelFilter> {
         let what = "one of \"off\", \"error\", \"warn\", \"info\", \"debug\", \"trace\"";
         self.optional(findings, key, what, |value| value.as_str()?.parse().ok())
     }
--- a/alderhollow/src/settings/mod.rs
+++ b/alderhollow/src/settings/mod.rs
@@ -192,16 +192,25 @@
 
 impl Settings {
     /// Reads the text of a settings file for a role. All findings come at once.
+    ///
+    /// # Errors
+    /// All findings, if there are any.
     pub fn parse(text: &str, role: Role) -> Result<Settings, Vec<Finding>> {
         reading::read(text, Some(role))
     }
 
     /// Reads the text of a settings file for the role that its `serves` tells.
+    ///
+    /// # Errors
+    /// All findings, if there are any.
     pub fn parse_for_any_role(text: &str) -> Result<Settings, Vec<Finding>> {
         reading::read(text, None)
     }
 
     /// Reads a settings file for a role.
+    ///
+    /// # Errors
+    /// The file cannot be read, or has findings.
     pub fn load(path: &Path, role: Role) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::NoFile {
             path: path.to_path_buf(),
@@ -211,6 +220,9 @@
     }
 
     /// Reads the settings file that the environment names.
+    ///
+    /// # Errors
+    /// The variable is not set, or the file cannot be read or has findings.
     pub fn from_environment(role: Role) -> Result<Settings, SettingsError> {
         let path = path_from_environment()?;
         Settings::load(&path, role)
@@ -228,6 +240,9 @@
 }
 
 /// The path that the environment names.
+///
+/// # Errors
+/// The variable is not set or empty.
 pub fn path_from_environment() -> Result<PathBuf, SettingsError> {
     match std::env::var_os(SETTINGS_VARIABLE) {
         Some(path) if !path.is_empty() => Ok(PathBuf::from(path)),
--- a/alderhollow/src/settings/reading.rs
+++ b/alderhollow/src/settings/reading.rs
@@ -19,7 +19,7 @@
 const DEFAULT_RATE_PER_S: f64 = 10.0;
 
 /// Reads the text of a settings file.
-pub fn read(text: &str, role: Option<Role>) -> Result<Settings, Vec<Finding>> {
+pub(super) fn read(text: &str, role: Option<Role>) -> Result<Settings, Vec<Finding>> {
     let mut findings = Findings::new(text);
     let table = match DeTable::parse(text) {
         Ok(table) => table,
--- a/alderhollow/src/settings/reload.rs
+++ b/alderhollow/src/settings/reload.rs
@@ -54,6 +54,9 @@
 }
 
 /// Takes SIGHUP from now on, so that it does not end the process.
+///
+/// # Errors
+/// The signal cannot be caught.
 pub fn hangups() -> io::Result<Signal> {
     signal(SignalKind::hangup())
 }
--- a/alderhollow/src/store/group_engine.rs
+++ b/alderhollow/src/store/group_engine.rs
@@ -99,7 +99,7 @@
         routes: &BTreeMap<String, RouteTerms>,
     ) {
         self.call(now_ms, |engine, now_ms| {
-            engine.set_routes(now_ms, version, routes.clone())
+            engine.set_routes(now_ms, version, routes.clone());
         });
     }
 
@@ -110,7 +110,7 @@
             false => Some(self.left_at_ms.get().unwrap_or(now_ms)),
         });
         self.call(now_ms, |engine, now_ms| {
-            engine.set_group(now_ms, group.clone())
+            engine.set_group(now_ms, group.clone());
         });
         let is_news = self.tables_epoch.replace(group.epoch) != group.epoch;
         if is_news {
--- a/alderhollow/src/store/group_engine/tests.rs
+++ b/alderhollow/src/store/group_engine/tests.rs
@@ -122,7 +122,7 @@
         digests: Vec::new(),
     };
     group.call(now_ms, |engine, now_ms| {
-        engine.receive(now_ms, DiskId(2), compare)
+        engine.receive(now_ms, DiskId(2), compare);
     });
     group.note_look(now_ms);
     assert!(!group.may_be_dropped(now_ms));
--- a/alderhollow/src/store/journal_queue.rs
+++ b/alderhollow/src/store/journal_queue.rs
@@ -163,7 +163,7 @@
                 Ok(Err(error)) => self.repair(&mut ends, owner, error).await,
                 Err(_) => {
                     self.repair(&mut ends, owner, StorageError::WriterEnded)
-                        .await
+                        .await;
                 }
             }
         }
--- a/alderhollow/src/store/journal_records/tests.rs
+++ b/alderhollow/src/store/journal_records/tests.rs
@@ -30,7 +30,7 @@
 fn jobs_of(states: &BTreeMap<GroupId, State>, group: u32) -> Vec<String> {
     let jobs = states
         .get(&GroupId(group))
-        .map(|state| state.jobs.keys().map(|id| id.0.to_string()).collect());
+        .map(|state| state.jobs.keys().map(|id| id.0.clone()).collect());
     jobs.unwrap_or_default()
 }
 
--- a/alderhollow/src/store/role.rs
+++ b/alderhollow/src/store/role.rs
@@ -34,6 +34,9 @@
 const HANDOVER_LOOK: Duration = Duration::from_millis(50);
 
 /// Runs a store until it is told to end. To be run in a `LocalSet`.
+///
+/// # Errors
+/// The data folder cannot be opened or read, or the internal port cannot be listened on.
 pub async fn run(settings: Settings) -> Result<(), RoleError> {
     let hangups = reload::hangups()?;
     let shared = Node::new(&settings);
--- a/alderhollow/standins/src/backend.rs
+++ b/alderhollow/standins/src/backend.rs
@@ -83,6 +83,9 @@
 
 impl Backend {
     /// Starts a backend at `address`.
+    ///
+    /// # Errors
+    /// The address cannot be listened on.
     pub async fn start(address: SocketAddr, settings: BackendSettings) -> std::io::Result<Backend> {
         let state = Rc::new(RefCell::new(State {
             settings,
--- a/alderhollow/standins/src/batch_client.rs
+++ b/alderhollow/standins/src/batch_client.rs
@@ -112,6 +112,9 @@
 const READ_SLACK: Duration = Duration::from_millis(1_500);
 
 /// Hands the batch job in once; gives the status.
+///
+/// # Errors
+/// The gateway cannot be reached, or does not answer in time.
 pub async fn submit(
     gateway: SocketAddr,
     job: &BatchJob,
@@ -154,6 +157,9 @@
 }
 
 /// Reads the results from position `after` on; the status if it isn't 200.
+///
+/// # Errors
+/// The gateway cannot be reached, does not answer in time, or answers with no page of results.
 pub async fn read(
     gateway: SocketAddr,
     job: &BatchJob,
@@ -206,6 +212,9 @@
 const READ_PAUSE: Duration = Duration::from_millis(500);
 
 /// Asks for the body of an item; the status if it isn't 200.
+///
+/// # Errors
+/// The gateway cannot be reached, or does not answer in time.
 pub async fn item_body(
     gateway: SocketAddr,
     job: &BatchJob,
@@ -221,6 +230,9 @@
 }
 
 /// Ends the batch job; gives the status.
+///
+/// # Errors
+/// The gateway cannot be reached, or does not answer in time.
 pub async fn end(
     gateway: SocketAddr,
     job: &BatchJob,
--- a/alderhollow/standins/src/client.rs
+++ b/alderhollow/standins/src/client.rs
@@ -101,6 +101,9 @@
 }
 
 /// Sends a request and reads the whole answer.
+///
+/// # Errors
+/// The gateway cannot be reached, or does not answer in time.
 pub async fn send(gateway: SocketAddr, request: &ClientRequest) -> Result<WholeAnswer, CallError> {
     let answer = call(gateway, request.build()?, request.patience).await?;
     let status = answer.status().as_u16();
@@ -116,6 +119,9 @@
 }
 
 /// Sends a request and reads its answer as a stream of events.
+///
+/// # Errors
+/// The gateway cannot be reached, does not answer in time, or sends no events.
 pub async fn stream(
     gateway: SocketAddr,
     request: &ClientRequest,
--- a/alderhollow/standins/src/http.rs
+++ b/alderhollow/standins/src/http.rs
@@ -118,6 +118,9 @@
 
 impl Server {
     /// Listens at `address` and answers with `handler`.
+    ///
+    /// # Errors
+    /// The address cannot be listened on.
     pub async fn start<H, F>(address: SocketAddr, handler: H) -> std::io::Result<Server>
     where
         H: Fn(Request<Bytes>) -> F + Clone + 'static,
@@ -187,6 +190,9 @@
 }
 
 /// Sends `request` on a new connection and waits at most `patience` for the answer's head.
+///
+/// # Errors
+/// The server cannot be reached, or does not answer in time.
 pub async fn call(
     address: SocketAddr,
     request: Request<Full<Bytes>>,
@@ -207,6 +213,9 @@
 }
 
 /// Reads a body to its end; each pause in it may last `patience`.
+///
+/// # Errors
+/// The connection broke, or nothing came in time.
 pub async fn read_whole(mut body: Incoming, patience: Duration) -> Result<Vec<u8>, CallError> {
     let mut bytes = Vec::new();
     while let Some(piece) = next_piece(&mut body, patience).await? {
@@ -216,6 +225,9 @@
 }
 
 /// The next bytes of a body; `None` at its end.
+///
+/// # Errors
+/// The connection broke, or nothing came in time.
 pub async fn next_piece(
     body: &mut Incoming,
     patience: Duration,
--- a/alderhollow/standins/src/lib.rs
+++ b/alderhollow/standins/src/lib.rs
@@ -2,8 +2,6 @@
 //! and the clients. Tests and the example `loopback-tier` use them; the program itself does not.
 //!
 //! All of it runs on one thread, inside a `tokio::task::LocalSet`.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod backend;
 pub mod batch_client;
--- a/alderhollow/standins/src/operator.rs
+++ b/alderhollow/standins/src/operator.rs
@@ -114,6 +114,9 @@
     }
 
     /// Sends `order` to one gateway after the other until there is a clear answer.
+    ///
+    /// # Errors
+    /// No gateway gave a clear answer.
     pub async fn send(&self, order: &Order) -> Result<OrderAnswer, CallError> {
         let mut pause = self.first_pause;
         let mut last = CallError::Unexpected("no door is known".into());
--- a/alderhollow/standins/src/platform.rs
+++ b/alderhollow/standins/src/platform.rs
@@ -205,6 +205,9 @@
 
 impl Platform {
     /// Serves `list` at `address`.
+    ///
+    /// # Errors
+    /// The address cannot be listened on.
     pub async fn start(address: SocketAddr, list: PlatformList) -> std::io::Result<Platform> {
         let list = Rc::new(RefCell::new(list));
         let started = Instant::now();
--- a/alderhollow/standins/src/process.rs
+++ b/alderhollow/standins/src/process.rs
@@ -21,6 +21,9 @@
 
 impl TierProcess {
     /// Starts `binary subcommand` with the settings file `settings`; its output goes to the file `log`.
+    ///
+    /// # Errors
+    /// The program cannot be started, or its log cannot be made.
     pub fn start(
         name: &str,
         binary: &Path,
@@ -35,6 +38,9 @@
 
     /// Starts `command`, which names the program, its subcommand and options, with the settings file `settings`; its
     /// output goes to the file `log`.
+    ///
+    /// # Errors
+    /// The program cannot be started, or its log cannot be made.
     pub fn start_command(
         name: &str,
         mut command: Command,
@@ -65,11 +71,17 @@
     }
 
     /// How it ended, if it has.
+    ///
+    /// # Errors
+    /// The process cannot be waited for.
     pub fn ended(&mut self) -> io::Result<Option<ExitStatus>> {
         self.child.try_wait()
     }
 
     /// Asks it to end; an error if it is gone.
+    ///
+    /// # Errors
+    /// It is gone.
     pub fn terminate(&mut self) -> io::Result<()> {
         if self.child.try_wait()?.is_some() {
             return Ok(());
@@ -78,27 +90,42 @@
     }
 
     /// Tells it that its settings have changed; an error if it is gone.
+    ///
+    /// # Errors
+    /// It is gone.
     pub fn hang_up(&self) -> io::Result<()> {
         Ok(kill_process(Pid::from_child(&self.child), Signal::HUP)?)
     }
 
     /// Halts it until [`TierProcess::resume`]; an error if it is gone.
+    ///
+    /// # Errors
+    /// It is gone.
     pub fn pause(&self) -> io::Result<()> {
         Ok(kill_process(Pid::from_child(&self.child), Signal::STOP)?)
     }
 
     /// Lets it go on after a pause; an error if it is gone.
+    ///
+    /// # Errors
+    /// It is gone.
     pub fn resume(&self) -> io::Result<()> {
         Ok(kill_process(Pid::from_child(&self.child), Signal::CONT)?)
     }
 
     /// Kills it at once.
+    ///
+    /// # Errors
+    /// It cannot be killed or waited for.
     pub fn kill(&mut self) -> io::Result<()> {
         self.child.kill()?;
         self.child.wait().map(|_| ())
     }
 
     /// Waits until it has ended, and kills it after `grace`. Gives the status if it ended by itself.
+    ///
+    /// # Errors
+    /// The process cannot be waited for.
     pub async fn wait(&mut self, grace: Duration) -> io::Result<Option<ExitStatus>> {
         let end = Instant::now() + grace;
         loop {
--- a/alderhollow/standins/src/settings.rs
+++ b/alderhollow/standins/src/settings.rs
@@ -217,6 +217,9 @@
 }
 
 /// The settings file of `machine`, in TOML.
+///
+/// # Errors
+/// The settings cannot be written as TOML.
 pub fn settings_file(site: &Site, machine: &Machine) -> Result<String, toml::ser::Error> {
     let name = machine.class.name();
     let ports = &site.ports;
--- a/alderhollow/tests/http_server.rs
+++ b/alderhollow/tests/http_server.rs
@@ -537,7 +537,7 @@
             if warm {
                 gateway.list(|list| {
                     list.iter_mut().for_each(|one| {
-                        one.state = alderhollow_model::backend::BackendState::Ready
+                        one.state = alderhollow_model::backend::BackendState::Ready;
                     });
                 });
                 gateway.backends.script(served("ok"));
--- a/alderhollow/tests/placement.rs
+++ b/alderhollow/tests/placement.rs
@@ -696,12 +696,9 @@
         sender: Incarnation(u64::MAX),
         number: 100_000,
     };
-    let question = minicbor::to_vec(PlaceRequest {
-        attempt,
-        demand: demand,
-    })
-    .expect("bytes")
-    .len();
+    let question = minicbor::to_vec(PlaceRequest { attempt, demand })
+        .expect("bytes")
+        .len();
     let answer = Placement::At {
         backend: "i-7f3a91c2".to_string(),
         wait_ms: 12.5,
--- a/batch/src/engine.rs
+++ b/batch/src/engine.rs
@@ -63,6 +63,9 @@
 impl Engine {
     /// A store with what its disk held. `snapshot` and `records` are as [`Engine::snapshot`] and [`Output::Write`] gave
     /// them.
+    ///
+    /// # Errors
+    /// The snapshot or a record cannot be read.
     pub fn restore(
         disk: DiskId,
         now_ms: u64,
--- a/batch/src/lib.rs
+++ b/batch/src/lib.rs
@@ -34,8 +34,6 @@
 //!   `acceptance::what_does_not_fit_is_refused_and_what_fits_is_taken`, `acceptance::pending_jobs_count`,
 //!   `acceptance::an_item_leaves_the_count_once`, `acceptance::a_successor_counts_anew`. Over many groups that share one
 //!   limit ([`quota`]): the tests and the simulation of `tests/quota`.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod api;
 pub mod congestion;
--- a/batch/src/records.rs
+++ b/batch/src/records.rs
@@ -88,6 +88,9 @@
     }
 
     /// The entry in these bytes.
+    ///
+    /// # Errors
+    /// The bytes are of another format, or damaged.
     pub fn from_bytes(bytes: &[u8]) -> Result<Entry, DecodeError> {
         decode(bytes)
     }
@@ -111,6 +114,9 @@
     }
 
     /// The message in these bytes.
+    ///
+    /// # Errors
+    /// The bytes are of another format, or damaged.
     pub fn from_bytes(bytes: &[u8]) -> Result<Message, DecodeError> {
         decode(bytes)
     }
@@ -154,6 +160,9 @@
 }
 
 /// Entries one after the other, as a snapshot holds them.
+///
+/// # Errors
+/// The bytes are of another format, or damaged.
 pub fn decode_all(bytes: &[u8]) -> Result<Vec<Entry>, DecodeError> {
     let content = check_version(bytes)?;
     let mut decoder = minicbor::Decoder::new(content);
--- a/batch/src/state.rs
+++ b/batch/src/state.rs
@@ -29,6 +29,9 @@
 
 impl State {
     /// The state in a snapshot and the records after it.
+    ///
+    /// # Errors
+    /// The snapshot or a record cannot be read.
     pub fn restore(
         now_ms: u64,
         snapshot: Option<&[u8]>,
@@ -61,6 +64,9 @@
 
     /// Applies one entry, or nothing of it if it can't follow. What was applied before changes nothing, and what concerns an unknown job is passed over: a
     /// primary streams whole jobs and then the records since, some of which the whole jobs contain already.
+    ///
+    /// # Errors
+    /// The entry cannot follow what was applied; nothing of it is.
     pub fn apply(&mut self, now_ms: u64, entry: Entry) -> Result<(), DecodeError> {
         match entry {
             Entry::JobAccepted(accepted) => {
@@ -106,6 +112,9 @@
 
     /// Applies one entry and drops the requests of the items that it lists. A primary must keep these until the results
     /// are committed; the others give them up at once, as whoever leads later has the results.
+    ///
+    /// # Errors
+    /// The entry cannot follow what was applied; nothing of it is.
     pub fn apply_and_release(&mut self, now_ms: u64, entry: Entry) -> Result<(), DecodeError> {
         let listing = match &entry {
             Entry::ItemResults { job, position, .. } => Some((job.clone(), *position as usize)),
--- a/dataplane/src/connection/tests.rs
+++ b/dataplane/src/connection/tests.rs
@@ -105,7 +105,7 @@
     let close = async {
         sleep_until(overdue).await;
         (&client).write_all(rest).expect("it is written");
-        std::future::pending().await
+        std::future::pending::<()>().await;
     };
     let asking = async {
         let answer = read_until(&client, |answer| answer.ends_with("served")).await;
--- a/dataplane/src/lib.rs
+++ b/dataplane/src/lib.rs
@@ -1,8 +1,6 @@
 //! What every front door does with connections, whoever decides where requests go: one exchange with a peer at a time
 //! over a connection that its holder drives, bodies that pass through as they come, and the lifecycle of a client's
 //! connection.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod activity;
 pub mod connection;
--- a/dataplane/src/link.rs
+++ b/dataplane/src/link.rs
@@ -149,12 +149,18 @@
 
 impl Link {
     /// Requests are counted in `written` once their last byte is.
+    ///
+    /// # Errors
+    /// The connection cannot be opened.
     pub async fn open(address: SocketAddr, written: Rc<Cell<u64>>) -> io::Result<Link> {
         Link::open_bounded(address, written, None).await
     }
 
     /// The same for a peer that may be cut off without a word: what it does not confirm for so long ends the
     /// connection.
+    ///
+    /// # Errors
+    /// The connection cannot be opened.
     pub async fn open_bounded(
         address: SocketAddr,
         written: Rc<Cell<u64>>,
@@ -193,6 +199,9 @@
     }
 
     /// Sends one request and waits until its answer begins.
+    ///
+    /// # Errors
+    /// The connection broke before the answer began.
     pub async fn send(&mut self, request: Request<Upload>) -> Result<Response<Incoming>, Failure> {
         let Link {
             sender,
@@ -222,11 +231,12 @@
     pub async fn piece(&mut self, body: &mut Incoming) -> Option<Result<Bytes, Failure>> {
         loop {
             match drive(&mut self.connection, body.frame()).await? {
-                Ok(frame) => match frame.into_data() {
-                    Ok(data) => return Some(Ok(data)),
-                    // Trailers, which speak of this connection alone.
-                    Err(_) => continue,
-                },
+                Ok(frame) => {
+                    // A frame without data holds trailers, which concern this connection alone.
+                    if let Ok(data) = frame.into_data() {
+                        return Some(Ok(data));
+                    }
+                }
                 Err(error) => return Some(Err(Failure::Broken(error.to_string()))),
             }
         }
--- a/fault-lab/src/backend.rs
+++ b/fault-lab/src/backend.rs
@@ -170,6 +170,10 @@
         serve(stream, |request| self.answer(request, door, on)).await;
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "not split by step yet: docs/ROADMAP.md, Readable code"
+    )]
     async fn answer(
         &self,
         request: Request<Bytes>,
--- a/fault-lab/src/kinds/tests.rs
+++ b/fault-lab/src/kinds/tests.rs
@@ -191,6 +191,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "not split by step yet: docs/ROADMAP.md, Readable code"
+)]
 fn figures_tell_breaks_by_cause_and_what_connections_of_their_own_would_leave() {
     let scenario = Scenario::shipped("sessions")
         .expect("it ships")
--- a/fault-lab/src/lib.rs
+++ b/fault-lab/src/lib.rs
@@ -3,7 +3,10 @@
 //! Tests use the parts: [`scripted`] peers that a test answers for itself, [`process`] for front doors, [`net`] for
 //! links with faults, [`run`] for a whole scenario. The program `fault-lab` runs scenarios from files. All
 //! traffic is on loopback.
-#![forbid(unsafe_code)]
+#![expect(
+    missing_docs,
+    reason = "the lab is the last room to be made whole: docs/ROADMAP.md, Readable code"
+)]
 
 pub mod agent;
 pub mod backend;
--- a/fault-lab/src/main.rs
+++ b/fault-lab/src/main.rs
@@ -1,5 +1,4 @@
 //! `fault-lab`: runs scenarios of front doors, backends and faults, and reports what came of them.
-#![forbid(unsafe_code)]
 
 use clap::{Parser, Subcommand};
 use fault_lab::check::{Summary, Verdict};
--- a/fault-lab/src/report.rs
+++ b/fault-lab/src/report.rs
@@ -83,6 +83,10 @@
 }
 
 /// The whole page.
+#[expect(
+    clippy::too_many_lines,
+    reason = "not split by step yet: docs/ROADMAP.md, Readable code"
+)]
 pub fn html(facts: &Facts, entries: &[Entry], summary: &Summary) -> String {
     let start = entries
         .iter()
--- a/fault-lab/src/run.rs
+++ b/fault-lab/src/run.rs
@@ -98,6 +98,10 @@
     ///
     /// # Errors
     /// What could not be had, in one line. All that was started ends.
+    #[expect(
+        clippy::too_many_lines,
+        reason = "not split by step yet: docs/ROADMAP.md, Readable code"
+    )]
     pub async fn start(
         scenario: &Scenario,
         seed: u64,
--- a/fault-lab/src/scenario.rs
+++ b/fault-lab/src/scenario.rs
@@ -610,6 +610,10 @@
         Ok(scenario)
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "not split by step yet: docs/ROADMAP.md, Readable code"
+    )]
     fn check_sizes(&self) -> Result<(), String> {
         let within = |key: &str, value: f64, least: f64, most: f64| {
             if (least..=most).contains(&value) {
@@ -843,6 +847,10 @@
         self.steps_or_problem(seed).unwrap_or_default()
     }
 
+    #[expect(
+        clippy::too_many_lines,
+        reason = "not split by step yet: docs/ROADMAP.md, Readable code"
+    )]
     fn steps_or_problem(
         &self,
         seed: u64,
--- a/fault-lab/src/scripted.rs
+++ b/fault-lab/src/scripted.rs
@@ -50,6 +50,9 @@
 }
 
 /// `None` when the other side has closed between two messages.
+///
+/// # Errors
+/// The connection broke, or the message is no HTTP.
 pub fn read_message(stream: &TcpStream) -> io::Result<Option<Message>> {
     let mut reader = BufReader::new(stream);
     let mut line = String::new();
--- a/placement-model/src/lib.rs
+++ b/placement-model/src/lib.rs
@@ -9,8 +9,6 @@
 //! | [`policy`] | who chooses, with what knowledge and how late |
 //! | [`simulation`] | plays one run |
 //! | [`report`] | tables and plots |
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod engine;
 pub mod policy;
--- a/placement-model/src/main.rs
+++ b/placement-model/src/main.rs
@@ -1,5 +1,4 @@
 //! The model's command line.
-#![forbid(unsafe_code)]
 
 use alderhollow_placement_model::policy::Policy;
 use alderhollow_placement_model::report::{self, Line, PlotError};
--- a/placement-model/src/report.rs
+++ b/placement-model/src/report.rs
@@ -53,6 +53,9 @@
 }
 
 /// Draws late requests against the load.
+///
+/// # Errors
+/// The file cannot be written.
 pub fn plot(path: &Path, title: &str, lines: &[Line]) -> Result<(), PlotError> {
     draw(path, title, lines).map_err(|error| PlotError(error.to_string()))
 }
--- a/placement-model/src/settings.rs
+++ b/placement-model/src/settings.rs
@@ -136,6 +136,9 @@
 
 impl Settings {
     /// Reads a file.
+    ///
+    /// # Errors
+    /// The file cannot be read, or a figure is out of its range.
     pub fn load(path: &Path) -> Result<Settings, SettingsError> {
         let text = std::fs::read_to_string(path).map_err(|source| SettingsError::NoFile {
             path: path.to_path_buf(),
@@ -145,6 +148,9 @@
     }
 
     /// Reads a text.
+    ///
+    /// # Errors
+    /// The text is no TOML of this form, or a figure is out of its range.
     pub fn parse(text: &str) -> Result<Settings, SettingsError> {
         let settings: Settings = toml::from_str(text)?;
         let figures = [
--- a/quota-gateway/src/bin/quota-gateway/backends/attempts/tests.rs
+++ b/quota-gateway/src/bin/quota-gateway/backends/attempts/tests.rs
@@ -209,6 +209,10 @@
 }
 
 #[tokio::test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "not split by step yet: docs/ROADMAP.md, Readable code"
+)]
 async fn what_is_no_whole_answer_is_never_taken_for_one() {
     use Close::*;
     const HEAD: &str = "HTTP/1.1 200 OK\r\n";
--- a/quota-gateway/src/bin/quota-gateway/main.rs
+++ b/quota-gateway/src/bin/quota-gateway/main.rs
@@ -1,5 +1,4 @@
 //! The front door: one program on real sockets round the decision module of the crate `quota_gateway`.
-#![forbid(unsafe_code)]
 
 mod backends;
 mod clients;
@@ -71,21 +70,32 @@
 /// What keeps the program from its start. It ends with this line.
 #[derive(Error, Debug)]
 pub enum StartError {
+    /// The configuration is invalid.
     #[error(transparent)]
     Config(#[from] ConfigError),
+    /// The proposed shard map is invalid.
     #[error(
         "fleet.shards.map: {findings} findings, told above; correct each there, and check the file again"
     )]
-    Map { findings: usize },
+    Map {
+        /// How many findings were reported.
+        findings: usize,
+    },
+    /// The runtime cannot be started.
     #[error("cannot start: {}; check this user's limits on descriptors and memory", text(.0))]
     Runtime(io::Error),
+    /// Signals cannot be caught.
     #[error("cannot take signals: {}; check this user's limit on descriptors", text(.0))]
     Signals(io::Error),
+    /// The clients' address cannot be listened on.
     #[error("cannot listen on {address}: {}; end what holds that port, or set an address of this machine", text(.error))]
     Listen {
+        /// The address.
         address: SocketAddr,
+        /// Why.
         error: io::Error,
     },
+    /// The listening socket cannot be used.
     #[error("cannot listen: {}; check this user's limit on descriptors, and start again", text(.0))]
     Listener(io::Error),
 }
@@ -198,6 +208,10 @@
     }
 }
 
+#[expect(
+    clippy::too_many_lines,
+    reason = "not split by step yet: docs/ROADMAP.md, Readable code"
+)]
 async fn front_door(config: Config, source: Source, signals: Signals) -> Result<(), StartError> {
     let Signals {
         mut terminate,
--- a/quota-gateway/src/lib.rs
+++ b/quota-gateway/src/lib.rs
@@ -39,8 +39,6 @@
 //! gateway.handle(1.0, Event::Request(request), &mut actions);
 //! assert!(actions.iter().any(|action| matches!(action, Action::Send { request: 1, server: 7, .. })));
 //! ```
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 mod balance;
 pub mod batch_admission;
--- a/testing/recorded-bytes/src/lib.rs
+++ b/testing/recorded-bytes/src/lib.rs
@@ -7,8 +7,6 @@
 //!
 //! With the environment variable `RECORD_FIXTURES` set, the file is written instead of compared. Do this for a new
 //! message only, and look at the difference: lines that exist must not change.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 use std::collections::BTreeMap;
 use std::fmt::Debug;
