--- a/quota-gateway/src/bin/quota-gateway/errors/tests.rs
+++ b/quota-gateway/src/bin/quota-gateway/errors/tests.rs
@@ -1,6 +1,5 @@
 use crate::clients::phase::PhaseError;
-use crate::cluster::driver::ClusterError;
-use crate::cluster::settings::ClusterSettingsError;
+use crate::cluster::{ClusterError, ClusterSettingsError};
 use crate::life::config::ConfigError;
 use crate::life::handover::HandoverError;
 use crate::operators::admin::CallError;
@@ -51,23 +50,23 @@
     vec![
         every!(ClusterSettingsError {
             NoName {},
-            Name { key: key() },
-            Probe { probe_ms: u64::MAX },
-            Lease { lease_ms: u64::MAX },
-            LeaseShort { lease_ms: 60_000, names: 1000, least_ms: 60_000 },
-            ShardsAlone {},
-            ShardsLeaseShort { lease_ms: 60_000, names: 1000, least_ms: 60_000 },
-            ShardCount { count: usize::MAX },
-            HalfProposal {},
-            SessionsAlone {},
+            InvalidName { key: key() },
+            ProbeOutOfRange { probe_ms: u64::MAX },
+            LeaseOutOfRange { lease_ms: u64::MAX },
+            LeaseTooShort { lease_ms: 60_000, gateways: 1000, min_ms: 60_000 },
+            ShardsWithoutLease {},
+            LeaseTooShortForShards { lease_ms: 60_000, gateways: 1000, min_ms: 60_000 },
+            ShardCountOutOfRange { count: usize::MAX },
+            IncompleteProposal {},
+            SessionsWithoutShards {},
             NoPeers {},
             TooManyPeers { peers: usize::MAX },
-            Own { key: key() },
-            NoDoor { key: key(), address: at },
-            Twice { key: key() },
-            Alike { key: key(), other: word() },
-            NotV4 { key: key(), written: word() },
-            NoAddress { key: key(), written: word() },
+            OwnNameInPeers { key: key() },
+            NotUnicast { key: key(), address: at },
+            DuplicateName { key: key() },
+            PeerIdCollision { key: key(), other: word() },
+            NotIpv4 { key: key(), written: word() },
+            InvalidAddress { key: key(), written: word() },
         }),
         every!(ConfigError {
             NoFile {},
@@ -99,18 +98,18 @@
             System(failed()),
         }),
         every!(ClusterError {
-            NoView { listen: at },
-            Unwritable(malformed()),
-            Port { listen: at, error: failed() },
+            NotRunning { listen: at },
+            Serialize(malformed()),
+            Bind { listen: at, error: failed() },
             Socket(failed()),
-            RosterRefused(bad()),
-            LeaseDiffers { name: word(), theirs_ms: u32::MAX, own_ms: 60_000 },
-            RostersDiffer { name: word() },
-            ActRefused { name: word(), why: ActRejection::Late { late_ms: u64::MAX } },
-            OtherHistory { had: u64::MAX, taken: u64::MAX },
-            NoCustomer { written: word() },
-            MapRefused { finding: super::text(bad()) },
-            NoPart(bad()),
+            PeerSetRejected(bad()),
+            LeaseMismatch { name: word(), theirs_ms: u32::MAX, own_ms: 60_000 },
+            PeerSetMismatch { name: word() },
+            LeaderRequestRejected { name: word(), why: ActRejection::Late { late_ms: u64::MAX } },
+            ShardMapHistory { former: u64::MAX, present: u64::MAX },
+            InvalidCustomerId { written: word() },
+            ShardMapRejected { finding: super::text(bad()) },
+            NodeNotStarted(bad()),
         }),
         every!(PhaseError { HandedOver {}, Ending {} }),
         every!(BanError { NoBackend {}, OutHereOnly(failed()), BackHereOnly(failed()) }),
@@ -132,7 +131,7 @@
             NoSessions {},
             Phase(PhaseError::Ending),
             Ban(BanError::NoBackend),
-            Cluster(ClusterError::NoPart(bad())),
+            Cluster(ClusterError::NodeNotStarted(bad())),
         }),
     ]
 }
--- a/quota-gateway/src/bin/quota-gateway/life/config.rs
+++ b/quota-gateway/src/bin/quota-gateway/life/config.rs
@@ -1,7 +1,7 @@
 //! Configuration: the environment and the JSON file it names, checked and turned into the module's terms.
 
 use crate::backends::discovery::List;
-use crate::cluster::settings::{self, ClusterSettings, ClusterSettingsError};
+use crate::cluster::{ClusterDocument, ClusterSettings, ClusterSettingsError};
 use crate::errors::{text, word};
 use crate::life::reload::differences;
 use crate::log::Form;
@@ -81,7 +81,7 @@
 #[derive(Deserialize)]
 struct File {
     name: Option<String>,
-    fleet: Option<settings::ClusterDocument>,
+    fleet: Option<ClusterDocument>,
     #[serde(default)]
     log: Form,
     listen: Option<String>,
@@ -240,7 +240,7 @@
         #[derive(Deserialize)]
         struct Told {
             discovery: String,
-            fleet: Option<settings::ClusterDocument>,
+            fleet: Option<ClusterDocument>,
         }
         let text = read_while_serving(&self.path)?;
         let Told { discovery, fleet } =
--- a/quota-gateway/src/bin/quota-gateway/main.rs
+++ b/quota-gateway/src/bin/quota-gateway/main.rs
@@ -17,8 +17,7 @@
 use clients::connections::{self, ConnectionContext};
 use clients::phase::{Phase, PhaseControl};
 use clients::stats::Stats;
-use cluster::driver::Cluster;
-use cluster::settings::ClusterSettings;
+use cluster::{Cluster, ClusterSettings};
 use door::Door;
 use errors::text;
 use life::config::{Config, ConfigError, Replaced, Source};
@@ -368,7 +367,7 @@
                     stats.reloads_ok.set(stats.reloads_ok.get() + 1);
                     agent.send_replace(discovery);
                     if let (Some(fleet), Some(roster)) = (&fleet, roster) {
-                        fleet.replace(roster);
+                        fleet.replace_settings(roster);
                     }
                     if !left.is_empty() {
                         let keys = reload::phrase(&left);
--- a/quota-gateway/src/bin/quota-gateway/operators/admin.rs
+++ b/quota-gateway/src/bin/quota-gateway/operators/admin.rs
@@ -1,7 +1,7 @@
 //! The operators' door: one line in, one answer out, on descriptors that clients do not compete for.
 
 use crate::clients::phase::PhaseError;
-use crate::cluster::driver::ClusterError;
+use crate::cluster::ClusterError;
 use crate::errors::text;
 use crate::operators::bans::BanError;
 use std::collections::VecDeque;
--- a/quota-gateway/src/bin/quota-gateway/operators/staff.rs
+++ b/quota-gateway/src/bin/quota-gateway/operators/staff.rs
@@ -3,7 +3,7 @@
 use crate::backends::attempts::Backends;
 use crate::clients::phase::PhaseControl;
 use crate::clients::stats::Stats;
-use crate::cluster::driver::Cluster;
+use crate::cluster::Cluster;
 use crate::door::Door;
 use crate::operators::admin::{Call, CallError, Operations};
 use crate::operators::cost::{self, Counted, Descriptors};
@@ -59,21 +59,21 @@
             }
             Call::Cost => Ok(whole(cost::line(&self.counted()))),
             Call::Cluster => match &self.fleet {
-                Some(fleet) => Ok(whole(fleet.line()?)),
+                Some(fleet) => Ok(whole(fleet.membership_answer()?)),
                 None => Err(CallError::NoFleet),
             },
             Call::Owner => {
                 let line = self
                     .fleet
                     .as_ref()
-                    .map_or(Ok(None), |fleet| fleet.leader_line())?;
+                    .map_or(Ok(None), |fleet| fleet.leader_answer())?;
                 line.map(whole).ok_or(CallError::NoOwner)
             }
             Call::Shards => {
                 let line = self
                     .fleet
                     .as_ref()
-                    .map_or(Ok(None), |fleet| fleet.shards_line())?;
+                    .map_or(Ok(None), |fleet| fleet.shard_map_answer())?;
                 line.map(|line| format!("{line}\nend"))
                     .ok_or(CallError::NoShards)
             }
@@ -81,7 +81,7 @@
                 let line = self
                     .fleet
                     .as_ref()
-                    .map_or(Ok(None), |fleet| fleet.session_line(id))?;
+                    .map_or(Ok(None), |fleet| fleet.session_answer(id))?;
                 line.map(whole).ok_or(CallError::NoSessions)
             }
             Call::TakeOut(uid) => {
--- a/quota-gateway/tests/owner.rs
+++ b/quota-gateway/tests/owner.rs
@@ -749,7 +749,7 @@
     (PROGRAM.start_with(config, file.into()), path)
 }
 
-const ONE_LEASE: &str = "set one fleet.lease_ms at every front door, and start them again";
+const ONE_LEASE: &str = "set one fleet.lease_ms at every gateway, and start them again";
 
 #[test]
 fn a_door_with_another_lease_grants_nothing_and_the_logs_say_what_to_do() {
--- a/quota-gateway/tests/view.rs
+++ b/quota-gateway/tests/view.rs
@@ -142,7 +142,7 @@
     // Its log has each change, also those between two answers.
     let log = stage::folder_of("view-stall").join("d3").join("log.txt");
     let log = std::fs::read_to_string(log).expect("it has a log");
-    assert!(!log.contains("now dead"), "{log}");
+    assert!(!log.contains(" to dead: "), "{log}");
     let own = views(&entries, woke, u64::MAX)
         .iter()
         .filter(|(door, _)| *door == 3)
@@ -431,7 +431,7 @@
     let one = PROGRAM.start(&one);
     let answer = one.call("fleet");
     assert!(
-        answer.starts_with(&format!("error no view yet: {at} cannot be opened; ")),
+        answer.starts_with(&format!("error the cluster node is not running yet: {at} cannot be opened; ")),
         "{answer}"
     );
     assert!(one.call("stats").ends_with("end\n"), "it serves");
@@ -480,7 +480,7 @@
     let said = String::from_utf8_lossy(&output.stderr);
     assert!(!output.status.success());
     assert!(
-        said.starts_with("quota-gateway: fleet.peers[n0]: this is the front door's own name; "),
+        said.starts_with("quota-gateway: fleet.peers[n0]: this is the gateway's own name; "),
         "{said}"
     );
     assert_eq!(said.lines().count(), 1, "{said}");
