--- a/quota-gateway/src/bin/quota-gateway/cluster/driver.rs
+++ b/quota-gateway/src/bin/quota-gateway/cluster/driver.rs
@@ -91,20 +91,20 @@
                 biased;
                 _ = phase.changed() => {
                     if *phase.borrow_and_update() == Phase::HandedOver {
-                        self.with_node(|node, now, outbox| node.hand_over(now, outbox));
+                        self.with_node(ClusterNode::hand_over);
                         self.send_outbox(socket);
                         return false;
                     }
                 }
                 () = self.wakeup.notified() => {
                     if self.is_leaving.get() {
-                        self.with_node(|node, now, outbox| node.leave(now, outbox));
+                        self.with_node(ClusterNode::leave);
                         self.send_outbox(socket);
                         return true;
                     }
                 }
                 () = sleep_until(wakeup) => {
-                    self.with_node(|node, now, outbox| node.on_timer(now, outbox));
+                    self.with_node(ClusterNode::on_timer);
                 }
                 received = socket.recv_from(&mut buffer) => match received {
                     Ok((length, _)) => {
--- a/quota-gateway/tests/owner.rs
+++ b/quota-gateway/tests/owner.rs
@@ -1,6 +1,7 @@
-//! The owner of a fleet of several processes, over relays on every directed link, with clients' traffic on. What is judged is
-//! what each process told in its life: order and safety exactly, times generously, as a busy machine is no fault of the
-//! program.
+//! Leader election between configurations gateway processes, with a relay on every directed link and with client traffic.
+//!
+//! The tests judge the recorded answers of each process to the call `owner`: order and safety exactly, times with wide
+//! margins, because a busy machine must not fail them.
 
 mod stage;
 
@@ -26,91 +27,98 @@
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 const SECOND: u64 = 1_000_000;
-/// What the record's times may be apart without telling anything: a signal is written down just after it was sent.
-const CLOCK: u64 = 10_000;
+/// Uncertainty of the record's times, in microseconds: a signal is recorded just after it was sent.
+const RECORD_UNCERTAINTY_US: u64 = 10_000;
 
-/// An answer to the call `owner`: true at some instant between its two times.
-struct Said<'a> {
-    door: usize,
-    asked: u64,
-    answered: u64,
-    told: &'a Owner,
+/// An answer to the call `owner`. It was true at some instant between its two times, in microseconds.
+struct Observation<'a> {
+    gateway: usize,
+    asked_us: u64,
+    answered_us: u64,
+    answer: &'a Owner,
 }
 
-/// A run, and the length of the lease in it.
+/// A gateway, by its number, and the epoch in which it leads.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+struct Leader {
+    gateway: usize,
+    epoch: u64,
+}
+
+/// A run of the fault lab with a leader, and the duration of its lease in microseconds.
 struct Run {
     summary: Summary,
     entries: Vec<Entry>,
-    lease: u64,
+    lease_us: u64,
 }
 
-/// Runs so many front doors with an owner. Whatever is done to them, these checks are kept.
-fn run(name: &str, doors: usize, lease_ms: u64, seconds: u32, faults: &str) -> Run {
+/// Runs this number of gateways with leader election. The safety checks must pass under all faults.
+fn run(name: &str, gateways: usize, lease_ms: u64, seconds: u32, faults: &str) -> Run {
     let text = SMALL.replace("seconds = 5", &format!("seconds = {seconds}"));
     let text = text.replace(
         "doors = 4",
-        &format!("doors = {doors}\nlease_ms = {lease_ms}"),
+        &format!("doors = {gateways}\nlease_ms = {lease_ms}"),
     );
     let (summary, entries) = carry(name, &(text + faults));
     let run = Run {
         summary,
         entries,
-        lease: lease_ms * 1000,
+        lease_us: lease_ms * 1000,
     };
     for finding in &run.summary.findings {
-        let always = ["one_owner", "fenced", "crashes", "lost", "duplicates"];
+        let safety_checks = ["one_owner", "fenced", "crashes", "lost", "duplicates"];
         assert!(
-            finding.broken == 0 || !always.contains(&finding.check.as_str()),
+            finding.broken == 0 || !safety_checks.contains(&finding.check.as_str()),
             "{finding:?}"
         );
     }
-    for said in run.said(0, u64::MAX) {
-        sound(said.told, run.lease);
+    for observation in run.observations(0, u64::MAX) {
+        assert_consistent(observation.answer, run.lease_us);
     }
     run
 }
 
-/// What every answer has to be in itself.
-fn sound(told: &Owner, lease: u64) {
+/// Checks that one answer is consistent in itself.
+fn assert_consistent(answer: &Owner, lease_us: u64) {
     assert_eq!(
-        told.mine,
-        told.owner.as_ref() == Some(&told.name),
-        "{told:?}"
+        answer.mine,
+        answer.owner.as_ref() == Some(&answer.name),
+        "{answer:?}"
     );
-    assert!(told.owner.is_some() || told.left_ms == 0, "{told:?}");
+    assert!(answer.owner.is_some() || answer.left_ms == 0, "{answer:?}");
     assert!(
-        told.left_ms * 1000 <= lease && told.quiet_ms * 1000 <= longer(lease) + 1000,
-        "{told:?}"
+        answer.left_ms * 1000 <= lease_us && answer.quiet_ms * 1000 <= longer(lease_us) + 1000,
+        "{answer:?}"
     );
     assert!(
-        !told.mine || told.quiet_ms == 0,
-        "who promises nothing yet cannot own: {told:?}"
+        !answer.mine || answer.quiet_ms == 0,
+        "a gateway in its quiet time cannot be the leader: {answer:?}"
     );
 }
 
 impl Run {
-    /// What was asked and answered between these times.
-    fn said(&self, from: u64, to: u64) -> Vec<Said<'_>> {
+    /// The answers that were requested and received between these times.
+    fn observations(&self, from: u64, to: u64) -> Vec<Observation<'_>> {
         let all = self.entries.iter().filter_map(|entry| match &entry.event {
             Event::Owner {
-                door,
+                door: gateway,
                 asked_us,
                 answered_us,
                 answer,
-            } => Some(Said {
-                door: *door,
-                asked: *asked_us,
-                answered: *answered_us,
-                told: answer,
+            } => Some(Observation {
+                gateway: *gateway,
+                asked_us: *asked_us,
+                answered_us: *answered_us,
+                answer,
             }),
             _ => None,
         });
-        all.filter(|said| said.asked >= from && said.answered <= to)
+        all.filter(|observation| observation.asked_us >= from && observation.answered_us <= to)
             .collect()
     }
 
-    /// When the faults began and ended, in order.
-    fn moments(&self) -> Vec<u64> {
+    /// Start and end times of the faults, in order.
+    fn fault_times(&self) -> Vec<u64> {
         let fault = |entry: &&Entry| matches!(entry.event, Event::Fault { .. });
         self.entries
             .iter()
@@ -119,8 +127,8 @@
             .collect()
     }
 
-    /// Who was the owner when this fault began.
-    fn owner_at(&self, moment: u64) -> usize {
+    /// The leader when the fault at this time began.
+    fn leader_at(&self, moment: u64) -> usize {
         let text = self.entries.iter().find_map(|entry| match &entry.event {
             Event::Fault { text, .. } if entry.us == moment => Some(text.clone()),
             _ => None,
@@ -129,14 +137,14 @@
         let number = text
             .split("(owner: d")
             .nth(1)
-            .and_then(|words| words.strip_suffix(')'));
+            .and_then(|rest| rest.strip_suffix(')'));
         number
             .and_then(|number| number.parse().ok())
-            .unwrap_or_else(|| panic!("nobody owned: {text}"))
+            .unwrap_or_else(|| panic!("there was no leader: {text}"))
     }
 
-    /// When processes were in this state, in order.
-    fn lives(&self, of: Life, from: u64) -> Vec<u64> {
+    /// Times at which processes entered this state, in order.
+    fn process_events(&self, of: Life, from: u64) -> Vec<u64> {
         let is = |entry: &&Entry| matches!(entry.event, Event::Door { life, .. } if life == of);
         self.entries
             .iter()
@@ -146,357 +154,402 @@
             .collect()
     }
 
+    /// Time of the last answer.
     fn end(&self) -> u64 {
-        self.said(0, u64::MAX)
+        self.observations(0, u64::MAX)
             .iter()
-            .map(|said| said.answered)
+            .map(|observation| observation.answered_us)
             .max()
             .unwrap_or(0)
     }
 
-    /// The owner and its term, on which these front doors agree in their last answers between these times.
-    fn agreed(&self, (from, to): (u64, u64), doors: &[usize]) -> (usize, u64) {
-        let said = self.said(from, to);
-        let last = |door: &usize| {
-            let last = said.iter().rev().find(|said| said.door == *door);
-            last.unwrap_or_else(|| panic!("d{door} told nothing between {from} and {to}"))
+    /// The leader on which these gateways agree in their last answers between these times.
+    fn agreed_leader(&self, (from, to): (u64, u64), gateways: &[usize]) -> Leader {
+        let observations = self.observations(from, to);
+        let last = |gateway: &usize| {
+            let last = observations
+                .iter()
+                .rev()
+                .find(|observation| observation.gateway == *gateway);
+            last.unwrap_or_else(|| panic!("d{gateway} gave no answer between {from} and {to}"))
         };
-        let first = last(&doors[0]).told;
-        for door in doors {
-            let told = last(door).told;
+        let first = last(&gateways[0]).answer;
+        for gateway in gateways {
+            let answer = last(gateway).answer;
             assert_eq!(
-                (&told.owner, told.epoch),
+                (&answer.owner, answer.epoch),
                 (&first.owner, first.epoch),
-                "d{door} at {to}: {told:?}"
+                "d{gateway} at {to}: {answer:?}"
             );
         }
         let owner = first
             .owner
             .as_ref()
-            .unwrap_or_else(|| panic!("nobody owns at {to}: {first:?}"));
+            .unwrap_or_else(|| panic!("there is no leader at {to}: {first:?}"));
         let owner = owner.trim_start_matches('n').parse().expect("a number");
         assert!(
-            last(&owner).told.mine,
-            "d{owner} is taken for the owner: {:?}",
-            last(&owner).told
+            last(&owner).answer.mine,
+            "d{owner} does not know that it is the leader: {:?}",
+            last(&owner).answer
         );
-        (owner, first.epoch)
+        Leader {
+            gateway: owner,
+            epoch: first.epoch,
+        }
     }
 
-    /// The first answer after this time by which a later term than this has an owner, and that one.
-    fn next(&self, from: u64, epoch: u64) -> (u64, usize) {
-        let said = self.said(from, u64::MAX);
-        let next = said
+    /// The time of the first answer after `from` by which a gateway leads in a later epoch than this, and the gateway.
+    fn next_leader(&self, from: u64, epoch: u64) -> (u64, usize) {
+        let observations = self.observations(from, u64::MAX);
+        let next = observations
             .iter()
-            .find(|said| said.told.mine && said.told.epoch > epoch);
-        next.map(|said| (said.answered, said.door))
-            .unwrap_or_else(|| panic!("no owner follows term {epoch}"))
+            .find(|observation| observation.answer.mine && observation.answer.epoch > epoch);
+        next.map(|observation| (observation.answered_us, observation.gateway))
+            .unwrap_or_else(|| panic!("no leader follows epoch {epoch}"))
     }
 
-    /// Acts that this front door had refused by its last answer between these times.
-    fn refused(&self, door: usize, from: u64, to: u64) -> u64 {
-        self.said(from, to)
+    /// Leader requests that this gateway had rejected by its last answer between these times.
+    fn rejected_requests(&self, gateway: usize, from: u64, to: u64) -> u64 {
+        self.observations(from, to)
             .iter()
             .rev()
-            .find(|said| said.door == door)
-            .map_or(0, |said| said.told.refused)
+            .find(|observation| observation.gateway == gateway)
+            .map_or(0, |observation| observation.answer.refused)
     }
 
-    /// Nobody owns before a majority of the processes that start from here on is older than a lease.
-    fn quiet_first(&self, from: u64, doors: usize) {
-        let started = self.lives(Life::Started, from);
-        let free = started[doors / 2] + self.lease;
-        for said in self.said(started[0], free) {
+    /// Checks that there is no leader until a majority of the processes started after `from` has run for a lease.
+    fn assert_quiet_time(&self, from: u64, gateways: usize) {
+        let started = self.process_events(Life::Started, from);
+        let quiet_until = started[gateways / 2] + self.lease_us;
+        for observation in self.observations(started[0], quiet_until) {
             assert!(
-                said.told.owner.is_none() && said.told.left_ms == 0,
+                observation.answer.owner.is_none() && observation.answer.left_ms == 0,
                 "d{}: {:?}",
-                said.door,
-                said.told
+                observation.gateway,
+                observation.answer
             );
         }
     }
 }
 
-fn all(doors: usize) -> Vec<usize> {
-    (0..doors).collect()
+/// The numbers of this many gateways.
+fn all(gateways: usize) -> Vec<usize> {
+    (0..gateways).collect()
 }
 
-fn but(doors: usize, gone: &[usize]) -> Vec<usize> {
-    (0..doors).filter(|door| !gone.contains(door)).collect()
+/// The numbers of this many gateways without those in `excluded`.
+fn all_except(gateways: usize, excluded: &[usize]) -> Vec<usize> {
+    (0..gateways)
+        .filter(|gateway| !excluded.contains(gateway))
+        .collect()
 }
 
 #[test]
-fn a_fleet_that_starts_has_no_owner_in_the_quiet_time_and_then_one() {
+fn a_new_cluster_elects_a_leader_only_after_the_quiet_time() {
     let run = run("owner-start", 5, 1500, 6, "");
     assert!(kept(&run.summary, "one_owner").cases > 100);
-    run.quiet_first(0, 5);
-    let (_, epoch) = run.agreed((run.end() - SECOND, u64::MAX), &all(5));
-    for door in 0..5 {
-        let said: Vec<Said> = run
-            .said(0, u64::MAX)
+    run.assert_quiet_time(0, 5);
+    let epoch = run
+        .agreed_leader((run.end() - SECOND, u64::MAX), &all(5))
+        .epoch;
+    for gateway in 0..5 {
+        let observations: Vec<Observation> = run
+            .observations(0, u64::MAX)
             .into_iter()
-            .filter(|said| said.door == door)
+            .filter(|observation| observation.gateway == gateway)
             .collect();
         assert!(
-            said.iter().any(|said| said.told.quiet_ms > 0),
-            "d{door} was not heard in its quiet time"
+            observations
+                .iter()
+                .any(|observation| observation.answer.quiet_ms > 0),
+            "no answer of d{gateway} in its quiet time"
         );
-        for (one, next) in said.iter().zip(said.iter().skip(1)) {
-            // The quiet time passes as time does.
-            let passed = next.asked.saturating_sub(one.answered) / 1000;
-            let most = (one.told.quiet_ms + 1).saturating_sub(passed);
+        for (one, next) in observations.iter().zip(observations.iter().skip(1)) {
+            // The remaining quiet time decreases with time.
+            let passed = next.asked_us.saturating_sub(one.answered_us) / 1000;
+            let max_quiet_ms = (one.answer.quiet_ms + 1).saturating_sub(passed);
             assert!(
-                next.told.quiet_ms <= most,
-                "d{door}: {:?}, {passed} ms later {:?}",
-                one.told,
-                next.told
+                next.answer.quiet_ms <= max_quiet_ms,
+                "d{gateway}: {:?}, {passed} ms later {:?}",
+                one.answer,
+                next.answer
             );
         }
         assert!(
-            said.iter()
-                .all(|said| said.told.owner.is_none() || said.told.epoch == epoch),
-            "one term"
+            observations
+                .iter()
+                .all(|observation| observation.answer.owner.is_none()
+                    || observation.answer.epoch == epoch),
+            "one epoch"
         );
     }
 }
 
-fn owner_killed(name: &str, doors: usize) {
+/// Kills the leader, and checks that another follows and that the restarted process does not replace it.
+fn assert_failover_after_kill(name: &str, gateways: usize) {
     let run = run(
         name,
-        doors,
+        gateways,
         1000,
         14,
         "[[kill]]\nat_ms = 4000\ndoors = \"owner\"\nback_ms = 5000\n",
     );
-    let [killed, back] = run.moments()[..] else {
+    let [killed, back] = run.fault_times()[..] else {
         panic!("one fault")
     };
-    let dead = run.owner_at(killed);
-    let (before, epoch) = run.agreed((killed - SECOND, killed), &all(doors));
+    let dead = run.leader_at(killed);
+    let Leader {
+        gateway: before,
+        epoch,
+    } = run.agreed_leader((killed - SECOND, killed), &all(gateways));
     assert_eq!(before, dead);
-    let next = run.agreed((back - SECOND, back), &but(doors, &[dead]));
+    let next = run.agreed_leader((back - SECOND, back), &all_except(gateways, &[dead]));
     assert!(
-        next.0 != dead && next.1 > epoch,
+        next.gateway != dead && next.epoch > epoch,
         "{next:?} after {before} in {epoch}"
     );
-    assert_eq!(run.next(killed, epoch).1, next.0);
+    assert_eq!(run.next_leader(killed, epoch).1, next.gateway);
     assert_eq!(
-        run.agreed((run.end() - SECOND, u64::MAX), &all(doors)),
+        run.agreed_leader((run.end() - SECOND, u64::MAX), &all(gateways)),
         next,
-        "who comes back unseats nobody"
+        "a restarted gateway replaces no leader"
     );
     let unseated = run
-        .said(back, u64::MAX)
+        .observations(back, u64::MAX)
         .into_iter()
-        .find(|said| said.told.mine && said.door != next.0);
-    assert!(unseated.is_none(), "{:?}", unseated.map(|said| said.told));
+        .find(|observation| observation.answer.mine && observation.gateway != next.gateway);
+    assert!(
+        unseated.is_none(),
+        "{:?}",
+        unseated.map(|observation| observation.answer)
+    );
 }
 
 #[test]
-fn an_owner_that_is_killed_is_followed_by_another_and_unseats_nobody_when_it_is_back() {
-    owner_killed("owner-kill", 7);
+fn a_killed_leader_is_replaced_and_does_not_regain_leadership_at_its_restart() {
+    assert_failover_after_kill("owner-kill", 7);
 }
 
 #[test]
-fn an_owner_of_twelve_that_is_killed_is_followed_by_another() {
-    owner_killed("owner-kill-12", 12);
+fn a_killed_leader_of_twelve_gateways_is_replaced() {
+    assert_failover_after_kill("owner-kill-12", 12);
 }
 
 #[test]
-fn an_owner_that_stood_still_owns_no_more_when_it_wakes_unless_that_was_short() {
+fn a_leader_stopped_for_longer_than_its_lease_is_replaced_and_a_shorter_stop_changes_nothing() {
     let faults = "[[stop]]\nat_ms = 5000\ndoors = \"owner\"\nfor_ms = 10000\n\
                   [[stop]]\nat_ms = 19000\ndoors = \"owner\"\nfor_ms = 600\n";
     let run = run("owner-stop", 5, 2000, 23, faults);
-    let [stopped, woken, again, on] = run.moments()[..] else {
+    let [stopped, woken, again, on] = run.fault_times()[..] else {
         panic!("two faults")
     };
-    let old = run.owner_at(stopped);
-    let (_, epoch) = run.agreed((stopped - SECOND, stopped), &all(5));
-    let next = run.agreed((woken - SECOND, woken), &but(5, &[old]));
-    assert!(next.0 != old && next.1 > epoch);
-    // Asked while it stood still, unless it had just been asked: this is the first thing that it says.
+    let old = run.leader_at(stopped);
+    let epoch = run
+        .agreed_leader((stopped - SECOND, stopped), &all(5))
+        .epoch;
+    let next = run.agreed_leader((woken - SECOND, woken), &all_except(5, &[old]));
+    assert!(next.gateway != old && next.epoch > epoch);
+    // The call was sent while the process was stopped, so this is its first answer after it resumed.
     let first = run
-        .said(stopped + CLOCK, u64::MAX)
+        .observations(stopped + RECORD_UNCERTAINTY_US, u64::MAX)
         .into_iter()
-        .find(|said| said.door == old);
-    let first = first.expect("it wakes");
-    assert!(first.answered >= woken - CLOCK);
-    let told = first.told;
+        .find(|observation| observation.gateway == old);
+    let first = first.expect("it resumes");
+    assert!(first.answered_us >= woken - RECORD_UNCERTAINTY_US);
+    let answer = first.answer;
     assert!(
-        !told.mine && (told.owner.is_some() || told.left_ms == 0),
-        "{told:?}"
+        !answer.mine && (answer.owner.is_some() || answer.left_ms == 0),
+        "{answer:?}"
     );
-    // What the next owner told it meanwhile lay in its socket for longer than it was good for.
-    let refused = [run.refused(old, 0, stopped), run.refused(old, woken, again)];
-    assert!(refused[1] > refused[0], "{refused:?}");
-    assert_eq!(run.agreed((again - SECOND, again), &all(5)), next);
-    assert_eq!(run.owner_at(again), next.0);
+    // Requests of the next leader lay in its socket until their lease was over.
+    let rejected = [
+        run.rejected_requests(old, 0, stopped),
+        run.rejected_requests(old, woken, again),
+    ];
+    assert!(rejected[1] > rejected[0], "{rejected:?}");
+    assert_eq!(run.agreed_leader((again - SECOND, again), &all(5)), next);
+    assert_eq!(run.leader_at(again), next.gateway);
     assert_eq!(
-        run.agreed((on + SECOND, u64::MAX), &all(5)),
+        run.agreed_leader((on + SECOND, u64::MAX), &all(5)),
         next,
-        "for less than a lease: it stays"
+        "a pause shorter than the lease changes nothing"
     );
 }
 
 #[test]
-fn an_owner_that_is_cut_off_with_a_minority_is_followed_by_one_of_the_others() {
+fn a_leader_in_a_minority_partition_is_replaced_by_the_majority() {
     let faults =
         "[[link]]\nat_ms = 4000\nfor_ms = 7000\nfrom = \"owner, d1, d2\"\nto = \"others\"\ncut = true\n";
     let run = run("owner-minority", 7, 1000, 16, faults);
-    let [cut, healed] = run.moments()[..] else {
+    let [cut, healed] = run.fault_times()[..] else {
         panic!("one fault")
     };
-    let old = run.owner_at(cut);
-    let (_, epoch) = run.agreed((cut - SECOND, cut), &all(7));
+    let old = run.leader_at(cut);
+    let epoch = run.agreed_leader((cut - SECOND, cut), &all(7)).epoch;
     let few = [old, 1, 2];
-    let next = run.agreed((healed - SECOND, healed), &but(7, &few));
-    assert!(next.1 > epoch && !few.contains(&next.0));
-    for said in run.said(cut + run.lease + CLOCK, healed) {
+    let next = run.agreed_leader((healed - SECOND, healed), &all_except(7, &few));
+    assert!(next.epoch > epoch && !few.contains(&next.gateway));
+    for observation in run.observations(cut + run.lease_us + RECORD_UNCERTAINTY_US, healed) {
         assert!(
-            !few.contains(&said.door) || said.told.owner.is_none(),
+            !few.contains(&observation.gateway) || observation.answer.owner.is_none(),
             "d{}: {:?}",
-            said.door,
-            said.told
+            observation.gateway,
+            observation.answer
         );
     }
     assert_eq!(
-        run.agreed((run.end() - SECOND, u64::MAX), &all(7)),
+        run.agreed_leader((run.end() - SECOND, u64::MAX), &all(7)),
         next,
-        "it is not unseated"
+        "the leader is not replaced"
     );
 }
 
 #[test]
-fn an_owner_whose_links_are_cut_one_way_is_followed_by_another() {
-    // It sends and hears nothing; then another hears and is not heard.
+fn a_leader_with_one_way_links_is_replaced() {
+    // The leader sends and receives nothing; later the next leader receives and its datagrams are lost.
     let faults = "[[link]]\nat_ms = 4000\nfor_ms = 5000\nfrom = \"others\"\nto = \"owner\"\nboth = false\ncut = true\n\
                   [[link]]\nat_ms = 13000\nfor_ms = 5000\nfrom = \"owner\"\nto = \"others\"\nboth = false\ncut = true\n";
     let run = run("owner-one-way", 5, 1000, 22, faults);
-    let [deaf, hears, mute, heard] = run.moments()[..] else {
+    let [receive_cut, receive_healed, send_cut, send_healed] = run.fault_times()[..] else {
         panic!("two faults")
     };
-    for (cut, healed, until) in [(deaf, hears, mute), (mute, heard, u64::MAX)] {
-        let old = run.owner_at(cut);
-        let (_, epoch) = run.agreed((cut - SECOND, cut), &all(5));
-        let next = run.agreed((healed - SECOND, healed), &but(5, &[old]));
+    for (cut, healed, until) in [
+        (receive_cut, receive_healed, send_cut),
+        (send_cut, send_healed, u64::MAX),
+    ] {
+        let old = run.leader_at(cut);
+        let epoch = run.agreed_leader((cut - SECOND, cut), &all(5)).epoch;
+        let next = run.agreed_leader((healed - SECOND, healed), &all_except(5, &[old]));
         assert!(
-            next.0 != old && next.1 > epoch,
+            next.gateway != old && next.epoch > epoch,
             "{next:?} after d{old} in {epoch}"
         );
         let until = until.min(run.end());
         assert_eq!(
-            run.agreed((until - SECOND, until), &all(5)),
+            run.agreed_leader((until - SECOND, until), &all(5)),
             next,
-            "it is not unseated"
+            "the leader is not replaced"
         );
     }
 }
 
 #[test]
-fn two_halves_that_one_door_joins_have_one_owner() {
+fn two_halves_connected_by_one_gateway_have_one_leader() {
     let faults =
         "[[link]]\nat_ms = 4000\nfor_ms = 8000\nfrom = \"d0, d1, d2\"\nto = \"d4, d5, d6\"\ncut = true\n";
     let run = run("owner-bridge", 7, 1000, 17, faults);
-    let [_, healed] = run.moments()[..] else {
+    let [_, healed] = run.fault_times()[..] else {
         panic!("one fault")
     };
-    // The one in the middle reaches all, and each half with it is a majority.
-    let told = run.said(healed - 2 * SECOND, healed);
-    assert!(told.iter().any(|said| said.told.mine), "somebody owns");
+    // d3 reaches all, and each half with it is a majority.
+    let observations = run.observations(healed - 2 * SECOND, healed);
+    assert!(
+        observations
+            .iter()
+            .any(|observation| observation.answer.mine),
+        "there is a leader"
+    );
     assert!(
-        told.iter()
-            .any(|said| said.door == 3 && said.told.owner.is_some()),
-        "the middle knows it"
+        observations
+            .iter()
+            .any(|observation| observation.gateway == 3 && observation.answer.owner.is_some()),
+        "d3 knows the leader"
     );
-    run.agreed((run.end() - SECOND, u64::MAX), &all(7));
+    run.agreed_leader((run.end() - SECOND, u64::MAX), &all(7));
 }
 
 #[test]
-fn claims_that_are_late_by_a_lease_are_refused_and_followed_by_nobody() {
-    // What it says is late by more than a lease, and half of it comes twice; then the way there and back takes longer.
+fn claims_delayed_by_a_lease_are_rejected_and_not_followed() {
+    // First the leader's datagrams are delayed by more than a lease, half of them duplicated; then the round trip is.
     let faults =
         "[[link]]\nat_ms = 4000\nfor_ms = 6000\nfrom = \"owner\"\nto = \"others\"\nboth = false\ndelay_ms = 1500\ndouble = 0.5\n\
          [[link]]\nat_ms = 14000\nfor_ms = 6000\nfrom = \"owner\"\nto = \"others\"\ndelay_ms = 800\ndouble = 0.5\n";
     let run = run("owner-slow", 5, 1000, 24, faults);
-    let [slow, whole, slower, end] = run.moments()[..] else {
+    let [slow, healed, slower, end] = run.fault_times()[..] else {
         panic!("two faults")
     };
-    for (slow, whole) in [(slow, whole), (slower, end)] {
-        let old = run.owner_at(slow);
-        let (_, epoch) = run.agreed((slow - SECOND, slow), &all(5));
-        for said in run.said(slow + run.lease + 100_000, whole) {
-            let follows = said.told.epoch == epoch && said.told.owner.is_some();
+    for (slow, healed) in [(slow, healed), (slower, end)] {
+        let old = run.leader_at(slow);
+        let epoch = run.agreed_leader((slow - SECOND, slow), &all(5)).epoch;
+        for observation in run.observations(slow + run.lease_us + 100_000, healed) {
+            let follows = observation.answer.epoch == epoch && observation.answer.owner.is_some();
             assert!(
                 !follows,
                 "d{} follows d{old} in {epoch}: {:?}",
-                said.door, said.told
+                observation.gateway, observation.answer
             );
         }
-        let next = run.agreed((whole - SECOND, whole), &but(5, &[old]));
-        assert!(next.0 != old && next.1 > epoch);
+        let next = run.agreed_leader((healed - SECOND, healed), &all_except(5, &[old]));
+        assert!(next.gateway != old && next.epoch > epoch);
     }
-    let old = run.owner_at(slow);
-    for door in but(5, &[old]) {
-        let refused = [run.refused(door, 0, slow), run.refused(door, slow, whole)];
-        assert!(refused[1] > refused[0], "d{door}: {refused:?}");
+    let old = run.leader_at(slow);
+    for gateway in all_except(5, &[old]) {
+        let rejected = [
+            run.rejected_requests(gateway, 0, slow),
+            run.rejected_requests(gateway, slow, healed),
+        ];
+        assert!(rejected[1] > rejected[0], "d{gateway}: {rejected:?}");
     }
-    run.agreed((run.end() - SECOND, u64::MAX), &all(5));
+    run.agreed_leader((run.end() - SECOND, u64::MAX), &all(5));
 }
 
 #[test]
-fn claims_that_come_when_their_lease_is_over_are_refused_also_where_no_later_term_is_known() {
-    // Nobody hears anybody, but for the owner's words, which are late by more than a lease.
+fn claims_received_after_lease_expiry_are_rejected_also_without_a_later_epoch() {
+    // All links are cut, except that the leader's datagrams arrive, delayed by more than a lease.
     let faults =
         "[[link]]\nat_ms = 4000\nfor_ms = 5000\nfrom = \"doors\"\nto = \"doors\"\ncut = true\n\
          [[link]]\nat_ms = 4020\nfor_ms = 4900\nfrom = \"owner\"\nto = \"others\"\nboth = false\ndelay_ms = 1500\ndouble = 0.5\n";
     let run = run("owner-late", 5, 1000, 13, faults);
-    let [cut, slow, whole, _] = run.moments()[..] else {
+    let [cut, slow, healed, _] = run.fault_times()[..] else {
         panic!("two faults")
     };
-    let old = run.owner_at(slow);
-    let (_, epoch) = run.agreed((cut - SECOND, cut), &all(5));
-    for said in run.said(slow + run.lease + 100_000, whole) {
+    let old = run.leader_at(slow);
+    let epoch = run.agreed_leader((cut - SECOND, cut), &all(5)).epoch;
+    for observation in run.observations(slow + run.lease_us + 100_000, healed) {
         assert!(
-            said.told.owner.is_none() && said.told.epoch == epoch,
+            observation.answer.owner.is_none() && observation.answer.epoch == epoch,
             "d{}: {:?}",
-            said.door,
-            said.told
+            observation.gateway,
+            observation.answer
         );
     }
-    for door in but(5, &[old]) {
-        let refused = [run.refused(door, 0, cut), run.refused(door, slow, whole)];
-        assert!(refused[1] > refused[0], "d{door}: {refused:?}");
+    for gateway in all_except(5, &[old]) {
+        let rejected = [
+            run.rejected_requests(gateway, 0, cut),
+            run.rejected_requests(gateway, slow, healed),
+        ];
+        assert!(rejected[1] > rejected[0], "d{gateway}: {rejected:?}");
     }
-    run.agreed((run.end() - SECOND, u64::MAX), &all(5));
+    run.agreed_leader((run.end() - SECOND, u64::MAX), &all(5));
 }
 
 #[test]
-fn a_lease_counts_from_the_question_however_late_the_answer_is() {
-    // Answers come to the owner late by half a lease; then its questions come to nobody any more.
+fn a_lease_starts_at_the_vote_request_however_late_the_vote_arrives() {
+    // Votes reach the leader delayed by half a lease; then all its vote requests are lost.
     let faults =
         "[[link]]\nat_ms = 4000\nfor_ms = 9000\nfrom = \"others\"\nto = \"owner\"\nboth = false\ndelay_ms = 1000\n\
          [[link]]\nat_ms = 8000\nfor_ms = 5000\nfrom = \"owner\"\nto = \"others\"\nboth = false\ncut = true\n";
     let run = run("owner-late-answers", 5, 2000, 16, faults);
-    let [slow, cut, whole, _] = run.moments()[..] else {
+    let [slow, cut, healed, _] = run.fault_times()[..] else {
         panic!("two faults")
     };
-    let old = run.owner_at(slow);
-    let (_, epoch) = run.agreed((slow - SECOND, slow), &all(5));
-    assert_eq!(run.owner_at(cut), old);
-    let before = run.said(cut - SECOND, cut);
+    let old = run.leader_at(slow);
+    let epoch = run.agreed_leader((slow - SECOND, slow), &all(5)).epoch;
+    assert_eq!(run.leader_at(cut), old);
+    let before = run.observations(cut - SECOND, cut);
     assert!(
         before
             .iter()
-            .any(|said| said.told.mine && said.told.epoch == epoch),
-        "it renews all the same"
+            .any(|observation| observation.answer.mine && observation.answer.epoch == epoch),
+        "it renews its lease all the same"
     );
-    let (_, next) = run.next(cut, epoch);
+    let (_, next) = run.next_leader(cut, epoch);
     assert_ne!(next, old);
-    run.agreed((whole - SECOND, whole), &but(5, &[old]));
+    run.agreed_leader((healed - SECOND, healed), &all_except(5, &[old]));
 }
 
 #[test]
-fn an_owner_that_is_told_to_end_hands_the_office_on_before_its_lease_is_over() {
+fn a_leader_that_shuts_down_releases_its_lease_before_expiry() {
     let run = run(
         "owner-ends",
         5,
@@ -504,81 +557,97 @@
         11,
         "[[restart]]\nat_ms = 8000\ndoors = \"owner\"\nevery_ms = 1000\n",
     );
-    let told = run.moments()[0];
-    let old = run.owner_at(told);
-    let (_, epoch) = run.agreed((told - SECOND, told), &all(5));
-    let (at, next) = run.next(told, epoch);
+    let terminated = run.fault_times()[0];
+    let old = run.leader_at(terminated);
+    let epoch = run
+        .agreed_leader((terminated - SECOND, terminated), &all(5))
+        .epoch;
+    let (at, next) = run.next_leader(terminated, epoch);
     assert_ne!(next, old);
-    // A lease that is renewed four times in its length would not be over before three quarters of it.
-    assert!(at - told < 2 * SECOND, "{} ms", (at - told) / 1000);
-    let later = run.agreed((run.end() - SECOND, u64::MAX), &but(5, &[old]));
-    assert!(later.0 == next && later.1 > epoch);
+    // The lease is renewed four times in its duration: without a release it would last for three quarters of it more.
+    assert!(
+        at - terminated < 2 * SECOND,
+        "{} ms",
+        (at - terminated) / 1000
+    );
+    let later = run.agreed_leader((run.end() - SECOND, u64::MAX), &all_except(5, &[old]));
+    assert!(later.gateway == next && later.epoch > epoch);
 }
 
 #[test]
-fn restarts_of_all_faster_than_the_quiet_time_leave_one_owner_in_the_end() {
+fn a_rolling_restart_faster_than_the_quiet_time_ends_with_one_leader() {
     let faults = "[[restart]]\nat_ms = 5000\ndoors = \"doors\"\nat_once = 1\nevery_ms = 1000\n";
     let run = run("owner-rolling", 5, 2000, 20, faults);
-    let begun = run.moments()[0];
-    let (_, epoch) = run.agreed((begun - SECOND, begun), &all(5));
-    assert_eq!(run.lives(Life::Started, begun).len(), 5);
-    let (_, later) = run.agreed((run.end() - SECOND, u64::MAX), &all(5));
+    let begun = run.fault_times()[0];
+    let epoch = run.agreed_leader((begun - SECOND, begun), &all(5)).epoch;
+    assert_eq!(run.process_events(Life::Started, begun).len(), 5);
+    let later = run
+        .agreed_leader((run.end() - SECOND, u64::MAX), &all(5))
+        .epoch;
     assert!(
         later > epoch,
-        "no process is left that had a part in {epoch}: {later}"
+        "all processes of epoch {epoch} have ended: {later}"
     );
 }
 
 #[test]
-fn a_fleet_that_was_killed_all_at_once_has_no_owner_for_a_lease_and_then_one() {
+fn a_cluster_killed_at_once_has_no_leader_for_a_lease_and_then_one() {
     let faults = "[[kill]]\nat_ms = 4000\ndoors = \"doors\"\nback_ms = 700\n";
     let run = run("owner-all-killed", 5, 1500, 12, faults);
-    let [killed, back] = run.moments()[..] else {
+    let [killed, back] = run.fault_times()[..] else {
         panic!("one fault")
     };
-    let (_, epoch) = run.agreed((killed - SECOND, killed), &all(5));
-    run.quiet_first(back - CLOCK, 5);
-    let (_, later) = run.agreed((run.end() - SECOND, u64::MAX), &all(5));
+    let epoch = run.agreed_leader((killed - SECOND, killed), &all(5)).epoch;
+    run.assert_quiet_time(back - RECORD_UNCERTAINTY_US, 5);
+    let later = run
+        .agreed_leader((run.end() - SECOND, u64::MAX), &all(5))
+        .epoch;
     assert!(later > epoch, "{later} after {epoch}");
 }
 
-/// Tells these front doors, one after the other, that the fleet has those members.
-fn told(at_ms: u64, doors: &[usize], members: &str) -> String {
-    let one = |(n, door): (u64, &usize)| {
+/// Faults that replace the peer set of these gateways by `members`, one gateway after the other.
+fn peer_set_change(at_ms: u64, gateways: &[usize], members: &str) -> String {
+    let one = |(n, gateway): (u64, &usize)| {
         let at_ms = at_ms + 300 * n;
-        format!("[[roster]]\nat_ms = {at_ms}\ndoors = \"d{door}\"\nmembers = \"{members}\"\n")
+        format!("[[roster]]\nat_ms = {at_ms}\ndoors = \"d{gateway}\"\nmembers = \"{members}\"\n")
     };
-    (0..).zip(doors).map(one).collect()
+    (0..).zip(gateways).map(one).collect()
 }
 
 #[test]
-fn a_roster_that_shrinks_and_grows_has_one_owner_of_its_own_also_where_the_owner_is_taken_out() {
+fn a_changed_peer_set_has_one_leader_of_its_own_also_after_the_leader_was_removed() {
     let (low, high) = ([0, 1, 2], [3, 4, 5]);
-    let faults = told(4000, &low, "d0, d1, d2")
-        + &told(10_000, &low, "doors")
-        + &told(16_000, &high, "d3, d4, d5")
-        + &told(22_000, &high, "doors");
+    let faults = peer_set_change(4000, &low, "d0, d1, d2")
+        + &peer_set_change(10_000, &low, "doors")
+        + &peer_set_change(16_000, &high, "d3, d4, d5")
+        + &peer_set_change(22_000, &high, "doors");
     let run = run("owner-roster", 6, 1000, 28, &faults);
-    let moments = run.moments();
-    let [shrunk, grown, other, whole] = [0, 3, 6, 9].map(|n| moments[n]);
-    let mut epochs = vec![run.agreed((shrunk - SECOND, shrunk), &all(6)).1];
-    for (doors, until) in [(&low, grown), (&high, whole)] {
-        // Those that were taken out are not told of it, and go on asking.
-        let (owner, epoch) = run.agreed((until - SECOND, until), doors);
-        assert!(doors.contains(&owner), "d{owner} is not in the roster");
+    let fault_times = run.fault_times();
+    let [shrunk, grown, other, healed] = [0, 3, 6, 9].map(|n| fault_times[n]);
+    let mut epochs = vec![run.agreed_leader((shrunk - SECOND, shrunk), &all(6)).epoch];
+    for (gateways, until) in [(&low, grown), (&high, healed)] {
+        // The removed gateways keep their old peer set and go on as candidates.
+        let Leader {
+            gateway: owner,
+            epoch,
+        } = run.agreed_leader((until - SECOND, until), gateways);
+        assert!(gateways.contains(&owner), "d{owner} is not in the peer set");
         epochs.push(epoch);
     }
-    let (owner, _) = run.agreed((other - SECOND, other), &all(6));
+    let owner = run.agreed_leader((other - SECOND, other), &all(6)).gateway;
     assert!(
         owner < 3,
-        "who owns is not unseated by those that come: d{owner}"
+        "added gateways do not replace the leader: d{owner}"
+    );
+    epochs.push(
+        run.agreed_leader((run.end() - SECOND, u64::MAX), &all(6))
+            .epoch,
     );
-    epochs.push(run.agreed((run.end() - SECOND, u64::MAX), &all(6)).1);
     assert!(epochs.is_sorted() && epochs[2] > epochs[1], "{epochs:?}");
 }
 
-/// So many front doors that know each other, as configurations.
-fn several(count: usize, lease_ms: u64) -> Vec<Value> {
+/// Configurations of this number of gateways in one peer set.
+fn configurations(count: usize, lease_ms: u64) -> Vec<Value> {
     let port = |config: &Value| {
         let at: SocketAddr = config["listen"]
             .as_str()
@@ -587,7 +656,7 @@
             .expect("an address");
         SocketAddr::from((at.ip(), unused_port())).to_string()
     };
-    // A backend that takes connections, as a process takes over once it has one.
+    // A backend that accepts connections: without one a process takes over from no predecessor.
     let backend = target("s-00000000", Peer::start().address, "ready");
     let known = || list(std::slice::from_ref(&backend));
     let mut configs: Vec<Value> = (0..count).map(|_| config(closed_port(), known())).collect();
@@ -604,53 +673,57 @@
     configs
 }
 
-/// The answer to the call `owner`, if it is one.
-fn owner(front: &Front) -> Option<Owner> {
-    serde_json::from_str(front.call("owner").lines().next()?).ok()
+/// The answer to the call `owner`; `None` for an error.
+fn leader_answer(gateway: &Front) -> Option<Owner> {
+    serde_json::from_str(gateway.call("owner").lines().next()?).ok()
 }
 
-/// Who told of which term that it is its own, one after the other.
+/// The processes that claimed leadership, each with its epoch, in order.
 #[derive(Default)]
-struct Terms(Vec<(String, u64)>);
+struct ObservedLeaders(Vec<(String, u64)>);
 
-impl Terms {
-    /// Asks each of these processes once, one after the other. Returns what they told.
-    fn ask(&mut self, fronts: &[(&str, &Front)]) -> Vec<Owner> {
+impl ObservedLeaders {
+    /// Calls `owner` at each of these processes, one after the other, and returns the answers.
+    fn ask(&mut self, gateways: &[(&str, &Front)]) -> Vec<Owner> {
         let mut answers = Vec::new();
-        for (process, front) in fronts {
-            let Some(told) = owner(front) else { continue };
-            let own = (process.to_string(), told.epoch);
-            if told.mine && self.0.last() != Some(&own) {
-                // A term that was told of, then another, cannot be told of again: the two would have been at once.
+        for (process, gateway) in gateways {
+            let Some(answer) = leader_answer(gateway) else {
+                continue;
+            };
+            let own = (process.to_string(), answer.epoch);
+            if answer.mine && self.0.last() != Some(&own) {
+                // An epoch claimed again after another would mean two leaders at one instant.
                 assert!(
-                    self.0.last().is_none_or(|(_, last)| *last < told.epoch),
+                    self.0.last().is_none_or(|(_, last)| *last < answer.epoch),
                     "{own:?} after {:?}",
                     self.0
                 );
                 self.0.push(own);
             }
-            answers.push(told);
+            answers.push(answer);
         }
         answers
     }
 
-    /// Asks until all of these know the same owner, which is one of them. Returns its place and its term.
-    fn until_agreed(&mut self, fronts: &[(&str, &Front)]) -> (usize, u64) {
+    /// Calls `owner` until all of these processes know the same leader, which is one of them. Returns its index and epoch.
+    fn until_agreed(&mut self, gateways: &[(&str, &Front)]) -> (usize, u64) {
         let begin = Instant::now();
         loop {
-            let told = self.ask(fronts);
-            let first = told.first().map(|told| (told.owner.clone(), told.epoch));
-            let same = told
+            let answers = self.ask(gateways);
+            let first = answers
+                .first()
+                .map(|answer| (answer.owner.clone(), answer.epoch));
+            let same = answers
                 .iter()
-                .all(|told| Some((told.owner.clone(), told.epoch)) == first);
-            if let (true, Some(place)) = (same, told.iter().position(|told| told.mine)) {
-                if told.len() == fronts.len() {
-                    return (place, told[place].epoch);
+                .all(|answer| Some((answer.owner.clone(), answer.epoch)) == first);
+            if let (true, Some(index)) = (same, answers.iter().position(|answer| answer.mine)) {
+                if answers.len() == gateways.len() {
+                    return (index, answers[index].epoch);
                 }
             }
             assert!(
                 begin.elapsed() < Duration::from_secs(40),
-                "they do not agree: {told:?}"
+                "no agreement on a leader: {answers:?}"
             );
             sleep(Duration::from_millis(10));
         }
@@ -658,199 +731,206 @@
 }
 
 #[test]
-fn an_office_is_never_held_by_both_processes_of_a_door_that_is_taken_over() {
-    let fronts: Vec<Front> = several(3, 1000)
+fn at_most_one_process_of_a_gateway_leads_during_a_takeover() {
+    let gateways: Vec<Front> = configurations(3, 1000)
         .iter()
         .map(|config| PROGRAM.start(config))
         .collect();
-    let mut terms = Terms::default();
-    let named: Vec<(&str, &Front)> = ["n0", "n1", "n2"].into_iter().zip(&fronts).collect();
-    let (place, epoch) = terms.until_agreed(&named);
-    // Processes end with the thread that starts them: another one asks meanwhile.
+    let mut leaders = ObservedLeaders::default();
+    let named: Vec<(&str, &Front)> = ["n0", "n1", "n2"].into_iter().zip(&gateways).collect();
+    let (index, epoch) = leaders.until_agreed(&named);
+    // A process ends with the thread that started it, so another thread makes the calls meanwhile.
     let taken_over = AtomicBool::new(false);
     let second = std::thread::scope(|scope| {
         scope.spawn(|| {
             while !taken_over.load(Ordering::Relaxed) {
-                terms.ask(&named);
+                leaders.ask(&named);
             }
         });
-        let second = fronts[place].successor();
+        let second = gateways[index].successor();
         taken_over.store(true, Ordering::Relaxed);
         second
     });
     let (mut all, mut living) = (named.clone(), named.clone());
     all.push(("second", &second));
-    living[place] = ("second", &second);
+    living[index] = ("second", &second);
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_secs(3) {
-        terms.ask(&all);
+        leaders.ask(&all);
         sleep(Duration::from_millis(5));
     }
-    let (_, later) = terms.until_agreed(&living);
+    let (_, later) = leaders.until_agreed(&living);
     assert!(
         later > epoch,
-        "its office went on to another process, or to another door: {:?}",
-        terms.0
+        "leadership passed to the second process or to another gateway: {:?}",
+        leaders.0
     );
-    fronts[place].terminate();
+    gateways[index].terminate();
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_secs(2) {
-        terms.ask(&living);
+        leaders.ask(&living);
         sleep(Duration::from_millis(5));
     }
     assert_eq!(
-        terms.until_agreed(&living).1,
+        leaders.until_agreed(&living).1,
         later,
-        "the first process had nothing left to give back"
+        "the first process has no lease left to release"
     );
 }
 
 #[test]
-fn a_question_that_waited_while_the_owner_stood_still_is_answered_by_the_clock() {
-    let fronts: Vec<Front> = several(3, 1000)
+fn a_call_queued_while_the_leader_was_stopped_is_answered_by_the_present_clock() {
+    let gateways: Vec<Front> = configurations(3, 1000)
         .iter()
         .map(|config| PROGRAM.start(config))
         .collect();
-    let named: Vec<(&str, &Front)> = ["n0", "n1", "n2"].into_iter().zip(&fronts).collect();
-    let (place, epoch) = Terms::default().until_agreed(&named);
-    let old = &fronts[place];
-    // Taken in before it is stopped: the line alone is missing, and comes before its timers and all datagrams.
+    let named: Vec<(&str, &Front)> = ["n0", "n1", "n2"].into_iter().zip(&gateways).collect();
+    let (index, epoch) = ObservedLeaders::default().until_agreed(&named);
+    let old = &gateways[index];
+    // The connections are accepted before the process is stopped; it reads the calls before timers and datagrams.
     let mut callers: Vec<TcpStream> = (0..8)
-        .map(|_| TcpStream::connect(old.admin).expect("the operators' door accepts"))
+        .map(|_| TcpStream::connect(old.admin).expect("the operators' gateway accepts"))
         .collect();
     assert!(
-        owner(old).is_some_and(|told| told.mine),
-        "it has taken those before this one in"
+        leader_answer(old).is_some_and(|answer| answer.mine),
+        "the earlier connections are accepted"
     );
     old.signal(Signal::STOP);
     for caller in &mut callers {
-        caller.write_all(b"owner\n").expect("the system takes it");
+        caller
+            .write_all(b"owner\n")
+            .expect("buffered by the system");
     }
     sleep(Duration::from_secs(4));
     old.signal(Signal::CONT);
     for mut caller in callers {
         let mut answer = String::new();
-        caller.read_to_string(&mut answer).expect("an answer comes");
-        let told: Owner =
+        caller.read_to_string(&mut answer).expect("an answer");
+        let answer: Owner =
             serde_json::from_str(answer.lines().next().expect("a line")).expect("an owner");
         assert!(
-            !told.mine && (told.owner.is_some() || told.left_ms == 0),
-            "{told:?}"
+            !answer.mine && (answer.owner.is_some() || answer.left_ms == 0),
+            "{answer:?}"
         );
     }
-    let (_, later) = Terms::default().until_agreed(&named);
-    assert!(later > epoch, "another was chosen meanwhile");
+    let (_, later) = ObservedLeaders::default().until_agreed(&named);
+    assert!(later > epoch, "another leader was elected meanwhile");
 }
 
-/// Starts a front door with its log in a file, and tells where that is.
-fn logged(name: &str, config: &Value) -> (Front, std::path::PathBuf) {
+/// Starts a gateway with its log in a file, and returns the path of that file.
+fn start_with_log(name: &str, config: &Value) -> (Front, std::path::PathBuf) {
     let path = std::path::Path::new(env!("CARGO_TARGET_TMPDIR")).join(format!("{name}.log"));
     let file = File::create(&path).expect("a file");
     (PROGRAM.start_with(config, file.into()), path)
 }
 
-const ONE_LEASE: &str = "set one fleet.lease_ms at every gateway, and start them again";
+const LEASE_MISMATCH_ADVICE: &str = "set one fleet.lease_ms at every gateway, and start them again";
 
 #[test]
-fn a_door_with_another_lease_grants_nothing_and_the_logs_say_what_to_do() {
-    let mut configs = several(3, 1000);
+fn a_gateway_with_another_lease_does_not_vote_and_the_logs_say_what_to_do() {
+    let mut configs = configurations(3, 1000);
     configs[2]["fleet"]["lease_ms"] = json!(1500);
-    let mut fronts: Vec<(Front, std::path::PathBuf)> = configs
+    let mut gateways: Vec<(Front, std::path::PathBuf)> = configs
         .iter()
         .enumerate()
-        .map(|(n, config)| logged(&format!("owner-lease-{n}"), config))
+        .map(|(n, config)| start_with_log(&format!("owner-lease-{n}"), config))
         .collect();
     let named: Vec<(&str, &Front)> = ["n0", "n1", "n2"]
         .into_iter()
-        .zip(fronts.iter().map(|(front, _)| front))
+        .zip(gateways.iter().map(|(gateway, _)| gateway))
         .collect();
-    let mut terms = Terms::default();
-    let (place, _) = terms.until_agreed(&named);
-    assert!(place < 2, "only two grant each other");
-    // Without one of the two the other has no majority, as the third grants nothing.
-    drop(fronts.remove(1 - place));
-    let left = [("the owner", &fronts[0].0), ("n2", &fronts[1].0)];
+    let mut leaders = ObservedLeaders::default();
+    let (index, _) = leaders.until_agreed(&named);
+    assert!(index < 2, "only n0 and n1 vote for each other");
+    // Without one of the two, the other has no majority, as n2 does not vote for it.
+    drop(gateways.remove(1 - index));
+    let left = [("the leader", &gateways[0].0), ("n2", &gateways[1].0)];
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_secs(3) {
-        let told: Vec<Owner> = left.iter().filter_map(|(_, front)| owner(front)).collect();
+        let answers: Vec<Owner> = left
+            .iter()
+            .filter_map(|(_, gateway)| leader_answer(gateway))
+            .collect();
         assert!(
-            begin.elapsed() < Duration::from_millis(1200) || told.iter().all(|told| !told.mine),
-            "{told:?}"
+            begin.elapsed() < Duration::from_millis(1200)
+                || answers.iter().all(|answer| !answer.mine),
+            "{answers:?}"
         );
         sleep(Duration::from_millis(20));
     }
-    for (_, log) in &fronts {
+    for (_, log) in &gateways {
         let log = std::fs::read_to_string(log).expect("a log");
-        assert!(log.contains(ONE_LEASE), "{log}");
+        assert!(log.contains(LEASE_MISMATCH_ADVICE), "{log}");
     }
 }
 
 #[test]
-fn a_door_without_a_lease_grants_nothing_and_the_others_own_all_the_same() {
-    let mut configs = several(3, 500);
+fn a_gateway_without_a_lease_does_not_vote_and_the_others_elect_a_leader() {
+    let mut configs = configurations(3, 500);
     let fleet = configs[2]["fleet"].as_object_mut().expect("an object");
     fleet.remove("lease_ms");
-    let mut fronts: Vec<Front> = configs.iter().map(|config| PROGRAM.start(config)).collect();
-    let named: Vec<(&str, &Front)> = ["n0", "n1"].into_iter().zip(&fronts).collect();
-    let mut terms = Terms::default();
-    let (place, _) = terms.until_agreed(&named);
-    let answer = fronts[2].call("owner");
+    let mut gateways: Vec<Front> = configs.iter().map(|config| PROGRAM.start(config)).collect();
+    let named: Vec<(&str, &Front)> = ["n0", "n1"].into_iter().zip(&gateways).collect();
+    let mut leaders = ObservedLeaders::default();
+    let (index, _) = leaders.until_agreed(&named);
+    let answer = gateways[2].call("owner");
     assert!(
         answer.starts_with("error no owner here: the configuration has no fleet.lease_ms; set it"),
         "{answer}"
     );
-    drop(fronts.remove(1 - place));
+    drop(gateways.remove(1 - index));
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_secs(2) {
-        let told = owner(&fronts[0]);
+        let answer = leader_answer(&gateways[0]);
         assert!(
-            begin.elapsed() < Duration::from_millis(700) || told.iter().all(|told| !told.mine),
-            "{told:?}"
+            begin.elapsed() < Duration::from_millis(700)
+                || answer.iter().all(|answer| !answer.mine),
+            "{answer:?}"
         );
         sleep(Duration::from_millis(20));
     }
 }
 
-/// What makes no sense, and words of a name that no roster has, from a socket of nobody's.
-struct Stranger {
+/// Sends malformed datagrams, and well-formed ones under a name that is in no peer set.
+struct UnknownSender {
     socket: UdpSocket,
-    words: Vec<Vec<u8>>,
-    junk: Vec<Vec<u8>>,
+    well_formed: Vec<Vec<u8>>,
+    malformed: Vec<Vec<u8>>,
 }
 
-/// A term that the clocks of these processes do not reach in a test.
-const FAR: u64 = 1_000_000_000;
+/// Distance to an epoch that the clocks of these processes do not reach during a test.
+const EPOCH_DISTANCE: u64 = 1_000_000_000;
 
-impl Stranger {
-    fn new(epoch: u64) -> Stranger {
-        let rosters = PeerConfiguration::new(["n0", "n1", "n2"].map(peer_id_of).to_vec());
-        let from = peer_id_of("stranger");
-        let word = |kind| {
-            let word = Datagram {
+impl UnknownSender {
+    fn new(epoch: u64) -> UnknownSender {
+        let peer_sets = PeerConfiguration::new(["n0", "n1", "n2"].map(peer_id_of).to_vec());
+        let from = peer_id_of("unknown_sender");
+        let encoded = |kind| {
+            let datagram = Datagram {
                 from,
                 incarnation: 7,
                 to_incarnation: 0,
                 tick: 1,
-                peer_sets: rosters.told(),
-                epoch: epoch + FAR,
+                peer_sets: peer_sets.told(),
+                epoch: epoch + EPOCH_DISTANCE,
                 kind,
             };
-            word.encode()
+            datagram.encode()
         };
         let ask = Kind::Ask {
             number: 1,
-            epoch: epoch + FAR,
+            epoch: epoch + EPOCH_DISTANCE,
             lease_ms: 1000,
             until: Some(u64::MAX),
         };
-        let words = vec![
-            word(ask),
-            word(Kind::Release { epoch, next: from }),
-            word(ask),
+        let well_formed = vec![
+            encoded(ask),
+            encoded(Kind::Release { epoch, next: from }),
+            encoded(ask),
         ];
-        let cut_short = words[0][..words[0].len() - 1].to_vec();
-        let too_long = [&words[0][..], b"more"].concat();
-        let junk = vec![
+        let cut_short = well_formed[0][..well_formed[0].len() - 1].to_vec();
+        let too_long = [&well_formed[0][..], b"more"].concat();
+        let malformed = vec![
             b"\x02".to_vec(),
             vec![2; 40],
             vec![2; 1400],
@@ -858,93 +938,97 @@
             cut_short,
             too_long,
         ];
-        Stranger {
+        UnknownSender {
             socket: UdpSocket::bind("127.0.0.1:0").expect("a port"),
-            words,
-            junk,
+            well_formed,
+            malformed,
         }
     }
 
-    fn say(&self, bytes: &[u8], to: &Value) {
-        // What the system has no room for is lost, as anywhere on the way.
+    fn send(&self, bytes: &[u8], to: &Value) {
+        // A datagram that does not fit in the socket's buffer is lost, as it may be on the network.
         let _ = self
             .socket
             .send_to(bytes, to["fleet"]["listen"].as_str().expect("text"));
     }
 }
 
-/// A count in the answer to the call `fleet`.
-fn counted(front: &Front, group: &str, key: &str) -> u64 {
-    let line = front.call("fleet");
-    let told: Value = serde_json::from_str(line.lines().next().expect("a line")).expect("a view");
-    told[group][key].as_u64().expect("a count")
+/// A count in a group of the answer to the call `fleet`.
+fn dropped_count(gateway: &Front, group: &str, key: &str) -> u64 {
+    let line = gateway.call("fleet");
+    let answer: Value = serde_json::from_str(line.lines().next().expect("a line")).expect("a view");
+    answer[group][key].as_u64().expect("a count")
 }
 
 #[test]
-fn what_is_no_word_of_the_fleet_moves_nobody_and_a_flood_of_it_neither() {
-    let configs = several(3, 1000);
-    let fronts: Vec<Front> = configs.iter().map(|config| PROGRAM.start(config)).collect();
-    let named: Vec<(&str, &Front)> = ["n0", "n1", "n2"].into_iter().zip(&fronts).collect();
-    let mut terms = Terms::default();
-    let (place, epoch) = terms.until_agreed(&named);
-    let stranger = Stranger::new(epoch);
+fn malformed_datagrams_and_unknown_senders_change_nothing_also_in_a_flood() {
+    let configs = configurations(3, 1000);
+    let gateways: Vec<Front> = configs.iter().map(|config| PROGRAM.start(config)).collect();
+    let named: Vec<(&str, &Front)> = ["n0", "n1", "n2"].into_iter().zip(&gateways).collect();
+    let mut leaders = ObservedLeaders::default();
+    let (index, epoch) = leaders.until_agreed(&named);
+    let unknown_sender = UnknownSender::new(epoch);
     for config in &configs {
-        stranger
-            .junk
+        unknown_sender
+            .malformed
             .iter()
-            .chain(&stranger.words)
-            .for_each(|bytes| stranger.say(bytes, config));
+            .chain(&unknown_sender.well_formed)
+            .for_each(|bytes| unknown_sender.send(bytes, config));
     }
     let begin = Instant::now();
     while begin.elapsed() < Duration::from_secs(2) {
-        // Each is asked, and each answers as if nothing had come.
-        let told = terms.ask(&named);
+        // All answers are as if no datagram had arrived.
+        let answers = leaders.ask(&named);
         assert!(
-            told.iter()
-                .all(|told| told.epoch == epoch && told.refused == 0),
-            "{told:?}"
+            answers
+                .iter()
+                .all(|answer| answer.epoch == epoch && answer.refused == 0),
+            "{answers:?}"
         );
         sleep(Duration::from_millis(20));
     }
-    assert_eq!(terms.until_agreed(&named), (place, epoch));
-    // A flood at one that follows, and at the owner, whose socket has no room for grants meanwhile.
-    for n in [(place + 1) % 3, place] {
+    assert_eq!(leaders.until_agreed(&named), (index, epoch));
+    // Flood a follower, then the leader, whose socket has no space for votes meanwhile.
+    for n in [(index + 1) % 3, index] {
         for _ in 0..30_000 {
-            stranger.say(&stranger.words[0], &configs[n]);
+            unknown_sender.send(&unknown_sender.well_formed[0], &configs[n]);
         }
-        assert_eq!(terms.ask(&named).len(), 3, "they answer meanwhile");
+        assert_eq!(leaders.ask(&named).len(), 3, "all answer during the flood");
     }
-    let (_, later) = terms.until_agreed(&named);
-    assert!(later < epoch + FAR, "no term of a stranger's: {later}");
+    let (_, later) = leaders.until_agreed(&named);
+    assert!(
+        later < epoch + EPOCH_DISTANCE,
+        "the epoch of an unknown sender is not adopted: {later}"
+    );
 }
 
 #[test]
-fn what_is_no_word_of_the_office_is_counted() {
-    let configs = several(3, 1000);
-    let front = PROGRAM.start(&configs[0]);
-    let stranger = Stranger::new(1);
+fn malformed_datagrams_and_unknown_senders_are_counted() {
+    let configs = configurations(3, 1000);
+    let gateway = PROGRAM.start(&configs[0]);
+    let unknown_sender = UnknownSender::new(1);
     let begin = Instant::now();
-    while owner(&front).is_none() {
+    while leader_answer(&gateway).is_none() {
         assert!(
             begin.elapsed() < Duration::from_secs(10),
-            "it has no office"
+            "the election has not started"
         );
         sleep(Duration::from_millis(20));
     }
-    stranger
-        .junk
+    unknown_sender
+        .malformed
         .iter()
-        .chain(&stranger.words)
-        .for_each(|bytes| stranger.say(bytes, &configs[0]));
+        .chain(&unknown_sender.well_formed)
+        .for_each(|bytes| unknown_sender.send(bytes, &configs[0]));
     let begin = Instant::now();
-    let count = |key| counted(&front, "dropped", key);
-    while count("malformed") < stranger.junk.len() as u64
-        || count("unknown") < stranger.words.len() as u64
+    let count = |key| dropped_count(&gateway, "dropped", key);
+    while count("malformed") < unknown_sender.malformed.len() as u64
+        || count("unknown") < unknown_sender.well_formed.len() as u64
     {
         assert!(
             begin.elapsed() < Duration::from_secs(10),
             "{}",
-            front.call("fleet")
+            gateway.call("fleet")
         );
         sleep(Duration::from_millis(20));
     }
--- a/quota-gateway/tests/sessions.rs
+++ b/quota-gateway/tests/sessions.rs
@@ -1,7 +1,8 @@
-//! Sessions in several processes with faults: customers without state, bound for a run and bound for good, while a keeper is
-//! killed and one front door cannot reach a backend. Verdicts and failures come from the record.
+//! Session classification in several gateway processes with faults: customers without session state, with state for a
+//! run of requests and with state for a whole session, while a shard owner is killed and one gateway cannot reach a
+//! backend. The tests judge the verdicts and failures in the record.
 
-// All checks at once are not for this file.
+// `stage::kept` requires all checks to pass; this file judges checks one by one.
 #[allow(dead_code)]
 mod stage;
 
@@ -13,7 +14,7 @@
 
 const SECONDS: u64 = 36;
 
-/// Many requests from few customers, so that verdicts come within the first half, with quotas that refuse nothing.
+/// Many requests from few customers, so that verdicts exist within the first half, with quotas that reject nothing.
 const KINDS: &str = r#"
 [[plan]]
 name = "stateless"
@@ -48,7 +49,8 @@
 run_length = 8
 run_gap_ms = 200
 
-# Each front door keeps some keys, the owner too: there is a new epoch, its keys go to the others, and some come back.
+# Each gateway owns some keys, the leader too. After the kill there is a new epoch, its keys go to the others, and some
+# come back after the restart.
 [[kill]]
 at_ms = 12000
 doors = "owner"
@@ -62,34 +64,38 @@
 cut = true
 "#;
 
-/// So many cases of one check, which is kept. What a busy machine answers late is for other tests to judge.
-fn kept(summary: &Summary, check: &str) -> usize {
+/// The number of cases of one check, which must not be broken. Late answers of a busy machine are judged by other tests.
+fn passed_cases(summary: &Summary, check: &str) -> usize {
     let finding = summary
         .findings
         .iter()
         .find(|finding| finding.check == check)
-        .expect("it was checked");
+        .expect("a finding of this check");
     assert_eq!(finding.broken, 0, "{finding:?}");
     finding.cases
 }
 
+/// Runs five gateways with these settings of sessions.
 fn run(name: &str, sessions: &str) -> (Summary, Vec<Entry>) {
-    let doors = format!("doors = 5\nlease_ms = 1000\nshards = {{ count = 20 }}\n{sessions}");
+    let gateways = format!("doors = 5\nlease_ms = 1000\nshards = {{ count = 20 }}\n{sessions}");
     let text = SMALL
         .replace("seconds = 5", &format!("seconds = {SECONDS}"))
-        .replace("doors = 4", &doors);
+        .replace("doors = 4", &gateways);
     let text = text
         .replace("cores = 4", "cores = 8")
         .replace("service_ms = 10", "service_ms = 4");
     let (summary, entries) = carry(name, &(text + KINDS));
     for check in ["one_owner", "one_keeper", "fenced"] {
-        assert!(kept(&summary, check) > 500, "{check} looked at too little");
+        assert!(
+            passed_cases(&summary, check) > 500,
+            "too few cases of {check}"
+        );
     }
     (summary, entries)
 }
 
-/// The part of the requests that needed state and failed for want of it, in each third of the run.
-fn breaks(entries: &[Entry]) -> [f64; 3] {
+/// The fraction of the requests with session state that failed because the state was lost, in each third of the run.
+fn lost_state_fractions(entries: &[Entry]) -> [f64; 3] {
     let sent = entries
         .iter()
         .find(|entry| matches!(entry.event, Event::Sent { .. }));
@@ -105,44 +111,42 @@
     }
     assert!(
         needed.iter().all(|needed| *needed > 500.0),
-        "too little to tell: {needed:?}"
+        "too few requests with state: {needed:?}"
     );
     [0, 1, 2].map(|third| lost[third] / needed[third])
 }
 
 #[test]
-fn bound_customers_are_found_and_held_while_a_keeper_is_killed_and_a_backend_cannot_be_reached() {
+fn customers_with_state_keep_their_connections_while_a_shard_owner_is_killed_and_a_backend_is_unreachable(
+) {
     let (summary, entries) = run("sessions-holding", "sessions = { pool = true }");
+    assert!(passed_cases(&summary, "verdicts") > 300, "too few verdicts");
+    let fractions = lost_state_fractions(&entries);
     assert!(
-        kept(&summary, "verdicts") > 300,
-        "verdicts looked at too little"
+        fractions[2] < fractions[0] / 2.0,
+        "failures of customers with state, by thirds: {fractions:?}"
     );
-    let breaks = breaks(&entries);
-    assert!(
-        breaks[2] < breaks[0] / 2.0,
-        "bound customers' failures by thirds: {breaks:?}"
-    );
-    // It takes longer to find that one is free: of that there may be no verdict yet.
-    for told in summary
+    // The verdict `statement` takes longer: it may be missing yet.
+    for kind_figures in summary
         .figures
         .told
         .iter()
-        .filter(|told| told.kind != Kind::Statement)
+        .filter(|kind_figures| kind_figures.kind != Kind::Statement)
     {
         assert!(
-            told.with_verdict > 0,
-            "no verdict for any customer of one kind: {told:?}"
+            kind_figures.with_verdict > 0,
+            "no verdict for any customer of one kind: {kind_figures:?}"
         );
         assert!(
-            told.right > told.less + told.more,
-            "most verdicts are right: {told:?}"
+            kind_figures.right > kind_figures.less + kind_figures.more,
+            "most verdicts are right: {kind_figures:?}"
         );
     }
     assert_eq!(summary.figures.told.len(), 3, "{:?}", summary.figures.told);
 }
 
 #[test]
-fn with_observing_alone_verdicts_are_told_and_no_connection_is_held() {
+fn with_pool_false_verdicts_are_reported_and_no_connection_is_reserved() {
     let (observing, without) = thread::scope(|scope| {
         let observing = scope.spawn(|| run("sessions-observing", "sessions = { pool = false }"));
         let without = scope.spawn(|| run("sessions-without", ""));
@@ -152,24 +156,27 @@
         )
     });
     assert!(
-        kept(&observing.0, "verdicts") > 300,
-        "verdicts looked at too little"
+        passed_cases(&observing.0, "verdicts") > 300,
+        "too few verdicts"
+    );
+    let (fractions, plain) = (
+        lost_state_fractions(&observing.1),
+        lost_state_fractions(&without.1),
     );
-    let (breaks, plain) = (breaks(&observing.1), breaks(&without.1));
     assert!(
-        breaks[2] > breaks[0] * 0.7,
-        "nothing is held, and failures stay: {breaks:?}"
+        fractions[2] > fractions[0] * 0.7,
+        "no connection is reserved, and failures remain: {fractions:?}"
     );
     assert!(
-        breaks[2] > plain[2] * 0.7,
-        "as without the key: {breaks:?}, {plain:?}"
+        fractions[2] > plain[2] * 0.7,
+        "as without the key: {fractions:?}, {plain:?}"
     );
     let open = |summary: &Summary| {
         summary
             .figures
             .bound
             .as_ref()
-            .expect("some are bound")
+            .expect("figures of customers with state")
             .connections_mean
     };
     let (open, plain) = (open(&observing.0), open(&without.0));
@@ -182,9 +189,12 @@
         .figures
         .told
         .iter()
-        .filter(|told| told.kind != Kind::Statement);
+        .filter(|kind_figures| kind_figures.kind != Kind::Statement);
     assert!(
-        bound.clone().count() == 2 && bound.clone().all(|told| told.with_verdict > 0),
+        bound.clone().count() == 2
+            && bound
+                .clone()
+                .all(|kind_figures| kind_figures.with_verdict > 0),
         "classified"
     );
 }
--- a/quota-gateway/tests/shards.rs
+++ b/quota-gateway/tests/shards.rs
@@ -1,6 +1,6 @@
-//! The shard map in several processes: staff's proposals by any door's file, keepers that stand still over a move, and
-//! runs of the lab in which owner and keepers are killed, stopped and cut off. Verdicts come from the record, or from
-//! what each process told.
+//! The shard map in several gateway processes: proposals in the configuration of any gateway, shard owners that are
+//! stopped during a move, and runs of the fault lab in which the leader and shard owners are killed, stopped and
+//! partitioned. The tests judge the record, or the answers of each process to the calls `shards` and `owner`.
 
 mod stage;
 
@@ -17,11 +17,12 @@
     path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
+/// Number of keys of the shard map.
 const KEYS: u64 = 1 << 33;
 const LEASE_MS: u64 = 1000;
 
-/// Configurations of so many front doors that keep keys.
-fn doors(count: usize) -> Vec<Value> {
+/// Configurations of this number of gateways in one peer set, with a shard map.
+fn configurations(count: usize) -> Vec<Value> {
     let mut all: Vec<Value> = (0..count)
         .map(|_| config(closed_port(), list(&[])))
         .collect();
@@ -46,8 +47,8 @@
     all
 }
 
-/// The same with a proposal of staff.
-fn proposes(config: &Value, expect: u64, map: &[(u64, u64, &str)]) -> Value {
+/// The same configuration with a proposed shard map that replaces version `expect`.
+fn with_proposal(config: &Value, expect: u64, map: &[(u64, u64, &str)]) -> Value {
     let mut config = config.clone();
     let ranges: Vec<Value> = map
         .iter()
@@ -58,39 +59,43 @@
     config
 }
 
-fn told(front: &Front, call: &str) -> Value {
-    let answer = front.call(call);
+/// The JSON answer to a call.
+fn answer_to(gateway: &Front, call: &str) -> Value {
+    let answer = gateway.call(call);
     let line = answer
         .strip_suffix("\nend\n")
         .unwrap_or_else(|| panic!("{call}: {answer}"));
     serde_json::from_str(line).expect("JSON")
 }
 
-/// Waits until all tell something.
-fn until(fronts: &[&Front], call: &str, what: &str, holds: impl Fn(&Value) -> bool) {
+/// Waits until the answers of all these gateways to a call meet the condition.
+fn until(gateways: &[&Front], call: &str, what: &str, condition: impl Fn(&Value) -> bool) {
     let begin = Instant::now();
-    for front in fronts {
-        while !holds(&told(front, call)) {
+    for gateway in gateways {
+        while !condition(&answer_to(gateway, call)) {
             assert!(
                 begin.elapsed() < Duration::from_secs(30),
                 "{what}: {}",
-                front.call(call)
+                gateway.call(call)
             );
             sleep(Duration::from_millis(20));
         }
     }
 }
 
-/// The keys that a front door keeps, from and up to.
-fn mine(front: &Front) -> Vec<(u64, u64)> {
-    serde_json::from_value(told(front, "shards")["mine"].clone()).expect("ranges")
+/// The ranges of keys that a gateway owns: from the first key up to and without the last.
+fn owned_ranges(gateway: &Front) -> Vec<(u64, u64)> {
+    serde_json::from_value(answer_to(gateway, "shards")["mine"].clone()).expect("ranges")
 }
 
-/// Each key has one keeper, once the map is with them.
-fn whole(fronts: &[&Front], what: &str) {
+/// Waits until each key has exactly one owner.
+fn wait_until_covered(gateways: &[&Front], what: &str) {
     let begin = Instant::now();
     loop {
-        let mut all: Vec<(u64, u64)> = fronts.iter().flat_map(|front| mine(front)).collect();
+        let mut all: Vec<(u64, u64)> = gateways
+            .iter()
+            .flat_map(|gateway| owned_ranges(gateway))
+            .collect();
         all.sort_unstable();
         let covered = all.first().is_some_and(|first| first.0 == 0)
             && all.last().is_some_and(|last| last.1 == KEYS)
@@ -103,55 +108,56 @@
     }
 }
 
+/// Starts a process for each configuration.
 fn start(configs: &[Value]) -> Vec<Front> {
     configs.iter().map(|config| PROGRAM.start(config)).collect()
 }
 
 #[test]
-fn a_good_proposal_is_in_force_everywhere_and_a_bad_one_is_refused_with_all_that_is_wrong() {
-    let configs = doors(3);
-    let fronts = start(&configs);
-    let all: Vec<&Front> = fronts.iter().collect();
-    until(&all, "shards", "the first map", |told| {
-        told["version"] == 1 && told["ranges"] == 12
+fn a_valid_proposal_is_in_force_at_all_gateways_and_an_invalid_one_is_rejected_with_all_findings() {
+    let configs = configurations(3);
+    let gateways = start(&configs);
+    let all: Vec<&Front> = gateways.iter().collect();
+    until(&all, "shards", "the first map", |answer| {
+        answer["version"] == 1 && answer["ranges"] == 12
     });
-    whole(&all, "the first map");
+    wait_until_covered(&all, "the first map");
 
-    // Any door carries it to the owner.
+    // Any gateway forwards a proposal to the leader.
     let third = KEYS / 3;
-    let good = [
+    let valid = [
         (0, third + 1000, "n0"),
         (third + 1000, 2 * third, "n1"),
         (2 * third, KEYS, "n2"),
     ];
-    fronts[2].replace_config(&proposes(&configs[2], 1, &good).to_string());
-    until(&all, "shards", "the good one", |told| {
-        told["version"] == 2 && told["ranges"] == 3
+    gateways[2].replace_config(&with_proposal(&configs[2], 1, &valid).to_string());
+    until(&all, "shards", "the valid proposal", |answer| {
+        answer["version"] == 2 && answer["ranges"] == 3
     });
-    until(&[all[2]], "shards", "it is answered", |told| {
-        told["proposal"]["state"] == "in force"
+    until(&[all[2]], "shards", "the proposal is answered", |answer| {
+        answer["proposal"]["state"] == "in force"
     });
-    whole(&all, "the good one");
-    assert_eq!(mine(all[0]), [(0, third + 1000)]);
+    wait_until_covered(&all, "the valid proposal");
+    assert_eq!(owned_ranges(all[0]), [(0, third + 1000)]);
     let hashes: Vec<Value> = all
         .iter()
-        .map(|front| told(front, "shards")["hash"].clone())
+        .map(|gateway| answer_to(gateway, "shards")["hash"].clone())
         .collect();
     assert!(hashes.iter().all(|hash| *hash == hashes[0]), "{hashes:?}");
 
-    // A gap of one key, an overlap of two, and a keeper that nobody knows.
-    let bad = [
+    // A gap of one key, an overlap of two, and an owner that is no gateway of the peer set.
+    let invalid = [
         (0, third, "n0"),
         (third + 1, 2 * third, "n9"),
         (2 * third - 2, KEYS, "n2"),
     ];
-    fronts[1].replace_config(&proposes(&configs[1], 2, &bad).to_string());
-    until(&[all[1]], "shards", "the bad one", |told| {
-        told["proposal"]["state"] == "refused"
+    gateways[1].replace_config(&with_proposal(&configs[1], 2, &invalid).to_string());
+    until(&[all[1]], "shards", "the invalid proposal", |answer| {
+        answer["proposal"]["state"] == "refused"
     });
-    let refused = told(all[1], "shards")["proposal"].clone();
-    assert_eq!(refused["version"], 3);
-    let findings = refused["findings"].as_array().expect("findings").clone();
+    let rejected = answer_to(all[1], "shards")["proposal"].clone();
+    assert_eq!(rejected["version"], 3);
+    let findings = rejected["findings"].as_array().expect("findings").clone();
     let of = |rule: &str| {
         findings
             .iter()
@@ -174,143 +180,152 @@
         "{findings:?}"
     );
 
-    // One for a version that is over changes nothing either.
-    fronts[0].replace_config(&proposes(&configs[0], 1, &good).to_string());
-    until(&[all[0]], "shards", "the late one", |told| {
-        told["proposal"]["state"] != "waiting"
+    // A proposal for a version that is no longer in force changes nothing.
+    gateways[0].replace_config(&with_proposal(&configs[0], 1, &valid).to_string());
+    until(&[all[0]], "shards", "the outdated proposal", |answer| {
+        answer["proposal"]["state"] != "waiting"
     });
-    assert_eq!(told(all[0], "shards")["version"], 2);
+    assert_eq!(answer_to(all[0], "shards")["version"], 2);
 }
 
 #[test]
-fn a_file_that_proposes_a_bad_map_is_found_out_with_all_that_is_wrong_and_keeps_no_door_from_its_start(
-) {
-    let configs = doors(3);
-    let bad = proposes(
+fn the_check_of_a_file_reports_all_findings_on_its_shard_map_and_a_start_with_it_serves() {
+    let configs = configurations(3);
+    let invalid_config = with_proposal(
         &configs[0],
         0,
         &[(0, 10, "n0"), (11, KEYS + 5, "gone"), (4, 4, "n1")],
     );
-    let file = PROGRAM.write(&bad);
+    let file = PROGRAM.write(&invalid_config);
     let output = std::process::Command::new(PROGRAM.path)
         .args(["--check", "--config"])
         .arg(&file)
         .env("BALANCER_LISTEN", "127.0.0.1:1")
         .output()
-        .expect("it ends");
-    let said = String::from_utf8_lossy(&output.stderr);
-    assert_eq!(output.status.code(), Some(1), "{said}");
+        .expect("the check ends");
+    let stderr = String::from_utf8_lossy(&output.stderr);
+    assert_eq!(output.status.code(), Some(1), "{stderr}");
     let found = |line: &str| {
-        said.lines().any(|said| {
-            said.starts_with("quota-gateway: fleet.shards.map: ") && said.contains(line)
+        stderr.lines().any(|printed| {
+            printed.starts_with("quota-gateway: fleet.shards.map: ") && printed.contains(line)
         })
     };
     for line in ["gone", "10", "8589934592"] {
-        assert!(found(line), "{line}: {said}");
+        assert!(found(line), "{line}: {stderr}");
     }
     assert!(
-        said.lines().count() >= 5,
-        "each finding has its line: {said}"
+        stderr.lines().count() >= 5,
+        "each finding has its line: {stderr}"
     );
-    // The front door serves all the same; its proposal is refused.
-    let front = PROGRAM.start_with(&bad, Stdio::null());
-    assert!(front.call("stats").ends_with("end\n"));
+    // The gateway serves all the same; only its proposal is rejected.
+    let gateway = PROGRAM.start_with(&invalid_config, Stdio::null());
+    assert!(gateway.call("stats").ends_with("end\n"));
 }
 
 #[test]
-fn a_keeper_that_stands_still_over_a_move_keeps_nothing_when_it_wakes() {
-    let configs = doors(3);
-    let fronts = start(&configs);
-    let all: Vec<&Front> = fronts.iter().collect();
-    until(&all, "shards", "the first map", |told| told["version"] == 1);
-    whole(&all, "the first map");
-    let owner = told(all[0], "owner")["owner"]
+fn a_shard_owner_stopped_during_a_move_owns_nothing_of_others_when_it_resumes() {
+    let configs = configurations(3);
+    let gateways = start(&configs);
+    let all: Vec<&Front> = gateways.iter().collect();
+    until(&all, "shards", "the first map", |answer| {
+        answer["version"] == 1
+    });
+    wait_until_covered(&all, "the first map");
+    let owner = answer_to(all[0], "owner")["owner"]
         .as_str()
-        .expect("an owner")
+        .expect("a leader")
         .to_string();
-    let still = (0..3).find(|n| owner != format!("n{n}")).expect("another");
-    let (had, others) = (mine(all[still]), (0..3).filter(|n| *n != still));
-    let others: Vec<&Front> = others.map(|n| all[n]).collect();
-    all[still].signal(Signal::STOP);
-    // Its keys go to the others, after its lease and the view's verdict.
-    whole(&others, "without it");
-    all[still].signal(Signal::CONT);
-    let woke = mine(all[still]);
-    let kept: Vec<(u64, u64)> = others.iter().flat_map(|front| mine(front)).collect();
-    for (from, to) in &woke {
+    let stopped = (0..3).find(|n| owner != format!("n{n}")).expect("another");
+    let had = owned_ranges(all[stopped]);
+    let others: Vec<&Front> = (0..3).filter(|n| *n != stopped).map(|n| all[n]).collect();
+    all[stopped].signal(Signal::STOP);
+    // Its keys go to the others once its lease is over and the membership has it as dead.
+    wait_until_covered(&others, "without the stopped gateway");
+    all[stopped].signal(Signal::CONT);
+    let after_resume = owned_ranges(all[stopped]);
+    let owned_by_others: Vec<(u64, u64)> = others
+        .iter()
+        .flat_map(|gateway| owned_ranges(gateway))
+        .collect();
+    for (from, to) in &after_resume {
         assert!(
-            kept.iter().all(|(low, high)| high <= from || to <= low),
-            "{woke:?} and {kept:?}, it had {had:?}"
+            owned_by_others
+                .iter()
+                .all(|(low, high)| high <= from || to <= low),
+            "{after_resume:?} and {owned_by_others:?}, before the stop {had:?}"
         );
     }
-    whole(&all, "with it again");
+    wait_until_covered(&all, "with the resumed gateway");
 }
 
 #[test]
-fn an_owner_that_stands_still_decides_nothing_when_it_wakes() {
-    let configs = doors(3);
-    let fronts = start(&configs);
-    let all: Vec<&Front> = fronts.iter().collect();
-    until(&all, "shards", "the first map", |told| told["version"] == 1);
-    let name = told(all[0], "owner")["owner"]
+fn a_leader_that_was_stopped_decides_nothing_when_it_resumes() {
+    let configs = configurations(3);
+    let gateways = start(&configs);
+    let all: Vec<&Front> = gateways.iter().collect();
+    until(&all, "shards", "the first map", |answer| {
+        answer["version"] == 1
+    });
+    let name = answer_to(all[0], "owner")["owner"]
         .as_str()
-        .expect("an owner")
+        .expect("a leader")
         .to_string();
     let owner = (0..3)
         .find(|n| name == format!("n{n}"))
-        .expect("it is one of them");
+        .expect("one of them");
     let others: Vec<&Front> = (0..3).filter(|n| *n != owner).map(|n| all[n]).collect();
-    let epoch = told(all[owner], "owner")["epoch"].as_u64();
-    // It is given a proposal, and stands still with it.
+    let epoch = answer_to(all[owner], "owner")["epoch"].as_u64();
+    // The leader is stopped with a proposal in its configuration.
     let half = KEYS / 2;
     let map = [(0, half, "n0"), (half, KEYS, "n1")];
     all[owner].signal(Signal::STOP);
-    all[owner].replace_config(&proposes(&configs[owner], 1, &map).to_string());
-    until(&others, "owner", "another owns", |told| {
-        told["owner"].as_str().is_some_and(|owner| owner != name) && told["epoch"].as_u64() > epoch
+    all[owner].replace_config(&with_proposal(&configs[owner], 1, &map).to_string());
+    until(&others, "owner", "another gateway leads", |answer| {
+        answer["owner"].as_str().is_some_and(|owner| owner != name)
+            && answer["epoch"].as_u64() > epoch
     });
     all[owner].signal(Signal::CONT);
-    let first = told(all[owner], "owner");
+    let first = answer_to(all[owner], "owner");
     assert_eq!(first["mine"], false, "{first}");
     assert!(
         first["left_ms"] == 0 || first["owner"] != json!(name),
         "{first}"
     );
-    // What it proposes goes to the new owner, and is decided or refused there.
+    // Its proposal goes to the new leader, which decides or rejects it.
     until(
         &[all[owner]],
         "shards",
         "its proposal is answered",
-        |told| {
+        |answer| {
             ["in force", "refused"]
-                .contains(&told["proposal"]["state"].as_str().unwrap_or_default())
+                .contains(&answer["proposal"]["state"].as_str().unwrap_or_default())
         },
     );
-    let hash = |front: &Front| told(front, "shards")["hash"].clone();
-    until(&all, "shards", "one map", |told| {
-        told["hash"] == hash(others[0])
+    let hash = |gateway: &Front| answer_to(gateway, "shards")["hash"].clone();
+    until(&all, "shards", "one map", |answer| {
+        answer["hash"] == hash(others[0])
     });
-    whole(&all, "in the end");
+    wait_until_covered(&all, "at the end");
 }
 
-/// Runs front doors that keep keys, under these faults.
-fn run(name: &str, doors: usize, seconds: u32, lease_ms: u64, faults: &str) {
+/// Runs gateways with a shard map under these faults, and checks that there was enough to judge.
+fn run(name: &str, gateways: usize, seconds: u32, lease_ms: u64, faults: &str) {
     let text = SMALL.replace("seconds = 5", &format!("seconds = {seconds}"));
     let text = text.replace(
         "doors = 4",
-        &format!("doors = {doors}\nlease_ms = {lease_ms}\nshards = {{ count = 24 }}"),
+        &format!("doors = {gateways}\nlease_ms = {lease_ms}\nshards = {{ count = 24 }}"),
     );
     let (summary, _) = carry(name, &(text + faults));
     for check in ["one_owner", "one_keeper", "fenced"] {
         assert!(
             kept(&summary, check).cases > 500,
-            "{check} looked at too little"
+            "too few cases of {check}"
         );
     }
 }
 
 #[test]
-fn keepers_and_owners_that_are_killed_stopped_and_cut_off_never_share_a_key() {
+fn no_key_has_two_owners_while_leader_and_shard_owners_are_killed_stopped_and_partitioned() {
     run(
         "shards-faults",
         7,
@@ -323,7 +338,7 @@
 }
 
 #[test]
-fn a_keeper_whose_datagrams_are_late_and_lost_and_one_that_only_hears_share_no_key() {
+fn no_key_has_two_owners_with_delayed_and_lost_datagrams_and_one_way_links() {
     run(
         "shards-late",
         5,
@@ -336,8 +351,9 @@
 }
 
 #[test]
-fn a_keeper_that_is_cut_off_keeps_until_its_lease_is_over_and_nobody_else_before() {
-    // The view holds it for gone after four seconds, and its lease lasts for six: its keys wait in between.
+fn a_partitioned_shard_owner_serves_until_its_lease_is_over_and_no_other_before() {
+    // The membership has the gateway as dead after four seconds, and its shard lease lasts for six: in between, its keys
+    // have no owner.
     let cut = "[[link]]\nat_ms = 12000\nfor_ms = 10000\nfrom = \"d1\"\nto = \"others\"\ncut = true\n\
                [[link]]\nat_ms = 24000\nfor_ms = 10000\nfrom = \"d4\"\nto = \"others\"\ncut = true\n";
     run("shards-cut-off", 5, 36, 3000, cut);
