--- a/quota-gateway/src/bin/quota-gateway/cluster/driver.rs
+++ b/quota-gateway/src/bin/quota-gateway/cluster/driver.rs
@@ -37,6 +37,15 @@
 /// One byte more than the longest valid datagram: a longer one is truncated to it and dropped for its length.
 const RECEIVE_BUFFER_BYTES: usize = MAX_DATAGRAM_BYTES + 1;
 
+/// Why the driver stopped serving a socket.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+enum SocketExit {
+    /// The gateway shuts down, or its node could not be created: the driver ends.
+    Finished,
+    /// The socket failed, or a successor process has taken over: the driver opens the port again when it may.
+    Reopen,
+}
+
 impl Cluster {
     /// Opens the port, again after each failure, and serves it until the shutdown.
     pub(super) async fn run(self: Rc<Self>, mut phase: watch::Receiver<Phase>) {
@@ -56,8 +65,9 @@
                         log_events::log_port_opened(listen);
                         failure_logged = false;
                     }
-                    if self.serve_socket(&socket, &mut phase).await {
-                        return;
+                    match self.serve_socket(&socket, &mut phase).await {
+                        SocketExit::Finished => return,
+                        SocketExit::Reopen => {}
                     }
                 }
                 Err(error) => {
@@ -72,11 +82,17 @@
         }
     }
 
-    /// Drives the node on this socket. It returns true at the shutdown, and false if the socket failed or a successor
-    /// has taken over.
-    async fn serve_socket(&self, socket: &UdpSocket, phase: &mut watch::Receiver<Phase>) -> bool {
-        if self.node.borrow().is_none() && !self.start_node() {
-            return true;
+    /// Drives the node on this socket until the shutdown, a failure of the socket or a takeover.
+    async fn serve_socket(
+        &self,
+        socket: &UdpSocket,
+        phase: &mut watch::Receiver<Phase>,
+    ) -> SocketExit {
+        if self.node.borrow().is_none() {
+            if let Err(error) = self.start_node() {
+                log_events::log_node_not_started(&error);
+                return SocketExit::Finished;
+            }
         }
         self.with_node(|node, now, _| node.resume(now));
         self.send_outbox(socket);
@@ -84,7 +100,7 @@
         let mut receive_budget = TokenBucket::full(self.now(), RECEIVE_BURST, RECEIVE_RATE_PER_S);
         loop {
             let Some(wakeup) = self.node.borrow().as_ref().map(ClusterNode::next_wakeup) else {
-                return true;
+                return SocketExit::Finished;
             };
             let wakeup = self.started_at + Duration::from_micros(wakeup);
             tokio::select! {
@@ -93,14 +109,14 @@
                     if *phase.borrow_and_update() == Phase::HandedOver {
                         self.with_node(ClusterNode::hand_over);
                         self.send_outbox(socket);
-                        return false;
+                        return SocketExit::Reopen;
                     }
                 }
                 () = self.wakeup.notified() => {
                     if self.is_leaving.get() {
                         self.with_node(ClusterNode::leave);
                         self.send_outbox(socket);
-                        return true;
+                        return SocketExit::Finished;
                     }
                 }
                 () = sleep_until(wakeup) => {
@@ -116,7 +132,7 @@
                         let cause = error.to_string();
                         log_events::log_socket_failed(&cause, &ClusterError::Socket(error));
                         sleep(BIND_RETRY_DELAY).await;
-                        return false;
+                        return SocketExit::Reopen;
                     }
                 },
             }
@@ -140,8 +156,11 @@
         }
     }
 
-    /// Creates the node of this incarnation; false if its settings are rejected.
-    fn start_node(&self) -> bool {
+    /// Creates the node of this incarnation.
+    ///
+    /// # Errors
+    /// [`ClusterError::NodeNotStarted`] if the node rejects its settings.
+    fn start_node(&self) -> Result<(), ClusterError> {
         let since_unix_epoch = SystemTime::now()
             .duration_since(UNIX_EPOCH)
             .unwrap_or_default();
@@ -151,19 +170,11 @@
             self.node_settings(unix_ms),
             self.seed ^ unix_ms,
             &mut self.outbox.borrow_mut(),
-        );
-        match node {
-            Ok(node) => {
-                *self.node.borrow_mut() = Some(node);
-                self.update_peer_addresses();
-                true
-            }
-            Err(problem) => {
-                let error = ClusterError::NodeNotStarted(problem.to_string());
-                log_events::log_node_not_started(&error);
-                false
-            }
-        }
+        )
+        .map_err(|problem| ClusterError::NodeNotStarted(problem.to_string()))?;
+        *self.node.borrow_mut() = Some(node);
+        self.update_peer_addresses();
+        Ok(())
     }
 
     /// The node's settings. The wall-clock time in milliseconds orders incarnations of one name.
