--- a/quota-gateway/tests/owner.rs
+++ b/quota-gateway/tests/owner.rs
@@ -182,18 +182,18 @@
                 "d{gateway} at {to}: {answer:?}"
             );
         }
-        let owner = first
+        let leader = first
             .owner
             .as_ref()
             .unwrap_or_else(|| panic!("there is no leader at {to}: {first:?}"));
-        let owner = owner.trim_start_matches('n').parse().expect("a number");
+        let leader = leader.trim_start_matches('n').parse().expect("a number");
         assert!(
-            last(&owner).answer.mine,
-            "d{owner} does not know that it is the leader: {:?}",
-            last(&owner).answer
+            last(&leader).answer.mine,
+            "d{leader} does not know that it is the leader: {:?}",
+            last(&leader).answer
         );
         Leader {
-            gateway: owner,
+            gateway: leader,
             epoch: first.epoch,
         }
     }
@@ -628,16 +628,19 @@
     for (gateways, until) in [(&low, grown), (&high, healed)] {
         // The removed gateways keep their old peer set and go on as candidates.
         let Leader {
-            gateway: owner,
+            gateway: leader,
             epoch,
         } = run.agreed_leader((until - SECOND, until), gateways);
-        assert!(gateways.contains(&owner), "d{owner} is not in the peer set");
+        assert!(
+            gateways.contains(&leader),
+            "d{leader} is not in the peer set"
+        );
         epochs.push(epoch);
     }
-    let owner = run.agreed_leader((other - SECOND, other), &all(6)).gateway;
+    let leader = run.agreed_leader((other - SECOND, other), &all(6)).gateway;
     assert!(
-        owner < 3,
-        "added gateways do not replace the leader: d{owner}"
+        leader < 3,
+        "added gateways do not replace the leader: d{leader}"
     );
     epochs.push(
         run.agreed_leader((run.end() - SECOND, u64::MAX), &all(6))
@@ -806,8 +809,8 @@
     for mut caller in callers {
         let mut answer = String::new();
         caller.read_to_string(&mut answer).expect("an answer");
-        let answer: Owner =
-            serde_json::from_str(answer.lines().next().expect("a line")).expect("an owner");
+        let answer: Owner = serde_json::from_str(answer.lines().next().expect("a line"))
+            .expect("an answer to owner");
         assert!(
             !answer.mine && (answer.owner.is_some() || answer.left_ms == 0),
             "{answer:?}"
--- a/quota-gateway/tests/shards.rs
+++ b/quota-gateway/tests/shards.rs
@@ -231,11 +231,11 @@
         answer["version"] == 1
     });
     wait_until_covered(&all, "the first map");
-    let owner = answer_to(all[0], "owner")["owner"]
+    let leader = answer_to(all[0], "owner")["owner"]
         .as_str()
         .expect("a leader")
         .to_string();
-    let stopped = (0..3).find(|n| owner != format!("n{n}")).expect("another");
+    let stopped = (0..3).find(|n| leader != format!("n{n}")).expect("another");
     let had = owned_ranges(all[stopped]);
     let others: Vec<&Front> = (0..3).filter(|n| *n != stopped).map(|n| all[n]).collect();
     all[stopped].signal(Signal::STOP);
@@ -270,22 +270,24 @@
         .as_str()
         .expect("a leader")
         .to_string();
-    let owner = (0..3)
+    let leader = (0..3)
         .find(|n| name == format!("n{n}"))
         .expect("one of them");
-    let others: Vec<&Front> = (0..3).filter(|n| *n != owner).map(|n| all[n]).collect();
-    let epoch = answer_to(all[owner], "owner")["epoch"].as_u64();
+    let others: Vec<&Front> = (0..3).filter(|n| *n != leader).map(|n| all[n]).collect();
+    let epoch = answer_to(all[leader], "owner")["epoch"].as_u64();
     // The leader is stopped with a proposal in its configuration.
     let half = KEYS / 2;
     let map = [(0, half, "n0"), (half, KEYS, "n1")];
-    all[owner].signal(Signal::STOP);
-    all[owner].replace_config(&with_proposal(&configs[owner], 1, &map).to_string());
+    all[leader].signal(Signal::STOP);
+    all[leader].replace_config(&with_proposal(&configs[leader], 1, &map).to_string());
     until(&others, "owner", "another gateway leads", |answer| {
-        answer["owner"].as_str().is_some_and(|owner| owner != name)
+        answer["owner"]
+            .as_str()
+            .is_some_and(|leader| leader != name)
             && answer["epoch"].as_u64() > epoch
     });
-    all[owner].signal(Signal::CONT);
-    let first = answer_to(all[owner], "owner");
+    all[leader].signal(Signal::CONT);
+    let first = answer_to(all[leader], "owner");
     assert_eq!(first["mine"], false, "{first}");
     assert!(
         first["left_ms"] == 0 || first["owner"] != json!(name),
@@ -293,7 +295,7 @@
     );
     // Its proposal goes to the new leader, which decides or rejects it.
     until(
-        &[all[owner]],
+        &[all[leader]],
         "shards",
         "its proposal is answered",
         |answer| {
