--- a/coordination/src/replica.rs
+++ b/coordination/src/replica.rs
@@ -46,13 +46,13 @@
 use write_queue::WriteQueue;
 
 /// A restarted primary (whom the witnesses would vote for at once) and founders begin within so long.
-const QUICK_PAUSE_MS: Millis = 20;
+const FAST_ELECTION_DELAY_MS: Millis = 20;
 
 /// A member of the core.
 pub struct Replica<S: StateMachine> {
     me: Member,
     settings: Settings,
-    chance: Rand64,
+    rng: Rand64,
     now: Millis,
     durable: Durable<S>,
     writes: WriteQueue,
@@ -63,19 +63,19 @@
     /// It promises nothing to others than this one for now.
     grant: Option<Grant>,
     /// It asked for votes or promised lately: others should wait.
-    election_hold_until: Millis,
+    reject_pre_votes_until: Millis,
     /// The highest epoch number that it heard of.
     highest_seen: Epoch,
     /// Attempts to begin an epoch whose time ran out, since the last epoch that this member began.
     attempts_timed_out: u32,
     /// A newer record than its own does not name it.
-    outside: bool,
+    excluded: bool,
     /// Its process is about to end.
     leaving: bool,
     /// Until when it waits for a successor before its process ends.
     leave_deadline: Option<Millis>,
     /// The primary of this epoch stopped and named it as the successor.
-    succeeds: Option<Epoch>,
+    predecessor_epoch: Option<Epoch>,
     /// When it becomes a candidate.
     election_at: Millis,
     campaign: Option<Campaign>,
@@ -98,10 +98,10 @@
         let durable = Durable::recover(&recovered, state)?;
         let log_bytes = recovered.records.iter().map(Vec::len).sum();
         let snapshot_bytes = recovered.snapshot.as_ref().map_or(0, Vec::len);
-        let mut chance = Rand64::new(u128::from(settings.seed));
+        let mut rng = Rand64::new(u128::from(settings.seed));
         let id = durable
             .id
-            .unwrap_or_else(|| chance.rand_range(1..MemberId::MAX));
+            .unwrap_or_else(|| rng.rand_range(1..MemberId::MAX));
         let me = Member {
             id,
             node: settings.node.clone(),
@@ -112,19 +112,19 @@
         let last_version = durable.version();
         let mut replica = Replica {
             me,
-            chance,
+            rng,
             now,
             writes: WriteQueue::new(snapshot_bytes, log_bytes),
             identity_on_disk: durable.id.is_some(),
             record_on_disk,
             grant: None,
-            election_hold_until: 0,
+            reject_pre_votes_until: 0,
             highest_seen: durable.promised,
             attempts_timed_out: 0,
-            outside: false,
+            excluded: false,
             leaving: false,
             leave_deadline: None,
-            succeeds: None,
+            predecessor_epoch: None,
             election_at: Millis::MAX,
             campaign: None,
             primary: None,
@@ -135,7 +135,7 @@
             durable,
             settings,
         };
-        replica.draw_identity(id);
+        replica.maybe_draw_identity(id);
         replica.resume_as_witness();
         replica.last_role = replica.role();
         Ok(replica)
@@ -148,14 +148,14 @@
             Input::Tick => {}
             Input::Message { from, message } => self.on_message(from, message),
             Input::Persisted(token) => self.on_persisted(token),
-            Input::PersistFailed(token) => self.writes.failed(self.now, token),
+            Input::PersistFailed(token) => self.writes.on_write_failed(self.now, token),
             Input::Propose { token, request } => self.on_propose(token, request),
             Input::Found { witnesses } => self.on_found(witnesses),
             Input::Join(member) => self.on_join(member),
             Input::Leave => self.on_leave(),
         }
-        self.settle();
-        self.report_changes();
+        self.run_until_idle();
+        self.emit_changes();
         outputs.append(&mut self.outputs);
     }
 
@@ -200,7 +200,7 @@
             return Role::Candidate;
         }
         match self.durable.record.as_ref() {
-            Some(record) if record.is_witness(self.me.id) && !self.outside => Role::Follower,
+            Some(record) if record.is_witness(self.me.id) && !self.excluded => Role::Follower,
             _ => Role::Outside,
         }
     }
@@ -257,7 +257,7 @@
         self.primary
             .as_ref()
             .map(|primary| &primary.record)
-            .or(self.my_record())
+            .or(self.accepted_record())
     }
 
     /// Its disk was made at the first start of the system.
@@ -289,7 +289,7 @@
     }
 
     /// An identity for an empty disk.
-    fn draw_identity(&mut self, id: MemberId) {
+    fn maybe_draw_identity(&mut self, id: MemberId) {
         if self.durable.id.is_none() {
             self.log(Entry::Identity {
                 id,
@@ -304,7 +304,7 @@
             Message::PreVoteAnswer(answer) => self.on_pre_vote_answer(&from, answer),
             Message::Prepare(prepare) => self.on_prepare(&from, prepare),
             Message::Promise(promise) => self.on_promise(&from, *promise),
-            Message::Refusal(refusal) => self.on_refusal(&from, refusal),
+            Message::Rejection(rejection) => self.on_rejection(&from, rejection),
             Message::Install(install) => self.on_install(&from, *install),
             Message::Installed(installed) => self.on_installed(&from, installed),
             Message::Write(write) => self.on_write(&from, write),
@@ -317,7 +317,7 @@
     }
 
     fn on_persisted(&mut self, token: Token) {
-        let Some(finished) = self.writes.finished(token) else {
+        let Some(finished) = self.writes.on_write_finished(token) else {
             return;
         };
         self.identity_on_disk = true;
@@ -328,7 +328,7 @@
     }
 
     /// Does what is due and takes in messages to itself, until nothing is left.
-    fn settle(&mut self) {
+    fn run_until_idle(&mut self) {
         loop {
             while let Some(message) = self.loopback.pop_front() {
                 self.on_message(self.me.clone(), message);
@@ -356,11 +356,11 @@
         self.check_campaign();
         self.check_primary();
         if self.may_campaign() && self.now >= self.election_at {
-            self.begin_pre_vote();
+            self.start_pre_vote();
         }
     }
 
-    fn report_changes(&mut self) {
+    fn emit_changes(&mut self) {
         let version = self.durable.version();
         if version != self.last_version {
             self.last_version = version;
@@ -389,24 +389,24 @@
 
     /// Sends once everything is on disk that was changed so far.
     fn send_when_durable(&mut self, to: &Member, message: Message) {
-        self.writes.send_after(to.clone(), message);
+        self.writes.send_after_writes(to.clone(), message);
     }
 
     /// A moment by chance within so long from now.
-    fn within(&mut self, span: Millis) -> Millis {
-        self.now + self.chance.rand_range(0..span + 1)
+    fn random_moment_within(&mut self, span: Millis) -> Millis {
+        self.now + self.rng.rand_range(0..span + 1)
     }
 
-    fn saw_epoch(&mut self, number: Epoch) {
+    fn observe_epoch(&mut self, number: Epoch) {
         self.highest_seen = self.highest_seen.max(number);
     }
 
-    fn my_record(&self) -> Option<&EpochRecord> {
+    fn accepted_record(&self) -> Option<&EpochRecord> {
         self.durable.record.as_ref()
     }
 
     fn disk_is_stalled(&self) -> bool {
         self.writes
-            .is_stalled(self.now, self.settings.timings.disk_stall_ms)
+            .is_stalled(self.now, self.settings.timings.disk_stall_timeout_ms)
     }
 }
--- a/coordination/src/replica/base.rs
+++ b/coordination/src/replica/base.rs
@@ -15,7 +15,7 @@
     /// Version of the state.
     pub version: Version,
     /// Those who hold exactly this state.
-    pub holders: Vec<MemberId>,
+    pub state_holders: Vec<MemberId>,
 }
 
 /// The base that is safe given these promises, if there is one yet.
@@ -35,12 +35,12 @@
             return None;
         }
         if let (Some(version), Some(record)) = (newest_version(promises, number), known.record) {
-            let holders = holders(promises, number, version);
+            let state_holders = state_holders(promises, number, version);
             let has_quorum = record.has_quorum(|id| promises.contains_key(&id));
             return has_quorum.then(|| Base {
                 record: record.clone(),
                 version,
-                holders,
+                state_holders,
             });
         }
         if !was_never_active(promises, number, known.replicas) {
@@ -54,7 +54,7 @@
 
 /// A record that somebody holds, or that a descendant of it names.
 #[derive(Clone, Copy)]
-struct Known<'a> {
+struct KnownRecord<'a> {
     /// All of it, where somebody holds it.
     record: Option<&'a EpochRecord>,
     replicas: &'a [MemberId],
@@ -62,53 +62,53 @@
 }
 
 /// All records of which the promises tell, by their numbers.
-fn known_records(promises: &BTreeMap<MemberId, Promise>) -> BTreeMap<Epoch, Known<'_>> {
+fn known_records(promises: &BTreeMap<MemberId, Promise>) -> BTreeMap<Epoch, KnownRecord<'_>> {
     let newest = promises
         .values()
         .filter_map(|promise| promise.record.as_ref());
     let of_states = promises
         .values()
         .filter_map(|promise| promise.state_record.as_ref());
-    let mut known: BTreeMap<Epoch, Known<'_>> = BTreeMap::new();
+    let mut known: BTreeMap<Epoch, KnownRecord<'_>> = BTreeMap::new();
     for record in newest.chain(of_states) {
         for ancestor in &record.lineage {
-            let by_name = Known {
+            let from_lineage = KnownRecord {
                 record: None,
                 replicas: &ancestor.replicas,
                 follows: ancestor.follows,
             };
-            known.entry(ancestor.number).or_insert(by_name);
+            known.entry(ancestor.number).or_insert(from_lineage);
         }
-        let held = Known {
+        let complete = KnownRecord {
             record: Some(record),
             replicas: &record.replicas,
             follows: record.follows,
         };
-        known.insert(record.number, held);
+        known.insert(record.number, complete);
     }
     known
 }
 
 fn newest_version(promises: &BTreeMap<MemberId, Promise>, number: Epoch) -> Option<Version> {
-    let holds = |promise: &&Promise| promise.state_epoch() == Some(number);
+    let is_of_record = |promise: &&Promise| promise.state_epoch() == Some(number);
     promises
         .values()
-        .filter(holds)
+        .filter(is_of_record)
         .map(|promise| promise.version)
         .max()
 }
 
-fn holders(
+fn state_holders(
     promises: &BTreeMap<MemberId, Promise>,
     state_epoch: Epoch,
     version: Version,
 ) -> Vec<MemberId> {
-    let holds = |promise: &Promise| {
+    let is_of_record = |promise: &Promise| {
         promise.state_epoch() == Some(state_epoch) && promise.version == version
     };
     promises
         .iter()
-        .filter(|(_, promise)| holds(promise))
+        .filter(|(_, promise)| is_of_record(promise))
         .map(|(id, _)| *id)
         .collect()
 }
--- a/coordination/src/replica/base/tests.rs
+++ b/coordination/src/replica/base/tests.rs
@@ -41,7 +41,7 @@
     .into();
     let base = choose_base(&promises).expect("a base");
     assert_eq!(
-        (base.record, base.version, base.holders),
+        (base.record, base.version, base.state_holders),
         (newest, 8, vec![2])
     );
 }
@@ -101,13 +101,13 @@
 #[test]
 fn a_member_without_a_record_counts_for_the_quorum() {
     let newest = record(1, 0, &[1, 2]);
-    let without = Promise {
+    let without_record = Promise {
         number: 100,
         record: None,
         state_record: None,
         version: 0,
         state: None,
     };
-    let promises = [(2, promise(&newest, &newest, 3)), (3, without)].into();
+    let promises = [(2, promise(&newest, &newest, 3)), (3, without_record)].into();
     assert_eq!(choose_base(&promises).map(|base| base.version), Some(3));
 }
--- a/coordination/src/replica/campaign.rs
+++ b/coordination/src/replica/campaign.rs
@@ -6,7 +6,7 @@
 use super::epoch_rules;
 use super::interface::{Epoch, EpochRecord, Member, MemberId, Millis, StateMachine, Version};
 use super::message::{
-    Install, Installed, Message, PreVote, PreVoteAnswer, Prepare, Promise, Refusal, StateCopy,
+    Install, Installed, Message, PreVote, PreVoteAnswer, Prepare, Promise, Rejection, StateCopy,
 };
 use super::settings::Timings;
 use super::Replica;
@@ -15,9 +15,9 @@
 /// A pre-vote ends after so long.
 const PRE_VOTE_MS: Millis = 150;
 /// A candidate that failed comes back after so long at least.
-const SETBACK_MS: Millis = 30;
+const MIN_CAMPAIGN_RETRY_MS: Millis = 30;
 /// The time of an attempt, and the pauses between its messages, double so many times.
-const MOST_DOUBLINGS: u32 = 2;
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
 /// An attempt to begin an epoch.
 #[derive(Debug)]
@@ -44,10 +44,10 @@
     number: Epoch,
     purpose: Purpose,
     ends_at: Millis,
-    resends: Resends,
+    resends: ResendSchedule,
     /// Since when the promises suffice; others may follow that make more replicas.
-    enough_since: Option<Millis>,
-    asked: BTreeMap<MemberId, Member>,
+    quorum_since: Option<Millis>,
+    voters: BTreeMap<MemberId, Member>,
     promises: BTreeMap<MemberId, Promise>,
 }
 
@@ -58,27 +58,27 @@
     base: Base,
     state: StateCopy,
     ends_at: Millis,
-    resends: Resends,
-    told: BTreeSet<MemberId>,
+    resends: ResendSchedule,
+    sent_to: BTreeSet<MemberId>,
     pub installed: BTreeSet<MemberId>,
 }
 
 /// When the messages of an attempt are sent again. The pauses double: members that are slow, or this one, must not be kept from
 /// what they have by repetitions of what they have.
 #[derive(Debug, Clone, Copy)]
-struct Resends {
+struct ResendSchedule {
     next: Millis,
     pause: Millis,
-    longest_pause: Millis,
+    max_delay_ms: Millis,
 }
 
-impl Resends {
+impl ResendSchedule {
     /// Due now, then after `first_pause`.
-    fn new(now: Millis, first_pause: Millis) -> Resends {
-        Resends {
+    fn new(now: Millis, first_pause: Millis) -> ResendSchedule {
+        ResendSchedule {
             next: now,
             pause: first_pause,
-            longest_pause: first_pause << MOST_DOUBLINGS,
+            max_delay_ms: first_pause << MAX_BACKOFF_DOUBLINGS,
         }
     }
 
@@ -88,7 +88,7 @@
             return false;
         }
         self.next = now + self.pause;
-        self.pause = (2 * self.pause).min(self.longest_pause);
+        self.pause = (2 * self.pause).min(self.max_delay_ms);
         true
     }
 }
@@ -110,10 +110,14 @@
         match self {
             Campaign::PreVoting(pre_voting) => pre_voting.started + PRE_VOTE_MS,
             Campaign::Preparing(preparing) => {
-                let gathered = preparing
-                    .enough_since
-                    .map_or(Millis::MAX, |since| since + timings.gather_ms);
-                preparing.resends.next.min(preparing.ends_at).min(gathered)
+                let gathering_ends = preparing
+                    .quorum_since
+                    .map_or(Millis::MAX, |since| since + timings.promise_gathering_ms);
+                preparing
+                    .resends
+                    .next
+                    .min(preparing.ends_at)
+                    .min(gathering_ends)
             }
             Campaign::Installing(installing) => installing.resends.next.min(installing.ends_at),
         }
@@ -122,7 +126,7 @@
 
 impl Preparing {
     /// All whom the new epoch may name have answered.
-    fn is_complete(&self, base: &EpochRecord) -> bool {
+    fn has_all_promises(&self, base: &EpochRecord) -> bool {
         base.everyone()
             .all(|member| self.promises.contains_key(&member.id))
     }
@@ -148,7 +152,7 @@
 
     /// The message for one member. Who holds the state already is sent it only with a repetition.
     fn message_for(&self, id: MemberId) -> Message {
-        let holds_it = self.base.holders.contains(&id) && !self.told.contains(&id);
+        let holds_it = self.base.state_holders.contains(&id) && !self.sent_to.contains(&id);
         let needs_it = self.record.is_replica(id) && !holds_it;
         Message::Install(Box::new(Install {
             record: self.record.clone(),
@@ -163,10 +167,10 @@
     /// It may become a candidate once its time has come.
     pub(super) fn may_campaign(&self) -> bool {
         let is_witness = self
-            .my_record()
+            .accepted_record()
             .is_some_and(|record| record.is_witness(self.me.id));
         let idle = self.campaign.is_none() && self.primary.is_none();
-        is_witness && idle && !self.outside && !self.leaving && !self.disk_is_stalled()
+        is_witness && idle && !self.excluded && !self.leaving && !self.disk_is_stalled()
     }
 
     pub(super) fn on_found(&mut self, witnesses: Vec<Member>) {
@@ -181,14 +185,14 @@
         }
     }
 
-    pub(super) fn begin_pre_vote(&mut self) {
+    pub(super) fn start_pre_vote(&mut self) {
         let Some(record) = self.durable.record.clone() else {
             return;
         };
-        if let Some(epoch) = self.succeeds {
-            return self.begin_prepare(Purpose::Succeed(epoch));
+        if let Some(epoch) = self.predecessor_epoch {
+            return self.start_prepare(Purpose::Succeed(epoch));
         }
-        let attempt = self.chance.rand_u64();
+        let attempt = self.rng.rand_u64();
         let pre_voting = PreVoting {
             attempt,
             started: self.now,
@@ -200,7 +204,7 @@
         }
     }
 
-    pub(super) fn begin_prepare(&mut self, purpose: Purpose) {
+    pub(super) fn start_prepare(&mut self, purpose: Purpose) {
         let Some(record) = self.durable.record.clone() else {
             return;
         };
@@ -208,23 +212,23 @@
         let mut preparing = Preparing {
             number: self.highest_seen,
             purpose,
-            ends_at: self.now + self.attempt_ms(),
-            resends: Resends::new(self.now, self.settings.timings.resend_ms),
-            enough_since: None,
-            asked: BTreeMap::new(),
+            ends_at: self.now + self.attempt_timeout_ms(),
+            resends: ResendSchedule::new(self.now, self.settings.timings.resend_interval_ms),
+            quorum_since: None,
+            voters: BTreeMap::new(),
             promises: BTreeMap::new(),
         };
         preparing
-            .asked
+            .voters
             .extend(record.everyone().map(|member| (member.id, member.clone())));
         self.campaign = Some(Campaign::Preparing(preparing));
         self.check_campaign();
     }
 
     pub(super) fn on_pre_vote_answer(&mut self, from: &Member, answer: PreVoteAnswer) {
-        self.saw_epoch(answer.promised);
+        self.observe_epoch(answer.promised);
         if let Some(record) = &answer.record {
-            self.learn_of_record(record);
+            self.observe_record(record);
         }
         let Some(Campaign::PreVoting(pre_voting)) = &mut self.campaign else {
             return;
@@ -233,16 +237,16 @@
             return;
         }
         pre_voting.answers.insert(from.id, answer);
-        if self.outside {
+        if self.excluded {
             self.campaign = None;
         } else if self.pre_vote_is_won() {
-            self.begin_prepare(Purpose::TakeOver);
+            self.start_prepare(Purpose::TakeOver);
         }
     }
 
     pub(super) fn on_promise(&mut self, from: &Member, promise: Promise) {
         if let Some(record) = &promise.record {
-            self.learn_of_record(record);
+            self.observe_record(record);
         }
         let Some(Campaign::Preparing(preparing)) = &mut self.campaign else {
             return;
@@ -251,32 +255,32 @@
             return;
         }
         let named = promise.record.iter().flat_map(EpochRecord::everyone);
-        let others = named.filter(|member| !preparing.asked.contains_key(&member.id));
+        let others = named.filter(|member| !preparing.voters.contains_key(&member.id));
         let others: Vec<Member> = others.cloned().collect();
         if !others.is_empty() {
             preparing
-                .asked
+                .voters
                 .extend(others.into_iter().map(|member| (member.id, member)));
             preparing.resends.next = self.now;
         }
         preparing.promises.insert(from.id, promise);
-        if self.outside {
+        if self.excluded {
             return self.fail_campaign();
         }
         self.check_promises();
     }
 
-    pub(super) fn on_refusal(&mut self, _from: &Member, refusal: Refusal) {
-        self.saw_epoch(refusal.promised);
-        if let Some(record) = &refusal.record {
-            self.learn_of_record(record);
+    pub(super) fn on_rejection(&mut self, _from: &Member, rejection: Rejection) {
+        self.observe_epoch(rejection.promised);
+        if let Some(record) = &rejection.record {
+            self.observe_record(record);
         }
         let number = match &self.campaign {
             Some(Campaign::Preparing(preparing)) => preparing.number,
             Some(Campaign::Installing(installing)) => installing.record.number,
             _ => return,
         };
-        if number == refusal.number && refusal.promised >= number {
+        if number == rejection.number && rejection.promised >= number {
             self.fail_campaign();
         }
     }
@@ -290,7 +294,7 @@
         }
         installing.installed.insert(from.id);
         if !installing.is_active() {
-            return self.go_on_after_new_members();
+            return self.maybe_send_to_existing_members();
         }
         if let Some(Campaign::Installing(installing)) = self.campaign.take() {
             self.activate(*installing);
@@ -298,14 +302,14 @@
     }
 
     /// Once all new members have the record, the others get it.
-    fn go_on_after_new_members(&mut self) {
+    fn maybe_send_to_existing_members(&mut self) {
         let Some(Campaign::Installing(installing)) = &mut self.campaign else {
             return;
         };
         if installing
             .recipients()
             .iter()
-            .any(|member| !installing.told.contains(&member.id))
+            .any(|member| !installing.sent_to.contains(&member.id))
         {
             installing.resends.next = self.now;
             self.send_installs();
@@ -332,8 +336,9 @@
     }
 
     /// How long the next attempt may take: longer after each one whose time ran out, as its answers may be under way.
-    fn attempt_ms(&self) -> Millis {
-        self.settings.timings.attempt_ms << self.attempts_timed_out.min(MOST_DOUBLINGS)
+    fn attempt_timeout_ms(&self) -> Millis {
+        self.settings.timings.attempt_timeout_ms
+            << self.attempts_timed_out.min(MAX_BACKOFF_DOUBLINGS)
     }
 
     /// A campaign failed: a candidate comes back after a pause by chance; the primary plans anew.
@@ -342,25 +347,25 @@
         if self.primary.is_some() {
             return self.reconfiguration_failed(failed);
         }
-        if self.succeeds.is_some() {
-            self.election_at = self.now + SETBACK_MS;
+        if self.predecessor_epoch.is_some() {
+            self.election_at = self.now + MIN_CAMPAIGN_RETRY_MS;
             return;
         }
         let wait = match &failed {
-            Some(Campaign::PreVoting(pre_voting)) => pre_voting.shortest_wait(),
+            Some(Campaign::PreVoting(pre_voting)) => pre_voting.min_wait_ms(),
             _ => 0,
         };
-        self.election_at = self.election_moment_after(self.now + wait.max(SETBACK_MS));
+        self.election_at = self.election_moment_after(self.now + wait.max(MIN_CAMPAIGN_RETRY_MS));
     }
 
     /// A newer record that does not name this member ends its membership, as far as it knows.
-    fn learn_of_record(&mut self, record: &EpochRecord) {
-        self.saw_epoch(record.number);
+    fn observe_record(&mut self, record: &EpochRecord) {
+        self.observe_epoch(record.number);
         let is_newer = self
-            .my_record()
+            .accepted_record()
             .is_some_and(|mine| record.number > mine.number);
         if is_newer {
-            self.outside = !record.is_witness(self.me.id);
+            self.excluded = !record.is_witness(self.me.id);
         }
     }
 
@@ -378,7 +383,7 @@
             .answers
             .values()
             .filter_map(|answer| answer.record.as_ref());
-        let mut records = records.chain(self.my_record());
+        let mut records = records.chain(self.accepted_record());
         records.any(|record| record.has_quorum(would_promise))
     }
 
@@ -391,7 +396,7 @@
         }
         let prepare = Prepare {
             number: preparing.number,
-            handed_over: match preparing.purpose {
+            released_epoch: match preparing.purpose {
                 Purpose::Succeed(epoch) => Some(epoch),
                 Purpose::TakeOver | Purpose::Reconfigure => None,
             },
@@ -399,7 +404,7 @@
             version: self.durable.accepted_version(),
         };
         let unanswered = preparing
-            .asked
+            .voters
             .values()
             .filter(|member| !preparing.promises.contains_key(&member.id));
         for member in unanswered.cloned().collect::<Vec<_>>() {
@@ -415,12 +420,12 @@
         let own_disk_answered = preparing.promises.contains_key(&self.me.id);
         let base = choose_base(&preparing.promises).filter(|_| own_disk_answered);
         let Some(base) = base else {
-            preparing.enough_since = None;
+            preparing.quorum_since = None;
             return;
         };
-        let since = *preparing.enough_since.get_or_insert(self.now);
-        if !preparing.is_complete(&base.record)
-            && self.now < since + self.settings.timings.gather_ms
+        let since = *preparing.quorum_since.get_or_insert(self.now);
+        if !preparing.has_all_promises(&base.record)
+            && self.now < since + self.settings.timings.promise_gathering_ms
         {
             return;
         }
@@ -428,28 +433,28 @@
             return;
         };
         match self.next_record(&preparing, &base) {
-            Ok(record) => self.begin_install(preparing, base, record),
-            Err(CantBegin::TooFewCopies) => {
-                preparing.enough_since = Some(self.now);
+            Ok(record) => self.start_install(preparing, base, record),
+            Err(CannotBegin::TooFewReplicas) => {
+                preparing.quorum_since = Some(self.now);
                 self.campaign = Some(Campaign::Preparing(preparing));
             }
-            Err(CantBegin::Superseded) => self.step_down(),
+            Err(CannotBegin::Superseded) => self.step_down(),
         }
     }
 
-    fn next_record(&self, preparing: &Preparing, base: &Base) -> Result<EpochRecord, CantBegin> {
+    fn next_record(&self, preparing: &Preparing, base: &Base) -> Result<EpochRecord, CannotBegin> {
         let record = match preparing.purpose {
             Purpose::Reconfigure => self
-                .reconfigured(&base.record)
-                .ok_or(CantBegin::Superseded)?,
-            Purpose::TakeOver => self.taken_over(preparing, base, None),
+                .reconfigured_record(&base.record)
+                .ok_or(CannotBegin::Superseded)?,
+            Purpose::TakeOver => self.takeover_record(preparing, base, None),
             Purpose::Succeed(epoch) => {
                 let predecessor = (base.record.number <= epoch).then_some(base.record.primary);
-                self.taken_over(preparing, base, predecessor)
+                self.takeover_record(preparing, base, predecessor)
             }
         };
-        if record.replicas.len() < self.copies_needed(record.witnesses.len()) {
-            return Err(CantBegin::TooFewCopies);
+        if record.replicas.len() < self.min_replicas(record.witnesses.len()) {
+            return Err(CannotBegin::TooFewReplicas);
         }
         let base_is_active = self
             .primary
@@ -464,23 +469,23 @@
         })
     }
 
-    fn taken_over(
+    fn takeover_record(
         &self,
         preparing: &Preparing,
         base: &Base,
         predecessor: Option<MemberId>,
     ) -> EpochRecord {
         let promised = |id| preparing.promises.contains_key(&id);
-        let copies_needed = self.copies_needed(base.record.witnesses.len());
-        epoch_rules::taken_over(&base.record, promised, predecessor, copies_needed)
+        let min_replicas = self.min_replicas(base.record.witnesses.len());
+        epoch_rules::takeover_record(&base.record, promised, predecessor, min_replicas)
     }
 
-    fn begin_install(&mut self, mut preparing: Preparing, base: Base, record: EpochRecord) {
+    fn start_install(&mut self, mut preparing: Preparing, base: Base, record: EpochRecord) {
         let holder = base
-            .holders
+            .state_holders
             .first()
             .and_then(|id| preparing.promises.get_mut(id));
-        let copy = match base.holders.contains(&self.me.id) {
+        let copy = match base.state_holders.contains(&self.me.id) {
             true => Some(self.durable.copy_state()),
             false => holder.and_then(|promise| promise.state.take()),
         };
@@ -491,9 +496,9 @@
             record,
             base,
             state,
-            ends_at: self.now + self.attempt_ms(),
-            resends: Resends::new(self.now, self.settings.timings.resend_ms),
-            told: BTreeSet::new(),
+            ends_at: self.now + self.attempt_timeout_ms(),
+            resends: ResendSchedule::new(self.now, self.settings.timings.resend_interval_ms),
+            sent_to: BTreeSet::new(),
             installed: BTreeSet::new(),
         })));
         self.send_installs();
@@ -512,7 +517,7 @@
             .map(|member| installing.message_for(member.id))
             .collect();
         installing
-            .told
+            .sent_to
             .extend(recipients.iter().map(|member| member.id));
         for (member, message) in recipients.into_iter().zip(messages) {
             self.send(member, message);
@@ -522,16 +527,16 @@
 
 impl PreVoting {
     /// After so long, somebody who put this candidate off might vote for it.
-    fn shortest_wait(&self) -> Millis {
+    fn min_wait_ms(&self) -> Millis {
         let waits = self.answers.values().filter(|answer| !answer.would_promise);
         waits.map(|answer| answer.wait_ms).min().unwrap_or_default()
     }
 }
 
 /// Why an epoch can't begin from the promises that came.
-enum CantBegin {
+enum CannotBegin {
     /// Too few members could hold the state.
-    TooFewCopies,
+    TooFewReplicas,
     /// Another primary's epoch came between.
     Superseded,
 }
--- a/coordination/src/replica/epoch_rules.rs
+++ b/coordination/src/replica/epoch_rules.rs
@@ -4,7 +4,7 @@
 use super::interface::{Ancestor, Epoch, EpochRecord, Member, MemberId};
 
 /// Most ancestors that a record names: so many attempts in a row that no primary completed.
-const LONGEST_LINEAGE: usize = 32;
+const MAX_LINEAGE: usize = 32;
 
 #[cfg(test)]
 mod model;
@@ -74,15 +74,15 @@
 
 /// The record of a candidate that takes over, but for its number and primary. It changes no members: those who promised
 /// are the replicas, a predecessor that leaves only if need be.
-pub(super) fn taken_over(
+pub(super) fn takeover_record(
     base: &EpochRecord,
     promised: impl Fn(MemberId) -> bool,
     predecessor: Option<MemberId>,
-    copies_needed: usize,
+    min_replicas: usize,
 ) -> EpochRecord {
     let members = base.witnesses.iter().map(|member| member.id);
     let mut replicas: Vec<MemberId> = members.filter(|id| promised(*id)).collect();
-    if replicas.len() > copies_needed {
+    if replicas.len() > min_replicas {
         replicas.retain(|id| Some(*id) != predecessor);
     }
     EpochRecord {
@@ -102,6 +102,6 @@
     let older = base.lineage.iter().filter(|_| !base_is_active).cloned();
     std::iter::once(parent)
         .chain(older)
-        .take(LONGEST_LINEAGE)
+        .take(MAX_LINEAGE)
         .collect()
 }
--- a/coordination/src/replica/epoch_rules/model.rs
+++ b/coordination/src/replica/epoch_rules/model.rs
@@ -13,34 +13,34 @@
 use state::*;
 use stateright::{Model, Property};
 
-const KEPT: &str = "what was committed is kept";
-const MAY_BEGIN: &str = "a new epoch can begin";
+const COMMITTED_STATE_SURVIVES: &str = "what was committed is kept";
+const EPOCH_CAN_BEGIN: &str = "a new epoch can begin";
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Action {
-    Stand(Id),
-    Reconfigure(Id),
-    Promise { number: u8, by: Id },
+    StartElection(ModelId),
+    Reconfigure(ModelId),
+    Promise { number: u8, by: ModelId },
     Choose { number: u8, change: MemberChange },
-    Install { number: u8, at: Id },
+    Install { number: u8, at: ModelId },
     Activate { number: u8 },
-    Write { by: Id },
-    Accept { primary: Id, by: Id },
-    Commit { by: Id },
-    LoseDisk(Id),
+    Write { by: ModelId },
+    Accept { primary: ModelId, by: ModelId },
+    Commit { by: ModelId },
+    LoseDisk(ModelId),
 }
 
 /// What a primary wants of its members.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MemberChange {
     Keep,
-    Add(Id),
-    Replace { old: Id, new: Id },
+    Add(ModelId),
+    Replace { old: ModelId, new: ModelId },
 }
 
 /// Rules that are taken out.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-struct Without {
+struct DisabledRules {
     /// Members change on the active record alone.
     active_record: bool,
     /// New members get a record before the others.
@@ -52,39 +52,39 @@
 }
 
 struct Epochs {
-    without: Without,
+    disabled_rules: DisabledRules,
     founders: u8,
-    most_records: u8,
-    most_commands: usize,
-    most_losses: u8,
+    max_records: u8,
+    max_commands: usize,
+    max_losses: u8,
     /// So many disks that a record names may be lost at once.
     tolerated: usize,
-    most_joins: u8,
+    max_joins: u8,
 }
 
 impl Epochs {
-    fn actions_of_member(&self, state: &State, id: Id, actions: &mut Vec<Action>) {
+    fn actions_of_member(&self, state: &State, id: ModelId, actions: &mut Vec<Action>) {
         let Some(disk) = state.disk(id) else { return };
         let others = state
             .campaigns
             .iter()
             .filter(|campaign| campaign.candidate != id)
             .count();
-        let is_free = others < MOST_CAMPAIGNS;
-        if is_free && state.last_number < self.most_records {
+        let is_free = others < MAX_CAMPAIGNS;
+        if is_free && state.last_number < self.max_records {
             let is_member = disk
                 .record
                 .is_some_and(|number| state.record(number).witnesses & bit(id) != 0);
             match state.primary_of(id) {
                 Some(_) => actions.push(Action::Reconfigure(id)),
-                None if is_member => actions.push(Action::Stand(id)),
+                None if is_member => actions.push(Action::StartElection(id)),
                 None => {}
             }
         }
         if let Some(primary) = state.primary_of(id) {
             self.actions_of_primary(state, primary, actions);
         }
-        if state.losses < self.most_losses && (disk.record.is_none() || self.may_lose(state)) {
+        if state.losses < self.max_losses && (disk.record.is_none() || self.may_lose(state)) {
             actions.push(Action::LoseDisk(id));
         }
     }
@@ -94,8 +94,8 @@
         match primary.write {
             None => {
                 let disk = state.disk(primary.id).expect("a primary has a disk");
-                let has_room = usize::from(disk.log.length) < self.most_commands;
-                if has_room
+                let may_write = usize::from(disk.log.length) < self.max_commands;
+                if may_write
                     && disk.promised == primary.record
                     && state.campaign_of(primary.id).is_none()
                 {
@@ -127,7 +127,7 @@
         let number = campaign.number;
         match &campaign.stage {
             Stage::Preparing { promises } => {
-                for by in ids(state.asked(campaign.candidate, promises)) {
+                for by in ids(state.voters(campaign.candidate, promises)) {
                     if state.disk(by).is_some_and(|disk| disk.promised < number) {
                         actions.push(Action::Promise { number, by });
                     }
@@ -138,8 +138,8 @@
                 }
             }
             Stage::Installing { installed } => {
-                let record = state.real(number);
-                let base = state.real(state.record(number).follows);
+                let record = state.epoch_record(number);
+                let base = state.epoch_record(state.record(number).follows);
                 for at in ids(self.recipients(&record, &base, *installed)) {
                     if state.disk(at).is_some_and(|disk| disk.promised <= number) {
                         actions.push(Action::Install { number, at });
@@ -158,11 +158,11 @@
             number,
             change: MemberChange::Keep,
         });
-        if campaign.reconfigures.is_none() || state.joins >= self.most_joins {
+        if campaign.reconfigures.is_none() || state.joins >= self.max_joins {
             return;
         }
         let new = self.founders + 1 + state.joins;
-        if usize::from(new) > MOST_MEMBERS {
+        if usize::from(new) > MAX_MEMBERS {
             return;
         }
         actions.push(Action::Choose {
@@ -194,22 +194,27 @@
         ids(named).filter(|id| state.disk(*id).is_none()).count() < self.tolerated
     }
 
-    fn recipients(&self, record: &EpochRecord, base: &EpochRecord, installed: Members) -> Members {
+    fn recipients(
+        &self,
+        record: &EpochRecord,
+        base: &EpochRecord,
+        installed: MemberSet,
+    ) -> MemberSet {
         let has_it = |id: MemberId| installed & bit(id_of(id)) != 0;
-        match self.without.new_members_first {
+        match self.disabled_rules.new_members_first {
             true => set_of(record.everyone().chain(base.everyone())) & !installed,
             false => set_of(&recipients(record, base, has_it)),
         }
     }
 
     fn members(&self, base: &EpochRecord, active: Epoch, wanted: Vec<Member>) -> EpochRecord {
-        let active = if self.without.active_record {
+        let active = if self.disabled_rules.active_record {
             base.number
         } else {
             active
         };
         let mut next = with_members(base, active, || wanted);
-        if self.without.joint_record {
+        if self.disabled_rules.joint_record {
             next.former_witnesses.clear();
         }
         next
@@ -221,19 +226,25 @@
         state: &State,
         campaign: &Campaign,
         base: &Base,
-        promises: &[(Id, Disk)],
+        promises: &[(ModelId, Disk)],
         change: MemberChange,
     ) -> Option<EpochRecord> {
         let promised = |id: MemberId| promises.iter().any(|(by, _)| MemberId::from(*by) == id);
         let Some(active) = campaign.reconfigures else {
-            return Some(taken_over(&base.record, promised, None, self.tolerated + 1));
+            return Some(takeover_record(
+                &base.record,
+                promised,
+                None,
+                self.tolerated + 1,
+            ));
         };
         if base.record.primary != MemberId::from(campaign.candidate) {
             return None;
         }
         let wanted = wanted_members(&base.record, change);
         let mut next = self.members(&base.record, active.into(), wanted);
-        let joins = |id: Id| base.record.member(id.into()).is_none() && state.disk(id).is_some();
+        let joins =
+            |id: ModelId| base.record.member(id.into()).is_none() && state.disk(id).is_some();
         let fit = |member: &&Member| promised(member.id) || joins(id_of(member.id));
         next.replicas = next
             .witnesses
@@ -245,11 +256,11 @@
     }
 
     fn choose(&self, state: &mut State, number: u8, change: MemberChange) -> Option<()> {
-        let place = state
+        let index = state
             .campaigns
             .iter()
             .position(|campaign| campaign.number == number)?;
-        let campaign = state.campaigns[place].clone();
+        let campaign = state.campaigns[index].clone();
         let Stage::Preparing { promises } = &campaign.stage else {
             return None;
         };
@@ -270,7 +281,7 @@
             .is_some_and(|active| base.record.number == Epoch::from(active));
         let holder = promises
             .iter()
-            .find(|(id, _)| base.holders.contains(&(*id).into()))?;
+            .find(|(id, _)| base.state_holders.contains(&(*id).into()))?;
         state.records.push(Record {
             number,
             primary: campaign.candidate,
@@ -281,17 +292,17 @@
             witnesses: set_of(&record.witnesses),
             former: set_of(&record.former_witnesses),
             follows: u8::try_from(base.record.number).ok()?,
-            lineage: match self.without.lineage {
-                true => [0; MOST_RECORDS],
+            lineage: match self.disabled_rules.lineage {
+                true => [0; MAX_RECORDS],
                 false => numbers_of(&lineage(&base.record, base_is_active)),
             },
             log: holder.1.log,
         });
-        state.campaigns[place].stage = Stage::Installing { installed: 0 };
+        state.campaigns[index].stage = Stage::Installing { installed: 0 };
         Some(())
     }
 
-    fn install(state: &mut State, number: u8, at: Id) {
+    fn install(state: &mut State, number: u8, at: ModelId) {
         let record = *state.record(number);
         if let Some(disk) = state.disk_mut(at) {
             disk.promised = number;
@@ -327,23 +338,23 @@
         state.primaries.sort_unstable();
         let newest = state.newest_active;
         // The answers to an older installation may come late: its primary commits nothing but what it began with.
-        let keeps_all = match newest > number {
+        let contains_all_commits = match newest > number {
             true => state.descends(newest, number) && state.record(newest).log.extends(&record.log),
             false => state.descends(number, newest) && record.log.extends(&state.committed),
         };
-        if !keeps_all {
-            state.lost_something = true;
+        if !contains_all_commits {
+            state.commit_was_lost = true;
         }
         state.newest_active = newest.max(number);
         state.commit(record.log);
     }
 
-    fn promise(state: &mut State, number: u8, by: Id) {
+    fn promise(state: &mut State, number: u8, by: ModelId) {
         let Some(disk) = state.disk_mut(by) else {
             return;
         };
         disk.promised = number;
-        let told = *disk;
+        let promised_disk = *disk;
         let is_own = state
             .campaigns
             .iter()
@@ -355,13 +366,13 @@
             if let (true, Stage::Preparing { promises }) =
                 (campaign.number == number, &mut campaign.stage)
             {
-                promises.push((by, told));
+                promises.push((by, promised_disk));
                 promises.sort_unstable();
             }
         }
     }
 
-    fn begin(state: &mut State, candidate: Id, reconfigures: Option<u8>) {
+    fn begin(state: &mut State, candidate: ModelId, reconfigures: Option<u8>) {
         state.last_number += 1;
         state
             .campaigns
@@ -377,15 +388,15 @@
         });
     }
 
-    fn lose_disk(state: &mut State, id: Id) {
+    fn lose_disk(state: &mut State, id: ModelId) {
         state.step_down(id);
         state.disks[usize::from(id) - 1] = None;
         state.losses += 1;
     }
 }
 
-fn numbers_of(lineage: &[Ancestor]) -> [u8; MOST_RECORDS] {
-    let mut numbers = [0; MOST_RECORDS];
+fn numbers_of(lineage: &[Ancestor]) -> [u8; MAX_RECORDS] {
+    let mut numbers = [0; MAX_RECORDS];
     for (number, ancestor) in numbers.iter_mut().zip(lineage) {
         *number = u8::try_from(ancestor.number).expect("a small number");
     }
@@ -420,7 +431,7 @@
             witnesses: founders,
             former: 0,
             follows: 0,
-            lineage: [0; MOST_RECORDS],
+            lineage: [0; MAX_RECORDS],
             log: Log::default(),
         };
         let first = Record {
@@ -434,7 +445,7 @@
             state_record: Some(1),
             log: Log::default(),
         };
-        let mut disks = [None; MOST_MEMBERS];
+        let mut disks = [None; MAX_MEMBERS];
         disks[..usize::from(self.founders)].fill(Some(disk));
         vec![State {
             disks,
@@ -450,12 +461,12 @@
             newest_active: 1,
             losses: 0,
             joins: 0,
-            lost_something: false,
+            commit_was_lost: false,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        for id in 1..=MOST_MEMBERS as Id {
+        for id in 1..=MAX_MEMBERS as ModelId {
             self.actions_of_member(state, id, actions);
         }
         for campaign in &state.campaigns {
@@ -466,7 +477,7 @@
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         match action {
-            Action::Stand(id) => Epochs::begin(&mut next, id, None),
+            Action::StartElection(id) => Epochs::begin(&mut next, id, None),
             Action::Reconfigure(id) => {
                 let active = next.primary_of(id)?.record;
                 Epochs::begin(&mut next, id, Some(active));
@@ -494,7 +505,7 @@
                 let epoch = primary.record;
                 let newest = next.newest_active;
                 if newest > epoch && !next.record(newest).log.extends(&log) {
-                    next.lost_something = true;
+                    next.commit_was_lost = true;
                 }
                 next.commit(log);
             }
@@ -505,9 +516,11 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(KEPT, |_, state: &State| !state.lost_something),
-            Property::always(MAY_BEGIN, |_, state: &State| {
-                state.base(&state.left()).is_some()
+            Property::always(COMMITTED_STATE_SURVIVES, |_, state: &State| {
+                !state.commit_was_lost
+            }),
+            Property::always(EPOCH_CAN_BEGIN, |_, state: &State| {
+                state.base(&state.surviving_disks()).is_some()
             }),
         ]
     }
--- a/coordination/src/replica/epoch_rules/model/search.rs
+++ b/coordination/src/replica/epoch_rules/model/search.rs
@@ -1,49 +1,49 @@
 //! Searches the model of the epochs: breadth first over few steps, and by chance over many. With each rule taken out alone,
 //! a counter-example is found.
 
-use super::{Action, Epochs, Without, KEPT, MAY_BEGIN};
+use super::{Action, DisabledRules, Epochs, COMMITTED_STATE_SURVIVES, EPOCH_CAN_BEGIN};
 use oorandom::Rand64;
 use stateright::{Checker, Model};
 use std::ops::Range;
 
 /// The search ends after so many states.
-const MOST_STATES: usize = 1_000_000;
-const MOST_THREADS: u64 = 8;
+const MAX_STATES: usize = 1_000_000;
+const THREADS: u64 = 8;
 /// Longest path by chance.
-const MOST_STEPS: usize = 80;
+const MAX_STEPS: usize = 80;
 /// So many paths at most are walked in search of a counter-example.
-const SEEDS_WITHOUT_A_RULE: u64 = 400_000;
+const COUNTER_EXAMPLE_SEEDS: u64 = 400_000;
 
 /// Three founders, of whom some are replaced; one disk at a time is lost, at any moment.
-fn three_members(without: Without, most_commands: usize) -> Epochs {
-    let most_records = if most_commands == 0 { 6 } else { 7 };
+fn three_members(disabled_rules: DisabledRules, max_commands: usize) -> Epochs {
+    let max_records = if max_commands == 0 { 6 } else { 7 };
     Epochs {
-        without,
+        disabled_rules,
         founders: 3,
-        most_records,
-        most_commands,
-        most_losses: 2,
+        max_records,
+        max_commands,
+        max_losses: 2,
         tolerated: 1,
-        most_joins: 2,
+        max_joins: 2,
     }
 }
 
 /// Five founders; two disks at a time are lost.
-fn five_members(without: Without) -> Epochs {
+fn five_members(disabled_rules: DisabledRules) -> Epochs {
     Epochs {
-        without,
+        disabled_rules,
         founders: 5,
-        most_records: 7,
-        most_commands: 1,
-        most_losses: 3,
+        max_records: 7,
+        max_commands: 1,
+        max_losses: 3,
         tolerated: 2,
-        most_joins: 3,
+        max_joins: 3,
     }
 }
 
 fn weight(action: &Action) -> u64 {
     match action {
-        Action::Stand(_) | Action::Reconfigure(_) | Action::LoseDisk(_) => 1,
+        Action::StartElection(_) | Action::Reconfigure(_) | Action::LoseDisk(_) => 1,
         Action::Promise { .. } | Action::Install { .. } => 6,
         Action::Accept { .. } => 4,
         Action::Choose { .. }
@@ -65,13 +65,13 @@
 
 fn walk_once(model: &Epochs, seed: u64, length: usize) -> Option<CounterExample> {
     let properties = model.properties();
-    let mut chance = Rand64::new(seed.into());
+    let mut rng = Rand64::new(seed.into());
     let mut state = model.init_states().remove(0);
     let mut path = Vec::new();
     for _ in 0..length {
         let mut actions = Vec::new();
         model.actions(&state, &mut actions);
-        let action = draw(&mut chance, actions)?;
+        let action = draw(&mut rng, actions)?;
         let Some(next) = model.next_state(&state, action.clone()) else {
             continue;
         };
@@ -88,12 +88,12 @@
 }
 
 /// One of the actions by chance; those that bring an epoch further come more often.
-fn draw(chance: &mut Rand64, actions: Vec<Action>) -> Option<Action> {
+fn draw(rng: &mut Rand64, actions: Vec<Action>) -> Option<Action> {
     let total: u64 = actions.iter().map(weight).sum();
     let mut drawn = if total == 0 {
         return None;
     } else {
-        chance.rand_range(0..total)
+        rng.rand_range(0..total)
     };
     actions.into_iter().find(|action| {
         let weight = weight(action);
@@ -104,12 +104,19 @@
 }
 
 /// Walks with many threads.
-fn walk_far(model: &Epochs, seeds: u64, length: usize) -> Option<CounterExample> {
-    let part = seeds.div_ceil(MOST_THREADS);
+fn walk_in_parallel(model: &Epochs, seeds: u64, length: usize) -> Option<CounterExample> {
+    let seeds_per_thread = seeds.div_ceil(THREADS);
     std::thread::scope(|scope| {
-        let begin =
-            |number| scope.spawn(move || walk(model, number * part..(number + 1) * part, length));
-        let threads: Vec<_> = (0..MOST_THREADS).map(begin).collect();
+        let begin = |number| {
+            scope.spawn(move || {
+                walk(
+                    model,
+                    number * seeds_per_thread..(number + 1) * seeds_per_thread,
+                    length,
+                )
+            })
+        };
+        let threads: Vec<_> = (0..THREADS).map(begin).collect();
         threads
             .into_iter()
             .filter_map(|thread| thread.join().expect("it ends"))
@@ -118,18 +125,18 @@
 }
 
 fn check(model: Epochs) -> impl Checker<Epochs> {
-    let threads = usize::try_from(MOST_THREADS).expect("few threads");
+    let threads = usize::try_from(THREADS).expect("few threads");
     model
         .checker()
         .threads(threads)
-        .target_state_count(MOST_STATES)
+        .target_state_count(MAX_STATES)
         .spawn_bfs()
         .join()
 }
 
 #[test]
 fn nothing_is_lost_and_a_new_epoch_can_begin_after_few_steps_in_any_order() {
-    let checker = check(three_members(Without::default(), 1));
+    let checker = check(three_members(DisabledRules::default(), 1));
     println!(
         "{} states, {} steps deep",
         checker.unique_state_count(),
@@ -140,28 +147,28 @@
 
 #[test]
 fn nothing_is_lost_and_a_new_epoch_can_begin_after_many_steps_by_chance() {
-    let all = Without::default();
+    let all = DisabledRules::default();
     for model in [
         three_members(all, 0),
         three_members(all, 1),
         five_members(all),
     ] {
-        assert_eq!(walk_far(&model, 60_000, MOST_STEPS), None);
+        assert_eq!(walk_in_parallel(&model, 60_000, MAX_STEPS), None);
     }
 }
 
 /// The counter-example that a rule's absence leads to.
-fn found_without(without: Without) -> CounterExample {
+fn counter_example_without(disabled_rules: DisabledRules) -> CounterExample {
     let found = [0, 1].into_iter().find_map(|commands| {
-        walk_far(
-            &three_members(without, commands),
-            SEEDS_WITHOUT_A_RULE,
-            MOST_STEPS,
+        walk_in_parallel(
+            &three_members(disabled_rules, commands),
+            COUNTER_EXAMPLE_SEEDS,
+            MAX_STEPS,
         )
     });
     let found = found.expect("the rule is needed");
     println!(
-        "{without:?}: {} after {} steps: {:?}",
+        "{disabled_rules:?}: {} after {} steps: {:?}",
         found.0,
         found.1.len(),
         found.1
@@ -171,36 +178,36 @@
 
 #[test]
 fn members_change_on_the_active_record_alone() {
-    let found = found_without(Without {
+    let found = counter_example_without(DisabledRules {
         active_record: true,
-        ..Without::default()
+        ..DisabledRules::default()
     });
-    assert_eq!(found.0, KEPT);
+    assert_eq!(found.0, COMMITTED_STATE_SURVIVES);
 }
 
 #[test]
 fn a_change_of_members_takes_a_joint_record() {
-    let found = found_without(Without {
+    let found = counter_example_without(DisabledRules {
         joint_record: true,
-        ..Without::default()
+        ..DisabledRules::default()
     });
-    assert_eq!(found.0, KEPT);
+    assert_eq!(found.0, COMMITTED_STATE_SURVIVES);
 }
 
 #[test]
 fn new_members_get_a_record_first() {
-    let found = found_without(Without {
+    let found = counter_example_without(DisabledRules {
         new_members_first: true,
-        ..Without::default()
+        ..DisabledRules::default()
     });
-    assert_eq!(found.0, MAY_BEGIN);
+    assert_eq!(found.0, EPOCH_CAN_BEGIN);
 }
 
 #[test]
 fn records_name_their_ancestors() {
-    let found = found_without(Without {
+    let found = counter_example_without(DisabledRules {
         lineage: true,
-        ..Without::default()
+        ..DisabledRules::default()
     });
-    assert_eq!(found.0, MAY_BEGIN);
+    assert_eq!(found.0, EPOCH_CAN_BEGIN);
 }
--- a/coordination/src/replica/epoch_rules/model/state.rs
+++ b/coordination/src/replica/epoch_rules/model/state.rs
@@ -6,23 +6,23 @@
 use std::collections::BTreeMap;
 
 /// Members are numbered from 1.
-pub(super) type Id = u8;
+pub(super) type ModelId = u8;
 /// A set of members: one bit each.
-pub(super) type Members = u8;
+pub(super) type MemberSet = u8;
 
 /// Most members, joining ones included.
-pub(super) const MOST_MEMBERS: usize = 8;
+pub(super) const MAX_MEMBERS: usize = 8;
 /// Most records that one can descend from.
-pub(super) const MOST_RECORDS: usize = 8;
+pub(super) const MAX_RECORDS: usize = 8;
 /// Most commands.
-pub(super) const MOST_COMMANDS: usize = 2;
+pub(super) const MAX_COMMANDS: usize = 2;
 /// Most attempts to begin an epoch that are under way at once.
-pub(super) const MOST_CAMPAIGNS: usize = 2;
+pub(super) const MAX_CAMPAIGNS: usize = 2;
 
 /// The commands of a state: the epoch in which each was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub(super) struct Log {
-    pub(super) epochs: [u8; MOST_COMMANDS],
+    pub(super) epochs: [u8; MAX_COMMANDS],
     pub(super) length: u8,
 }
 
@@ -53,7 +53,7 @@
     record: None,
     state_record: None,
     log: Log {
-        epochs: [0; MOST_COMMANDS],
+        epochs: [0; MAX_COMMANDS],
         length: 0,
     },
 };
@@ -62,13 +62,13 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Record {
     pub(super) number: u8,
-    pub(super) primary: Id,
-    pub(super) replicas: Members,
-    pub(super) witnesses: Members,
-    pub(super) former: Members,
+    pub(super) primary: ModelId,
+    pub(super) replicas: MemberSet,
+    pub(super) witnesses: MemberSet,
+    pub(super) former: MemberSet,
     pub(super) follows: u8,
     /// The records that it names as its ancestors; 0 ends them.
-    pub(super) lineage: [u8; MOST_RECORDS],
+    pub(super) lineage: [u8; MAX_RECORDS],
     /// The state with which it begins.
     pub(super) log: Log,
 }
@@ -77,7 +77,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Campaign {
     pub(super) number: u8,
-    pub(super) candidate: Id,
+    pub(super) candidate: ModelId,
     /// By the primary of this active record, to change it.
     pub(super) reconfigures: Option<u8>,
     pub(super) stage: Stage,
@@ -85,22 +85,22 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) enum Stage {
-    Preparing { promises: Vec<(Id, Disk)> },
-    Installing { installed: Members },
+    Preparing { promises: Vec<(ModelId, Disk)> },
+    Installing { installed: MemberSet },
 }
 
 /// A primary of an active record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Primary {
-    pub(super) id: Id,
+    pub(super) id: ModelId,
     pub(super) record: u8,
     /// The command under way, and who has it on disk.
-    pub(super) write: Option<(Log, Members)>,
+    pub(super) write: Option<(Log, MemberSet)>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub(super) struct State {
-    pub(super) disks: [Option<Disk>; MOST_MEMBERS],
+    pub(super) disks: [Option<Disk>; MAX_MEMBERS],
     pub(super) records: Vec<Record>,
     pub(super) last_number: u8,
     pub(super) campaigns: Vec<Campaign>,
@@ -111,18 +111,18 @@
     pub(super) newest_active: u8,
     pub(super) losses: u8,
     pub(super) joins: u8,
-    pub(super) lost_something: bool,
+    pub(super) commit_was_lost: bool,
 }
 
-pub(super) fn bit(id: Id) -> Members {
+pub(super) fn bit(id: ModelId) -> MemberSet {
     1 << (id - 1)
 }
 
-pub(super) fn ids(members: Members) -> impl Iterator<Item = Id> {
-    (1..=MOST_MEMBERS as Id).filter(move |id| members & bit(*id) != 0)
+pub(super) fn ids(members: MemberSet) -> impl Iterator<Item = ModelId> {
+    (1..=MAX_MEMBERS as ModelId).filter(move |id| members & bit(*id) != 0)
 }
 
-pub(super) fn member(id: Id) -> Member {
+pub(super) fn member(id: ModelId) -> Member {
     Member {
         id: id.into(),
         node: String::new(),
@@ -131,22 +131,22 @@
     }
 }
 
-pub(super) fn id_of(member: MemberId) -> Id {
-    Id::try_from(member).expect("a small number")
+pub(super) fn id_of(member: MemberId) -> ModelId {
+    ModelId::try_from(member).expect("a small number")
 }
 
-pub(super) fn set_of<'a>(members: impl IntoIterator<Item = &'a Member>) -> Members {
+pub(super) fn set_of<'a>(members: impl IntoIterator<Item = &'a Member>) -> MemberSet {
     members
         .into_iter()
         .fold(0, |set, member| set | bit(id_of(member.id)))
 }
 
 impl State {
-    pub(super) fn disk(&self, id: Id) -> Option<&Disk> {
+    pub(super) fn disk(&self, id: ModelId) -> Option<&Disk> {
         self.disks[usize::from(id) - 1].as_ref()
     }
 
-    pub(super) fn disk_mut(&mut self, id: Id) -> Option<&mut Disk> {
+    pub(super) fn disk_mut(&mut self, id: ModelId) -> Option<&mut Disk> {
         self.disks[usize::from(id) - 1].as_mut()
     }
 
@@ -158,7 +158,7 @@
     }
 
     /// A record as the replica has it.
-    pub(super) fn real(&self, number: u8) -> EpochRecord {
+    pub(super) fn epoch_record(&self, number: u8) -> EpochRecord {
         let record = self.record(number);
         let ancestors = record.lineage.iter().take_while(|ancestor| **ancestor > 0);
         EpochRecord {
@@ -184,14 +184,14 @@
     pub(super) fn promise(&self, disk: &Disk) -> Promise {
         Promise {
             number: 0,
-            record: disk.record.map(|number| self.real(number)),
-            state_record: disk.state_record.map(|number| self.real(number)),
+            record: disk.record.map(|number| self.epoch_record(number)),
+            state_record: disk.state_record.map(|number| self.epoch_record(number)),
             version: disk.log.length.into(),
             state: None,
         }
     }
 
-    pub(super) fn base(&self, promises: &[(Id, Disk)]) -> Option<Base> {
+    pub(super) fn base(&self, promises: &[(ModelId, Disk)]) -> Option<Base> {
         let promises: BTreeMap<MemberId, Promise> = promises
             .iter()
             .map(|(id, disk)| ((*id).into(), self.promise(disk)))
@@ -200,35 +200,37 @@
     }
 
     /// All disks that are left.
-    pub(super) fn left(&self) -> Vec<(Id, Disk)> {
-        (1..=MOST_MEMBERS as Id)
+    pub(super) fn surviving_disks(&self) -> Vec<(ModelId, Disk)> {
+        (1..=MAX_MEMBERS as ModelId)
             .filter_map(|id| Some((id, *self.disk(id)?)))
             .collect()
     }
 
-    pub(super) fn primary_of(&self, id: Id) -> Option<&Primary> {
+    pub(super) fn primary_of(&self, id: ModelId) -> Option<&Primary> {
         self.primaries.iter().find(|primary| primary.id == id)
     }
 
-    pub(super) fn campaign_of(&self, id: Id) -> Option<&Campaign> {
+    pub(super) fn campaign_of(&self, id: ModelId) -> Option<&Campaign> {
         self.campaigns
             .iter()
             .find(|campaign| campaign.candidate == id)
     }
 
     /// The member takes part in another's epoch: its own part is over.
-    pub(super) fn step_down(&mut self, id: Id) {
+    pub(super) fn step_down(&mut self, id: ModelId) {
         self.campaigns.retain(|campaign| campaign.candidate != id);
         self.primaries.retain(|primary| primary.id != id);
     }
 
     /// Whom a candidate asks: all members that its disk and the promises so far name.
-    pub(super) fn asked(&self, candidate: Id, promises: &[(Id, Disk)]) -> Members {
+    pub(super) fn voters(&self, candidate: ModelId, promises: &[(ModelId, Disk)]) -> MemberSet {
         let own = self.disk(candidate).and_then(|disk| disk.record);
-        let told = promises.iter().filter_map(|(_, disk)| disk.record);
-        own.into_iter().chain(told).fold(0, |asked, number| {
-            asked | set_of(self.real(number).everyone())
-        })
+        let promised_disk = promises.iter().filter_map(|(_, disk)| disk.record);
+        own.into_iter()
+            .chain(promised_disk)
+            .fold(0, |voters, number| {
+                voters | set_of(self.epoch_record(number).everyone())
+            })
     }
 
     /// A record began with the state of another, perhaps over some in between.
@@ -242,7 +244,7 @@
 
     pub(super) fn commit(&mut self, log: Log) {
         if !log.extends(&self.committed) && !self.committed.extends(&log) {
-            self.lost_something = true;
+            self.commit_was_lost = true;
         }
         if log.length > self.committed.length {
             self.committed = log;
--- a/coordination/src/replica/membership.rs
+++ b/coordination/src/replica/membership.rs
@@ -8,7 +8,7 @@
 
 impl<S: StateMachine> Replica<S> {
     /// A commit needs so many copies in a core of so many members.
-    pub(super) fn copies_needed(&self, members: usize) -> usize {
+    pub(super) fn min_replicas(&self, members: usize) -> usize {
         members.min(self.settings.tolerate_machines + 1)
     }
 
@@ -17,19 +17,20 @@
         let Some(primary) = &self.primary else {
             return false;
         };
-        let number_lost = self.durable.promised != primary.record.number || self.outbid(primary);
-        if number_lost {
+        let number_is_superseded =
+            self.durable.promised != primary.record.number || self.has_competing_promise(primary);
+        if number_is_superseded {
             return true;
         }
-        let nothing_to_do = self.survey(primary).finds_nothing_to_do(&primary.record);
+        let nothing_to_do = self.planner(primary).is_unchanged(&primary.record);
         !nothing_to_do
             && self
-                .reconfigured(&primary.record)
+                .reconfigured_record(&primary.record)
                 .is_some_and(|next| next != primary.record)
     }
 
-    fn survey<'a>(&self, primary: &'a Primary) -> Survey<'a> {
-        Survey {
+    fn planner<'a>(&self, primary: &'a Primary) -> MembershipPlanner<'a> {
+        MembershipPlanner {
             me: self.me.id,
             now: self.now,
             timings: self.settings.timings,
@@ -38,25 +39,25 @@
     }
 
     /// What the record that follows `base` should be, but for its number. None if `base` is another primary's.
-    pub(super) fn reconfigured(&self, base: &EpochRecord) -> Option<EpochRecord> {
+    pub(super) fn reconfigured_record(&self, base: &EpochRecord) -> Option<EpochRecord> {
         let primary = self
             .primary
             .as_ref()
             .filter(|_| base.primary == self.me.id)?;
-        let survey = self.survey(primary);
-        let floor = 2 * self.settings.tolerate_machines + 1;
-        let wanted = || survey.next_witnesses(&base.witnesses, floor);
+        let planner = self.planner(primary);
+        let min_members = 2 * self.settings.tolerate_machines + 1;
+        let wanted = || planner.next_witnesses(&base.witnesses, min_members);
         let mut next = epoch_rules::with_members(base, primary.record.number, wanted);
-        let copies_needed = self.copies_needed(next.witnesses.len());
-        next.replicas = survey.next_replicas(&next, copies_needed);
-        if next.replicas.len() < copies_needed {
+        let min_replicas = self.min_replicas(next.witnesses.len());
+        next.replicas = planner.next_replicas(&next, min_replicas);
+        if next.replicas.len() < min_replicas {
             return Some(base.clone());
         }
         Some(next)
     }
 
     /// A member that answers has promised this number or a higher one to a candidate that did not succeed.
-    fn outbid(&self, primary: &Primary) -> bool {
+    fn has_competing_promise(&self, primary: &Primary) -> bool {
         let number = primary.record.number;
         let refuses = |peer: &Peer| {
             peer.promised > number || peer.promised == number && peer.promised_to != self.me.id
@@ -69,102 +70,107 @@
 }
 
 /// What the primary knows of the members.
-struct Survey<'a> {
+struct MembershipPlanner<'a> {
     me: MemberId,
     now: Millis,
     timings: Timings,
     primary: &'a Primary,
 }
 
-impl Survey<'_> {
+impl MembershipPlanner<'_> {
     /// All members keep up, or are rightly left out; nobody comes or goes. Asked often, hence without any allocation.
-    fn finds_nothing_to_do(&self, record: &EpochRecord) -> bool {
+    fn is_unchanged(&self, record: &EpochRecord) -> bool {
         let is_in_place = |id: MemberId| match record.is_replica(id) {
             true => self.keeps_up(id),
-            false => !self.has_come_back(id) && !self.is_long_silent(id),
+            false => !self.is_readmittable(id) && !self.is_unresponsive(id),
         };
         record.former_witnesses.is_empty()
-            && !self.primary.joiners.values().any(|joiner| joiner.answers)
+            && !self
+                .primary
+                .joiners
+                .values()
+                .any(|joiner| joiner.has_answered)
             && record.witnesses.iter().all(|member| is_in_place(member.id))
     }
 
     /// New disks come in, in place of the old one of the same machine; who was silent for long goes, if enough others
     /// answer.
-    fn next_witnesses(&self, members: &[Member], floor: usize) -> Vec<Member> {
+    fn next_witnesses(&self, members: &[Member], min_members: usize) -> Vec<Member> {
         let mut next = members.to_vec();
         for joiner in self
             .primary
             .joiners
             .values()
-            .filter(|joiner| joiner.answers)
+            .filter(|joiner| joiner.has_answered)
         {
             next.retain(|member| member.node != joiner.member.node || member.id == self.me);
             next.push(joiner.member.clone());
         }
         let answering = next
             .iter()
-            .filter(|member| self.answers(member.id) || self.is_joiner(member.id))
+            .filter(|member| self.is_responsive(member.id) || self.is_joiner(member.id))
             .count();
-        if answering >= floor {
-            next.retain(|member| !self.is_long_silent(member.id));
+        if answering >= min_members {
+            next.retain(|member| !self.is_unresponsive(member.id));
         }
         next.sort();
         next
     }
 
-    fn next_replicas(&self, record: &EpochRecord, copies_needed: usize) -> Vec<MemberId> {
+    fn next_replicas(&self, record: &EpochRecord, min_replicas: usize) -> Vec<MemberId> {
         let members = || record.witnesses.iter().map(|member| member.id);
-        let fit = |id: &MemberId| match self.primary.record.is_replica(*id) {
+        let is_fit = |id: &MemberId| match self.primary.record.is_replica(*id) {
             true => self.keeps_up(*id),
-            false => self.is_joiner(*id) || self.has_come_back(*id),
+            false => self.is_joiner(*id) || self.is_readmittable(*id),
         };
-        let replicas: Vec<MemberId> = members().filter(fit).collect();
-        if replicas.len() >= copies_needed {
+        let replicas: Vec<MemberId> = members().filter(is_fit).collect();
+        if replicas.len() >= min_replicas {
             return replicas;
         }
-        let may_do = |id: &MemberId| fit(id) || self.answers(*id) && !self.holds_up_write(*id);
-        members().filter(may_do).collect()
+        let is_acceptable =
+            |id: &MemberId| is_fit(id) || self.is_responsive(*id) && !self.delays_write(*id);
+        members().filter(is_acceptable).collect()
     }
 
     fn peer(&self, id: MemberId) -> Option<&Peer> {
         self.primary.peers.get(&id)
     }
 
-    fn silence(&self, id: MemberId) -> Millis {
+    fn time_since_response(&self, id: MemberId) -> Millis {
         match self.peer(id) {
             _ if id == self.me => 0,
-            Some(peer) => self.now.saturating_sub(peer.heard_at),
+            Some(peer) => self.now.saturating_sub(peer.last_response_at),
             None => self.now.saturating_sub(self.primary.activated_at),
         }
     }
 
-    fn answers(&self, id: MemberId) -> bool {
+    fn is_responsive(&self, id: MemberId) -> bool {
         let is_blocked = self
             .peer(id)
-            .is_some_and(|peer| self.now < peer.blocked_until);
-        self.silence(id) < self.timings.replica_silence_ms && !is_blocked
+            .is_some_and(|peer| self.now < peer.excluded_until);
+        self.time_since_response(id) < self.timings.replica_timeout_ms && !is_blocked
     }
 
     fn keeps_up(&self, id: MemberId) -> bool {
-        let leaves = self.peer(id).is_some_and(Peer::is_leaving);
-        self.answers(id) && !leaves && !self.holds_up_write(id)
+        let is_leaving = self.peer(id).is_some_and(Peer::is_leaving);
+        self.is_responsive(id) && !is_leaving && !self.delays_write(id)
     }
 
-    fn has_come_back(&self, id: MemberId) -> bool {
+    fn is_readmittable(&self, id: MemberId) -> bool {
         let is_steady = |peer: &Peer| {
             let on_disk = peer.record_number == Some(self.primary.record.number);
-            on_disk && peer.steady_since + self.timings.readmission_ms <= self.now
+            on_disk && peer.responsive_since + self.timings.readmission_ms <= self.now
         };
         id == self.me || self.keeps_up(id) && self.peer(id).is_some_and(is_steady)
     }
 
     /// A replica has not written the command under way in time. Others are not sent it.
-    fn holds_up_write(&self, id: MemberId) -> bool {
+    fn delays_write(&self, id: MemberId) -> bool {
         id != self.me
             && self.primary.record.is_replica(id)
             && self.primary.write.as_ref().is_some_and(|write| {
                 !write.written.contains(&id)
-                    && self.now >= write.since + self.timings.replica_silence_ms
+                    && self.now >= write.since + self.timings.replica_timeout_ms
             })
     }
 
@@ -172,10 +178,10 @@
         self.primary
             .joiners
             .get(&id)
-            .is_some_and(|joiner| joiner.answers)
+            .is_some_and(|joiner| joiner.has_answered)
     }
 
-    fn is_long_silent(&self, id: MemberId) -> bool {
-        !self.is_joiner(id) && self.silence(id) >= self.timings.member_silence_ms
+    fn is_unresponsive(&self, id: MemberId) -> bool {
+        !self.is_joiner(id) && self.time_since_response(id) >= self.timings.member_timeout_ms
     }
 }
--- a/coordination/src/replica/message.rs
+++ b/coordination/src/replica/message.rs
@@ -35,7 +35,7 @@
     Promise(#[n(0)] Box<Promise>),
     /// Answer to any request that came too late or too early: what stands in its way.
     #[n(4)]
-    Refusal(#[n(0)] Refusal),
+    Rejection(#[n(0)] Rejection),
     /// The primary of a new epoch to its replicas and witnesses.
     #[n(5)]
     Install(#[n(0)] Box<Install>),
@@ -127,7 +127,7 @@
     pub number: Epoch,
     /// The primary of this epoch handed over to the candidate.
     #[n(1)]
-    pub handed_over: Option<Epoch>,
+    pub released_epoch: Option<Epoch>,
     /// Number of the record whose state the candidate holds, if any.
     #[n(2)]
     pub state_epoch: Option<Epoch>,
@@ -158,7 +158,7 @@
 
 /// What stands in a request's way.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct Refusal {
+pub struct Rejection {
     /// Number in the request.
     #[n(0)]
     pub number: Epoch,
--- a/coordination/src/replica/primary.rs
+++ b/coordination/src/replica/primary.rs
@@ -9,11 +9,11 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
 /// A disk that no longer asks to join is forgotten after so long.
-const JOINER_PATIENCE_MS: Millis = 1_500;
+const JOINER_TIMEOUT_MS: Millis = 1_500;
 /// After a change of the epoch failed, the next is tried after so long.
-const RECONFIGURATION_PAUSE_MS: Millis = 50;
+const RECONFIGURATION_RETRY_MS: Millis = 50;
 /// A member that did not write a record in time is left out for so long.
-const BLOCKED_MS: Millis = 500;
+const EXCLUSION_MS: Millis = 500;
 
 /// The primary's side of an active epoch.
 #[derive(Debug)]
@@ -31,7 +31,7 @@
     /// Those that wait.
     pub queue: VecDeque<QueuedProposal>,
     /// It hands over: it uses its lease no more, and begins nothing.
-    pub handing_over: Option<HandingOver>,
+    pub hand_over: Option<HandOverProgress>,
     /// Sending moment of the newest heartbeat that each member granted, itself included.
     granted: BTreeMap<MemberId, Millis>,
     next_heartbeat: Millis,
@@ -42,9 +42,9 @@
 #[derive(Debug, Clone, Default)]
 pub(super) struct Peer {
     /// When it last answered.
-    pub heard_at: Millis,
+    pub last_response_at: Millis,
     /// Since when it has answered without a long pause.
-    pub steady_since: Millis,
+    pub responsive_since: Millis,
     /// The newest record that it has on disk.
     pub record_number: Option<Epoch>,
     /// It promised to take part in no epoch below this one.
@@ -52,9 +52,9 @@
     /// To whom.
     pub promised_to: MemberId,
     /// When it said that its process is about to end.
-    pub left_at: Option<Millis>,
+    pub leaving_since: Option<Millis>,
     /// Until then it is not counted on.
-    pub blocked_until: Millis,
+    pub excluded_until: Millis,
 }
 
 /// A disk that asks to be a member.
@@ -62,9 +62,9 @@
 pub(super) struct Joiner {
     pub member: Member,
     /// When it last asked.
-    pub asked_at: Millis,
+    pub last_request_at: Millis,
     /// It answered a heartbeat since it asked: the request is no late message of a disk that is gone.
-    pub answers: bool,
+    pub has_answered: bool,
 }
 
 /// A request that waits for its turn.
@@ -88,27 +88,30 @@
 
 /// A hand-over under way.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct HandingOver {
+pub(super) struct HandOverProgress {
     /// Since when.
     pub since: Millis,
     /// When the successor is told (again).
     pub next_send: Millis,
     /// So many times somebody was told.
-    pub told: usize,
+    pub send_count: usize,
 }
 
 impl Peer {
     /// Its process is about to end, or has ended and not come back.
     pub fn is_leaving(&self) -> bool {
-        self.left_at.is_some()
+        self.leaving_since.is_some()
     }
 
     /// An answer to a heartbeat from before the member left says nothing of its return.
-    fn note_leaving(&mut self, leaves: bool, sent_at: Millis, now: Millis) {
+    fn update_leaving(&mut self, leaves: bool, sent_at: Millis, now: Millis) {
         if leaves {
-            self.left_at = Some(now);
-        } else if self.left_at.is_some_and(|left_at| sent_at > left_at) {
-            self.left_at = None;
+            self.leaving_since = Some(now);
+        } else if self
+            .leaving_since
+            .is_some_and(|leaving_since| sent_at > leaving_since)
+        {
+            self.leaving_since = None;
         }
     }
 }
@@ -122,7 +125,7 @@
             joiners: BTreeMap::new(),
             write: None,
             queue: VecDeque::new(),
-            handing_over: None,
+            hand_over: None,
             granted: BTreeMap::new(),
             next_heartbeat: now,
             reconfigure_at: now,
@@ -131,7 +134,7 @@
 
     /// End of the lease.
     pub fn lease_until(&self, lease_ms: Millis) -> Millis {
-        if self.handing_over.is_some() {
+        if self.hand_over.is_some() {
             return 0;
         }
         let granted = self
@@ -140,12 +143,12 @@
         granted.map_or(0, |sent_at| sent_at + lease_ms)
     }
 
-    fn heard_from(&mut self, id: MemberId, now: Millis, longest_pause: Millis) -> &mut Peer {
+    fn record_response(&mut self, id: MemberId, now: Millis, max_delay_ms: Millis) -> &mut Peer {
         let peer = self.peers.entry(id).or_default();
-        if peer.heard_at + longest_pause <= now {
-            peer.steady_since = now;
+        if peer.last_response_at + max_delay_ms <= now {
+            peer.responsive_since = now;
         }
-        peer.heard_at = now;
+        peer.last_response_at = now;
         peer
     }
 }
@@ -155,9 +158,9 @@
     pub(super) fn activate(&mut self, installing: Installing) {
         let now = self.now;
         self.durable.commit_up_to(installing.version());
-        self.succeeds = None;
+        self.predecessor_epoch = None;
         self.attempts_timed_out = 0;
-        let silence = self.settings.timings.replica_silence_ms;
+        let time_since_response = self.settings.timings.replica_timeout_ms;
         let mut primary = self
             .primary
             .take()
@@ -167,26 +170,28 @@
         primary.next_heartbeat = now;
         primary.reconfigure_at = now;
         for id in installing.installed {
-            primary.heard_from(id, now, silence).record_number = Some(primary.record.number);
+            primary
+                .record_response(id, now, time_since_response)
+                .record_number = Some(primary.record.number);
         }
         let is_witness = |id: &MemberId| primary.record.is_witness(*id);
         primary.joiners.retain(|id, _| !is_witness(id));
         self.primary = Some(primary);
-        self.finish_write_of_former_epoch();
+        self.finish_write_of_previous_epoch();
     }
 
     /// The part of the primary is over, and so is every attempt at it.
     pub(super) fn step_down(&mut self) {
         self.campaign = None;
-        self.succeeds = None;
+        self.predecessor_epoch = None;
         let Some(primary) = self.primary.take() else {
             return;
         };
         if let Some(write) = primary.write {
-            self.give_back(write.token, ProposeError::Unknown);
+            self.fail_proposal(write.token, ProposeError::Unknown);
         }
         for proposal in primary.queue {
-            self.give_back(proposal.token, ProposeError::NotPrimary);
+            self.fail_proposal(proposal.token, ProposeError::NotPrimary);
         }
         let retry = self.election_moment_after(self.now + self.settings.timings.grant_ms);
         if self.election_at <= self.now {
@@ -199,39 +204,39 @@
         let Some(primary) = &mut self.primary else {
             return;
         };
-        if primary.record.is_witness(member.id) || primary.handing_over.is_some() {
+        if primary.record.is_witness(member.id) || primary.hand_over.is_some() {
             return;
         }
         let joiner = primary.joiners.entry(member.id).or_insert(Joiner {
             member,
-            asked_at: now,
-            answers: false,
+            last_request_at: now,
+            has_answered: false,
         });
-        joiner.asked_at = now;
-        if !joiner.answers {
+        joiner.last_request_at = now;
+        if !joiner.has_answered {
             primary.next_heartbeat = now;
         }
     }
 
     pub(super) fn on_heartbeat_answer(&mut self, from: &Member, answer: HeartbeatAnswer) {
-        self.saw_epoch(answer.promised);
-        let (now, silence) = (self.now, self.settings.timings.replica_silence_ms);
+        self.observe_epoch(answer.promised);
+        let (now, time_since_response) = (self.now, self.settings.timings.replica_timeout_ms);
         let Some(primary) = &mut self.primary else {
             return;
         };
         if let Some(joiner) = primary.joiners.get_mut(&from.id) {
-            joiner.answers = true;
+            joiner.has_answered = true;
         }
-        let peer = primary.heard_from(from.id, now, silence);
+        let peer = primary.record_response(from.id, now, time_since_response);
         peer.record_number = answer.record_number;
         peer.promised = answer.promised;
         peer.promised_to = answer.promised_to;
-        peer.note_leaving(answer.leaving, answer.sent_at, now);
+        peer.update_leaving(answer.leaving, answer.sent_at, now);
         if answer.granted && answer.epoch == primary.record.number {
             let newest = primary.granted.entry(from.id).or_default();
             *newest = (*newest).max(answer.sent_at);
         } else {
-            self.bring_record(from);
+            self.maybe_send_record(from);
         }
     }
 
@@ -241,7 +246,7 @@
             .as_mut()
             .and_then(|primary| primary.peers.get_mut(&from.id))
         {
-            peer.left_at = Some(self.now);
+            peer.leaving_since = Some(self.now);
         }
     }
 
@@ -250,10 +255,10 @@
         if self.primary.is_none() {
             return;
         }
-        self.check_fitness();
+        self.check_health();
         self.check_hand_over();
         self.send_heartbeats();
-        self.forget_joiners();
+        self.expire_joiners();
         self.resend_write();
         self.expire_proposals();
         self.check_epoch();
@@ -261,12 +266,14 @@
 
     /// When the primary has something to do.
     pub(super) fn primary_wakeup(&self, primary: &Primary) -> Millis {
-        let stall = self.writes.stalls_at(self.settings.timings.disk_stall_ms);
+        let stall = self
+            .writes
+            .stall_deadline(self.settings.timings.disk_stall_timeout_ms);
         let write = primary.write.as_ref().map(|write| write.next_send);
-        let hand_over = primary.handing_over.map(|hand_over| hand_over.next_send);
+        let hand_over = primary.hand_over.map(|hand_over| hand_over.next_send);
         let later = [stall.filter(|at| *at > self.now), write, hand_over];
         let heartbeat = primary
-            .handing_over
+            .hand_over
             .is_none()
             .then_some(primary.next_heartbeat);
         later
@@ -283,20 +290,20 @@
         let Some(primary) = &mut self.primary else {
             return;
         };
-        primary.reconfigure_at = now + RECONFIGURATION_PAUSE_MS;
+        primary.reconfigure_at = now + RECONFIGURATION_RETRY_MS;
         let Some(Campaign::Installing(installing)) = failed else {
             return;
         };
         for id in installing.record.replicas {
             if id != me && !installing.installed.contains(&id) {
                 primary.joiners.remove(&id);
-                primary.peers.entry(id).or_default().blocked_until = now + BLOCKED_MS;
+                primary.peers.entry(id).or_default().excluded_until = now + EXCLUSION_MS;
             }
         }
     }
 
     /// A majority has not answered for so long that others may be about to take over.
-    pub(super) fn is_cut_off(&self) -> bool {
+    pub(super) fn has_lost_quorum(&self) -> bool {
         let timings = self.settings.timings;
         let Some(primary) = &self.primary else {
             return false;
@@ -304,19 +311,19 @@
         let lease_until = primary
             .lease_until(timings.lease_ms)
             .max(primary.activated_at + timings.lease_ms);
-        primary.handing_over.is_none() && self.now >= lease_until + timings.resign_ms
+        primary.hand_over.is_none() && self.now >= lease_until + timings.resign_delay_ms
     }
 
     fn send_heartbeats(&mut self) {
-        let heartbeat_ms = self.settings.timings.heartbeat_ms;
+        let heartbeat_interval_ms = self.settings.timings.heartbeat_interval_ms;
         let committed = self.durable.version();
         let Some(primary) = &mut self.primary else {
             return;
         };
-        if self.now < primary.next_heartbeat || primary.handing_over.is_some() {
+        if self.now < primary.next_heartbeat || primary.hand_over.is_some() {
             return;
         }
-        primary.next_heartbeat = self.now + heartbeat_ms;
+        primary.next_heartbeat = self.now + heartbeat_interval_ms;
         let heartbeat = Heartbeat {
             epoch: primary.record.number,
             sent_at: self.now,
@@ -330,7 +337,7 @@
     }
 
     /// A witness that was away gets the record. As a replica it counts only after the next change of the epoch.
-    fn bring_record(&mut self, to: &Member) {
+    fn maybe_send_record(&mut self, to: &Member) {
         let Some(primary) = &self.primary else { return };
         let record = &primary.record;
         let is_behind = primary
@@ -348,34 +355,34 @@
         }
     }
 
-    fn forget_joiners(&mut self) {
+    fn expire_joiners(&mut self) {
         let now = self.now;
         if let Some(primary) = &mut self.primary {
             primary
                 .joiners
-                .retain(|_, joiner| now < joiner.asked_at + JOINER_PATIENCE_MS);
+                .retain(|_, joiner| now < joiner.last_request_at + JOINER_TIMEOUT_MS);
         }
     }
 
     /// Begins the next command, or changes the epoch first if that is wanted.
     fn check_epoch(&mut self) {
         let holds_lease = self.holds_lease(self.now);
-        let silence = self.settings.timings.replica_silence_ms;
+        let time_since_response = self.settings.timings.replica_timeout_ms;
         let Some(primary) = &self.primary else { return };
         if self.campaign.is_some() || !holds_lease {
             return;
         }
-        let number_lost = self.durable.promised != primary.record.number;
+        let number_is_superseded = self.durable.promised != primary.record.number;
         if self.now >= primary.reconfigure_at && self.wants_reconfiguration() {
             let write_is_stuck = primary
                 .write
                 .as_ref()
-                .is_some_and(|write| self.now >= write.since + silence);
-            if primary.write.is_none() || write_is_stuck || number_lost {
-                self.begin_prepare(Purpose::Reconfigure);
+                .is_some_and(|write| self.now >= write.since + time_since_response);
+            if primary.write.is_none() || write_is_stuck || number_is_superseded {
+                self.start_prepare(Purpose::Reconfigure);
             }
-        } else if !number_lost {
-            self.begin_next_command();
+        } else if !number_is_superseded {
+            self.start_next_command();
         }
     }
 }
--- a/coordination/src/replica/proposals.rs
+++ b/coordination/src/replica/proposals.rs
@@ -15,24 +15,24 @@
     pub(super) fn on_propose(&mut self, token: Token, request: Vec<u8>) {
         let since = self.now;
         match &mut self.primary {
-            Some(primary) if primary.handing_over.is_some() => {
-                self.give_back(token, ProposeError::NotPrimary)
+            Some(primary) if primary.hand_over.is_some() => {
+                self.fail_proposal(token, ProposeError::NotPrimary)
             }
             Some(primary) if primary.queue.len() >= QUEUE_LIMIT => {
-                self.give_back(token, ProposeError::Overloaded)
+                self.fail_proposal(token, ProposeError::Overloaded)
             }
             Some(primary) => primary.queue.push_back(QueuedProposal {
                 token,
                 request,
                 since,
             }),
-            None => self.give_back(token, ProposeError::NotPrimary),
+            None => self.fail_proposal(token, ProposeError::NotPrimary),
         }
     }
 
     /// Decides requests in their order, up to one that changes the state. Only under a lease: then the committed state
     /// is the newest there is.
-    pub(super) fn begin_next_command(&mut self) {
+    pub(super) fn start_next_command(&mut self) {
         while self
             .primary
             .as_ref()
@@ -46,7 +46,7 @@
                 return;
             };
             match self.durable.state().decide(&proposal.request) {
-                Decision::Replicate(command) => self.begin_write(proposal.token, command),
+                Decision::Replicate(command) => self.start_write(proposal.token, command),
                 Decision::Answer(answer) => {
                     let result = Ok(Outcome::Answered(answer));
                     self.outputs.push(Output::Proposed {
@@ -63,7 +63,7 @@
             return;
         };
         if let Some(peer) = primary.peers.get_mut(&from.id) {
-            peer.heard_at = self.now;
+            peer.last_response_at = self.now;
         }
         let Some(write) = &mut primary.write else {
             return;
@@ -85,7 +85,7 @@
     }
 
     pub(super) fn resend_write(&mut self) {
-        let resend_ms = self.settings.timings.resend_ms;
+        let resend_interval_ms = self.settings.timings.resend_interval_ms;
         let Some(primary) = &mut self.primary else {
             return;
         };
@@ -95,7 +95,7 @@
         if self.now < write.next_send {
             return;
         }
-        write.next_send = self.now + resend_ms;
+        write.next_send = self.now + resend_interval_ms;
         let unanswered = |id: &MemberId| !write.written.contains(id);
         let recipients = primary.record.replicas.iter().filter(|id| unanswered(id));
         let recipients: Vec<_> = recipients
@@ -110,29 +110,29 @@
 
     /// Requests that waited for too long are given back: they never began.
     pub(super) fn expire_proposals(&mut self) {
-        let limit = self.settings.timings.proposal_wait_ms;
+        let limit = self.settings.timings.proposal_timeout_ms;
         let now = self.now;
-        let is_late = |primary: &Primary| {
+        let is_expired = |primary: &Primary| {
             primary
                 .queue
                 .front()
                 .is_some_and(|first| now >= first.since + limit)
         };
-        while self.primary.as_ref().is_some_and(is_late) {
-            let Some(late) = self
+        while self.primary.as_ref().is_some_and(is_expired) {
+            let Some(expired) = self
                 .primary
                 .as_mut()
                 .and_then(|primary| primary.queue.pop_front())
             else {
                 return;
             };
-            self.give_back(late.token, ProposeError::NotPrimary);
+            self.fail_proposal(expired.token, ProposeError::NotPrimary);
         }
     }
 
     /// The epoch of the command under way gave way to the next by the same primary, whose state either holds the
     /// command or does not.
-    pub(super) fn finish_write_of_former_epoch(&mut self) {
+    pub(super) fn finish_write_of_previous_epoch(&mut self) {
         let Some(write) = self
             .primary
             .as_mut()
@@ -142,20 +142,20 @@
         };
         let version = write.message.version;
         if self.durable.version() >= version {
-            self.committed(write.token, version);
+            self.complete_proposal(write.token, version);
         } else {
-            self.give_back(write.token, ProposeError::Unknown);
+            self.fail_proposal(write.token, ProposeError::Unknown);
         }
     }
 
-    pub(super) fn give_back(&mut self, token: Token, error: ProposeError) {
+    pub(super) fn fail_proposal(&mut self, token: Token, error: ProposeError) {
         self.outputs.push(Output::Proposed {
             token,
             result: Err(error),
         });
     }
 
-    fn begin_write(&mut self, token: Token, command: Vec<u8>) {
+    fn start_write(&mut self, token: Token, command: Vec<u8>) {
         let version = self.durable.version() + 1;
         let now = self.now;
         let Some(primary) = &mut self.primary else {
@@ -186,10 +186,10 @@
         else {
             return;
         };
-        self.committed(write.token, version);
+        self.complete_proposal(write.token, version);
     }
 
-    fn committed(&mut self, token: Token, version: Version) {
+    fn complete_proposal(&mut self, token: Token, version: Version) {
         self.outputs.push(Output::Proposed {
             token,
             result: Ok(Outcome::Committed(version)),
--- a/coordination/src/replica/witness.rs
+++ b/coordination/src/replica/witness.rs
@@ -4,16 +4,16 @@
 use super::interface::{Epoch, EpochRecord, Member, MemberId, Millis, StateMachine, Version};
 use super::message::{
     Heartbeat, HeartbeatAnswer, Install, Installed, Message, PreVote, PreVoteAnswer, Prepare,
-    Promise, Refusal, Write, Written,
+    Promise, Rejection, Write, Written,
 };
-use super::{Replica, QUICK_PAUSE_MS};
+use super::{Replica, FAST_ELECTION_DELAY_MS};
 
 /// After a promise, others who ask for votes are put off for so long.
-const ELECTION_HOLD_MS: Millis = 150;
+const PRE_VOTE_REJECTION_MS: Millis = 150;
 /// After a promise to somebody else, a member stands for election itself no sooner than this.
-const PATIENCE_MS: Millis = 300;
+const ELECTION_TIMEOUT_MS: Millis = 300;
 /// A member without the state lets the others stand for election first.
-const NO_STATE_PENALTY_MS: Millis = 100;
+const STATELESS_ELECTION_DELAY_MS: Millis = 100;
 
 /// It promises nothing to others for a while.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -30,7 +30,7 @@
     /// Before its start it may have granted a lease to the primary of its record, of which it knows nothing now.
     pub(super) fn resume_as_witness(&mut self) {
         let timings = self.settings.timings;
-        let Some(record) = self.my_record() else {
+        let Some(record) = self.accepted_record() else {
             return;
         };
         let (number, primary) = (record.number, record.primary);
@@ -42,7 +42,7 @@
             });
         }
         self.election_at = if number == 0 || primary == self.me.id {
-            self.within(QUICK_PAUSE_MS)
+            self.random_moment_within(FAST_ELECTION_DELAY_MS)
         } else {
             self.election_moment_after(self.now + timings.grant_ms)
         };
@@ -50,15 +50,22 @@
 
     /// A moment to stand for election, some time after another.
     pub(super) fn election_moment_after(&mut self, moment: Millis) -> Millis {
-        let pause = self.within(self.settings.timings.candidate_pause_ms) - self.now;
+        let pause =
+            self.random_moment_within(self.settings.timings.max_candidate_delay_ms) - self.now;
         let holds_state = self
-            .my_record()
+            .accepted_record()
             .is_some_and(|record| record.is_replica(self.me.id));
-        moment + pause + if holds_state { 0 } else { NO_STATE_PENALTY_MS }
+        moment
+            + pause
+            + if holds_state {
+                0
+            } else {
+                STATELESS_ELECTION_DELAY_MS
+            }
     }
 
     pub(super) fn on_pre_vote(&mut self, from: &Member, pre_vote: PreVote) {
-        let wait_ms = self.put_off(from.id);
+        let wait_ms = self.vote_wait_ms(from.id);
         let answer = PreVoteAnswer {
             attempt: pre_vote.attempt,
             would_promise: wait_ms == 0,
@@ -70,28 +77,29 @@
     }
 
     pub(super) fn on_prepare(&mut self, from: &Member, prepare: Prepare) {
-        self.saw_epoch(prepare.number);
-        let again = prepare.number == self.durable.promised && self.durable.promised_to == from.id;
-        let free = self.grant_ends(from.id, prepare.handed_over) <= self.now;
-        let higher = prepare.number > self.durable.promised;
-        if !(again || higher && free) {
-            return self.refuse(from, prepare.number);
+        self.observe_epoch(prepare.number);
+        let is_repeat =
+            prepare.number == self.durable.promised && self.durable.promised_to == from.id;
+        let grant_expired = self.grant_expires_at(from.id, prepare.released_epoch) <= self.now;
+        let is_higher = prepare.number > self.durable.promised;
+        if !(is_repeat || is_higher && grant_expired) {
+            return self.send_rejection(from, prepare.number);
         }
-        if higher {
-            self.promise(from, prepare.number);
+        if is_higher {
+            self.record_promise(from, prepare.number);
         }
-        self.answer_promise(from, &prepare);
+        self.send_promise(from, &prepare);
     }
 
     pub(super) fn on_install(&mut self, from: &Member, install: Install) {
         let record = &install.record;
         let number = record.number;
-        self.saw_epoch(number);
-        if from.id != record.primary || !self.concerns_me(record) {
+        self.observe_epoch(number);
+        if from.id != record.primary || !self.is_relevant(record) {
             return;
         }
         if self
-            .my_record()
+            .accepted_record()
             .is_some_and(|mine| mine.number == number && mine.primary == from.id)
         {
             return self.send_when_durable(from, Message::Installed(Installed { number }));
@@ -99,7 +107,7 @@
         let promised_to_others =
             number == self.durable.promised && self.durable.promised_to != from.id;
         if number < self.durable.promised || promised_to_others || number == 0 {
-            return self.refuse(from, number);
+            return self.send_rejection(from, number);
         }
         if self.lacks_state_for(&install) {
             // The primary sends it along the next time.
@@ -110,14 +118,14 @@
     }
 
     pub(super) fn on_write(&mut self, from: &Member, write: Write) {
-        self.saw_epoch(write.epoch);
-        let fits = self.my_record().is_some_and(|record| {
+        self.observe_epoch(write.epoch);
+        let is_from_primary = self.accepted_record().is_some_and(|record| {
             record.number == write.epoch
                 && record.primary == from.id
                 && record.is_replica(self.me.id)
         });
-        if !fits || self.durable.promised != write.epoch {
-            return self.refuse(from, write.epoch);
+        if !is_from_primary || self.durable.promised != write.epoch {
+            return self.send_rejection(from, write.epoch);
         }
         let accepted = self.durable.accepted_version();
         if write.version == accepted + 1 {
@@ -136,14 +144,14 @@
     }
 
     pub(super) fn on_heartbeat(&mut self, from: &Member, heartbeat: Heartbeat) {
-        self.saw_epoch(heartbeat.epoch);
+        self.observe_epoch(heartbeat.epoch);
         if !self.identity_on_disk {
             return;
         }
-        let granted = self.may_grant(from.id, heartbeat.epoch);
+        let granted = self.can_grant_lease(from.id, heartbeat.epoch);
         if granted {
             self.grant_lease(from.id, heartbeat.epoch);
-            self.commit_as_replica(heartbeat.committed);
+            self.commit_up_to_heartbeat(heartbeat.committed);
         }
         let answer = HeartbeatAnswer {
             epoch: heartbeat.epoch,
@@ -158,29 +166,30 @@
     }
 
     /// What is committed in this epoch is so here only if its pending command is of this epoch too.
-    fn commit_as_replica(&mut self, version: Version) {
-        let number = self.my_record().map(|record| record.number);
+    fn commit_up_to_heartbeat(&mut self, version: Version) {
+        let number = self.accepted_record().map(|record| record.number);
         if number.is_some() && number == self.durable.state_epoch() {
             self.durable.commit_up_to(version);
         }
     }
 
     /// How long a candidate has to wait for this member's vote; 0: not at all.
-    fn put_off(&self, candidate: MemberId) -> Millis {
-        let hold_ends = match self.durable.promised_to == candidate {
+    fn vote_wait_ms(&self, candidate: MemberId) -> Millis {
+        let rejection_ends = match self.durable.promised_to == candidate {
             true => 0,
-            false => self.election_hold_until,
+            false => self.reject_pre_votes_until,
         };
-        self.grant_ends(candidate, None)
-            .max(hold_ends)
+        self.grant_expires_at(candidate, None)
+            .max(rejection_ends)
             .saturating_sub(self.now)
     }
 
     /// From when on it may promise to this candidate.
-    fn grant_ends(&self, candidate: MemberId, handed_over: Option<Epoch>) -> Millis {
+    fn grant_expires_at(&self, candidate: MemberId, released_epoch: Option<Epoch>) -> Millis {
         match self.grant {
             Some(grant)
-                if grant.to != candidate && handed_over.is_none_or(|epoch| epoch < grant.epoch) =>
+                if grant.to != candidate
+                    && released_epoch.is_none_or(|epoch| epoch < grant.epoch) =>
             {
                 grant.until
             }
@@ -188,56 +197,56 @@
         }
     }
 
-    fn promise(&mut self, candidate: &Member, number: Epoch) {
+    fn record_promise(&mut self, candidate: &Member, number: Epoch) {
         self.log(Entry::Promised {
             number,
             to: candidate.id,
         });
         if candidate.id != self.me.id {
-            self.election_hold_until = self.now + ELECTION_HOLD_MS;
+            self.reject_pre_votes_until = self.now + PRE_VOTE_REJECTION_MS;
             self.election_at = self
                 .election_at
-                .max(self.election_moment_after(self.now + PATIENCE_MS));
+                .max(self.election_moment_after(self.now + ELECTION_TIMEOUT_MS));
             self.step_down();
         }
     }
 
-    fn answer_promise(&mut self, candidate: &Member, prepare: &Prepare) {
-        let held = (self.durable.state_epoch(), self.durable.accepted_version());
-        let newer = held > (prepare.state_epoch, prepare.version);
+    fn send_promise(&mut self, candidate: &Member, prepare: &Prepare) {
+        let own_state = (self.durable.state_epoch(), self.durable.accepted_version());
+        let newer = own_state > (prepare.state_epoch, prepare.version);
         let promise = Promise {
             number: prepare.number,
             record: self.durable.record.clone(),
             state_record: self.durable.state_record.clone(),
-            version: held.1,
+            version: own_state.1,
             state: newer.then(|| self.durable.copy_state()),
         };
         self.send_when_durable(candidate, Message::Promise(Box::new(promise)));
     }
 
-    pub(super) fn refuse(&mut self, from: &Member, number: Epoch) {
-        let refusal = Refusal {
+    pub(super) fn send_rejection(&mut self, from: &Member, number: Epoch) {
+        let rejection = Rejection {
             number,
             promised: self.durable.promised,
             record: self.durable.record.clone(),
         };
-        self.send(from.clone(), Message::Refusal(refusal));
+        self.send(from.clone(), Message::Rejection(rejection));
     }
 
     /// Its own record, or one that names it. Another disk at the same address may get this one's messages.
-    fn concerns_me(&self, record: &EpochRecord) -> bool {
+    fn is_relevant(&self, record: &EpochRecord) -> bool {
         record.member(self.me.id).is_some() || self.durable.record.is_some()
     }
 
     fn lacks_state_for(&self, install: &Install) -> bool {
-        let held = (self.durable.state_epoch(), self.durable.accepted_version());
+        let own_state = (self.durable.state_epoch(), self.durable.accepted_version());
         install.record.is_replica(self.me.id)
             && install.state.is_none()
-            && held != (Some(install.state_epoch), install.version)
+            && own_state != (Some(install.state_epoch), install.version)
     }
 
     fn accept(&mut self, from: &Member, install: Install) {
-        self.outside = !install.record.is_witness(self.me.id);
+        self.excluded = !install.record.is_witness(self.me.id);
         let state = install
             .state
             .filter(|_| install.record.is_replica(self.me.id));
@@ -246,14 +255,14 @@
             state,
         });
         if from.id != self.me.id {
-            self.election_at = self.election_moment_after(self.now + PATIENCE_MS);
+            self.election_at = self.election_moment_after(self.now + ELECTION_TIMEOUT_MS);
             self.step_down();
-            self.successor_is_there();
+            self.on_successor_installed();
         }
     }
 
-    fn may_grant(&self, primary: MemberId, epoch: Epoch) -> bool {
-        let Some(record) = self.my_record() else {
+    fn can_grant_lease(&self, primary: MemberId, epoch: Epoch) -> bool {
+        let Some(record) = self.accepted_record() else {
             return false;
         };
         let is_primary = record.number == epoch && record.primary == primary;
@@ -271,7 +280,7 @@
             epoch,
             until,
         });
-        self.outside = false;
+        self.excluded = false;
         if primary != self.me.id {
             self.campaign = None;
             self.election_at = self.election_moment_after(until);
--- a/coordination/src/replica/write_queue.rs
+++ b/coordination/src/replica/write_queue.rs
@@ -16,14 +16,14 @@
 #[derive(Debug, Default)]
 pub(super) struct WriteQueue {
     last_token: Token,
-    new_writes: Vec<Vec<u8>>,
-    new_sends: Vec<Addressed>,
-    under_way: VecDeque<Write>,
+    unflushed_records: Vec<Vec<u8>>,
+    unflushed_messages: Vec<Addressed>,
+    in_flight: VecDeque<Write>,
     log_bytes: usize,
     snapshot_bytes: usize,
     retry_at: Option<Millis>,
     /// The last write that ended failed.
-    broken: bool,
+    last_write_failed: bool,
 }
 
 #[derive(Debug)]
@@ -36,7 +36,7 @@
 
 /// A write that ended well.
 #[derive(Debug, Default)]
-pub(super) struct Finished {
+pub(super) struct FinishedWrite {
     /// What waited for it.
     pub sends: Vec<Addressed>,
     /// Number of the record that is now on disk.
@@ -55,12 +55,12 @@
 
     /// To be written with the next flush.
     pub fn append(&mut self, write: Vec<u8>) {
-        self.new_writes.push(write);
+        self.unflushed_records.push(write);
     }
 
     /// To be sent once all that was appended so far is on disk.
-    pub fn send_after(&mut self, to: Member, message: Message) {
-        self.new_sends.push((to, message));
+    pub fn send_after_writes(&mut self, to: Member, message: Message) {
+        self.unflushed_messages.push((to, message));
     }
 
     /// Asks for the writes that were appended; gives the messages that wait for none.
@@ -74,18 +74,18 @@
         if self.retry_at.is_some_and(|at| now < at) {
             // The disk doesn't take anything: what was appended is part of the snapshot that is tried later, and what waits
             // for it is lost, as messages may be.
-            self.new_writes.clear();
-            self.new_sends.clear();
+            self.unflushed_records.clear();
+            self.unflushed_messages.clear();
             return Vec::new();
         }
         if self.retry_at.take().is_some() {
             let image = image();
-            self.ask_for_snapshot(now, record_number, image, outputs);
-        } else if !self.new_writes.is_empty() {
-            self.ask_for_writes(now, record_number, image, outputs);
+            self.persist_snapshot(now, record_number, image, outputs);
+        } else if !self.unflushed_records.is_empty() {
+            self.persist_records(now, record_number, image, outputs);
         }
-        let sends = std::mem::take(&mut self.new_sends);
-        match self.under_way.back_mut() {
+        let sends = std::mem::take(&mut self.unflushed_messages);
+        match self.in_flight.back_mut() {
             Some(last) => {
                 last.sends.extend(sends);
                 Vec::new()
@@ -95,13 +95,13 @@
     }
 
     /// A write ended well. None if it is not under way (any more).
-    pub fn finished(&mut self, token: Token) -> Option<Finished> {
-        if !self.under_way.iter().any(|write| write.token == token) {
+    pub fn on_write_finished(&mut self, token: Token) -> Option<FinishedWrite> {
+        if !self.in_flight.iter().any(|write| write.token == token) {
             return None;
         }
-        self.broken = false;
-        let mut finished = Finished::default();
-        while let Some(write) = self.under_way.pop_front() {
+        self.last_write_failed = false;
+        let mut finished = FinishedWrite::default();
+        while let Some(write) = self.in_flight.pop_front() {
             finished.sends.extend(write.sends);
             finished.record_number = write.record_number;
             if write.token == token {
@@ -112,19 +112,19 @@
     }
 
     /// A write failed.
-    pub fn failed(&mut self, now: Millis, token: Token) {
-        if self.under_way.iter().any(|write| write.token == token) {
-            self.under_way.clear();
-            self.broken = true;
+    pub fn on_write_failed(&mut self, now: Millis, token: Token) {
+        if self.in_flight.iter().any(|write| write.token == token) {
+            self.in_flight.clear();
+            self.last_write_failed = true;
             self.retry_at = Some(now.saturating_add(RETRY_MS));
         }
     }
 
     /// The disk has failed, or has taken longer than this over a write.
     pub fn is_stalled(&self, now: Millis, limit: Millis) -> bool {
-        self.broken
+        self.last_write_failed
             || self
-                .under_way
+                .in_flight
                 .front()
                 .is_some_and(|write| now >= write.since + limit)
     }
@@ -135,41 +135,41 @@
     }
 
     /// When the disk counts as stalled, if its write does not end before.
-    pub fn stalls_at(&self, limit: Millis) -> Option<Millis> {
-        self.under_way.front().map(|write| write.since + limit)
+    pub fn stall_deadline(&self, limit: Millis) -> Option<Millis> {
+        self.in_flight.front().map(|write| write.since + limit)
     }
 
-    fn ask_for_writes(
+    fn persist_records(
         &mut self,
         now: Millis,
         record_number: Option<Epoch>,
         image: impl FnOnce() -> Vec<u8>,
         outputs: &mut Vec<Output>,
     ) {
-        let bytes: usize = self.new_writes.iter().map(Vec::len).sum();
+        let bytes: usize = self.unflushed_records.iter().map(Vec::len).sum();
         if self.log_bytes + bytes > COMPACTION_BYTES.max(self.snapshot_bytes) {
             let image = image();
-            return self.ask_for_snapshot(now, record_number, image, outputs);
+            return self.persist_snapshot(now, record_number, image, outputs);
         }
         self.log_bytes += bytes;
-        let writes = std::mem::take(&mut self.new_writes);
-        self.ask(now, record_number, writes, None, outputs);
+        let writes = std::mem::take(&mut self.unflushed_records);
+        self.push_persist(now, record_number, writes, None, outputs);
     }
 
-    fn ask_for_snapshot(
+    fn persist_snapshot(
         &mut self,
         now: Millis,
         record_number: Option<Epoch>,
         image: Vec<u8>,
         outputs: &mut Vec<Output>,
     ) {
-        self.new_writes.clear();
+        self.unflushed_records.clear();
         self.log_bytes = 0;
         self.snapshot_bytes = image.len();
-        self.ask(now, record_number, Vec::new(), Some(image), outputs);
+        self.push_persist(now, record_number, Vec::new(), Some(image), outputs);
     }
 
-    fn ask(
+    fn push_persist(
         &mut self,
         now: Millis,
         record_number: Option<Epoch>,
@@ -179,7 +179,7 @@
     ) {
         self.last_token += 1;
         let token = self.last_token;
-        self.under_way.push_back(Write {
+        self.in_flight.push_back(Write {
             token,
             since: now,
             sends: Vec::new(),
--- a/coordination/tests/by_hand/candidate.rs
+++ b/coordination/tests/by_hand/candidate.rs
@@ -84,7 +84,7 @@
     for peer in PEERS {
         assert_eq!(installs(&candidate.hear_promise(peer, number)), 0);
     }
-    let gathered = ELECTION + Timings::default().gather_ms;
+    let gathered = ELECTION + Timings::default().promise_gathering_ms;
     assert_eq!(installs(&candidate.hand.tell(gathered, Input::Tick)), 0);
     assert!(installs(&candidate.hand.write_all(gathered)) > 0);
 }
--- a/coordination/tests/by_hand/witness.rs
+++ b/coordination/tests/by_hand/witness.rs
@@ -58,18 +58,18 @@
         now: Millis,
         from: MemberId,
         number: Epoch,
-        handed_over: Option<Epoch>,
+        released_epoch: Option<Epoch>,
     ) -> bool {
         let prepare = Prepare {
             number,
-            handed_over,
+            released_epoch,
             state_epoch: Some(1),
             version: 0,
         };
         let answers = self.answers(now, from, Message::Prepare(prepare));
         match answers.as_slice() {
             [Message::Promise(_)] => true,
-            [Message::Refusal(_)] => false,
+            [Message::Rejection(_)] => false,
             other => panic!("neither a promise nor a refusal: {other:?}"),
         }
     }
--- a/coordination/tests/compatibility.rs
+++ b/coordination/tests/compatibility.rs
@@ -6,7 +6,7 @@
 };
 use alderhollow_coordination::replica::message::{
     Envelope, HandOver, Heartbeat, HeartbeatAnswer, Install, Installed, Message, PreVote,
-    PreVoteAnswer, Prepare, Promise, Refusal, StateCopy, Write, Written,
+    PreVoteAnswer, Prepare, Promise, Rejection, StateCopy, Write, Written,
 };
 use alderhollow_coordination::replica::settings::{Settings, Timings};
 use alderhollow_coordination::replica::Replica;
@@ -122,7 +122,7 @@
             "prepare",
             Message::Prepare(Prepare {
                 number: 8,
-                handed_over: Some(7),
+                released_epoch: Some(7),
                 state_epoch: Some(6),
                 version: 41,
             }),
@@ -130,7 +130,7 @@
         ("promise", Message::Promise(Box::new(promise))),
         (
             "refusal",
-            Message::Refusal(Refusal {
+            Message::Rejection(Rejection {
                 number: 8,
                 promised: 9,
                 record: Some(record()),
@@ -237,7 +237,7 @@
     };
     let prepare = Prepare {
         number: 1,
-        handed_over: None,
+        released_epoch: None,
         state_epoch: Some(0),
         version: 0,
     };
