--- a/coordination/src/lib.rs
+++ b/coordination/src/lib.rs
@@ -1,5 +1,12 @@
-//! Coordination without sockets, clocks or threads. Every part is a state machine: it is told the time, the messages
-//! that came and the disk writes that ended, and gives what is to be sent, written and done.
+//! Coordination protocols of the serving tier, without sockets, clocks or threads.
+//!
+//! Each protocol is a state machine: its inputs are the time, received messages and finished disk writes, its outputs are
+//! messages to send and records to write. The crate `alderhollow` drives them.
+//!
+//! | module | protocol |
+//! | --- | --- |
+//! | [`replica`] | primary-backup replication with witnesses and leases, for the control state (the *core*) |
+//! | [`monitoring`] | failure detection by peers that probe each other |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/coordination/src/replica.rs
+++ b/coordination/src/replica.rs
@@ -1,18 +1,30 @@
-//! Primary-backup replication of a small state, with witnesses that decide failover (`docs/serving-tier.md`, *Core*).
+//! Primary-backup replication of a small state, with witnesses that elect the primary (`docs/serving-tier.md`, *Core*).
 //!
-//! [`Replica`] is one member, without I/O: it takes in [`Input`]s and gives [`Output`]s, to be done in order.
+//! [`Replica`] is one member, a state machine without I/O: [`Replica::handle`] takes an [`Input`] and returns the
+//! [`Output`]s that the host carries out in order. Start reading with [`interface`] and [`message`].
+//!
+//! The protocol is vertical Paxos with leases. Safety rests on these invariants:
+//!
+//! * An epoch has at most one primary: a record of epoch *e* is installed only by the candidate to which a quorum of the
+//!   witnesses promised *e* (`campaign`).
+//! * A command is committed once all replicas of the active record have it on disk; each of them rejects it if it has
+//!   promised a higher epoch (`witness`).
+//! * A new epoch starts from a state that contains every committed command (`base`, `epoch_rules`).
+//! * A witness that granted a lease promises nothing to other candidates before the grant expires. The grant
+//!   (`grant_ms`) is longer than the lease (`lease_ms`), so that clocks may drift apart (`witness`, `primary`).
+//! * A message that depends on a disk write is sent only after the write is synced (`write_queue`).
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `durable`, `write_queue` | what is on disk; writes under way and the messages that wait for them |
-//! | `witness` | promises, grants, and everything else that a member does for a primary |
-//! | `campaign`, `base` | how a new epoch begins: pre-vote, prepare, install; from which state |
-//! | `epoch_rules` | which record may follow, who gets it first, when it is in force |
-//! | `primary`, `proposals`, `lease` | heartbeats, commands, the lease |
-//! | `membership` | which members and replicas the next epoch should have |
-//! | `handover` | planned ends, and a primary whose disk stalls |
-//! | `vocabulary` | members, epochs, records |
-//! | `inspection` | what a disk holds, for operators |
+//! | `durable`, `write_queue` | the durable state; disk writes in flight and the messages that wait for them |
+//! | `witness` | answers of a member to candidates and to the primary: promises, lease grants, installs, writes |
+//! | `campaign`, `base` | starting a new epoch (pre-vote, prepare, install), and the state from which it starts |
+//! | `epoch_rules` | which record may follow another, who receives it first, when it is active |
+//! | `primary`, `proposals` | heartbeats, the lease, replication of commands |
+//! | `membership` | choice of the members and replicas of the next epoch |
+//! | `handover` | planned change of the primary: shutdown, stalled disk, lost quorum |
+//! | `record`, `vocabulary` | quorums of an epoch record; basic types |
+//! | `inspection` | reads a member's disk for operators |
 
 mod base;
 mod campaign;
@@ -45,10 +57,11 @@
 use witness::Grant;
 use write_queue::WriteQueue;
 
-/// A restarted primary (whom the witnesses would vote for at once) and founders begin within so long.
+/// Maximum delay, in milliseconds, before the first election of a founder or of a restarted primary: the witnesses of a
+/// restarted primary vote for it without waiting for its lease to expire.
 const FAST_ELECTION_DELAY_MS: Millis = 20;
 
-/// A member of the core.
+/// One member of the core.
 pub struct Replica<S: StateMachine> {
     me: Member,
     settings: Settings,
@@ -56,31 +69,31 @@
     now: Millis,
     durable: Durable<S>,
     writes: WriteQueue,
-    /// The disk has its identity.
+    /// Whether the identity is synced to disk.
     identity_on_disk: bool,
-    /// Number of the record that is on disk, synced.
+    /// Number of the newest epoch record that is synced to disk.
     record_on_disk: Option<Epoch>,
-    /// It promises nothing to others than this one for now.
+    /// The lease that it granted: until it expires, nothing is promised to another candidate.
     grant: Option<Grant>,
-    /// It asked for votes or promised lately: others should wait.
+    /// Until then pre-votes of candidates to which it has not promised are rejected.
     reject_pre_votes_until: Millis,
-    /// The highest epoch number that it heard of.
+    /// The highest epoch number seen in any message.
     highest_seen: Epoch,
-    /// Attempts to begin an epoch whose time ran out, since the last epoch that this member began.
+    /// Attempts to start an epoch that timed out since this member last started one.
     attempts_timed_out: u32,
-    /// A newer record than its own does not name it.
+    /// A newer record than its own does not name it as a witness.
     excluded: bool,
-    /// Its process is about to end.
+    /// Its process is shutting down.
     leaving: bool,
-    /// Until when it waits for a successor before its process ends.
+    /// Deadline for a successor to take over before the process exits.
     leave_deadline: Option<Millis>,
-    /// The primary of this epoch stopped and named it as the successor.
+    /// Epoch of the primary that handed over to this member.
     predecessor_epoch: Option<Epoch>,
-    /// When it becomes a candidate.
+    /// When it starts an election.
     election_at: Millis,
     campaign: Option<Campaign>,
     primary: Option<Primary>,
-    /// Messages to itself.
+    /// Messages to itself, not yet handled.
     loopback: VecDeque<Message>,
     outputs: Vec<Output>,
     last_role: Role,
@@ -88,7 +101,10 @@
 }
 
 impl<S: StateMachine> Replica<S> {
-    /// A member with what its disk holds. `state` is the empty state.
+    /// Starts a member from the contents of its disk. `state` is the empty state.
+    ///
+    /// # Errors
+    /// The snapshot or a record of the disk can't be decoded.
     pub fn open(
         settings: Settings,
         recovered: Recovered,
@@ -141,7 +157,8 @@
         Ok(replica)
     }
 
-    /// Takes in what happened and gives what is to be done, in order.
+    /// Handles an input and appends the resulting outputs to `outputs`. `now` should not decrease; an earlier time is treated
+    /// as the latest one.
     pub fn handle(&mut self, now: Millis, input: Input, outputs: &mut Vec<Output>) {
         self.now = self.now.max(now);
         match input {
@@ -159,17 +176,17 @@
         outputs.append(&mut self.outputs);
     }
 
-    /// This member, as others are to reach it.
+    /// This member, as its peers reach it.
     pub fn member(&self) -> &Member {
         &self.me
     }
 
-    /// Its identity outlives its process. Before that, the host tells no other seed that this one has a disk.
+    /// Whether the identity is synced to disk. Before that, the host must not report to other seeds that this one has a disk.
     pub fn identity_is_on_disk(&self) -> bool {
         self.identity_on_disk
     }
 
-    /// The committed state as this member knows it: the newest one only on the primary under its lease.
+    /// The committed state that this member knows. It is the newest one only on the primary while it holds the lease.
     pub fn state(&self) -> &S {
         self.durable.state()
     }
@@ -179,7 +196,7 @@
         self.durable.version()
     }
 
-    /// On the primary: its epoch, once active. Else the newest epoch that this member knows.
+    /// On the primary: the active epoch. Otherwise the newest epoch whose record this member has accepted.
     pub fn epoch(&self) -> Epoch {
         let known = self
             .durable
@@ -191,7 +208,7 @@
             .map_or(known, |primary| primary.record.number)
     }
 
-    /// This member's part.
+    /// The role of this member.
     pub fn role(&self) -> Role {
         if self.primary.is_some() {
             return Role::Primary;
@@ -205,25 +222,26 @@
         }
     }
 
-    /// It is the primary, and nobody else is at this moment. To be asked at the moment of use.
+    /// Whether this member is the primary and holds an unexpired lease, so that no other member acts as primary at `now`.
+    /// Check it at the time of use.
     pub fn holds_lease(&self, now: Millis) -> bool {
         now < self.lease_until()
     }
 
-    /// End of the lease; 0: none.
+    /// Expiry time of the lease; 0 if there is none.
     pub fn lease_until(&self) -> Millis {
         self.primary.as_ref().map_or(0, |primary| {
             primary.lease_until(self.settings.timings.lease_ms)
         })
     }
 
-    /// The primary, as far as known: a hint for those who look for it.
+    /// The primary of the newest accepted record: a hint that may be out of date.
     pub fn primary(&self) -> Option<&Member> {
         let record = self.durable.record.as_ref()?;
         record.member(record.primary)
     }
 
-    /// All members, as far as known.
+    /// All members of the newest accepted record.
     pub fn members(&self) -> &[Member] {
         self.durable
             .record
@@ -231,7 +249,7 @@
             .map_or(&[], |record| &record.witnesses)
     }
 
-    /// The members are being changed: a majority of the former ones is needed too.
+    /// Whether a membership change is in progress, which needs a majority of the former members too.
     pub fn is_changing_members(&self) -> bool {
         self.durable
             .record
@@ -239,20 +257,21 @@
             .is_some_and(|record| !record.former_witnesses.is_empty())
     }
 
-    /// It is no member: the host is to ask the primary again and again ([`Input::Join`] there).
+    /// Whether this is not a member: its host should then repeat the join request to the primary ([`Input::Join`] there).
     pub fn wants_to_join(&self) -> bool {
         self.role() == Role::Outside && !self.leaving
     }
 
-    /// It takes [`Input::Found`]: its disk was made at the first start of the system and belongs to no core yet.
+    /// Whether [`Input::Found`] is accepted: the disk was initialised at the first start of the system and belongs to no
+    /// core yet.
     ///
-    /// A seed answers others who ask with its disk's identity (once [`Replica::identity_is_on_disk`]) and with
+    /// A seed answers the queries of other seeds with its identity (once [`Replica::identity_is_on_disk`]) and
     /// [`Replica::is_founder`].
     pub fn may_found(&self) -> bool {
         self.durable.founder && self.durable.record.is_none()
     }
 
-    /// The newest record that this member has; on the primary of an active epoch, that one. For inspection.
+    /// On the primary: the active record. Otherwise the newest accepted record. For inspection.
     pub fn record(&self) -> Option<&EpochRecord> {
         self.primary
             .as_ref()
@@ -260,12 +279,12 @@
             .or(self.accepted_record())
     }
 
-    /// Its disk was made at the first start of the system.
+    /// Whether the disk was initialised at the first start of the system.
     pub fn is_founder(&self) -> bool {
         self.durable.founder
     }
 
-    /// When [`Input::Tick`] is due.
+    /// When [`Input::Tick`] is due; `None` if nothing is scheduled.
     pub fn next_wakeup(&self) -> Option<Millis> {
         let election = self.may_campaign().then_some(self.election_at);
         let campaign = self
@@ -288,7 +307,7 @@
         .min()
     }
 
-    /// An identity for an empty disk.
+    /// Writes a random identity to an empty disk.
     fn maybe_draw_identity(&mut self, id: MemberId) {
         if self.durable.id.is_none() {
             self.log(Entry::Identity {
@@ -327,7 +346,7 @@
         }
     }
 
-    /// Does what is due and takes in messages to itself, until nothing is left.
+    /// Handles messages to itself and due timers, and flushes disk writes, until nothing is left to do.
     fn run_until_idle(&mut self) {
         loop {
             while let Some(message) = self.loopback.pop_front() {
@@ -373,7 +392,7 @@
         }
     }
 
-    /// Changes what is on disk: at once in memory, with the next flush on the disk itself.
+    /// Applies a change of the durable state in memory and queues its write to disk with the next flush.
     fn log(&mut self, entry: Entry) {
         self.writes.append(encode(&entry));
         self.durable.apply(entry);
@@ -387,12 +406,12 @@
         }
     }
 
-    /// Sends once everything is on disk that was changed so far.
+    /// Sends a message once all changes so far are synced to disk.
     fn send_when_durable(&mut self, to: &Member, message: Message) {
         self.writes.send_after_writes(to.clone(), message);
     }
 
-    /// A moment by chance within so long from now.
+    /// A random time between now and `span` milliseconds from now.
     fn random_moment_within(&mut self, span: Millis) -> Millis {
         self.now + self.rng.rand_range(0..span + 1)
     }
--- a/coordination/src/replica/base.rs
+++ b/coordination/src/replica/base.rs
@@ -1,4 +1,6 @@
-//! From which record and state a new epoch begins, given the promises for it.
+//! Choice of the base of a new epoch: the record and state from which it starts, given the promises for it.
+//!
+//! Invariant: the chosen state contains every command that was committed in an earlier epoch.
 
 use super::interface::{Epoch, EpochRecord, MemberId, Version};
 use super::message::Promise;
@@ -7,31 +9,30 @@
 #[cfg(test)]
 mod tests;
 
-/// Where a new epoch begins.
+/// The record and state from which a new epoch starts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(super) struct Base {
-    /// The record that it follows, to which the state belongs.
+    /// The record that the new epoch follows, and to which the state belongs.
     pub record: EpochRecord,
     /// Version of the state.
     pub version: Version,
-    /// Those who hold exactly this state.
+    /// The members that have exactly this state.
     pub state_holders: Vec<MemberId>,
 }
 
-/// The base that is safe given these promises, if there is one yet.
+/// The base that is safe given these promises; `None` if the promises do not determine one yet.
 ///
-/// The newest record counts whose replica answered and holds its state. A newer one is passed over only if one of its
-/// replicas answered without ever having had it: that replica refuses it from now on, so the record never was and never
-/// will be active. The record that a passed-over one follows may have been active: nothing older than it is taken, unless
-/// it is known (if only by its descendants) and passed over itself. Of the base, a quorum must have promised, so that no
-/// active record that follows it goes unseen.
+/// The base is the newest record of which a replica has promised and has the state.
+///
+/// * A newer record is skipped only if one of its replicas has promised without having accepted it. That replica rejects
+///   it from now on, so the record never was and never will be active.
+/// * The record that a skipped one follows may have been active. No older record is chosen unless that one is known, at
+///   least from the lineage of its descendants, and skipped too.
+/// * A quorum of the base must have promised, so that no active record that follows it is missed.
 pub(super) fn choose_base(promises: &BTreeMap<MemberId, Promise>) -> Option<Base> {
-    let mut followed_by_passed_over: Vec<Epoch> = Vec::new();
+    let mut bases_of_skipped: Vec<Epoch> = Vec::new();
     for (number, known) in known_records(promises).into_iter().rev() {
-        if followed_by_passed_over
-            .iter()
-            .any(|followed| *followed > number)
-        {
+        if bases_of_skipped.iter().any(|base| *base > number) {
             return None;
         }
         if let (Some(version), Some(record)) = (newest_version(promises, number), known.record) {
@@ -46,22 +47,22 @@
         if !was_never_active(promises, number, known.replicas) {
             return None;
         }
-        followed_by_passed_over.retain(|followed| *followed < number);
-        followed_by_passed_over.push(known.follows);
+        bases_of_skipped.retain(|base| *base < number);
+        bases_of_skipped.push(known.follows);
     }
     None
 }
 
-/// A record that somebody holds, or that a descendant of it names.
+/// A record that a promise contains or that the lineage of a record in a promise names.
 #[derive(Clone, Copy)]
 struct KnownRecord<'a> {
-    /// All of it, where somebody holds it.
+    /// The complete record, if a promise contains it.
     record: Option<&'a EpochRecord>,
     replicas: &'a [MemberId],
     follows: Epoch,
 }
 
-/// All records of which the promises tell, by their numbers.
+/// All records that the promises contain or name, by number.
 fn known_records(promises: &BTreeMap<MemberId, Promise>) -> BTreeMap<Epoch, KnownRecord<'_>> {
     let newest = promises
         .values()
@@ -113,8 +114,8 @@
         .collect()
 }
 
-/// One of the replicas has promised a higher number without having had the record: of those in which it is a replica, it
-/// remembers the newest.
+/// Whether one of the record's replicas has promised a higher epoch without having accepted the record. A member keeps the
+/// newest record that names it as a replica, so an older one there proves that it never accepted this record.
 fn was_never_active(
     promises: &BTreeMap<MemberId, Promise>,
     number: Epoch,
--- a/coordination/src/replica/campaign.rs
+++ b/coordination/src/replica/campaign.rs
@@ -1,5 +1,13 @@
-//! How a new epoch begins: a candidate asks the witnesses in a pre-vote, prepares them, and installs the epoch's record.
-//! A primary that changes its own epoch does the same without the pre-vote.
+//! Campaigns: attempts to start a new epoch, in three steps.
+//!
+//! 1. Pre-vote: ask the witnesses whether they would promise, without changing their state (section 9.6 of Ongaro's
+//! Raft thesis).
+//! 2. Prepare: obtain promises (phase 1 of Paxos), and choose the base record and state from them.
+//! 3. Install: have the new epoch record accepted by its members (phase 2). Once it is active, this member is the
+//! primary.
+//!
+//! A primary that changes its own configuration skips the pre-vote, and so does the successor of a hand-over.
+//! Invariant: a campaign installs one record only under its number, so that an epoch has one primary.
 
 use super::base::{choose_base, Base};
 use super::durable::Entry;
@@ -12,25 +20,25 @@
 use super::Replica;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A pre-vote ends after so long.
+/// Timeout of a pre-vote, in milliseconds.
 const PRE_VOTE_MS: Millis = 150;
-/// A candidate that failed comes back after so long at least.
+/// Minimum delay before a failed candidate starts another campaign, in milliseconds.
 const MIN_CAMPAIGN_RETRY_MS: Millis = 30;
-/// The time of an attempt, and the pauses between its messages, double so many times.
+/// The timeout of an attempt and the interval between its messages double at most this many times.
 const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
-/// An attempt to begin an epoch.
+/// An attempt to start an epoch.
 #[derive(Debug)]
 pub(super) enum Campaign {
-    /// Asks whether the witnesses would promise.
+    /// Waits for answers to the pre-vote.
     PreVoting(PreVoting),
-    /// Asks them to promise.
+    /// Collects promises.
     Preparing(Preparing),
-    /// Has the new record (and state) written.
+    /// Waits until the members have the new record on disk.
     Installing(Box<Installing>),
 }
 
-/// A pre-vote.
+/// State of a pre-vote.
 #[derive(Debug)]
 pub(super) struct PreVoting {
     attempt: u64,
@@ -38,20 +46,20 @@
     answers: BTreeMap<MemberId, PreVoteAnswer>,
 }
 
-/// Promises being collected.
+/// State of the prepare step.
 #[derive(Debug)]
 pub(super) struct Preparing {
     number: Epoch,
     purpose: Purpose,
     ends_at: Millis,
     resends: ResendSchedule,
-    /// Since when the promises suffice; others may follow that make more replicas.
+    /// Since when the promises suffice. Further promises may add replicas.
     quorum_since: Option<Millis>,
     voters: BTreeMap<MemberId, Member>,
     promises: BTreeMap<MemberId, Promise>,
 }
 
-/// A record being written by its members.
+/// State of the install step.
 #[derive(Debug)]
 pub(super) struct Installing {
     pub record: EpochRecord,
@@ -63,49 +71,49 @@
     pub installed: BTreeSet<MemberId>,
 }
 
-/// When the messages of an attempt are sent again. The pauses double: members that are slow, or this one, must not be kept from
-/// what they have by repetitions of what they have.
+/// Times at which the messages of an attempt are sent again. The interval doubles each time, so that resent messages do
+/// not overload slow members.
 #[derive(Debug, Clone, Copy)]
 struct ResendSchedule {
     next: Millis,
-    pause: Millis,
+    delay_ms: Millis,
     max_delay_ms: Millis,
 }
 
 impl ResendSchedule {
-    /// Due now, then after `first_pause`.
-    fn new(now: Millis, first_pause: Millis) -> ResendSchedule {
+    /// First due now, then after `first_delay_ms` milliseconds.
+    fn new(now: Millis, first_delay_ms: Millis) -> ResendSchedule {
         ResendSchedule {
             next: now,
-            pause: first_pause,
-            max_delay_ms: first_pause << MAX_BACKOFF_DOUBLINGS,
+            delay_ms: first_delay_ms,
+            max_delay_ms: first_delay_ms << MAX_BACKOFF_DOUBLINGS,
         }
     }
 
-    /// Whether messages are due now; then the next ones are due after a longer pause.
+    /// Whether messages are due now. If so, schedules the next ones after a longer interval.
     fn take_due(&mut self, now: Millis) -> bool {
         if now < self.next {
             return false;
         }
-        self.next = now + self.pause;
-        self.pause = (2 * self.pause).min(self.max_delay_ms);
+        self.next = now + self.delay_ms;
+        self.delay_ms = (2 * self.delay_ms).min(self.max_delay_ms);
         true
     }
 }
 
-/// Why an epoch is to begin.
+/// Why a new epoch is started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Purpose {
     /// There is no primary.
     TakeOver,
-    /// The primary of all epochs since some time, up to this one, stopped and named this member.
+    /// The primary of the active record, up to this epoch, handed over to this member.
     Succeed(Epoch),
-    /// The primary changes replicas or members, or needs a higher number.
+    /// The primary changes replicas or members, or another candidate has claimed a higher number.
     Reconfigure,
 }
 
 impl Campaign {
-    /// When it has something to do.
+    /// When [`Replica::check_campaign`] is due.
     pub fn next_wakeup(&self, timings: &Timings) -> Millis {
         match self {
             Campaign::PreVoting(pre_voting) => pre_voting.started + PRE_VOTE_MS,
@@ -125,7 +133,7 @@
 }
 
 impl Preparing {
-    /// All whom the new epoch may name have answered.
+    /// Whether all members that the new epoch may name have promised.
     fn has_all_promises(&self, base: &EpochRecord) -> bool {
         base.everyone()
             .all(|member| self.promises.contains_key(&member.id))
@@ -133,24 +141,24 @@
 }
 
 impl Installing {
-    /// All up to here is committed once the record is active.
+    /// Version of the initial state. All commands up to it are committed once the record is active.
     pub fn version(&self) -> Version {
         self.base.version
     }
 
-    /// The record is in force.
+    /// Whether the new record is active.
     fn is_active(&self) -> bool {
         epoch_rules::is_active(&self.record, |id| self.installed.contains(&id))
     }
 
-    /// Who is to be sent the record now.
+    /// The members to which the record is sent now.
     fn recipients(&self) -> Vec<Member> {
         epoch_rules::recipients(&self.record, &self.base.record, |id| {
             self.installed.contains(&id)
         })
     }
 
-    /// The message for one member. Who holds the state already is sent it only with a repetition.
+    /// The message for one member. A member that has the state already receives it only when the message is sent again.
     fn message_for(&self, id: MemberId) -> Message {
         let holds_it = self.base.state_holders.contains(&id) && !self.sent_to.contains(&id);
         let needs_it = self.record.is_replica(id) && !holds_it;
@@ -164,7 +172,7 @@
 }
 
 impl<S: StateMachine> Replica<S> {
-    /// It may become a candidate once its time has come.
+    /// Whether this member may start an election.
     pub(super) fn may_campaign(&self) -> bool {
         let is_witness = self
             .accepted_record()
@@ -301,7 +309,7 @@
         }
     }
 
-    /// Once all new members have the record, the others get it.
+    /// Sends the record to the other members once all new members have it.
     fn maybe_send_to_existing_members(&mut self) {
         let Some(Campaign::Installing(installing)) = &mut self.campaign else {
             return;
@@ -316,7 +324,7 @@
         }
     }
 
-    /// Does what is due in a campaign: messages sent again, its end.
+    /// Ends a campaign that timed out, sends due messages again, and checks whether the promises suffice.
     pub(super) fn check_campaign(&mut self) {
         let ends_at = match &self.campaign {
             None => return,
@@ -335,13 +343,14 @@
         self.check_promises();
     }
 
-    /// How long the next attempt may take: longer after each one whose time ran out, as its answers may be under way.
+    /// Timeout of the next attempt. It doubles after each attempt that timed out, because its answers may still be in
+    /// flight.
     fn attempt_timeout_ms(&self) -> Millis {
         self.settings.timings.attempt_timeout_ms
             << self.attempts_timed_out.min(MAX_BACKOFF_DOUBLINGS)
     }
 
-    /// A campaign failed: a candidate comes back after a pause by chance; the primary plans anew.
+    /// Ends a failed campaign. A candidate retries after a random delay; a primary schedules another reconfiguration.
     pub(super) fn fail_campaign(&mut self) {
         let failed = self.campaign.take();
         if self.primary.is_some() {
@@ -358,7 +367,7 @@
         self.election_at = self.election_moment_after(self.now + wait.max(MIN_CAMPAIGN_RETRY_MS));
     }
 
-    /// A newer record that does not name this member ends its membership, as far as it knows.
+    /// Marks this member as excluded if a newer record does not name it as a witness.
     fn observe_record(&mut self, record: &EpochRecord) {
         self.observe_epoch(record.number);
         let is_newer = self
@@ -412,7 +421,7 @@
         }
     }
 
-    /// Goes on to the installation once the promises suffice, and enough time was left for more.
+    /// Starts the install step once the promises suffice and the time for further promises is over.
     fn check_promises(&mut self) {
         let Some(Campaign::Preparing(preparing)) = &mut self.campaign else {
             return;
@@ -486,7 +495,7 @@
             .first()
             .and_then(|id| preparing.promises.get_mut(id));
         let copy = match base.state_holders.contains(&self.me.id) {
-            true => Some(self.durable.copy_state()),
+            true => Some(self.durable.clone_state()),
             false => holder.and_then(|promise| promise.state.take()),
         };
         let Some(state) = copy else {
@@ -526,17 +535,17 @@
 }
 
 impl PreVoting {
-    /// After so long, somebody who put this candidate off might vote for it.
+    /// Time until the first of the witnesses that rejected the pre-vote might vote for this candidate, in milliseconds.
     fn min_wait_ms(&self) -> Millis {
         let waits = self.answers.values().filter(|answer| !answer.would_promise);
         waits.map(|answer| answer.wait_ms).min().unwrap_or_default()
     }
 }
 
-/// Why an epoch can't begin from the promises that came.
+/// Reason why an epoch can't be started from the promises received.
 enum CannotBegin {
-    /// Too few members could hold the state.
+    /// Too few members promised to be replicas.
     TooFewReplicas,
-    /// Another primary's epoch came between.
+    /// Another member has been primary in a later epoch.
     Superseded,
 }
--- a/coordination/src/replica/durable.rs
+++ b/coordination/src/replica/durable.rs
@@ -1,5 +1,7 @@
-//! What a member has on disk, and the entries that change it. A running member and one that recovers apply the same
-//! entries by the same code.
+//! The durable state of a member, and the log entries that change it.
+//!
+//! A running member and one that recovers apply the same entries with the same code, so that memory and disk agree. The
+//! indexes in `#[n(..)]` are the disk format and never change.
 
 use super::interface::{
     Epoch, EpochRecord, MemberId, Recovered, RecoveryError, StateMachine, Version,
@@ -7,52 +9,52 @@
 use super::message::StateCopy;
 use minicbor::{Decode, Encode};
 
-/// A change of what is on disk.
+/// A log entry: one change of the durable state.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub(super) enum Entry {
-    /// The disk's identity, drawn when it was empty.
+    /// The identity, drawn at random for an empty disk.
     #[n(0)]
     Identity {
         /// The identity.
         #[n(0)]
         id: MemberId,
-        /// The disk was made at the first start of the whole system: it may found the core.
+        /// Whether the disk was initialised at the first start of the whole system, so that it may found the core.
         #[n(1)]
         founder: bool,
     },
     /// A promise to take part in no lower epoch.
     #[n(1)]
     Promised {
-        /// The number.
+        /// The promised epoch.
         #[n(0)]
         number: Epoch,
         /// The candidate.
         #[n(1)]
         to: MemberId,
     },
-    /// An epoch's record and, where this member is a replica that needs it, its state.
+    /// An accepted epoch record and, where this member is a replica that lacks it, the initial state.
     #[n(2)]
     Installed {
         /// The record.
         #[n(0)]
         record: EpochRecord,
-        /// The state; none for a replica that holds it already, and for one that is no replica.
+        /// The state; `None` for a replica that has it already and for a member that is no replica.
         #[n(1)]
         state: Option<StateCopy>,
     },
-    /// A command that is not yet known as committed. All before it are.
+    /// A command that is not known to be committed. All earlier ones are.
     #[n(3)]
     Command {
-        /// Version of the state once it is applied.
+        /// Version of the state after the command.
         #[n(0)]
         version: Version,
-        /// For the state machine.
+        /// The command, for [`StateMachine::apply`].
         #[cbor(n(1), with = "minicbor::bytes")]
         command: Vec<u8>,
     },
 }
 
-/// All that is on disk, as one piece.
+/// A snapshot of the complete durable state.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 struct Image {
     #[n(0)]
@@ -71,27 +73,27 @@
     state: StateCopy,
 }
 
-/// A command that was written but is not known as committed.
+/// A command that is on disk but not known to be committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct PendingCommand {
     version: Version,
     command: Vec<u8>,
 }
 
-/// What a member has on disk (or is just writing to it).
+/// The durable state of a member, including changes whose write is still in flight.
 #[derive(Debug, Clone)]
 pub(super) struct Durable<S> {
-    /// The disk's identity; none before its first write.
+    /// Identity of the disk; `None` before it is drawn.
     pub id: Option<MemberId>,
-    /// The disk was made at the first start of the whole system.
+    /// Whether the disk was initialised at the first start of the whole system.
     pub founder: bool,
-    /// It takes part in no epoch below this one.
+    /// The promised epoch: the member takes part in no lower one.
     pub promised: Epoch,
-    /// The candidate to whom it promised.
+    /// The candidate to which it promised.
     pub promised_to: MemberId,
-    /// The newest record that it accepted.
+    /// The newest epoch record that it has accepted.
     pub record: Option<EpochRecord>,
-    /// The newest record in which it is (or was) a replica: where its state belongs.
+    /// The newest accepted record that names it as a replica: its state belongs to this record.
     pub state_record: Option<EpochRecord>,
     state: S,
     version: Version,
@@ -99,7 +101,7 @@
 }
 
 impl<S: StateMachine> Durable<S> {
-    /// What the disk holds. `state` is the empty state.
+    /// Restores the state from the contents of a disk. `state` is the empty state.
     pub fn recover(recovered: &Recovered, state: S) -> Result<Self, RecoveryError> {
         let mut durable = Durable {
             id: None,
@@ -124,7 +126,7 @@
         Ok(durable)
     }
 
-    /// All of it as one piece, for a snapshot on disk.
+    /// Encodes the complete state for a snapshot.
     pub fn image(&self) -> Vec<u8> {
         encode(&Image {
             id: self.id.unwrap_or_default(),
@@ -133,11 +135,11 @@
             promised_to: self.promised_to,
             record: self.record.clone(),
             state_record: self.state_record.clone(),
-            state: self.copy_state(),
+            state: self.clone_state(),
         })
     }
 
-    /// Takes in an entry.
+    /// Applies a log entry.
     pub fn apply(&mut self, entry: Entry) {
         match entry {
             Entry::Identity { id, founder } => {
@@ -166,19 +168,19 @@
         self.version
     }
 
-    /// Number of the record to which its state belongs.
+    /// Number of the record to which the state belongs.
     pub fn state_epoch(&self) -> Option<Epoch> {
         self.state_record.as_ref().map(|record| record.number)
     }
 
-    /// Version of the state with the command that is not known as committed, if any.
+    /// Version of the state including the pending command, if there is one.
     pub fn accepted_version(&self) -> Version {
         self.pending
             .as_ref()
             .map_or(self.version, |pending| pending.version)
     }
 
-    /// All up to this version is committed.
+    /// Marks all versions up to this one as committed.
     pub fn commit_up_to(&mut self, version: Version) {
         if self
             .pending
@@ -193,8 +195,8 @@
         }
     }
 
-    /// The state, with the command that is not known as committed.
-    pub fn copy_state(&self) -> StateCopy {
+    /// A copy of the state, with the pending command.
+    pub fn clone_state(&self) -> StateCopy {
         StateCopy {
             version: self.version,
             snapshot: self.state.snapshot().into(),
@@ -229,7 +231,7 @@
         self.record = Some(record);
     }
 
-    /// Takes a state over. What this member knew as committed stays so.
+    /// Replaces the state. What this member knew to be committed stays committed.
     fn load_state(&mut self, copy: StateCopy) {
         let committed = self.version;
         self.state.restore(&copy.snapshot);
--- a/coordination/src/replica/epoch_rules.rs
+++ b/coordination/src/replica/epoch_rules.rs
@@ -1,25 +1,30 @@
-//! Which record an epoch may have, who gets it first, and when it is in force. Pure functions, which a model check runs
-//! over all orders of messages and losses of disks.
+//! The safety rules of epoch changes: which record may follow another, which members receive it first, and when it is
+//! active.
+//!
+//! Pure functions. `campaign` applies them, and the model check in `epoch_rules/model.rs` explores them under all orders of
+//! messages and all tolerated losses of disks.
 
 use super::interface::{Ancestor, Epoch, EpochRecord, Member, MemberId};
 
-/// Most ancestors that a record names: so many attempts in a row that no primary completed.
+/// Maximum number of ancestors in a record: the number of consecutive records whose installation may be abandoned.
 const MAX_LINEAGE: usize = 32;
 
 #[cfg(test)]
 mod model;
 
-/// The record is in force: all its replicas have it with the state, and a majority of its witnesses and of its former ones.
+/// Whether the record is active: all its replicas have it with the initial state, and so has a quorum of its witnesses
+/// (and former witnesses).
 ///
-/// The base's members need not be asked as well. A takeover has the members of its base, and a joint record has them as
-/// former ones; what settles a joint record follows it only once it is active, and then a majority of those that leave have
-/// the joint record on disk, so that none of their majorities can pass it over.
+/// A quorum of the base record's members is not required separately. A takeover has the same members as its base, and a
+/// joint record has them as former witnesses. The record that completes a membership change follows the joint record only
+/// once that one is active; then a majority of the former witnesses has the joint record on disk, so that no majority of
+/// them can miss it.
 pub(super) fn is_active(record: &EpochRecord, installed: impl Fn(MemberId) -> bool) -> bool {
     record.replicas.iter().all(|id| installed(*id)) && record.has_quorum(&installed)
 }
 
-/// Who is to be sent a record now: new members before all others. Else a new one whose disk is lost at once could be
-/// needed for the majorities of a record that others hold already.
+/// The members to which a record is sent now. New members receive it before all others: otherwise a new member that loses
+/// its disk before it has the record could be needed for a quorum of a record that other members already accepted.
 pub(super) fn recipients(
     record: &EpochRecord,
     base: &EpochRecord,
@@ -48,10 +53,11 @@
         .collect()
 }
 
-/// The members of the record that a primary has follow `base`; `active` is the number of its active record.
+/// The witnesses and former witnesses of the record that a primary installs after `base`. `active` is the number of its
+/// active record, `wanted` computes the members that it should have.
 ///
-/// Members change only on top of the active record, and only if no other change is under way: a record that was installed
-/// in part keeps its members and former members until one with them is active.
+/// Membership changes only if `base` is the active record and no other change is in progress: the successor of a record
+/// that is not active has the same members and former members.
 pub(super) fn with_members(
     base: &EpochRecord,
     active: Epoch,
@@ -72,8 +78,8 @@
     next
 }
 
-/// The record of a candidate that takes over, but for its number and primary. It changes no members: those who promised
-/// are the replicas, a predecessor that leaves only if need be.
+/// The record of a candidate that takes over, without its number and primary. The membership is that of the base. The
+/// replicas are the members that promised; a predecessor that handed over is one only if `min_replicas` requires it.
 pub(super) fn takeover_record(
     base: &EpochRecord,
     promised: impl Fn(MemberId) -> bool,
@@ -91,8 +97,8 @@
     }
 }
 
-/// What a record that follows `base` tells of its ancestors. Nobody has to know more than an active one: all its replicas
-/// hold its state.
+/// The lineage of a record that follows `base`. It ends at a record known to have been active, because all replicas of that
+/// record have its state.
 pub(super) fn lineage(base: &EpochRecord, base_is_active: bool) -> Vec<Ancestor> {
     let parent = Ancestor {
         number: base.number,
--- a/coordination/src/replica/handover.rs
+++ b/coordination/src/replica/handover.rs
@@ -1,15 +1,18 @@
-//! Planned ends: a primary that leaves (or whose disk stalls) stops, then names its successor.
+//! Hand-over: the planned change of the primary, on shutdown, with a stalled disk or without a quorum.
+//!
+//! The primary stops using its lease, fails the proposals that wait, and asks one replica after the other to start an
+//! election at once. Because the lease is released, the successor's prepare does not wait for the grants to expire.
 
 use super::interface::{Member, MemberId, Millis, Output, ProposeError, StateMachine};
 use super::message::{HandOver, Message};
 use super::primary::{HandOverProgress, Peer, Primary};
 use super::Replica;
 
-/// The command under way gets so long to end before the primary stops.
+/// Time that the command in flight gets to complete before the hand-over starts, in milliseconds.
 const PENDING_WRITE_GRACE_MS: Millis = 30;
-/// The successor is told again after so long.
+/// Interval between two [`Message::HandOver`], in milliseconds.
 const HAND_OVER_RESEND_MS: Millis = 40;
-/// After so many times in vain, another one is told.
+/// Number of messages to one successor before the next one is asked.
 const SENDS_PER_SUCCESSOR: usize = 3;
 
 impl<S: StateMachine> Replica<S> {
@@ -45,7 +48,8 @@
         }
     }
 
-    /// A primary whose disk does not write can't serve, nor one that does not hear a majority (who may hear it).
+    /// Hands over if the own disk is stalled or a quorum no longer answers, though some of the members may still
+    /// receive messages.
     pub(super) fn check_health(&mut self) {
         let hands_over = self
             .primary
@@ -56,7 +60,7 @@
         }
     }
 
-    /// Tells the successor, again and again, until it is there or the time is up.
+    /// Sends [`Message::HandOver`] until a successor has taken over or the hand-over times out.
     pub(super) fn check_hand_over(&mut self) {
         let limit = self.settings.timings.hand_over_timeout_ms;
         let epoch = self
@@ -98,7 +102,7 @@
         }
     }
 
-    /// Another member's epoch began.
+    /// Completes a shutdown once the epoch record of another primary is installed.
     pub(super) fn on_successor_installed(&mut self) {
         if self.leave_deadline.take().is_some() {
             self.outputs.push(Output::HandedOver);
@@ -115,7 +119,7 @@
         }
     }
 
-    /// Stops using the lease, for good in this epoch and those that it was about to begin.
+    /// Begins a hand-over. The lease is not used again in this epoch, and a reconfiguration in progress is abandoned.
     fn start_hand_over(&mut self) {
         let now = self.now;
         self.campaign = None;
@@ -139,7 +143,7 @@
     }
 }
 
-/// The other replicas, those that answered last first.
+/// The other replicas that are not shutting down, the most recently responsive first.
 fn successors(primary: &Primary, me: MemberId) -> Vec<Member> {
     let last_response_at = |member: &&Member| {
         primary
--- a/coordination/src/replica/inspection.rs
+++ b/coordination/src/replica/inspection.rs
@@ -1,33 +1,33 @@
-//! What a member's disk holds, for operators; nothing is changed.
+//! Read-only inspection of a member's disk, for operators.
 
 use super::durable::Durable;
 use super::interface::{
     Epoch, EpochRecord, MemberId, Recovered, RecoveryError, StateMachine, Version,
 };
 
-/// A member's durable state as it stands on its disk.
+/// The durable state of a member, decoded from its disk.
 #[derive(Debug, Clone)]
 pub struct MemberImage<S> {
-    /// The disk's identity; `None` if it has none yet.
+    /// Identity of the disk; `None` if it has none yet.
     pub id: Option<MemberId>,
-    /// The disk was made at the first start of the whole system.
+    /// Whether the disk was initialised at the first start of the whole system.
     pub founder: bool,
-    /// It takes part in no epoch below this one.
+    /// The promised epoch: the member takes part in no lower one.
     pub promised: Epoch,
-    /// The newest record that it accepted.
+    /// The newest epoch record that it has accepted.
     pub record: Option<EpochRecord>,
     /// Version of the committed state.
     pub version: Version,
-    /// Whether a command follows it that is not known as committed.
+    /// Whether a further command is on disk that is not known to be committed.
     pub has_pending_command: bool,
     /// The committed state.
     pub state: S,
 }
 
-/// Reads what the disk holds. `state` is the empty state.
+/// Decodes the contents of a disk. `state` is the empty state.
 ///
 /// # Errors
-/// A snapshot or a record can't be read.
+/// The snapshot or a record can't be decoded.
 pub fn read_member<S: StateMachine + Clone>(
     recovered: &Recovered,
     state: S,
--- a/coordination/src/replica/interface.rs
+++ b/coordination/src/replica/interface.rs
@@ -1,4 +1,8 @@
-//! The interface of a core member: what it is told, what it asks for.
+//! The interface between a [`Replica`](super::Replica) and its host process.
+//!
+//! A replica does no I/O. The host passes it an [`Input`] (a message, a finished disk write, a proposal, the passage of
+//! time) and carries out the resulting [`Output`]s in order. The host also supplies the replicated state, a
+//! [`StateMachine`].
 
 use super::message::Message;
 pub use super::vocabulary::{
@@ -6,113 +10,117 @@
 };
 use thiserror::Error;
 
-/// What a state machine makes of a request.
+/// The decision of a state machine on a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// The state is to change by this command.
+    /// Replicate this command, which changes the state.
     Replicate(Vec<u8>),
-    /// Nothing changes; the answer (for the proposer alone) rests on the committed state.
+    /// Change nothing and return this answer to the proposer. It is based on the committed state.
     Answer(Vec<u8>),
 }
 
-/// The replicated state. Applying a command must depend on the state and the command alone.
+/// The replicated state. It must be deterministic: the result of a command depends on the state and the command only.
 pub trait StateMachine {
-    /// Decides a request against the newest committed state, right before it would be replicated. No other command
-    /// comes between a decision and its command. Called on the primary alone.
+    /// Decides a request against the newest committed state. Called on the primary only; no other command is applied
+    /// between the decision and the command that results from it.
     fn decide(&self, request: &[u8]) -> Decision {
         Decision::Replicate(request.to_vec())
     }
     /// Applies a committed command.
     fn apply(&mut self, command: &[u8]);
-    /// The whole state.
+    /// Encodes the complete state.
     fn snapshot(&self) -> Vec<u8>;
-    /// Replaces the whole state by one from [`StateMachine::snapshot`].
+    /// Replaces the complete state with one that [`StateMachine::snapshot`] encoded.
     fn restore(&mut self, snapshot: &[u8]);
 }
 
-/// What the storage found on disk at the start.
+/// The contents of a member's disk at the start of its process.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Recovered {
-    /// The newest [`Output::Persist`] with `replace_all` that is whole, if any.
+    /// The snapshot of the newest complete [`Output::Persist`] with `replace_all`, if any.
     pub snapshot: Option<Vec<u8>>,
-    /// The writes since, in order.
+    /// The records written since that snapshot, in order.
     pub records: Vec<Vec<u8>>,
 }
 
-/// What a member is told. The moment of [`super::Replica::handle`] never goes back.
+/// An event that the host reports to a replica by [`super::Replica::handle`].
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// Time passed: due at [`super::Replica::next_wakeup`]; earlier or later does no harm.
+    /// Time has passed. Due at [`super::Replica::next_wakeup`]; it is safe earlier or later.
     Tick,
-    /// A message came. It may be late, doubled, or out of order.
+    /// A message arrived. Messages may be delayed, duplicated or reordered.
     Message {
-        /// Who sent it.
+        /// The sender.
         from: Member,
         /// The message.
         message: Message,
     },
-    /// A write is on disk, synced. Writes end in the order in which they were asked for.
+    /// The write with this token is synced to disk. Writes complete in the order of their [`Output::Persist`].
     Persisted(Token),
-    /// A write failed: of its bytes and those of all writes that still wait, nothing is certain.
+    /// The write with this token failed. Its records and those of all later unfinished writes may or may not be on disk.
     PersistFailed(Token),
-    /// A request for the state machine. Its end comes as [`Output::Proposed`].
+    /// A request for the state machine. Its result is reported by [`Output::Proposed`].
     Propose {
-        /// The host's name for it.
+        /// Identifies the proposal.
         token: Token,
-        /// Given to [`StateMachine::decide`].
+        /// Passed to [`StateMachine::decide`].
         request: Vec<u8>,
     },
-    /// All seeds have said whether they have a disk. Only to a member that may found ([`super::Replica::may_found`]), and only
-    /// if the disks made at the first start are a majority of the seeds' disks: a seed whose disk was lost before the founding
-    /// joins later.
+    /// Found the core: create the founding record with these witnesses.
+    ///
+    /// Sent only to a member for which [`super::Replica::may_found`] holds, after all seeds have reported whether they have
+    /// a disk, and only if a majority of the seeds' disks were initialised at the first start of the system. A seed that
+    /// lost its disk before the founding joins later.
     Found {
-        /// Those of the seeds whose disk was made at the first start, this member among them or not.
+        /// The seeds whose disk was initialised at the first start; this member may be missing.
         witnesses: Vec<Member>,
     },
-    /// A disk asks to be a member. It repeats this (to the primary) as long as [`super::Replica::wants_to_join`].
+    /// This member requests to join. Its host repeats the request to the primary while
+    /// [`super::Replica::wants_to_join`] holds there.
     Join(Member),
-    /// The process is to end: hand over what it has. Ends with [`Output::HandedOver`].
+    /// The process is shutting down: a primary transfers its role to another replica. Completes with
+    /// [`Output::HandedOver`].
     Leave,
 }
 
-/// What a member asks for, to be done in order.
+/// An action that a replica requests of its host. The host carries actions out in order.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// To be written and synced, in order; then [`Input::Persisted`] (or [`Input::PersistFailed`]).
+    /// Write to disk and sync, then report [`Input::Persisted`] or [`Input::PersistFailed`].
     Persist {
-        /// Comes back with the end.
+        /// Identifies the write.
         token: Token,
-        /// To be appended.
+        /// Records to append to the log.
         writes: Vec<Vec<u8>>,
-        /// If given: takes the place of all that was written before (`writes` is empty then).
+        /// A snapshot that replaces everything written before; `writes` is empty then.
         replace_all: Option<Vec<u8>>,
     },
-    /// To be sent now. May be lost.
+    /// Send a message now. It may be lost.
     Send {
-        /// Where to.
+        /// The recipient.
         to: Member,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// The committed state is now this version.
+    /// The committed state has changed.
     Committed {
-        /// Its number.
+        /// Version of the committed state.
         version: Version,
     },
-    /// The end of a proposal.
+    /// A proposal is complete.
     Proposed {
-        /// The host's name for it.
+        /// Identifies the proposal.
         token: Token,
-        /// How it ended.
+        /// Its result.
         result: Result<Outcome, ProposeError>,
     },
-    /// This member's part has changed.
+    /// The role of this member has changed.
     RoleChanged(Role),
-    /// What was to be handed over is, or can't be; the process may end.
+    /// Answer to [`Input::Leave`]: another member has taken over, or none can; the process may exit.
     HandedOver,
 }
 
-/// How a proposal ended well.
+/// The result of a successful proposal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Outcome {
     /// Its command is committed.
@@ -121,44 +129,45 @@
     Answered(Vec<u8>),
 }
 
-/// Why a proposal did not end well.
+/// Reason why a proposal failed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum ProposeError {
-    /// It did not happen and never will: this member is not the primary, or lost its lease before it began.
+    /// The request was not executed and never will be: this member is not the primary, or lost its lease before it began
+    /// to replicate the command.
     #[error("this core member does not decide now; nothing was changed: ask the primary")]
     NotPrimary,
-    /// It did not happen and never will: too many wait.
+    /// The request was not executed and never will be: the queue of proposals is full.
     #[error("too many changes wait for their turn; nothing was changed: try again later")]
     Overloaded,
-    /// It may or may not have happened: the member lost its part while it was under way.
+    /// The request may or may not have been executed: the member lost the primary role while the command was in flight.
     #[error(
         "the change may or may not be in force: read the state, or send the same change again"
     )]
     Unknown,
 }
 
-/// A member's part, for logs and the host.
+/// Role of a member, for logs and the host.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Role {
-    /// Not a member (any more): see [`super::Replica::wants_to_join`].
+    /// Not a member, or no longer: see [`super::Replica::wants_to_join`].
     Outside,
-    /// A member that follows, or has no primary.
+    /// A member that follows a primary or waits for one.
     Follower,
-    /// Tries to become the primary.
+    /// A member that tries to become the primary.
     Candidate,
     /// The primary of an active epoch, with or without a lease.
     Primary,
 }
 
-/// Why a member can't start from what is on its disk.
+/// Reason why a member can't start from the contents of its disk.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum RecoveryError {
-    /// The snapshot can't be read.
+    /// The snapshot can't be decoded.
     #[error(
         "the core's snapshot in the data folder can't be read; empty the folder to start as a new member"
     )]
     Snapshot,
-    /// A record can't be read.
+    /// The record at this position of the log, counted from 0, can't be decoded.
     #[error(
         "record {0} (from 0) of the core's log in the data folder can't be read; \
          empty the folder to start as a new member"
--- a/coordination/src/replica/membership.rs
+++ b/coordination/src/replica/membership.rs
@@ -1,4 +1,6 @@
-//! Which members and replicas the primary's next epoch should have.
+//! Choice of the members and replicas of the primary's next epoch, from their observed state.
+//!
+//! The rules of `epoch_rules` decide whether a membership change is allowed at this point.
 
 use super::epoch_rules;
 use super::interface::{EpochRecord, Member, MemberId, Millis, StateMachine};
@@ -7,12 +9,13 @@
 use super::Replica;
 
 impl<S: StateMachine> Replica<S> {
-    /// A commit needs so many copies in a core of so many members.
+    /// Minimum number of replicas of a core with this many members: each commit must survive the loss of
+    /// `tolerate_machines`.
     pub(super) fn min_replicas(&self, members: usize) -> usize {
         members.min(self.settings.tolerate_machines + 1)
     }
 
-    /// The primary's epoch should give way to another one by the same primary.
+    /// Whether the primary should replace its epoch with another one of its own.
     pub(super) fn wants_reconfiguration(&self) -> bool {
         let Some(primary) = &self.primary else {
             return false;
@@ -38,7 +41,7 @@
         }
     }
 
-    /// What the record that follows `base` should be, but for its number. None if `base` is another primary's.
+    /// The record that should follow `base`, without its number. `None` if `base` belongs to another primary.
     pub(super) fn reconfigured_record(&self, base: &EpochRecord) -> Option<EpochRecord> {
         let primary = self
             .primary
@@ -56,7 +59,7 @@
         Some(next)
     }
 
-    /// A member that answers has promised this number or a higher one to a candidate that did not succeed.
+    /// Whether a responsive member has promised this number or a higher one to a candidate that did not succeed.
     fn has_competing_promise(&self, primary: &Primary) -> bool {
         let number = primary.record.number;
         let refuses = |peer: &Peer| {
@@ -69,7 +72,7 @@
     }
 }
 
-/// What the primary knows of the members.
+/// The observed state of the members, and the selection rules on it.
 struct MembershipPlanner<'a> {
     me: MemberId,
     now: Millis,
@@ -78,7 +81,8 @@
 }
 
 impl MembershipPlanner<'_> {
-    /// All members keep up, or are rightly left out; nobody comes or goes. Asked often, hence without any allocation.
+    /// Whether the current record needs no change: all replicas keep up, no other member can become one, and nobody
+    /// joins or leaves. Called for each event, so it allocates nothing.
     fn is_unchanged(&self, record: &EpochRecord) -> bool {
         let is_in_place = |id: MemberId| match record.is_replica(id) {
             true => self.keeps_up(id),
@@ -93,8 +97,8 @@
             && record.witnesses.iter().all(|member| is_in_place(member.id))
     }
 
-    /// New disks come in, in place of the old one of the same machine; who was silent for long goes, if enough others
-    /// answer.
+    /// The members that the next record should have. A joiner replaces the member with the same machine name.
+    /// Unresponsive members are removed if at least `min_members` others respond.
     fn next_witnesses(&self, members: &[Member], min_members: usize) -> Vec<Member> {
         let mut next = members.to_vec();
         for joiner in self
@@ -164,7 +168,7 @@
         id == self.me || self.keeps_up(id) && self.peer(id).is_some_and(is_steady)
     }
 
-    /// A replica has not written the command under way in time. Others are not sent it.
+    /// Whether a replica has not written the command in flight in time. Other members were not sent it.
     fn delays_write(&self, id: MemberId) -> bool {
         id != self.me
             && self.primary.record.is_replica(id)
--- a/coordination/src/replica/primary.rs
+++ b/coordination/src/replica/primary.rs
@@ -1,4 +1,7 @@
-//! The primary of an active epoch: heartbeats, the lease, what it knows of the members.
+//! The primary of an active epoch: heartbeats, the lease, and the observed state of the members.
+//!
+//! Invariant: the lease ends `lease_ms` after the *sending* of the newest heartbeat that a quorum granted, while each
+//! of these witnesses keeps its grant for `grant_ms` after the *receipt*.
 
 use super::campaign::{Campaign, Installing, Purpose};
 use super::interface::{
@@ -8,66 +11,67 @@
 use super::Replica;
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// A disk that no longer asks to join is forgotten after so long.
+/// A joiner that has not repeated its request for this long is removed, in milliseconds.
 const JOINER_TIMEOUT_MS: Millis = 1_500;
-/// After a change of the epoch failed, the next is tried after so long.
+/// Delay after a failed reconfiguration before the next one, in milliseconds.
 const RECONFIGURATION_RETRY_MS: Millis = 50;
-/// A member that did not write a record in time is left out for so long.
+/// Time for which a member that did not write a record in time is excluded from the replicas, in milliseconds.
 const EXCLUSION_MS: Millis = 500;
 
-/// The primary's side of an active epoch.
+/// State of the primary of an active epoch.
 #[derive(Debug)]
 pub(super) struct Primary {
     /// The active record.
     pub record: EpochRecord,
-    /// Since when.
+    /// When the record became active.
     pub activated_at: Millis,
-    /// What it knows of the other members.
+    /// Observed state of the members, by identity.
     pub peers: BTreeMap<MemberId, Peer>,
-    /// Disks that ask to be members.
+    /// Members that requested to join.
     pub joiners: BTreeMap<MemberId, Joiner>,
-    /// The command under way.
+    /// The command in flight.
     pub write: Option<PendingWrite>,
-    /// Those that wait.
+    /// Proposals that wait for the command in flight.
     pub queue: VecDeque<QueuedProposal>,
-    /// It hands over: it uses its lease no more, and begins nothing.
+    /// Set during a hand-over: the primary no longer uses its lease and starts nothing new.
     pub hand_over: Option<HandOverProgress>,
-    /// Sending moment of the newest heartbeat that each member granted, itself included.
+    /// For each member, itself included: sending time of the newest heartbeat that it granted.
     granted: BTreeMap<MemberId, Millis>,
     next_heartbeat: Millis,
     reconfigure_at: Millis,
 }
 
-/// Another member, as the primary sees it.
+/// State of another member as observed by the primary.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Peer {
-    /// When it last answered.
+    /// When it last responded.
     pub last_response_at: Millis,
-    /// Since when it has answered without a long pause.
+    /// Since when it has responded without a gap of `replica_timeout_ms`.
     pub responsive_since: Millis,
-    /// The newest record that it has on disk.
+    /// Number of the newest epoch record that it has on disk.
     pub record_number: Option<Epoch>,
-    /// It promised to take part in no epoch below this one.
+    /// The epoch that it has promised.
     pub promised: Epoch,
-    /// To whom.
+    /// The candidate to which it promised.
     pub promised_to: MemberId,
-    /// When it said that its process is about to end.
+    /// When it announced that its process shuts down.
     pub leaving_since: Option<Millis>,
-    /// Until then it is not counted on.
+    /// Until then it is not selected as a replica.
     pub excluded_until: Millis,
 }
 
-/// A disk that asks to be a member.
+/// A member that requested to join.
 #[derive(Debug, Clone)]
 pub(super) struct Joiner {
     pub member: Member,
-    /// When it last asked.
+    /// When it last requested to join.
     pub last_request_at: Millis,
-    /// It answered a heartbeat since it asked: the request is no late message of a disk that is gone.
+    /// Whether it has answered a heartbeat since its request, which shows that the request is not a delayed message of
+    /// a lost disk.
     pub has_answered: bool,
 }
 
-/// A request that waits for its turn.
+/// A proposal that waits for the command in flight.
 #[derive(Debug)]
 pub(super) struct QueuedProposal {
     pub token: Token,
@@ -75,7 +79,7 @@
     pub since: Millis,
 }
 
-/// The command under way.
+/// The command in flight.
 #[derive(Debug)]
 pub(super) struct PendingWrite {
     pub token: Token,
@@ -86,24 +90,25 @@
     pub message: Write,
 }
 
-/// A hand-over under way.
+/// Progress of a hand-over.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct HandOverProgress {
-    /// Since when.
+    /// When it began.
     pub since: Millis,
-    /// When the successor is told (again).
+    /// When the next [`Message::HandOver`] is due.
     pub next_send: Millis,
-    /// So many times somebody was told.
+    /// Number of [`Message::HandOver`] sent so far.
     pub send_count: usize,
 }
 
 impl Peer {
-    /// Its process is about to end, or has ended and not come back.
+    /// Whether its process is shutting down, or has exited and not returned.
     pub fn is_leaving(&self) -> bool {
         self.leaving_since.is_some()
     }
 
-    /// An answer to a heartbeat from before the member left says nothing of its return.
+    /// Updates `leaving_since` from a heartbeat answer. An answer to a heartbeat sent before the member announced its
+    /// shutdown does not show that it has returned.
     fn update_leaving(&mut self, leaves: bool, sent_at: Millis, now: Millis) {
         if leaves {
             self.leaving_since = Some(now);
@@ -132,7 +137,7 @@
         }
     }
 
-    /// End of the lease.
+    /// Expiry time of the lease; 0 during a hand-over or without a quorum.
     pub fn lease_until(&self, lease_ms: Millis) -> Millis {
         if self.hand_over.is_some() {
             return 0;
@@ -154,7 +159,7 @@
 }
 
 impl<S: StateMachine> Replica<S> {
-    /// The epoch of a finished installation begins.
+    /// Starts the epoch of a record that has become active.
     pub(super) fn activate(&mut self, installing: Installing) {
         let now = self.now;
         self.durable.commit_up_to(installing.version());
@@ -180,7 +185,7 @@
         self.finish_write_of_previous_epoch();
     }
 
-    /// The part of the primary is over, and so is every attempt at it.
+    /// Ends the primary role and any campaign; fails all pending proposals.
     pub(super) fn step_down(&mut self) {
         self.campaign = None;
         self.predecessor_epoch = None;
@@ -250,7 +255,7 @@
         }
     }
 
-    /// Does what is due for the primary.
+    /// Runs the periodic tasks of the primary.
     pub(super) fn check_primary(&mut self) {
         if self.primary.is_none() {
             return;
@@ -264,7 +269,7 @@
         self.check_epoch();
     }
 
-    /// When the primary has something to do.
+    /// When [`Replica::check_primary`] is due.
     pub(super) fn primary_wakeup(&self, primary: &Primary) -> Millis {
         let stall = self
             .writes
@@ -284,7 +289,8 @@
             .unwrap_or(Millis::MAX)
     }
 
-    /// A change of the epoch failed: who did not write the record in time is not counted on for a while.
+    /// Schedules the next reconfiguration after a failed one, and excludes the replicas that did not write its record
+    /// in time.
     pub(super) fn reconfiguration_failed(&mut self, failed: Option<Campaign>) {
         let (now, me) = (self.now, self.me.id);
         let Some(primary) = &mut self.primary else {
@@ -302,7 +308,8 @@
         }
     }
 
-    /// A majority has not answered for so long that others may be about to take over.
+    /// Whether the lease expired `resign_delay_ms` ago without a quorum's answer, so that others may be about to take
+    /// over.
     pub(super) fn has_lost_quorum(&self) -> bool {
         let timings = self.settings.timings;
         let Some(primary) = &self.primary else {
@@ -336,7 +343,8 @@
         }
     }
 
-    /// A witness that was away gets the record. As a replica it counts only after the next change of the epoch.
+    /// Sends the active record to a witness that does not have it. It may become a replica only with the next
+    /// reconfiguration.
     fn maybe_send_record(&mut self, to: &Member) {
         let Some(primary) = &self.primary else { return };
         let record = &primary.record;
@@ -364,7 +372,7 @@
         }
     }
 
-    /// Begins the next command, or changes the epoch first if that is wanted.
+    /// Starts the next command, or a reconfiguration if one is needed first.
     fn check_epoch(&mut self) {
         let holds_lease = self.holds_lease(self.now);
         let time_since_response = self.settings.timings.replica_timeout_ms;
--- a/coordination/src/replica/proposals.rs
+++ b/coordination/src/replica/proposals.rs
@@ -1,4 +1,6 @@
-//! Requests on the primary: their queue, their decision, and the one command under way.
+//! Proposals on the primary: their queue, their decision, and the replication of one command at a time.
+//!
+//! A command is committed once all replicas of the active record have it on disk.
 
 use super::interface::{
     Decision, MemberId, Outcome, Output, ProposeError, StateMachine, Token, Version,
@@ -8,7 +10,7 @@
 use super::Replica;
 use std::collections::BTreeSet;
 
-/// So many requests may wait.
+/// Maximum number of proposals in the queue.
 const QUEUE_LIMIT: usize = 64;
 
 impl<S: StateMachine> Replica<S> {
@@ -30,8 +32,8 @@
         }
     }
 
-    /// Decides requests in their order, up to one that changes the state. Only under a lease: then the committed state
-    /// is the newest there is.
+    /// Decides proposals in order, up to the first one that changes the state. Requires the lease, under which the
+    /// committed state is the newest one.
     pub(super) fn start_next_command(&mut self) {
         while self
             .primary
@@ -108,7 +110,7 @@
         }
     }
 
-    /// Requests that waited for too long are given back: they never began.
+    /// Fails proposals that waited for too long. They were not started.
     pub(super) fn expire_proposals(&mut self) {
         let limit = self.settings.timings.proposal_timeout_ms;
         let now = self.now;
@@ -130,8 +132,8 @@
         }
     }
 
-    /// The epoch of the command under way gave way to the next by the same primary, whose state either holds the
-    /// command or does not.
+    /// Completes the command that was in flight when this primary started its next epoch. The initial state of that
+    /// epoch shows whether the command was committed.
     pub(super) fn finish_write_of_previous_epoch(&mut self) {
         let Some(write) = self
             .primary
--- a/coordination/src/replica/record.rs
+++ b/coordination/src/replica/record.rs
@@ -1,9 +1,12 @@
-//! Majorities of an epoch's record.
+//! Members and quorums of an epoch record.
+//!
+//! During a membership change a quorum is a majority of the new members and a majority of the former members (joint
+//! consensus, section 6 of the Raft paper).
 
 use super::interface::{EpochRecord, Member, MemberId, Millis};
 
 impl EpochRecord {
-    /// The founding record: all first members hold the empty state, and nobody decides yet.
+    /// The founding record, of epoch 0: all founders are replicas of the empty state, and there is no primary.
     pub(super) fn founding(mut witnesses: Vec<Member>) -> Self {
         witnesses.sort();
         witnesses.dedup_by_key(|member| member.id);
@@ -15,22 +18,22 @@
         }
     }
 
-    /// It holds the state in this epoch.
+    /// Whether the member is a replica in this epoch.
     pub fn is_replica(&self, id: MemberId) -> bool {
         self.replicas.contains(&id)
     }
 
-    /// It is a member (after the change of members, if one is under way).
+    /// Whether it is a member; during a membership change: one of the new members.
     pub fn is_witness(&self, id: MemberId) -> bool {
         self.witnesses.iter().any(|member| member.id == id)
     }
 
-    /// The member with this identity, also one that is on its way out.
+    /// The member with this identity, including members that a membership change removes.
     pub fn member(&self, id: MemberId) -> Option<&Member> {
         self.everyone().find(|member| member.id == id)
     }
 
-    /// All who have a vote, also those on their way out; each once.
+    /// All members that have a vote, including those that a membership change removes; each once.
     pub fn everyone(&self) -> impl Iterator<Item = &Member> {
         let leaving = self
             .former_witnesses
@@ -39,7 +42,8 @@
         self.witnesses.iter().chain(leaving)
     }
 
-    /// A majority of the witnesses, and of the former ones while they change, fulfil a condition.
+    /// Whether a majority of the witnesses fulfils a condition, and during a membership change a majority of the former
+    /// witnesses too.
     pub(super) fn has_quorum(&self, fulfils: impl Fn(MemberId) -> bool) -> bool {
         let majority = |members: &[Member]| {
             let count = members.iter().filter(|member| fulfils(member.id)).count();
@@ -49,7 +53,7 @@
             && (self.former_witnesses.is_empty() || majority(&self.former_witnesses))
     }
 
-    /// The newest moment that a quorum has reached, where each has reached `moment_of(member)`.
+    /// The latest time `t` such that `moment_of(member) >= t` for a quorum; `None` if too few members have a time.
     pub(super) fn quorum_moment(
         &self,
         moment_of: impl Fn(MemberId) -> Option<Millis>,
--- a/coordination/src/replica/settings.rs
+++ b/coordination/src/replica/settings.rs
@@ -1,57 +1,58 @@
-//! Settings of a core member.
+//! Settings of a core member: its identity in the deployment and the timeouts of the protocol.
 
 use super::interface::Millis;
 
-/// What a member knows of itself and the deployment at its start.
+/// Settings of one member, fixed at the start of its process.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Settings {
     /// Name of its machine.
     pub node: String,
     /// Name of its zone.
     pub zone: String,
-    /// Encoded addresses, opaque here.
+    /// Encoded addresses, which the protocol does not read.
     pub contact: Vec<u8>,
-    /// The whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub first_start: bool,
-    /// So many members may be lost at once, disks included: each commit is on one more.
+    /// Number of members that may be lost at once, disks included. Each commit is on at least one more replica than that.
     pub tolerate_machines: usize,
-    /// Times.
+    /// Timeouts of the protocol.
     pub timings: Timings,
-    /// Chance: fresh for each start of each process, as the disk's identity is drawn from it.
+    /// Seed of the random generator. It must differ for each start of each process: the identity of an empty disk is drawn
+    /// from it.
     pub seed: u64,
 }
 
-/// Times of the protocol. All members must have the same.
+/// Timeouts of the protocol, in milliseconds. All members must use the same values.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timings {
-    /// Between heartbeats.
+    /// Interval between heartbeats.
     pub heartbeat_interval_ms: Millis,
-    /// So long after an answered heartbeat a witness promises nothing to others.
+    /// Time after an answered heartbeat during which a witness promises nothing to other candidates.
     pub grant_ms: Millis,
-    /// So long after the sending of an answered heartbeat the primary relies on it: shorter than `grant_ms`, for clocks
-    /// that run apart.
+    /// Duration of the lease, counted from the sending of a heartbeat that a quorum granted. Shorter than `grant_ms`, to
+    /// tolerate clock drift.
     pub lease_ms: Millis,
-    /// Without a majority's answers for so long after the lease ended, the primary gives its part up.
+    /// Time after the expiry of its lease at which a primary that has not regained a quorum hands over.
     pub resign_delay_ms: Millis,
-    /// A replica that is silent, or keeps a command waiting, for so long is left out.
+    /// A replica that does not respond, or delays a command, for this long is removed from the replicas.
     pub replica_timeout_ms: Millis,
-    /// A write on the own disk that takes so long makes the primary hand over.
+    /// A primary whose own disk write takes this long hands over.
     pub disk_stall_timeout_ms: Millis,
-    /// A member that is silent for so long may be dropped, if enough others remain.
+    /// A member that does not respond for this long may be removed from the membership, if enough others remain.
     pub member_timeout_ms: Millis,
-    /// A member that was left out must answer for so long before it is taken in again.
+    /// A member that was removed from the replicas must respond for this long before it becomes a replica again.
     pub readmission_ms: Millis,
-    /// A message without an answer is sent again after so long.
+    /// Interval after which an unanswered message is sent again.
     pub resend_interval_ms: Millis,
-    /// An election or change of epoch that takes so long begins anew.
+    /// Timeout of an attempt to start an epoch; it doubles after each attempt that timed out, up to a maximum.
     pub attempt_timeout_ms: Millis,
-    /// At most so long a candidate waits by chance.
+    /// Maximum of the random delay before an election.
     pub max_candidate_delay_ms: Millis,
-    /// So long a candidate with a majority waits for the answers of others, that they be replicas too.
+    /// Time that a candidate with sufficient promises waits for further ones, so that more members become replicas.
     pub promise_gathering_ms: Millis,
-    /// A proposal that could not begin within this is given back.
+    /// A proposal that has waited this long in the queue fails.
     pub proposal_timeout_ms: Millis,
-    /// A hand-over that is not confirmed within this is over.
+    /// A hand-over that no successor has completed within this time is abandoned, and the primary steps down.
     pub hand_over_timeout_ms: Millis,
 }
 
--- a/coordination/src/replica/vocabulary.rs
+++ b/coordination/src/replica/vocabulary.rs
@@ -1,72 +1,82 @@
-//! What members, epochs and their records are called, in messages, on disk and at the interface.
+//! The basic types of the replication protocol: members, epochs and epoch records.
+//!
+//! An *epoch* is what Raft calls a term: a numbered period with at most one primary. An *epoch record* is the
+//! configuration of one epoch. It names the primary, the *replicas* (members that store the replicated state) and the
+//! *witnesses* (all members; each of them votes). A record is *active* once all its replicas and a quorum of its witnesses
+//! have it on disk; only then does its primary serve.
+//!
+//! These types go over the wire and to disk: the indexes in `#[n(..)]` never change.
 
 use minicbor::{Decode, Encode};
 
-/// A moment of the host's steady clock, or a span of it, in milliseconds.
+/// A point in time of the host's monotonic clock, or a duration, in milliseconds.
 pub type Millis = u64;
-/// Number of an epoch; 0: the founding, before which there is none.
+/// Number of an epoch. Epoch 0 is the founding epoch, which has no primary.
 pub type Epoch = u64;
-/// Number of a committed or proposed state; grows over all epochs.
+/// Version of the replicated state: the number of commands that led to it. It increases by one with each command, across
+/// epochs.
 pub type Version = u64;
-/// Names a member by its disk; a lost disk never comes back.
+/// Identity of a member, drawn at random and stored on its disk. A member whose disk is lost returns with a new identity.
 pub type MemberId = u64;
-/// Comes back with the end of what it was given to.
+/// Identifies a disk write or a proposal; the completion carries the same token as the request.
 pub type Token = u64;
 
-/// A member with what its peers need to reach it. `contact` is opaque here.
+/// A member and what its peers need to reach it.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord, Encode, Decode)]
 pub struct Member {
-    /// Its disk.
+    /// Identity of the member's disk.
     #[n(0)]
     pub id: MemberId,
-    /// Name of its machine: a new disk under the same name replaces the old one.
+    /// Name of its machine. A new member with the name of an existing one replaces it.
     #[n(1)]
     pub node: String,
-    /// Name of its zone.
+    /// Name of its availability zone.
     #[n(2)]
     pub zone: String,
-    /// Encoded addresses, for the host.
+    /// Encoded addresses. The protocol passes them to the host without reading them.
     #[cbor(n(3), with = "minicbor::bytes")]
     pub contact: Vec<u8>,
 }
 
-/// What an epoch is.
+/// The configuration of one epoch.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct EpochRecord {
-    /// Its number.
+    /// Number of the epoch.
     #[n(0)]
     pub number: Epoch,
-    /// The member that decides; 0 in the founding record.
+    /// The primary; 0 in the founding record.
     #[n(1)]
     pub primary: MemberId,
-    /// The members that hold the state, the primary among them.
+    /// The members that store the replicated state, the primary among them. A command is committed once all of them have
+    /// it on disk.
     #[n(2)]
     pub replicas: Vec<MemberId>,
-    /// All members; a majority of them decides on the next epoch.
+    /// All members. A majority of them grants the primary its lease and elects the next primary.
     #[n(3)]
     pub witnesses: Vec<Member>,
-    /// While the members change: those before the change, a majority of whom is needed as well. Else empty.
+    /// During a membership change: the members before the change, of which a majority is needed too (joint consensus).
+    /// Otherwise empty.
     #[n(4)]
     pub former_witnesses: Vec<Member>,
-    /// Number of the record from whose state it began.
+    /// Number of the *base* record: the one whose state is the initial state of this epoch.
     #[n(5)]
     pub follows: Epoch,
-    /// That record and those before it, the newest first, back to one that is known to have been active. Should no disk be
-    /// left that holds one of them, this tells whether it can ever have been active.
+    /// The base record and its ancestors, the newest first, back to one that is known to have been active. It shows
+    /// whether an ancestor can ever have been active when no remaining disk has that ancestor's record.
     #[cbor(n(6), default)]
     pub lineage: Vec<Ancestor>,
 }
 
-/// What a record tells of one from which it descends.
+/// Summary of a record from which an epoch record descends.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Ancestor {
-    /// Its number.
+    /// Number of the epoch.
     #[n(0)]
     pub number: Epoch,
-    /// The members that had to hold its state before it was active.
+    /// The replicas of the record: all of them had to have it on disk before it was active.
     #[n(1)]
     pub replicas: Vec<MemberId>,
-    /// Number of the record that it followed.
+    /// Number of its base record.
     #[n(2)]
     pub follows: Epoch,
 }
--- a/coordination/src/replica/witness.rs
+++ b/coordination/src/replica/witness.rs
@@ -1,4 +1,8 @@
-//! A member's duties as a witness and replica: promises, grants, records, writes.
+//! The witness and replica side of a member: its answers to candidates and to the primary.
+//!
+//! Invariants: a member takes part in no epoch below its promise, and promises nothing to other candidates before a
+//! lease grant of it has expired. A restart does not lose grants: a restarted member assumes that it granted a lease
+//! right before (`resume_as_witness`).
 
 use super::durable::Entry;
 use super::interface::{Epoch, EpochRecord, Member, MemberId, Millis, StateMachine, Version};
@@ -8,26 +12,27 @@
 };
 use super::{Replica, FAST_ELECTION_DELAY_MS};
 
-/// After a promise, others who ask for votes are put off for so long.
+/// Time after a promise during which pre-votes of other candidates are rejected, in milliseconds.
 const PRE_VOTE_REJECTION_MS: Millis = 150;
-/// After a promise to somebody else, a member stands for election itself no sooner than this.
+/// Minimum time between a promise to another candidate and an own election, in milliseconds.
 const ELECTION_TIMEOUT_MS: Millis = 300;
-/// A member without the state lets the others stand for election first.
+/// Additional election delay, in milliseconds, of a member without the replicated state: replicas go first.
 const STATELESS_ELECTION_DELAY_MS: Millis = 100;
 
-/// It promises nothing to others for a while.
+/// A lease grant: until it expires, nothing is promised to other candidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Grant {
-    /// The primary whom it answered.
+    /// The primary that holds the lease.
     pub to: MemberId,
-    /// In this epoch.
+    /// The primary's epoch.
     pub epoch: Epoch,
-    /// Until then.
+    /// Expiry time of the grant.
     pub until: Millis,
 }
 
 impl<S: StateMachine> Replica<S> {
-    /// Before its start it may have granted a lease to the primary of its record, of which it knows nothing now.
+    /// Restores the volatile state of a witness after a restart. It may have granted a lease to the primary of its
+    /// record before, which is not on disk, so it acts as if it just had.
     pub(super) fn resume_as_witness(&mut self) {
         let timings = self.settings.timings;
         let Some(record) = self.accepted_record() else {
@@ -48,7 +53,7 @@
         };
     }
 
-    /// A moment to stand for election, some time after another.
+    /// A random time after `moment` for the next election.
     pub(super) fn election_moment_after(&mut self, moment: Millis) -> Millis {
         let pause =
             self.random_moment_within(self.settings.timings.max_candidate_delay_ms) - self.now;
@@ -110,7 +115,7 @@
             return self.send_rejection(from, number);
         }
         if self.lacks_state_for(&install) {
-            // The primary sends it along the next time.
+            // The primary includes the state when it sends the message again.
             return;
         }
         self.accept(from, install);
@@ -165,7 +170,7 @@
         self.send(from.clone(), Message::HeartbeatAnswer(answer));
     }
 
-    /// What is committed in this epoch is so here only if its pending command is of this epoch too.
+    /// Commits up to the version of a heartbeat. The pending command is covered only if it is of the primary's epoch.
     fn commit_up_to_heartbeat(&mut self, version: Version) {
         let number = self.accepted_record().map(|record| record.number);
         if number.is_some() && number == self.durable.state_epoch() {
@@ -173,7 +178,7 @@
         }
     }
 
-    /// How long a candidate has to wait for this member's vote; 0: not at all.
+    /// Time until this member may vote for the candidate, in milliseconds; 0: now.
     fn vote_wait_ms(&self, candidate: MemberId) -> Millis {
         let rejection_ends = match self.durable.promised_to == candidate {
             true => 0,
@@ -184,7 +189,7 @@
             .saturating_sub(self.now)
     }
 
-    /// From when on it may promise to this candidate.
+    /// Time from which a promise to this candidate is allowed. A lease released by a hand-over need not expire.
     fn grant_expires_at(&self, candidate: MemberId, released_epoch: Option<Epoch>) -> Millis {
         match self.grant {
             Some(grant)
@@ -219,7 +224,7 @@
             record: self.durable.record.clone(),
             state_record: self.durable.state_record.clone(),
             version: own_state.1,
-            state: newer.then(|| self.durable.copy_state()),
+            state: newer.then(|| self.durable.clone_state()),
         };
         self.send_when_durable(candidate, Message::Promise(Box::new(promise)));
     }
@@ -233,7 +238,8 @@
         self.send(from.clone(), Message::Rejection(rejection));
     }
 
-    /// Its own record, or one that names it. Another disk at the same address may get this one's messages.
+    /// Whether the record names this member, or this member already has one. Messages to a former disk at the same
+    /// address are ignored.
     fn is_relevant(&self, record: &EpochRecord) -> bool {
         record.member(self.me.id).is_some() || self.durable.record.is_some()
     }
--- a/coordination/src/replica/write_queue.rs
+++ b/coordination/src/replica/write_queue.rs
@@ -1,18 +1,21 @@
-//! Writes under way, and the messages that wait for them.
+//! Disk writes in flight, and the messages that wait for them.
+//!
+//! Invariant: a message is sent only after all records appended before it are synced. The log is replaced by a snapshot
+//! when it has grown long, and after a failed write.
 
 use super::interface::{Epoch, Member, Millis, Output, Token};
 use super::message::Message;
 use std::collections::VecDeque;
 
-/// The log is replaced by a snapshot once it is this long (and longer than the last snapshot).
+/// The log is replaced by a snapshot once it exceeds this many bytes and the size of the last snapshot.
 const COMPACTION_BYTES: usize = 256 * 1024;
-/// A write that failed is tried again (as a snapshot of everything) after so long.
+/// Delay after a failed write before a snapshot of the complete state is written, in milliseconds.
 const RETRY_MS: Millis = 300;
 
 /// A message with its recipient.
 pub(super) type Addressed = (Member, Message);
 
-/// Writes that were asked for, in order, with what waits for them.
+/// The queue of writes, in order, with the messages that wait for each.
 #[derive(Debug, Default)]
 pub(super) struct WriteQueue {
     last_token: Token,
@@ -22,7 +25,7 @@
     log_bytes: usize,
     snapshot_bytes: usize,
     retry_at: Option<Millis>,
-    /// The last write that ended failed.
+    /// Whether the last completed write failed.
     last_write_failed: bool,
 }
 
@@ -34,17 +37,17 @@
     record_number: Option<Epoch>,
 }
 
-/// A write that ended well.
+/// The result of a successful write.
 #[derive(Debug, Default)]
 pub(super) struct FinishedWrite {
-    /// What waited for it.
+    /// The messages that waited for it.
     pub sends: Vec<Addressed>,
-    /// Number of the record that is now on disk.
+    /// Number of the newest epoch record on disk after it.
     pub record_number: Option<Epoch>,
 }
 
 impl WriteQueue {
-    /// A queue over a disk that holds so much.
+    /// A queue for a disk with a snapshot and a log of these sizes.
     pub fn new(snapshot_bytes: usize, log_bytes: usize) -> Self {
         WriteQueue {
             snapshot_bytes,
@@ -53,17 +56,17 @@
         }
     }
 
-    /// To be written with the next flush.
+    /// Adds a record to the next flush.
     pub fn append(&mut self, write: Vec<u8>) {
         self.unflushed_records.push(write);
     }
 
-    /// To be sent once all that was appended so far is on disk.
+    /// Adds a message that is sent once all records appended so far are synced.
     pub fn send_after_writes(&mut self, to: Member, message: Message) {
         self.unflushed_messages.push((to, message));
     }
 
-    /// Asks for the writes that were appended; gives the messages that wait for none.
+    /// Requests the write of all appended records. Returns the messages that need not wait for a write.
     pub fn flush(
         &mut self,
         now: Millis,
@@ -72,8 +75,8 @@
         outputs: &mut Vec<Output>,
     ) -> Vec<Addressed> {
         if self.retry_at.is_some_and(|at| now < at) {
-            // The disk doesn't take anything: what was appended is part of the snapshot that is tried later, and what waits
-            // for it is lost, as messages may be.
+            // The disk does not accept writes. The appended records are part of the snapshot that is written later; the
+            // messages that wait for them are dropped, as messages may be lost.
             self.unflushed_records.clear();
             self.unflushed_messages.clear();
             return Vec::new();
@@ -94,7 +97,7 @@
         }
     }
 
-    /// A write ended well. None if it is not under way (any more).
+    /// Handles a successful write. Returns `None` if the write is not in flight or no longer.
     pub fn on_write_finished(&mut self, token: Token) -> Option<FinishedWrite> {
         if !self.in_flight.iter().any(|write| write.token == token) {
             return None;
@@ -111,7 +114,7 @@
         Some(finished)
     }
 
-    /// A write failed.
+    /// Handles a failed write: drops all writes in flight and schedules a snapshot.
     pub fn on_write_failed(&mut self, now: Millis, token: Token) {
         if self.in_flight.iter().any(|write| write.token == token) {
             self.in_flight.clear();
@@ -120,7 +123,7 @@
         }
     }
 
-    /// The disk has failed, or has taken longer than this over a write.
+    /// Whether the last write failed, or the oldest one in flight has taken `limit` milliseconds.
     pub fn is_stalled(&self, now: Millis, limit: Millis) -> bool {
         self.last_write_failed
             || self
@@ -129,12 +132,12 @@
                 .is_some_and(|write| now >= write.since + limit)
     }
 
-    /// When it has something to do.
+    /// When [`WriteQueue::flush`] is due to retry after a failure.
     pub fn next_wakeup(&self) -> Option<Millis> {
         self.retry_at
     }
 
-    /// When the disk counts as stalled, if its write does not end before.
+    /// When the disk counts as stalled unless the oldest write in flight completes before.
     pub fn stall_deadline(&self, limit: Millis) -> Option<Millis> {
         self.in_flight.front().map(|write| write.since + limit)
     }
