--- a/coordination/src/monitoring.rs
+++ b/coordination/src/monitoring.rs
@@ -1,21 +1,24 @@
-//! Failure detection by a few peers of each process: rendezvous hashing names its monitors, who probe it, ask others to
-//! probe it when it does not answer them, and report it to the primary when nobody got an answer. The primary decides.
+//! Failure detection by peers, as in SWIM, with a central decision.
 //!
-//! | part | does |
+//! Rendezvous hashing assigns a few monitors to each process. A monitor probes its processes; if one does not answer,
+//! the other monitors of that process are asked to probe it too (indirect probe). If nobody receives an answer, the
+//! process is suspected and the monitor reports this to the primary, which decides whether it is dead.
+//!
+//! | module | job |
 //! | --- | --- |
-//! | [`rendezvous`] | who monitors whom |
-//! | [`monitor`] | one process's probes and suspicions |
-//! | [`verdicts`] | what the primary makes of the reports |
+//! | [`rendezvous`] | assignment of monitors to processes |
+//! | [`monitor`] | probes and suspicions of one process |
+//! | [`failure_detector`] | the primary's decision, from the reports |
 //!
-//! All parts are state machines without I/O: time, messages and lists are their inputs. A late, doubled or foreign message
-//! changes nothing: answers are matched to probes by number, and reports are replaced as a whole, the newest by its sequence.
+//! All are state machines without I/O. Delayed, duplicated and foreign messages are harmless: an answer is matched to
+//! its probe by number, and a report replaces the previous one only if its sequence number is not lower.
 
+pub mod failure_detector;
 pub mod monitor;
 pub mod rendezvous;
-pub mod verdicts;
 
-/// Milliseconds on a steady clock.
+/// A point in time of a monotonic clock, or a duration, in milliseconds.
 pub type Millis = u64;
 
-/// A process, by the number under which the list of processes has it.
+/// Number of a process in the membership list.
 pub type NodeNumber = u32;
--- a/coordination/src/monitoring/monitor.rs
+++ b/coordination/src/monitoring/monitor.rs
@@ -1,92 +1,92 @@
-//! One process's probes of those that it monitors.
+//! The probes and suspicions of one process about the processes that it monitors.
 
 use super::rendezvous::{monitors_of, subjects_of};
 use super::{Millis, NodeNumber};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How often and how long is probed.
+/// Intervals and timeouts of the probes.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Timings {
-    /// Monitors of each process.
+    /// Number of monitors of each process.
     pub monitors: usize,
-    /// Between two probes of one process.
-    pub probe_every_ms: Millis,
-    /// Without an answer for so long, others are asked to probe it.
-    pub indirect_after_ms: Millis,
-    /// Without an answer for so long after its probe, to nobody, it is suspected.
-    pub suspect_after_ms: Millis,
-    /// A monitor that was not woken for so long stood still itself: its probes under way prove nothing.
-    pub own_stall_ms: Millis,
+    /// Interval between two probes of a process.
+    pub probe_interval_ms: Millis,
+    /// Time without an answer after which the other monitors are asked to probe the process.
+    pub indirect_probe_timeout_ms: Millis,
+    /// Time without any answer to a probe after which the process is suspected.
+    pub suspicion_timeout_ms: Millis,
+    /// If a timer fires later than this, the monitor itself was stalled, and its unanswered probes are discarded.
+    pub max_own_stall_ms: Millis,
 }
 
 impl Default for Timings {
     fn default() -> Timings {
         Timings {
             monitors: 3,
-            probe_every_ms: 400,
-            indirect_after_ms: 250,
-            suspect_after_ms: 700,
-            own_stall_ms: 150,
+            probe_interval_ms: 400,
+            indirect_probe_timeout_ms: 250,
+            suspicion_timeout_ms: 700,
+            max_own_stall_ms: 150,
         }
     }
 }
 
-/// What monitors say to each other.
+/// A message between monitors.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Message {
-    /// Are you there?
+    /// Asks the recipient for an answer.
     Probe {
-        /// Number of the probe at its sender.
+        /// Number of the probe at its requester.
         number: u64,
-        /// For whom it is asked; the sender itself, or one who got no answer.
-        asker: NodeNumber,
+        /// The process that wants to know: the sender itself, or one that received no answer.
+        requester: NodeNumber,
     },
-    /// The answer to a probe.
+    /// Answer to a probe.
     Answer {
-        /// The probe's number.
+        /// Number of the probe.
         number: u64,
-        /// The probe's asker.
-        asker: NodeNumber,
+        /// The requester of the probe.
+        requester: NodeNumber,
     },
-    /// Probe another process for me.
-    ProbeFor {
-        /// The process.
+    /// Asks the recipient to probe another process on behalf of the sender.
+    IndirectProbe {
+        /// The process to probe.
         subject: NodeNumber,
-        /// Number of the probe at its sender.
+        /// Number of the probe at the sender.
         number: u64,
     },
 }
 
-/// A message and its recipient.
+/// The recipient and the message.
 pub type Send = (NodeNumber, Message);
 
-/// A probe that has no answer yet.
+/// A probe without an answer so far.
 #[derive(Debug, Clone, Copy)]
 struct Probe {
     number: u64,
     sent_at: Millis,
-    asked_others: bool,
+    indirect_sent: bool,
 }
 
-/// One monitored process.
+/// A monitored process.
 #[derive(Debug)]
 struct Subject {
     next_probe_at: Millis,
     probe: Option<Probe>,
-    /// Other monitors of it, which are asked to probe it.
-    helpers: Vec<NodeNumber>,
+    /// The other monitors of the process, which send indirect probes.
+    indirect_probers: Vec<NodeNumber>,
 }
 
-/// A whole report to the primary.
+/// The suspicions of one process, as sent to the primary.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Report {
-    /// Counts the reports of one process: an older one changes nothing.
+    /// Increases with each change; a report with a lower number is outdated.
     pub sequence: u64,
-    /// The processes that are suspected now.
+    /// The processes suspected now.
     pub suspected: BTreeSet<NodeNumber>,
 }
 
-/// The monitor of one process.
+/// The monitor of one process: probes its subjects and collects suspicions.
 #[derive(Debug)]
 pub struct Monitor {
     own: NodeNumber,
@@ -95,11 +95,11 @@
     suspected: BTreeSet<NodeNumber>,
     sequence: u64,
     last_number: u64,
-    woken_at: Millis,
+    last_timer_at: Millis,
 }
 
 impl Monitor {
-    /// A monitor that knows nobody yet.
+    /// A monitor without subjects.
     pub fn new(own: NodeNumber, timings: Timings) -> Monitor {
         Monitor {
             own,
@@ -108,38 +108,44 @@
             suspected: BTreeSet::new(),
             sequence: 0,
             last_number: 0,
-            woken_at: 0,
+            last_timer_at: 0,
         }
     }
 
-    /// Takes in a newer list of processes. Those that it goes on monitoring keep their probes.
+    /// Replaces the membership list. Subjects that remain keep their probes and suspicions.
     pub fn set_nodes(&mut self, now: Millis, nodes: &[NodeNumber]) {
         let count = self.timings.monitors;
-        let mut known = std::mem::take(&mut self.subjects);
+        let mut former = std::mem::take(&mut self.subjects);
         for subject in subjects_of(self.own, nodes, count) {
-            let mut helpers = monitors_of(subject, nodes, count);
-            helpers.retain(|helper| *helper != self.own);
-            let next_probe_at = now + self.first_pause(subject);
-            let kept = known.remove(&subject).unwrap_or(Subject {
+            let mut indirect_probers = monitors_of(subject, nodes, count);
+            indirect_probers.retain(|prober| *prober != self.own);
+            let next_probe_at = now + self.first_delay_ms(subject);
+            let subject_state = former.remove(&subject).unwrap_or(Subject {
                 next_probe_at,
                 probe: None,
-                helpers: Vec::new(),
+                indirect_probers: Vec::new(),
             });
-            self.subjects.insert(subject, Subject { helpers, ..kept });
+            self.subjects.insert(
+                subject,
+                Subject {
+                    indirect_probers,
+                    ..subject_state
+                },
+            );
         }
-        let still: BTreeSet<NodeNumber> = self.subjects.keys().copied().collect();
+        let monitored: BTreeSet<NodeNumber> = self.subjects.keys().copied().collect();
         let before = self.suspected.len();
-        self.suspected.retain(|subject| still.contains(subject));
-        self.note_change(self.suspected.len() != before);
+        self.suspected.retain(|subject| monitored.contains(subject));
+        self.record_change(self.suspected.len() != before);
     }
 
-    /// Probes are spread over the interval, so that they do not come together.
-    fn first_pause(&self, subject: NodeNumber) -> Millis {
+    /// Delay of the first probe of a subject; spreads the probes over the interval.
+    fn first_delay_ms(&self, subject: NodeNumber) -> Millis {
         u64::from(subject.wrapping_mul(31).wrapping_add(self.own))
-            % self.timings.probe_every_ms.max(1)
+            % self.timings.probe_interval_ms.max(1)
     }
 
-    /// The newest report.
+    /// The current report.
     pub fn report(&self) -> Report {
         Report {
             sequence: self.sequence,
@@ -147,7 +153,7 @@
         }
     }
 
-    /// When it wants to be woken next.
+    /// When [`Monitor::on_timer`] is due; `None` without subjects.
     pub fn next_wakeup(&self) -> Option<Millis> {
         self.subjects
             .values()
@@ -158,19 +164,21 @@
     fn due(&self, subject: &Subject) -> Millis {
         match &subject.probe {
             None => subject.next_probe_at,
-            Some(probe) if !probe.asked_others => probe.sent_at + self.timings.indirect_after_ms,
-            Some(probe) => probe.sent_at + self.timings.suspect_after_ms,
+            Some(probe) if !probe.indirect_sent => {
+                probe.sent_at + self.timings.indirect_probe_timeout_ms
+            }
+            Some(probe) => probe.sent_at + self.timings.suspicion_timeout_ms,
         }
     }
 
-    /// Does what is due.
-    pub fn wake(&mut self, now: Millis, sends: &mut Vec<Send>) {
-        if now.saturating_sub(self.woken_at)
-            > self.timings.own_stall_ms + self.timings.probe_every_ms
+    /// Sends due probes and suspects subjects whose probes timed out.
+    pub fn on_timer(&mut self, now: Millis, sends: &mut Vec<Send>) {
+        if now.saturating_sub(self.last_timer_at)
+            > self.timings.max_own_stall_ms + self.timings.probe_interval_ms
         {
-            self.forgive(now);
+            self.restart_probes(now);
         }
-        self.woken_at = now;
+        self.last_timer_at = now;
         let due: Vec<NodeNumber> = self
             .subjects
             .iter()
@@ -178,18 +186,18 @@
             .map(|(id, _)| *id)
             .collect();
         due.into_iter()
-            .for_each(|subject| self.act(now, subject, sends));
+            .for_each(|subject| self.check_subject(now, subject, sends));
     }
 
-    /// This process stood still: answers may have come and gone meanwhile. All probes begin anew.
-    fn forgive(&mut self, now: Millis) {
+    /// Restarts all probes after a stall of this process, during which answers may have been lost.
+    fn restart_probes(&mut self, now: Millis) {
         for subject in self.subjects.values_mut() {
             subject.probe = None;
             subject.next_probe_at = now;
         }
     }
 
-    fn act(&mut self, now: Millis, id: NodeNumber, sends: &mut Vec<Send>) {
+    fn check_subject(&mut self, now: Millis, id: NodeNumber, sends: &mut Vec<Send>) {
         let timings = self.timings;
         let Some(subject) = self.subjects.get_mut(&id) else {
             return;
@@ -201,48 +209,48 @@
                 subject.probe = Some(Probe {
                     number,
                     sent_at: now,
-                    asked_others: false,
+                    indirect_sent: false,
                 });
                 sends.push((
                     id,
                     Message::Probe {
                         number,
-                        asker: self.own,
+                        requester: self.own,
                     },
                 ));
             }
-            Some(probe) if !probe.asked_others => {
-                probe.asked_others = true;
+            Some(probe) if !probe.indirect_sent => {
+                probe.indirect_sent = true;
                 let number = probe.number;
                 sends.push((
                     id,
                     Message::Probe {
                         number,
-                        asker: self.own,
+                        requester: self.own,
                     },
                 ));
-                let ask = |helper: &NodeNumber| {
+                let indirect_probe = |prober: &NodeNumber| {
                     (
-                        *helper,
-                        Message::ProbeFor {
+                        *prober,
+                        Message::IndirectProbe {
                             subject: id,
                             number,
                         },
                     )
                 };
-                sends.extend(subject.helpers.iter().map(ask));
+                sends.extend(subject.indirect_probers.iter().map(indirect_probe));
             }
             Some(_) => {
                 subject.probe = None;
-                subject.next_probe_at = now + timings.probe_every_ms;
+                subject.next_probe_at = now + timings.probe_interval_ms;
                 let is_new = self.suspected.insert(id);
-                self.note_change(is_new);
+                self.record_change(is_new);
             }
         }
     }
 
-    /// Takes in a message of another process.
-    pub fn receive(
+    /// Handles a message of another process.
+    pub fn on_message(
         &mut self,
         now: Millis,
         from: NodeNumber,
@@ -250,27 +258,28 @@
         sends: &mut Vec<Send>,
     ) {
         match message {
-            Message::Probe { number, asker } => {
-                sends.push((from, Message::Answer { number, asker }))
+            Message::Probe { number, requester } => {
+                sends.push((from, Message::Answer { number, requester }))
             }
-            Message::ProbeFor { subject, number } => {
+            Message::IndirectProbe { subject, number } => {
                 sends.push((
                     subject,
                     Message::Probe {
                         number,
-                        asker: from,
+                        requester: from,
                     },
                 ));
             }
-            Message::Answer { number, asker } if asker != self.own => {
-                // It answers a probe that was sent for another one, who learns who it was from the probe's number.
-                sends.push((asker, Message::Answer { number, asker }));
+            Message::Answer { number, requester } if requester != self.own => {
+                // An answer to an indirect probe: forward it to the requester, which identifies the subject by the
+                // number.
+                sends.push((requester, Message::Answer { number, requester }));
             }
-            Message::Answer { number, .. } => self.answered(now, number),
+            Message::Answer { number, .. } => self.on_answer(now, number),
         }
     }
 
-    fn answered(&mut self, now: Millis, number: u64) {
+    fn on_answer(&mut self, now: Millis, number: u64) {
         let probed = |subject: &Subject| subject.probe.is_some_and(|probe| probe.number == number);
         let Some((id, subject)) = self
             .subjects
@@ -280,13 +289,13 @@
             return;
         };
         subject.probe = None;
-        subject.next_probe_at = now + self.timings.probe_every_ms;
+        subject.next_probe_at = now + self.timings.probe_interval_ms;
         let id = *id;
         let was_suspected = self.suspected.remove(&id);
-        self.note_change(was_suspected);
+        self.record_change(was_suspected);
     }
 
-    fn note_change(&mut self, is_changed: bool) {
+    fn record_change(&mut self, is_changed: bool) {
         self.sequence += u64::from(is_changed);
     }
 }
--- a/coordination/src/monitoring/rendezvous.rs
+++ b/coordination/src/monitoring/rendezvous.rs
@@ -1,9 +1,9 @@
-//! Rendezvous hashing: each process is monitored by those that score highest for it. A process that comes or goes changes the
-//! monitors of few others.
+//! Rendezvous hashing: the monitors of a process are those with the highest scores for it. A process that joins or
+//! leaves changes the monitors of few others.
 
 use super::NodeNumber;
 
-/// Mixes two numbers so that each bit of both counts (the finalizer of SplitMix64).
+/// Hashes a pair of processes, with the finalizer of SplitMix64.
 fn score(subject: NodeNumber, monitor: NodeNumber) -> u64 {
     let mut mixed =
         (u64::from(subject) << 32 | u64::from(monitor)).wrapping_add(0x9e37_79b9_7f4a_7c15);
@@ -12,7 +12,7 @@
     mixed ^ (mixed >> 31)
 }
 
-/// The monitors of a process, the highest score first: `count` of them, or all others where there are fewer.
+/// The monitors of a process, the highest score first: `count` of them, or all other processes if there are fewer.
 pub fn monitors_of(subject: NodeNumber, nodes: &[NodeNumber], count: usize) -> Vec<NodeNumber> {
     let others = nodes.iter().filter(|node| **node != subject);
     let mut scored: Vec<(u64, NodeNumber)> =
@@ -25,7 +25,7 @@
         .collect()
 }
 
-/// The processes that one monitors.
+/// The processes that `monitor` monitors.
 pub fn subjects_of(monitor: NodeNumber, nodes: &[NodeNumber], count: usize) -> Vec<NodeNumber> {
     let others = nodes.iter().filter(|node| **node != monitor);
     others
@@ -34,7 +34,7 @@
         .collect()
 }
 
-/// Whether fewer than `count` others score higher for a process. Mostly that is decided by the first few.
+/// Whether fewer than `count` other processes have a higher score. It usually stops after a few of them.
 fn is_monitor(
     monitor: NodeNumber,
     subject: NodeNumber,
--- a/coordination/src/replica/base/tests.rs
+++ b/coordination/src/replica/base/tests.rs
@@ -1,4 +1,4 @@
-//! Bases chosen from promises that were written out by hand.
+//! Choice of the base record from given promises.
 
 use super::*;
 use crate::replica::interface::Member;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn the_newest_version_of_the_newest_record_is_the_base() {
+fn the_base_is_the_newest_version_of_the_newest_record() {
     let newest = record(5, 4, &[1, 2, 3]);
     let promises = [
         (1, promise(&newest, &newest, 7)),
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn a_minority_gives_no_base() {
+fn promises_of_a_minority_determine_no_base() {
     let newest = record(5, 4, &[1, 2, 3]);
     assert_eq!(
         choose_base(&[(1, promise(&newest, &newest, 7))].into()),
@@ -56,14 +56,14 @@
 }
 
 #[test]
-fn a_record_that_may_be_active_is_not_passed_over() {
+fn a_record_that_may_be_active_is_not_skipped() {
     let (old, newest) = (record(4, 0, &[1, 2, 3]), record(5, 4, &[1]));
     let promises = [(2, promise(&newest, &old, 7)), (3, promise(&old, &old, 7))].into();
     assert_eq!(choose_base(&promises), None);
 }
 
 #[test]
-fn a_record_that_one_of_its_replicas_lacks_is_passed_over() {
+fn a_record_that_one_of_its_replicas_has_not_accepted_is_skipped() {
     let (old, newest) = (record(4, 0, &[1, 2, 3]), record(5, 4, &[1, 3]));
     let promises = [(2, promise(&newest, &old, 7)), (3, promise(&old, &old, 7))].into();
     assert_eq!(
@@ -73,9 +73,9 @@
 }
 
 #[test]
-fn the_record_under_one_that_is_passed_over_is_not_forgotten() {
-    // Members 1 and 2 have committed in epoch 5. Member 2 then got record 6 as a witness without the state; member 3 has
-    // seen neither.
+fn the_base_of_a_skipped_record_is_not_skipped() {
+    // Members 1 and 2 have committed in epoch 5. Member 2 then accepted record 6 as a witness without the state; member
+    // 3 has neither record.
     let (old, active, newest) = (
         record(4, 0, &[1, 2, 3]),
         record(5, 4, &[1, 2]),
@@ -89,7 +89,7 @@
     let base = choose_base(&promises).expect("a base");
     assert_eq!((base.record.number, base.version), (5, 9));
 
-    // Where its holder does not say so, nobody else may be asked.
+    // If member 2 does not report its state, no base is determined.
     let mut witness = promise(&newest, &old, 7);
     witness.state_record = None;
     assert_eq!(
@@ -99,7 +99,7 @@
 }
 
 #[test]
-fn a_member_without_a_record_counts_for_the_quorum() {
+fn the_promise_of_a_member_without_a_record_counts_for_the_quorum() {
     let newest = record(1, 0, &[1, 2]);
     let without_record = Promise {
         number: 100,
--- a/coordination/src/replica/epoch_rules/model.rs
+++ b/coordination/src/replica/epoch_rules/model.rs
@@ -1,9 +1,14 @@
-//! A model check of the epochs: members prepare, install and activate records, write commands, change members, and lose
-//! disks, in every order. It runs the functions that the replica goes by; leases and times are left out, so that every
-//! election may begin at any moment.
+//! A model check of epoch changes, with stateright.
 //!
-//! Two things must hold in every state. What was committed is in the state of every epoch that is activated later, and no
-//! older epoch commits anything after that. And with the disks that are left, all answering, a new epoch can begin.
+//! Members prepare, install and activate records, write commands, change the membership and lose disks, in every order.
+//! The model calls the functions of `epoch_rules` and `base` that the replica uses. Leases and time are left out, so
+//! that an election may start at any moment.
+//!
+//! Two properties hold in every state:
+//!
+//! * Each committed command is part of the state of every epoch activated later, and no older epoch commits anything
+//!   after that.
+//! * If all members with a disk answer, a new epoch can start.
 
 mod search;
 mod state;
@@ -13,8 +18,8 @@
 use state::*;
 use stateright::{Model, Property};
 
-const COMMITTED_STATE_SURVIVES: &str = "what was committed is kept";
-const EPOCH_CAN_BEGIN: &str = "a new epoch can begin";
+const COMMITTED_STATE_SURVIVES: &str = "committed commands are never lost";
+const EPOCH_CAN_BEGIN: &str = "a new epoch can start";
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Action {
@@ -30,7 +35,7 @@
     LoseDisk(ModelId),
 }
 
-/// What a primary wants of its members.
+/// The membership change that a primary wants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MemberChange {
     Keep,
@@ -38,16 +43,16 @@
     Replace { old: ModelId, new: ModelId },
 }
 
-/// Rules that are taken out.
+/// Safety rules that are switched off, to show that each of them is necessary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
 struct DisabledRules {
-    /// Members change on the active record alone.
+    /// Membership changes only on top of the active record.
     active_record: bool,
-    /// New members get a record before the others.
+    /// New members receive a record before the others.
     new_members_first: bool,
-    /// A change of members takes two records.
+    /// A membership change goes through a joint record.
     joint_record: bool,
-    /// Records name their ancestors.
+    /// Records contain their lineage.
     lineage: bool,
 }
 
@@ -57,7 +62,7 @@
     max_records: u8,
     max_commands: usize,
     max_losses: u8,
-    /// So many disks that a record names may be lost at once.
+    /// Number of disks named by a record that may be lost at once.
     tolerated: usize,
     max_joins: u8,
 }
@@ -182,8 +187,8 @@
         }
     }
 
-    /// Of the disks that records in force or later ones name, no more are lost than is tolerated. A disk that holds no record yet may be
-    /// lost at any moment.
+    /// Whether another disk may be lost: of the disks named by the active or later records, at most the tolerated
+    /// number is lost. A disk without a record may be lost at any time.
     fn may_lose(&self, state: &State) -> bool {
         let newest = state.newest_active;
         let later = state
@@ -220,7 +225,7 @@
         next
     }
 
-    /// The record that a campaign installs on its base; `None` if there is none that may follow.
+    /// The record that a campaign installs on its base; `None` if no record may follow.
     fn next_record(
         &self,
         state: &State,
@@ -337,7 +342,7 @@
         });
         state.primaries.sort_unstable();
         let newest = state.newest_active;
-        // The answers to an older installation may come late: its primary commits nothing but what it began with.
+        // Answers to an older installation may be delayed: its primary commits nothing but its initial state.
         let contains_all_commits = match newest > number {
             true => state.descends(newest, number) && state.record(newest).log.extends(&record.log),
             false => state.descends(number, newest) && record.log.extends(&state.committed),
@@ -421,7 +426,7 @@
     type State = State;
     type Action = Action;
 
-    /// The founders have their first epoch, led by the first of them.
+    /// The founders in their first epoch, with the first of them as primary.
     fn init_states(&self) -> Vec<State> {
         let founders = (1..=self.founders).fold(0, |set, id| set | bit(id));
         let founding = Record {
--- a/coordination/src/replica/epoch_rules/model/search.rs
+++ b/coordination/src/replica/epoch_rules/model/search.rs
@@ -1,20 +1,20 @@
-//! Searches the model of the epochs: breadth first over few steps, and by chance over many. With each rule taken out alone,
-//! a counter-example is found.
+//! Searches of the model: breadth first over few steps, and random walks over many. With each single rule switched off,
+//! a random walk finds a counter-example.
 
 use super::{Action, DisabledRules, Epochs, COMMITTED_STATE_SURVIVES, EPOCH_CAN_BEGIN};
 use oorandom::Rand64;
 use stateright::{Checker, Model};
 use std::ops::Range;
 
-/// The search ends after so many states.
+/// The breadth-first search stops after this many states.
 const MAX_STATES: usize = 1_000_000;
 const THREADS: u64 = 8;
-/// Longest path by chance.
+/// Maximum length of a random walk, in actions.
 const MAX_STEPS: usize = 80;
-/// So many paths at most are walked in search of a counter-example.
+/// Maximum number of random walks in the search for a counter-example.
 const COUNTER_EXAMPLE_SEEDS: u64 = 400_000;
 
-/// Three founders, of whom some are replaced; one disk at a time is lost, at any moment.
+/// Three founders, some of which are replaced. One disk at a time is lost, at any moment.
 fn three_members(disabled_rules: DisabledRules, max_commands: usize) -> Epochs {
     let max_records = if max_commands == 0 { 6 } else { 7 };
     Epochs {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Five founders; two disks at a time are lost.
+/// Five founders. Two disks at a time are lost.
 fn five_members(disabled_rules: DisabledRules) -> Epochs {
     Epochs {
         disabled_rules,
@@ -53,10 +53,10 @@
     }
 }
 
-/// What was broken at the end of a path.
+/// The violated property and the actions that lead to the violation.
 type CounterExample = (&'static str, Vec<Action>);
 
-/// Random paths through a model, up to one that ends where a property does not hold.
+/// Random walks, one for each seed, until one violates a property.
 fn walk(model: &Epochs, seeds: Range<u64>, length: usize) -> Option<CounterExample> {
     seeds
         .into_iter()
@@ -87,7 +87,7 @@
     None
 }
 
-/// One of the actions by chance; those that bring an epoch further come more often.
+/// A random action; actions that advance an epoch have a higher weight.
 fn draw(rng: &mut Rand64, actions: Vec<Action>) -> Option<Action> {
     let total: u64 = actions.iter().map(weight).sum();
     let mut drawn = if total == 0 {
@@ -103,7 +103,7 @@
     })
 }
 
-/// Walks with many threads.
+/// Distributes random walks over threads; returns the shortest counter-example found.
 fn walk_in_parallel(model: &Epochs, seeds: u64, length: usize) -> Option<CounterExample> {
     let seeds_per_thread = seeds.div_ceil(THREADS);
     std::thread::scope(|scope| {
@@ -119,7 +119,7 @@
         let threads: Vec<_> = (0..THREADS).map(begin).collect();
         threads
             .into_iter()
-            .filter_map(|thread| thread.join().expect("it ends"))
+            .filter_map(|thread| thread.join().expect("no panic in a random walk"))
             .min_by_key(|found| found.1.len())
     })
 }
@@ -135,7 +135,7 @@
 }
 
 #[test]
-fn nothing_is_lost_and_a_new_epoch_can_begin_after_few_steps_in_any_order() {
+fn exhaustive_search_finds_no_lost_commit_and_no_state_without_a_next_epoch() {
     let checker = check(three_members(DisabledRules::default(), 1));
     println!(
         "{} states, {} steps deep",
@@ -146,7 +146,7 @@
 }
 
 #[test]
-fn nothing_is_lost_and_a_new_epoch_can_begin_after_many_steps_by_chance() {
+fn random_walks_find_no_lost_commit_and_no_state_without_a_next_epoch() {
     let all = DisabledRules::default();
     for model in [
         three_members(all, 0),
@@ -157,7 +157,7 @@
     }
 }
 
-/// The counter-example that a rule's absence leads to.
+/// The counter-example that the model has with these rules switched off.
 fn counter_example_without(disabled_rules: DisabledRules) -> CounterExample {
     let found = [0, 1].into_iter().find_map(|commands| {
         walk_in_parallel(
@@ -166,7 +166,7 @@
             MAX_STEPS,
         )
     });
-    let found = found.expect("the rule is needed");
+    let found = found.expect("a counter-example: the rule is necessary");
     println!(
         "{disabled_rules:?}: {} after {} steps: {:?}",
         found.0,
@@ -177,7 +177,7 @@
 }
 
 #[test]
-fn members_change_on_the_active_record_alone() {
+fn a_membership_change_on_an_inactive_record_loses_commits() {
     let found = counter_example_without(DisabledRules {
         active_record: true,
         ..DisabledRules::default()
@@ -186,7 +186,7 @@
 }
 
 #[test]
-fn a_change_of_members_takes_a_joint_record() {
+fn a_membership_change_without_a_joint_record_loses_commits() {
     let found = counter_example_without(DisabledRules {
         joint_record: true,
         ..DisabledRules::default()
@@ -195,7 +195,7 @@
 }
 
 #[test]
-fn new_members_get_a_record_first() {
+fn without_sending_records_to_new_members_first_no_epoch_can_start() {
     let found = counter_example_without(DisabledRules {
         new_members_first: true,
         ..DisabledRules::default()
@@ -204,7 +204,7 @@
 }
 
 #[test]
-fn records_name_their_ancestors() {
+fn without_lineage_in_records_no_epoch_can_start() {
     let found = counter_example_without(DisabledRules {
         lineage: true,
         ..DisabledRules::default()
--- a/coordination/src/replica/epoch_rules/model/state.rs
+++ b/coordination/src/replica/epoch_rules/model/state.rs
@@ -1,25 +1,25 @@
-//! The states of the model: disks, records, attempts to begin an epoch, primaries.
+//! The state of the model: disks, records, campaigns, primaries.
 
 use crate::replica::base::{choose_base, Base};
 use crate::replica::interface::{Ancestor, EpochRecord, Member, MemberId};
 use crate::replica::message::Promise;
 use std::collections::BTreeMap;
 
-/// Members are numbered from 1.
+/// Identity of a member, from 1.
 pub(super) type ModelId = u8;
-/// A set of members: one bit each.
+/// A set of members, one bit each.
 pub(super) type MemberSet = u8;
 
-/// Most members, joining ones included.
+/// Maximum number of members, including those that join.
 pub(super) const MAX_MEMBERS: usize = 8;
-/// Most records that one can descend from.
+/// Maximum number of ancestors of a record.
 pub(super) const MAX_RECORDS: usize = 8;
-/// Most commands.
+/// Maximum number of commands.
 pub(super) const MAX_COMMANDS: usize = 2;
-/// Most attempts to begin an epoch that are under way at once.
+/// Maximum number of campaigns at the same time.
 pub(super) const MAX_CAMPAIGNS: usize = 2;
 
-/// The commands of a state: the epoch in which each was written.
+/// The replicated state: for each command the epoch in which it was written.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord, Default)]
 pub(super) struct Log {
     pub(super) epochs: [u8; MAX_COMMANDS],
@@ -39,7 +39,7 @@
     }
 }
 
-/// What a member's disk holds.
+/// The disk of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Disk {
     pub(super) promised: u8,
@@ -58,7 +58,7 @@
     },
 };
 
-/// An epoch's record. Its number is its place in the list of all records.
+/// An epoch record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Record {
     pub(super) number: u8,
@@ -67,18 +67,18 @@
     pub(super) witnesses: MemberSet,
     pub(super) former: MemberSet,
     pub(super) follows: u8,
-    /// The records that it names as its ancestors; 0 ends them.
+    /// Numbers of its ancestors, terminated by 0.
     pub(super) lineage: [u8; MAX_RECORDS],
-    /// The state with which it begins.
+    /// The initial state of the epoch.
     pub(super) log: Log,
 }
 
-/// An attempt to begin an epoch.
+/// An attempt to start an epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Campaign {
     pub(super) number: u8,
     pub(super) candidate: ModelId,
-    /// By the primary of this active record, to change it.
+    /// The active record, if its primary runs this campaign to change it.
     pub(super) reconfigures: Option<u8>,
     pub(super) stage: Stage,
 }
@@ -89,12 +89,12 @@
     Installing { installed: MemberSet },
 }
 
-/// A primary of an active record.
+/// The primary of an active record.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(super) struct Primary {
     pub(super) id: ModelId,
     pub(super) record: u8,
-    /// The command under way, and who has it on disk.
+    /// The command in flight, and the members that have it on disk.
     pub(super) write: Option<(Log, MemberSet)>,
 }
 
@@ -105,7 +105,7 @@
     pub(super) last_number: u8,
     pub(super) campaigns: Vec<Campaign>,
     pub(super) primaries: Vec<Primary>,
-    /// The newest committed state, and the epoch in which it was.
+    /// The newest committed state.
     pub(super) committed: Log,
     /// The newest record that was active.
     pub(super) newest_active: u8,
@@ -157,7 +157,7 @@
             .expect("a record that was made")
     }
 
-    /// A record as the replica has it.
+    /// The record as the replica represents it.
     pub(super) fn epoch_record(&self, number: u8) -> EpochRecord {
         let record = self.record(number);
         let ancestors = record.lineage.iter().take_while(|ancestor| **ancestor > 0);
@@ -199,7 +199,7 @@
         choose_base(&promises)
     }
 
-    /// All disks that are left.
+    /// The disks that are not lost.
     pub(super) fn surviving_disks(&self) -> Vec<(ModelId, Disk)> {
         (1..=MAX_MEMBERS as ModelId)
             .filter_map(|id| Some((id, *self.disk(id)?)))
@@ -216,13 +216,13 @@
             .find(|campaign| campaign.candidate == id)
     }
 
-    /// The member takes part in another's epoch: its own part is over.
+    /// Ends the campaign and the primary role of a member that takes part in another's epoch.
     pub(super) fn step_down(&mut self, id: ModelId) {
         self.campaigns.retain(|campaign| campaign.candidate != id);
         self.primaries.retain(|primary| primary.id != id);
     }
 
-    /// Whom a candidate asks: all members that its disk and the promises so far name.
+    /// The members that a candidate asks: those named by its own record and by the promises so far.
     pub(super) fn voters(&self, candidate: ModelId, promises: &[(ModelId, Disk)]) -> MemberSet {
         let own = self.disk(candidate).and_then(|disk| disk.record);
         let promised_disk = promises.iter().filter_map(|(_, disk)| disk.record);
@@ -233,7 +233,7 @@
             })
     }
 
-    /// A record began with the state of another, perhaps over some in between.
+    /// Whether a record descends from another one, directly or not.
     pub(super) fn descends(&self, number: u8, from: u8) -> bool {
         let mut ancestor = number;
         while ancestor > from {
--- a/coordination/tests/monitoring/main.rs
+++ b/coordination/tests/monitoring/main.rs
@@ -3,9 +3,9 @@
 
 mod world;
 
+use alderhollow_coordination::monitoring::failure_detector::{FailureDetector, Thresholds};
 use alderhollow_coordination::monitoring::monitor::{Message, Monitor, Report, Timings};
 use alderhollow_coordination::monitoring::rendezvous::{monitors_of, subjects_of};
-use alderhollow_coordination::monitoring::verdicts::{Rules, Verdicts};
 use alderhollow_coordination::monitoring::{Millis, NodeNumber};
 use proptest::prelude::*;
 use std::collections::BTreeSet;
@@ -97,7 +97,7 @@
                 for _ in 0..100 {
                     world.run_for(300);
                     assert_eq!(
-                        world.verdicts.dead(world.now),
+                        world.failure_detector.dead(world.now),
                         [],
                         "quota {quota_ms:?}, loss {loss}, seed {seed}"
                     );
@@ -117,7 +117,7 @@
         world.cuts.extend([(monitor, 0), (0, monitor)]);
         for _ in 0..100 {
             world.run_for(100);
-            assert_eq!(world.verdicts.dead(world.now), []);
+            assert_eq!(world.failure_detector.dead(world.now), []);
         }
     }
 }
@@ -133,10 +133,10 @@
     world.faults.clear();
     for _ in 0..200 {
         world.run_for(10);
-        let dead = world.verdicts.dead(world.now);
+        let dead = world.failure_detector.dead(world.now);
         assert!(dead.iter().all(|node| *node == 2), "{dead:?}");
     }
-    assert_eq!(world.verdicts.dead(world.now), []);
+    assert_eq!(world.failure_detector.dead(world.now), []);
 }
 
 #[test]
@@ -146,7 +146,7 @@
     let list: Vec<NodeNumber> = (1..14).collect();
     world.set_nodes(&list);
     world.run_for(2_000);
-    assert_eq!(world.verdicts.dead(world.now), []);
+    assert_eq!(world.failure_detector.dead(world.now), []);
     world.faults.insert(13, Fault::Crash);
     let took = world
         .time_to_verdict(13, BY_SILENCE_MS)
@@ -165,7 +165,7 @@
         world.run_for(1_500);
         world.faults.clear();
         world.run_for(POLL_SLACK_MS);
-        assert_eq!(world.verdicts.dead(world.now), []);
+        assert_eq!(world.failure_detector.dead(world.now), []);
     }
 }
 
@@ -230,23 +230,23 @@
         sequence,
         suspected: suspected.iter().copied().collect(),
     };
-    let mut verdicts = Verdicts::new(Rules::default());
-    (0..4).for_each(|node| verdicts.heard(0, node, &Report::default()));
-    verdicts.heard(1_000, 0, &suspects(5, &[3]));
-    verdicts.heard(1_000, 1, &suspects(2, &[]));
-    verdicts.heard(1_000, 2, &suspects(1, &[]));
+    let mut failure_detector = FailureDetector::new(Thresholds::default());
+    (0..4).for_each(|node| failure_detector.on_poll(0, node, &Report::default()));
+    failure_detector.on_poll(1_000, 0, &suspects(5, &[3]));
+    failure_detector.on_poll(1_000, 1, &suspects(2, &[]));
+    failure_detector.on_poll(1_000, 2, &suspects(1, &[]));
     // One reporter, told twice, is one; a report that came late is none; one about an unknown process convicts nobody.
-    verdicts.heard(1_001, 0, &suspects(5, &[3]));
-    verdicts.heard(1_001, 1, &suspects(1, &[3]));
-    verdicts.heard(1_001, 2, &suspects(2, &[77]));
-    assert_eq!(verdicts.dead(1_100), []);
-    verdicts.heard(1_100, 1, &suspects(3, &[3]));
-    assert_eq!(verdicts.dead(1_100), [3]);
+    failure_detector.on_poll(1_001, 0, &suspects(5, &[3]));
+    failure_detector.on_poll(1_001, 1, &suspects(1, &[3]));
+    failure_detector.on_poll(1_001, 2, &suspects(2, &[77]));
+    assert_eq!(failure_detector.dead(1_100), []);
+    failure_detector.on_poll(1_100, 1, &suspects(3, &[3]));
+    assert_eq!(failure_detector.dead(1_100), [3]);
     // Its own poll ends the verdict; a reporter that fell silent does not count.
-    verdicts.heard(1_200, 3, &Report::default());
-    assert_eq!(verdicts.dead(1_300), []);
-    verdicts.heard(2_400, 2, &suspects(3, &[]));
-    assert_eq!(verdicts.dead(2_400), []);
+    failure_detector.on_poll(1_200, 3, &Report::default());
+    assert_eq!(failure_detector.dead(1_300), []);
+    failure_detector.on_poll(2_400, 2, &suspects(3, &[]));
+    assert_eq!(failure_detector.dead(2_400), []);
 }
 
 /// Messages as they may come from anywhere.
@@ -255,11 +255,11 @@
     prop_oneof![
         numbers
             .clone()
-            .prop_map(|(number, asker)| Message::Probe { number, asker }),
+            .prop_map(|(number, requester)| Message::Probe { number, requester }),
         numbers
             .clone()
-            .prop_map(|(number, asker)| Message::Answer { number, asker }),
-        numbers.prop_map(|(number, subject)| Message::ProbeFor { subject, number }),
+            .prop_map(|(number, requester)| Message::Answer { number, requester }),
+        numbers.prop_map(|(number, subject)| Message::IndirectProbe { subject, number }),
     ]
 }
 
@@ -276,9 +276,9 @@
         for (from, message, pause) in messages {
             now += pause;
             let mut sends = Vec::new();
-            monitor.receive(now, from, message, &mut sends);
+            monitor.on_message(now, from, message, &mut sends);
             prop_assert!(sends.len() <= 1);
-            monitor.wake(now, &mut sends);
+            monitor.on_timer(now, &mut sends);
             prop_assert!(monitor.report().suspected.iter().all(|node| subjects.contains(node)));
         }
     }
--- a/coordination/tests/monitoring/world.rs
+++ b/coordination/tests/monitoring/world.rs
@@ -1,7 +1,7 @@
 //! Processes that monitor each other and poll a primary, in a simulated network. Each run depends on its seed alone.
 
+use alderhollow_coordination::monitoring::failure_detector::{FailureDetector, Thresholds};
 use alderhollow_coordination::monitoring::monitor::{Message, Monitor, Report, Timings};
-use alderhollow_coordination::monitoring::verdicts::{Rules, Verdicts};
 use alderhollow_coordination::monitoring::{Millis, NodeNumber};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
@@ -48,7 +48,7 @@
     pub loss_percent: u64,
     /// Milliseconds at the start of each period in which all processes run; `None`: always.
     pub quota_ms: Option<Millis>,
-    pub verdicts: Verdicts,
+    pub failure_detector: FailureDetector,
     pub sent_bytes: BTreeMap<NodeNumber, u64>,
     monitors: BTreeMap<NodeNumber, Monitor>,
     /// When each is woken next.
@@ -67,7 +67,7 @@
             cuts: BTreeSet::new(),
             loss_percent: 0,
             quota_ms: None,
-            verdicts: Verdicts::new(Rules::default()),
+            failure_detector: FailureDetector::new(Thresholds::default()),
             sent_bytes: BTreeMap::new(),
             monitors: BTreeMap::new(),
             wakes: BTreeMap::new(),
@@ -108,7 +108,7 @@
         let begun = self.now;
         while self.now < begun + limit {
             self.run_for(10);
-            if self.verdicts.dead(self.now).contains(&node) {
+            if self.failure_detector.dead(self.now).contains(&node) {
                 return Some(self.now - begun);
             }
         }
@@ -125,7 +125,7 @@
             .collect();
         for node in gone {
             self.monitors.remove(&node);
-            self.verdicts.forget(node);
+            self.failure_detector.remove(node);
         }
         let now = self.now;
         for node in nodes {
@@ -152,7 +152,7 @@
             let is_sooner = self
                 .wakes
                 .get(&node)
-                .is_none_or(|known| at < *known || *known <= self.now);
+                .is_none_or(|nodes| at < *nodes || *nodes <= self.now);
             if is_sooner {
                 self.wakes.insert(node, at);
                 self.schedule(at, Event::Wake(node));
@@ -179,7 +179,9 @@
         let node = match &event {
             Event::Wake(node) | Event::Poll(node) => *node,
             Event::Deliver { to, .. } => *to,
-            Event::Report { from, report } => return self.verdicts.heard(self.now, *from, report),
+            Event::Report { from, report } => {
+                return self.failure_detector.on_poll(self.now, *from, report)
+            }
         };
         if !self.monitors.contains_key(&node) {
             return;
@@ -199,8 +201,10 @@
         let mut sends = Vec::new();
         let before = monitor.report().sequence;
         match event {
-            Event::Wake(_) => monitor.wake(now, &mut sends),
-            Event::Deliver { from, message, .. } => monitor.receive(now, from, message, &mut sends),
+            Event::Wake(_) => monitor.on_timer(now, &mut sends),
+            Event::Deliver { from, message, .. } => {
+                monitor.on_message(now, from, message, &mut sends)
+            }
             Event::Poll(_) => {
                 self.poll(node);
                 return self.schedule(now + POLL_EVERY_MS, Event::Poll(node));
