--- a/storage/src/disk.rs
+++ b/storage/src/disk.rs
@@ -1,4 +1,6 @@
-//! What the journal needs of a disk, and the real one.
+//! The file operations that the journal needs ([`Disk`], [`DiskFile`]), and their implementation on the file system.
+//!
+//! The journal uses a fixed set of file names and no rename or removal.
 
 use std::fs::{File, OpenOptions};
 use std::io::{self, Read, Seek, SeekFrom, Write};
@@ -6,35 +8,54 @@
 
 /// A folder of files.
 pub trait Disk: Send {
-    /// Opens `name` to read and write, as it is, and makes it empty if there is none.
+    /// Opens the file `name` for reading and writing; creates an empty file if it does not exist.
+    ///
+    /// # Errors
+    /// The file can't be opened or created.
     fn open(&mut self, name: &'static str) -> io::Result<Box<dyn DiskFile>>;
 }
 
-/// One open file. What was written counts as durable only after the next [`DiskFile::sync`] that succeeds.
+/// An open file. Written bytes are durable only after the next successful [`DiskFile::sync`].
 pub trait DiskFile: Send {
-    /// Current length.
+    /// Current length in bytes.
+    ///
+    /// # Errors
+    /// The file's metadata can't be read.
     fn length(&mut self) -> io::Result<u64>;
-    /// Reads at most `buffer.len()` bytes from `offset` on; 0 at the end of the file.
+    /// Reads up to `buffer.len()` bytes at `offset`; returns their number, 0 at the end of the file.
+    ///
+    /// # Errors
+    /// The read failed.
     fn read_at(&mut self, offset: u64, buffer: &mut [u8]) -> io::Result<usize>;
-    /// Writes all of `bytes` from `offset` on. After an error any part of them may have been written.
+    /// Writes all of `bytes` at `offset`.
+    ///
+    /// # Errors
+    /// The write failed; any part of `bytes` may have been written.
     fn write_at(&mut self, offset: u64, bytes: &[u8]) -> io::Result<()>;
-    /// Cuts the file, or extends it by zeros.
+    /// Truncates the file, or extends it with zeros.
+    ///
+    /// # Errors
+    /// The length can't be changed.
     fn set_length(&mut self, length: u64) -> io::Result<()>;
-    /// Makes all that was written so far durable.
+    /// Makes all bytes written so far durable.
+    ///
+    /// # Errors
+    /// The sync failed; the bytes written since the last successful sync may or may not be durable.
     fn sync(&mut self) -> io::Result<()>;
 }
 
-/// Size of the pieces in which files are read.
-const READ_PIECE: usize = 256 * 1024;
+/// Size of the chunks in which files are read.
+const READ_CHUNK_BYTES: usize = 256 * 1024;
 
-/// Reads `length` bytes from `offset` on in pieces, and passes each piece on; `false` if the file ends before.
-pub(crate) fn read_pieces(
+/// Reads `length` bytes from `offset` in chunks and passes each chunk to `take`; `false` if the file ends before.
+pub(crate) fn read_chunks(
     file: &mut dyn DiskFile,
     offset: u64,
     length: u64,
     mut take: impl FnMut(&[u8]),
 ) -> io::Result<bool> {
-    let mut buffer = vec![0; READ_PIECE.min(usize::try_from(length).unwrap_or(READ_PIECE))];
+    let mut buffer =
+        vec![0; READ_CHUNK_BYTES.min(usize::try_from(length).unwrap_or(READ_CHUNK_BYTES))];
     let mut done = 0;
     while done < length {
         let wanted =
@@ -49,13 +70,16 @@
     Ok(true)
 }
 
-/// A folder of the real file system.
+/// A folder of the file system.
 pub struct FolderDisk {
     folder: PathBuf,
 }
 
 impl FolderDisk {
-    /// The disk in `folder`, which is made if it is missing.
+    /// The disk in `folder`, which is created if it does not exist.
+    ///
+    /// # Errors
+    /// The folder can't be created.
     pub fn new(folder: &Path) -> io::Result<FolderDisk> {
         std::fs::create_dir_all(folder)?;
         Ok(FolderDisk {
@@ -63,7 +87,7 @@
         })
     }
 
-    /// Opens `name` only to read, without making it.
+    /// Opens `name` for reading, without creating it; `None` if it does not exist.
     pub(crate) fn open_to_read(folder: &Path, name: &str) -> io::Result<Option<FolderFile>> {
         match File::open(folder.join(name)) {
             Ok(file) => Ok(Some(FolderFile {
@@ -99,7 +123,7 @@
 /// A file of a [`FolderDisk`].
 pub(crate) struct FolderFile {
     file: File,
-    /// Where the system stands in the file, if known: spares a seek where reads or writes follow each other.
+    /// The file position of the operating system, if known: saves the seek before sequential operations.
     position: Option<u64>,
 }
 
--- a/storage/src/error.rs
+++ b/storage/src/error.rs
@@ -1,50 +1,50 @@
-//! What can go wrong between a process and its disk.
+//! Errors of the journal and its disk.
 
 use std::io;
 use std::sync::Arc;
 
-/// Why a call of the journal failed. It is cheap to clone, as one failed sync answers many waiting writes.
+/// Error of a journal operation. Cheap to clone, because one failed sync fails many pending writes.
 #[derive(Debug, Clone, thiserror::Error)]
 pub enum StorageError {
-    /// The disk has no room. Compact to a smaller state, or make room, and try again.
-    #[error("no room left on the disk for {file}; make room on the disk of the data folder")]
+    /// The disk is full. Compact to a smaller state or free disk space, and retry.
+    #[error("no space left on the disk for {file}; free space on the disk of the data folder")]
     Full {
-        /// File that was being written.
+        /// The file that was being written.
         file: &'static str,
     },
-    /// The disk refused an operation.
+    /// A disk operation failed.
     #[error("disk operation on {file} failed: {source}; check the disk and the rights on the data folder")]
     Io {
-        /// File that was being read or written.
+        /// The file that was being read or written.
         file: &'static str,
-        /// What the system said.
+        /// The error of the operating system.
         source: Arc<io::Error>,
     },
-    /// The folder holds data whose identity can't be read: it must not be used as a disk of this system.
+    /// The folder contains data, but its identity can't be read: it must not be used as a disk of this system.
     #[error(
         "the identity of the disk is damaged although the disk holds data; wipe it to join as a new disk"
     )]
     DamagedIdentity,
-    /// Snapshots were written here, yet neither slot is whole: acknowledged data is lost.
+    /// Snapshots were written to this disk, but neither slot has a valid one: acknowledged data is lost.
     #[error(
-        "neither snapshot slot is whole although snapshots were written; wipe the disk to join as a new one"
+        "neither snapshot slot has a valid snapshot although snapshots were written; wipe the disk to join as a new one"
     )]
     DamagedSnapshots,
-    /// A record is longer than a log takes.
-    #[error("a record of {length} bytes is over the limit of {limit}")]
+    /// The record exceeds the maximum length.
+    #[error("a record of {length} bytes exceeds the limit of {limit} bytes")]
     RecordTooLong {
-        /// Length of the record.
+        /// Length of the record in bytes.
         length: usize,
-        /// The longest record.
+        /// Maximum length in bytes.
         limit: usize,
     },
-    /// The thread that writes has ended.
-    #[error("the thread that writes to the disk has ended; restart the process")]
+    /// The writer thread has exited.
+    #[error("the writer thread of the disk has exited; restart the process")]
     WriterEnded,
 }
 
 impl StorageError {
-    /// Wraps an error of the system on `file`.
+    /// Returns a function that converts an I/O error on `file`.
     pub(crate) fn on(file: &'static str) -> impl Fn(io::Error) -> StorageError {
         move |source| match source.kind() {
             io::ErrorKind::StorageFull | io::ErrorKind::QuotaExceeded => {
@@ -57,7 +57,7 @@
         }
     }
 
-    /// Whether the disk had no room.
+    /// Whether the error is a full disk.
     pub fn is_full(&self) -> bool {
         matches!(self, StorageError::Full { .. })
     }
--- a/storage/src/fault_disk.rs
+++ b/storage/src/fault_disk.rs
@@ -1,18 +1,18 @@
-//! A disk in memory that keeps the rules of a real one and breaks on demand: power is lost at a chosen operation, syncs
-//! fail, room runs out.
+//! A simulated disk in memory with fault injection: loss of power at a chosen operation, failed syncs, a full disk.
 //!
-//! A file holds what its last sync covered; each later write is present, missing or torn, independently. A new file
-//! persists through its own sync. A failed sync leaves any part of the writes before it, and no later sync covers them.
+//! A file durably contains what its last sync covered. After a loss of power each later write is present, missing or
+//! torn, independently of the others. A new file becomes durable with its own sync. A failed sync leaves any part of
+//! the writes before it, and no later sync covers them.
 
 use crate::disk::{Disk, DiskFile};
 use std::collections::BTreeMap;
 use std::io;
 use std::sync::{Arc, Mutex, MutexGuard, PoisonError};
 
-/// Writes are torn at multiples of this, or at any byte of a shorter write.
-const SECTOR: usize = 512;
+/// Long writes are torn at multiples of this size; shorter ones at any byte.
+const SECTOR_BYTES: usize = 512;
 
-/// The disk. Clones are handles of the same disk.
+/// A simulated disk. Clones are handles to the same disk.
 #[derive(Clone)]
 pub struct FaultDisk {
     state: Arc<Mutex<State>>,
@@ -21,20 +21,20 @@
 struct State {
     files: BTreeMap<&'static str, Contents>,
     capacity: u64,
-    /// Number of changing operations (writes, cuts, syncs) so far.
+    /// Number of modifying operations (writes, truncations, syncs) so far.
     operations: u64,
     power_fails_at: Option<u64>,
     sync_fails_at: Option<u64>,
-    process_ends_at: Option<u64>,
-    /// Files opened before the last loss of power are dead.
-    power: u64,
+    process_stops_at: Option<u64>,
+    /// Number of power losses so far. Files opened before the last one are unusable.
+    power_cycle: u64,
     is_powered: bool,
     random: random::Random,
 }
 
 #[derive(Default)]
 struct Contents {
-    /// What survives a loss of power, once the file has been synced.
+    /// The contents that survive a loss of power.
     durable: Vec<u8>,
     current: Vec<u8>,
     unsynced: Vec<Change>,
@@ -62,18 +62,18 @@
     if bytes.len() < end {
         bytes.resize(end, 0);
     }
-    if let Some(place) = bytes.get_mut(offset..end) {
-        place.copy_from_slice(written);
+    if let Some(target) = bytes.get_mut(offset..end) {
+        target.copy_from_slice(written);
     }
 }
 
-/// A small generator, so that the same seed gives the same losses.
+/// A small random generator: the same seed gives the same faults.
 mod random {
-    /// State of splitmix64.
+    /// State of SplitMix64.
     pub struct Random(pub u64);
 
     impl Random {
-        /// A number below `bound`, which is not 0.
+        /// A random number below `bound`, which must not be 0.
         pub fn below(&mut self, bound: usize) -> usize {
             self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
             let mut mixed = self.0;
@@ -85,7 +85,7 @@
 }
 
 impl FaultDisk {
-    /// An empty disk with room for `capacity` bytes; `seed` decides what a loss of power leaves.
+    /// An empty disk of `capacity` bytes. `seed` determines what a loss of power leaves.
     pub fn new(capacity: u64, seed: u64) -> FaultDisk {
         let state = State {
             files: BTreeMap::new(),
@@ -93,8 +93,8 @@
             operations: 0,
             power_fails_at: None,
             sync_fails_at: None,
-            process_ends_at: None,
-            power: 0,
+            process_stops_at: None,
+            power_cycle: 0,
             is_powered: true,
             random: random::Random(seed),
         };
@@ -103,59 +103,59 @@
         }
     }
 
-    /// Lets power fail at the changing operation (write, cut, sync) that many after now, 0 being the next one. All
-    /// operations fail from then on, until [`FaultDisk::restore_power`].
+    /// Cuts power at the modifying operation (write, truncation, sync) that comes this many after now, 0 being the next
+    /// one. All operations fail from then on, until [`FaultDisk::restore_power`].
     pub fn fail_power_after(&self, operations: u64) {
         let mut state = self.lock();
         state.power_fails_at = Some(state.operations + operations);
     }
 
-    /// Lets the first sync fail that comes that many changing operations after now or later.
+    /// Fails the first sync that is at least this many modifying operations after now.
     pub fn fail_sync_after(&self, operations: u64) {
         let mut state = self.lock();
         state.sync_fails_at = Some(state.operations + operations);
     }
 
-    /// Ends the process that uses the disk before the changing operation that many after now: it changes nothing more,
-    /// and what it wrote stays as it is. [`FaultDisk::restart_process`] lets the next one begin.
+    /// Stops the process that uses the disk before the modifying operation that comes this many after now: further
+    /// operations fail, and what it wrote stays unchanged. [`FaultDisk::restart_process`] ends this.
     pub fn end_process_after(&self, operations: u64) {
         let mut state = self.lock();
-        state.process_ends_at = Some(state.operations + operations);
+        state.process_stops_at = Some(state.operations + operations);
     }
 
     /// Lets another process use the disk.
     pub fn restart_process(&self) {
-        self.lock().process_ends_at = None;
+        self.lock().process_stops_at = None;
     }
 
-    /// Changes the room on the disk.
+    /// Changes the capacity, in bytes.
     pub fn set_capacity(&self, capacity: u64) {
         self.lock().capacity = capacity;
     }
 
-    /// Number of changing operations so far.
+    /// Number of modifying operations so far.
     pub fn operations(&self) -> u64 {
         self.lock().operations
     }
 
-    /// Bytes that all files hold.
+    /// Total size of all files, in bytes.
     pub fn used(&self) -> u64 {
         self.lock().used()
     }
 
-    /// Loses power, if it has not failed yet, and restores it: unsynced writes are present, missing or torn. Files that
-    /// are open stay dead.
+    /// Cuts power unless it is off already, and restores it: unsynced writes are present, missing or torn. Files opened
+    /// before stay unusable.
     pub fn restore_power(&self) {
         let mut state = self.lock();
         state.lose_unsynced();
         state.power_fails_at = None;
         state.sync_fails_at = None;
-        state.process_ends_at = None;
-        state.power += 1;
+        state.process_stops_at = None;
+        state.power_cycle += 1;
         state.is_powered = true;
     }
 
-    /// Overwrites bytes of a file, behind the back of all rules.
+    /// Overwrites bytes of a file, durable contents included.
     pub fn corrupt(&self, name: &'static str, offset: usize, bytes: &[u8]) {
         let mut state = self.lock();
         let contents = state.files.entry(name).or_default();
@@ -177,20 +177,23 @@
     }
 
     fn lose_unsynced(&mut self) {
-        let all_gone = self.random.below(8) == 0;
+        let loses_all = self.random.below(8) == 0;
         for contents in self.files.values_mut() {
             let changes = std::mem::take(&mut contents.unsynced);
-            if !all_gone {
-                keep_some(&changes, &mut contents.durable, &mut self.random);
+            if !loses_all {
+                apply_some(&changes, &mut contents.durable, &mut self.random);
             }
             contents.current = contents.durable.clone();
         }
     }
 
-    /// Counts an operation; an error if power is off or fails now.
+    /// Counts a modifying operation; fails if power is off or is cut now, or the process is stopped.
     fn begin(&mut self) -> io::Result<()> {
         self.check_power()?;
-        if self.process_ends_at.is_some_and(|at| self.operations >= at) {
+        if self
+            .process_stops_at
+            .is_some_and(|at| self.operations >= at)
+        {
             return Err(io::Error::other("the process has ended"));
         }
         if self.power_fails_at.is_some_and(|at| self.operations >= at) {
@@ -222,8 +225,11 @@
         let offset = offset as usize;
         let length = self.contents(name).current.len();
         let others = self.used() - length as u64;
-        let room = self.capacity.saturating_sub(others) as usize;
-        let fitting = room.max(length).saturating_sub(offset).min(bytes.len());
+        let free_bytes = self.capacity.saturating_sub(others) as usize;
+        let fitting = free_bytes
+            .max(length)
+            .saturating_sub(offset)
+            .min(bytes.len());
         let written = bytes.get(..fitting).unwrap_or_default().to_vec();
         if !written.is_empty() {
             self.change(
@@ -255,7 +261,7 @@
         let contents = files.entry(name).or_default();
         let changes = std::mem::take(&mut contents.unsynced);
         if fails {
-            keep_some(&changes, &mut contents.durable, random);
+            apply_some(&changes, &mut contents.durable, random);
             self.sync_fails_at = None;
             return Err(io::Error::other("the sync failed"));
         }
@@ -266,27 +272,27 @@
     }
 }
 
-/// Applies each change wholly, not at all, or in part.
-fn keep_some(changes: &[Change], durable: &mut Vec<u8>, random: &mut random::Random) {
+/// Applies each change completely, not at all, or in part.
+fn apply_some(changes: &[Change], durable: &mut Vec<u8>, random: &mut random::Random) {
     for change in changes {
         match (random.below(3), change) {
             (0, _) => {}
-            (1, Change::Write { offset, bytes }) => keep_torn(*offset, bytes, durable, random),
+            (1, Change::Write { offset, bytes }) => apply_torn(*offset, bytes, durable, random),
             _ => change.apply(durable),
         }
     }
 }
 
-/// Applies some of the pieces of a write.
-fn keep_torn(offset: usize, bytes: &[u8], durable: &mut Vec<u8>, random: &mut random::Random) {
-    let piece = if bytes.len() > 2 * SECTOR {
-        SECTOR
+/// Applies a random subset of the chunks of a write.
+fn apply_torn(offset: usize, bytes: &[u8], durable: &mut Vec<u8>, random: &mut random::Random) {
+    let chunk_bytes = if bytes.len() > 2 * SECTOR_BYTES {
+        SECTOR_BYTES
     } else {
         1 + random.below(bytes.len())
     };
-    for (index, part) in bytes.chunks(piece).enumerate() {
+    for (index, chunk) in bytes.chunks(chunk_bytes).enumerate() {
         if random.below(2) == 0 {
-            write_into(durable, offset + index * piece, part);
+            write_into(durable, offset + index * chunk_bytes, chunk);
         }
     }
 }
@@ -296,12 +302,12 @@
         let mut state = self.lock();
         state.check_power()?;
         state.contents(name);
-        let power = state.power;
+        let power_cycle = state.power_cycle;
         drop(state);
         Ok(Box::new(FaultFile {
             disk: self.clone(),
             name,
-            power,
+            power_cycle,
         }))
     }
 }
@@ -310,14 +316,14 @@
 struct FaultFile {
     disk: FaultDisk,
     name: &'static str,
-    /// The power under which it was opened.
-    power: u64,
+    /// Value of [`State::power_cycle`] at which it was opened.
+    power_cycle: u64,
 }
 
 impl FaultFile {
     fn with<T>(&self, operate: impl FnOnce(&mut State) -> io::Result<T>) -> io::Result<T> {
         let mut state = self.disk.lock();
-        match state.power == self.power {
+        match state.power_cycle == self.power_cycle {
             true => operate(&mut state),
             false => Err(io::Error::other("power was lost since the file was opened")),
         }
--- a/storage/src/identity.rs
+++ b/storage/src/identity.rs
@@ -1,36 +1,36 @@
-//! The identity of a disk: drawn once, synced before anything else is written.
+//! The identity of a disk: drawn at random once, and synced before any other data is written.
 
 use crate::disk::DiskFile;
 use crate::error::StorageError;
 use std::io;
 
-/// Name of the file.
+/// Name of the identity file.
 pub(crate) const FILE: &str = "identity";
 
 const MAGIC: [u8; 8] = *b"alder-id";
-const LENGTH: usize = 20;
+const FILE_BYTES: usize = 20;
 
-/// What the file of the identity holds.
+/// Contents of the identity file.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Stored {
-    /// Nothing.
+    /// The file is empty.
     Empty,
-    /// Bytes that are no identity.
+    /// The file contains no valid identity.
     Damaged,
-    /// An identity.
-    Whole(u64),
+    /// A valid identity.
+    Valid(u64),
 }
 
-/// Reads the identity.
+/// Reads the identity file.
 pub(crate) fn read(file: &mut dyn DiskFile) -> io::Result<Stored> {
     if file.length()? == 0 {
         return Ok(Stored::Empty);
     }
-    let mut bytes = Vec::with_capacity(LENGTH);
-    crate::disk::read_pieces(file, 0, LENGTH as u64, |piece| {
-        bytes.extend_from_slice(piece)
+    let mut bytes = Vec::with_capacity(FILE_BYTES);
+    crate::disk::read_chunks(file, 0, FILE_BYTES as u64, |chunk| {
+        bytes.extend_from_slice(chunk)
     })?;
-    Ok(decode(&bytes).map_or(Stored::Damaged, Stored::Whole))
+    Ok(decode(&bytes).map_or(Stored::Damaged, Stored::Valid))
 }
 
 /// Writes and syncs `identity`.
--- a/storage/src/inspect.rs
+++ b/storage/src/inspect.rs
@@ -1,4 +1,4 @@
-//! What a data folder holds, for operators; nothing in it is changed.
+//! Read-only inspection of a data folder, for operators.
 
 use crate::disk::FolderDisk;
 use crate::error::StorageError;
@@ -7,61 +7,61 @@
 use std::fmt;
 use std::path::Path;
 
-/// A data folder as it stands.
+/// Contents of a data folder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Inspection {
-    /// Identity of the disk, if it has one that can be read.
+    /// Identity of the disk, if a valid one is present.
     pub identity: Option<u64>,
-    /// The snapshot slots that exist.
+    /// The snapshot slots that are not empty.
     pub slots: Vec<SlotReport>,
     /// The logs that exist.
     pub logs: Vec<LogReport>,
-    /// What is unusual.
+    /// Unusual findings.
     pub findings: Vec<Finding>,
 }
 
 /// A snapshot slot.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct SlotReport {
-    /// Its file.
+    /// Name of its file.
     pub file: &'static str,
-    /// Generation that its header names.
+    /// Generation in its header.
     pub generation: Option<u64>,
-    /// Bytes of the snapshot, by its header.
+    /// Size of the snapshot in bytes, from its header.
     pub bytes: u64,
-    /// Whether the snapshot is whole.
+    /// Whether the snapshot is valid.
     pub is_whole: bool,
-    /// Whether it is the newest whole one, which a process would start from.
+    /// Whether it is the newest valid snapshot, from which a process starts.
     pub is_in_force: bool,
 }
 
 /// A log.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct LogReport {
-    /// Its file.
+    /// Name of its file.
     pub file: &'static str,
     /// Generation of its first record.
     pub generation: Option<u64>,
-    /// Lengths of its records, in order.
+    /// Lengths of its valid records in bytes, in order.
     pub records: Vec<usize>,
-    /// Bytes behind the last whole record.
+    /// Number of bytes after the last valid record.
     pub surplus: u64,
-    /// Whether a process would read it.
+    /// Whether it is the log that a process reads.
     pub is_in_force: bool,
 }
 
-/// Something unusual in a folder.
+/// An unusual finding in a data folder.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Finding {
-    /// No identity, or a damaged one.
+    /// The identity is missing or damaged.
     NoIdentity,
-    /// A slot that isn't whole: a snapshot was being written when the process ended.
+    /// The slot has no valid snapshot: the write of a snapshot was interrupted.
     TornSnapshot(&'static str),
-    /// Bytes behind the last whole record of the log in force, which a start cuts.
+    /// The active log has bytes after its last valid record. The next start truncates them.
     TornTail {
-        /// The log.
+        /// Name of the log's file.
         file: &'static str,
-        /// How many bytes.
+        /// Number of these bytes.
         bytes: u64,
     },
 }
@@ -76,7 +76,7 @@
             Finding::TornSnapshot(file) => {
                 write!(
                     f,
-                    "{file} is not whole: writing it was broken off; a start uses the other slot"
+                    "{file} has no valid snapshot: its write was interrupted; a start uses the other slot"
                 )
             }
             Finding::TornTail { file, bytes } => {
@@ -89,15 +89,18 @@
     }
 }
 
-/// Reads the data folder of a process that is not running.
+/// Inspects the data folder of a process that is not running.
+///
+/// # Errors
+/// A file can't be read.
 pub fn inspect(folder: &Path) -> Result<Inspection, StorageError> {
     let identity = read_identity(folder)?;
     let mut slots = Vec::new();
     for file in slot::FILES {
         slots.extend(read_slot(folder, file)?);
     }
-    mark_slot_in_force(&mut slots);
-    let (side, generation) = in_force(&slots);
+    mark_active_slot(&mut slots);
+    let (side, generation) = active_log(&slots);
     let mut logs = Vec::new();
     for (index, file) in log::FILES.into_iter().enumerate() {
         logs.extend(read_log(
@@ -115,8 +118,8 @@
     })
 }
 
-/// What a process would start from, of a folder whose process is not running; `None` if the folder has no identity.
-/// Nothing is changed.
+/// Reads the state from which a process would start, from the folder of a process that is not running; `None` if the
+/// folder has no valid identity. Nothing is changed.
 ///
 /// # Errors
 /// A file can't be read.
@@ -126,11 +129,11 @@
     };
     let inspection = inspect(folder)?;
     let snapshot = match inspection.slots.iter().find(|slot| slot.is_in_force) {
-        Some(slot) => read_whole_snapshot(folder, slot.file)?,
+        Some(slot) => read_valid_snapshot(folder, slot.file)?,
         None => None,
     };
     let records = match inspection.logs.iter().find(|log| log.is_in_force) {
-        Some(log) => read_records(folder, log.file, in_force(&inspection.slots).1)?,
+        Some(log) => read_records(folder, log.file, active_log(&inspection.slots).1)?,
         None => Vec::new(),
     };
     Ok(Some(Recovered {
@@ -140,7 +143,7 @@
     }))
 }
 
-fn read_whole_snapshot(folder: &Path, name: &'static str) -> Result<Option<Vec<u8>>, StorageError> {
+fn read_valid_snapshot(folder: &Path, name: &'static str) -> Result<Option<Vec<u8>>, StorageError> {
     let on = StorageError::on(name);
     let Some(mut file) = FolderDisk::open_to_read(folder, name).map_err(&on)? else {
         return Ok(None);
@@ -169,7 +172,7 @@
         return Ok(None);
     };
     match identity::read(&mut file).map_err(&on)? {
-        identity::Stored::Whole(identity) => Ok(Some(identity)),
+        identity::Stored::Valid(identity) => Ok(Some(identity)),
         identity::Stored::Empty | identity::Stored::Damaged => Ok(None),
     }
 }
@@ -198,7 +201,7 @@
     }))
 }
 
-fn mark_slot_in_force(slots: &mut [SlotReport]) {
+fn mark_active_slot(slots: &mut [SlotReport]) {
     let newest = slots
         .iter_mut()
         .filter(|slot| slot.is_whole)
@@ -208,8 +211,8 @@
     }
 }
 
-/// Place and generation of the log in force.
-fn in_force(slots: &[SlotReport]) -> (usize, u64) {
+/// Index and generation of the active log.
+fn active_log(slots: &[SlotReport]) -> (usize, u64) {
     let slot = slots.iter().find(|slot| slot.is_in_force);
     let side = slot.and_then(|slot| slot::FILES.iter().position(|file| *file == slot.file));
     let generation = slot.and_then(|slot| slot.generation);
@@ -219,14 +222,14 @@
 fn read_log(
     folder: &Path,
     name: &'static str,
-    in_force: Option<u64>,
+    active_log: Option<u64>,
 ) -> Result<Option<LogReport>, StorageError> {
     let on = StorageError::on(name);
     let Some(mut file) = FolderDisk::open_to_read(folder, name).map_err(&on)? else {
         return Ok(None);
     };
-    let mut contents = log::read(&mut file, in_force.unwrap_or(0)).map_err(&on)?;
-    if let (None, Some(generation)) = (in_force, contents.first_generation) {
+    let mut contents = log::read(&mut file, active_log.unwrap_or(0)).map_err(&on)?;
+    if let (None, Some(generation)) = (active_log, contents.first_generation) {
         contents = log::read(&mut file, generation).map_err(&on)?;
     }
     Ok(Some(LogReport {
@@ -234,7 +237,7 @@
         generation: contents.first_generation,
         records: contents.records.iter().map(Vec::len).collect(),
         surplus: contents.surplus,
-        is_in_force: in_force.is_some(),
+        is_in_force: active_log.is_some(),
     }))
 }
 
--- a/storage/src/journal.rs
+++ b/storage/src/journal.rs
@@ -1,40 +1,40 @@
-//! The journal: snapshots in two slots in turn, and the log of the newest snapshot's generation.
+//! The journal: two snapshot slots that are written in turn, and the log of the newest snapshot's generation.
 //!
-//! The slot that is being written is never the one in force, and becomes so with its sync. Names never change, so that
-//! no rename or removal has to be made durable.
+//! Invariant: the slot being written is never the active one; it becomes active with its sync. File names never change,
+//! so that no rename or removal has to be made durable.
 
 use crate::disk::{Disk, DiskFile};
 use crate::error::StorageError;
 use crate::identity;
 use crate::log::{self, Log};
-use crate::slot::{self, WriteFailure};
+use crate::slot::{self, WriteSnapshotError};
 
-/// What a disk held.
+/// The state read from a disk when its journal is opened.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Recovered {
     /// Identity of the disk.
     pub identity: u64,
-    /// Newest snapshot, if one was ever written.
+    /// The newest valid snapshot; `None` if none was written.
     pub snapshot: Option<Vec<u8>>,
-    /// Records appended since, in order.
+    /// Records appended since that snapshot, in order.
     pub records: Vec<Vec<u8>>,
 }
 
 /// Durable state on one disk: a snapshot, and the records appended since.
 ///
-/// A write whose sync succeeded is there after a restart. One that failed may be there until the next sync that succeeds.
+/// A write whose sync succeeded survives a restart. A write that failed may survive it until the next successful sync.
 pub struct Journal {
     slots: [Box<dyn DiskFile>; 2],
     logs: [Log; 2],
-    /// Place of the snapshot in force and of its log.
+    /// Side of the active snapshot and log.
     current: Side,
-    /// Highest generation that was ever begun.
+    /// Highest generation used so far.
     generation: u64,
-    /// Whether the slot out of force may be whole with a newer generation, because its sync failed.
-    is_unsettled: bool,
+    /// Whether the inactive slot may contain a valid snapshot of a newer generation, because its sync failed.
+    has_uncertain_slot: bool,
 }
 
-/// One of the two places.
+/// One of the two slots, with its log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Side {
     A,
@@ -58,17 +58,21 @@
     }
 }
 
-/// The newest whole snapshot of a disk.
+/// The newest valid snapshot of a disk.
 struct Newest {
     side: Side,
     generation: u64,
     snapshot: Option<Vec<u8>>,
-    /// Highest generation that either slot names.
+    /// Highest generation in the header of either slot.
     highest: u64,
 }
 
 impl Journal {
-    /// Opens the journal on `disk`. A disk that was never used gets `fresh_identity`, which the caller draws at random.
+    /// Opens the journal on `disk`. An unused disk gets `fresh_identity`, which the caller draws at random.
+    ///
+    /// # Errors
+    /// The disk failed, its identity is damaged although it contains data, or neither slot has a valid snapshot
+    /// although snapshots were written.
     pub fn open(
         disk: &mut dyn Disk,
         fresh_identity: u64,
@@ -80,13 +84,14 @@
         let mut slots = [open(slot_a)?, open(slot_b)?];
         let mut log_files = [open(log_a)?, open(log_b)?];
         let lengths = Lengths::read(&mut slots, &mut log_files)?;
-        let identity = settle_identity(identity_file.as_mut(), fresh_identity, lengths.has_data())?;
+        let identity =
+            read_or_write_identity(identity_file.as_mut(), fresh_identity, lengths.has_data())?;
 
         let newest = newest_snapshot(&mut slots)?;
         if newest.snapshot.is_none() && lengths.had_snapshots() {
             return Err(StorageError::DamagedSnapshots);
         }
-        // What a process wrote before it was killed can be read, yet is durable only after a sync.
+        // Records of a killed process can be read, but are durable only after a sync.
         newest
             .side
             .of(&mut slots)
@@ -95,14 +100,14 @@
         let [file_a, file_b] = log_files;
         let mut logs = [Log::unused(file_a, log_a), Log::unused(file_b, log_b)];
         let records = newest.side.of(&mut logs).recover(newest.generation)?;
-        newest.side.other().of(&mut logs).free();
+        newest.side.other().of(&mut logs).truncate();
 
         let journal = Journal {
             slots,
             logs,
             current: newest.side,
             generation: newest.highest,
-            is_unsettled: false,
+            has_uncertain_slot: false,
         };
         Ok((
             journal,
@@ -114,18 +119,24 @@
         ))
     }
 
-    /// Appends a record; it is durable after the next [`Journal::sync`] that succeeds. After an error all records since
-    /// the last sync count as failed.
+    /// Appends a record, which is durable after the next successful [`Journal::sync`].
+    ///
+    /// # Errors
+    /// The record is too long (nothing else is affected), or the disk failed: then all records since the last sync
+    /// count as failed.
     pub fn append(&mut self, record: &[u8]) -> Result<(), StorageError> {
-        self.settle()?;
+        self.clear_uncertain_slot()?;
         self.current.of(&mut self.logs).append(record)
     }
 
-    /// Makes all appended records durable. After an error all records since the last sync count as failed.
+    /// Makes all appended records durable.
+    ///
+    /// # Errors
+    /// The disk failed: all records since the last sync count as failed.
     pub fn sync(&mut self) -> Result<(), StorageError> {
-        let settled = self.settle();
+        let cleared = self.clear_uncertain_slot();
         let log = self.current.of(&mut self.logs);
-        match settled {
+        match cleared {
             Ok(()) => log.sync(),
             Err(error) => {
                 log.roll_back();
@@ -134,8 +145,10 @@
         }
     }
 
-    /// Replaces the snapshot and all records, synced or not, by `snapshot`, durably. After an error the snapshot and the
-    /// records before it stand as they were.
+    /// Durably replaces the snapshot and all records, synced or not, by `snapshot`.
+    ///
+    /// # Errors
+    /// The disk failed; the previous snapshot and its records are unchanged.
     pub fn compact(&mut self, snapshot: &[u8]) -> Result<(), StorageError> {
         let target = self.current.other();
         self.generation += 1;
@@ -147,26 +160,26 @@
             snapshot,
         ) {
             Ok(()) => {
-                self.is_unsettled = false;
+                self.has_uncertain_slot = false;
                 target.of(&mut self.logs).restart(self.generation);
-                self.current.of(&mut self.logs).free();
+                self.current.of(&mut self.logs).truncate();
                 self.current = target;
                 Ok(())
             }
-            Err(WriteFailure::Without(error)) => {
-                // Frees the space; harmless if it fails.
+            Err(WriteSnapshotError::NotWritten(error)) => {
+                // Frees disk space; a failure is harmless.
                 let _ = target.of(&mut self.slots).set_length(0);
                 Err(error)
             }
-            Err(WriteFailure::Unknown(error)) => {
-                self.is_unsettled = true;
-                let _ = self.settle();
+            Err(WriteSnapshotError::Uncertain(error)) => {
+                self.has_uncertain_slot = true;
+                let _ = self.clear_uncertain_slot();
                 Err(error)
             }
         }
     }
 
-    /// Bytes of the log since the last snapshot.
+    /// Size of the records since the last snapshot, in bytes.
     pub fn log_bytes(&self) -> u64 {
         let [a, b] = &self.logs;
         match self.current {
@@ -175,12 +188,12 @@
         }
     }
 
-    /// Empties a slot whose sync failed: were it found whole after a restart, records appended since would be lost.
-    fn settle(&mut self) -> Result<(), StorageError> {
-        if self.is_unsettled {
+    /// Clears a slot whose sync failed. If it were valid after a restart, the records appended since would be lost.
+    fn clear_uncertain_slot(&mut self) -> Result<(), StorageError> {
+        if self.has_uncertain_slot {
             let target = self.current.other();
             slot::clear(target.of(&mut self.slots).as_mut(), slot_name(target))?;
-            self.is_unsettled = false;
+            self.has_uncertain_slot = false;
         }
         Ok(())
     }
@@ -194,7 +207,7 @@
     }
 }
 
-/// Lengths of the files as they were found.
+/// Lengths of the files when the journal is opened, in bytes.
 struct Lengths {
     slots: [u64; 2],
     logs: [u64; 2],
@@ -218,8 +231,8 @@
             .any(|length| *length > 0)
     }
 
-    /// Whether a snapshot was once in force. The first one is written to slot B; slot A is written, and log B begun, only
-    /// behind it.
+    /// Whether a snapshot was ever active. The first one is written to slot B; slot A is written, and log B started,
+    /// only after it.
     fn had_snapshots(&self) -> bool {
         let [slot_a, _] = self.slots;
         let [_, log_b] = self.logs;
@@ -238,15 +251,15 @@
     Ok([length_a, length_b])
 }
 
-/// Reads the identity, or gives the disk one if it holds nothing yet.
-fn settle_identity(
+/// Reads the identity, or writes one to an unused disk.
+fn read_or_write_identity(
     file: &mut dyn DiskFile,
-    fresh: u64,
+    fresh_identity: u64,
     has_data: bool,
 ) -> Result<u64, StorageError> {
     let on = StorageError::on(identity::FILE);
     match identity::read(file).map_err(&on)? {
-        identity::Stored::Whole(identity) => {
+        identity::Stored::Valid(identity) => {
             file.sync().map_err(&on)?;
             Ok(identity)
         }
@@ -254,13 +267,13 @@
             Err(StorageError::DamagedIdentity)
         }
         identity::Stored::Empty | identity::Stored::Damaged => {
-            identity::write(file, fresh)?;
-            Ok(fresh)
+            identity::write(file, fresh_identity)?;
+            Ok(fresh_identity)
         }
     }
 }
 
-/// Finds the newest whole snapshot. A disk without one stands at generation 0 in place A.
+/// Finds the newest valid snapshot. A disk without one is at generation 0 on side A.
 fn newest_snapshot(slots: &mut [Box<dyn DiskFile>; 2]) -> Result<Newest, StorageError> {
     let mut headers = Vec::new();
     for side in [Side::A, Side::B] {
--- a/storage/src/lib.rs
+++ b/storage/src/lib.rs
@@ -1,8 +1,15 @@
-//! Durable state of one process: two snapshot slots written in turn and a short log of records between snapshots.
+//! Durable state of one process: two snapshot slots that are written in turn, and a log of the records since the last
+//! snapshot.
 //!
-//! [`Journal`] keeps the state on a [`Disk`]; [`Writer`] owns a journal on a thread of its own, so that a slow disk
-//! never holds up the thread that serves. [`FaultDisk`] is a disk in memory that loses power, runs full and fails on
-//! demand, for tests of this crate and of those that build on it.
+//! [`Journal`] stores the state on a [`Disk`]. [`Writer`] owns a journal on its own thread, so that a slow disk does
+//! not block the thread that serves requests. [`FaultDisk`] simulates a disk with faults, for the tests of this crate
+//! and of its users. [`inspect()`] and [`read`] read a data folder without changing it.
+//!
+//! | file | contents |
+//! | --- | --- |
+//! | `identity` | identity of the disk |
+//! | `snapshot-a`, `snapshot-b` | the snapshot slots |
+//! | `log-a`, `log-b` | the log that belongs to the slot of the same letter |
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/storage/src/log.rs
+++ b/storage/src/log.rs
@@ -1,40 +1,42 @@
-//! The log between two snapshots: records with length, generation, sequence and a checksum that goes on from the record
-//! before. A record is valid only behind the very record it was written behind, so that neither bytes of an older
-//! generation nor those behind a cut tail are ever taken for records.
+//! The log of one generation: the records appended since a snapshot.
+//!
+//! Each record has a header with length, generation, sequence number and a checksum that is chained to the previous
+//! record's. A record is valid only directly after the record that it was written after, so that neither bytes of an
+//! older generation nor bytes after a truncated tail are read as records.
 
-use crate::disk::{read_pieces, DiskFile};
+use crate::disk::{read_chunks, DiskFile};
 use crate::error::StorageError;
 use std::io;
 
-/// Names of the two files; each goes with the slot of the same place.
+/// Names of the two files; each belongs to the snapshot slot with the same index.
 pub(crate) const FILES: [&str; 2] = ["log-a", "log-b"];
 
-/// Longest record.
-pub(crate) const MAX_RECORD: usize = 64 * 1024 * 1024;
-/// Length of a record's head: length, generation, sequence, checksum.
-const HEAD: usize = 24;
-/// Records gather in memory up to this size before they are written without waiting for the sync.
-const BUFFER: usize = 256 * 1024;
+/// Maximum length of a record in bytes.
+pub(crate) const MAX_RECORD_BYTES: usize = 64 * 1024 * 1024;
+/// Length of a record header in bytes: length, generation, sequence number, checksum.
+const RECORD_HEADER_BYTES: usize = 24;
+/// Records are buffered up to this many bytes before they are written ahead of the sync.
+const BUFFER_BYTES: usize = 256 * 1024;
 
-/// A place in the log, between two records.
+/// A position between two records.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-struct Place {
+struct LogPosition {
     offset: u64,
     sequence: u64,
     checksum: u32,
 }
 
-impl Place {
-    const START: Place = Place {
+impl LogPosition {
+    const START: LogPosition = LogPosition {
         offset: 0,
         sequence: 0,
         checksum: 0,
     };
 
-    /// The place behind `record`.
-    fn behind(&self, generation: u64, record: &[u8]) -> Place {
-        Place {
-            offset: self.offset + (HEAD + record.len()) as u64,
+    /// The position after `record`.
+    fn after(&self, generation: u64, record: &[u8]) -> LogPosition {
+        LogPosition {
+            offset: self.offset + (RECORD_HEADER_BYTES + record.len()) as u64,
             sequence: self.sequence + 1,
             checksum: self.checksum_of(generation, record),
         }
@@ -51,56 +53,56 @@
     }
 }
 
-/// Head of a record as it stands in a file.
-struct Head {
+/// Header of a record in the file.
+struct RecordHeader {
     length: u32,
     generation: u64,
     sequence: u64,
     checksum: u32,
 }
 
-impl Head {
-    /// Splits a head off `bytes`.
-    fn split(bytes: &[u8]) -> Option<(Head, &[u8])> {
+impl RecordHeader {
+    /// Decodes a header at the start of `bytes`; also returns the remaining bytes.
+    fn split(bytes: &[u8]) -> Option<(RecordHeader, &[u8])> {
         let (length, rest) = bytes.split_first_chunk::<4>()?;
         let (generation, rest) = rest.split_first_chunk::<8>()?;
         let (sequence, rest) = rest.split_first_chunk::<8>()?;
         let (checksum, rest) = rest.split_first_chunk::<4>()?;
-        let head = Head {
+        let header = RecordHeader {
             length: u32::from_le_bytes(*length),
             generation: u64::from_le_bytes(*generation),
             sequence: u64::from_le_bytes(*sequence),
             checksum: u32::from_le_bytes(*checksum),
         };
-        Some((head, rest))
+        Some((header, rest))
     }
 }
 
-/// What a log file holds for one generation.
+/// The records of one generation in a log file.
 pub(crate) struct Contents {
-    /// Its records, up to the first that is not whole.
+    /// The records up to the first invalid one.
     pub records: Vec<Vec<u8>>,
-    /// Bytes behind them.
+    /// Number of bytes after them.
     pub surplus: u64,
-    /// Generation that the first record names, whole or not.
+    /// Generation in the header of the first record, which may be invalid.
     pub first_generation: Option<u64>,
-    end: Place,
+    end: LogPosition,
 }
 
 /// Reads the records of `generation`.
 pub(crate) fn read(file: &mut dyn DiskFile, generation: u64) -> io::Result<Contents> {
     let length = file.length()?;
     let mut bytes = Vec::with_capacity(usize::try_from(length).unwrap_or(0));
-    read_pieces(file, 0, length, |piece| bytes.extend_from_slice(piece))?;
+    read_chunks(file, 0, length, |chunk| bytes.extend_from_slice(chunk))?;
     let mut records = Vec::new();
-    let mut end = Place::START;
+    let mut end = LogPosition::START;
     let mut rest = bytes.as_slice();
-    while let Some((record, behind)) = next_record(rest, generation, &end) {
-        end = end.behind(generation, record);
+    while let Some((record, following)) = next_record(rest, generation, &end) {
+        end = end.after(generation, record);
         records.push(record.to_vec());
-        rest = behind;
+        rest = following;
     }
-    let first_generation = Head::split(&bytes).map(|(head, _)| head.generation);
+    let first_generation = RecordHeader::split(&bytes).map(|(header, _)| header.generation);
     Ok(Contents {
         records,
         surplus: rest.len() as u64,
@@ -112,14 +114,14 @@
 fn next_record<'a>(
     bytes: &'a [u8],
     generation: u64,
-    place: &Place,
+    position: &LogPosition,
 ) -> Option<(&'a [u8], &'a [u8])> {
-    let (head, rest) = Head::split(bytes)?;
-    if head.generation != generation || head.sequence != place.sequence {
+    let (header, rest) = RecordHeader::split(bytes)?;
+    if header.generation != generation || header.sequence != position.sequence {
         return None;
     }
-    let (record, behind) = rest.split_at_checked(usize::try_from(head.length).ok()?)?;
-    (place.checksum_of(generation, record) == head.checksum).then_some((record, behind))
+    let (record, rest) = rest.split_at_checked(usize::try_from(header.length).ok()?)?;
+    (position.checksum_of(generation, record) == header.checksum).then_some((record, rest))
 }
 
 /// The log that is being written.
@@ -127,72 +129,73 @@
     file: Box<dyn DiskFile>,
     name: &'static str,
     generation: u64,
-    /// Behind the last record that a sync covered.
-    synced: Place,
-    /// Behind the last record that was appended.
-    end: Place,
-    /// Records at the end that have not been written to the file yet.
+    /// Position after the last synced record.
+    synced: LogPosition,
+    /// Position after the last appended record.
+    end: LogPosition,
+    /// Appended records that are not yet written to the file.
     buffer: Vec<u8>,
-    /// Whether the file may hold bytes behind `synced` that belong to no record.
-    has_surplus: bool,
-    /// Whether records were dropped since the last sync: they may come back until the next.
-    has_dropped: bool,
+    /// Whether the file may have bytes after `synced` that belong to no record.
+    may_have_surplus: bool,
+    /// Whether records were rolled back since the last sync. They may reappear after a restart until the next sync.
+    has_rolled_back: bool,
 }
 
 impl Log {
-    /// An empty log whose file may hold anything.
+    /// An empty log. The file may have any contents.
     pub fn unused(file: Box<dyn DiskFile>, name: &'static str) -> Log {
         Log {
             file,
             name,
             generation: 0,
-            synced: Place::START,
-            end: Place::START,
+            synced: LogPosition::START,
+            end: LogPosition::START,
             buffer: Vec::new(),
-            has_surplus: true,
-            has_dropped: false,
+            may_have_surplus: true,
+            has_rolled_back: false,
         }
     }
 
-    /// Takes the log up for `generation`: cuts what stands behind the last whole record, and syncs, as records that
-    /// were written but not synced before must not vanish once they have been returned.
+    /// Recovers the records of `generation`: truncates what follows the last valid record and syncs, because records
+    /// that are returned here must not vanish later even if they were not synced before.
     pub fn recover(&mut self, generation: u64) -> Result<Vec<Vec<u8>>, StorageError> {
         let on = StorageError::on(self.name);
         let contents = read(self.file.as_mut(), generation).map_err(&on)?;
         self.generation = generation;
         self.synced = contents.end;
         self.end = contents.end;
-        self.has_surplus = contents.surplus > 0;
-        self.cut_surplus()?;
+        self.may_have_surplus = contents.surplus > 0;
+        self.truncate_surplus()?;
         self.file.sync().map_err(&on)?;
         Ok(contents.records)
     }
 
-    /// Begins the log of a new generation.
+    /// Starts the log of a new generation.
     pub fn restart(&mut self, generation: u64) {
         self.generation = generation;
-        self.synced = Place::START;
-        self.end = Place::START;
+        self.synced = LogPosition::START;
+        self.end = LogPosition::START;
         self.buffer.clear();
-        self.has_surplus = true;
-        self.has_dropped = false;
+        self.may_have_surplus = true;
+        self.has_rolled_back = false;
     }
 
-    /// Frees the file's space, without a sync. Failing does no harm: the bytes are of an older generation.
-    pub fn free(&mut self) {
+    /// Truncates the file without a sync, to free disk space. A failure is harmless: the bytes are of an older
+    /// generation.
+    pub fn truncate(&mut self) {
         self.buffer = Vec::new();
-        self.has_surplus = self.file.set_length(0).is_err();
+        self.may_have_surplus = self.file.set_length(0).is_err();
     }
 
-    /// Appends a record. On an error all records since the last sync are dropped.
+    /// Appends a record. After an error all records since the last sync are rolled back.
     pub fn append(&mut self, record: &[u8]) -> Result<(), StorageError> {
-        if record.len() > MAX_RECORD {
+        if record.len() > MAX_RECORD_BYTES {
             return Err(StorageError::RecordTooLong {
                 length: record.len(),
-                limit: MAX_RECORD,
+                limit: MAX_RECORD_BYTES,
             });
         }
-        let next = self.end.behind(self.generation, record);
+        let next = self.end.after(self.generation, record);
         self.buffer
             .extend_from_slice(&(record.len() as u32).to_le_bytes());
         self.buffer
@@ -202,16 +205,16 @@
         self.buffer.extend_from_slice(&next.checksum.to_le_bytes());
         self.buffer.extend_from_slice(record);
         self.end = next;
-        if self.buffer.len() < BUFFER {
+        if self.buffer.len() < BUFFER_BYTES {
             return Ok(());
         }
         self.write_buffer().inspect_err(|_| self.roll_back())
     }
 
-    /// Makes all records durable, and those gone for good that were dropped. On an error all records since the last sync
-    /// are dropped.
+    /// Makes all appended records durable and all rolled back ones unreadable. After an error all records since the
+    /// last sync are rolled back.
     pub fn sync(&mut self) -> Result<(), StorageError> {
-        if self.end == self.synced && !self.has_dropped {
+        if self.end == self.synced && !self.has_rolled_back {
             return Ok(());
         }
         let result = self
@@ -220,20 +223,20 @@
         match &result {
             Ok(()) => {
                 self.synced = self.end;
-                self.has_dropped = false;
+                self.has_rolled_back = false;
             }
             Err(_) => self.roll_back(),
         }
         result
     }
 
-    /// Bytes of its records.
+    /// Size of its records in bytes.
     pub fn bytes(&self) -> u64 {
         self.end.offset
     }
 
     fn write_buffer(&mut self) -> Result<(), StorageError> {
-        self.cut_surplus()?;
+        self.truncate_surplus()?;
         if self.buffer.is_empty() {
             return Ok(());
         }
@@ -245,25 +248,25 @@
         Ok(())
     }
 
-    fn cut_surplus(&mut self) -> Result<(), StorageError> {
-        if self.has_surplus {
+    fn truncate_surplus(&mut self) -> Result<(), StorageError> {
+        if self.may_have_surplus {
             self.file
                 .set_length(self.synced.offset)
                 .map_err(StorageError::on(self.name))?;
-            self.has_surplus = false;
+            self.may_have_surplus = false;
         }
         Ok(())
     }
 
-    /// Drops all records since the last sync.
+    /// Discards all records since the last sync.
     pub fn roll_back(&mut self) {
         self.end = self.synced;
         self.buffer.clear();
-        self.has_dropped = true;
-        self.has_surplus = true;
-        // Frees the space at once; if this fails, the next write cuts first.
-        if self.cut_surplus().is_err() {
-            self.has_surplus = true;
+        self.has_rolled_back = true;
+        self.may_have_surplus = true;
+        // Frees the space at once. If this fails, the next write truncates first.
+        if self.truncate_surplus().is_err() {
+            self.may_have_surplus = true;
         }
     }
 }
--- a/storage/src/slot.rs
+++ b/storage/src/slot.rs
@@ -1,9 +1,9 @@
-//! A snapshot slot: a header (generation, length, checksums), then the snapshot.
+//! A snapshot slot: a header (generation, length, checksums) followed by the snapshot.
 //!
-//! The header is written after the snapshot and both go under one sync; the checksum of the snapshot, seeded with the
-//! generation, tells a whole slot from one whose pieces are of two generations.
+//! The header is written after the snapshot, and one sync covers both. The checksum of the snapshot is seeded with the
+//! generation, so that a slot with bytes of two generations is invalid.
 
-use crate::disk::{read_pieces, DiskFile};
+use crate::disk::{read_chunks, DiskFile};
 use crate::error::StorageError;
 use std::io;
 
@@ -11,12 +11,12 @@
 pub(crate) const FILES: [&str; 2] = ["snapshot-a", "snapshot-b"];
 
 const MAGIC: [u8; 8] = *b"alder-sn";
-/// Length of the header: magic, generation, length, checksum of the snapshot, checksum of the header.
-const HEADER: u64 = 32;
-/// Size of the pieces in which a snapshot is written.
-const WRITE_PIECE: usize = 256 * 1024;
+/// Length of the header in bytes: magic, generation, length, checksum of the snapshot, checksum of the header.
+const HEADER_BYTES: u64 = 32;
+/// Size of the chunks in which a snapshot is written.
+const WRITE_CHUNK_BYTES: usize = 256 * 1024;
 
-/// What a slot says of its snapshot.
+/// Header of a slot.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) struct Header {
     pub generation: u64,
@@ -57,24 +57,26 @@
     hasher
 }
 
-/// Reads the header; `None` if there is none that is whole.
+/// Reads the header; `None` if it is not valid.
 pub(crate) fn read_header(file: &mut dyn DiskFile) -> io::Result<Option<Header>> {
-    let mut bytes = Vec::with_capacity(HEADER as usize);
-    read_pieces(file, 0, HEADER, |piece| bytes.extend_from_slice(piece))?;
-    Ok(Header::decode(&bytes).filter(|_| bytes.len() as u64 == HEADER))
+    let mut bytes = Vec::with_capacity(HEADER_BYTES as usize);
+    read_chunks(file, 0, HEADER_BYTES, |chunk| {
+        bytes.extend_from_slice(chunk)
+    })?;
+    Ok(Header::decode(&bytes).filter(|_| bytes.len() as u64 == HEADER_BYTES))
 }
 
-/// Reads the snapshot that `header` tells of; `None` if it isn't whole.
+/// Reads the snapshot described by `header`; `None` if it is not valid.
 pub(crate) fn read_snapshot(
     file: &mut dyn DiskFile,
     header: &Header,
 ) -> io::Result<Option<Vec<u8>>> {
-    if file.length()?.saturating_sub(HEADER) < header.length {
+    if file.length()?.saturating_sub(HEADER_BYTES) < header.length {
         return Ok(None);
     }
     let mut snapshot = Vec::with_capacity(usize::try_from(header.length).unwrap_or(0));
-    read_pieces(file, HEADER, header.length, |piece| {
-        snapshot.extend_from_slice(piece)
+    read_chunks(file, HEADER_BYTES, header.length, |chunk| {
+        snapshot.extend_from_slice(chunk)
     })?;
     let mut hasher = seeded(header.generation);
     hasher.update(&snapshot);
@@ -82,40 +84,40 @@
     Ok(is_whole.then_some(snapshot))
 }
 
-/// How a write of a snapshot failed.
-pub(crate) enum WriteFailure {
-    /// The slot holds nothing of the new generation that could be taken for whole.
-    Without(StorageError),
-    /// The slot may be whole after a loss of power, or may not.
-    Unknown(StorageError),
+/// Error of the write of a snapshot.
+pub(crate) enum WriteSnapshotError {
+    /// The slot contains nothing that could be read as a valid snapshot of the new generation.
+    NotWritten(StorageError),
+    /// The slot may or may not contain a valid snapshot after a loss of power.
+    Uncertain(StorageError),
 }
 
-/// Writes a snapshot in place of what the slot held, and syncs it.
+/// Overwrites the slot with a snapshot and syncs it.
 pub(crate) fn write(
     file: &mut dyn DiskFile,
     name: &'static str,
     generation: u64,
     snapshot: &[u8],
-) -> Result<(), WriteFailure> {
+) -> Result<(), WriteSnapshotError> {
     let on = StorageError::on(name);
-    let checksum =
-        write_body(file, generation, snapshot).map_err(|error| WriteFailure::Without(on(error)))?;
+    let checksum = write_body(file, generation, snapshot)
+        .map_err(|error| WriteSnapshotError::NotWritten(on(error)))?;
     let header = Header {
         generation,
         length: snapshot.len() as u64,
         checksum,
     };
-    write_header(file, &header).map_err(|error| WriteFailure::Unknown(on(error)))
+    write_header(file, &header).map_err(|error| WriteSnapshotError::Uncertain(on(error)))
 }
 
 fn write_body(file: &mut dyn DiskFile, generation: u64, snapshot: &[u8]) -> io::Result<u32> {
     file.set_length(0)?;
     let mut hasher = seeded(generation);
-    let mut offset = HEADER;
-    for piece in snapshot.chunks(WRITE_PIECE) {
-        file.write_at(offset, piece)?;
-        hasher.update(piece);
-        offset += piece.len() as u64;
+    let mut offset = HEADER_BYTES;
+    for chunk in snapshot.chunks(WRITE_CHUNK_BYTES) {
+        file.write_at(offset, chunk)?;
+        hasher.update(chunk);
+        offset += chunk.len() as u64;
     }
     Ok(hasher.finalize())
 }
@@ -125,7 +127,7 @@
     file.sync()
 }
 
-/// Empties the slot, durably.
+/// Durably empties the slot.
 pub(crate) fn clear(file: &mut dyn DiskFile, name: &'static str) -> Result<(), StorageError> {
     let on = StorageError::on(name);
     file.set_length(0).map_err(&on)?;
--- a/storage/src/writer.rs
+++ b/storage/src/writer.rs
@@ -1,5 +1,5 @@
-//! A journal on a thread of its own: what is queued goes under one sync, and a slow disk holds nobody up but those who
-//! wait for it.
+//! A journal on its own thread. All writes queued at the same time share one sync (group commit), and a slow disk
+//! blocks only those who wait for a completion.
 
 use crate::error::StorageError;
 use crate::journal::Journal;
@@ -7,29 +7,32 @@
 use std::sync::{mpsc, Arc};
 use tokio::sync::oneshot;
 
-/// One write to the journal.
+/// A write to the journal.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Write {
     /// Appends a record.
     Append(Vec<u8>),
-    /// Replaces the snapshot and all records before by this snapshot.
+    /// Replaces the snapshot and all earlier records by this snapshot.
     Compact(Vec<u8>),
 }
 
-/// Hands writes to the thread that owns the journal. Dropping it ends the thread once what was queued is written.
+/// Handle of the writer thread. When it is dropped, the thread writes what is queued and exits.
 pub struct Writer {
     submissions: mpsc::Sender<Submission>,
     pending: Arc<AtomicUsize>,
 }
 
-/// Writes that end together.
+/// Writes that complete together.
 struct Submission {
     writes: Vec<Write>,
-    end: oneshot::Sender<Result<(), StorageError>>,
+    completion: oneshot::Sender<Result<(), StorageError>>,
 }
 
 impl Writer {
-    /// Starts the thread.
+    /// Starts the writer thread.
+    ///
+    /// # Errors
+    /// The operating system can't start a thread.
     pub fn start(journal: Journal) -> std::io::Result<Writer> {
         let (submissions, queue) = mpsc::channel();
         let pending = Arc::new(AtomicUsize::new(0));
@@ -37,7 +40,7 @@
             journal,
             queue,
             pending: pending.clone(),
-            open: Vec::new(),
+            unsynced: Vec::new(),
         };
         std::thread::Builder::new()
             .name("storage-writer".into())
@@ -48,38 +51,40 @@
         })
     }
 
-    /// Queues `writes`. The end comes once all of them are durable, or with the error that met one of them: then any of
-    /// them may be there after a restart, or none. Submissions are written in order, and end in order.
+    /// Queues `writes`. The completion reports success once all of them are durable, or the first error among them;
+    /// after an error each of them may or may not survive a restart. Submissions are written and completed in order.
     pub fn submit(&self, writes: Vec<Write>) -> oneshot::Receiver<Result<(), StorageError>> {
-        let (end, receiver) = oneshot::channel();
+        let (completion, receiver) = oneshot::channel();
         self.pending.fetch_add(1, Ordering::Relaxed);
-        if let Err(mpsc::SendError(refused)) = self.submissions.send(Submission { writes, end }) {
+        if let Err(mpsc::SendError(refused)) =
+            self.submissions.send(Submission { writes, completion })
+        {
             self.pending.fetch_sub(1, Ordering::Relaxed);
-            // Nobody to tell if the caller has dropped its end.
-            let _ = refused.end.send(Err(StorageError::WriterEnded));
+            // Ignored if the caller has dropped its receiver.
+            let _ = refused.completion.send(Err(StorageError::WriterEnded));
         }
         receiver
     }
 
-    /// Number of submissions that have not ended.
+    /// Number of submissions that are not complete.
     pub fn pending(&self) -> usize {
         self.pending.load(Ordering::Relaxed)
     }
 }
 
-/// The thread's side.
+/// State of the writer thread.
 struct Worker {
     journal: Journal,
     queue: mpsc::Receiver<Submission>,
     pending: Arc<AtomicUsize>,
-    /// Submissions that are written and wait for the next sync, in order, with the error that one has met.
-    open: Vec<Written>,
+    /// Submissions that are written but not yet synced, in order.
+    unsynced: Vec<UnsyncedSubmission>,
 }
 
-/// A submission that is written and not synced yet.
-struct Written {
-    end: oneshot::Sender<Result<(), StorageError>>,
-    /// The first error that it met.
+/// A submission that is written but not yet synced.
+struct UnsyncedSubmission {
+    completion: oneshot::Sender<Result<(), StorageError>>,
+    /// The first error of its writes.
     error: Option<StorageError>,
 }
 
@@ -91,30 +96,30 @@
                 self.write(next);
             }
             let result = self.journal.sync();
-            self.end_open(result);
+            self.complete_unsynced(result);
         }
     }
 
     fn write(&mut self, submission: Submission) {
-        let mut met = None;
+        let mut first_error = None;
         for write in submission.writes {
             let result = match write {
                 Write::Append(record) => self.append(&record),
                 Write::Compact(snapshot) => self.compact(&snapshot),
             };
-            met = met.or(result.err());
+            first_error = first_error.or(result.err());
         }
-        self.open.push(Written {
-            end: submission.end,
-            error: met,
+        self.unsynced.push(UnsyncedSubmission {
+            completion: submission.completion,
+            error: first_error,
         });
     }
 
     fn append(&mut self, record: &[u8]) -> Result<(), StorageError> {
         let result = self.journal.append(record);
         if let Err(error) = &result {
-            // The journal has dropped all records since the last sync.
-            self.end_open(Err(error.clone()));
+            // The journal has rolled back all records since the last sync.
+            self.complete_unsynced(Err(error.clone()));
         }
         result
     }
@@ -122,18 +127,18 @@
     fn compact(&mut self, snapshot: &[u8]) -> Result<(), StorageError> {
         let result = self.journal.compact(snapshot);
         if result.is_ok() {
-            // The snapshot stands for all records before it.
-            self.end_open(Ok(()));
+            // The snapshot covers all records before it.
+            self.complete_unsynced(Ok(()));
         }
         result
     }
 
-    /// Ends all open submissions: each with the error it met itself, else with `result`.
-    fn end_open(&mut self, result: Result<(), StorageError>) {
-        for written in self.open.drain(..) {
+    /// Completes all unsynced submissions: each with its own first error, or else with `result`.
+    fn complete_unsynced(&mut self, result: Result<(), StorageError>) {
+        for written in self.unsynced.drain(..) {
             self.pending.fetch_sub(1, Ordering::Relaxed);
             let _ = written
-                .end
+                .completion
                 .send(written.error.map_or_else(|| result.clone(), Err));
         }
     }
