--- a/storage/src/inspect.rs
+++ b/storage/src/inspect.rs
@@ -100,13 +100,13 @@
         slots.extend(read_slot(folder, file)?);
     }
     mark_active_slot(&mut slots);
-    let (side, generation) = active_log(&slots);
+    let active = ActiveLog::of(&slots);
     let mut logs = Vec::new();
     for (index, file) in log::FILES.into_iter().enumerate() {
         logs.extend(read_log(
             folder,
             file,
-            (index == side).then_some(generation),
+            (index == active.index).then_some(active.generation),
         )?);
     }
     let findings = findings(identity, &slots, &logs);
@@ -133,7 +133,11 @@
         None => None,
     };
     let records = match inspection.logs.iter().find(|log| log.is_in_force) {
-        Some(log) => read_records(folder, log.file, active_log(&inspection.slots).1)?,
+        Some(log) => read_records(
+            folder,
+            log.file,
+            ActiveLog::of(&inspection.slots).generation,
+        )?,
         None => Vec::new(),
     };
     Ok(Some(Recovered {
@@ -211,25 +215,36 @@
     }
 }
 
-/// Index and generation of the active log.
-fn active_log(slots: &[SlotReport]) -> (usize, u64) {
-    let slot = slots.iter().find(|slot| slot.is_in_force);
-    let side = slot.and_then(|slot| slot::FILES.iter().position(|file| *file == slot.file));
-    let generation = slot.and_then(|slot| slot.generation);
-    (side.unwrap_or(0), generation.unwrap_or(0))
+/// The log that belongs to the active snapshot. Without a snapshot: the first one, at generation 0.
+struct ActiveLog {
+    /// Index in [`log::FILES`].
+    index: usize,
+    generation: u64,
+}
+
+impl ActiveLog {
+    fn of(slots: &[SlotReport]) -> ActiveLog {
+        let slot = slots.iter().find(|slot| slot.is_in_force);
+        let index = slot.and_then(|slot| slot::FILES.iter().position(|file| *file == slot.file));
+        let generation = slot.and_then(|slot| slot.generation);
+        ActiveLog {
+            index: index.unwrap_or(0),
+            generation: generation.unwrap_or(0),
+        }
+    }
 }
 
 fn read_log(
     folder: &Path,
     name: &'static str,
-    active_log: Option<u64>,
+    active_generation: Option<u64>,
 ) -> Result<Option<LogReport>, StorageError> {
     let on = StorageError::on(name);
     let Some(mut file) = FolderDisk::open_to_read(folder, name).map_err(&on)? else {
         return Ok(None);
     };
-    let mut contents = log::read(&mut file, active_log.unwrap_or(0)).map_err(&on)?;
-    if let (None, Some(generation)) = (active_log, contents.first_generation) {
+    let mut contents = log::read(&mut file, active_generation.unwrap_or(0)).map_err(&on)?;
+    if let (None, Some(generation)) = (active_generation, contents.first_generation) {
         contents = log::read(&mut file, generation).map_err(&on)?;
     }
     Ok(Some(LogReport {
@@ -237,7 +252,7 @@
         generation: contents.first_generation,
         records: contents.records.iter().map(Vec::len).collect(),
         surplus: contents.surplus,
-        is_in_force: active_log.is_some(),
+        is_in_force: active_generation.is_some(),
     }))
 }
 
