--- a/model/src/backend.rs
+++ b/model/src/backend.rs
@@ -1,62 +1,62 @@
-//! What the platform's list tells of the backends.
+//! Backends, as the platform's endpoint list describes them.
 
 use crate::identity::Address;
 use minicbor::{Decode, Encode};
 
-/// State of a backend as the list shows it.
+/// State of a backend in the endpoint list.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub enum BackendState {
     /// Takes new requests.
     #[n(0)]
     Ready,
-    /// Finishes its work; nothing new may be sent.
+    /// Completes its requests; no new ones may be sent.
     #[n(1)]
     Draining,
 }
 
-/// One backend. A new start is a new backend with another id, perhaps at an address that another one had.
+/// One run of a backend. A restarted backend has another id and may have the address of an earlier one.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Backend {
-    /// Identity of this start of it, for `Target-Instance`.
+    /// Identity of this run, sent in the header `Target-Instance`.
     #[n(0)]
     pub id: String,
-    /// The service it belongs to.
+    /// Name of its service.
     #[n(1)]
     pub service: String,
-    /// Where it is.
+    /// Address for requests.
     #[n(2)]
     pub address: Address,
-    /// Its zone.
+    /// Name of its availability zone.
     #[n(3)]
     pub zone: String,
-    /// Requests it works on at once.
+    /// Number of requests that it processes concurrently.
     #[n(4)]
     pub slots: u32,
-    /// Its state.
+    /// Whether it accepts new requests.
     #[n(5)]
     pub state: BackendState,
-    /// How much longer it stays slow from its start, when the list was read. For a holder of the list this counts
-    /// from the moment at which it got the list.
+    /// Remaining time of its warm-up (slow start) when the list was read, in milliseconds. A process that receives the
+    /// list counts it from the time of receipt.
     #[n(6)]
     pub cold_remaining_ms: u64,
 }
 
-/// The list as one reader read it. A list is newer than another if its (epoch, sequence) is greater.
+/// The endpoint list as a primary read it. Lists are ordered by [`BackendList::version`].
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct BackendList {
-    /// Epoch of the primary that read it.
+    /// Epoch of the primary that read the list.
     #[n(0)]
     pub epoch: u64,
-    /// Counts that primary's lists with a change.
+    /// Number of changed lists that this primary has read.
     #[n(1)]
     pub sequence: u64,
-    /// The backends.
+    /// All backends.
     #[n(2)]
     pub backends: Vec<Backend>,
 }
 
 impl BackendList {
-    /// Position in the order of all lists.
+    /// Version of the list: epoch and sequence. A list with a greater version is newer.
     pub fn version(&self) -> (u64, u64) {
         (self.epoch, self.sequence)
     }
--- a/model/src/config.rs
+++ b/model/src/config.rs
@@ -1,86 +1,88 @@
-//! The operators' configuration: a document, kept as it was sent, and the typed view that processes act on.
+//! The operators' configuration: the typed view of the stored document.
+//!
+//! The document itself is stored as it was sent; fields unknown to this version are ignored here.
 
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// Number of a configuration, chosen by the operator; rises in uneven steps.
+/// Version of a configuration, chosen by the operator. It increases, not necessarily by one.
 pub type ConfigVersion = u64;
 
-/// What may repeat on a route, and how its requests are served.
+/// Kind of a route: whether its requests may be repeated, and how they are answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(rename_all = "snake_case")]
 pub enum RouteType {
-    /// May run more than once.
+    /// A request may be executed more than once.
     Idempotent,
-    /// Runs at most once a try.
+    /// An attempt of a client is executed at most once.
     NonIdempotent,
-    /// Answers with a stream of events; at most once a try unless the route is resumable.
+    /// The answer is a stream of events. An attempt of a client is executed at most once, unless the route is resumable.
     Streaming,
-    /// Takes batch jobs.
+    /// Accepts batch jobs.
     Batch,
 }
 
-/// A part of a route's traffic.
+/// A service with its weight in a traffic split.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 pub struct WeightedService {
-    /// The service's name.
+    /// Name of the service.
     pub service: String,
-    /// Its weight among the parts.
+    /// Weight relative to the other services of the split.
     pub weight: f64,
 }
 
-/// Where requests of one host and path prefix go.
+/// A route: the destination and policy of requests with one host and path prefix.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Route {
     /// Unique name.
     pub name: String,
-    /// The `Host` it is for.
+    /// The `Host` of its requests.
     pub hostname: String,
-    /// Begins and ends with a slash.
+    /// Path prefix of its requests; starts and ends with a slash.
     pub path_prefix: String,
-    /// What may repeat.
+    /// Whether requests may be repeated, and how they are answered.
     pub route_type: RouteType,
-    /// Longest time that the operator wants a request held; batch items stand outside it.
+    /// Timeout of a request, in milliseconds. It does not apply to batch items.
     #[serde(default)]
     pub timeout_ms: Option<u64>,
-    /// Within this an answer earns its full worth.
+    /// Latency target, in milliseconds: an answer within it has its full value.
     #[serde(default)]
     pub target_latency_ms: Option<u64>,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     #[serde(default)]
     pub priority: u32,
-    /// The only service, if the traffic is not split.
+    /// Destination, if the traffic is not split.
     #[serde(default)]
     pub service: Option<String>,
-    /// The parts of a split route.
+    /// Destinations of a split route, with their weights.
     #[serde(default)]
     pub traffic_split: Vec<WeightedService>,
-    /// Most backends that one try (or item) may run on.
+    /// Maximum number of backends that one client attempt or batch item may be sent to.
     #[serde(default)]
     pub max_attempts: Option<u32>,
-    /// Whether requests share parts of their prompts.
+    /// Whether requests share prompt prefixes, so that affinity to a backend's prefix cache pays.
     #[serde(default)]
     pub sticky: bool,
-    /// Whether a stream may be taken up at another backend.
+    /// Whether an interrupted stream may be resumed at another backend.
     #[serde(default)]
     pub resumable: bool,
-    /// Longest pause between events that keeps an answer in time.
+    /// Target for the longest gap between two events of a stream, in milliseconds.
     #[serde(default, rename = "gap_aim_ms")]
     pub gap_aim_ms: Option<f64>,
-    /// All results of a batch job are due so long after it was first sent.
+    /// Latency target of a batch job, from its first submission to its last result, in milliseconds.
     #[serde(default)]
     pub run_target_ms: Option<u64>,
-    /// An item may be given up so long after its batch job was first sent.
+    /// Time after the first submission of a batch job from which its items may be abandoned, in seconds.
     #[serde(default)]
     pub retention_s: Option<f64>,
-    /// Tokens that may wait on the route over all gateways; 0: no limit.
+    /// Maximum number of queued tokens of the route over all gateways; 0: no limit.
     #[serde(default)]
     pub max_queued_tokens: u64,
 }
 
 impl Route {
-    /// The services with their weights; a route that is not split has one.
+    /// The destinations with their weights. A route that is not split has one, with weight 1.
     pub fn services(&self) -> Vec<WeightedService> {
         match &self.service {
             Some(service) if self.traffic_split.is_empty() => {
@@ -93,7 +95,7 @@
         }
     }
 
-    /// Whether a request of this route may run a second time.
+    /// Whether a request of this route may be executed more than once.
     pub fn may_repeat(&self) -> bool {
         match self.route_type {
             RouteType::Idempotent | RouteType::Batch => true,
@@ -103,55 +105,55 @@
     }
 }
 
-/// The model engine behind a service.
+/// The inference engine behind a service.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Engine {
-    /// Requests that run at once.
+    /// Number of requests that it processes concurrently.
     #[serde(default)]
     pub slots: Option<u32>,
-    /// Tokens that running requests and cached prompt parts share.
+    /// Capacity of the KV cache in tokens, shared by running requests and cached prefixes.
     #[serde(default)]
     pub kv_capacity_tokens: Option<u64>,
-    /// Tokens an event may hold.
+    /// Maximum number of tokens in one event.
     #[serde(default)]
     pub stride: Option<u32>,
 }
 
-/// A group of like backends.
+/// A service: a group of interchangeable backends.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Service {
     /// Unique name.
     pub name: String,
-    /// Path of the health check.
+    /// Path of the health check request.
     #[serde(default)]
     pub health_path: Option<String>,
-    /// Connections that one backend accepts from all callers together.
+    /// Maximum number of connections that one backend accepts, from all clients together.
     #[serde(default)]
     pub max_conns: Option<u32>,
-    /// How long a start during traffic leaves a backend cold.
+    /// Warm-up time (slow start) of a backend that starts under traffic, in seconds.
     #[serde(default)]
     pub cold_start_s: f64,
-    /// Requests a second that a cold backend bears; 0: no bound.
+    /// Maximum request rate of a backend during its warm-up, per second; 0: no limit.
     #[serde(default)]
     pub cold_per_s: f64,
-    /// The model engine, if it has one.
+    /// The inference engine, if it has one.
     #[serde(default)]
     pub engine: Option<Engine>,
 }
 
-/// Bounds on what a client may send.
+/// Limits on client requests and connections.
 #[derive(Debug, Clone, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Limits {
-    /// Largest head.
+    /// Maximum size of a request head, in bytes.
     pub max_header_bytes: u64,
-    /// Largest body.
+    /// Maximum size of a request body, in bytes.
     pub max_body_bytes: u64,
-    /// Longest time for a head.
+    /// Timeout for the receipt of a request head, in milliseconds.
     pub header_timeout_ms: u64,
-    /// How long a connection may stay idle.
+    /// Idle timeout of a connection, in milliseconds.
     pub idle_timeout_ms: u64,
 }
 
@@ -166,25 +168,25 @@
     }
 }
 
-/// A whole configuration, as processes act on it. Fields that are not known here stay in the document.
+/// A complete configuration.
 #[derive(Debug, Clone, Default, PartialEq, Serialize, Deserialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct Config {
-    /// Its number.
+    /// Version of the configuration.
     pub config_version: ConfigVersion,
-    /// The routes.
+    /// All routes.
     #[serde(default)]
     pub routes: Vec<Route>,
-    /// The services.
+    /// All services.
     #[serde(default)]
     pub services: Vec<Service>,
-    /// The bounds on clients.
+    /// Limits on client requests and connections.
     #[serde(default)]
     pub limits: Limits,
 }
 
 impl Config {
-    /// The services by name.
+    /// The services, by name.
     pub fn services_by_name(&self) -> BTreeMap<&str, &Service> {
         self.services
             .iter()
@@ -192,19 +194,19 @@
             .collect()
     }
 
-    /// By service, the least of its routes' longest pauses between events that are in time.
+    /// For each service: the smallest gap target (`gap_aim_ms`) of its routes, in milliseconds.
     pub fn gap_aims_by_service(&self) -> BTreeMap<&str, f64> {
-        let mut aims: BTreeMap<&str, f64> = BTreeMap::new();
+        let mut targets: BTreeMap<&str, f64> = BTreeMap::new();
         for route in &self.routes {
-            let Some(aim_ms) = route.gap_aim_ms.filter(|aim_ms| *aim_ms > 0.0) else {
+            let Some(target_ms) = route.gap_aim_ms.filter(|target_ms| *target_ms > 0.0) else {
                 continue;
             };
-            let parts = route.traffic_split.iter().map(|part| &part.service);
-            for service in route.service.iter().chain(parts) {
-                let least = aims.entry(service).or_insert(aim_ms);
-                *least = least.min(aim_ms);
+            let split = route.traffic_split.iter().map(|weighted| &weighted.service);
+            for service in route.service.iter().chain(split) {
+                let min_target_ms = targets.entry(service).or_insert(target_ms);
+                *min_target_ms = min_target_ms.min(target_ms);
             }
         }
-        aims
+        targets
     }
 }
--- a/model/src/identity.rs
+++ b/model/src/identity.rs
@@ -1,11 +1,11 @@
-//! Names of the tier's own processes, disks and places.
+//! Identities, roles and addresses of the tier's own processes and disks.
 
 use minicbor::{Decode, Encode};
 use std::fmt;
 use std::net::SocketAddr;
 
-/// Identity of one disk, drawn at random when its folder is first used. A machine whose disk was lost comes back with
-/// another one: it is a new member, which never votes nor answers as the one whose disk is gone.
+/// Identity of a disk, drawn at random when its folder is first used. A machine that lost its disk returns with another
+/// identity, as a new member: it never votes or answers under the lost one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct DiskId(#[n(0)] pub u64);
 
@@ -15,26 +15,26 @@
     }
 }
 
-/// One incarnation of a process: drawn at random at its start.
+/// Identity of one run of a process, drawn at random at its start.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct Incarnation(#[n(0)] pub u64);
 
-/// Which role a process plays.
+/// Role of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub enum Role {
-    /// Serves clients and operators.
+    /// Gateway: serves clients and operators.
     #[n(0)]
     Gateway,
-    /// Keeps batch jobs.
+    /// Store: stores and runs batch jobs.
     #[n(1)]
     Store,
-    /// Keeps the core's state and serves operators, but no clients.
+    /// Core member: stores the control state and serves operators, but no clients.
     #[n(2)]
     Core,
 }
 
 impl Role {
-    /// The name of the role, which is also its subcommand.
+    /// Name of the role in settings and output, and of its subcommand.
     pub fn name(self) -> &'static str {
         match self {
             Role::Gateway => "door",
@@ -60,33 +60,33 @@
     }
 }
 
-/// What a process tells the others of itself.
+/// Description of a process, as sent to its peers.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct NodeInfo {
-    /// Name of its machine, from the settings.
+    /// Name of its machine, from its settings.
     #[n(0)]
     pub node: String,
-    /// Its role.
+    /// Role of the process.
     #[n(1)]
     pub role: Role,
-    /// Its zone.
+    /// Name of its availability zone.
     #[n(2)]
     pub zone: String,
-    /// This incarnation of it.
+    /// Identity of this run.
     #[n(3)]
     pub incarnation: Incarnation,
-    /// Its disk, where it has one.
+    /// Identity of its disk, if it has one.
     #[n(4)]
     pub disk: Option<DiskId>,
-    /// Where it takes the tier's own messages.
+    /// Address for the tier's internal messages.
     #[n(5)]
     pub internal: Address,
-    /// Where operators call it, where they do.
+    /// Address for operators, if it serves them.
     #[n(6)]
     pub control: Option<Address>,
 }
 
-/// An address as it goes over the wire.
+/// A socket address; encoded as text.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Address(pub SocketAddr);
 
--- a/model/src/lib.rs
+++ b/model/src/lib.rs
@@ -1,7 +1,13 @@
-//! The vocabulary that all parts of the serving tier share: what operators configure, what is known of backends and of
-//! the tier's own processes, and the snapshot that each process acts on.
+//! Data types shared by all parts of the serving tier. They do no I/O and make no decisions.
 //!
-//! Nothing here does I/O or decides anything.
+//! | module | types |
+//! | --- | --- |
+//! | [`config`] | the operators' configuration: routes, services, limits |
+//! | [`backend`] | backends, as listed by the platform |
+//! | [`identity`] | the tier's own processes and disks, addresses |
+//! | [`snapshot`] | the tables that a process acts on: control state, backends, senders |
+//!
+//! Types with `#[n(..)]` go over the wire and to disk: the indexes never change.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
