--- a/coordination/src/replica/campaign.rs
+++ b/coordination/src/replica/campaign.rs
@@ -1,10 +1,10 @@
 //! Campaigns: attempts to start a new epoch, in three steps.
 //!
 //! 1. Pre-vote: ask the witnesses whether they would promise, without changing their state (section 9.6 of Ongaro's
-//! Raft thesis).
+//!    Raft thesis).
 //! 2. Prepare: obtain promises (phase 1 of Paxos), and choose the base record and state from them.
 //! 3. Install: have the new epoch record accepted by its members (phase 2). Once it is active, this member is the
-//! primary.
+//!    primary.
 //!
 //! A primary that changes its own configuration skips the pre-vote, and so does the successor of a hand-over.
 //! Invariant: a campaign installs one record only under its number, so that an epoch has one primary.
