--- a/coordination/src/monitoring/monitor.rs
+++ b/coordination/src/monitoring/monitor.rs
@@ -259,7 +259,7 @@
     ) {
         match message {
             Message::Probe { number, requester } => {
-                sends.push((from, Message::Answer { number, requester }))
+                sends.push((from, Message::Answer { number, requester }));
             }
             Message::IndirectProbe { subject, number } => {
                 sends.push((
--- a/coordination/src/monitoring/rendezvous.rs
+++ b/coordination/src/monitoring/rendezvous.rs
@@ -3,7 +3,7 @@
 
 use super::NodeNumber;
 
-/// Hashes a pair of processes, with the finalizer of SplitMix64.
+/// Hashes a pair of processes, with the finalizer of `SplitMix64`.
 fn score(subject: NodeNumber, monitor: NodeNumber) -> u64 {
     let mut mixed =
         (u64::from(subject) << 32 | u64::from(monitor)).wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/coordination/src/replica.rs
+++ b/coordination/src/replica.rs
@@ -163,7 +163,7 @@
         self.now = self.now.max(now);
         match input {
             Input::Tick => {}
-            Input::Message { from, message } => self.on_message(from, message),
+            Input::Message { from, message } => self.on_message(&from, message),
             Input::Persisted(token) => self.on_persisted(token),
             Input::PersistFailed(token) => self.writes.on_write_failed(self.now, token),
             Input::Propose { token, request } => self.on_propose(token, request),
@@ -317,21 +317,21 @@
         }
     }
 
-    fn on_message(&mut self, from: Member, message: Message) {
+    fn on_message(&mut self, from: &Member, message: Message) {
         match message {
-            Message::PreVote(pre_vote) => self.on_pre_vote(&from, pre_vote),
-            Message::PreVoteAnswer(answer) => self.on_pre_vote_answer(&from, answer),
-            Message::Prepare(prepare) => self.on_prepare(&from, prepare),
-            Message::Promise(promise) => self.on_promise(&from, *promise),
-            Message::Rejection(rejection) => self.on_rejection(&from, rejection),
-            Message::Install(install) => self.on_install(&from, *install),
-            Message::Installed(installed) => self.on_installed(&from, installed),
-            Message::Write(write) => self.on_write(&from, write),
-            Message::Written(written) => self.on_written(&from, written),
-            Message::Heartbeat(heartbeat) => self.on_heartbeat(&from, heartbeat),
-            Message::HeartbeatAnswer(answer) => self.on_heartbeat_answer(&from, answer),
-            Message::HandOver(hand_over) => self.on_hand_over(&from, hand_over),
-            Message::Leaving => self.on_member_leaving(&from),
+            Message::PreVote(pre_vote) => self.on_pre_vote(from, &pre_vote),
+            Message::PreVoteAnswer(answer) => self.on_pre_vote_answer(from, answer),
+            Message::Prepare(prepare) => self.on_prepare(from, &prepare),
+            Message::Promise(promise) => self.on_promise(from, *promise),
+            Message::Rejection(rejection) => self.on_rejection(&rejection),
+            Message::Install(install) => self.on_install(from, *install),
+            Message::Installed(installed) => self.on_installed(from, &installed),
+            Message::Write(write) => self.on_write(from, write),
+            Message::Written(written) => self.on_written(from, &written),
+            Message::Heartbeat(heartbeat) => self.on_heartbeat(from, &heartbeat),
+            Message::HeartbeatAnswer(answer) => self.on_heartbeat_answer(from, &answer),
+            Message::HandOver(hand_over) => self.on_hand_over(from, &hand_over),
+            Message::Leaving => self.on_member_leaving(from),
         }
     }
 
@@ -350,7 +350,7 @@
     fn run_until_idle(&mut self) {
         loop {
             while let Some(message) = self.loopback.pop_front() {
-                self.on_message(self.me.clone(), message);
+                self.on_message(&self.me.clone(), message);
             }
             self.on_time();
             let record_number = self.durable.record.as_ref().map(|record| record.number);
--- a/coordination/src/replica/campaign.rs
+++ b/coordination/src/replica/campaign.rs
@@ -114,7 +114,7 @@
 
 impl Campaign {
     /// When [`Replica::check_campaign`] is due.
-    pub fn next_wakeup(&self, timings: &Timings) -> Millis {
+    pub(super) fn next_wakeup(&self, timings: &Timings) -> Millis {
         match self {
             Campaign::PreVoting(pre_voting) => pre_voting.started + PRE_VOTE_MS,
             Campaign::Preparing(preparing) => {
@@ -142,7 +142,7 @@
 
 impl Installing {
     /// Version of the initial state. All commands up to it are committed once the record is active.
-    pub fn version(&self) -> Version {
+    pub(super) fn version(&self) -> Version {
         self.base.version
     }
 
@@ -278,7 +278,7 @@
         self.check_promises();
     }
 
-    pub(super) fn on_rejection(&mut self, _from: &Member, rejection: Rejection) {
+    pub(super) fn on_rejection(&mut self, rejection: &Rejection) {
         self.observe_epoch(rejection.promised);
         if let Some(record) = &rejection.record {
             self.observe_record(record);
@@ -293,7 +293,7 @@
         }
     }
 
-    pub(super) fn on_installed(&mut self, from: &Member, installed: Installed) {
+    pub(super) fn on_installed(&mut self, from: &Member, installed: &Installed) {
         let Some(Campaign::Installing(installing)) = &mut self.campaign else {
             return;
         };
--- a/coordination/src/replica/durable.rs
+++ b/coordination/src/replica/durable.rs
@@ -102,7 +102,7 @@
 
 impl<S: StateMachine> Durable<S> {
     /// Restores the state from the contents of a disk. `state` is the empty state.
-    pub fn recover(recovered: &Recovered, state: S) -> Result<Self, RecoveryError> {
+    pub(super) fn recover(recovered: &Recovered, state: S) -> Result<Self, RecoveryError> {
         let mut durable = Durable {
             id: None,
             founder: false,
@@ -127,7 +127,7 @@
     }
 
     /// Encodes the complete state for a snapshot.
-    pub fn image(&self) -> Vec<u8> {
+    pub(super) fn image(&self) -> Vec<u8> {
         encode(&Image {
             id: self.id.unwrap_or_default(),
             founder: self.founder,
@@ -140,7 +140,7 @@
     }
 
     /// Applies a log entry.
-    pub fn apply(&mut self, entry: Entry) {
+    pub(super) fn apply(&mut self, entry: Entry) {
         match entry {
             Entry::Identity { id, founder } => {
                 self.id = Some(id);
@@ -159,29 +159,29 @@
     }
 
     /// The committed state.
-    pub fn state(&self) -> &S {
+    pub(super) fn state(&self) -> &S {
         &self.state
     }
 
     /// Version of the committed state.
-    pub fn version(&self) -> Version {
+    pub(super) fn version(&self) -> Version {
         self.version
     }
 
     /// Number of the record to which the state belongs.
-    pub fn state_epoch(&self) -> Option<Epoch> {
+    pub(super) fn state_epoch(&self) -> Option<Epoch> {
         self.state_record.as_ref().map(|record| record.number)
     }
 
     /// Version of the state including the pending command, if there is one.
-    pub fn accepted_version(&self) -> Version {
+    pub(super) fn accepted_version(&self) -> Version {
         self.pending
             .as_ref()
             .map_or(self.version, |pending| pending.version)
     }
 
     /// Marks all versions up to this one as committed.
-    pub fn commit_up_to(&mut self, version: Version) {
+    pub(super) fn commit_up_to(&mut self, version: Version) {
         if self
             .pending
             .as_ref()
@@ -196,7 +196,7 @@
     }
 
     /// A copy of the state, with the pending command.
-    pub fn clone_state(&self) -> StateCopy {
+    pub(super) fn clone_state(&self) -> StateCopy {
         StateCopy {
             version: self.version,
             snapshot: self.state.snapshot().into(),
--- a/coordination/src/replica/handover.rs
+++ b/coordination/src/replica/handover.rs
@@ -32,7 +32,7 @@
         self.outputs.push(Output::HandedOver);
     }
 
-    pub(super) fn on_hand_over(&mut self, from: &Member, hand_over: HandOver) {
+    pub(super) fn on_hand_over(&mut self, from: &Member, hand_over: &HandOver) {
         self.observe_epoch(hand_over.epoch);
         let is_from_primary = self.accepted_record().is_some_and(|record| {
             record.number <= hand_over.epoch
--- a/coordination/src/replica/primary.rs
+++ b/coordination/src/replica/primary.rs
@@ -103,7 +103,7 @@
 
 impl Peer {
     /// Whether its process is shutting down, or has exited and not returned.
-    pub fn is_leaving(&self) -> bool {
+    pub(super) fn is_leaving(&self) -> bool {
         self.leaving_since.is_some()
     }
 
@@ -138,7 +138,7 @@
     }
 
     /// Expiry time of the lease; 0 during a hand-over or without a quorum.
-    pub fn lease_until(&self, lease_ms: Millis) -> Millis {
+    pub(super) fn lease_until(&self, lease_ms: Millis) -> Millis {
         if self.hand_over.is_some() {
             return 0;
         }
@@ -223,7 +223,7 @@
         }
     }
 
-    pub(super) fn on_heartbeat_answer(&mut self, from: &Member, answer: HeartbeatAnswer) {
+    pub(super) fn on_heartbeat_answer(&mut self, from: &Member, answer: &HeartbeatAnswer) {
         self.observe_epoch(answer.promised);
         let (now, time_since_response) = (self.now, self.settings.timings.replica_timeout_ms);
         let Some(primary) = &mut self.primary else {
--- a/coordination/src/replica/proposals.rs
+++ b/coordination/src/replica/proposals.rs
@@ -3,7 +3,7 @@
 //! A command is committed once all replicas of the active record have it on disk.
 
 use super::interface::{
-    Decision, MemberId, Outcome, Output, ProposeError, StateMachine, Token, Version,
+    Decision, Member, MemberId, Outcome, Output, ProposeError, StateMachine, Token, Version,
 };
 use super::message::{Message, Write, Written};
 use super::primary::{PendingWrite, Primary, QueuedProposal};
@@ -18,10 +18,10 @@
         let since = self.now;
         match &mut self.primary {
             Some(primary) if primary.hand_over.is_some() => {
-                self.fail_proposal(token, ProposeError::NotPrimary)
+                self.fail_proposal(token, ProposeError::NotPrimary);
             }
             Some(primary) if primary.queue.len() >= QUEUE_LIMIT => {
-                self.fail_proposal(token, ProposeError::Overloaded)
+                self.fail_proposal(token, ProposeError::Overloaded);
             }
             Some(primary) => primary.queue.push_back(QueuedProposal {
                 token,
@@ -60,7 +60,7 @@
         }
     }
 
-    pub(super) fn on_written(&mut self, from: &super::interface::Member, written: Written) {
+    pub(super) fn on_written(&mut self, from: &Member, written: &Written) {
         let Some(primary) = &mut self.primary else {
             return;
         };
--- a/coordination/src/replica/witness.rs
+++ b/coordination/src/replica/witness.rs
@@ -69,7 +69,7 @@
             }
     }
 
-    pub(super) fn on_pre_vote(&mut self, from: &Member, pre_vote: PreVote) {
+    pub(super) fn on_pre_vote(&mut self, from: &Member, pre_vote: &PreVote) {
         let wait_ms = self.vote_wait_ms(from.id);
         let answer = PreVoteAnswer {
             attempt: pre_vote.attempt,
@@ -81,7 +81,7 @@
         self.send(from.clone(), Message::PreVoteAnswer(answer));
     }
 
-    pub(super) fn on_prepare(&mut self, from: &Member, prepare: Prepare) {
+    pub(super) fn on_prepare(&mut self, from: &Member, prepare: &Prepare) {
         self.observe_epoch(prepare.number);
         let is_repeat =
             prepare.number == self.durable.promised && self.durable.promised_to == from.id;
@@ -93,7 +93,7 @@
         if is_higher {
             self.record_promise(from, prepare.number);
         }
-        self.send_promise(from, &prepare);
+        self.send_promise(from, prepare);
     }
 
     pub(super) fn on_install(&mut self, from: &Member, install: Install) {
@@ -148,7 +148,7 @@
         self.send_when_durable(from, Message::Written(written));
     }
 
-    pub(super) fn on_heartbeat(&mut self, from: &Member, heartbeat: Heartbeat) {
+    pub(super) fn on_heartbeat(&mut self, from: &Member, heartbeat: &Heartbeat) {
         self.observe_epoch(heartbeat.epoch);
         if !self.identity_on_disk {
             return;
--- a/coordination/src/replica/write_queue.rs
+++ b/coordination/src/replica/write_queue.rs
@@ -48,7 +48,7 @@
 
 impl WriteQueue {
     /// A queue for a disk with a snapshot and a log of these sizes.
-    pub fn new(snapshot_bytes: usize, log_bytes: usize) -> Self {
+    pub(super) fn new(snapshot_bytes: usize, log_bytes: usize) -> Self {
         WriteQueue {
             snapshot_bytes,
             log_bytes,
@@ -57,17 +57,17 @@
     }
 
     /// Adds a record to the next flush.
-    pub fn append(&mut self, write: Vec<u8>) {
+    pub(super) fn append(&mut self, write: Vec<u8>) {
         self.unflushed_records.push(write);
     }
 
     /// Adds a message that is sent once all records appended so far are synced.
-    pub fn send_after_writes(&mut self, to: Member, message: Message) {
+    pub(super) fn send_after_writes(&mut self, to: Member, message: Message) {
         self.unflushed_messages.push((to, message));
     }
 
     /// Requests the write of all appended records. Returns the messages that need not wait for a write.
-    pub fn flush(
+    pub(super) fn flush(
         &mut self,
         now: Millis,
         record_number: Option<Epoch>,
@@ -98,7 +98,7 @@
     }
 
     /// Handles a successful write. Returns `None` if the write is not in flight or no longer.
-    pub fn on_write_finished(&mut self, token: Token) -> Option<FinishedWrite> {
+    pub(super) fn on_write_finished(&mut self, token: Token) -> Option<FinishedWrite> {
         if !self.in_flight.iter().any(|write| write.token == token) {
             return None;
         }
@@ -115,7 +115,7 @@
     }
 
     /// Handles a failed write: drops all writes in flight and schedules a snapshot.
-    pub fn on_write_failed(&mut self, now: Millis, token: Token) {
+    pub(super) fn on_write_failed(&mut self, now: Millis, token: Token) {
         if self.in_flight.iter().any(|write| write.token == token) {
             self.in_flight.clear();
             self.last_write_failed = true;
@@ -124,7 +124,7 @@
     }
 
     /// Whether the last write failed, or the oldest one in flight has taken `limit` milliseconds.
-    pub fn is_stalled(&self, now: Millis, limit: Millis) -> bool {
+    pub(super) fn is_stalled(&self, now: Millis, limit: Millis) -> bool {
         self.last_write_failed
             || self
                 .in_flight
@@ -133,12 +133,12 @@
     }
 
     /// When [`WriteQueue::flush`] is due to retry after a failure.
-    pub fn next_wakeup(&self) -> Option<Millis> {
+    pub(super) fn next_wakeup(&self) -> Option<Millis> {
         self.retry_at
     }
 
     /// When the disk counts as stalled unless the oldest write in flight completes before.
-    pub fn stall_deadline(&self, limit: Millis) -> Option<Millis> {
+    pub(super) fn stall_deadline(&self, limit: Millis) -> Option<Millis> {
         self.in_flight.front().map(|write| write.since + limit)
     }
 
--- a/coordination/tests/monitoring/world.rs
+++ b/coordination/tests/monitoring/world.rs
@@ -15,7 +15,7 @@
 
 /// What is wrong with one process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Fault {
+pub(crate) enum Fault {
     /// It is gone.
     Crash,
     /// It stands still until a moment, and goes on then.
@@ -40,7 +40,7 @@
     },
 }
 
-pub struct World {
+pub(crate) struct World {
     pub now: Millis,
     pub faults: BTreeMap<NodeNumber, Fault>,
     /// From whom to whom nothing passes.
@@ -59,7 +59,7 @@
 }
 
 impl World {
-    pub fn new(seed: u64, nodes: u32) -> World {
+    pub(crate) fn new(seed: u64, nodes: u32) -> World {
         let all: Vec<NodeNumber> = (0..nodes).collect();
         let mut world = World {
             now: 0,
@@ -86,11 +86,11 @@
         world
     }
 
-    pub fn random(&mut self, below: u64) -> u64 {
+    pub(crate) fn random(&mut self, below: u64) -> u64 {
         self.chance.rand_range(0..below)
     }
 
-    pub fn run_for(&mut self, span: Millis) {
+    pub(crate) fn run_for(&mut self, span: Millis) {
         let end = self.now + span;
         while let Some(entry) = self.events.first_entry() {
             if entry.key().0 > end {
@@ -104,7 +104,7 @@
     }
 
     /// Runs until a process is held for dead, and says how long that took; `None` if it is not within `limit`.
-    pub fn time_to_verdict(&mut self, node: NodeNumber, limit: Millis) -> Option<Millis> {
+    pub(crate) fn time_to_verdict(&mut self, node: NodeNumber, limit: Millis) -> Option<Millis> {
         let begun = self.now;
         while self.now < begun + limit {
             self.run_for(10);
@@ -116,7 +116,7 @@
     }
 
     /// All processes get a new list.
-    pub fn set_nodes(&mut self, nodes: &[NodeNumber]) {
+    pub(crate) fn set_nodes(&mut self, nodes: &[NodeNumber]) {
         let gone: Vec<NodeNumber> = self
             .monitors
             .keys()
@@ -203,7 +203,7 @@
         match event {
             Event::Wake(_) => monitor.on_timer(now, &mut sends),
             Event::Deliver { from, message, .. } => {
-                monitor.on_message(now, from, message, &mut sends)
+                monitor.on_message(now, from, message, &mut sends);
             }
             Event::Poll(_) => {
                 self.poll(node);
--- a/coordination/tests/simulation/faults.rs
+++ b/coordination/tests/simulation/faults.rs
@@ -62,7 +62,7 @@
 const MOST_MACHINES: usize = 9;
 
 /// Troubles, one after the other, some of them together.
-pub fn trouble_for(world: &mut World, span: Millis) {
+pub(crate) fn trouble_for(world: &mut World, span: Millis) {
     let end = world.now + span;
     while world.now < end {
         let trouble = TROUBLES[world.random(TROUBLES.len() as u64) as usize];
@@ -78,7 +78,7 @@
 }
 
 /// All machines run, all links and disks are well.
-pub fn end_troubles(world: &mut World) {
+pub(crate) fn end_troubles(world: &mut World) {
     world.trace(|| String::from("end of troubles"));
     world.link_faults = LinkFaults::default();
     world.cuts.clear();
--- a/coordination/tests/simulation/ledger.rs
+++ b/coordination/tests/simulation/ledger.rs
@@ -4,11 +4,11 @@
 
 /// The list, in the order of the commands.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Ledger {
+pub(crate) struct Ledger {
     pub entries: Vec<u32>,
 }
 
-pub fn request(number: u32) -> Vec<u8> {
+pub(crate) fn request(number: u32) -> Vec<u8> {
     number.to_be_bytes().to_vec()
 }
 
--- a/coordination/tests/simulation/machine.rs
+++ b/coordination/tests/simulation/machine.rs
@@ -12,24 +12,24 @@
 
 /// The steady clock of a machine: it runs at so many hundredths of the world's time.
 #[derive(Debug, Clone, Copy)]
-pub struct Clock {
+pub(crate) struct Clock {
     pub percent: u64,
 }
 
 impl Clock {
     /// What it shows at a moment of the world.
-    pub fn shows(self, moment: Millis) -> Millis {
+    pub(crate) fn shows(self, moment: Millis) -> Millis {
         moment * self.percent / 100
     }
 
     /// The first moment of the world at which it shows this.
-    pub fn moment_of(self, shown: Millis) -> Millis {
+    pub(crate) fn moment_of(self, shown: Millis) -> Millis {
         (shown.saturating_mul(100)).div_ceil(self.percent)
     }
 }
 
 /// A machine, at its number as address.
-pub struct Machine {
+pub(crate) struct Machine {
     pub number: usize,
     pub clock: Clock,
     pub node: String,
@@ -46,7 +46,7 @@
 }
 
 /// A process.
-pub struct Process {
+pub(crate) struct Process {
     pub replica: Replica<Ledger>,
     /// Tells it from others on the same machine.
     pub generation: u64,
@@ -61,7 +61,7 @@
 
 /// A disk, with writes under way.
 #[derive(Default)]
-pub struct Disk {
+pub(crate) struct Disk {
     content: Recovered,
     under_way: VecDeque<DiskWrite>,
     busy_until: Millis,
@@ -77,7 +77,7 @@
 }
 
 impl Machine {
-    pub fn new(number: usize, node: String, first_start: bool) -> Self {
+    pub(crate) fn new(number: usize, node: String, first_start: bool) -> Self {
         Machine {
             number,
             clock: Clock { percent: 100 },
@@ -92,7 +92,7 @@
         }
     }
 
-    pub fn start(&mut self, now: Millis, tolerate_machines: usize, seed: u64) {
+    pub(crate) fn start(&mut self, now: Millis, tolerate_machines: usize, seed: u64) {
         let settings = Settings {
             node: self.node.clone(),
             zone: String::new(),
@@ -123,7 +123,7 @@
     }
 
     /// Its process is the primary, as far as it knows by its own clock.
-    pub fn holds_lease(&self, now: Millis) -> bool {
+    pub(crate) fn holds_lease(&self, now: Millis) -> bool {
         let shown = self.clock.shows(now);
         self.process
             .as_ref()
@@ -131,13 +131,13 @@
     }
 
     /// The identity of the running process's disk.
-    pub fn member_id(&self) -> Option<MemberId> {
+    pub(crate) fn member_id(&self) -> Option<MemberId> {
         self.process
             .as_ref()
             .map(|process| process.replica.member().id)
     }
 
-    pub fn member(&self) -> Option<Member> {
+    pub(crate) fn member(&self) -> Option<Member> {
         self.process
             .as_ref()
             .map(|process| process.replica.member().clone())
@@ -145,7 +145,7 @@
 }
 
 /// The machine number in a member's contact.
-pub fn address_of(member: &Member) -> usize {
+pub(crate) fn address_of(member: &Member) -> usize {
     usize::from_be_bytes(
         member
             .contact
@@ -157,7 +157,7 @@
 
 impl Disk {
     /// Begins a write; says when it ends.
-    pub fn begin(
+    pub(crate) fn begin(
         &mut self,
         now: Millis,
         chance: &mut Rand64,
@@ -177,7 +177,7 @@
     }
 
     /// A write's time has come. False: it failed.
-    pub fn finish(&mut self, now: Millis, chance: &mut Rand64, token: Token) -> bool {
+    pub(crate) fn finish(&mut self, now: Millis, chance: &mut Rand64, token: Token) -> bool {
         let Some(write) = self.under_way.pop_front() else {
             return true;
         };
@@ -192,23 +192,23 @@
         true
     }
 
-    pub fn has(&self, token: Token) -> bool {
+    pub(crate) fn has(&self, token: Token) -> bool {
         self.under_way.iter().any(|write| write.token == token)
     }
 
-    pub fn is_next(&self, token: Token) -> bool {
+    pub(crate) fn is_next(&self, token: Token) -> bool {
         self.under_way
             .front()
             .is_some_and(|write| write.token == token)
     }
 
     /// After a failed write nothing is certain of those that waited.
-    pub fn drop_waiting(&mut self) -> Vec<Token> {
+    pub(crate) fn drop_waiting(&mut self) -> Vec<Token> {
         self.under_way.drain(..).map(|write| write.token).collect()
     }
 
     /// The process ended: of what was not synced, some is there, in order.
-    pub fn crash(&mut self, chance: &mut Rand64) {
+    pub(crate) fn crash(&mut self, chance: &mut Rand64) {
         let kept = chance.rand_range(0..self.under_way.len() as u64 + 1);
         for _ in 0..kept {
             if let Some(write) = self.under_way.pop_front() {
--- a/coordination/tests/simulation/oracle.rs
+++ b/coordination/tests/simulation/oracle.rs
@@ -6,7 +6,7 @@
 
 /// Remembers what was seen, and compares.
 #[derive(Debug, Default)]
-pub struct Oracle {
+pub(crate) struct Oracle {
     /// Entry of each version (from 1), as first seen committed.
     history: Vec<u32>,
     /// The newest version that was acknowledged.
@@ -17,7 +17,7 @@
 
 impl Oracle {
     /// A member's committed state; all up to `checked` was compared before.
-    pub fn saw_state(&mut self, state: &Ledger, version: Version, checked: Version) {
+    pub(crate) fn saw_state(&mut self, state: &Ledger, version: Version, checked: Version) {
         assert_eq!(
             state.entries.len() as Version,
             version,
@@ -44,7 +44,7 @@
         }
     }
 
-    pub fn saw_acknowledged(&mut self, number: u32, version: Version) {
+    pub(crate) fn saw_acknowledged(&mut self, number: u32, version: Version) {
         let entry = self.history.get(version as usize - 1);
         assert_eq!(
             entry,
@@ -55,27 +55,27 @@
     }
 
     /// The newest version that anybody was told of.
-    pub fn newest_told(&self) -> Version {
+    pub(crate) fn newest_told(&self) -> Version {
         self.acknowledged
     }
 
     /// The history is linearizable: versions order the commands, each takes effect between its sending and its
     /// acknowledgement, and so comes after all that was acknowledged before it was sent.
-    pub fn saw_in_order(&self, number: u32, version: Version, newest_told: Version) {
+    pub(crate) fn saw_in_order(&self, number: u32, version: Version, newest_told: Version) {
         assert!(
             version > newest_told,
             "request {number} became version {version}, and was sent after version {newest_told} was acknowledged"
         );
     }
 
-    pub fn saw_answered(&mut self, number: u32) {
+    pub(crate) fn saw_answered(&mut self, number: u32) {
         assert!(
             self.history.contains(&number),
             "request {number} was answered as known and is not"
         );
     }
 
-    pub fn saw_refused(&mut self, number: u32) {
+    pub(crate) fn saw_refused(&mut self, number: u32) {
         assert!(
             !self.history.contains(&number),
             "request {number} was said never to happen, and did"
@@ -83,12 +83,12 @@
         self.never.insert(number);
     }
 
-    pub fn saw_primary(&mut self, epoch: Epoch, member: MemberId) {
+    pub(crate) fn saw_primary(&mut self, epoch: Epoch, member: MemberId) {
         let first = *self.primaries.entry(epoch).or_insert(member);
         assert_eq!(first, member, "two primaries of epoch {epoch}");
     }
 
-    pub fn saw_lease_holders(&self, versions: &[Version]) {
+    pub(crate) fn saw_lease_holders(&self, versions: &[Version]) {
         assert!(
             versions.len() <= 1,
             "{} members hold the lease at once",
--- a/coordination/tests/simulation/world.rs
+++ b/coordination/tests/simulation/world.rs
@@ -5,7 +5,7 @@
 mod machines;
 mod processor;
 
-pub use processor::{Spending, PERIOD_MS};
+pub(crate) use processor::{Spending, PERIOD_MS};
 
 use crate::machine::Machine;
 use crate::oracle::Oracle;
@@ -48,7 +48,7 @@
 
 /// What happens to a machine (and others) right after it acknowledged a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AfterAcknowledgement {
+pub(crate) enum AfterAcknowledgement {
     /// It loses power.
     PowerLoss,
     /// It and so many others lose their disks, and all others lose power.
@@ -65,7 +65,7 @@
 
 /// How the links behave.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct LinkFaults {
+pub(crate) struct LinkFaults {
     /// Of a hundred messages so many are lost.
     pub loss_percent: u64,
     /// So many come twice.
@@ -74,7 +74,7 @@
     pub late_percent: u64,
 }
 
-pub struct World {
+pub(crate) struct World {
     pub now: Millis,
     pub chance: Rand64,
     pub machines: Vec<Machine>,
@@ -107,7 +107,7 @@
 
 impl World {
     /// So many machines, the first three of them seeds, that start at the first start of the system.
-    pub fn new(seed: u64, machines: usize, tolerate: usize) -> Self {
+    pub(crate) fn new(seed: u64, machines: usize, tolerate: usize) -> Self {
         let mut world = World {
             now: 1,
             chance: Rand64::new(u128::from(seed)),
@@ -144,7 +144,7 @@
     }
 
     /// Each machine's clock runs so much faster or slower than the world's.
-    pub fn set_clocks_apart(&mut self, percent: u64) {
+    pub(crate) fn set_clocks_apart(&mut self, percent: u64) {
         for number in 0..self.machines.len() {
             let is_fast = self.random(2) == 0;
             let clock = &mut self.machines[number].clock;
@@ -156,12 +156,12 @@
         }
     }
 
-    pub fn random(&mut self, below: u64) -> u64 {
+    pub(crate) fn random(&mut self, below: u64) -> u64 {
         self.chance.rand_range(0..below)
     }
 
     /// Runs until this moment.
-    pub fn run_until(&mut self, end: Millis) {
+    pub(crate) fn run_until(&mut self, end: Millis) {
         while let Some(((at, _), event)) = self.events.pop_first() {
             if at > end {
                 self.schedule(at, event);
@@ -173,12 +173,12 @@
         self.now = self.now.max(end);
     }
 
-    pub fn run_for(&mut self, span: Millis) {
+    pub(crate) fn run_for(&mut self, span: Millis) {
         self.run_until(self.now + span);
     }
 
     /// Runs until a condition holds, and says how long that took. Panics if it takes longer than `limit`.
-    pub fn run_until_holds(
+    pub(crate) fn run_until_holds(
         &mut self,
         limit: Millis,
         what: &str,
@@ -193,7 +193,7 @@
     }
 
     /// Machine that holds the lease now.
-    pub fn lease_holder(&self) -> Option<usize> {
+    pub(crate) fn lease_holder(&self) -> Option<usize> {
         let holds = |machine: &&Machine| machine.holds_lease(self.now);
         self.machines
             .iter()
@@ -202,13 +202,13 @@
     }
 
     /// Record of the lease holder.
-    pub fn record(&self) -> Option<&EpochRecord> {
+    pub(crate) fn record(&self) -> Option<&EpochRecord> {
         let process = self.machines[self.lease_holder()?].process.as_ref()?;
         process.replica.record()
     }
 
     /// The first writes of all seeds are on disk.
-    pub fn seeds_have_identities(&self) -> bool {
+    pub(crate) fn seeds_have_identities(&self) -> bool {
         let has_identity = |machine: &Machine| {
             machine
                 .process
@@ -219,7 +219,7 @@
     }
 
     /// All running disks are replicas, and no others are members.
-    pub fn is_whole(&self) -> bool {
+    pub(crate) fn is_whole(&self) -> bool {
         let mut disks: Vec<_> = self
             .machines
             .iter()
@@ -233,7 +233,7 @@
     }
 
     /// So many more disks may be lost now without losing anything.
-    pub fn disks_to_spare(&self) -> usize {
+    pub(crate) fn disks_to_spare(&self) -> usize {
         let Some(record) = self.record() else {
             return 0;
         };
@@ -315,7 +315,7 @@
         self.oracle.saw_lease_holders(&versions);
     }
 
-    pub fn trace(&self, line: impl FnOnce() -> String) {
+    pub(crate) fn trace(&self, line: impl FnOnce() -> String) {
         if self.trace {
             eprintln!("{:>6} {}", self.now, line());
         }
--- a/coordination/tests/simulation/world/clients.rs
+++ b/coordination/tests/simulation/world/clients.rs
@@ -7,7 +7,7 @@
 
 impl World {
     /// A client's request at a machine; a new one, or one whose end is unknown again.
-    pub fn propose_at(&mut self, machine: usize) {
+    pub(crate) fn propose_at(&mut self, machine: usize) {
         let Some(process) = &self.machines[machine].process else {
             return;
         };
--- a/coordination/tests/simulation/world/hosts.rs
+++ b/coordination/tests/simulation/world/hosts.rs
@@ -12,7 +12,7 @@
 
 impl World {
     /// Tells a process something from its host.
-    pub fn tell(&mut self, machine: usize, input: Input) {
+    pub(crate) fn tell(&mut self, machine: usize, input: Input) {
         let mut outputs = Vec::new();
         let now = self.machines[machine].clock.shows(self.now);
         if let Some(process) = &mut self.machines[machine].process {
--- a/coordination/tests/simulation/world/machines.rs
+++ b/coordination/tests/simulation/world/machines.rs
@@ -5,13 +5,13 @@
 use alderhollow_coordination::replica::interface::Millis;
 
 impl World {
-    pub fn start_at(&mut self, machine: usize, at: Millis) {
+    pub(crate) fn start_at(&mut self, machine: usize, at: Millis) {
         self.machines[machine].starts_at = Some(at);
         self.schedule(at, Event::Start { machine });
     }
 
     /// Ends a process; of what it had not synced, some is on disk.
-    pub fn kill(&mut self, machine: usize) {
+    pub(crate) fn kill(&mut self, machine: usize) {
         self.trace(|| format!("kill {machine}"));
         let chance = &mut self.chance;
         let machine = &mut self.machines[machine];
@@ -20,27 +20,27 @@
         machine.disk.crash(chance);
     }
 
-    pub fn kill_for(&mut self, machine: usize, span: Millis) {
+    pub(crate) fn kill_for(&mut self, machine: usize, span: Millis) {
         self.kill(machine);
         self.start_at(machine, self.now + span);
     }
 
     /// Ends a process; its machine comes back with an empty disk.
-    pub fn wipe_for(&mut self, machine: usize, span: Millis) {
+    pub(crate) fn wipe_for(&mut self, machine: usize, span: Millis) {
         self.trace(|| format!("wipe {machine}"));
         self.kill_for(machine, span);
         self.machines[machine].disk = Default::default();
     }
 
     /// Ends a process; its machine never comes back.
-    pub fn remove(&mut self, machine: usize) {
+    pub(crate) fn remove(&mut self, machine: usize) {
         self.kill(machine);
         self.machines[machine].gone = true;
         self.machines[machine].starts_at = None;
     }
 
     /// Adds a machine with an empty disk that starts later.
-    pub fn add(&mut self, span: Millis) -> usize {
+    pub(crate) fn add(&mut self, span: Millis) -> usize {
         let number = self.machines.len();
         self.trace(|| format!("add {number}"));
         self.machines
@@ -50,13 +50,13 @@
     }
 
     /// A machine stands still; its disk goes on.
-    pub fn freeze(&mut self, machine: usize, span: Millis) {
+    pub(crate) fn freeze(&mut self, machine: usize, span: Millis) {
         self.trace(|| format!("freeze {machine} for {span}"));
         let until = self.now + span;
         self.machines[machine].frozen_until = self.machines[machine].frozen_until.max(until);
     }
 
-    pub fn cut(&mut self, from: usize, to: usize) {
+    pub(crate) fn cut(&mut self, from: usize, to: usize) {
         self.trace(|| format!("cut {from} -> {to}"));
         self.cuts.insert((from, to));
     }
--- a/coordination/tests/simulation/world/processor.rs
+++ b/coordination/tests/simulation/world/processor.rs
@@ -4,18 +4,18 @@
 use alderhollow_coordination::replica::interface::Millis;
 
 /// A period of the quota. All machines' periods begin together, so that all fall silent together: the worst case.
-pub const PERIOD_MS: Millis = 100;
+pub(crate) const PERIOD_MS: Millis = 100;
 
 /// What a machine has spent of its quota.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct Spending {
+pub(crate) struct Spending {
     period: Millis,
     inputs: u64,
 }
 
 impl World {
     /// From now on each machine handles so many inputs in a period. What comes beyond waits for the next one.
-    pub fn limit_processors(&mut self, inputs_per_period: u64) {
+    pub(crate) fn limit_processors(&mut self, inputs_per_period: u64) {
         self.inputs_per_period = Some(inputs_per_period.max(1));
     }
 
--- a/storage/src/fault_disk.rs
+++ b/storage/src/fault_disk.rs
@@ -69,12 +69,12 @@
 
 /// A small random generator: the same seed gives the same faults.
 mod random {
-    /// State of SplitMix64.
-    pub struct Random(pub u64);
+    /// State of `SplitMix64`.
+    pub(super) struct Random(pub u64);
 
     impl Random {
         /// A random number below `bound`, which must not be 0.
-        pub fn below(&mut self, bound: usize) -> usize {
+        pub(super) fn below(&mut self, bound: usize) -> usize {
             self.0 = self.0.wrapping_add(0x9e37_79b9_7f4a_7c15);
             let mut mixed = self.0;
             mixed = (mixed ^ (mixed >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
--- a/storage/src/identity.rs
+++ b/storage/src/identity.rs
@@ -28,7 +28,7 @@
     }
     let mut bytes = Vec::with_capacity(FILE_BYTES);
     crate::disk::read_chunks(file, 0, FILE_BYTES as u64, |chunk| {
-        bytes.extend_from_slice(chunk)
+        bytes.extend_from_slice(chunk);
     })?;
     Ok(decode(&bytes).map_or(Stored::Damaged, Stored::Valid))
 }
--- a/storage/src/log.rs
+++ b/storage/src/log.rs
@@ -143,7 +143,7 @@
 
 impl Log {
     /// An empty log. The file may have any contents.
-    pub fn unused(file: Box<dyn DiskFile>, name: &'static str) -> Log {
+    pub(crate) fn unused(file: Box<dyn DiskFile>, name: &'static str) -> Log {
         Log {
             file,
             name,
@@ -158,7 +158,7 @@
 
     /// Recovers the records of `generation`: truncates what follows the last valid record and syncs, because records
     /// that are returned here must not vanish later even if they were not synced before.
-    pub fn recover(&mut self, generation: u64) -> Result<Vec<Vec<u8>>, StorageError> {
+    pub(crate) fn recover(&mut self, generation: u64) -> Result<Vec<Vec<u8>>, StorageError> {
         let on = StorageError::on(self.name);
         let contents = read(self.file.as_mut(), generation).map_err(&on)?;
         self.generation = generation;
@@ -171,7 +171,7 @@
     }
 
     /// Starts the log of a new generation.
-    pub fn restart(&mut self, generation: u64) {
+    pub(crate) fn restart(&mut self, generation: u64) {
         self.generation = generation;
         self.synced = LogPosition::START;
         self.end = LogPosition::START;
@@ -182,13 +182,13 @@
 
     /// Truncates the file without a sync, to free disk space. A failure is harmless: the bytes are of an older
     /// generation.
-    pub fn truncate(&mut self) {
+    pub(crate) fn truncate(&mut self) {
         self.buffer = Vec::new();
         self.may_have_surplus = self.file.set_length(0).is_err();
     }
 
     /// Appends a record. After an error all records since the last sync are rolled back.
-    pub fn append(&mut self, record: &[u8]) -> Result<(), StorageError> {
+    pub(crate) fn append(&mut self, record: &[u8]) -> Result<(), StorageError> {
         if record.len() > MAX_RECORD_BYTES {
             return Err(StorageError::RecordTooLong {
                 length: record.len(),
@@ -213,7 +213,7 @@
 
     /// Makes all appended records durable and all rolled back ones unreadable. After an error all records since the
     /// last sync are rolled back.
-    pub fn sync(&mut self) -> Result<(), StorageError> {
+    pub(crate) fn sync(&mut self) -> Result<(), StorageError> {
         if self.end == self.synced && !self.has_rolled_back {
             return Ok(());
         }
@@ -231,7 +231,7 @@
     }
 
     /// Size of its records in bytes.
-    pub fn bytes(&self) -> u64 {
+    pub(crate) fn bytes(&self) -> u64 {
         self.end.offset
     }
 
@@ -259,7 +259,7 @@
     }
 
     /// Discards all records since the last sync.
-    pub fn roll_back(&mut self) {
+    pub(crate) fn roll_back(&mut self) {
         self.end = self.synced;
         self.buffer.clear();
         self.has_rolled_back = true;
--- a/storage/src/slot.rs
+++ b/storage/src/slot.rs
@@ -61,7 +61,7 @@
 pub(crate) fn read_header(file: &mut dyn DiskFile) -> io::Result<Option<Header>> {
     let mut bytes = Vec::with_capacity(HEADER_BYTES as usize);
     read_chunks(file, 0, HEADER_BYTES, |chunk| {
-        bytes.extend_from_slice(chunk)
+        bytes.extend_from_slice(chunk);
     })?;
     Ok(Header::decode(&bytes).filter(|_| bytes.len() as u64 == HEADER_BYTES))
 }
@@ -76,7 +76,7 @@
     }
     let mut snapshot = Vec::with_capacity(usize::try_from(header.length).unwrap_or(0));
     read_chunks(file, HEADER_BYTES, header.length, |chunk| {
-        snapshot.extend_from_slice(chunk)
+        snapshot.extend_from_slice(chunk);
     })?;
     let mut hasher = seeded(header.generation);
     hasher.update(&snapshot);
--- a/storage/src/writer.rs
+++ b/storage/src/writer.rs
@@ -96,7 +96,7 @@
                 self.write(next);
             }
             let result = self.journal.sync();
-            self.complete_unsynced(result);
+            self.complete_unsynced(&result);
         }
     }
 
@@ -119,7 +119,7 @@
         let result = self.journal.append(record);
         if let Err(error) = &result {
             // The journal has rolled back all records since the last sync.
-            self.complete_unsynced(Err(error.clone()));
+            self.complete_unsynced(&Err(error.clone()));
         }
         result
     }
@@ -128,13 +128,13 @@
         let result = self.journal.compact(snapshot);
         if result.is_ok() {
             // The snapshot covers all records before it.
-            self.complete_unsynced(Ok(()));
+            self.complete_unsynced(&Ok(()));
         }
         result
     }
 
     /// Completes all unsynced submissions: each with its own first error, or else with `result`.
-    fn complete_unsynced(&mut self, result: Result<(), StorageError>) {
+    fn complete_unsynced(&mut self, result: &Result<(), StorageError>) {
         for written in self.unsynced.drain(..) {
             self.pending.fetch_sub(1, Ordering::Relaxed);
             let _ = written
