--- a/coordination/tests/compatibility.rs
+++ b/coordination/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Messages and stored state have the bytes that earlier builds wrote.
+//! Messages and stored state are encoded to the same bytes as by earlier builds, and decoded from them.
 
 use alderhollow_coordination::replica::inspection::read_member;
 use alderhollow_coordination::replica::interface::{
@@ -13,7 +13,7 @@
 use alderhollow_recorded_bytes::RecordedBytes;
 use minicbor::Encode;
 
-/// The layout of a record at that time.
+/// The layout of an epoch record before it had a lineage.
 #[derive(Encode)]
 struct FormerRecord {
     #[n(0)]
@@ -192,7 +192,7 @@
     recorded.finish();
 }
 
-/// A state that is the list of all commands.
+/// A state that consists of the list of all commands.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct CommandList(Vec<u8>);
 
@@ -208,7 +208,8 @@
     }
 }
 
-/// What a member writes to its disk as it is founded, takes part in the epochs of another one and appends two commands.
+/// The records that a member writes when it is founded, takes part in epochs of another primary and appends two
+/// commands.
 fn written_by_a_replica() -> Vec<Vec<u8>> {
     let settings = Settings {
         node: "machine-3".into(),
--- a/coordination/tests/monitoring/cluster.rs
+++ b/coordination/tests/monitoring/cluster.rs
@@ -1,4 +1,4 @@
-//! Processes that monitor each other and poll a primary, in a simulated network. Each run depends on its seed alone.
+//! Processes that monitor each other and poll a primary, in a simulated network. A run depends on its seed only.
 
 use alderhollow_coordination::monitoring::failure_detector::{FailureDetector, Thresholds};
 use alderhollow_coordination::monitoring::monitor::{Message, Monitor, Report, Timings};
@@ -7,22 +7,22 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 const POLL_INTERVAL_MS: Millis = 400;
-/// Bytes of a datagram's or frame's head, of a message, and of one suspected process in a poll.
+/// Sizes in bytes: header of a datagram or frame, message, one suspected process in a poll.
 const HEADER_BYTES: u64 = 28;
 const MESSAGE_BYTES: u64 = 12;
 const SUSPECT_BYTES: u64 = 5;
 const QUOTA_PERIOD_MS: Millis = 100;
 
-/// What is wrong with one process.
+/// Fault of a process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Fault {
-    /// It is gone.
+    /// It has crashed.
     Crash,
-    /// It stands still until a moment, and goes on then.
+    /// It is frozen until this time.
     FreezeUntil(Millis),
-    /// Nothing that it sends arrives; it hears all.
+    /// Nothing that it sends is delivered; it receives everything.
     Mute,
-    /// Nothing reaches it; all that it sends arrives.
+    /// Nothing is delivered to it; all that it sends is delivered.
     Deaf,
 }
 
@@ -43,15 +43,15 @@
 pub(crate) struct Cluster {
     pub now: Millis,
     pub faults: BTreeMap<NodeNumber, Fault>,
-    /// From whom to whom nothing passes.
+    /// Links that deliver no messages: sender and recipient.
     pub blocked_links: BTreeSet<(NodeNumber, NodeNumber)>,
     pub loss_percent: u64,
-    /// Milliseconds at the start of each period in which all processes run; `None`: always.
+    /// CPU quota: time at the start of each period in which processes run, in milliseconds; `None`: no quota.
     pub quota_ms: Option<Millis>,
     pub failure_detector: FailureDetector,
     pub sent_bytes: BTreeMap<NodeNumber, u64>,
     monitors: BTreeMap<NodeNumber, Monitor>,
-    /// When each is woken next.
+    /// Time of the next timer event of each process.
     next_timers: BTreeMap<NodeNumber, Millis>,
     events: BTreeMap<(Millis, u64), Event>,
     event_count: u64,
@@ -103,7 +103,7 @@
         self.now = end;
     }
 
-    /// Runs until a process is held for dead, and says how long that took; `None` if it is not within `limit`.
+    /// Runs until a process is declared dead and returns the time that this took; `None` if it exceeds `limit`.
     pub(crate) fn time_to_detection(&mut self, node: NodeNumber, limit: Millis) -> Option<Millis> {
         let started_at = self.now;
         while self.now < started_at + limit {
@@ -115,7 +115,7 @@
         None
     }
 
-    /// All processes get a new list.
+    /// Replaces the membership list of all processes.
     pub(crate) fn set_nodes(&mut self, nodes: &[NodeNumber]) {
         let removed: Vec<NodeNumber> = self
             .monitors
@@ -160,7 +160,7 @@
         }
     }
 
-    /// When a process that has something to do now can do it; `None`: never.
+    /// The time at which a process can handle an event that is due now; `None`: never.
     fn runs_at(&self, node: NodeNumber) -> Option<Millis> {
         let within_quota = match self.quota_ms {
             Some(quota_ms) if self.now % QUOTA_PERIOD_MS >= quota_ms => {
@@ -227,7 +227,7 @@
         };
         let report = monitor.report();
         *self.sent_bytes.entry(node).or_default() += report.suspected.len() as u64 * SUSPECT_BYTES;
-        // Polls go by TCP: what is lost comes later.
+        // Polls are sent by TCP: a lost packet delays them.
         let is_lost = self.random(100) < self.loss_percent;
         let delay = 1 + self.random(3) + if is_lost { 200 } else { 0 };
         if self.faults.get(&node) != Some(&Fault::Mute) {
--- a/coordination/tests/monitoring/main.rs
+++ b/coordination/tests/monitoring/main.rs
@@ -1,5 +1,5 @@
-//! Failure detection by rendezvous monitors: times to a verdict, false verdicts, bytes, at 12, 65 and 300 processes. With
-//! `--nocapture` each test prints what it measured.
+//! Failure detection by monitors with 12, 65 and 300 processes: detection times, false positives, bytes sent. With
+//! `--nocapture` each test prints its measurements.
 
 mod cluster;
 
@@ -11,15 +11,15 @@
 use proptest::prelude::*;
 use std::collections::BTreeSet;
 
-/// Processes, and seeds that are played with so many.
+/// Number of processes, and number of seeds.
 const SIZES: [(u32, u64); 3] = [(12, 60), (65, 20), (300, 3)];
-/// Processes, and seeds that are watched for false verdicts with so many.
+/// Number of processes, and number of seeds, of the tests for false positives.
 const FALSE_POSITIVE_SIZES: [(u32, u64); 3] = [(12, 30), (65, 10), (300, 3)];
-/// Today's rule: silence towards the primary.
+/// The timeout at which a process is dead without any report.
 const POLL_TIMEOUT_MS: Millis = 3_000;
 const POLL_SLACK_MS: Millis = 450;
 
-/// Times from a fault to the verdict, over all seeds of a size, sorted.
+/// Sorted times from a fault to its detection, over all seeds of a size.
 fn detection_times(
     nodes: u32,
     seeds: u64,
@@ -37,7 +37,7 @@
         cluster.faults.insert(node, fault);
         cluster
             .time_to_detection(node, POLL_TIMEOUT_MS + POLL_SLACK_MS)
-            .expect("silence is enough in the end")
+            .expect("the poll timeout detects it")
     };
     let mut detection_times: Vec<Millis> = (0..seeds).map(time).collect();
     detection_times.sort_unstable();
@@ -79,7 +79,7 @@
     }
 }
 
-/// A process that hears nothing still polls: the primary hears it, and holds it for alive whatever its monitors say.
+/// A process that receives nothing still polls, so the primary considers it alive whatever its monitors report.
 #[test]
 fn a_process_that_polls_is_never_declared_dead() {
     for (nodes, _) in SIZES {
@@ -111,7 +111,7 @@
     }
 }
 
-/// A bad link of one monitor convicts nobody: others probe in its place.
+/// One broken link does not cause a detection: the other monitors send probes.
 #[test]
 fn a_broken_link_between_two_processes_declares_neither_dead() {
     for (nodes, _) in SIZES {
@@ -158,7 +158,7 @@
     assert!(took <= 1_300, "{took}");
 }
 
-/// A process that goes and comes again and again is never dead for longer than a poll takes once it is back.
+/// A process that freezes again and again is not dead for longer than the poll interval after it resumes.
 #[test]
 fn a_flapping_process_is_alive_whenever_it_polls() {
     let mut cluster = Cluster::new(11, 12);
@@ -191,7 +191,7 @@
     }
 }
 
-/// Which process loses which monitor is one change for each place that the one who goes had.
+/// Only the subjects of the removed process get another monitor.
 #[test]
 fn removing_a_process_changes_only_its_own_monitor_assignments() {
     let all: Vec<NodeNumber> = (0..65).collect();
@@ -239,21 +239,21 @@
     failure_detector.on_poll(1_000, 0, &suspects(5, &[3]));
     failure_detector.on_poll(1_000, 1, &suspects(2, &[]));
     failure_detector.on_poll(1_000, 2, &suspects(1, &[]));
-    // One reporter, told twice, is one; a report that came late is none; one about an unknown process convicts nobody.
+    // A repeated report counts once, a delayed one is ignored, one about an unknown process has no effect.
     failure_detector.on_poll(1_001, 0, &suspects(5, &[3]));
     failure_detector.on_poll(1_001, 1, &suspects(1, &[3]));
     failure_detector.on_poll(1_001, 2, &suspects(2, &[77]));
     assert_eq!(failure_detector.dead(1_100), []);
     failure_detector.on_poll(1_100, 1, &suspects(3, &[3]));
     assert_eq!(failure_detector.dead(1_100), [3]);
-    // Its own poll ends the verdict; a reporter that fell silent does not count.
+    // A poll of the process ends its death; reports of a reporter that no longer polls do not count.
     failure_detector.on_poll(1_200, 3, &Report::default());
     assert_eq!(failure_detector.dead(1_300), []);
     failure_detector.on_poll(2_400, 2, &suspects(3, &[]));
     assert_eq!(failure_detector.dead(2_400), []);
 }
 
-/// Messages as they may come from anywhere.
+/// Arbitrary messages.
 fn message() -> impl Strategy<Value = Message> {
     let numbers = (0u64..40, 0u32..20);
     prop_oneof![
@@ -268,8 +268,8 @@
 }
 
 proptest! {
-    /// Whatever comes from whomever, a monitor sends at most one message for one, suspects only whom it monitors, and
-    /// its memory does not grow.
+    /// For any sequence of messages, a monitor sends at most one message in reply to each and suspects only its
+    /// subjects.
     #[test]
     fn arbitrary_messages_are_handled_safely(messages in prop::collection::vec((0u32..20, message(), 0u64..200), 0..200)) {
         let all: Vec<NodeNumber> = (0..12).collect();
--- a/coordination/tests/scripted_member/candidate.rs
+++ b/coordination/tests/scripted_member/candidate.rs
@@ -1,4 +1,4 @@
-//! How a candidate comes to begin an epoch.
+//! Start of an epoch by a candidate.
 
 use super::{ScriptedMember, STARTED_AT};
 use alderhollow_coordination::replica::interface::{EpochRecord, Input, MemberId, Millis};
@@ -6,10 +6,10 @@
 use alderhollow_coordination::replica::settings::Timings;
 
 const PEERS: [MemberId; 2] = [1, 2];
-/// By then a founder has stood for election.
+/// Time by which a founder has started an election.
 const ELECTION_AT: Millis = STARTED_AT + 100;
 
-/// A founder that stands for election.
+/// A founder that starts an election.
 struct Candidate {
     member: ScriptedMember,
     record: EpochRecord,
@@ -30,7 +30,7 @@
         }
     }
 
-    /// Wins the pre-vote, and tells the number that it asks for.
+    /// Wins the pre-vote; returns the number of the prepare that follows.
     fn win_pre_vote(&mut self) -> u64 {
         let sent = self.member.handle_input(ELECTION_AT, Input::Tick);
         let attempt = sent.iter().find_map(|message| match message {
@@ -53,7 +53,7 @@
             Message::Prepare(prepare) => Some(prepare.number),
             _ => None,
         });
-        number.expect("a question for promises")
+        number.expect("a prepare")
     }
 
     fn deliver_promise(&mut self, from: MemberId, number: u64) -> Vec<Message> {
@@ -76,7 +76,8 @@
         .count()
 }
 
-/// Else it would lead an epoch in which it holds no state: who promised are the replicas.
+/// Otherwise it would be primary of an epoch in which it has no state, because the members that promised are the
+/// replicas.
 #[test]
 fn a_candidate_installs_no_record_before_its_own_promise_is_on_disk() {
     let mut candidate = Candidate::new();
--- a/coordination/tests/scripted_member/main.rs
+++ b/coordination/tests/scripted_member/main.rs
@@ -1,4 +1,4 @@
-//! One member alone, told by hand what its peers send and when its disk has written.
+//! Tests of a single member whose messages and disk writes are scripted.
 
 mod candidate;
 mod witness;
@@ -10,10 +10,10 @@
 use alderhollow_coordination::replica::settings::{Settings, Timings};
 use alderhollow_coordination::replica::Replica;
 
-/// When the member starts.
+/// Time at which the member starts.
 const STARTED_AT: Millis = 100_000;
 
-/// A state without content.
+/// A state machine without state.
 #[derive(Default)]
 struct EmptyState;
 
@@ -25,7 +25,7 @@
     fn restore(&mut self, _: &[u8]) {}
 }
 
-/// A member whose disk writes when the test says so.
+/// A member whose disk writes complete when the test says so.
 struct ScriptedMember {
     replica: Replica<EmptyState>,
     pending_writes: Vec<Token>,
@@ -41,7 +41,7 @@
 }
 
 impl ScriptedMember {
-    /// The third seed of a core of three, with an empty disk at the first start of the system.
+    /// The third seed of a core of three, with an empty disk, at the first start of the system.
     fn third_seed() -> ScriptedMember {
         let settings = Settings {
             node: "node-3".into(),
@@ -62,7 +62,7 @@
         member
     }
 
-    /// Founds the core of members 1, 2 and this one, and gives them.
+    /// Founds the core of members 1, 2 and this one; returns the witnesses.
     fn found_core(&mut self) -> Vec<Member> {
         let mut witnesses = vec![member(1), member(2), self.replica.member().clone()];
         witnesses.sort();
@@ -76,7 +76,7 @@
         witnesses
     }
 
-    /// Tells it something and gives what it sends.
+    /// Passes an input to the member and returns the messages that it sends. Disk writes stay pending.
     fn handle_input(&mut self, now: Millis, input: Input) -> Vec<Message> {
         let mut outputs = Vec::new();
         self.replica.handle(now, input, &mut outputs);
@@ -91,7 +91,7 @@
         sent
     }
 
-    /// A message comes, and its disk does not write.
+    /// Delivers a message. Disk writes stay pending.
     fn deliver(&mut self, now: Millis, from: MemberId, message: Message) -> Vec<Message> {
         self.handle_input(
             now,
@@ -102,7 +102,7 @@
         )
     }
 
-    /// Its disk has written all that was asked for.
+    /// Completes all pending disk writes and returns the messages sent then.
     fn complete_writes(&mut self, now: Millis) -> Vec<Message> {
         let mut sent = Vec::new();
         while !self.pending_writes.is_empty() {
--- a/coordination/tests/scripted_member/witness.rs
+++ b/coordination/tests/scripted_member/witness.rs
@@ -1,4 +1,4 @@
-//! Promises and grants.
+//! Promises and lease grants of a witness.
 
 use super::{ScriptedMember, STARTED_AT};
 use alderhollow_coordination::replica::interface::{Epoch, EpochRecord, MemberId, Millis};
@@ -8,7 +8,7 @@
 const PRIMARY: MemberId = 1;
 const CANDIDATE: MemberId = 2;
 
-/// A witness of epoch 1, which member 1 leads.
+/// A witness of epoch 1, whose primary is member 1.
 struct Witness {
     member: ScriptedMember,
 }
@@ -45,14 +45,14 @@
         witness
     }
 
-    /// What it sends once its disk has written.
+    /// Delivers a message and completes all disk writes; returns what the witness sends.
     fn responses(&mut self, now: Millis, from: MemberId, message: Message) -> Vec<Message> {
         let mut sent = self.member.deliver(now, from, message);
         sent.extend(self.member.complete_writes(now));
         sent
     }
 
-    /// Whether a candidate is promised this number.
+    /// Whether the witness promises this epoch to a candidate.
     fn is_promised(
         &mut self,
         now: Millis,
@@ -70,11 +70,11 @@
         match responses.as_slice() {
             [Message::Promise(_)] => true,
             [Message::Rejection(_)] => false,
-            other => panic!("neither a promise nor a refusal: {other:?}"),
+            other => panic!("neither a promise nor a rejection: {other:?}"),
         }
     }
 
-    /// Has the primary's heartbeat granted.
+    /// Delivers a heartbeat of the primary and checks that it is granted.
     fn grant(&mut self, now: Millis) {
         let heartbeat = Heartbeat {
             epoch: 1,
@@ -89,7 +89,7 @@
     }
 }
 
-/// A candidate whose pre-vote was won before the grant comes with its question after it.
+/// A candidate that won its pre-vote before the grant sends its prepare after it.
 #[test]
 fn a_witness_promises_to_no_other_candidate_before_its_grant_expires() {
     let grant_ms = Timings::default().grant_ms;
--- a/coordination/tests/simulation/cluster.rs
+++ b/coordination/tests/simulation/cluster.rs
@@ -1,4 +1,4 @@
-//! The simulated world: machines, links, clients, time. Nothing in it depends on anything but its seed.
+//! The simulated cluster: machines, links, clients and time. A run depends on its seed only.
 
 mod clients;
 mod cpu_quota;
@@ -16,10 +16,10 @@
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many machines are seeds.
+/// Number of machines that are seeds.
 const SEEDS: usize = 3;
 
-/// Something that happens.
+/// A scheduled event.
 enum Event {
     Deliver {
         to: usize,
@@ -46,31 +46,31 @@
     ClientRequest,
 }
 
-/// What happens to a machine (and others) right after it acknowledged a command.
+/// A fault injected right after a machine acknowledged a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub(crate) enum AfterAcknowledgement {
-    /// It loses power.
+    /// The machine loses power.
     PowerLoss,
-    /// It and so many others lose their disks, and all others lose power.
+    /// The machine and others, `count` in total, lose their disks; all others lose power.
     Wipe { count: usize },
 }
 
-/// A client's request that is under way.
+/// A client request in flight.
 #[derive(Debug, Clone, Copy)]
 struct Invocation {
     request: u32,
-    /// The newest version that anybody had been told of when it was sent.
+    /// The newest version acknowledged to any client when the request was sent.
     newest_acknowledged: Version,
 }
 
-/// How the links behave.
+/// Faults of all links, each as a percentage of the messages.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct LinkFaults {
-    /// Of a hundred messages so many are lost.
+    /// Messages that are lost.
     pub loss_percent: u64,
-    /// So many come twice.
+    /// Messages that are delivered twice.
     pub duplicated_percent: u64,
-    /// So many take up to half a second.
+    /// Messages that are delayed by up to half a second.
     pub delayed_percent: u64,
 }
 
@@ -80,33 +80,33 @@
     pub machines: Vec<Machine>,
     pub tolerate: usize,
     pub link_faults: LinkFaults,
-    /// From whom to whom nothing passes.
+    /// Links that deliver no messages: sender and recipient.
     pub blocked_links: BTreeSet<(usize, usize)>,
     pub oracle: Oracle,
     pub after_acknowledgement: Option<AfterAcknowledgement>,
-    /// Moments at which a command was acknowledged.
+    /// Times at which commands were acknowledged.
     pub acknowledged_at: Vec<Millis>,
-    /// Conditions that are waited for are looked at this often.
+    /// Interval at which awaited conditions are checked.
     pub check_interval_ms: Millis,
-    /// Clients send a request this often.
+    /// Average interval between client requests.
     pub request_interval_ms: Millis,
-    /// Inputs that a machine handles in each period of its processor quota; `None`: no quota.
+    /// Number of inputs that a machine handles in each period of its CPU quota; `None`: no quota.
     inputs_per_period: Option<u64>,
     events: BTreeMap<(Millis, u64), Event>,
     event_count: u64,
     next_token: Token,
     next_request: u32,
     requests: BTreeMap<(u64, Token), Invocation>,
-    /// Requests whose end is unknown: clients may send them again.
+    /// Requests whose outcome is unknown. Clients may retry them.
     unknown_outcome: Vec<u32>,
-    /// Requests that were sent again: a refusal says nothing of the first time.
+    /// Requests that were retried: a rejection says nothing about the first attempt.
     retried: BTreeSet<u32>,
     seeds: usize,
     trace: bool,
 }
 
 impl Cluster {
-    /// So many machines, the first three of them seeds, that start at the first start of the system.
+    /// A cluster at the first start of the system. The first three machines are seeds.
     pub(crate) fn new(seed: u64, machines: usize, tolerate: usize) -> Self {
         let mut cluster = Cluster {
             now: 1,
@@ -143,7 +143,7 @@
         cluster
     }
 
-    /// Each machine's clock runs so much faster or slower than the world's.
+    /// Lets each machine's clock run faster or slower than simulated time by this percentage.
     pub(crate) fn set_clock_drift(&mut self, percent: u64) {
         for number in 0..self.machines.len() {
             let is_fast = self.random(2) == 0;
@@ -160,7 +160,7 @@
         self.rng.rand_range(0..below)
     }
 
-    /// Runs until this moment.
+    /// Runs until this time.
     pub(crate) fn run_until(&mut self, end: Millis) {
         while let Some(((at, _), event)) = self.events.pop_first() {
             if at > end {
@@ -177,7 +177,7 @@
         self.run_until(self.now + span);
     }
 
-    /// Runs until a condition holds, and says how long that took. Panics if it takes longer than `limit`.
+    /// Runs until a condition holds and returns the time that this took. Panics if it takes longer than `limit`.
     pub(crate) fn run_until_holds(
         &mut self,
         limit: Millis,
@@ -195,7 +195,7 @@
         self.now - started_at
     }
 
-    /// Machine that holds the lease now.
+    /// The machine that holds the lease now.
     pub(crate) fn lease_holder(&self) -> Option<usize> {
         let holds = |machine: &&Machine| machine.holds_lease(self.now);
         self.machines
@@ -204,13 +204,13 @@
             .map(|machine| machine.number)
     }
 
-    /// Record of the lease holder.
+    /// The record of the lease holder.
     pub(crate) fn record(&self) -> Option<&EpochRecord> {
         let process = self.machines[self.lease_holder()?].process.as_ref()?;
         process.replica.record()
     }
 
-    /// The first writes of all seeds are on disk.
+    /// Whether the identities of all seeds are synced.
     pub(crate) fn seeds_have_identities(&self) -> bool {
         let has_identity = |machine: &Machine| {
             machine
@@ -221,7 +221,7 @@
         self.machines[..self.seeds].iter().all(has_identity)
     }
 
-    /// All running disks are replicas, and no others are members.
+    /// Whether all running disks are replicas, and no others are members.
     pub(crate) fn is_fully_replicated(&self) -> bool {
         let mut disks: Vec<_> = self
             .machines
@@ -235,7 +235,7 @@
         })
     }
 
-    /// So many more disks may be lost now without losing anything.
+    /// Number of further disks that may be lost now without loss of data.
     pub(crate) fn disks_to_spare(&self) -> usize {
         let Some(record) = self.record() else {
             return 0;
--- a/coordination/tests/simulation/cluster/clients.rs
+++ b/coordination/tests/simulation/cluster/clients.rs
@@ -1,4 +1,4 @@
-//! Clients: they send requests, send those of unknown end again, and check the ends.
+//! Clients: they send requests, retry those whose outcome is unknown, and check the results.
 
 use super::{AfterAcknowledgement, Cluster, Event, Invocation};
 use crate::command_log::encode_request;
@@ -6,7 +6,7 @@
 use alderhollow_coordination::replica::interface::{Input, Outcome, ProposeError, Role, Token};
 
 impl Cluster {
-    /// A client's request at a machine; a new one, or one whose end is unknown again.
+    /// Sends a client request to a machine: a new one, or a retry of one whose outcome is unknown.
     pub(crate) fn propose_at(&mut self, machine: usize) {
         let Some(process) = &self.machines[machine].process else {
             return;
--- a/coordination/tests/simulation/cluster/cpu_quota.rs
+++ b/coordination/tests/simulation/cluster/cpu_quota.rs
@@ -1,12 +1,13 @@
-//! Processor time as a quota: full speed until it is spent, then nothing for the rest of the period.
+//! CPU quota: a machine runs at full speed until its quota is spent, then stops for the rest of the period.
 
 use super::Cluster;
 use alderhollow_coordination::replica::interface::Millis;
 
-/// A period of the quota. All machines' periods begin together, so that all fall silent together: the worst case.
+/// Period of the quota in milliseconds. The periods of all machines start together, so that all stop together: the
+/// worst case.
 pub(crate) const PERIOD_MS: Millis = 100;
 
-/// What a machine has spent of its quota.
+/// The part of its quota that a machine has used.
 #[derive(Debug, Clone, Copy, Default)]
 pub(crate) struct QuotaUsage {
     period: Millis,
@@ -14,12 +15,12 @@
 }
 
 impl Cluster {
-    /// From now on each machine handles so many inputs in a period. What comes beyond waits for the next one.
+    /// Limits each machine to this many inputs per period. Further inputs wait for the next period.
     pub(crate) fn set_cpu_quota(&mut self, inputs_per_period: u64) {
         self.inputs_per_period = Some(inputs_per_period.max(1));
     }
 
-    /// A machine has handled an input. Its clock runs on while it stands still.
+    /// Counts an input of a machine and stops the machine if its quota is spent. Its clock keeps running.
     pub(super) fn charge_input(&mut self, number: usize) {
         let Some(max_inputs) = self.inputs_per_period else {
             return;
--- a/coordination/tests/simulation/cluster/hosts.rs
+++ b/coordination/tests/simulation/cluster/hosts.rs
@@ -1,17 +1,17 @@
-//! The hosts of the replicas: they carry out what a replica asks for, and look after founding and joining.
+//! The hosts of the replicas: they carry out outputs, found the core and request to join.
 
 use super::{Cluster, Event};
 use crate::machine::{address_of, Machine};
 use alderhollow_coordination::replica::interface::{Input, Member, Millis, Output, Role, Token};
 use alderhollow_coordination::replica::message::Message;
 
-/// Hosts look whether their member can found or wants to join this often.
+/// Interval at which a host checks whether its member can found the core or wants to join.
 const HOST_CHECK_MS: Millis = 40;
-/// A write on a disk that stands still is looked at this often.
+/// Interval at which the completion of a write on a stalled disk is checked.
 const STALL_CHECK_MS: Millis = 20;
 
 impl Cluster {
-    /// Tells a process something from its host.
+    /// Passes an input to the replica of a machine and carries out its outputs.
     pub(crate) fn handle_input(&mut self, machine: usize, input: Input) {
         let mut outputs = Vec::new();
         let now = self.machines[machine].clock.reading_at(self.now);
@@ -140,7 +140,7 @@
     }
 
     fn execute_output(&mut self, number: usize, output: Output) {
-        // An output before this one may have led to the end of the process.
+        // An earlier output may have ended the process.
         let Some(process) = &mut self.machines[number].process else {
             return;
         };
@@ -226,7 +226,7 @@
         }
     }
 
-    /// Seeds that know of each other found the core.
+    /// Founds the core once all seeds have identities and a majority of them are founders.
     fn maybe_found_core(&mut self) {
         let may_found = |machine: &Machine| {
             machine
@@ -270,7 +270,7 @@
         }
     }
 
-    /// The host asks somebody who takes itself for the primary.
+    /// Sends a join request to a member that considers itself primary.
     fn request_join(&mut self, number: usize, member: Member) {
         let is_primary = |machine: &&Machine| {
             let primary = machine
--- a/coordination/tests/simulation/cluster/machines.rs
+++ b/coordination/tests/simulation/cluster/machines.rs
@@ -1,4 +1,4 @@
-//! What happens to machines: starts, ends of processes, losses of disks, freezes and cuts.
+//! Faults of machines: crashes, lost disks, freezes, blocked links.
 
 use super::{Cluster, Event};
 use crate::machine::Machine;
@@ -10,7 +10,7 @@
         self.schedule(at, Event::Start { machine });
     }
 
-    /// Ends a process; of what it had not synced, some is on disk.
+    /// Kills a process. A prefix of its unsynced writes is on disk.
     pub(crate) fn kill(&mut self, machine: usize) {
         self.trace(|| format!("kill {machine}"));
         let rng = &mut self.rng;
@@ -25,21 +25,21 @@
         self.start_at(machine, self.now + span);
     }
 
-    /// Ends a process; its machine comes back with an empty disk.
+    /// Kills a process. Its machine returns with an empty disk.
     pub(crate) fn wipe_for(&mut self, machine: usize, span: Millis) {
         self.trace(|| format!("wipe {machine}"));
         self.kill_for(machine, span);
         self.machines[machine].disk = Default::default();
     }
 
-    /// Ends a process; its machine never comes back.
+    /// Kills a process. Its machine never returns.
     pub(crate) fn remove(&mut self, machine: usize) {
         self.kill(machine);
         self.machines[machine].removed = true;
         self.machines[machine].starts_at = None;
     }
 
-    /// Adds a machine with an empty disk that starts later.
+    /// Adds a machine with an empty disk that starts after `span`.
     pub(crate) fn add(&mut self, span: Millis) -> usize {
         let number = self.machines.len();
         self.trace(|| format!("add {number}"));
@@ -49,7 +49,7 @@
         number
     }
 
-    /// A machine stands still; its disk goes on.
+    /// Freezes a machine; its disk keeps working.
     pub(crate) fn freeze(&mut self, machine: usize, span: Millis) {
         self.trace(|| format!("freeze {machine} for {span}"));
         let until = self.now + span;
--- a/coordination/tests/simulation/command_log.rs
+++ b/coordination/tests/simulation/command_log.rs
@@ -1,8 +1,9 @@
-//! The replicated state of the simulation: a list of numbers, each at most once.
+//! The replicated state of the simulation: a list of distinct numbers. A request whose number is in the list already is
+//! answered without a command.
 
 use alderhollow_coordination::replica::interface::{Decision, StateMachine};
 
-/// The list, in the order of the commands.
+/// The numbers in the order of their commands.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub(crate) struct CommandLog {
     pub entries: Vec<u32>,
--- a/coordination/tests/simulation/faults.rs
+++ b/coordination/tests/simulation/faults.rs
@@ -1,9 +1,9 @@
-//! Troubles by chance, and their end.
+//! Injection of random faults, and their end.
 
 use crate::cluster::{AfterAcknowledgement, Cluster, LinkFaults};
 use alderhollow_coordination::replica::interface::{Input, Millis};
 
-/// A kind of trouble.
+/// A kind of fault or load.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Fault {
     Kill,
@@ -56,12 +56,12 @@
     Fault::LongIsolation,
     Fault::RequestBurst,
 ];
-/// Pause between requests in a rush.
+/// Interval between requests in a burst.
 const BURST_REQUEST_INTERVAL_MS: Millis = 4;
-/// Machines are added up to this number.
+/// Maximum number of machines, added ones included.
 const MAX_MACHINES: usize = 9;
 
-/// Troubles, one after the other, some of them together.
+/// Injects random faults for a time; some of them overlap.
 pub(crate) fn inject_faults(cluster: &mut Cluster, span: Millis) {
     let end = cluster.now + span;
     while cluster.now < end {
@@ -77,9 +77,9 @@
     }
 }
 
-/// All machines run, all links and disks are well.
+/// Ends all faults: all machines run, all links and disks work.
 pub(crate) fn end_faults(cluster: &mut Cluster) {
-    cluster.trace(|| String::from("end of troubles"));
+    cluster.trace(|| String::from("end of faults"));
     cluster.link_faults = LinkFaults::default();
     cluster.blocked_links.clear();
     cluster.after_acknowledgement = None;
@@ -103,7 +103,7 @@
 }
 
 fn inject(cluster: &mut Cluster, fault: Fault) {
-    cluster.trace(|| format!("trouble: {fault:?}"));
+    cluster.trace(|| format!("fault: {fault:?}"));
     let machine = any_machine(cluster);
     let span = 20 + cluster.random(1_500);
     match fault {
@@ -146,7 +146,7 @@
         .map(|machine| machine.number)
         .collect();
     let chosen = cluster.random(present.len() as u64) as usize;
-    // The primary is where it hurts most.
+    // Often choose the primary, whose faults affect most.
     match cluster.lease_holder() {
         Some(primary) if cluster.random(3) == 0 => primary,
         _ => present[chosen],
@@ -225,7 +225,7 @@
     }
 }
 
-/// Machines with slow disks die and are back at once, one after the other.
+/// Machines with slow disks crash and restart at once, one after the other.
 fn crash_loop(cluster: &mut Cluster) {
     for _ in 0..6 {
         let machine = any_machine(cluster);
@@ -242,7 +242,7 @@
     }
 }
 
-/// Two disks are lost in the same moment, where that many are tolerated.
+/// Two disks are lost at the same time, if two are tolerated.
 fn wipe_two(cluster: &mut Cluster, machine: usize, span: Millis) {
     if cluster.disks_to_spare() < 2 {
         return;
@@ -255,20 +255,20 @@
     }
 }
 
-/// A machine is told to end while some links from or to it are cut: a hand-over is heard by some alone.
+/// A machine leaves while some links from or to it are blocked, so that only some members receive its hand-over.
 fn leave_while_partitioned(cluster: &mut Cluster, machine: usize, span: Millis) {
     block_one_direction(cluster, machine);
     leave(cluster, machine, span);
 }
 
-/// A machine is cut off while hundreds of commands are committed, and comes back behind all of them.
+/// A machine is isolated while hundreds of commands are committed, and returns far behind.
 fn isolate_for_long(cluster: &mut Cluster, machine: usize) {
     isolate(cluster, machine);
     request_burst(cluster, 2_500);
     heal_links(cluster);
 }
 
-/// Clients send without pauses for a while.
+/// Clients send frequent requests for a time.
 fn request_burst(cluster: &mut Cluster, span: Millis) {
     let usual = std::mem::replace(&mut cluster.request_interval_ms, BURST_REQUEST_INTERVAL_MS);
     cluster.run_for(span);
--- a/coordination/tests/simulation/machine.rs
+++ b/coordination/tests/simulation/machine.rs
@@ -1,4 +1,4 @@
-//! A simulated machine: its disk, and the process on it.
+//! A simulated machine: its clock, its disk, and the process that runs on it.
 
 use crate::cluster::QuotaUsage;
 use crate::command_log::CommandLog;
@@ -10,56 +10,56 @@
 use oorandom::Rand64;
 use std::collections::VecDeque;
 
-/// The steady clock of a machine: it runs at so many hundredths of the world's time.
+/// The monotonic clock of a machine. It runs at `percent` of the speed of simulated time.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Clock {
     pub percent: u64,
 }
 
 impl Clock {
-    /// What it shows at a moment of the world.
+    /// The reading of the clock at a simulated time.
     pub(crate) fn reading_at(self, moment: Millis) -> Millis {
         moment * self.percent / 100
     }
 
-    /// The first moment of the world at which it shows this.
+    /// The first simulated time at which the clock has this reading.
     pub(crate) fn time_of_reading(self, shown: Millis) -> Millis {
         (shown.saturating_mul(100)).div_ceil(self.percent)
     }
 }
 
-/// A machine, at its number as address.
+/// A machine. Its address is its number.
 pub(crate) struct Machine {
     pub number: usize,
     pub clock: Clock,
     pub node: String,
-    /// Its next process starts with `first-start`.
+    /// Whether its next process is started with `first-start`.
     pub first_start: bool,
     pub disk: Disk,
     pub process: Option<Process>,
     pub frozen_until: Millis,
     pub quota_usage: QuotaUsage,
-    /// Removed for good.
+    /// Whether it was removed permanently.
     pub removed: bool,
-    /// When the next process starts.
+    /// When its next process starts.
     pub starts_at: Option<Millis>,
 }
 
-/// A process.
+/// A running process.
 pub(crate) struct Process {
     pub replica: Replica<CommandLog>,
-    /// Tells it from others on the same machine.
+    /// Distinguishes the processes of a machine.
     pub generation: u64,
     pub tick_at: Millis,
-    /// Its committed state was compared up to here.
+    /// Version up to which its committed state was checked.
     pub checked: Version,
-    /// It was told to leave: it is to end soon.
+    /// Whether it was asked to leave, so that it exits soon.
     pub leaving: bool,
-    /// It left, and is ready to end.
+    /// Whether its replica has reported the end of the hand-over.
     pub leave_completed: bool,
 }
 
-/// A disk, with writes under way.
+/// A disk with writes in flight.
 #[derive(Default)]
 pub(crate) struct Disk {
     content: Recovered,
@@ -110,7 +110,7 @@
             CommandLog::default(),
             self.clock.reading_at(now),
         )
-        .expect("the disk is whole");
+        .expect("the disk is valid");
         self.disk.busy_until = now;
         self.process = Some(Process {
             replica,
@@ -122,7 +122,7 @@
         });
     }
 
-    /// Its process is the primary, as far as it knows by its own clock.
+    /// Whether its process considers itself the lease holder, by its own clock.
     pub(crate) fn holds_lease(&self, now: Millis) -> bool {
         let shown = self.clock.reading_at(now);
         self.process
@@ -130,7 +130,7 @@
             .is_some_and(|process| process.replica.holds_lease(shown))
     }
 
-    /// The identity of the running process's disk.
+    /// Identity of the running process's disk.
     pub(crate) fn member_id(&self) -> Option<MemberId> {
         self.process
             .as_ref()
@@ -156,7 +156,7 @@
 }
 
 impl Disk {
-    /// Begins a write; says when it ends.
+    /// Starts a write and returns the time at which it completes.
     pub(crate) fn begin_write(
         &mut self,
         now: Millis,
@@ -176,7 +176,7 @@
         self.busy_until
     }
 
-    /// A write's time has come. False: it failed.
+    /// Completes a write; `false` if it failed.
     pub(crate) fn finish(&mut self, now: Millis, rng: &mut Rand64, token: Token) -> bool {
         let Some(write) = self.in_flight.pop_front() else {
             return true;
@@ -202,12 +202,12 @@
             .is_some_and(|write| write.token == token)
     }
 
-    /// After a failed write nothing is certain of those that waited.
+    /// Drops the writes in flight after a failed one.
     pub(crate) fn drop_in_flight(&mut self) -> Vec<Token> {
         self.in_flight.drain(..).map(|write| write.token).collect()
     }
 
-    /// The process ended: of what was not synced, some is there, in order.
+    /// Ends the process: a prefix of the writes in flight is on disk.
     pub(crate) fn crash(&mut self, rng: &mut Rand64) {
         let synced_count = rng.rand_range(0..self.in_flight.len() as u64 + 1);
         for _ in 0..synced_count {
--- a/coordination/tests/simulation/main.rs
+++ b/coordination/tests/simulation/main.rs
@@ -1,5 +1,5 @@
-//! The core in a simulated world. Each run depends on its seed alone. With `CORE_SEEDS` (a first seed and a count, as in
-//! `7..8`) other seeds are run, with `CORE_TRACE` everything that happens is printed.
+//! Simulation of a cluster with faults. A run depends on its seed only. The environment variable `CORE_SEEDS` selects
+//! other seeds (a range such as `7..8`), `CORE_TRACE` prints all events.
 
 mod cluster;
 mod command_log;
@@ -15,15 +15,15 @@
 use std::ops::Range;
 use std::panic::{catch_unwind, AssertUnwindSafe};
 
-/// Seeds of each size of core.
+/// Seeds for each cluster size.
 const SEEDS: Range<u64> = 0..2_000;
-/// Threads of one test.
+/// Number of threads of one test.
 const THREADS: u64 = 2;
-/// Troubles last for so long.
+/// Duration of the faults.
 const FAULT_DURATION_MS: u64 = 2_500;
-/// After the troubles a command is committed within so long.
+/// Maximum time from the end of the faults to the next commit.
 const RECOVERY_MS: u64 = 4_000;
-/// After the troubles all disks are replicas again, and those that are gone for good no members, within so long.
+/// Maximum time from the end of the faults until all disks are replicas and removed ones are no members.
 const FULL_REPLICATION_MS: u64 = 8_000;
 
 #[test]
@@ -51,9 +51,9 @@
     run_seeds(8, 2);
 }
 
-/// A lease of 800 ms ends before a grant of 1,000 ms as long as no clock runs faster than another by a quarter.
+/// With a lease of 800 ms and a grant of 1,000 ms, no clock may run faster than another by a quarter or more.
 const SAFE_CLOCK_DRIFT_PERCENT: u64 = 10;
-/// Beyond that, some seed has two lease holders.
+/// Beyond that limit, some seed has two lease holders.
 const UNSAFE_CLOCK_DRIFT_PERCENT: u64 = 20;
 const CLOCK_DRIFT_SEEDS: Range<u64> = 0..1_000;
 
@@ -122,8 +122,8 @@
     if clock_drift_percent > 0 {
         cluster.set_clock_drift(clock_drift_percent);
     }
-    // Should a majority of the seeds lose what tells them apart from disks that were wiped later, nobody may found a core:
-    // an operator has to start it again.
+    // If a majority of the seeds lost their disks before the identities are synced, no member could found the core and
+    // an operator would have to start it again.
     cluster.run_until_holds(
         1_000,
         "the first sync of all seeds",
@@ -140,7 +140,7 @@
     faults::inject_faults(&mut cluster, FAULT_DURATION_MS);
     faults::end_faults(&mut cluster);
     let started_at = cluster.now;
-    cluster.run_until_holds(RECOVERY_MS, "a commit after the troubles", |cluster| {
+    cluster.run_until_holds(RECOVERY_MS, "a commit after the faults", |cluster| {
         cluster
             .acknowledged_at
             .last()
@@ -148,7 +148,7 @@
     });
     cluster.run_until_holds(
         FULL_REPLICATION_MS,
-        "all disks being replicas after the troubles",
+        "all disks being replicas after the faults",
         Cluster::is_fully_replicated,
     );
 }
--- a/coordination/tests/simulation/oracle.rs
+++ b/coordination/tests/simulation/oracle.rs
@@ -1,22 +1,22 @@
-//! What must hold at every moment, whatever happens.
+//! Safety invariants, checked throughout a run.
 
 use crate::command_log::CommandLog;
 use alderhollow_coordination::replica::interface::{Epoch, MemberId, Version};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Remembers what was seen, and compares.
+/// Records what was observed and compares new observations with it.
 #[derive(Debug, Default)]
 pub(crate) struct Oracle {
-    /// Entry of each version (from 1), as first seen committed.
+    /// Entry of each version, from 1, as first observed to be committed.
     history: Vec<u32>,
-    /// The newest version that was acknowledged.
+    /// The newest acknowledged version.
     pub acknowledged: Version,
     primaries: BTreeMap<Epoch, MemberId>,
     rejected: BTreeSet<u32>,
 }
 
 impl Oracle {
-    /// A member's committed state; all up to `checked` was compared before.
+    /// Checks a member's committed state. Versions up to `checked` were compared before.
     pub(crate) fn check_state(&mut self, state: &CommandLog, version: Version, checked: Version) {
         assert_eq!(
             state.entries.len() as Version,
@@ -39,7 +39,7 @@
             }
             assert!(
                 !self.rejected.contains(entry),
-                "request {entry} was said never to happen, and did"
+                "request {entry} was reported as not executed but was"
             );
         }
     }
@@ -54,13 +54,13 @@
         self.acknowledged = self.acknowledged.max(version);
     }
 
-    /// The newest version that anybody was told of.
+    /// The newest version acknowledged to any client.
     pub(crate) fn newest_acknowledged(&self) -> Version {
         self.acknowledged
     }
 
-    /// The history is linearizable: versions order the commands, each takes effect between its sending and its
-    /// acknowledgement, and so comes after all that was acknowledged before it was sent.
+    /// Linearizability: versions order the commands, and each command takes effect between its request and its
+    /// acknowledgement. So its version is higher than all versions acknowledged before the request.
     pub(crate) fn check_linearizable(
         &self,
         number: u32,
@@ -83,7 +83,7 @@
     pub(crate) fn check_rejected(&mut self, number: u32) {
         assert!(
             !self.history.contains(&number),
-            "request {number} was said never to happen, and did"
+            "request {number} was reported as not executed but was"
         );
         self.rejected.insert(number);
     }
--- a/coordination/tests/simulation/partitions.rs
+++ b/coordination/tests/simulation/partitions.rs
@@ -1,5 +1,5 @@
-//! A core that a partition cuts into two halves, whatever it tolerates. Clients and machines that aren't members reach both
-//! halves: they send their requests to whoever takes itself for the primary, or to any member.
+//! Network partitions into two halves, with any number of tolerated losses. Clients and joining machines reach both
+//! halves; they send requests to any member that considers itself primary, or to any member.
 
 use crate::cluster::Cluster;
 use crate::machine::Machine;
@@ -8,33 +8,41 @@
 use std::ops::Range;
 
 const SEEDS: u64 = 200;
-/// Machines, and how many of them may be lost at once. Halves of an even number of machines have no majority.
+/// Number of machines, and how many of them may be lost at once. With an even number neither half is a majority.
 const SIZES: [(usize, usize); 6] = [(3, 1), (4, 1), (5, 2), (6, 2), (7, 2), (8, 2)];
-/// For so long the halves don't hear each other.
+/// Duration of a partition.
 const PARTITION_MS: Range<Millis> = 500..6_000;
-/// From the start of the cut to a primary in the half that is a majority.
+/// Maximum time from the start of a partition to a primary in the majority.
 const FAILOVER_MS: Millis = 1_600;
-/// From the moment at which all machines run and hear each other to the next commit.
+/// Maximum time from the end of a partition, with all machines running, to the next commit.
 const RECOVERY_MS: Millis = 2_500;
-/// From then on all disks are replicas again within this.
+/// Maximum time from that commit until all disks are replicas again.
 const FULL_REPLICATION_MS: Millis = 8_000;
-/// Pause between the requests of clients, on average.
+/// Average interval between requests.
 const REQUEST_INTERVAL_MS: Millis = 5;
 
-/// A whole core with clients that send requests without long pauses.
+/// A fully replicated cluster with frequent requests.
 fn busy_cluster(seed: u64, machines: usize, tolerate: usize) -> Cluster {
     let mut cluster = Cluster::new(seed, machines, tolerate);
-    cluster.run_until_holds(5_000, "a whole core", Cluster::is_fully_replicated);
+    cluster.run_until_holds(
+        5_000,
+        "a fully replicated cluster",
+        Cluster::is_fully_replicated,
+    );
     let longest_pause = 2 * cluster.request_interval_ms;
     cluster.request_interval_ms = REQUEST_INTERVAL_MS;
     let pause = longest_pause + cluster.random(400);
     cluster.run_for(pause);
-    cluster.run_until_holds(2_000, "a whole core", Cluster::is_fully_replicated);
+    cluster.run_until_holds(
+        2_000,
+        "a fully replicated cluster",
+        Cluster::is_fully_replicated,
+    );
     cluster.check_interval_ms = 1;
     cluster
 }
 
-/// Cuts the core into two halves at random; gives the larger one, or either of two equal ones.
+/// Partitions the cluster into random halves. Returns the larger one, or either one if they are equal.
 fn partition_into_halves(cluster: &mut Cluster) -> BTreeSet<usize> {
     let count = cluster.machines.len();
     let mut smaller = BTreeSet::new();
@@ -54,7 +62,8 @@
     larger
 }
 
-/// Joins the halves; once all machines run, commands are committed soon, and all disks are replicas again.
+/// Ends the partition and checks that commands are committed soon after all machines run, and that all disks are
+/// replicas again.
 fn heal_and_check_recovery(cluster: &mut Cluster, seed: u64) {
     let count = cluster.machines.len();
     cluster.blocked_links.clear();
@@ -64,7 +73,7 @@
         cluster.machines.iter().all(runs)
     });
     let joined_at = cluster.now;
-    let took = cluster.run_until_holds(RECOVERY_MS, "a commit by the joined core", |cluster| {
+    let took = cluster.run_until_holds(RECOVERY_MS, "a commit by the healed cluster", |cluster| {
         cluster
             .acknowledged_at
             .last()
@@ -89,8 +98,8 @@
     }
 }
 
-/// The oracle looks for two lease holders, for a holder without all that was acknowledged, and for two commands under one
-/// version, at each event.
+/// At each event the oracle checks for two lease holders, for a lease holder without an acknowledged command, and for
+/// two commands with one version.
 #[test]
 fn a_partitioned_cluster_loses_no_command_and_recovers_once_healed() {
     for_all_sizes(|cluster, seed| {
@@ -129,7 +138,7 @@
     }
 }
 
-/// Equal halves: a lease that was granted before the cut runs out, and nobody holds one until they are joined.
+/// A lease granted before the partition expires, and neither half can renew it.
 #[test]
 fn neither_of_two_equal_halves_commits_after_the_lease_expires() {
     for (machines, tolerate) in SIZES.into_iter().filter(|(machines, _)| machines % 2 == 0) {
@@ -148,7 +157,7 @@
     }
 }
 
-/// The halves change while they are apart: a primary of one cut may be in the minority of the next.
+/// The primary of one partition may be in the minority of the next.
 #[test]
 fn changing_partitions_lead_to_one_history() {
     for_all_sizes(|cluster, seed| {
@@ -162,8 +171,7 @@
     });
 }
 
-/// More machines than are tolerated are down or stand still at once, and the core is cut into halves meanwhile; no more
-/// disks are lost than are tolerated.
+/// More machines than tolerated are down or frozen at once, during a partition; no more disks than tolerated are lost.
 #[test]
 fn more_concurrent_faults_than_tolerated_lose_no_acknowledged_command() {
     for_all_sizes(|cluster, seed| {
--- a/coordination/tests/simulation/power_loss.rs
+++ b/coordination/tests/simulation/power_loss.rs
@@ -1,16 +1,16 @@
-//! Disks are lost, as many as are tolerated, and in the same moment all other machines lose power: what was acknowledged
-//! must stand, whatever the core is doing at that time. The oracle compares all states.
+//! Loss of as many disks as tolerated, while all other machines lose power at the same time. Acknowledged commands must
+//! survive whatever the cluster is doing then. The oracle compares all states.
 
 use crate::cluster::Cluster;
 use alderhollow_coordination::replica::interface::{Input, Millis};
 
 const SEEDS: u64 = 400;
-/// Machines, and how many of them may be lost at once.
+/// Number of machines, and how many of them may be lost at once.
 const SIZES: [(usize, usize); 4] = [(3, 1), (5, 2), (6, 2), (8, 2)];
-/// The core serves again within so long.
+/// Maximum time from the loss to the next commit.
 const RECOVERY_MS: Millis = 4_000;
 
-/// Plays all seeds on cores of all sizes. `prepare` brings a core to the moment at which the disks are lost.
+/// Runs all seeds on clusters of all sizes. `prepare` runs a cluster up to the moment of the loss.
 fn run_all_seeds(prepare: impl Fn(&mut Cluster)) {
     let mut acknowledged = 0;
     for (machines, tolerate) in SIZES {
@@ -35,12 +35,12 @@
     );
 }
 
-/// As many machines as may be lost come back with empty disks; all others with what they had synced.
+/// Restarts all machines: as many as may be lost with empty disks, the others with what they had synced.
 fn lose_disks_and_power(cluster: &mut Cluster) {
     let count = cluster.machines.len();
     let primary = cluster.lease_holder();
     let any = cluster.random(count as u64) as usize;
-    // The primary is where it hurts most.
+    // Often include the primary, whose loss affects most.
     let first = primary.filter(|_| cluster.random(2) == 0).unwrap_or(any);
     for step in 0..count {
         let machine = (first + step) % count;
@@ -59,7 +59,7 @@
             .iter()
             .all(|machine| machine.process.is_some())
     };
-    cluster.run_until_holds(8_000, "a whole core", |cluster| {
+    cluster.run_until_holds(8_000, "a fully replicated cluster", |cluster| {
         all_run(cluster) && cluster.is_fully_replicated()
     });
 }
@@ -73,7 +73,7 @@
 fn commands_acknowledged_once_a_new_cluster_tolerates_a_loss_survive_it() {
     run_all_seeds(|cluster| {
         cluster.check_interval_ms = 1;
-        cluster.run_until_holds(8_000, "a core that bears a loss", |cluster| {
+        cluster.run_until_holds(8_000, "a cluster that tolerates a loss", |cluster| {
             !cluster.acknowledged_at.is_empty() && cluster.disks_to_spare() >= cluster.tolerate
         });
     });
--- a/coordination/tests/simulation/recovery_times.rs
+++ b/coordination/tests/simulation/recovery_times.rs
@@ -1,20 +1,20 @@
-//! Troubles that must be over within a given time, each with many seeds.
+//! Time limits for recovery from single faults, each checked with many seeds.
 
 use crate::cluster::Cluster;
 use crate::machine::Machine;
 use alderhollow_coordination::replica::interface::{Input, Millis};
 
 const SEEDS: u64 = 150;
-/// Machines, and how many of them may be lost at once.
+/// Number of machines, and how many of them may be lost at once.
 const SIZES: [(usize, usize); 3] = [(3, 1), (6, 2), (8, 2)];
-/// From the death of the primary to the next one's lease.
+/// Maximum time from the failure of the primary to the lease of the next one.
 const FAILOVER_MS: Millis = 1_600;
-/// From the order to leave to the next primary's lease.
+/// Maximum time from the request to leave to the lease of the next primary.
 const HAND_OVER_MS: Millis = 100;
-/// From a loss of the disk or machine to a whole core with its successor.
+/// Maximum time from the loss of a disk or machine to a fully replicated cluster.
 const CATCH_UP_MS: Millis = 5_000;
 
-/// Runs a scenario on whole cores of all sizes; it gives the time that is to be bounded.
+/// Runs a scenario on fully replicated clusters of all sizes and checks the time that it returns.
 fn check_duration(limit: Millis, scenario: impl Fn(&mut Cluster) -> Millis) {
     let mut longest = 0;
     for (machines, tolerate) in SIZES {
@@ -32,10 +32,18 @@
 
 fn fully_replicated_cluster(seed: u64, machines: usize, tolerate: usize) -> Cluster {
     let mut cluster = Cluster::new(seed, machines, tolerate);
-    cluster.run_until_holds(5_000, "a whole core", Cluster::is_fully_replicated);
+    cluster.run_until_holds(
+        5_000,
+        "a fully replicated cluster",
+        Cluster::is_fully_replicated,
+    );
     let pause = cluster.random(400);
     cluster.run_for(pause);
-    cluster.run_until_holds(2_000, "a whole core", Cluster::is_fully_replicated);
+    cluster.run_until_holds(
+        2_000,
+        "a fully replicated cluster",
+        Cluster::is_fully_replicated,
+    );
     cluster.check_interval_ms = 1;
     cluster
 }
@@ -57,7 +65,7 @@
     })
 }
 
-/// Clients send requests without long pauses from now on.
+/// Lets clients send frequent requests from now on.
 fn shorten_request_interval(cluster: &mut Cluster) {
     let longest_pause = 2 * cluster.request_interval_ms;
     cluster.request_interval_ms = 5;
@@ -140,10 +148,10 @@
     });
 }
 
-/// Runs of commands that a member misses.
+/// Numbers of commands that a member misses.
 const MISSED_COMMANDS: [usize; 2] = [300, 3_000];
 
-/// A member that missed hundreds of commands is a replica again soon after its return, and holds up no command meanwhile.
+/// After its return the member is a replica again within the limit, and commits are not delayed meanwhile.
 #[test]
 fn a_member_that_missed_thousands_of_commands_catches_up_without_delaying_commits() {
     for (missed, seeds) in MISSED_COMMANDS.into_iter().zip([40, 4]) {
@@ -162,8 +170,11 @@
             });
             cluster.blocked_links.clear();
             let returned_at = cluster.now;
-            let took =
-                cluster.run_until_holds(CATCH_UP_MS, "a whole core", Cluster::is_fully_replicated);
+            let took = cluster.run_until_holds(
+                CATCH_UP_MS,
+                "a fully replicated cluster",
+                Cluster::is_fully_replicated,
+            );
             cluster.run_for(500);
             let later = cluster
                 .acknowledged_at
@@ -185,10 +196,11 @@
     }
 }
 
-/// From the loss of the last replica beside the primary to the next commit: its silence, and a change of the epoch.
+/// Maximum time from the loss of the last replica beside the primary to the next commit: the replica timeout and a
+/// reconfiguration.
 const LAST_REPLICA_MS: Millis = 1_000;
 
-/// The machine that comes back is a member, but holds the state again only once it is taken in.
+/// The returning machine is a member, but has the state only once it is a replica again.
 #[test]
 fn commits_resume_when_the_last_replica_crashes_while_another_member_returns() {
     let mut longest = 0;
@@ -229,8 +241,8 @@
     });
 }
 
-/// One member has not heard the primary for long and stands for election; the other has just granted the primary its lease,
-/// and restarts. The oracle looks for two lease holders.
+/// One member has lost contact with the primary and starts an election. The other one has just granted the primary its
+/// lease and restarts. The oracle checks for two lease holders.
 #[test]
 fn a_restarted_witness_honours_its_lease_grant() {
     for seed in 0..SEEDS {
@@ -313,7 +325,7 @@
                 cluster.wipe_for(wiped, span);
             }
         }
-        cluster.run_until_holds(10_000, "a whole core", |cluster| {
+        cluster.run_until_holds(10_000, "a fully replicated cluster", |cluster| {
             cluster
                 .machines
                 .iter()
@@ -362,13 +374,19 @@
         cluster.add(10);
         cluster.add(300);
         cluster.run_for(400);
-        cluster.run_until_holds(10_000, "a whole core", Cluster::is_fully_replicated)
+        cluster.run_until_holds(
+            10_000,
+            "a fully replicated cluster",
+            Cluster::is_fully_replicated,
+        )
     });
 }
 
 fn run_until_replaced(cluster: &mut Cluster, removed: usize) -> Millis {
     let runs = |machine: &Machine| machine.number == removed || machine.process.is_some();
-    cluster.run_until_holds(10_000, "a whole core without the old machine", |cluster| {
-        cluster.machines.iter().all(runs) && cluster.is_fully_replicated()
-    })
+    cluster.run_until_holds(
+        10_000,
+        "a fully replicated cluster without the old machine",
+        |cluster| cluster.machines.iter().all(runs) && cluster.is_fully_replicated(),
+    )
 }
