--- a/storage/tests/folder.rs
+++ b/storage/tests/folder.rs
@@ -1,10 +1,10 @@
-//! The real disk, and what `inspect` says of it.
+//! The journal in a folder of the file system, and its inspection.
 
 use alderhollow_storage::{inspect, Finding, FolderDisk, Journal};
 use std::io::Write as _;
 use std::path::PathBuf;
 
-/// A folder of one test, removed at its end.
+/// The folder of one test; removed when dropped.
 struct Folder(PathBuf);
 
 impl Folder {
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn state_comes_back_from_a_folder() {
+fn state_is_recovered_from_a_folder() {
     let folder = Folder::new("reopen");
     let (mut journal, _) = folder.open();
     let snapshot: Vec<u8> = (0..1_000_000u32).map(|number| number as u8).collect();
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn inspect_of_an_empty_folder_says_that_there_is_no_identity() {
+fn inspect_reports_that_an_empty_folder_has_no_identity() {
     let folder = Folder::new("empty");
     std::fs::create_dir_all(&folder.0).unwrap();
     let inspection = inspect(&folder.0).unwrap();
--- a/storage/tests/journal.rs
+++ b/storage/tests/journal.rs
@@ -1,8 +1,8 @@
-//! Faults one by one: crashes at each step, damaged files, a full disk, space.
+//! The journal under single faults: a crash at each step, damaged files, a full disk, disk usage.
 
 use alderhollow_storage::{FaultDisk, Journal, Recovered, StorageError};
 
-const ROOMY: u64 = 1 << 30;
+const LARGE_CAPACITY: u64 = 1 << 30;
 const IDENTITY: u64 = 0x5eed;
 
 fn open(disk: &FaultDisk) -> (Journal, Recovered) {
@@ -17,8 +17,8 @@
 }
 
 #[test]
-fn a_new_disk_gets_the_identity_once() {
-    let disk = FaultDisk::new(ROOMY, 1);
+fn an_unused_disk_gets_an_identity_once() {
+    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
     let (_, recovered) = open(&disk);
     assert_eq!(
         recovered,
@@ -34,10 +34,10 @@
 }
 
 #[test]
-fn a_loss_of_power_at_any_step_of_the_first_use_leaves_a_disk_that_opens() {
+fn a_power_loss_at_any_step_of_the_first_open_leaves_a_usable_disk() {
     for (operation, seed) in (0..4).flat_map(|operation| (0..40).map(move |seed| (operation, seed)))
     {
-        let disk = FaultDisk::new(ROOMY, seed);
+        let disk = FaultDisk::new(LARGE_CAPACITY, seed);
         disk.fail_power_after(operation);
         let first = Journal::open(&mut disk.clone(), 1);
         disk.restore_power();
@@ -51,7 +51,7 @@
 
 #[test]
 fn a_damaged_identity_on_a_disk_with_data_is_an_error() {
-    let disk = FaultDisk::new(ROOMY, 1);
+    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
     append_all(&mut open(&disk).0, &[b"promised 7"]);
     disk.corrupt("identity", 9, &[0xff, 0xee]);
     assert!(matches!(
@@ -61,8 +61,8 @@
 }
 
 #[test]
-fn a_disk_whose_snapshots_are_damaged_is_an_error_and_not_an_empty_disk() {
-    let disk = FaultDisk::new(ROOMY, 1);
+fn damaged_snapshots_are_an_error_and_not_an_empty_disk() {
+    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
     let (mut journal, _) = open(&disk);
     journal.compact(b"first state").unwrap();
     append_all(&mut journal, &[b"promised 7"]);
@@ -74,8 +74,8 @@
 }
 
 #[test]
-fn records_and_snapshot_come_back_in_order() {
-    let disk = FaultDisk::new(ROOMY, 1);
+fn snapshot_and_records_are_recovered_in_order() {
+    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
     let (mut journal, _) = open(&disk);
     append_all(&mut journal, &[b"gone with the snapshot"]);
     journal.compact(b"state").unwrap();
@@ -91,13 +91,13 @@
 }
 
 #[test]
-fn a_loss_of_power_at_any_step_of_a_compaction_leaves_the_old_or_the_new_state() {
+fn a_power_loss_at_any_step_of_a_compaction_leaves_the_old_or_the_new_state() {
     let old: Vec<u8> = vec![1; 700_000];
     let new: Vec<u8> = vec![2; 600_000];
     let mut seen = [0; 2];
     for (operation, seed) in (0..8).flat_map(|operation| (0..30).map(move |seed| (operation, seed)))
     {
-        let disk = FaultDisk::new(ROOMY, seed);
+        let disk = FaultDisk::new(LARGE_CAPACITY, seed);
         let (mut journal, _) = open(&disk);
         journal.compact(b"older").unwrap();
         journal.compact(&old).unwrap();
@@ -123,13 +123,13 @@
 }
 
 #[test]
-fn records_behind_a_bad_one_are_never_returned() {
-    let disk = FaultDisk::new(ROOMY, 1);
+fn records_after_an_invalid_one_are_not_recovered() {
+    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
     append_all(&mut open(&disk).0, &[b"first", b"second", b"third"]);
     disk.corrupt("log-a", 24 + 5 + 24 + 2, b"?");
     let (mut journal, recovered) = open(&disk);
     assert_eq!(recovered.records, [b"first".to_vec()]);
-    // As long as the one that was bad: the third must not appear behind it.
+    // As long as the damaged record: the third one must not become valid after it.
     append_all(&mut journal, &[b"SECOND"]);
     disk.restore_power();
     assert_eq!(
@@ -139,9 +139,9 @@
 }
 
 #[test]
-fn records_of_a_failed_sync_never_stand_behind_later_ones() {
+fn records_of_a_failed_sync_are_not_recovered_after_later_ones() {
     for seed in 0..200 {
-        let disk = FaultDisk::new(ROOMY, seed);
+        let disk = FaultDisk::new(LARGE_CAPACITY, seed);
         let (mut journal, _) = open(&disk);
         append_all(&mut journal, &[b"kept"]);
         journal.append(b"failed 1").unwrap();
@@ -161,11 +161,11 @@
 }
 
 #[test]
-fn what_a_killed_process_wrote_is_durable_once_it_was_returned() {
+fn records_of_a_killed_process_are_durable_once_recovered() {
     for seed in 0..50 {
-        let disk = FaultDisk::new(ROOMY, seed);
+        let disk = FaultDisk::new(LARGE_CAPACITY, seed);
         let (mut journal, _) = open(&disk);
-        // Written beyond the buffer, never synced.
+        // More than the buffer, so that it is written before the sync, which never comes.
         let expected = vec![vec![5; 300_000]];
         journal.append(&expected[0]).unwrap();
         drop(journal);
@@ -176,11 +176,11 @@
 }
 
 #[test]
-fn a_snapshot_that_a_killed_process_wrote_is_durable_once_it_was_returned() {
+fn a_snapshot_of_a_killed_process_is_durable_once_recovered() {
     let mut seen_new = false;
     for (operation, seed) in (0..5).flat_map(|operation| (0..40).map(move |seed| (operation, seed)))
     {
-        let disk = FaultDisk::new(ROOMY, seed);
+        let disk = FaultDisk::new(LARGE_CAPACITY, seed);
         let (mut journal, _) = open(&disk);
         journal.compact(b"old").unwrap();
         disk.end_process_after(operation);
@@ -202,14 +202,14 @@
 }
 
 #[test]
-fn bytes_of_an_older_generation_in_a_log_are_not_taken_for_records() {
+fn bytes_of_an_older_generation_are_not_recovered_as_records() {
     for seed in 0..50 {
-        let disk = FaultDisk::new(ROOMY, seed);
+        let disk = FaultDisk::new(LARGE_CAPACITY, seed);
         let (mut journal, _) = open(&disk);
         append_all(&mut journal, &[b"generation 0", b"generation 0 too"]);
         journal.compact(b"one").unwrap();
         append_all(&mut journal, &[b"generation 1"]);
-        // The log of generation 0 was freed without a sync: it may be there again.
+        // The log of generation 0 was truncated without a sync and may have its old contents again.
         journal.compact(b"two").unwrap();
         journal.append(b"generation 2").unwrap();
         disk.restore_power();
@@ -220,7 +220,7 @@
 }
 
 #[test]
-fn a_full_disk_fails_an_append_and_takes_the_next_one_that_fits() {
+fn a_full_disk_fails_an_append_and_accepts_the_next_one_that_fits() {
     let disk = FaultDisk::new(5_000, 3);
     let (mut journal, _) = open(&disk);
     append_all(&mut journal, &[b"kept"]);
@@ -239,7 +239,7 @@
 #[test]
 fn a_compaction_whose_sync_failed_never_hides_later_records() {
     for seed in 0..100 {
-        let disk = FaultDisk::new(ROOMY, seed);
+        let disk = FaultDisk::new(LARGE_CAPACITY, seed);
         let (mut journal, _) = open(&disk);
         append_all(&mut journal, &[b"before"]);
         disk.fail_sync_after(0);
@@ -254,8 +254,8 @@
 }
 
 #[test]
-fn space_is_two_snapshots_and_one_log() {
-    let disk = FaultDisk::new(ROOMY, 1);
+fn disk_usage_is_bounded_by_two_snapshots_and_one_log() {
+    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
     let (mut journal, _) = open(&disk);
     for round in 0..50u8 {
         append_all(&mut journal, &[&[round; 10_000]]);
@@ -265,8 +265,8 @@
 }
 
 #[test]
-fn a_record_over_the_limit_is_refused_alone() {
-    let disk = FaultDisk::new(ROOMY, 1);
+fn a_record_over_the_limit_is_rejected_without_affecting_others() {
+    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
     let (mut journal, _) = open(&disk);
     journal.append(b"before").unwrap();
     let error = journal.append(&vec![0; 64 * 1024 * 1024 + 1]).unwrap_err();
--- a/storage/tests/recovery_model.rs
+++ b/storage/tests/recovery_model.rs
@@ -1,10 +1,11 @@
-//! The journal against an oracle: appends, syncs, compactions, kills, losses of power, failed syncs and a full disk in
-//! any order. What was acknowledged is always there, and nothing is ever there that was not written in that order.
+//! Property test of the journal against an oracle: appends, syncs, compactions, crashes, power losses, failed syncs and
+//! a full disk in random order. Acknowledged entries are always recovered, and recovered entries are a prefix of a
+//! history that was written.
 
 use alderhollow_storage::{FaultDisk, Journal, Recovered, StorageError};
 use proptest::prelude::*;
 
-/// One step of a history.
+/// One step of a run.
 #[derive(Debug, Clone)]
 enum Step {
     Append { padding: usize },
@@ -17,7 +18,7 @@
     SetCapacity(u64),
 }
 
-const ROOMY: u64 = 1 << 30;
+const LARGE_CAPACITY: u64 = 1 << 30;
 
 fn step() -> impl Strategy<Value = Step> {
     let padding = prop_oneof![6 => 0usize..40, 2 => 400usize..1_500, 1 => 100_000usize..300_000];
@@ -30,11 +31,11 @@
         2 => (0u64..9).prop_map(Step::LosePowerAfter),
         2 => (0u64..9).prop_map(Step::FailSyncAfter),
         1 => (0u64..3_000).prop_map(Step::SetCapacity),
-        1 => Just(Step::SetCapacity(ROOMY)),
+        1 => Just(Step::SetCapacity(LARGE_CAPACITY)),
     ]
 }
 
-/// A record or snapshot: entry numbers, then padding.
+/// Encodes a record or snapshot: entry numbers, then padding.
 fn encode(entries: &[u32], padding: usize) -> Vec<u8> {
     let mut bytes = (entries.len() as u32).to_le_bytes().to_vec();
     bytes.extend(entries.iter().flat_map(|entry| entry.to_le_bytes()));
@@ -65,12 +66,12 @@
         .collect()
 }
 
-/// What may be on the disk.
+/// The possible contents of the disk.
 struct Oracle {
     /// Acknowledged entries.
     synced: Vec<u32>,
-    /// Acknowledged entries and those written behind them; one history for each time that a write failed.
-    attempts: Vec<Vec<u32>>,
+    /// Possible histories: the acknowledged entries and those written after them. A failed write starts a new one.
+    histories: Vec<Vec<u32>>,
     next_entry: u32,
 }
 
@@ -78,13 +79,13 @@
     fn new() -> Oracle {
         Oracle {
             synced: Vec::new(),
-            attempts: vec![Vec::new()],
+            histories: vec![Vec::new()],
             next_entry: 0,
         }
     }
 
     fn current(&mut self) -> &mut Vec<u32> {
-        self.attempts.last_mut().unwrap()
+        self.histories.last_mut().unwrap()
     }
 
     fn next(&mut self) -> u32 {
@@ -94,11 +95,11 @@
 
     fn acknowledge(&mut self) {
         self.synced = self.current().clone();
-        self.attempts = vec![self.synced.clone()];
+        self.histories = vec![self.synced.clone()];
     }
 
     fn roll_back(&mut self) {
-        self.attempts.push(self.synced.clone());
+        self.histories.push(self.synced.clone());
     }
 
     fn check_recovered(&mut self, entries: Vec<u32>) -> Result<(), TestCaseError> {
@@ -109,17 +110,17 @@
             self.synced
         );
         let is_known = self
-            .attempts
+            .histories
             .iter()
-            .any(|attempt| attempt.starts_with(&entries));
+            .any(|history| history.starts_with(&entries));
         prop_assert!(
             is_known,
             "never written: {:?}, attempts {:?}",
             entries,
-            self.attempts
+            self.histories
         );
         self.synced = entries.clone();
-        self.attempts = vec![entries];
+        self.histories = vec![entries];
         Ok(())
     }
 }
@@ -152,8 +153,8 @@
         self.reopen()
     }
 
-    /// After an error: the process ends if power is gone, else it goes on.
-    fn met(&mut self, error: StorageError) -> Result<(), TestCaseError> {
+    /// Handles a failed write: after a power loss the process restarts, otherwise it continues.
+    fn on_error(&mut self, error: StorageError) -> Result<(), TestCaseError> {
         match error.to_string().contains("no power") {
             true => self.lose_power(),
             false => Ok(()),
@@ -165,7 +166,7 @@
         self.oracle.current().push(entry);
         if let Err(error) = self.journal.append(&encode(&[entry], padding)) {
             self.oracle.roll_back();
-            self.met(error)?;
+            self.on_error(error)?;
         }
         Ok(())
     }
@@ -175,7 +176,7 @@
             Ok(()) => self.oracle.acknowledge(),
             Err(error) => {
                 self.oracle.roll_back();
-                self.met(error)?;
+                self.on_error(error)?;
             }
         }
         Ok(())
@@ -185,7 +186,7 @@
         let snapshot = encode(self.oracle.current(), padding);
         match self.journal.compact(&snapshot) {
             Ok(()) => self.oracle.acknowledge(),
-            Err(error) => self.met(error)?,
+            Err(error) => self.on_error(error)?,
         }
         Ok(())
     }
@@ -217,19 +218,19 @@
     #![proptest_config(ProptestConfig { cases: 1_500, failure_persistence: None, ..ProptestConfig::default() })]
 
     #[test]
-    fn what_was_acknowledged_is_there_and_nothing_else(
+    fn acknowledged_entries_are_recovered_and_no_unwritten_ones(
         steps in prop::collection::vec(step(), 1..60),
         seed in any::<u64>(),
     ) {
-        let mut disk = FaultDisk::new(ROOMY, seed);
+        let mut disk = FaultDisk::new(LARGE_CAPACITY, seed);
         let (journal, recovered) = Journal::open(&mut disk, 77).unwrap();
         let mut run = Run { disk, journal, identity: recovered.identity, oracle: Oracle::new() };
         for step in steps {
             run.apply(step)?;
         }
         run.lose_power()?;
-        // The disk works again, whatever was before.
-        run.disk.set_capacity(ROOMY);
+        // The disk must work again after any sequence of faults.
+        run.disk.set_capacity(LARGE_CAPACITY);
         run.append(10)?;
         run.sync()?;
         run.compact(10)?;
--- a/storage/tests/writer.rs
+++ b/storage/tests/writer.rs
@@ -1,16 +1,16 @@
-//! The writer: order, one sync for all that is queued, ends in order, errors to those they concern.
+//! The writer: order of writes, group commit, order of completions, and errors of the affected submissions only.
 
 use alderhollow_storage::{Disk, DiskFile, FaultDisk, Journal, StorageError, Write, Writer};
 use std::io;
 use std::sync::mpsc;
 use tokio::sync::oneshot;
 
-const ROOMY: u64 = 1 << 30;
+const LARGE_CAPACITY: u64 = 1 << 30;
 
-/// A disk each of whose syncs waits for a permit.
+/// A disk whose syncs of one file each wait for a permit.
 struct GatedDisk {
     disk: FaultDisk,
-    /// Taken by the file "log-a".
+    /// Taken by the file `log-a` when it is opened.
     permits: Option<mpsc::Receiver<()>>,
 }
 
@@ -64,32 +64,35 @@
     all.map(|bytes| String::from_utf8(bytes).unwrap()).collect()
 }
 
-/// A writer on a gated disk, with one permit used up by the opening.
-fn gated(disk: &FaultDisk) -> (Writer, mpsc::Sender<()>) {
+/// A writer on a gated disk. Opening the journal uses up one permit.
+fn gated_writer(disk: &FaultDisk) -> (Writer, mpsc::Sender<()>) {
     let (permit, permits) = mpsc::channel();
     permit.send(()).unwrap();
-    let mut gated = GatedDisk {
+    let mut gated_disk = GatedDisk {
         disk: disk.clone(),
         permits: Some(permits),
     };
-    let (journal, _) = Journal::open(&mut gated, 1).unwrap();
+    let (journal, _) = Journal::open(&mut gated_disk, 1).unwrap();
     (Writer::start(journal).unwrap(), permit)
 }
 
-fn is_open(end: &mut oneshot::Receiver<Result<(), StorageError>>) -> bool {
-    matches!(end.try_recv(), Err(oneshot::error::TryRecvError::Empty))
+fn is_pending(completion: &mut oneshot::Receiver<Result<(), StorageError>>) -> bool {
+    matches!(
+        completion.try_recv(),
+        Err(oneshot::error::TryRecvError::Empty)
+    )
 }
 
 #[tokio::test]
-async fn writes_are_kept_in_order() {
-    let disk = FaultDisk::new(ROOMY, 1);
+async fn writes_are_recovered_in_order() {
+    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
     let (journal, _) = Journal::open(&mut disk.clone(), 1).unwrap();
     let writer = Writer::start(journal).unwrap();
-    let ends: Vec<_> = (0..100)
+    let completions: Vec<_> = (0..100)
         .map(|number| writer.submit(append(&number.to_string())))
         .collect();
-    for end in ends {
-        end.await.unwrap().unwrap();
+    for completion in completions {
+        completion.await.unwrap().unwrap();
     }
     assert_eq!(writer.pending(), 0);
     let expected: Vec<String> = (0..100).map(|number| number.to_string()).collect();
@@ -97,28 +100,28 @@
 }
 
 #[tokio::test]
-async fn what_is_queued_while_the_disk_stalls_goes_under_one_sync() {
-    let disk = FaultDisk::new(ROOMY, 1);
-    let (writer, permit) = gated(&disk);
+async fn writes_queued_during_a_stall_share_one_sync() {
+    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
+    let (writer, permit) = gated_writer(&disk);
     let mut first = writer.submit(append("first"));
-    // The thread may take some of these along with the first, and leaves the rest for its second sync.
-    let mut ends: Vec<_> = (0..50)
+    // The thread may write some of these together with the first one; the others share the second sync.
+    let mut completions: Vec<_> = (0..50)
         .map(|number| writer.submit(append(&number.to_string())))
         .collect();
     assert_eq!(writer.pending(), 51);
-    assert!(is_open(&mut first) && is_open(&mut ends[49]));
+    assert!(is_pending(&mut first) && is_pending(&mut completions[49]));
     permit.send(()).unwrap();
     first.await.unwrap().unwrap();
     permit.send(()).unwrap();
-    for end in ends {
-        end.await.unwrap().unwrap();
+    for completion in completions {
+        completion.await.unwrap().unwrap();
     }
     assert_eq!(writer.pending(), 0);
 }
 
 #[tokio::test]
-async fn a_compaction_ends_those_before_it_and_replaces_their_records() {
-    let disk = FaultDisk::new(ROOMY, 1);
+async fn a_compaction_completes_earlier_submissions_and_replaces_their_records() {
+    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
     let (journal, _) = Journal::open(&mut disk.clone(), 1).unwrap();
     let writer = Writer::start(journal).unwrap();
     let before = writer.submit(append("before"));
@@ -133,9 +136,9 @@
 }
 
 #[tokio::test]
-async fn a_failed_sync_fails_all_that_it_was_to_cover_and_none_later() {
-    let disk = FaultDisk::new(ROOMY, 1);
-    let (writer, permit) = gated(&disk);
+async fn a_failed_sync_fails_the_submissions_it_covers_and_no_later_one() {
+    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
+    let (writer, permit) = gated_writer(&disk);
     permit.send(()).unwrap();
     writer.submit(append("kept")).await.unwrap().unwrap();
     disk.fail_sync_after(0);
@@ -148,7 +151,7 @@
 }
 
 #[tokio::test]
-async fn a_full_disk_ends_a_submission_with_an_error_and_the_writer_goes_on() {
+async fn a_full_disk_fails_a_submission_and_the_writer_continues() {
     let disk = FaultDisk::new(2_000, 1);
     let (journal, _) = Journal::open(&mut disk.clone(), 1).unwrap();
     let writer = Writer::start(journal).unwrap();
@@ -163,8 +166,8 @@
 }
 
 #[tokio::test]
-async fn dropping_the_writer_finishes_what_was_queued() {
-    let disk = FaultDisk::new(ROOMY, 1);
+async fn dropping_the_writer_completes_queued_submissions() {
+    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
     let (journal, _) = Journal::open(&mut disk.clone(), 1).unwrap();
     let writer = Writer::start(journal).unwrap();
     let last = writer.submit(append("last"));
