--- a/coordination/src/replica.rs
+++ b/coordination/src/replica.rs
@@ -352,13 +352,13 @@
             while let Some(message) = self.loopback.pop_front() {
                 self.on_message(&self.me.clone(), message);
             }
-            self.on_time();
+            self.check_timers();
             let record_number = self.durable.record.as_ref().map(|record| record.number);
             let durable = &self.durable;
             let sends = self.writes.flush(
                 self.now,
                 record_number,
-                || durable.image(),
+                || durable.snapshot(),
                 &mut self.outputs,
             );
             for (to, message) in sends {
@@ -370,7 +370,7 @@
         }
     }
 
-    fn on_time(&mut self) {
+    fn check_timers(&mut self) {
         self.check_leave_deadline();
         self.check_campaign();
         self.check_primary();
--- a/coordination/src/replica/durable.rs
+++ b/coordination/src/replica/durable.rs
@@ -56,7 +56,7 @@
 
 /// A snapshot of the complete durable state.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-struct Image {
+struct DurableSnapshot {
     #[n(0)]
     id: MemberId,
     #[n(1)]
@@ -115,8 +115,9 @@
             pending: None,
         };
         if let Some(snapshot) = &recovered.snapshot {
-            let image: Image = minicbor::decode(snapshot).map_err(|_| RecoveryError::Snapshot)?;
-            durable.load(image);
+            let snapshot: DurableSnapshot =
+                minicbor::decode(snapshot).map_err(|_| RecoveryError::Snapshot)?;
+            durable.load(snapshot);
         }
         for (position, record) in recovered.records.iter().enumerate() {
             let entry: Entry =
@@ -127,8 +128,8 @@
     }
 
     /// Encodes the complete state for a snapshot.
-    pub(super) fn image(&self) -> Vec<u8> {
-        encode(&Image {
+    pub(super) fn snapshot(&self) -> Vec<u8> {
+        encode(&DurableSnapshot {
             id: self.id.unwrap_or_default(),
             founder: self.founder,
             promised: self.promised,
@@ -207,14 +208,14 @@
         }
     }
 
-    fn load(&mut self, image: Image) {
-        self.id = Some(image.id);
-        self.founder = image.founder;
-        self.promised = image.promised;
-        self.promised_to = image.promised_to;
-        self.record = image.record;
-        self.state_record = image.state_record;
-        self.load_state(image.state);
+    fn load(&mut self, snapshot: DurableSnapshot) {
+        self.id = Some(snapshot.id);
+        self.founder = snapshot.founder;
+        self.promised = snapshot.promised;
+        self.promised_to = snapshot.promised_to;
+        self.record = snapshot.record;
+        self.state_record = snapshot.state_record;
+        self.load_state(snapshot.state);
     }
 
     fn install(&mut self, record: EpochRecord, state: Option<StateCopy>) {
--- a/coordination/src/replica/proposals.rs
+++ b/coordination/src/replica/proposals.rs
@@ -11,7 +11,7 @@
 use std::collections::BTreeSet;
 
 /// Maximum number of proposals in the queue.
-const QUEUE_LIMIT: usize = 64;
+const MAX_QUEUED_PROPOSALS: usize = 64;
 
 impl<S: StateMachine> Replica<S> {
     pub(super) fn on_propose(&mut self, token: Token, request: Vec<u8>) {
@@ -20,7 +20,7 @@
             Some(primary) if primary.hand_over.is_some() => {
                 self.fail_proposal(token, ProposeError::NotPrimary);
             }
-            Some(primary) if primary.queue.len() >= QUEUE_LIMIT => {
+            Some(primary) if primary.queue.len() >= MAX_QUEUED_PROPOSALS => {
                 self.fail_proposal(token, ProposeError::Overloaded);
             }
             Some(primary) => primary.queue.push_back(QueuedProposal {
--- a/coordination/src/replica/write_queue.rs
+++ b/coordination/src/replica/write_queue.rs
@@ -71,7 +71,7 @@
         &mut self,
         now: Millis,
         record_number: Option<Epoch>,
-        image: impl FnOnce() -> Vec<u8>,
+        take_snapshot: impl FnOnce() -> Vec<u8>,
         outputs: &mut Vec<Output>,
     ) -> Vec<Addressed> {
         if self.retry_at.is_some_and(|at| now < at) {
@@ -82,10 +82,10 @@
             return Vec::new();
         }
         if self.retry_at.take().is_some() {
-            let image = image();
-            self.persist_snapshot(now, record_number, image, outputs);
+            let snapshot = take_snapshot();
+            self.persist_snapshot(now, record_number, snapshot, outputs);
         } else if !self.unflushed_records.is_empty() {
-            self.persist_records(now, record_number, image, outputs);
+            self.persist_records(now, record_number, take_snapshot, outputs);
         }
         let sends = std::mem::take(&mut self.unflushed_messages);
         match self.in_flight.back_mut() {
@@ -146,13 +146,13 @@
         &mut self,
         now: Millis,
         record_number: Option<Epoch>,
-        image: impl FnOnce() -> Vec<u8>,
+        take_snapshot: impl FnOnce() -> Vec<u8>,
         outputs: &mut Vec<Output>,
     ) {
         let bytes: usize = self.unflushed_records.iter().map(Vec::len).sum();
         if self.log_bytes + bytes > COMPACTION_BYTES.max(self.snapshot_bytes) {
-            let image = image();
-            return self.persist_snapshot(now, record_number, image, outputs);
+            let snapshot = take_snapshot();
+            return self.persist_snapshot(now, record_number, snapshot, outputs);
         }
         self.log_bytes += bytes;
         let writes = std::mem::take(&mut self.unflushed_records);
@@ -163,13 +163,13 @@
         &mut self,
         now: Millis,
         record_number: Option<Epoch>,
-        image: Vec<u8>,
+        snapshot: Vec<u8>,
         outputs: &mut Vec<Output>,
     ) {
         self.unflushed_records.clear();
         self.log_bytes = 0;
-        self.snapshot_bytes = image.len();
-        self.push_persist(now, record_number, Vec::new(), Some(image), outputs);
+        self.snapshot_bytes = snapshot.len();
+        self.push_persist(now, record_number, Vec::new(), Some(snapshot), outputs);
     }
 
     fn push_persist(
--- a/storage/src/journal.rs
+++ b/storage/src/journal.rs
@@ -59,7 +59,7 @@
 }
 
 /// The newest valid snapshot of a disk.
-struct Newest {
+struct NewestSnapshot {
     side: Side,
     generation: u64,
     snapshot: Option<Vec<u8>>,
@@ -83,7 +83,7 @@
         let mut identity_file = open(identity::FILE)?;
         let mut slots = [open(slot_a)?, open(slot_b)?];
         let mut log_files = [open(log_a)?, open(log_b)?];
-        let lengths = Lengths::read(&mut slots, &mut log_files)?;
+        let lengths = FileLengths::read(&mut slots, &mut log_files)?;
         let identity =
             read_or_write_identity(identity_file.as_mut(), fresh_identity, lengths.has_data())?;
 
@@ -208,17 +208,17 @@
 }
 
 /// Lengths of the files when the journal is opened, in bytes.
-struct Lengths {
+struct FileLengths {
     slots: [u64; 2],
     logs: [u64; 2],
 }
 
-impl Lengths {
+impl FileLengths {
     fn read(
         slots: &mut [Box<dyn DiskFile>; 2],
         logs: &mut [Box<dyn DiskFile>; 2],
-    ) -> Result<Lengths, StorageError> {
-        Ok(Lengths {
+    ) -> Result<FileLengths, StorageError> {
+        Ok(FileLengths {
             slots: lengths(slots, slot::FILES)?,
             logs: lengths(logs, log::FILES)?,
         })
@@ -274,7 +274,7 @@
 }
 
 /// Finds the newest valid snapshot. A disk without one is at generation 0 on side A.
-fn newest_snapshot(slots: &mut [Box<dyn DiskFile>; 2]) -> Result<Newest, StorageError> {
+fn newest_snapshot(slots: &mut [Box<dyn DiskFile>; 2]) -> Result<NewestSnapshot, StorageError> {
     let mut headers = Vec::new();
     for side in [Side::A, Side::B] {
         let header = slot::read_header(side.of(slots).as_mut())
@@ -288,7 +288,7 @@
         let snapshot =
             slot::read_snapshot(file, &header).map_err(StorageError::on(slot_name(side)))?;
         if snapshot.is_some() {
-            return Ok(Newest {
+            return Ok(NewestSnapshot {
                 side,
                 generation: header.generation,
                 snapshot,
@@ -296,7 +296,7 @@
             });
         }
     }
-    Ok(Newest {
+    Ok(NewestSnapshot {
         side: Side::A,
         generation: 0,
         snapshot: None,
