--- a/coordination/src/monitoring/monitor.rs
+++ b/coordination/src/monitoring/monitor.rs
@@ -57,8 +57,14 @@
     },
 }
 
-/// The recipient and the message.
-pub type Send = (NodeNumber, Message);
+/// A message to send.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub struct OutgoingMessage {
+    /// The recipient.
+    pub to: NodeNumber,
+    /// The message.
+    pub message: Message,
+}
 
 /// A probe without an answer so far.
 #[derive(Debug, Clone, Copy)]
@@ -172,7 +178,7 @@
     }
 
     /// Sends due probes and suspects subjects whose probes timed out.
-    pub fn on_timer(&mut self, now: Millis, sends: &mut Vec<Send>) {
+    pub fn on_timer(&mut self, now: Millis, sends: &mut Vec<OutgoingMessage>) {
         if now.saturating_sub(self.last_timer_at)
             > self.timings.max_own_stall_ms + self.timings.probe_interval_ms
         {
@@ -197,7 +203,7 @@
         }
     }
 
-    fn check_subject(&mut self, now: Millis, id: NodeNumber, sends: &mut Vec<Send>) {
+    fn check_subject(&mut self, now: Millis, id: NodeNumber, sends: &mut Vec<OutgoingMessage>) {
         let timings = self.timings;
         let Some(subject) = self.subjects.get_mut(&id) else {
             return;
@@ -211,32 +217,30 @@
                     sent_at: now,
                     indirect_sent: false,
                 });
-                sends.push((
-                    id,
-                    Message::Probe {
+                sends.push(OutgoingMessage {
+                    to: id,
+                    message: Message::Probe {
                         number,
                         requester: self.own,
                     },
-                ));
+                });
             }
             Some(probe) if !probe.indirect_sent => {
                 probe.indirect_sent = true;
                 let number = probe.number;
-                sends.push((
-                    id,
-                    Message::Probe {
+                sends.push(OutgoingMessage {
+                    to: id,
+                    message: Message::Probe {
                         number,
                         requester: self.own,
                     },
-                ));
-                let indirect_probe = |prober: &NodeNumber| {
-                    (
-                        *prober,
-                        Message::IndirectProbe {
-                            subject: id,
-                            number,
-                        },
-                    )
+                });
+                let indirect_probe = |prober: &NodeNumber| OutgoingMessage {
+                    to: *prober,
+                    message: Message::IndirectProbe {
+                        subject: id,
+                        number,
+                    },
                 };
                 sends.extend(subject.indirect_probers.iter().map(indirect_probe));
             }
@@ -255,25 +259,31 @@
         now: Millis,
         from: NodeNumber,
         message: Message,
-        sends: &mut Vec<Send>,
+        sends: &mut Vec<OutgoingMessage>,
     ) {
         match message {
             Message::Probe { number, requester } => {
-                sends.push((from, Message::Answer { number, requester }));
+                sends.push(OutgoingMessage {
+                    to: from,
+                    message: Message::Answer { number, requester },
+                });
             }
             Message::IndirectProbe { subject, number } => {
-                sends.push((
-                    subject,
-                    Message::Probe {
+                sends.push(OutgoingMessage {
+                    to: subject,
+                    message: Message::Probe {
                         number,
                         requester: from,
                     },
-                ));
+                });
             }
             Message::Answer { number, requester } if requester != self.own => {
                 // An answer to an indirect probe: forward it to the requester, which identifies the subject by the
                 // number.
-                sends.push((requester, Message::Answer { number, requester }));
+                sends.push(OutgoingMessage {
+                    to: requester,
+                    message: Message::Answer { number, requester },
+                });
             }
             Message::Answer { number, .. } => self.on_answer(now, number),
         }
--- a/coordination/src/replica.rs
+++ b/coordination/src/replica.rs
@@ -55,7 +55,7 @@
 use settings::Settings;
 use std::collections::VecDeque;
 use witness::Grant;
-use write_queue::WriteQueue;
+use write_queue::{AddressedMessage, WriteQueue};
 
 /// Maximum delay, in milliseconds, before the first election of a founder or of a restarted primary: the witnesses of a
 /// restarted primary vote for it without waiting for its lease to expire.
@@ -341,7 +341,7 @@
         };
         self.identity_on_disk = true;
         self.record_on_disk = finished.record_number;
-        for (to, message) in finished.sends {
+        for AddressedMessage { to, message } in finished.sends {
             self.send(to, message);
         }
     }
@@ -361,7 +361,7 @@
                 || durable.snapshot(),
                 &mut self.outputs,
             );
-            for (to, message) in sends {
+            for AddressedMessage { to, message } in sends {
                 self.send(to, message);
             }
             if self.loopback.is_empty() {
--- a/coordination/src/replica/durable.rs
+++ b/coordination/src/replica/durable.rs
@@ -73,6 +73,15 @@
     state: StateCopy,
 }
 
+/// How recent a state is: first by the epoch to which it belongs, then by its version.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct StatePosition {
+    /// Number of the record to which the state belongs; `None` without a state.
+    pub(super) epoch: Option<Epoch>,
+    /// Version of the state, including a command that is not known to be committed.
+    pub(super) version: Version,
+}
+
 /// A command that is on disk but not known to be committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct PendingCommand {
@@ -174,6 +183,14 @@
         self.state_record.as_ref().map(|record| record.number)
     }
 
+    /// Position of the state, including the pending command.
+    pub(super) fn position(&self) -> StatePosition {
+        StatePosition {
+            epoch: self.state_epoch(),
+            version: self.accepted_version(),
+        }
+    }
+
     /// Version of the state including the pending command, if there is one.
     pub(super) fn accepted_version(&self) -> Version {
         self.pending
--- a/coordination/src/replica/witness.rs
+++ b/coordination/src/replica/witness.rs
@@ -4,7 +4,7 @@
 //! lease grant of it has expired. A restart does not lose grants: a restarted member assumes that it granted a lease
 //! right before (`resume_as_witness`).
 
-use super::durable::Entry;
+use super::durable::{Entry, StatePosition};
 use super::interface::{Epoch, EpochRecord, Member, MemberId, Millis, StateMachine, Version};
 use super::message::{
     Heartbeat, HeartbeatAnswer, Install, Installed, Message, PreVote, PreVoteAnswer, Prepare,
@@ -217,14 +217,18 @@
     }
 
     fn send_promise(&mut self, candidate: &Member, prepare: &Prepare) {
-        let own_state = (self.durable.state_epoch(), self.durable.accepted_version());
-        let newer = own_state > (prepare.state_epoch, prepare.version);
+        let candidate_position = StatePosition {
+            epoch: prepare.state_epoch,
+            version: prepare.version,
+        };
+        let own_position = self.durable.position();
+        let is_newer = own_position > candidate_position;
         let promise = Promise {
             number: prepare.number,
             record: self.durable.record.clone(),
             state_record: self.durable.state_record.clone(),
-            version: own_state.1,
-            state: newer.then(|| self.durable.clone_state()),
+            version: own_position.version,
+            state: is_newer.then(|| self.durable.clone_state()),
         };
         self.send_when_durable(candidate, Message::Promise(Box::new(promise)));
     }
@@ -245,10 +249,13 @@
     }
 
     fn lacks_state_for(&self, install: &Install) -> bool {
-        let own_state = (self.durable.state_epoch(), self.durable.accepted_version());
+        let initial_position = StatePosition {
+            epoch: Some(install.state_epoch),
+            version: install.version,
+        };
         install.record.is_replica(self.me.id)
             && install.state.is_none()
-            && own_state != (Some(install.state_epoch), install.version)
+            && self.durable.position() != initial_position
     }
 
     fn accept(&mut self, from: &Member, install: Install) {
--- a/coordination/src/replica/write_queue.rs
+++ b/coordination/src/replica/write_queue.rs
@@ -13,14 +13,18 @@
 const RETRY_MS: Millis = 300;
 
 /// A message with its recipient.
-pub(super) type Addressed = (Member, Message);
+#[derive(Debug)]
+pub(super) struct AddressedMessage {
+    pub(super) to: Member,
+    pub(super) message: Message,
+}
 
 /// The queue of writes, in order, with the messages that wait for each.
 #[derive(Debug, Default)]
 pub(super) struct WriteQueue {
     last_token: Token,
     unflushed_records: Vec<Vec<u8>>,
-    unflushed_messages: Vec<Addressed>,
+    unflushed_messages: Vec<AddressedMessage>,
     in_flight: VecDeque<Write>,
     log_bytes: usize,
     snapshot_bytes: usize,
@@ -33,7 +37,7 @@
 struct Write {
     token: Token,
     since: Millis,
-    sends: Vec<Addressed>,
+    sends: Vec<AddressedMessage>,
     record_number: Option<Epoch>,
 }
 
@@ -41,7 +45,7 @@
 #[derive(Debug, Default)]
 pub(super) struct FinishedWrite {
     /// The messages that waited for it.
-    pub sends: Vec<Addressed>,
+    pub sends: Vec<AddressedMessage>,
     /// Number of the newest epoch record on disk after it.
     pub record_number: Option<Epoch>,
 }
@@ -63,7 +67,8 @@
 
     /// Adds a message that is sent once all records appended so far are synced.
     pub(super) fn send_after_writes(&mut self, to: Member, message: Message) {
-        self.unflushed_messages.push((to, message));
+        self.unflushed_messages
+            .push(AddressedMessage { to, message });
     }
 
     /// Requests the write of all appended records. Returns the messages that need not wait for a write.
@@ -73,7 +78,7 @@
         record_number: Option<Epoch>,
         take_snapshot: impl FnOnce() -> Vec<u8>,
         outputs: &mut Vec<Output>,
-    ) -> Vec<Addressed> {
+    ) -> Vec<AddressedMessage> {
         if self.retry_at.is_some_and(|at| now < at) {
             // The disk does not accept writes. The appended records are part of the snapshot that is written later; the
             // messages that wait for them are dropped, as messages may be lost.
--- a/coordination/tests/compatibility.rs
+++ b/coordination/tests/compatibility.rs
@@ -85,16 +85,15 @@
     }
 }
 
+/// One message of each kind, in the order of the fixture.
 fn messages() -> Vec<(&'static str, Message)> {
-    let heartbeat_answer = HeartbeatAnswer {
-        epoch: 7,
-        sent_at: 1234,
-        granted: true,
-        promised: 8,
-        promised_to: 3,
-        record_number: Some(7),
-        leaving: true,
-    };
+    let mut messages = campaign_messages();
+    messages.extend(primary_messages());
+    messages
+}
+
+/// The messages by which an epoch is started.
+fn campaign_messages() -> Vec<(&'static str, Message)> {
     let promise = Promise {
         number: 8,
         record: Some(record()),
@@ -138,6 +137,21 @@
         ),
         ("install", Message::Install(Box::new(install))),
         ("installed", Message::Installed(Installed { number: 8 })),
+    ]
+}
+
+/// The messages of an active epoch.
+fn primary_messages() -> Vec<(&'static str, Message)> {
+    let heartbeat_answer = HeartbeatAnswer {
+        epoch: 7,
+        sent_at: 1234,
+        granted: true,
+        promised: 8,
+        promised_to: 3,
+        record_number: Some(7),
+        leaving: true,
+    };
+    vec![
         (
             "write",
             Message::Write(Write {
--- a/coordination/tests/monitoring/cluster.rs
+++ b/coordination/tests/monitoring/cluster.rs
@@ -1,7 +1,9 @@
 //! Processes that monitor each other and poll a primary, in a simulated network. A run depends on its seed only.
 
 use alderhollow_coordination::monitoring::failure_detector::{FailureDetector, Thresholds};
-use alderhollow_coordination::monitoring::monitor::{Message, Monitor, Report, Timings};
+use alderhollow_coordination::monitoring::monitor::{
+    Message, Monitor, OutgoingMessage, Report, Timings,
+};
 use alderhollow_coordination::monitoring::{Millis, NodeNumber};
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
@@ -212,7 +214,7 @@
             Event::Report { .. } => return,
         }
         let is_changed = monitor.report().sequence != sequence_before;
-        for (to, message) in sends {
+        for OutgoingMessage { to, message } in sends {
             self.transmit(node, to, message);
         }
         if is_changed {
