--- a/coordination/tests/simulation/cluster/clients.rs
+++ b/coordination/tests/simulation/cluster/clients.rs
@@ -45,7 +45,7 @@
         number: usize,
         generation: u64,
         token: Token,
-        result: Result<Outcome, ProposeError>,
+        result: &Result<Outcome, ProposeError>,
     ) {
         let Invocation {
             request,
@@ -57,9 +57,9 @@
         self.trace(|| format!("{number}: request {request}: {result:?}"));
         match result {
             Ok(Outcome::Committed(version)) => {
-                self.oracle.check_acknowledged(request, version);
+                self.oracle.check_acknowledged(request, *version);
                 self.oracle
-                    .check_linearizable(request, version, newest_acknowledged);
+                    .check_linearizable(request, *version, newest_acknowledged);
                 self.acknowledged_at.push(self.now);
                 self.inject_after_acknowledgement(number);
             }
--- a/coordination/tests/simulation/cluster/hosts.rs
+++ b/coordination/tests/simulation/cluster/hosts.rs
@@ -162,9 +162,9 @@
                     },
                 );
             }
-            Output::Send { to, message } => self.transmit(number, &to, message),
+            Output::Send { to, message } => self.transmit(number, &to, &message),
             Output::Proposed { token, result } => {
-                self.on_proposed(number, generation, token, result)
+                self.on_proposed(number, generation, token, &result);
             }
             Output::HandedOver => process.leave_completed = true,
             Output::RoleChanged(role) => {
@@ -178,7 +178,7 @@
         }
     }
 
-    fn transmit(&mut self, from: usize, to: &Member, message: Message) {
+    fn transmit(&mut self, from: usize, to: &Member, message: &Message) {
         let address = address_of(to);
         self.trace(|| format!("{from} -> {address} {message:?}"));
         let link_faults = self.link_faults;
--- a/storage/tests/journal.rs
+++ b/storage/tests/journal.rs
@@ -18,7 +18,7 @@
 
 #[test]
 fn an_unused_disk_gets_an_identity_once() {
-    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
+    let mut disk = FaultDisk::new(LARGE_CAPACITY, 1);
     let (_, recovered) = open(&disk);
     assert_eq!(
         recovered,
@@ -29,7 +29,7 @@
         }
     );
     disk.restore_power();
-    let (_, recovered) = Journal::open(&mut disk.clone(), 99).unwrap();
+    let (_, recovered) = Journal::open(&mut disk, 99).unwrap();
     assert_eq!(recovered.identity, IDENTITY);
 }
 
@@ -51,24 +51,24 @@
 
 #[test]
 fn a_damaged_identity_on_a_disk_with_data_is_an_error() {
-    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
+    let mut disk = FaultDisk::new(LARGE_CAPACITY, 1);
     append_all(&mut open(&disk).0, &[b"promised 7"]);
     disk.corrupt("identity", 9, &[0xff, 0xee]);
     assert!(matches!(
-        Journal::open(&mut disk.clone(), 2),
+        Journal::open(&mut disk, 2),
         Err(StorageError::DamagedIdentity)
     ));
 }
 
 #[test]
 fn damaged_snapshots_are_an_error_and_not_an_empty_disk() {
-    let disk = FaultDisk::new(LARGE_CAPACITY, 1);
+    let mut disk = FaultDisk::new(LARGE_CAPACITY, 1);
     let (mut journal, _) = open(&disk);
     journal.compact(b"first state").unwrap();
     append_all(&mut journal, &[b"promised 7"]);
     disk.corrupt("snapshot-b", 33, b"XX");
     assert!(matches!(
-        Journal::open(&mut disk.clone(), 2),
+        Journal::open(&mut disk, 2),
         Err(StorageError::DamagedSnapshots)
     ));
 }
--- a/storage/tests/recovery_model.rs
+++ b/storage/tests/recovery_model.rs
@@ -154,7 +154,7 @@
     }
 
     /// Handles a failed write: after a power loss the process restarts, otherwise it continues.
-    fn on_error(&mut self, error: StorageError) -> Result<(), TestCaseError> {
+    fn on_error(&mut self, error: &StorageError) -> Result<(), TestCaseError> {
         match error.to_string().contains("no power") {
             true => self.lose_power(),
             false => Ok(()),
@@ -166,7 +166,7 @@
         self.oracle.current().push(entry);
         if let Err(error) = self.journal.append(&encode(&[entry], padding)) {
             self.oracle.roll_back();
-            self.on_error(error)?;
+            self.on_error(&error)?;
         }
         Ok(())
     }
@@ -176,7 +176,7 @@
             Ok(()) => self.oracle.acknowledge(),
             Err(error) => {
                 self.oracle.roll_back();
-                self.on_error(error)?;
+                self.on_error(&error)?;
             }
         }
         Ok(())
@@ -186,28 +186,28 @@
         let snapshot = encode(self.oracle.current(), padding);
         match self.journal.compact(&snapshot) {
             Ok(()) => self.oracle.acknowledge(),
-            Err(error) => self.on_error(error)?,
+            Err(error) => self.on_error(&error)?,
         }
         Ok(())
     }
 
-    fn apply(&mut self, step: Step) -> Result<(), TestCaseError> {
+    fn apply(&mut self, step: &Step) -> Result<(), TestCaseError> {
         match step {
-            Step::Append { padding } => self.append(padding),
+            Step::Append { padding } => self.append(*padding),
             Step::Sync => self.sync(),
-            Step::Compact { padding } => self.compact(padding),
+            Step::Compact { padding } => self.compact(*padding),
             Step::Kill => self.reopen(),
             Step::LosePower => self.lose_power(),
             Step::LosePowerAfter(operations) => {
-                self.disk.fail_power_after(operations);
+                self.disk.fail_power_after(*operations);
                 Ok(())
             }
             Step::FailSyncAfter(operations) => {
-                self.disk.fail_sync_after(operations);
+                self.disk.fail_sync_after(*operations);
                 Ok(())
             }
             Step::SetCapacity(capacity) => {
-                self.disk.set_capacity(capacity);
+                self.disk.set_capacity(*capacity);
                 Ok(())
             }
         }
@@ -226,7 +226,7 @@
         let (journal, recovered) = Journal::open(&mut disk, 77).unwrap();
         let mut run = Run { disk, journal, identity: recovered.identity, oracle: Oracle::new() };
         for step in steps {
-            run.apply(step)?;
+            run.apply(&step)?;
         }
         run.lose_power()?;
         // The disk must work again after any sequence of faults.
