--- a/coordination/src/replica.rs
+++ b/coordination/src/replica.rs
@@ -3,7 +3,8 @@
 //! [`Replica`] is one member, a state machine without I/O: [`Replica::handle`] takes an [`Input`] and returns the
 //! [`Output`]s that the host carries out in order. Start reading with [`interface`] and [`message`].
 //!
-//! The protocol is vertical Paxos with leases. Safety rests on these invariants:
+//! The protocol resembles vertical Paxos (Lamport, Malkhi, Zhou 2009) with leases: the replicas of an epoch replicate
+//! commands, the witnesses elect the next epoch. Safety rests on these invariants:
 //!
 //! * An epoch has at most one primary: a record of epoch *e* is installed only by the candidate to which a quorum of the
 //!   witnesses promised *e* (`campaign`).
@@ -317,6 +318,7 @@
         }
     }
 
+    /// Dispatches a message of a peer or of this member itself.
     fn on_message(&mut self, from: &Member, message: Message) {
         match message {
             Message::PreVote(pre_vote) => self.on_pre_vote(from, &pre_vote),
@@ -335,6 +337,7 @@
         }
     }
 
+    /// Releases the messages that waited for a completed disk write.
     fn on_persisted(&mut self, token: Token) {
         let Some(finished) = self.writes.on_write_finished(token) else {
             return;
@@ -370,6 +373,7 @@
         }
     }
 
+    /// Runs all periodic checks.
     fn check_timers(&mut self) {
         self.check_leave_deadline();
         self.check_campaign();
@@ -379,6 +383,7 @@
         }
     }
 
+    /// Emits outputs for changes of the committed version and of the role.
     fn emit_changes(&mut self) {
         let version = self.durable.version();
         if version != self.last_version {
@@ -398,6 +403,7 @@
         self.durable.apply(entry);
     }
 
+    /// Sends a message at once; a message to this member itself is queued.
     fn send(&mut self, to: Member, message: Message) {
         if to.id == self.me.id {
             self.loopback.push_back(message);
@@ -416,14 +422,17 @@
         self.now + self.rng.rand_range(0..span + 1)
     }
 
+    /// Remembers the highest epoch seen: the next campaign uses a higher one.
     fn observe_epoch(&mut self, number: Epoch) {
         self.highest_seen = self.highest_seen.max(number);
     }
 
+    /// The newest epoch record that this member has accepted.
     fn accepted_record(&self) -> Option<&EpochRecord> {
         self.durable.record.as_ref()
     }
 
+    /// Whether the own disk fails or has not completed a write in time.
     fn disk_is_stalled(&self) -> bool {
         self.writes
             .is_stalled(self.now, self.settings.timings.disk_stall_timeout_ms)
--- a/coordination/src/replica/base.rs
+++ b/coordination/src/replica/base.rs
@@ -90,6 +90,7 @@
     known
 }
 
+/// The newest version of the state of a record among the promises.
 fn newest_version(promises: &BTreeMap<MemberId, Promise>, number: Epoch) -> Option<Version> {
     let is_of_record = |promise: &&Promise| promise.state_epoch() == Some(number);
     promises
@@ -99,6 +100,7 @@
         .max()
 }
 
+/// The members whose state belongs to this epoch and has this version.
 fn state_holders(
     promises: &BTreeMap<MemberId, Promise>,
     state_epoch: Epoch,
--- a/coordination/src/replica/campaign.rs
+++ b/coordination/src/replica/campaign.rs
@@ -80,6 +80,7 @@
         is_witness && idle && !self.excluded && !self.leaving && !self.disk_is_stalled()
     }
 
+    /// Creates the founding record, if this member is one of its witnesses and belongs to no core yet.
     pub(super) fn on_found(&mut self, witnesses: Vec<Member>) {
         let founds = witnesses.iter().any(|member| member.id == self.me.id);
         if founds && self.may_found() {
@@ -92,6 +93,7 @@
         }
     }
 
+    /// Ends the campaign if a witness has promised its number, or a higher one, to another candidate.
     pub(super) fn on_rejection(&mut self, rejection: &Rejection) {
         self.observe_epoch(rejection.promised);
         if let Some(record) = &rejection.record {
--- a/coordination/src/replica/campaign/install.rs
+++ b/coordination/src/replica/campaign/install.rs
@@ -61,6 +61,7 @@
 }
 
 impl<S: StateMachine> Replica<S> {
+    /// Counts an acceptance of the new record; activates the record once it has all that it needs.
     pub(in crate::replica) fn on_installed(&mut self, from: &Member, installed: &Installed) {
         let Some(Campaign::Installing(installing)) = &mut self.campaign else {
             return;
@@ -92,6 +93,7 @@
         }
     }
 
+    /// Starts the install step, with the state of a member that has the base state.
     pub(super) fn start_install(
         &mut self,
         mut preparing: Preparing,
@@ -121,6 +123,7 @@
         self.send_installs();
     }
 
+    /// Sends the record, if due, to those members that have to accept it now.
     pub(super) fn send_installs(&mut self) {
         let Some(Campaign::Installing(installing)) = &mut self.campaign else {
             return;
--- a/coordination/src/replica/campaign/pre_vote.rs
+++ b/coordination/src/replica/campaign/pre_vote.rs
@@ -33,6 +33,7 @@
 }
 
 impl<S: StateMachine> Replica<S> {
+    /// Starts a campaign. The successor of a hand-over skips the pre-vote.
     pub(in crate::replica) fn start_pre_vote(&mut self) {
         let Some(record) = self.durable.record.clone() else {
             return;
@@ -52,6 +53,7 @@
         }
     }
 
+    /// Counts an answer; starts the prepare step once the pre-vote is won.
     pub(in crate::replica) fn on_pre_vote_answer(&mut self, from: &Member, answer: PreVoteAnswer) {
         self.observe_epoch(answer.promised);
         if let Some(record) = &answer.record {
@@ -71,6 +73,7 @@
         }
     }
 
+    /// Whether a quorum would promise, by any of the records known from the answers or accepted by this member.
     fn pre_vote_is_won(&self) -> bool {
         let Some(Campaign::PreVoting(pre_voting)) = &self.campaign else {
             return false;
--- a/coordination/src/replica/campaign/prepare.rs
+++ b/coordination/src/replica/campaign/prepare.rs
@@ -52,6 +52,7 @@
 }
 
 impl<S: StateMachine> Replica<S> {
+    /// Starts the prepare step with a number above all that this member has seen.
     pub(in crate::replica) fn start_prepare(&mut self, purpose: Purpose) {
         let Some(record) = self.durable.record.clone() else {
             return;
@@ -73,6 +74,7 @@
         self.check_campaign();
     }
 
+    /// Stores a promise. Members that the promise's record names are asked to promise too.
     pub(in crate::replica) fn on_promise(&mut self, from: &Member, promise: Promise) {
         if let Some(record) = &promise.record {
             self.observe_record(record);
@@ -99,6 +101,7 @@
         self.check_promises();
     }
 
+    /// Sends the prepare, if due, to the members that have not answered.
     pub(super) fn send_prepares(&mut self) {
         let Some(Campaign::Preparing(preparing)) = &mut self.campaign else {
             return;
@@ -154,6 +157,7 @@
         }
     }
 
+    /// The record that follows the base, complete with number, primary and lineage.
     fn next_record(&self, preparing: &Preparing, base: &Base) -> Result<EpochRecord, CannotBegin> {
         let record = match preparing.purpose {
             Purpose::Reconfigure => self
@@ -181,6 +185,7 @@
         })
     }
 
+    /// The record of a candidate without number and primary; see [`epoch_rules::takeover_record`].
     fn takeover_record(
         &self,
         preparing: &Preparing,
--- a/coordination/src/replica/durable.rs
+++ b/coordination/src/replica/durable.rs
@@ -225,6 +225,7 @@
         }
     }
 
+    /// Replaces everything by a snapshot from disk.
     fn load(&mut self, snapshot: DurableSnapshot) {
         self.id = Some(snapshot.id);
         self.founder = snapshot.founder;
@@ -235,6 +236,7 @@
         self.load_state(snapshot.state);
     }
 
+    /// Accepts an epoch record, which implies the promise of its epoch.
     fn install(&mut self, record: EpochRecord, state: Option<StateCopy>) {
         if record.number >= self.promised {
             self.promised = record.number;
--- a/coordination/src/replica/handover.rs
+++ b/coordination/src/replica/handover.rs
@@ -16,6 +16,7 @@
 const SENDS_PER_SUCCESSOR: usize = 3;
 
 impl<S: StateMachine> Replica<S> {
+    /// Starts the shutdown of this member: a primary hands over, another member notifies the primary.
     pub(super) fn on_leave(&mut self) {
         if self.leaving {
             return;
@@ -32,6 +33,7 @@
         self.outputs.push(Output::HandedOver);
     }
 
+    /// Starts an election at once if the sender is the primary and this member is one of its replicas.
     pub(super) fn on_hand_over(&mut self, from: &Member, hand_over: &HandOver) {
         self.observe_epoch(hand_over.epoch);
         let is_from_primary = self.accepted_record().is_some_and(|record| {
@@ -109,6 +111,7 @@
         }
     }
 
+    /// Completes a shutdown whose hand-over has not finished in time.
     pub(super) fn check_leave_deadline(&mut self) {
         if self
             .leave_deadline
--- a/coordination/src/replica/interface.rs
+++ b/coordination/src/replica/interface.rs
@@ -137,11 +137,11 @@
     #[error("this core member does not decide now; nothing was changed: ask the primary")]
     NotPrimary,
     /// The request was not executed and never will be: the queue of proposals is full.
-    #[error("too many changes wait for their turn; nothing was changed: try again later")]
+    #[error("the queue of proposals is full; nothing was changed: retry later")]
     Overloaded,
     /// The request may or may not have been executed: the member lost the primary role while the command was in flight.
     #[error(
-        "the change may or may not be in force: read the state, or send the same change again"
+        "the outcome of the change is unknown: read the state, or submit the same change again"
     )]
     Unknown,
 }
@@ -164,12 +164,12 @@
 pub enum RecoveryError {
     /// The snapshot can't be decoded.
     #[error(
-        "the core's snapshot in the data folder can't be read; empty the folder to start as a new member"
+        "the core's snapshot in the data folder can't be decoded; empty the folder to start as a new member"
     )]
     Snapshot,
     /// The record at this position of the log, counted from 0, can't be decoded.
     #[error(
-        "record {0} (from 0) of the core's log in the data folder can't be read; \
+        "record {0} (from 0) of the core's log in the data folder can't be decoded; \
          empty the folder to start as a new member"
     )]
     Record(usize),
--- a/coordination/src/replica/membership.rs
+++ b/coordination/src/replica/membership.rs
@@ -32,6 +32,7 @@
                 .is_some_and(|next| next != primary.record)
     }
 
+    /// The selection rules on the current observations.
     fn planner<'a>(&self, primary: &'a Primary) -> MembershipPlanner<'a> {
         MembershipPlanner {
             me: self.me.id,
@@ -121,6 +122,8 @@
         next
     }
 
+    /// The replicas that the next record should have: those that keep up, and members that can be readmitted. If these
+    /// are fewer than `min_replicas`, also other responsive members that do not delay the command in flight.
     fn next_replicas(&self, record: &EpochRecord, min_replicas: usize) -> Vec<MemberId> {
         let members = || record.witnesses.iter().map(|member| member.id);
         let is_fit = |id: &MemberId| match self.primary.record.is_replica(*id) {
@@ -140,6 +143,7 @@
         self.primary.peers.get(&id)
     }
 
+    /// Time since the member last responded, or since the record became active, in milliseconds.
     fn time_since_response(&self, id: MemberId) -> Millis {
         match self.peer(id) {
             _ if id == self.me => 0,
@@ -148,6 +152,7 @@
         }
     }
 
+    /// Whether the member has responded within `replica_timeout_ms` and is not excluded.
     fn is_responsive(&self, id: MemberId) -> bool {
         let is_blocked = self
             .peer(id)
@@ -155,11 +160,13 @@
         self.time_since_response(id) < self.timings.replica_timeout_ms && !is_blocked
     }
 
+    /// Whether a replica may remain one.
     fn keeps_up(&self, id: MemberId) -> bool {
         let is_leaving = self.peer(id).is_some_and(Peer::is_leaving);
         self.is_responsive(id) && !is_leaving && !self.delays_write(id)
     }
 
+    /// Whether a member that is no replica may become one.
     fn is_readmittable(&self, id: MemberId) -> bool {
         let is_steady = |peer: &Peer| {
             let on_disk = peer.record_number == Some(self.primary.record.number);
@@ -178,6 +185,7 @@
             })
     }
 
+    /// Whether the member has requested to join and answers heartbeats.
     fn is_joiner(&self, id: MemberId) -> bool {
         self.primary
             .joiners
@@ -185,6 +193,7 @@
             .is_some_and(|joiner| joiner.has_answered)
     }
 
+    /// Whether the member may be removed from the membership.
     fn is_unresponsive(&self, id: MemberId) -> bool {
         !self.is_joiner(id) && self.time_since_response(id) >= self.timings.member_timeout_ms
     }
--- a/coordination/src/replica/primary.rs
+++ b/coordination/src/replica/primary.rs
@@ -148,6 +148,7 @@
         granted.map_or(0, |sent_at| sent_at + lease_ms)
     }
 
+    /// Updates the response times of a member.
     fn record_response(&mut self, id: MemberId, now: Millis, max_delay_ms: Millis) -> &mut Peer {
         let peer = self.peers.entry(id).or_default();
         if peer.last_response_at + max_delay_ms <= now {
@@ -204,6 +205,7 @@
         }
     }
 
+    /// Registers a request to join. The next heartbeat is sent at once, to see whether the member answers.
     pub(super) fn on_join(&mut self, member: Member) {
         let now = self.now;
         let Some(primary) = &mut self.primary else {
@@ -223,6 +225,7 @@
         }
     }
 
+    /// Updates the observed state of a member and extends the lease, or sends the member the active record.
     pub(super) fn on_heartbeat_answer(&mut self, from: &Member, answer: &HeartbeatAnswer) {
         self.observe_epoch(answer.promised);
         let (now, time_since_response) = (self.now, self.settings.timings.replica_timeout_ms);
@@ -245,6 +248,7 @@
         }
     }
 
+    /// Marks a member as shutting down.
     pub(super) fn on_member_leaving(&mut self, from: &Member) {
         if let Some(peer) = self
             .primary
@@ -321,6 +325,7 @@
         primary.hand_over.is_none() && self.now >= lease_until + timings.resign_delay_ms
     }
 
+    /// Sends heartbeats, if due, to all members and joiners.
     fn send_heartbeats(&mut self) {
         let heartbeat_interval_ms = self.settings.timings.heartbeat_interval_ms;
         let committed = self.durable.version();
@@ -363,6 +368,7 @@
         }
     }
 
+    /// Removes joiners that no longer repeat their request.
     fn expire_joiners(&mut self) {
         let now = self.now;
         if let Some(primary) = &mut self.primary {
--- a/coordination/src/replica/proposals.rs
+++ b/coordination/src/replica/proposals.rs
@@ -14,6 +14,7 @@
 const MAX_QUEUED_PROPOSALS: usize = 64;
 
 impl<S: StateMachine> Replica<S> {
+    /// Queues a proposal, or fails it if this member is not the primary, hands over or has a full queue.
     pub(super) fn on_propose(&mut self, token: Token, request: Vec<u8>) {
         let since = self.now;
         match &mut self.primary {
@@ -60,6 +61,7 @@
         }
     }
 
+    /// Counts an acknowledgement of the command in flight; commits the command once all replicas have it.
     pub(super) fn on_written(&mut self, from: &Member, written: &Written) {
         let Some(primary) = &mut self.primary else {
             return;
@@ -86,6 +88,7 @@
         }
     }
 
+    /// Sends the command in flight, if due, to the replicas that have not acknowledged it.
     pub(super) fn resend_write(&mut self) {
         let resend_interval_ms = self.settings.timings.resend_interval_ms;
         let Some(primary) = &mut self.primary else {
@@ -150,6 +153,7 @@
         }
     }
 
+    /// Reports the failure of a proposal.
     pub(super) fn fail_proposal(&mut self, token: Token, error: ProposeError) {
         self.outputs.push(Output::Proposed {
             token,
@@ -157,6 +161,7 @@
         });
     }
 
+    /// Starts the replication of a command.
     fn start_write(&mut self, token: Token, command: Vec<u8>) {
         let version = self.durable.version() + 1;
         let now = self.now;
@@ -179,6 +184,7 @@
         self.resend_write();
     }
 
+    /// Commits the command in flight.
     fn finish_write(&mut self, version: Version) {
         self.durable.commit_up_to(version);
         let Some(write) = self
@@ -191,6 +197,7 @@
         self.complete_proposal(write.token, version);
     }
 
+    /// Reports the commit of a proposal's command.
     fn complete_proposal(&mut self, token: Token, version: Version) {
         self.outputs.push(Output::Proposed {
             token,
--- a/coordination/src/replica/witness.rs
+++ b/coordination/src/replica/witness.rs
@@ -69,6 +69,7 @@
             }
     }
 
+    /// Answers whether this member would promise now. It changes no state.
     pub(super) fn on_pre_vote(&mut self, from: &Member, pre_vote: &PreVote) {
         let wait_ms = self.vote_wait_ms(from.id);
         let answer = PreVoteAnswer {
@@ -81,6 +82,8 @@
         self.send(from.clone(), Message::PreVoteAnswer(answer));
     }
 
+    /// Promises an epoch that is higher than the last promise, unless a lease granted to another primary has not
+    /// expired. A repeated prepare is answered again.
     pub(super) fn on_prepare(&mut self, from: &Member, prepare: &Prepare) {
         self.observe_epoch(prepare.number);
         let is_repeat =
@@ -96,6 +99,7 @@
         self.send_promise(from, prepare);
     }
 
+    /// Accepts an epoch record, unless a higher epoch, or the same one for another candidate, is promised.
     pub(super) fn on_install(&mut self, from: &Member, install: Install) {
         let record = &install.record;
         let number = record.number;
@@ -122,6 +126,8 @@
         self.send_when_durable(from, Message::Installed(Installed { number }));
     }
 
+    /// Appends a command of the primary of the accepted record. Versions must be consecutive; a repeated command is
+    /// acknowledged again.
     pub(super) fn on_write(&mut self, from: &Member, write: Write) {
         self.observe_epoch(write.epoch);
         let is_from_primary = self.accepted_record().is_some_and(|record| {
@@ -148,6 +154,7 @@
         self.send_when_durable(from, Message::Written(written));
     }
 
+    /// Grants or renews the lease of the primary of the record on disk, and commits up to its version.
     pub(super) fn on_heartbeat(&mut self, from: &Member, heartbeat: &Heartbeat) {
         self.observe_epoch(heartbeat.epoch);
         if !self.identity_on_disk {
@@ -202,6 +209,7 @@
         }
     }
 
+    /// Records a promise. A promise to another candidate ends an own campaign or primary role.
     fn record_promise(&mut self, candidate: &Member, number: Epoch) {
         self.log(Entry::Promised {
             number,
@@ -216,6 +224,7 @@
         }
     }
 
+    /// Sends the promise once it is on disk, with the state if it is newer than the candidate's.
     fn send_promise(&mut self, candidate: &Member, prepare: &Prepare) {
         let candidate_position = StatePosition {
             epoch: prepare.state_epoch,
@@ -233,6 +242,7 @@
         self.send_when_durable(candidate, Message::Promise(Box::new(promise)));
     }
 
+    /// Rejects a request, with the promise and record that conflict with it.
     pub(super) fn send_rejection(&mut self, from: &Member, number: Epoch) {
         let rejection = Rejection {
             number,
@@ -248,6 +258,7 @@
         record.member(self.me.id).is_some() || self.durable.record.is_some()
     }
 
+    /// Whether this member is a replica of the record but has neither its initial state nor received it.
     fn lacks_state_for(&self, install: &Install) -> bool {
         let initial_position = StatePosition {
             epoch: Some(install.state_epoch),
@@ -258,6 +269,7 @@
             && self.durable.position() != initial_position
     }
 
+    /// Accepts an epoch record. A record of another primary ends an own campaign or primary role.
     fn accept(&mut self, from: &Member, install: Install) {
         self.excluded = !install.record.is_witness(self.me.id);
         let state = install
@@ -274,6 +286,8 @@
         }
     }
 
+    /// Whether the sender of a heartbeat is the primary of the record on disk, and nothing is promised to others. A
+    /// primary with a stalled disk grants itself nothing.
     fn can_grant_lease(&self, primary: MemberId, epoch: Epoch) -> bool {
         let Some(record) = self.accepted_record() else {
             return false;
@@ -286,6 +300,7 @@
         is_primary && on_disk && !promised_to_others && !own_disk_stalls
     }
 
+    /// Grants the lease: no promise to other candidates before it expires.
     fn grant_lease(&mut self, primary: MemberId, epoch: Epoch) {
         let until = self.now + self.settings.timings.grant_ms;
         self.grant = Some(Grant {
--- a/coordination/src/replica/write_queue.rs
+++ b/coordination/src/replica/write_queue.rs
@@ -147,6 +147,7 @@
         self.in_flight.front().map(|write| write.since + limit)
     }
 
+    /// Requests the write of the appended records, or of a snapshot if the log has grown too long.
     fn persist_records(
         &mut self,
         now: Millis,
@@ -164,6 +165,7 @@
         self.push_persist(now, record_number, writes, None, outputs);
     }
 
+    /// Requests a snapshot that replaces the log.
     fn persist_snapshot(
         &mut self,
         now: Millis,
@@ -177,6 +179,7 @@
         self.push_persist(now, record_number, Vec::new(), Some(snapshot), outputs);
     }
 
+    /// Emits the write and adds it to those in flight.
     fn push_persist(
         &mut self,
         now: Millis,
--- a/storage/src/inspect.rs
+++ b/storage/src/inspect.rs
@@ -99,7 +99,7 @@
     for file in slot::FILES {
         slots.extend(read_slot(folder, file)?);
     }
-    mark_active_slot(&mut slots);
+    set_active_slot(&mut slots);
     let active = ActiveLog::of(&slots);
     let mut logs = Vec::new();
     for (index, file) in log::FILES.into_iter().enumerate() {
@@ -205,7 +205,7 @@
     }))
 }
 
-fn mark_active_slot(slots: &mut [SlotReport]) {
+fn set_active_slot(slots: &mut [SlotReport]) {
     let newest = slots
         .iter_mut()
         .filter(|slot| slot.is_whole)
