--- a/coordination/src/replica/campaign.rs
+++ b/coordination/src/replica/campaign.rs
@@ -1,174 +1,86 @@
-//! How a new epoch begins: a candidate asks the witnesses in a pre-vote, prepares them, and installs the epoch's record.
-//! A primary that changes its own epoch does the same without the pre-vote.
+//! Campaigns: attempts to start a new epoch, in three steps.
+//!
+//! 1. Pre-vote: ask the witnesses whether they would promise, without changing their state (section 9.6 of Ongaro's
+//!    Raft thesis).
+//! 2. Prepare: obtain promises (phase 1 of Paxos), and choose the base record and state from them.
+//! 3. Install: have the new epoch record accepted by its members (phase 2). Once it is active, this member is the
+//!    primary.
+//!
+//! A primary that changes its own configuration skips the pre-vote, and so does the successor of a hand-over.
+//! Invariant: a campaign installs one record only under its number, so that an epoch has one primary.
+mod install;
+mod pre_vote;
+mod prepare;
+mod resend;
+
+pub(super) use install::Installing;
 
-use super::base::{choose_base, Base};
 use super::durable::Entry;
-use super::epoch_rules;
-use super::interface::{Epoch, EpochRecord, Member, MemberId, Millis, StateMachine, Version};
-use super::message::{
-    Install, Installed, Message, PreVote, PreVoteAnswer, Prepare, Promise, Refusal, StateCopy,
-};
+use super::interface::{Epoch, EpochRecord, Member, Millis, StateMachine};
+use super::message::Rejection;
 use super::settings::Timings;
 use super::Replica;
-use std::collections::{BTreeMap, BTreeSet};
+use pre_vote::PreVoting;
+use prepare::Preparing;
 
-/// A pre-vote ends after so long.
-const PRE_VOTE_MS: Millis = 150;
-/// A candidate that failed comes back after so long at least.
-const SETBACK_MS: Millis = 30;
-/// The time of an attempt, and the pauses between its messages, double so many times.
-const MOST_DOUBLINGS: u32 = 2;
+/// Minimum delay before a failed candidate starts another campaign, in milliseconds.
+const MIN_CAMPAIGN_RETRY_MS: Millis = 30;
+/// The timeout of an attempt and the interval between its messages double at most this many times.
+const MAX_BACKOFF_DOUBLINGS: u32 = 2;
 
-/// An attempt to begin an epoch.
+/// An attempt to start an epoch.
 #[derive(Debug)]
 pub(super) enum Campaign {
-    /// Asks whether the witnesses would promise.
+    /// Waits for answers to the pre-vote.
     PreVoting(PreVoting),
-    /// Asks them to promise.
+    /// Collects promises.
     Preparing(Preparing),
-    /// Has the new record (and state) written.
+    /// Waits until the members have the new record on disk.
     Installing(Box<Installing>),
 }
 
-/// A pre-vote.
-#[derive(Debug)]
-pub(super) struct PreVoting {
-    attempt: u64,
-    started: Millis,
-    answers: BTreeMap<MemberId, PreVoteAnswer>,
-}
-
-/// Promises being collected.
-#[derive(Debug)]
-pub(super) struct Preparing {
-    number: Epoch,
-    purpose: Purpose,
-    ends_at: Millis,
-    resends: Resends,
-    /// Since when the promises suffice; others may follow that make more replicas.
-    enough_since: Option<Millis>,
-    asked: BTreeMap<MemberId, Member>,
-    promises: BTreeMap<MemberId, Promise>,
-}
-
-/// A record being written by its members.
-#[derive(Debug)]
-pub(super) struct Installing {
-    pub record: EpochRecord,
-    base: Base,
-    state: StateCopy,
-    ends_at: Millis,
-    resends: Resends,
-    told: BTreeSet<MemberId>,
-    pub installed: BTreeSet<MemberId>,
-}
-
-/// When the messages of an attempt are sent again. The pauses double: members that are slow, or this one, must not be kept from
-/// what they have by repetitions of what they have.
-#[derive(Debug, Clone, Copy)]
-struct Resends {
-    next: Millis,
-    pause: Millis,
-    longest_pause: Millis,
-}
-
-impl Resends {
-    /// Due now, then after `first_pause`.
-    fn new(now: Millis, first_pause: Millis) -> Resends {
-        Resends {
-            next: now,
-            pause: first_pause,
-            longest_pause: first_pause << MOST_DOUBLINGS,
-        }
-    }
-
-    /// Whether messages are due now; then the next ones are due after a longer pause.
-    fn take_due(&mut self, now: Millis) -> bool {
-        if now < self.next {
-            return false;
-        }
-        self.next = now + self.pause;
-        self.pause = (2 * self.pause).min(self.longest_pause);
-        true
-    }
-}
-
-/// Why an epoch is to begin.
+/// Why a new epoch is started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) enum Purpose {
     /// There is no primary.
     TakeOver,
-    /// The primary of all epochs since some time, up to this one, stopped and named this member.
+    /// The primary of the active record, up to this epoch, handed over to this member.
     Succeed(Epoch),
-    /// The primary changes replicas or members, or needs a higher number.
+    /// The primary changes replicas or members, or another candidate has claimed a higher number.
     Reconfigure,
 }
 
 impl Campaign {
-    /// When it has something to do.
-    pub fn next_wakeup(&self, timings: &Timings) -> Millis {
+    /// When [`Replica::check_campaign`] is due.
+    pub(super) fn next_wakeup(&self, timings: &Timings) -> Millis {
         match self {
-            Campaign::PreVoting(pre_voting) => pre_voting.started + PRE_VOTE_MS,
-            Campaign::Preparing(preparing) => {
-                let gathered = preparing
-                    .enough_since
-                    .map_or(Millis::MAX, |since| since + timings.gather_ms);
-                preparing.resends.next.min(preparing.ends_at).min(gathered)
-            }
-            Campaign::Installing(installing) => installing.resends.next.min(installing.ends_at),
+            Campaign::PreVoting(pre_voting) => pre_voting.ends_at(),
+            Campaign::Preparing(preparing) => preparing.next_wakeup(timings),
+            Campaign::Installing(installing) => installing.next_wakeup(),
         }
     }
-}
-
-impl Preparing {
-    /// All whom the new epoch may name have answered.
-    fn is_complete(&self, base: &EpochRecord) -> bool {
-        base.everyone()
-            .all(|member| self.promises.contains_key(&member.id))
-    }
-}
-
-impl Installing {
-    /// All up to here is committed once the record is active.
-    pub fn version(&self) -> Version {
-        self.base.version
-    }
-
-    /// The record is in force.
-    fn is_active(&self) -> bool {
-        epoch_rules::is_active(&self.record, |id| self.installed.contains(&id))
-    }
-
-    /// Who is to be sent the record now.
-    fn recipients(&self) -> Vec<Member> {
-        epoch_rules::recipients(&self.record, &self.base.record, |id| {
-            self.installed.contains(&id)
-        })
-    }
 
-    /// The message for one member. Who holds the state already is sent it only with a repetition.
-    fn message_for(&self, id: MemberId) -> Message {
-        let holds_it = self.base.holders.contains(&id) && !self.told.contains(&id);
-        let needs_it = self.record.is_replica(id) && !holds_it;
-        Message::Install(Box::new(Install {
-            record: self.record.clone(),
-            state_epoch: self.base.record.number,
-            version: self.base.version,
-            state: needs_it.then(|| self.state.clone()),
-        }))
+    /// When the current step times out.
+    fn ends_at(&self) -> Millis {
+        match self {
+            Campaign::PreVoting(pre_voting) => pre_voting.ends_at(),
+            Campaign::Preparing(preparing) => preparing.ends_at,
+            Campaign::Installing(installing) => installing.ends_at,
+        }
     }
 }
 
 impl<S: StateMachine> Replica<S> {
-    /// It may become a candidate once its time has come.
+    /// Whether this member may start an election.
     pub(super) fn may_campaign(&self) -> bool {
         let is_witness = self
-            .my_record()
+            .accepted_record()
             .is_some_and(|record| record.is_witness(self.me.id));
         let idle = self.campaign.is_none() && self.primary.is_none();
-        is_witness && idle && !self.outside && !self.leaving && !self.disk_is_stalled()
+        is_witness && idle && !self.excluded && !self.leaving && !self.disk_is_stalled()
     }
 
+    /// Creates the founding record, if this member is one of its witnesses and belongs to no core yet.
     pub(super) fn on_found(&mut self, witnesses: Vec<Member>) {
         let founds = witnesses.iter().any(|member| member.id == self.me.id);
         if founds && self.may_found() {
@@ -181,147 +93,29 @@
         }
     }
 
-    pub(super) fn begin_pre_vote(&mut self) {
-        let Some(record) = self.durable.record.clone() else {
-            return;
-        };
-        if let Some(epoch) = self.succeeds {
-            return self.begin_prepare(Purpose::Succeed(epoch));
-        }
-        let attempt = self.chance.rand_u64();
-        let pre_voting = PreVoting {
-            attempt,
-            started: self.now,
-            answers: BTreeMap::new(),
-        };
-        self.campaign = Some(Campaign::PreVoting(pre_voting));
-        for member in record.everyone() {
-            self.send(member.clone(), Message::PreVote(PreVote { attempt }));
-        }
-    }
-
-    pub(super) fn begin_prepare(&mut self, purpose: Purpose) {
-        let Some(record) = self.durable.record.clone() else {
-            return;
-        };
-        self.highest_seen = self.highest_seen.max(self.durable.promised) + 1;
-        let mut preparing = Preparing {
-            number: self.highest_seen,
-            purpose,
-            ends_at: self.now + self.attempt_ms(),
-            resends: Resends::new(self.now, self.settings.timings.resend_ms),
-            enough_since: None,
-            asked: BTreeMap::new(),
-            promises: BTreeMap::new(),
-        };
-        preparing
-            .asked
-            .extend(record.everyone().map(|member| (member.id, member.clone())));
-        self.campaign = Some(Campaign::Preparing(preparing));
-        self.check_campaign();
-    }
-
-    pub(super) fn on_pre_vote_answer(&mut self, from: &Member, answer: PreVoteAnswer) {
-        self.saw_epoch(answer.promised);
-        if let Some(record) = &answer.record {
-            self.learn_of_record(record);
-        }
-        let Some(Campaign::PreVoting(pre_voting)) = &mut self.campaign else {
-            return;
-        };
-        if pre_voting.attempt != answer.attempt {
-            return;
-        }
-        pre_voting.answers.insert(from.id, answer);
-        if self.outside {
-            self.campaign = None;
-        } else if self.pre_vote_is_won() {
-            self.begin_prepare(Purpose::TakeOver);
-        }
-    }
-
-    pub(super) fn on_promise(&mut self, from: &Member, promise: Promise) {
-        if let Some(record) = &promise.record {
-            self.learn_of_record(record);
-        }
-        let Some(Campaign::Preparing(preparing)) = &mut self.campaign else {
-            return;
-        };
-        if preparing.number != promise.number {
-            return;
-        }
-        let named = promise.record.iter().flat_map(EpochRecord::everyone);
-        let others = named.filter(|member| !preparing.asked.contains_key(&member.id));
-        let others: Vec<Member> = others.cloned().collect();
-        if !others.is_empty() {
-            preparing
-                .asked
-                .extend(others.into_iter().map(|member| (member.id, member)));
-            preparing.resends.next = self.now;
-        }
-        preparing.promises.insert(from.id, promise);
-        if self.outside {
-            return self.fail_campaign();
-        }
-        self.check_promises();
-    }
-
-    pub(super) fn on_refusal(&mut self, _from: &Member, refusal: Refusal) {
-        self.saw_epoch(refusal.promised);
-        if let Some(record) = &refusal.record {
-            self.learn_of_record(record);
+    /// Ends the campaign if a witness has promised its number, or a higher one, to another candidate.
+    pub(super) fn on_rejection(&mut self, rejection: &Rejection) {
+        self.observe_epoch(rejection.promised);
+        if let Some(record) = &rejection.record {
+            self.observe_record(record);
         }
         let number = match &self.campaign {
             Some(Campaign::Preparing(preparing)) => preparing.number,
             Some(Campaign::Installing(installing)) => installing.record.number,
             _ => return,
         };
-        if number == refusal.number && refusal.promised >= number {
+        if number == rejection.number && rejection.promised >= number {
             self.fail_campaign();
         }
     }
 
-    pub(super) fn on_installed(&mut self, from: &Member, installed: Installed) {
-        let Some(Campaign::Installing(installing)) = &mut self.campaign else {
-            return;
-        };
-        if installing.record.number != installed.number {
-            return;
-        }
-        installing.installed.insert(from.id);
-        if !installing.is_active() {
-            return self.go_on_after_new_members();
-        }
-        if let Some(Campaign::Installing(installing)) = self.campaign.take() {
-            self.activate(*installing);
-        }
-    }
-
-    /// Once all new members have the record, the others get it.
-    fn go_on_after_new_members(&mut self) {
-        let Some(Campaign::Installing(installing)) = &mut self.campaign else {
-            return;
-        };
-        if installing
-            .recipients()
-            .iter()
-            .any(|member| !installing.told.contains(&member.id))
-        {
-            installing.resends.next = self.now;
-            self.send_installs();
-        }
-    }
-
-    /// Does what is due in a campaign: messages sent again, its end.
+    /// Ends a campaign that timed out, sends due messages again, and checks whether the promises suffice.
     pub(super) fn check_campaign(&mut self) {
-        let ends_at = match &self.campaign {
-            None => return,
-            Some(Campaign::PreVoting(pre_voting)) => pre_voting.started + PRE_VOTE_MS,
-            Some(Campaign::Preparing(preparing)) => preparing.ends_at,
-            Some(Campaign::Installing(installing)) => installing.ends_at,
+        let Some(campaign) = &self.campaign else {
+            return;
         };
-        if self.now >= ends_at {
-            if !matches!(self.campaign, Some(Campaign::PreVoting(_))) {
+        if self.now >= campaign.ends_at() {
+            if !matches!(campaign, Campaign::PreVoting(_)) {
                 self.attempts_timed_out = self.attempts_timed_out.saturating_add(1);
             }
             return self.fail_campaign();
@@ -331,207 +125,38 @@
         self.check_promises();
     }
 
-    /// How long the next attempt may take: longer after each one whose time ran out, as its answers may be under way.
-    fn attempt_ms(&self) -> Millis {
-        self.settings.timings.attempt_ms << self.attempts_timed_out.min(MOST_DOUBLINGS)
+    /// Timeout of the next attempt. It doubles after each attempt that timed out, because its answers may still be in
+    /// flight.
+    fn attempt_timeout_ms(&self) -> Millis {
+        self.settings.timings.attempt_timeout_ms
+            << self.attempts_timed_out.min(MAX_BACKOFF_DOUBLINGS)
     }
 
-    /// A campaign failed: a candidate comes back after a pause by chance; the primary plans anew.
+    /// Ends a failed campaign. A candidate retries after a random delay; a primary schedules another reconfiguration.
     pub(super) fn fail_campaign(&mut self) {
         let failed = self.campaign.take();
         if self.primary.is_some() {
             return self.reconfiguration_failed(failed);
         }
-        if self.succeeds.is_some() {
-            self.election_at = self.now + SETBACK_MS;
+        if self.predecessor_epoch.is_some() {
+            self.election_at = self.now + MIN_CAMPAIGN_RETRY_MS;
             return;
         }
         let wait = match &failed {
-            Some(Campaign::PreVoting(pre_voting)) => pre_voting.shortest_wait(),
+            Some(Campaign::PreVoting(pre_voting)) => pre_voting.min_wait_ms(),
             _ => 0,
         };
-        self.election_at = self.election_moment_after(self.now + wait.max(SETBACK_MS));
+        self.election_at = self.election_moment_after(self.now + wait.max(MIN_CAMPAIGN_RETRY_MS));
     }
 
-    /// A newer record that does not name this member ends its membership, as far as it knows.
-    fn learn_of_record(&mut self, record: &EpochRecord) {
-        self.saw_epoch(record.number);
+    /// Marks this member as excluded if a newer record does not name it as a witness.
+    fn observe_record(&mut self, record: &EpochRecord) {
+        self.observe_epoch(record.number);
         let is_newer = self
-            .my_record()
+            .accepted_record()
             .is_some_and(|mine| record.number > mine.number);
         if is_newer {
-            self.outside = !record.is_witness(self.me.id);
-        }
-    }
-
-    fn pre_vote_is_won(&self) -> bool {
-        let Some(Campaign::PreVoting(pre_voting)) = &self.campaign else {
-            return false;
-        };
-        let would_promise = |id| {
-            pre_voting
-                .answers
-                .get(&id)
-                .is_some_and(|answer| answer.would_promise)
-        };
-        let records = pre_voting
-            .answers
-            .values()
-            .filter_map(|answer| answer.record.as_ref());
-        let mut records = records.chain(self.my_record());
-        records.any(|record| record.has_quorum(would_promise))
-    }
-
-    fn send_prepares(&mut self) {
-        let Some(Campaign::Preparing(preparing)) = &mut self.campaign else {
-            return;
-        };
-        if !preparing.resends.take_due(self.now) {
-            return;
-        }
-        let prepare = Prepare {
-            number: preparing.number,
-            handed_over: match preparing.purpose {
-                Purpose::Succeed(epoch) => Some(epoch),
-                Purpose::TakeOver | Purpose::Reconfigure => None,
-            },
-            state_epoch: self.durable.state_epoch(),
-            version: self.durable.accepted_version(),
-        };
-        let unanswered = preparing
-            .asked
-            .values()
-            .filter(|member| !preparing.promises.contains_key(&member.id));
-        for member in unanswered.cloned().collect::<Vec<_>>() {
-            self.send(member, Message::Prepare(prepare.clone()));
-        }
-    }
-
-    /// Goes on to the installation once the promises suffice, and enough time was left for more.
-    fn check_promises(&mut self) {
-        let Some(Campaign::Preparing(preparing)) = &mut self.campaign else {
-            return;
-        };
-        let own_disk_answered = preparing.promises.contains_key(&self.me.id);
-        let base = choose_base(&preparing.promises).filter(|_| own_disk_answered);
-        let Some(base) = base else {
-            preparing.enough_since = None;
-            return;
-        };
-        let since = *preparing.enough_since.get_or_insert(self.now);
-        if !preparing.is_complete(&base.record)
-            && self.now < since + self.settings.timings.gather_ms
-        {
-            return;
-        }
-        let Some(Campaign::Preparing(mut preparing)) = self.campaign.take() else {
-            return;
-        };
-        match self.next_record(&preparing, &base) {
-            Ok(record) => self.begin_install(preparing, base, record),
-            Err(CantBegin::TooFewCopies) => {
-                preparing.enough_since = Some(self.now);
-                self.campaign = Some(Campaign::Preparing(preparing));
-            }
-            Err(CantBegin::Superseded) => self.step_down(),
-        }
-    }
-
-    fn next_record(&self, preparing: &Preparing, base: &Base) -> Result<EpochRecord, CantBegin> {
-        let record = match preparing.purpose {
-            Purpose::Reconfigure => self
-                .reconfigured(&base.record)
-                .ok_or(CantBegin::Superseded)?,
-            Purpose::TakeOver => self.taken_over(preparing, base, None),
-            Purpose::Succeed(epoch) => {
-                let predecessor = (base.record.number <= epoch).then_some(base.record.primary);
-                self.taken_over(preparing, base, predecessor)
-            }
-        };
-        if record.replicas.len() < self.copies_needed(record.witnesses.len()) {
-            return Err(CantBegin::TooFewCopies);
+            self.excluded = !record.is_witness(self.me.id);
         }
-        let base_is_active = self
-            .primary
-            .as_ref()
-            .is_some_and(|primary| primary.record == base.record);
-        Ok(EpochRecord {
-            number: preparing.number,
-            primary: self.me.id,
-            follows: base.record.number,
-            lineage: epoch_rules::lineage(&base.record, base_is_active),
-            ..record
-        })
-    }
-
-    fn taken_over(
-        &self,
-        preparing: &Preparing,
-        base: &Base,
-        predecessor: Option<MemberId>,
-    ) -> EpochRecord {
-        let promised = |id| preparing.promises.contains_key(&id);
-        let copies_needed = self.copies_needed(base.record.witnesses.len());
-        epoch_rules::taken_over(&base.record, promised, predecessor, copies_needed)
     }
-
-    fn begin_install(&mut self, mut preparing: Preparing, base: Base, record: EpochRecord) {
-        let holder = base
-            .holders
-            .first()
-            .and_then(|id| preparing.promises.get_mut(id));
-        let copy = match base.holders.contains(&self.me.id) {
-            true => Some(self.durable.copy_state()),
-            false => holder.and_then(|promise| promise.state.take()),
-        };
-        let Some(state) = copy else {
-            return self.fail_campaign();
-        };
-        self.campaign = Some(Campaign::Installing(Box::new(Installing {
-            record,
-            base,
-            state,
-            ends_at: self.now + self.attempt_ms(),
-            resends: Resends::new(self.now, self.settings.timings.resend_ms),
-            told: BTreeSet::new(),
-            installed: BTreeSet::new(),
-        })));
-        self.send_installs();
-    }
-
-    fn send_installs(&mut self) {
-        let Some(Campaign::Installing(installing)) = &mut self.campaign else {
-            return;
-        };
-        if !installing.resends.take_due(self.now) {
-            return;
-        }
-        let recipients = installing.recipients();
-        let messages: Vec<Message> = recipients
-            .iter()
-            .map(|member| installing.message_for(member.id))
-            .collect();
-        installing
-            .told
-            .extend(recipients.iter().map(|member| member.id));
-        for (member, message) in recipients.into_iter().zip(messages) {
-            self.send(member, message);
-        }
-    }
-}
-
-impl PreVoting {
-    /// After so long, somebody who put this candidate off might vote for it.
-    fn shortest_wait(&self) -> Millis {
-        let waits = self.answers.values().filter(|answer| !answer.would_promise);
-        waits.map(|answer| answer.wait_ms).min().unwrap_or_default()
-    }
-}
-
-/// Why an epoch can't begin from the promises that came.
-enum CantBegin {
-    /// Too few members could hold the state.
-    TooFewCopies,
-    /// Another primary's epoch came between.
-    Superseded,
 }
--- a/coordination/src/replica/durable.rs
+++ b/coordination/src/replica/durable.rs
@@ -1,5 +1,7 @@
-//! What a member has on disk, and the entries that change it. A running member and one that recovers apply the same
-//! entries by the same code.
+//! The durable state of a member, and the log entries that change it.
+//!
+//! A running member and one that recovers apply the same entries with the same code, so that memory and disk agree. The
+//! indexes in `#[n(..)]` are the disk format and never change.
 
 use super::interface::{
     Epoch, EpochRecord, MemberId, Recovered, RecoveryError, StateMachine, Version,
@@ -7,54 +9,54 @@
 use super::message::StateCopy;
 use minicbor::{Decode, Encode};
 
-/// A change of what is on disk.
+/// A log entry: one change of the durable state.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub(super) enum Entry {
-    /// The disk's identity, drawn when it was empty.
+    /// The identity, drawn at random for an empty disk.
     #[n(0)]
     Identity {
         /// The identity.
         #[n(0)]
         id: MemberId,
-        /// The disk was made at the first start of the whole system: it may found the core.
+        /// Whether the disk was initialised at the first start of the whole system, so that it may found the core.
         #[n(1)]
         founder: bool,
     },
     /// A promise to take part in no lower epoch.
     #[n(1)]
     Promised {
-        /// The number.
+        /// The promised epoch.
         #[n(0)]
         number: Epoch,
         /// The candidate.
         #[n(1)]
         to: MemberId,
     },
-    /// An epoch's record and, where this member is a replica that needs it, its state.
+    /// An accepted epoch record and, where this member is a replica that lacks it, the initial state.
     #[n(2)]
     Installed {
         /// The record.
         #[n(0)]
         record: EpochRecord,
-        /// The state; none for a replica that holds it already, and for one that is no replica.
+        /// The state; `None` for a replica that has it already and for a member that is no replica.
         #[n(1)]
         state: Option<StateCopy>,
     },
-    /// A command that is not yet known as committed. All before it are.
+    /// A command that is not known to be committed. All earlier ones are.
     #[n(3)]
     Command {
-        /// Version of the state once it is applied.
+        /// Version of the state after the command.
         #[n(0)]
         version: Version,
-        /// For the state machine.
+        /// The command, for [`StateMachine::apply`].
         #[cbor(n(1), with = "minicbor::bytes")]
         command: Vec<u8>,
     },
 }
 
-/// All that is on disk, as one piece.
+/// A snapshot of the complete durable state.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-struct Image {
+struct DurableSnapshot {
     #[n(0)]
     id: MemberId,
     #[n(1)]
@@ -71,27 +73,36 @@
     state: StateCopy,
 }
 
-/// A command that was written but is not known as committed.
+/// How recent a state is: first by the epoch to which it belongs, then by its version.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+pub(super) struct StatePosition {
+    /// Number of the record to which the state belongs; `None` without a state.
+    pub(super) epoch: Option<Epoch>,
+    /// Version of the state, including a command that is not known to be committed.
+    pub(super) version: Version,
+}
+
+/// A command that is on disk but not known to be committed.
 #[derive(Debug, Clone, PartialEq, Eq)]
 struct PendingCommand {
     version: Version,
     command: Vec<u8>,
 }
 
-/// What a member has on disk (or is just writing to it).
+/// The durable state of a member, including changes whose write is still in flight.
 #[derive(Debug, Clone)]
 pub(super) struct Durable<S> {
-    /// The disk's identity; none before its first write.
+    /// Identity of the disk; `None` before it is drawn.
     pub id: Option<MemberId>,
-    /// The disk was made at the first start of the whole system.
+    /// Whether the disk was initialised at the first start of the whole system.
     pub founder: bool,
-    /// It takes part in no epoch below this one.
+    /// The promised epoch: the member takes part in no lower one.
     pub promised: Epoch,
-    /// The candidate to whom it promised.
+    /// The candidate to which it promised.
     pub promised_to: MemberId,
-    /// The newest record that it accepted.
+    /// The newest epoch record that it has accepted.
     pub record: Option<EpochRecord>,
-    /// The newest record in which it is (or was) a replica: where its state belongs.
+    /// The newest accepted record that names it as a replica: its state belongs to this record.
     pub state_record: Option<EpochRecord>,
     state: S,
     version: Version,
@@ -99,8 +110,8 @@
 }
 
 impl<S: StateMachine> Durable<S> {
-    /// What the disk holds. `state` is the empty state.
-    pub fn recover(recovered: &Recovered, state: S) -> Result<Self, RecoveryError> {
+    /// Restores the state from the contents of a disk. `state` is the empty state.
+    pub(super) fn recover(recovered: &Recovered, state: S) -> Result<Self, RecoveryError> {
         let mut durable = Durable {
             id: None,
             founder: false,
@@ -113,8 +124,9 @@
             pending: None,
         };
         if let Some(snapshot) = &recovered.snapshot {
-            let image: Image = minicbor::decode(snapshot).map_err(|_| RecoveryError::Snapshot)?;
-            durable.load(image);
+            let snapshot: DurableSnapshot =
+                minicbor::decode(snapshot).map_err(|_| RecoveryError::Snapshot)?;
+            durable.load(snapshot);
         }
         for (position, record) in recovered.records.iter().enumerate() {
             let entry: Entry =
@@ -124,21 +136,21 @@
         Ok(durable)
     }
 
-    /// All of it as one piece, for a snapshot on disk.
-    pub fn image(&self) -> Vec<u8> {
-        encode(&Image {
+    /// Encodes the complete state for a snapshot.
+    pub(super) fn snapshot(&self) -> Vec<u8> {
+        encode(&DurableSnapshot {
             id: self.id.unwrap_or_default(),
             founder: self.founder,
             promised: self.promised,
             promised_to: self.promised_to,
             record: self.record.clone(),
             state_record: self.state_record.clone(),
-            state: self.copy_state(),
+            state: self.clone_state(),
         })
     }
 
-    /// Takes in an entry.
-    pub fn apply(&mut self, entry: Entry) {
+    /// Applies a log entry.
+    pub(super) fn apply(&mut self, entry: Entry) {
         match entry {
             Entry::Identity { id, founder } => {
                 self.id = Some(id);
@@ -157,29 +169,37 @@
     }
 
     /// The committed state.
-    pub fn state(&self) -> &S {
+    pub(super) fn state(&self) -> &S {
         &self.state
     }
 
     /// Version of the committed state.
-    pub fn version(&self) -> Version {
+    pub(super) fn version(&self) -> Version {
         self.version
     }
 
-    /// Number of the record to which its state belongs.
-    pub fn state_epoch(&self) -> Option<Epoch> {
+    /// Number of the record to which the state belongs.
+    pub(super) fn state_epoch(&self) -> Option<Epoch> {
         self.state_record.as_ref().map(|record| record.number)
     }
 
-    /// Version of the state with the command that is not known as committed, if any.
-    pub fn accepted_version(&self) -> Version {
+    /// Position of the state, including the pending command.
+    pub(super) fn position(&self) -> StatePosition {
+        StatePosition {
+            epoch: self.state_epoch(),
+            version: self.accepted_version(),
+        }
+    }
+
+    /// Version of the state including the pending command, if there is one.
+    pub(super) fn accepted_version(&self) -> Version {
         self.pending
             .as_ref()
             .map_or(self.version, |pending| pending.version)
     }
 
-    /// All up to this version is committed.
-    pub fn commit_up_to(&mut self, version: Version) {
+    /// Marks all versions up to this one as committed.
+    pub(super) fn commit_up_to(&mut self, version: Version) {
         if self
             .pending
             .as_ref()
@@ -193,8 +213,8 @@
         }
     }
 
-    /// The state, with the command that is not known as committed.
-    pub fn copy_state(&self) -> StateCopy {
+    /// A copy of the state, with the pending command.
+    pub(super) fn clone_state(&self) -> StateCopy {
         StateCopy {
             version: self.version,
             snapshot: self.state.snapshot().into(),
@@ -205,16 +225,18 @@
         }
     }
 
-    fn load(&mut self, image: Image) {
-        self.id = Some(image.id);
-        self.founder = image.founder;
-        self.promised = image.promised;
-        self.promised_to = image.promised_to;
-        self.record = image.record;
-        self.state_record = image.state_record;
-        self.load_state(image.state);
+    /// Replaces everything by a snapshot from disk.
+    fn load(&mut self, snapshot: DurableSnapshot) {
+        self.id = Some(snapshot.id);
+        self.founder = snapshot.founder;
+        self.promised = snapshot.promised;
+        self.promised_to = snapshot.promised_to;
+        self.record = snapshot.record;
+        self.state_record = snapshot.state_record;
+        self.load_state(snapshot.state);
     }
 
+    /// Accepts an epoch record, which implies the promise of its epoch.
     fn install(&mut self, record: EpochRecord, state: Option<StateCopy>) {
         if record.number >= self.promised {
             self.promised = record.number;
@@ -229,7 +251,7 @@
         self.record = Some(record);
     }
 
-    /// Takes a state over. What this member knew as committed stays so.
+    /// Replaces the state. What this member knew to be committed stays committed.
     fn load_state(&mut self, copy: StateCopy) {
         let committed = self.version;
         self.state.restore(&copy.snapshot);
--- a/coordination/src/replica/epoch_rules/model.rs
+++ b/coordination/src/replica/epoch_rules/model.rs
@@ -1,416 +1,79 @@
-//! A model check of the epochs: members prepare, install and activate records, write commands, change members, and lose
-//! disks, in every order. It runs the functions that the replica goes by; leases and times are left out, so that every
-//! election may begin at any moment.
+//! A model check of epoch changes, with stateright.
 //!
-//! Two things must hold in every state. What was committed is in the state of every epoch that is activated later, and no
-//! older epoch commits anything after that. And with the disks that are left, all answering, a new epoch can begin.
+//! Members prepare, install and activate records, write commands, change the membership and lose disks, in every order.
+//! The model calls the functions of `epoch_rules` and `base` that the replica uses. Leases and time are left out, so
+//! that an election may start at any moment.
+//!
+//! Two properties hold in every state:
+//!
+//! * Each committed command is part of the state of every epoch activated later, and no older epoch commits anything
+//!   after that.
+//! * If all members with a disk answer, a new epoch can start.
 
+mod actions;
 mod search;
 mod state;
+mod transitions;
 
 use super::*;
 use crate::replica::base::Base;
 use state::*;
 use stateright::{Model, Property};
 
-const KEPT: &str = "what was committed is kept";
-const MAY_BEGIN: &str = "a new epoch can begin";
+const COMMITTED_STATE_SURVIVES: &str = "committed commands are never lost";
+const EPOCH_CAN_BEGIN: &str = "a new epoch can start";
 
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Action {
-    Stand(Id),
-    Reconfigure(Id),
-    Promise { number: u8, by: Id },
+    StartElection(ModelId),
+    Reconfigure(ModelId),
+    Promise { number: u8, by: ModelId },
     Choose { number: u8, change: MemberChange },
-    Install { number: u8, at: Id },
+    Install { number: u8, at: ModelId },
     Activate { number: u8 },
-    Write { by: Id },
-    Accept { primary: Id, by: Id },
-    Commit { by: Id },
-    LoseDisk(Id),
+    Write { by: ModelId },
+    Accept { primary: ModelId, by: ModelId },
+    Commit { by: ModelId },
+    LoseDisk(ModelId),
 }
 
-/// What a primary wants of its members.
+/// The membership change that a primary wants.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum MemberChange {
     Keep,
-    Add(Id),
-    Replace { old: Id, new: Id },
+    Add(ModelId),
+    Replace { old: ModelId, new: ModelId },
 }
 
-/// Rules that are taken out.
+/// Safety rules that are switched off, to show that each of them is necessary.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Default)]
-struct Without {
-    /// Members change on the active record alone.
+struct DisabledRules {
+    /// Membership changes only on top of the active record.
     active_record: bool,
-    /// New members get a record before the others.
+    /// New members receive a record before the others.
     new_members_first: bool,
-    /// A change of members takes two records.
+    /// A membership change goes through a joint record.
     joint_record: bool,
-    /// Records name their ancestors.
+    /// Records contain their lineage.
     lineage: bool,
 }
 
 struct Epochs {
-    without: Without,
+    disabled_rules: DisabledRules,
     founders: u8,
-    most_records: u8,
-    most_commands: usize,
-    most_losses: u8,
-    /// So many disks that a record names may be lost at once.
+    max_records: u8,
+    max_commands: usize,
+    max_losses: u8,
+    /// Number of disks named by a record that may be lost at once.
     tolerated: usize,
-    most_joins: u8,
-}
-
-impl Epochs {
-    fn actions_of_member(&self, state: &State, id: Id, actions: &mut Vec<Action>) {
-        let Some(disk) = state.disk(id) else { return };
-        let others = state
-            .campaigns
-            .iter()
-            .filter(|campaign| campaign.candidate != id)
-            .count();
-        let is_free = others < MOST_CAMPAIGNS;
-        if is_free && state.last_number < self.most_records {
-            let is_member = disk
-                .record
-                .is_some_and(|number| state.record(number).witnesses & bit(id) != 0);
-            match state.primary_of(id) {
-                Some(_) => actions.push(Action::Reconfigure(id)),
-                None if is_member => actions.push(Action::Stand(id)),
-                None => {}
-            }
-        }
-        if let Some(primary) = state.primary_of(id) {
-            self.actions_of_primary(state, primary, actions);
-        }
-        if state.losses < self.most_losses && (disk.record.is_none() || self.may_lose(state)) {
-            actions.push(Action::LoseDisk(id));
-        }
-    }
-
-    fn actions_of_primary(&self, state: &State, primary: &Primary, actions: &mut Vec<Action>) {
-        let record = state.record(primary.record);
-        match primary.write {
-            None => {
-                let disk = state.disk(primary.id).expect("a primary has a disk");
-                let has_room = usize::from(disk.log.length) < self.most_commands;
-                if has_room
-                    && disk.promised == primary.record
-                    && state.campaign_of(primary.id).is_none()
-                {
-                    actions.push(Action::Write { by: primary.id });
-                }
-            }
-            Some((log, written)) => {
-                for replica in ids(record.replicas & !written) {
-                    let may_accept = |disk: &Disk| {
-                        let is_in_epoch =
-                            disk.promised == primary.record && disk.record == Some(primary.record);
-                        is_in_epoch && log.length == disk.log.length + 1
-                    };
-                    if state.disk(replica).is_some_and(may_accept) {
-                        actions.push(Action::Accept {
-                            primary: primary.id,
-                            by: replica,
-                        });
-                    }
-                }
-                if record.replicas & !written == 0 {
-                    actions.push(Action::Commit { by: primary.id });
-                }
-            }
-        }
-    }
-
-    fn actions_of_campaign(&self, state: &State, campaign: &Campaign, actions: &mut Vec<Action>) {
-        let number = campaign.number;
-        match &campaign.stage {
-            Stage::Preparing { promises } => {
-                for by in ids(state.asked(campaign.candidate, promises)) {
-                    if state.disk(by).is_some_and(|disk| disk.promised < number) {
-                        actions.push(Action::Promise { number, by });
-                    }
-                }
-                let own_promise = promises.iter().any(|(id, _)| *id == campaign.candidate);
-                if own_promise && state.base(promises).is_some() {
-                    self.choices(state, campaign, actions);
-                }
-            }
-            Stage::Installing { installed } => {
-                let record = state.real(number);
-                let base = state.real(state.record(number).follows);
-                for at in ids(self.recipients(&record, &base, *installed)) {
-                    if state.disk(at).is_some_and(|disk| disk.promised <= number) {
-                        actions.push(Action::Install { number, at });
-                    }
-                }
-                if is_active(&record, |id| installed & bit(id_of(id)) != 0) {
-                    actions.push(Action::Activate { number });
-                }
-            }
-        }
-    }
-
-    fn choices(&self, state: &State, campaign: &Campaign, actions: &mut Vec<Action>) {
-        let number = campaign.number;
-        actions.push(Action::Choose {
-            number,
-            change: MemberChange::Keep,
-        });
-        if campaign.reconfigures.is_none() || state.joins >= self.most_joins {
-            return;
-        }
-        let new = self.founders + 1 + state.joins;
-        if usize::from(new) > MOST_MEMBERS {
-            return;
-        }
-        actions.push(Action::Choose {
-            number,
-            change: MemberChange::Add(new),
-        });
-        for old in ids(state
-            .record(campaign.reconfigures.expect("a change"))
-            .witnesses)
-        {
-            if old != campaign.candidate {
-                actions.push(Action::Choose {
-                    number,
-                    change: MemberChange::Replace { old, new },
-                });
-            }
-        }
-    }
-
-    /// Of the disks that records in force or later ones name, no more are lost than is tolerated. A disk that holds no record yet may be
-    /// lost at any moment.
-    fn may_lose(&self, state: &State) -> bool {
-        let newest = state.newest_active;
-        let later = state
-            .records
-            .iter()
-            .filter(|record| record.number >= newest);
-        let named = later.fold(0, |named, record| named | record.witnesses | record.former);
-        ids(named).filter(|id| state.disk(*id).is_none()).count() < self.tolerated
-    }
-
-    fn recipients(&self, record: &EpochRecord, base: &EpochRecord, installed: Members) -> Members {
-        let has_it = |id: MemberId| installed & bit(id_of(id)) != 0;
-        match self.without.new_members_first {
-            true => set_of(record.everyone().chain(base.everyone())) & !installed,
-            false => set_of(&recipients(record, base, has_it)),
-        }
-    }
-
-    fn members(&self, base: &EpochRecord, active: Epoch, wanted: Vec<Member>) -> EpochRecord {
-        let active = if self.without.active_record {
-            base.number
-        } else {
-            active
-        };
-        let mut next = with_members(base, active, || wanted);
-        if self.without.joint_record {
-            next.former_witnesses.clear();
-        }
-        next
-    }
-
-    /// The record that a campaign installs on its base; `None` if there is none that may follow.
-    fn next_record(
-        &self,
-        state: &State,
-        campaign: &Campaign,
-        base: &Base,
-        promises: &[(Id, Disk)],
-        change: MemberChange,
-    ) -> Option<EpochRecord> {
-        let promised = |id: MemberId| promises.iter().any(|(by, _)| MemberId::from(*by) == id);
-        let Some(active) = campaign.reconfigures else {
-            return Some(taken_over(&base.record, promised, None, self.tolerated + 1));
-        };
-        if base.record.primary != MemberId::from(campaign.candidate) {
-            return None;
-        }
-        let wanted = wanted_members(&base.record, change);
-        let mut next = self.members(&base.record, active.into(), wanted);
-        let joins = |id: Id| base.record.member(id.into()).is_none() && state.disk(id).is_some();
-        let fit = |member: &&Member| promised(member.id) || joins(id_of(member.id));
-        next.replicas = next
-            .witnesses
-            .iter()
-            .filter(fit)
-            .map(|member| member.id)
-            .collect();
-        Some(next)
-    }
-
-    fn choose(&self, state: &mut State, number: u8, change: MemberChange) -> Option<()> {
-        let place = state
-            .campaigns
-            .iter()
-            .position(|campaign| campaign.number == number)?;
-        let campaign = state.campaigns[place].clone();
-        let Stage::Preparing { promises } = &campaign.stage else {
-            return None;
-        };
-        if let MemberChange::Add(new) | MemberChange::Replace { new, .. } = change {
-            state.disks[usize::from(new) - 1] = Some(EMPTY_DISK);
-            state.joins += 1;
-        }
-        let base = state.base(promises)?;
-        let record = self.next_record(state, &campaign, &base, promises, change)?;
-        let uses_change = !matches!(change, MemberChange::Keep);
-        if record.replicas.len() <= self.tolerated
-            || uses_change && record.witnesses == base.record.witnesses
-        {
-            return None;
-        }
-        let base_is_active = campaign
-            .reconfigures
-            .is_some_and(|active| base.record.number == Epoch::from(active));
-        let holder = promises
-            .iter()
-            .find(|(id, _)| base.holders.contains(&(*id).into()))?;
-        state.records.push(Record {
-            number,
-            primary: campaign.candidate,
-            replicas: record
-                .replicas
-                .iter()
-                .fold(0, |set, id| set | bit(id_of(*id))),
-            witnesses: set_of(&record.witnesses),
-            former: set_of(&record.former_witnesses),
-            follows: u8::try_from(base.record.number).ok()?,
-            lineage: match self.without.lineage {
-                true => [0; MOST_RECORDS],
-                false => numbers_of(&lineage(&base.record, base_is_active)),
-            },
-            log: holder.1.log,
-        });
-        state.campaigns[place].stage = Stage::Installing { installed: 0 };
-        Some(())
-    }
-
-    fn install(state: &mut State, number: u8, at: Id) {
-        let record = *state.record(number);
-        if let Some(disk) = state.disk_mut(at) {
-            disk.promised = number;
-            disk.record = Some(number);
-            if record.replicas & bit(at) != 0 {
-                disk.state_record = Some(number);
-                disk.log = record.log;
-            }
-        }
-        if at != record.primary {
-            state.step_down(at);
-        }
-        for campaign in &mut state.campaigns {
-            if let (true, Stage::Installing { installed }) =
-                (campaign.number == number, &mut campaign.stage)
-            {
-                *installed |= bit(at);
-            }
-        }
-    }
-
-    fn activate(state: &mut State, number: u8) {
-        let record = *state.record(number);
-        state.campaigns.retain(|campaign| campaign.number != number);
-        state
-            .primaries
-            .retain(|primary| primary.id != record.primary);
-        state.primaries.push(Primary {
-            id: record.primary,
-            record: number,
-            write: None,
-        });
-        state.primaries.sort_unstable();
-        let newest = state.newest_active;
-        // The answers to an older installation may come late: its primary commits nothing but what it began with.
-        let keeps_all = match newest > number {
-            true => state.descends(newest, number) && state.record(newest).log.extends(&record.log),
-            false => state.descends(number, newest) && record.log.extends(&state.committed),
-        };
-        if !keeps_all {
-            state.lost_something = true;
-        }
-        state.newest_active = newest.max(number);
-        state.commit(record.log);
-    }
-
-    fn promise(state: &mut State, number: u8, by: Id) {
-        let Some(disk) = state.disk_mut(by) else {
-            return;
-        };
-        disk.promised = number;
-        let told = *disk;
-        let is_own = state
-            .campaigns
-            .iter()
-            .any(|one| one.number == number && one.candidate == by);
-        if !is_own {
-            state.step_down(by);
-        }
-        for campaign in &mut state.campaigns {
-            if let (true, Stage::Preparing { promises }) =
-                (campaign.number == number, &mut campaign.stage)
-            {
-                promises.push((by, told));
-                promises.sort_unstable();
-            }
-        }
-    }
-
-    fn begin(state: &mut State, candidate: Id, reconfigures: Option<u8>) {
-        state.last_number += 1;
-        state
-            .campaigns
-            .retain(|campaign| campaign.candidate != candidate);
-        let stage = Stage::Preparing {
-            promises: Vec::new(),
-        };
-        state.campaigns.push(Campaign {
-            number: state.last_number,
-            candidate,
-            reconfigures,
-            stage,
-        });
-    }
-
-    fn lose_disk(state: &mut State, id: Id) {
-        state.step_down(id);
-        state.disks[usize::from(id) - 1] = None;
-        state.losses += 1;
-    }
-}
-
-fn numbers_of(lineage: &[Ancestor]) -> [u8; MOST_RECORDS] {
-    let mut numbers = [0; MOST_RECORDS];
-    for (number, ancestor) in numbers.iter_mut().zip(lineage) {
-        *number = u8::try_from(ancestor.number).expect("a small number");
-    }
-    numbers
-}
-
-fn wanted_members(base: &EpochRecord, change: MemberChange) -> Vec<Member> {
-    let mut wanted = base.witnesses.clone();
-    match change {
-        MemberChange::Keep => {}
-        MemberChange::Add(new) => wanted.push(member(new)),
-        MemberChange::Replace { old, new } => {
-            wanted.retain(|member| member.id != MemberId::from(old));
-            wanted.push(member(new));
-        }
-    }
-    wanted.sort();
-    wanted
+    max_joins: u8,
 }
 
 impl Model for Epochs {
     type State = State;
     type Action = Action;
 
-    /// The founders have their first epoch, led by the first of them.
+    /// The founders in their first epoch, with the first of them as primary.
     fn init_states(&self) -> Vec<State> {
         let founders = (1..=self.founders).fold(0, |set, id| set | bit(id));
         let founding = Record {
@@ -420,7 +83,7 @@
             witnesses: founders,
             former: 0,
             follows: 0,
-            lineage: [0; MOST_RECORDS],
+            lineage: [0; MAX_RECORDS],
             log: Log::default(),
         };
         let first = Record {
@@ -434,7 +97,7 @@
             state_record: Some(1),
             log: Log::default(),
         };
-        let mut disks = [None; MOST_MEMBERS];
+        let mut disks = [None; MAX_MEMBERS];
         disks[..usize::from(self.founders)].fill(Some(disk));
         vec![State {
             disks,
@@ -450,12 +113,12 @@
             newest_active: 1,
             losses: 0,
             joins: 0,
-            lost_something: false,
+            commit_was_lost: false,
         }]
     }
 
     fn actions(&self, state: &State, actions: &mut Vec<Action>) {
-        for id in 1..=MOST_MEMBERS as Id {
+        for id in 1..=MAX_MEMBERS as ModelId {
             self.actions_of_member(state, id, actions);
         }
         for campaign in &state.campaigns {
@@ -466,7 +129,7 @@
     fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         match action {
-            Action::Stand(id) => Epochs::begin(&mut next, id, None),
+            Action::StartElection(id) => Epochs::begin(&mut next, id, None),
             Action::Reconfigure(id) => {
                 let active = next.primary_of(id)?.record;
                 Epochs::begin(&mut next, id, Some(active));
@@ -494,7 +157,7 @@
                 let epoch = primary.record;
                 let newest = next.newest_active;
                 if newest > epoch && !next.record(newest).log.extends(&log) {
-                    next.lost_something = true;
+                    next.commit_was_lost = true;
                 }
                 next.commit(log);
             }
@@ -505,9 +168,11 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always(KEPT, |_, state: &State| !state.lost_something),
-            Property::always(MAY_BEGIN, |_, state: &State| {
-                state.base(&state.left()).is_some()
+            Property::always(COMMITTED_STATE_SURVIVES, |_, state: &State| {
+                !state.commit_was_lost
+            }),
+            Property::always(EPOCH_CAN_BEGIN, |_, state: &State| {
+                state.base(&state.surviving_disks()).is_some()
             }),
         ]
     }
--- a/coordination/src/replica/proposals.rs
+++ b/coordination/src/replica/proposals.rs
@@ -1,38 +1,41 @@
-//! Requests on the primary: their queue, their decision, and the one command under way.
+//! Proposals on the primary: their queue, their decision, and the replication of one command at a time.
+//!
+//! A command is committed once all replicas of the active record have it on disk.
 
 use super::interface::{
-    Decision, MemberId, Outcome, Output, ProposeError, StateMachine, Token, Version,
+    Decision, Member, MemberId, Outcome, Output, ProposeError, StateMachine, Token, Version,
 };
 use super::message::{Message, Write, Written};
 use super::primary::{PendingWrite, Primary, QueuedProposal};
 use super::Replica;
 use std::collections::BTreeSet;
 
-/// So many requests may wait.
-const QUEUE_LIMIT: usize = 64;
+/// Maximum number of proposals in the queue.
+const MAX_QUEUED_PROPOSALS: usize = 64;
 
 impl<S: StateMachine> Replica<S> {
+    /// Queues a proposal, or fails it if this member is not the primary, hands over or has a full queue.
     pub(super) fn on_propose(&mut self, token: Token, request: Vec<u8>) {
         let since = self.now;
         match &mut self.primary {
-            Some(primary) if primary.handing_over.is_some() => {
-                self.give_back(token, ProposeError::NotPrimary)
+            Some(primary) if primary.hand_over.is_some() => {
+                self.fail_proposal(token, ProposeError::NotPrimary);
             }
-            Some(primary) if primary.queue.len() >= QUEUE_LIMIT => {
-                self.give_back(token, ProposeError::Overloaded)
+            Some(primary) if primary.queue.len() >= MAX_QUEUED_PROPOSALS => {
+                self.fail_proposal(token, ProposeError::Overloaded);
             }
             Some(primary) => primary.queue.push_back(QueuedProposal {
                 token,
                 request,
                 since,
             }),
-            None => self.give_back(token, ProposeError::NotPrimary),
+            None => self.fail_proposal(token, ProposeError::NotPrimary),
         }
     }
 
-    /// Decides requests in their order, up to one that changes the state. Only under a lease: then the committed state
-    /// is the newest there is.
-    pub(super) fn begin_next_command(&mut self) {
+    /// Decides proposals in order, up to the first one that changes the state. Requires the lease, under which the
+    /// committed state is the newest one.
+    pub(super) fn start_next_command(&mut self) {
         while self
             .primary
             .as_ref()
@@ -46,7 +49,7 @@
                 return;
             };
             match self.durable.state().decide(&proposal.request) {
-                Decision::Replicate(command) => self.begin_write(proposal.token, command),
+                Decision::Replicate(command) => self.start_write(proposal.token, command),
                 Decision::Answer(answer) => {
                     let result = Ok(Outcome::Answered(answer));
                     self.outputs.push(Output::Proposed {
@@ -58,12 +61,13 @@
         }
     }
 
-    pub(super) fn on_written(&mut self, from: &super::interface::Member, written: Written) {
+    /// Counts an acknowledgement of the command in flight; commits the command once all replicas have it.
+    pub(super) fn on_written(&mut self, from: &Member, written: &Written) {
         let Some(primary) = &mut self.primary else {
             return;
         };
         if let Some(peer) = primary.peers.get_mut(&from.id) {
-            peer.heard_at = self.now;
+            peer.last_response_at = self.now;
         }
         let Some(write) = &mut primary.write else {
             return;
@@ -84,8 +88,9 @@
         }
     }
 
+    /// Sends the command in flight, if due, to the replicas that have not acknowledged it.
     pub(super) fn resend_write(&mut self) {
-        let resend_ms = self.settings.timings.resend_ms;
+        let resend_interval_ms = self.settings.timings.resend_interval_ms;
         let Some(primary) = &mut self.primary else {
             return;
         };
@@ -95,7 +100,7 @@
         if self.now < write.next_send {
             return;
         }
-        write.next_send = self.now + resend_ms;
+        write.next_send = self.now + resend_interval_ms;
         let unanswered = |id: &MemberId| !write.written.contains(id);
         let recipients = primary.record.replicas.iter().filter(|id| unanswered(id));
         let recipients: Vec<_> = recipients
@@ -108,31 +113,31 @@
         }
     }
 
-    /// Requests that waited for too long are given back: they never began.
+    /// Fails proposals that waited for too long. They were not started.
     pub(super) fn expire_proposals(&mut self) {
-        let limit = self.settings.timings.proposal_wait_ms;
+        let limit = self.settings.timings.proposal_timeout_ms;
         let now = self.now;
-        let is_late = |primary: &Primary| {
+        let is_expired = |primary: &Primary| {
             primary
                 .queue
                 .front()
                 .is_some_and(|first| now >= first.since + limit)
         };
-        while self.primary.as_ref().is_some_and(is_late) {
-            let Some(late) = self
+        while self.primary.as_ref().is_some_and(is_expired) {
+            let Some(expired) = self
                 .primary
                 .as_mut()
                 .and_then(|primary| primary.queue.pop_front())
             else {
                 return;
             };
-            self.give_back(late.token, ProposeError::NotPrimary);
+            self.fail_proposal(expired.token, ProposeError::NotPrimary);
         }
     }
 
-    /// The epoch of the command under way gave way to the next by the same primary, whose state either holds the
-    /// command or does not.
-    pub(super) fn finish_write_of_former_epoch(&mut self) {
+    /// Completes the command that was in flight when this primary started its next epoch. The initial state of that
+    /// epoch shows whether the command was committed.
+    pub(super) fn finish_write_of_previous_epoch(&mut self) {
         let Some(write) = self
             .primary
             .as_mut()
@@ -142,20 +147,22 @@
         };
         let version = write.message.version;
         if self.durable.version() >= version {
-            self.committed(write.token, version);
+            self.complete_proposal(write.token, version);
         } else {
-            self.give_back(write.token, ProposeError::Unknown);
+            self.fail_proposal(write.token, ProposeError::Unknown);
         }
     }
 
-    pub(super) fn give_back(&mut self, token: Token, error: ProposeError) {
+    /// Reports the failure of a proposal.
+    pub(super) fn fail_proposal(&mut self, token: Token, error: ProposeError) {
         self.outputs.push(Output::Proposed {
             token,
             result: Err(error),
         });
     }
 
-    fn begin_write(&mut self, token: Token, command: Vec<u8>) {
+    /// Starts the replication of a command.
+    fn start_write(&mut self, token: Token, command: Vec<u8>) {
         let version = self.durable.version() + 1;
         let now = self.now;
         let Some(primary) = &mut self.primary else {
@@ -177,6 +184,7 @@
         self.resend_write();
     }
 
+    /// Commits the command in flight.
     fn finish_write(&mut self, version: Version) {
         self.durable.commit_up_to(version);
         let Some(write) = self
@@ -186,10 +194,11 @@
         else {
             return;
         };
-        self.committed(write.token, version);
+        self.complete_proposal(write.token, version);
     }
 
-    fn committed(&mut self, token: Token, version: Version) {
+    /// Reports the commit of a proposal's command.
+    fn complete_proposal(&mut self, token: Token, version: Version) {
         self.outputs.push(Output::Proposed {
             token,
             result: Ok(Outcome::Committed(version)),
--- a/coordination/src/replica/witness.rs
+++ b/coordination/src/replica/witness.rs
@@ -1,36 +1,41 @@
-//! A member's duties as a witness and replica: promises, grants, records, writes.
+//! The witness and replica side of a member: its answers to candidates and to the primary.
+//!
+//! Invariants: a member takes part in no epoch below its promise, and promises nothing to other candidates before a
+//! lease grant of it has expired. A restart does not lose grants: a restarted member assumes that it granted a lease
+//! right before (`resume_as_witness`).
 
-use super::durable::Entry;
+use super::durable::{Entry, StatePosition};
 use super::interface::{Epoch, EpochRecord, Member, MemberId, Millis, StateMachine, Version};
 use super::message::{
     Heartbeat, HeartbeatAnswer, Install, Installed, Message, PreVote, PreVoteAnswer, Prepare,
-    Promise, Refusal, Write, Written,
+    Promise, Rejection, Write, Written,
 };
-use super::{Replica, QUICK_PAUSE_MS};
+use super::{Replica, FAST_ELECTION_DELAY_MS};
 
-/// After a promise, others who ask for votes are put off for so long.
-const ELECTION_HOLD_MS: Millis = 150;
-/// After a promise to somebody else, a member stands for election itself no sooner than this.
-const PATIENCE_MS: Millis = 300;
-/// A member without the state lets the others stand for election first.
-const NO_STATE_PENALTY_MS: Millis = 100;
+/// Time after a promise during which pre-votes of other candidates are rejected, in milliseconds.
+const PRE_VOTE_REJECTION_MS: Millis = 150;
+/// Minimum time between a promise to another candidate and an own election, in milliseconds.
+const ELECTION_TIMEOUT_MS: Millis = 300;
+/// Additional election delay, in milliseconds, of a member without the replicated state: replicas go first.
+const STATELESS_ELECTION_DELAY_MS: Millis = 100;
 
-/// It promises nothing to others for a while.
+/// A lease grant: until it expires, nothing is promised to other candidates.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct Grant {
-    /// The primary whom it answered.
+    /// The primary that holds the lease.
     pub to: MemberId,
-    /// In this epoch.
+    /// The primary's epoch.
     pub epoch: Epoch,
-    /// Until then.
+    /// Expiry time of the grant.
     pub until: Millis,
 }
 
 impl<S: StateMachine> Replica<S> {
-    /// Before its start it may have granted a lease to the primary of its record, of which it knows nothing now.
+    /// Restores the volatile state of a witness after a restart. It may have granted a lease to the primary of its
+    /// record before, which is not on disk, so it acts as if it just had.
     pub(super) fn resume_as_witness(&mut self) {
         let timings = self.settings.timings;
-        let Some(record) = self.my_record() else {
+        let Some(record) = self.accepted_record() else {
             return;
         };
         let (number, primary) = (record.number, record.primary);
@@ -42,23 +47,31 @@
             });
         }
         self.election_at = if number == 0 || primary == self.me.id {
-            self.within(QUICK_PAUSE_MS)
+            self.random_moment_within(FAST_ELECTION_DELAY_MS)
         } else {
             self.election_moment_after(self.now + timings.grant_ms)
         };
     }
 
-    /// A moment to stand for election, some time after another.
+    /// A random time after `moment` for the next election.
     pub(super) fn election_moment_after(&mut self, moment: Millis) -> Millis {
-        let pause = self.within(self.settings.timings.candidate_pause_ms) - self.now;
+        let pause =
+            self.random_moment_within(self.settings.timings.max_candidate_delay_ms) - self.now;
         let holds_state = self
-            .my_record()
+            .accepted_record()
             .is_some_and(|record| record.is_replica(self.me.id));
-        moment + pause + if holds_state { 0 } else { NO_STATE_PENALTY_MS }
+        moment
+            + pause
+            + if holds_state {
+                0
+            } else {
+                STATELESS_ELECTION_DELAY_MS
+            }
     }
 
-    pub(super) fn on_pre_vote(&mut self, from: &Member, pre_vote: PreVote) {
-        let wait_ms = self.put_off(from.id);
+    /// Answers whether this member would promise now. It changes no state.
+    pub(super) fn on_pre_vote(&mut self, from: &Member, pre_vote: &PreVote) {
+        let wait_ms = self.vote_wait_ms(from.id);
         let answer = PreVoteAnswer {
             attempt: pre_vote.attempt,
             would_promise: wait_ms == 0,
@@ -69,29 +82,33 @@
         self.send(from.clone(), Message::PreVoteAnswer(answer));
     }
 
-    pub(super) fn on_prepare(&mut self, from: &Member, prepare: Prepare) {
-        self.saw_epoch(prepare.number);
-        let again = prepare.number == self.durable.promised && self.durable.promised_to == from.id;
-        let free = self.grant_ends(from.id, prepare.handed_over) <= self.now;
-        let higher = prepare.number > self.durable.promised;
-        if !(again || higher && free) {
-            return self.refuse(from, prepare.number);
+    /// Promises an epoch that is higher than the last promise, unless a lease granted to another primary has not
+    /// expired. A repeated prepare is answered again.
+    pub(super) fn on_prepare(&mut self, from: &Member, prepare: &Prepare) {
+        self.observe_epoch(prepare.number);
+        let is_repeat =
+            prepare.number == self.durable.promised && self.durable.promised_to == from.id;
+        let grant_expired = self.grant_expires_at(from.id, prepare.released_epoch) <= self.now;
+        let is_higher = prepare.number > self.durable.promised;
+        if !(is_repeat || is_higher && grant_expired) {
+            return self.send_rejection(from, prepare.number);
         }
-        if higher {
-            self.promise(from, prepare.number);
+        if is_higher {
+            self.record_promise(from, prepare.number);
         }
-        self.answer_promise(from, &prepare);
+        self.send_promise(from, prepare);
     }
 
+    /// Accepts an epoch record, unless a higher epoch, or the same one for another candidate, is promised.
     pub(super) fn on_install(&mut self, from: &Member, install: Install) {
         let record = &install.record;
         let number = record.number;
-        self.saw_epoch(number);
-        if from.id != record.primary || !self.concerns_me(record) {
+        self.observe_epoch(number);
+        if from.id != record.primary || !self.is_relevant(record) {
             return;
         }
         if self
-            .my_record()
+            .accepted_record()
             .is_some_and(|mine| mine.number == number && mine.primary == from.id)
         {
             return self.send_when_durable(from, Message::Installed(Installed { number }));
@@ -99,25 +116,27 @@
         let promised_to_others =
             number == self.durable.promised && self.durable.promised_to != from.id;
         if number < self.durable.promised || promised_to_others || number == 0 {
-            return self.refuse(from, number);
+            return self.send_rejection(from, number);
         }
         if self.lacks_state_for(&install) {
-            // The primary sends it along the next time.
+            // The primary includes the state when it sends the message again.
             return;
         }
         self.accept(from, install);
         self.send_when_durable(from, Message::Installed(Installed { number }));
     }
 
+    /// Appends a command of the primary of the accepted record. Versions must be consecutive; a repeated command is
+    /// acknowledged again.
     pub(super) fn on_write(&mut self, from: &Member, write: Write) {
-        self.saw_epoch(write.epoch);
-        let fits = self.my_record().is_some_and(|record| {
+        self.observe_epoch(write.epoch);
+        let is_from_primary = self.accepted_record().is_some_and(|record| {
             record.number == write.epoch
                 && record.primary == from.id
                 && record.is_replica(self.me.id)
         });
-        if !fits || self.durable.promised != write.epoch {
-            return self.refuse(from, write.epoch);
+        if !is_from_primary || self.durable.promised != write.epoch {
+            return self.send_rejection(from, write.epoch);
         }
         let accepted = self.durable.accepted_version();
         if write.version == accepted + 1 {
@@ -135,15 +154,16 @@
         self.send_when_durable(from, Message::Written(written));
     }
 
-    pub(super) fn on_heartbeat(&mut self, from: &Member, heartbeat: Heartbeat) {
-        self.saw_epoch(heartbeat.epoch);
+    /// Grants or renews the lease of the primary of the record on disk, and commits up to its version.
+    pub(super) fn on_heartbeat(&mut self, from: &Member, heartbeat: &Heartbeat) {
+        self.observe_epoch(heartbeat.epoch);
         if !self.identity_on_disk {
             return;
         }
-        let granted = self.may_grant(from.id, heartbeat.epoch);
+        let granted = self.can_grant_lease(from.id, heartbeat.epoch);
         if granted {
             self.grant_lease(from.id, heartbeat.epoch);
-            self.commit_as_replica(heartbeat.committed);
+            self.commit_up_to_heartbeat(heartbeat.committed);
         }
         let answer = HeartbeatAnswer {
             epoch: heartbeat.epoch,
@@ -157,30 +177,31 @@
         self.send(from.clone(), Message::HeartbeatAnswer(answer));
     }
 
-    /// What is committed in this epoch is so here only if its pending command is of this epoch too.
-    fn commit_as_replica(&mut self, version: Version) {
-        let number = self.my_record().map(|record| record.number);
+    /// Commits up to the version of a heartbeat. The pending command is covered only if it is of the primary's epoch.
+    fn commit_up_to_heartbeat(&mut self, version: Version) {
+        let number = self.accepted_record().map(|record| record.number);
         if number.is_some() && number == self.durable.state_epoch() {
             self.durable.commit_up_to(version);
         }
     }
 
-    /// How long a candidate has to wait for this member's vote; 0: not at all.
-    fn put_off(&self, candidate: MemberId) -> Millis {
-        let hold_ends = match self.durable.promised_to == candidate {
+    /// Time until this member may vote for the candidate, in milliseconds; 0: now.
+    fn vote_wait_ms(&self, candidate: MemberId) -> Millis {
+        let rejection_ends = match self.durable.promised_to == candidate {
             true => 0,
-            false => self.election_hold_until,
+            false => self.reject_pre_votes_until,
         };
-        self.grant_ends(candidate, None)
-            .max(hold_ends)
+        self.grant_expires_at(candidate, None)
+            .max(rejection_ends)
             .saturating_sub(self.now)
     }
 
-    /// From when on it may promise to this candidate.
-    fn grant_ends(&self, candidate: MemberId, handed_over: Option<Epoch>) -> Millis {
+    /// Time from which a promise to this candidate is allowed. A lease released by a hand-over need not expire.
+    fn grant_expires_at(&self, candidate: MemberId, released_epoch: Option<Epoch>) -> Millis {
         match self.grant {
             Some(grant)
-                if grant.to != candidate && handed_over.is_none_or(|epoch| epoch < grant.epoch) =>
+                if grant.to != candidate
+                    && released_epoch.is_none_or(|epoch| epoch < grant.epoch) =>
             {
                 grant.until
             }
@@ -188,56 +209,69 @@
         }
     }
 
-    fn promise(&mut self, candidate: &Member, number: Epoch) {
+    /// Records a promise. A promise to another candidate ends an own campaign or primary role.
+    fn record_promise(&mut self, candidate: &Member, number: Epoch) {
         self.log(Entry::Promised {
             number,
             to: candidate.id,
         });
         if candidate.id != self.me.id {
-            self.election_hold_until = self.now + ELECTION_HOLD_MS;
+            self.reject_pre_votes_until = self.now + PRE_VOTE_REJECTION_MS;
             self.election_at = self
                 .election_at
-                .max(self.election_moment_after(self.now + PATIENCE_MS));
+                .max(self.election_moment_after(self.now + ELECTION_TIMEOUT_MS));
             self.step_down();
         }
     }
 
-    fn answer_promise(&mut self, candidate: &Member, prepare: &Prepare) {
-        let held = (self.durable.state_epoch(), self.durable.accepted_version());
-        let newer = held > (prepare.state_epoch, prepare.version);
+    /// Sends the promise once it is on disk, with the state if it is newer than the candidate's.
+    fn send_promise(&mut self, candidate: &Member, prepare: &Prepare) {
+        let candidate_position = StatePosition {
+            epoch: prepare.state_epoch,
+            version: prepare.version,
+        };
+        let own_position = self.durable.position();
+        let is_newer = own_position > candidate_position;
         let promise = Promise {
             number: prepare.number,
             record: self.durable.record.clone(),
             state_record: self.durable.state_record.clone(),
-            version: held.1,
-            state: newer.then(|| self.durable.copy_state()),
+            version: own_position.version,
+            state: is_newer.then(|| self.durable.clone_state()),
         };
         self.send_when_durable(candidate, Message::Promise(Box::new(promise)));
     }
 
-    pub(super) fn refuse(&mut self, from: &Member, number: Epoch) {
-        let refusal = Refusal {
+    /// Rejects a request, with the promise and record that conflict with it.
+    pub(super) fn send_rejection(&mut self, from: &Member, number: Epoch) {
+        let rejection = Rejection {
             number,
             promised: self.durable.promised,
             record: self.durable.record.clone(),
         };
-        self.send(from.clone(), Message::Refusal(refusal));
+        self.send(from.clone(), Message::Rejection(rejection));
     }
 
-    /// Its own record, or one that names it. Another disk at the same address may get this one's messages.
-    fn concerns_me(&self, record: &EpochRecord) -> bool {
+    /// Whether the record names this member, or this member already has one. Messages to a former disk at the same
+    /// address are ignored.
+    fn is_relevant(&self, record: &EpochRecord) -> bool {
         record.member(self.me.id).is_some() || self.durable.record.is_some()
     }
 
+    /// Whether this member is a replica of the record but has neither its initial state nor received it.
     fn lacks_state_for(&self, install: &Install) -> bool {
-        let held = (self.durable.state_epoch(), self.durable.accepted_version());
+        let initial_position = StatePosition {
+            epoch: Some(install.state_epoch),
+            version: install.version,
+        };
         install.record.is_replica(self.me.id)
             && install.state.is_none()
-            && held != (Some(install.state_epoch), install.version)
+            && self.durable.position() != initial_position
     }
 
+    /// Accepts an epoch record. A record of another primary ends an own campaign or primary role.
     fn accept(&mut self, from: &Member, install: Install) {
-        self.outside = !install.record.is_witness(self.me.id);
+        self.excluded = !install.record.is_witness(self.me.id);
         let state = install
             .state
             .filter(|_| install.record.is_replica(self.me.id));
@@ -246,14 +280,16 @@
             state,
         });
         if from.id != self.me.id {
-            self.election_at = self.election_moment_after(self.now + PATIENCE_MS);
+            self.election_at = self.election_moment_after(self.now + ELECTION_TIMEOUT_MS);
             self.step_down();
-            self.successor_is_there();
+            self.on_successor_installed();
         }
     }
 
-    fn may_grant(&self, primary: MemberId, epoch: Epoch) -> bool {
-        let Some(record) = self.my_record() else {
+    /// Whether the sender of a heartbeat is the primary of the record on disk, and nothing is promised to others. A
+    /// primary with a stalled disk grants itself nothing.
+    fn can_grant_lease(&self, primary: MemberId, epoch: Epoch) -> bool {
+        let Some(record) = self.accepted_record() else {
             return false;
         };
         let is_primary = record.number == epoch && record.primary == primary;
@@ -264,6 +300,7 @@
         is_primary && on_disk && !promised_to_others && !own_disk_stalls
     }
 
+    /// Grants the lease: no promise to other candidates before it expires.
     fn grant_lease(&mut self, primary: MemberId, epoch: Epoch) {
         let until = self.now + self.settings.timings.grant_ms;
         self.grant = Some(Grant {
@@ -271,7 +308,7 @@
             epoch,
             until,
         });
-        self.outside = false;
+        self.excluded = false;
         if primary != self.me.id {
             self.campaign = None;
             self.election_at = self.election_moment_after(until);
--- a/coordination/tests/compatibility.rs
+++ b/coordination/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Messages and stored state have the bytes that earlier builds wrote.
+//! Messages and stored state are encoded to the same bytes as by earlier builds, and decoded from them.
 
 use alderhollow_coordination::replica::inspection::read_member;
 use alderhollow_coordination::replica::interface::{
@@ -6,14 +6,14 @@
 };
 use alderhollow_coordination::replica::message::{
     Envelope, HandOver, Heartbeat, HeartbeatAnswer, Install, Installed, Message, PreVote,
-    PreVoteAnswer, Prepare, Promise, Refusal, StateCopy, Write, Written,
+    PreVoteAnswer, Prepare, Promise, Rejection, StateCopy, Write, Written,
 };
 use alderhollow_coordination::replica::settings::{Settings, Timings};
 use alderhollow_coordination::replica::Replica;
 use alderhollow_recorded_bytes::RecordedBytes;
 use minicbor::Encode;
 
-/// The layout of a record at that time.
+/// The layout of an epoch record before it had a lineage.
 #[derive(Encode)]
 struct FormerRecord {
     #[n(0)]
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_record_without_ancestors_is_read() {
+fn a_record_without_lineage_is_decoded() {
     let former = FormerRecord {
         number: 7,
         primary: 2,
@@ -85,16 +85,15 @@
     }
 }
 
+/// One message of each kind, in the order of the fixture.
 fn messages() -> Vec<(&'static str, Message)> {
-    let heartbeat_answer = HeartbeatAnswer {
-        epoch: 7,
-        sent_at: 1234,
-        granted: true,
-        promised: 8,
-        promised_to: 3,
-        record_number: Some(7),
-        leaving: true,
-    };
+    let mut messages = campaign_messages();
+    messages.extend(primary_messages());
+    messages
+}
+
+/// The messages by which an epoch is started.
+fn campaign_messages() -> Vec<(&'static str, Message)> {
     let promise = Promise {
         number: 8,
         record: Some(record()),
@@ -122,7 +121,7 @@
             "prepare",
             Message::Prepare(Prepare {
                 number: 8,
-                handed_over: Some(7),
+                released_epoch: Some(7),
                 state_epoch: Some(6),
                 version: 41,
             }),
@@ -130,7 +129,7 @@
         ("promise", Message::Promise(Box::new(promise))),
         (
             "refusal",
-            Message::Refusal(Refusal {
+            Message::Rejection(Rejection {
                 number: 8,
                 promised: 9,
                 record: Some(record()),
@@ -138,6 +137,21 @@
         ),
         ("install", Message::Install(Box::new(install))),
         ("installed", Message::Installed(Installed { number: 8 })),
+    ]
+}
+
+/// The messages of an active epoch.
+fn primary_messages() -> Vec<(&'static str, Message)> {
+    let heartbeat_answer = HeartbeatAnswer {
+        epoch: 7,
+        sent_at: 1234,
+        granted: true,
+        promised: 8,
+        promised_to: 3,
+        record_number: Some(7),
+        leaving: true,
+    };
+    vec![
         (
             "write",
             Message::Write(Write {
@@ -192,7 +206,7 @@
     recorded.finish();
 }
 
-/// A state that is the list of all commands.
+/// A state that consists of the list of all commands.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 struct CommandList(Vec<u8>);
 
@@ -208,7 +222,8 @@
     }
 }
 
-/// What a member writes to its disk as it is founded, takes part in the epochs of another one and appends two commands.
+/// The records that a member writes when it is founded, takes part in epochs of another primary and appends two
+/// commands.
 fn written_by_a_replica() -> Vec<Vec<u8>> {
     let settings = Settings {
         node: "machine-3".into(),
@@ -237,7 +252,7 @@
     };
     let prepare = Prepare {
         number: 1,
-        handed_over: None,
+        released_epoch: None,
         state_epoch: Some(0),
         version: 0,
     };
--- a/coordination/tests/simulation/world.rs
+++ b/coordination/tests/simulation/cluster.rs
@@ -1,11 +1,11 @@
-//! The simulated world: machines, links, clients, time. Nothing in it depends on anything but its seed.
+//! The simulated cluster: machines, links, clients and time. A run depends on its seed only.
 
 mod clients;
+mod cpu_quota;
 mod hosts;
 mod machines;
-mod processor;
 
-pub use processor::{Spending, PERIOD_MS};
+pub(crate) use cpu_quota::{QuotaUsage, PERIOD_MS};
 
 use crate::machine::Machine;
 use crate::oracle::Oracle;
@@ -16,10 +16,10 @@
 use oorandom::Rand64;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// So many machines are seeds.
+/// Number of machines that are seeds.
 const SEEDS: usize = 3;
 
-/// Something that happens.
+/// A scheduled event.
 enum Event {
     Deliver {
         to: usize,
@@ -46,105 +46,105 @@
     ClientRequest,
 }
 
-/// What happens to a machine (and others) right after it acknowledged a command.
+/// A fault injected right after a machine acknowledged a command.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum AfterAcknowledgement {
-    /// It loses power.
+pub(crate) enum AfterAcknowledgement {
+    /// The machine loses power.
     PowerLoss,
-    /// It and so many others lose their disks, and all others lose power.
+    /// The machine and others, `count` in total, lose their disks; all others lose power.
     Wipe { count: usize },
 }
 
-/// A client's request that is under way.
+/// A client request in flight.
 #[derive(Debug, Clone, Copy)]
 struct Invocation {
     request: u32,
-    /// The newest version that anybody had been told of when it was sent.
-    newest_told: Version,
+    /// The newest version acknowledged to any client when the request was sent.
+    newest_acknowledged: Version,
 }
 
-/// How the links behave.
+/// Faults of all links, each as a percentage of the messages.
 #[derive(Debug, Clone, Copy, Default)]
-pub struct LinkFaults {
-    /// Of a hundred messages so many are lost.
+pub(crate) struct LinkFaults {
+    /// Messages that are lost.
     pub loss_percent: u64,
-    /// So many come twice.
-    pub doubled_percent: u64,
-    /// So many take up to half a second.
-    pub late_percent: u64,
+    /// Messages that are delivered twice.
+    pub duplicated_percent: u64,
+    /// Messages that are delayed by up to half a second.
+    pub delayed_percent: u64,
 }
 
-pub struct World {
+pub(crate) struct Cluster {
     pub now: Millis,
-    pub chance: Rand64,
+    pub rng: Rand64,
     pub machines: Vec<Machine>,
     pub tolerate: usize,
     pub link_faults: LinkFaults,
-    /// From whom to whom nothing passes.
-    pub cuts: BTreeSet<(usize, usize)>,
+    /// Links that deliver no messages: sender and recipient.
+    pub blocked_links: BTreeSet<(usize, usize)>,
     pub oracle: Oracle,
     pub after_acknowledgement: Option<AfterAcknowledgement>,
-    /// Moments at which a command was acknowledged.
+    /// Times at which commands were acknowledged.
     pub acknowledged_at: Vec<Millis>,
-    /// Conditions that are waited for are looked at this often.
-    pub look_every: Millis,
-    /// Clients send a request this often.
-    pub request_every: Millis,
-    /// Inputs that a machine handles in each period of its processor quota; `None`: no quota.
+    /// Interval at which awaited conditions are checked.
+    pub check_interval_ms: Millis,
+    /// Average interval between client requests.
+    pub request_interval_ms: Millis,
+    /// Number of inputs that a machine handles in each period of its CPU quota; `None`: no quota.
     inputs_per_period: Option<u64>,
     events: BTreeMap<(Millis, u64), Event>,
     event_count: u64,
     next_token: Token,
     next_request: u32,
     requests: BTreeMap<(u64, Token), Invocation>,
-    /// Requests whose end is unknown: clients may send them again.
-    unknown: Vec<u32>,
-    /// Requests that were sent again: a refusal says nothing of the first time.
-    sent_again: BTreeSet<u32>,
+    /// Requests whose outcome is unknown. Clients may retry them.
+    unknown_outcome: Vec<u32>,
+    /// Requests that were retried: a rejection says nothing about the first attempt.
+    retried: BTreeSet<u32>,
     seeds: usize,
     trace: bool,
 }
 
-impl World {
-    /// So many machines, the first three of them seeds, that start at the first start of the system.
-    pub fn new(seed: u64, machines: usize, tolerate: usize) -> Self {
-        let mut world = World {
+impl Cluster {
+    /// A cluster at the first start of the system. The first three machines are seeds.
+    pub(crate) fn new(seed: u64, machines: usize, tolerate: usize) -> Self {
+        let mut cluster = Cluster {
             now: 1,
-            chance: Rand64::new(u128::from(seed)),
+            rng: Rand64::new(u128::from(seed)),
             machines: Vec::new(),
             tolerate,
             link_faults: LinkFaults::default(),
-            cuts: BTreeSet::new(),
+            blocked_links: BTreeSet::new(),
             oracle: Oracle::default(),
             after_acknowledgement: None,
             acknowledged_at: Vec::new(),
-            look_every: 10,
-            request_every: 90,
+            check_interval_ms: 10,
+            request_interval_ms: 90,
             inputs_per_period: None,
             events: BTreeMap::new(),
             event_count: 0,
             next_token: 0,
             next_request: 0,
             requests: BTreeMap::new(),
-            unknown: Vec::new(),
-            sent_again: BTreeSet::new(),
+            unknown_outcome: Vec::new(),
+            retried: BTreeSet::new(),
             seeds: SEEDS.min(machines),
             trace: std::env::var_os("CORE_TRACE").is_some(),
         };
         for number in 0..machines {
-            world
+            cluster
                 .machines
                 .push(Machine::new(number, format!("node-{number}"), true));
-            let at = world.now + world.random(300);
-            world.start_at(number, at);
+            let at = cluster.now + cluster.random(300);
+            cluster.start_at(number, at);
         }
-        world.schedule(1, Event::HostCheck);
-        world.schedule(1, Event::ClientRequest);
-        world
+        cluster.schedule(1, Event::HostCheck);
+        cluster.schedule(1, Event::ClientRequest);
+        cluster
     }
 
-    /// Each machine's clock runs so much faster or slower than the world's.
-    pub fn set_clocks_apart(&mut self, percent: u64) {
+    /// Lets each machine's clock run faster or slower than simulated time by this percentage.
+    pub(crate) fn set_clock_drift(&mut self, percent: u64) {
         for number in 0..self.machines.len() {
             let is_fast = self.random(2) == 0;
             let clock = &mut self.machines[number].clock;
@@ -156,44 +156,47 @@
         }
     }
 
-    pub fn random(&mut self, below: u64) -> u64 {
-        self.chance.rand_range(0..below)
+    pub(crate) fn random(&mut self, below: u64) -> u64 {
+        self.rng.rand_range(0..below)
     }
 
-    /// Runs until this moment.
-    pub fn run_until(&mut self, end: Millis) {
+    /// Runs until this time.
+    pub(crate) fn run_until(&mut self, end: Millis) {
         while let Some(((at, _), event)) = self.events.pop_first() {
             if at > end {
                 self.schedule(at, event);
                 break;
             }
             self.now = self.now.max(at);
-            self.happen(event);
+            self.handle_event(event);
         }
         self.now = self.now.max(end);
     }
 
-    pub fn run_for(&mut self, span: Millis) {
+    pub(crate) fn run_for(&mut self, span: Millis) {
         self.run_until(self.now + span);
     }
 
-    /// Runs until a condition holds, and says how long that took. Panics if it takes longer than `limit`.
-    pub fn run_until_holds(
+    /// Runs until a condition holds and returns the time that this took. Panics if it takes longer than `limit`.
+    pub(crate) fn run_until_holds(
         &mut self,
         limit: Millis,
         what: &str,
-        holds: impl Fn(&World) -> bool,
+        holds: impl Fn(&Cluster) -> bool,
     ) -> Millis {
-        let begun = self.now;
+        let started_at = self.now;
         while !holds(self) {
-            assert!(self.now < begun + limit, "not within {limit} ms: {what}");
-            self.run_for(self.look_every);
+            assert!(
+                self.now < started_at + limit,
+                "not within {limit} ms: {what}"
+            );
+            self.run_for(self.check_interval_ms);
         }
-        self.now - begun
+        self.now - started_at
     }
 
-    /// Machine that holds the lease now.
-    pub fn lease_holder(&self) -> Option<usize> {
+    /// The machine that holds the lease now.
+    pub(crate) fn lease_holder(&self) -> Option<usize> {
         let holds = |machine: &&Machine| machine.holds_lease(self.now);
         self.machines
             .iter()
@@ -201,14 +204,14 @@
             .map(|machine| machine.number)
     }
 
-    /// Record of the lease holder.
-    pub fn record(&self) -> Option<&EpochRecord> {
+    /// The record of the lease holder.
+    pub(crate) fn record(&self) -> Option<&EpochRecord> {
         let process = self.machines[self.lease_holder()?].process.as_ref()?;
         process.replica.record()
     }
 
-    /// The first writes of all seeds are on disk.
-    pub fn seeds_have_identities(&self) -> bool {
+    /// Whether the identities of all seeds are synced.
+    pub(crate) fn seeds_have_identities(&self) -> bool {
         let has_identity = |machine: &Machine| {
             machine
                 .process
@@ -218,8 +221,8 @@
         self.machines[..self.seeds].iter().all(has_identity)
     }
 
-    /// All running disks are replicas, and no others are members.
-    pub fn is_whole(&self) -> bool {
+    /// Whether all running disks are replicas, and no others are members.
+    pub(crate) fn is_fully_replicated(&self) -> bool {
         let mut disks: Vec<_> = self
             .machines
             .iter()
@@ -232,8 +235,8 @@
         })
     }
 
-    /// So many more disks may be lost now without losing anything.
-    pub fn disks_to_spare(&self) -> usize {
+    /// Number of further disks that may be lost now without loss of data.
+    pub(crate) fn disks_to_spare(&self) -> usize {
         let Some(record) = self.record() else {
             return 0;
         };
@@ -247,7 +250,7 @@
         let down = self
             .machines
             .iter()
-            .filter(|machine| !machine.gone && machine.process.is_none())
+            .filter(|machine| !machine.removed && machine.process.is_none())
             .count();
         if !is_stable || down > 0 {
             return 0;
@@ -267,14 +270,14 @@
         self.events.insert((at, self.event_count), event);
     }
 
-    fn happen(&mut self, event: Event) {
+    fn handle_event(&mut self, event: Event) {
         match event {
             Event::Deliver { to, from, message } => {
                 let frozen_until = self.machines[to].frozen_until;
                 if frozen_until > self.now {
                     return self.schedule(frozen_until, Event::Deliver { to, from, message });
                 }
-                self.tell(
+                self.handle_input(
                     to,
                     Input::Message {
                         from,
@@ -282,28 +285,28 @@
                     },
                 );
             }
-            Event::Join { to, member } => self.tell(to, Input::Join(member)),
+            Event::Join { to, member } => self.handle_input(to, Input::Join(member)),
             Event::DiskDone {
                 machine,
                 generation,
                 token,
-            } => self.disk_done(machine, generation, token),
+            } => self.on_disk_write_done(machine, generation, token),
             Event::Tick {
                 machine,
                 generation,
-            } => self.tick(machine, generation),
-            Event::Start { machine } => self.start(machine),
+            } => self.on_tick(machine, generation),
+            Event::Start { machine } => self.on_start(machine),
             Event::HostCheck => self.check_hosts(),
             Event::ClientRequest => self.client_request(),
         }
     }
 
-    fn check(&mut self, number: usize) {
+    fn check_invariants(&mut self, number: usize) {
         let now = self.now;
         if let Some(process) = &mut self.machines[number].process {
             let version = process.replica.version();
             self.oracle
-                .saw_state(process.replica.state(), version, process.checked);
+                .check_state(process.replica.state(), version, process.checked);
             process.checked = version;
         }
         let holders = self
@@ -312,10 +315,10 @@
             .filter(|machine| machine.holds_lease(now));
         let holders = holders.filter_map(|machine| machine.process.as_ref());
         let versions: Vec<_> = holders.map(|process| process.replica.version()).collect();
-        self.oracle.saw_lease_holders(&versions);
+        self.oracle.check_lease_holders(&versions);
     }
 
-    pub fn trace(&self, line: impl FnOnce() -> String) {
+    pub(crate) fn trace(&self, line: impl FnOnce() -> String) {
         if self.trace {
             eprintln!("{:>6} {}", self.now, line());
         }
--- a/coordination/tests/simulation/world/machines.rs
+++ b/coordination/tests/simulation/cluster/machines.rs
@@ -1,46 +1,46 @@
-//! What happens to machines: starts, ends of processes, losses of disks, freezes and cuts.
+//! Faults of machines: crashes, lost disks, freezes, blocked links.
 
-use super::{Event, World};
+use super::{Cluster, Event};
 use crate::machine::Machine;
 use alderhollow_coordination::replica::interface::Millis;
 
-impl World {
-    pub fn start_at(&mut self, machine: usize, at: Millis) {
+impl Cluster {
+    pub(crate) fn start_at(&mut self, machine: usize, at: Millis) {
         self.machines[machine].starts_at = Some(at);
         self.schedule(at, Event::Start { machine });
     }
 
-    /// Ends a process; of what it had not synced, some is on disk.
-    pub fn kill(&mut self, machine: usize) {
+    /// Kills a process. A prefix of its unsynced writes is on disk.
+    pub(crate) fn kill(&mut self, machine: usize) {
         self.trace(|| format!("kill {machine}"));
-        let chance = &mut self.chance;
+        let rng = &mut self.rng;
         let machine = &mut self.machines[machine];
         machine.process = None;
         machine.frozen_until = 0;
-        machine.disk.crash(chance);
+        machine.disk.crash(rng);
     }
 
-    pub fn kill_for(&mut self, machine: usize, span: Millis) {
+    pub(crate) fn kill_for(&mut self, machine: usize, span: Millis) {
         self.kill(machine);
         self.start_at(machine, self.now + span);
     }
 
-    /// Ends a process; its machine comes back with an empty disk.
-    pub fn wipe_for(&mut self, machine: usize, span: Millis) {
+    /// Kills a process. Its machine returns with an empty disk.
+    pub(crate) fn wipe_for(&mut self, machine: usize, span: Millis) {
         self.trace(|| format!("wipe {machine}"));
         self.kill_for(machine, span);
         self.machines[machine].disk = Default::default();
     }
 
-    /// Ends a process; its machine never comes back.
-    pub fn remove(&mut self, machine: usize) {
+    /// Kills a process. Its machine never returns.
+    pub(crate) fn remove(&mut self, machine: usize) {
         self.kill(machine);
-        self.machines[machine].gone = true;
+        self.machines[machine].removed = true;
         self.machines[machine].starts_at = None;
     }
 
-    /// Adds a machine with an empty disk that starts later.
-    pub fn add(&mut self, span: Millis) -> usize {
+    /// Adds a machine with an empty disk that starts after `span`.
+    pub(crate) fn add(&mut self, span: Millis) -> usize {
         let number = self.machines.len();
         self.trace(|| format!("add {number}"));
         self.machines
@@ -49,15 +49,15 @@
         number
     }
 
-    /// A machine stands still; its disk goes on.
-    pub fn freeze(&mut self, machine: usize, span: Millis) {
+    /// Freezes a machine; its disk keeps working.
+    pub(crate) fn freeze(&mut self, machine: usize, span: Millis) {
         self.trace(|| format!("freeze {machine} for {span}"));
         let until = self.now + span;
         self.machines[machine].frozen_until = self.machines[machine].frozen_until.max(until);
     }
 
-    pub fn cut(&mut self, from: usize, to: usize) {
+    pub(crate) fn block_link(&mut self, from: usize, to: usize) {
         self.trace(|| format!("cut {from} -> {to}"));
-        self.cuts.insert((from, to));
+        self.blocked_links.insert((from, to));
     }
 }
--- a/coordination/tests/simulation/ledger.rs
+++ b/coordination/tests/simulation/command_log.rs
@@ -1,14 +1,15 @@
-//! The replicated state of the simulation: a list of numbers, each at most once.
+//! The replicated state of the simulation: a list of distinct numbers. A request whose number is in the list already is
+//! answered without a command.
 
 use alderhollow_coordination::replica::interface::{Decision, StateMachine};
 
-/// The list, in the order of the commands.
+/// The numbers in the order of their commands.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Ledger {
+pub(crate) struct CommandLog {
     pub entries: Vec<u32>,
 }
 
-pub fn request(number: u32) -> Vec<u8> {
+pub(crate) fn encode_request(number: u32) -> Vec<u8> {
     number.to_be_bytes().to_vec()
 }
 
@@ -16,7 +17,7 @@
     u32::from_be_bytes(bytes.try_into().expect("four bytes"))
 }
 
-impl StateMachine for Ledger {
+impl StateMachine for CommandLog {
     fn decide(&self, request: &[u8]) -> Decision {
         match self.entries.contains(&number_in(request)) {
             true => Decision::Answer(request.to_vec()),
--- a/coordination/tests/simulation/machine.rs
+++ b/coordination/tests/simulation/machine.rs
@@ -1,7 +1,7 @@
-//! A simulated machine: its disk, and the process on it.
+//! A simulated machine: its clock, its disk, and the process that runs on it.
 
-use crate::ledger::Ledger;
-use crate::world::Spending;
+use crate::cluster::QuotaUsage;
+use crate::command_log::CommandLog;
 use alderhollow_coordination::replica::interface::{
     Member, MemberId, Millis, Recovered, Token, Version,
 };
@@ -10,60 +10,60 @@
 use oorandom::Rand64;
 use std::collections::VecDeque;
 
-/// The steady clock of a machine: it runs at so many hundredths of the world's time.
+/// The monotonic clock of a machine. It runs at `percent` of the speed of simulated time.
 #[derive(Debug, Clone, Copy)]
-pub struct Clock {
+pub(crate) struct Clock {
     pub percent: u64,
 }
 
 impl Clock {
-    /// What it shows at a moment of the world.
-    pub fn shows(self, moment: Millis) -> Millis {
+    /// The reading of the clock at a simulated time.
+    pub(crate) fn reading_at(self, moment: Millis) -> Millis {
         moment * self.percent / 100
     }
 
-    /// The first moment of the world at which it shows this.
-    pub fn moment_of(self, shown: Millis) -> Millis {
+    /// The first simulated time at which the clock has this reading.
+    pub(crate) fn time_of_reading(self, shown: Millis) -> Millis {
         (shown.saturating_mul(100)).div_ceil(self.percent)
     }
 }
 
-/// A machine, at its number as address.
-pub struct Machine {
+/// A machine. Its address is its number.
+pub(crate) struct Machine {
     pub number: usize,
     pub clock: Clock,
     pub node: String,
-    /// Its next process starts with `first-start`.
+    /// Whether its next process is started with `first-start`.
     pub first_start: bool,
     pub disk: Disk,
     pub process: Option<Process>,
     pub frozen_until: Millis,
-    pub spending: Spending,
-    /// Removed for good.
-    pub gone: bool,
-    /// When the next process starts.
+    pub quota_usage: QuotaUsage,
+    /// Whether it was removed permanently.
+    pub removed: bool,
+    /// When its next process starts.
     pub starts_at: Option<Millis>,
 }
 
-/// A process.
-pub struct Process {
-    pub replica: Replica<Ledger>,
-    /// Tells it from others on the same machine.
+/// A running process.
+pub(crate) struct Process {
+    pub replica: Replica<CommandLog>,
+    /// Distinguishes the processes of a machine.
     pub generation: u64,
     pub tick_at: Millis,
-    /// Its committed state was compared up to here.
+    /// Version up to which its committed state was checked.
     pub checked: Version,
-    /// It was told to leave: it is to end soon.
+    /// Whether it was asked to leave, so that it exits soon.
     pub leaving: bool,
-    /// It left, and is ready to end.
-    pub handed_over: bool,
+    /// Whether its replica has reported the end of the hand-over.
+    pub leave_completed: bool,
 }
 
-/// A disk, with writes under way.
+/// A disk with writes in flight.
 #[derive(Default)]
-pub struct Disk {
+pub(crate) struct Disk {
     content: Recovered,
-    under_way: VecDeque<DiskWrite>,
+    in_flight: VecDeque<DiskWrite>,
     busy_until: Millis,
     pub stalled_until: Millis,
     pub slow_until: Millis,
@@ -77,7 +77,7 @@
 }
 
 impl Machine {
-    pub fn new(number: usize, node: String, first_start: bool) -> Self {
+    pub(crate) fn new(number: usize, node: String, first_start: bool) -> Self {
         Machine {
             number,
             clock: Clock { percent: 100 },
@@ -86,13 +86,13 @@
             disk: Disk::default(),
             process: None,
             frozen_until: 0,
-            spending: Spending::default(),
-            gone: false,
+            quota_usage: QuotaUsage::default(),
+            removed: false,
             starts_at: None,
         }
     }
 
-    pub fn start(&mut self, now: Millis, tolerate_machines: usize, seed: u64) {
+    pub(crate) fn start(&mut self, now: Millis, tolerate_machines: usize, seed: u64) {
         let settings = Settings {
             node: self.node.clone(),
             zone: String::new(),
@@ -107,10 +107,10 @@
         let replica = Replica::open(
             settings,
             recovered,
-            Ledger::default(),
-            self.clock.shows(now),
+            CommandLog::default(),
+            self.clock.reading_at(now),
         )
-        .expect("the disk is whole");
+        .expect("the disk is valid");
         self.disk.busy_until = now;
         self.process = Some(Process {
             replica,
@@ -118,26 +118,26 @@
             tick_at: Millis::MAX,
             checked: 0,
             leaving: false,
-            handed_over: false,
+            leave_completed: false,
         });
     }
 
-    /// Its process is the primary, as far as it knows by its own clock.
-    pub fn holds_lease(&self, now: Millis) -> bool {
-        let shown = self.clock.shows(now);
+    /// Whether its process considers itself the lease holder, by its own clock.
+    pub(crate) fn holds_lease(&self, now: Millis) -> bool {
+        let shown = self.clock.reading_at(now);
         self.process
             .as_ref()
             .is_some_and(|process| process.replica.holds_lease(shown))
     }
 
-    /// The identity of the running process's disk.
-    pub fn member_id(&self) -> Option<MemberId> {
+    /// Identity of the running process's disk.
+    pub(crate) fn member_id(&self) -> Option<MemberId> {
         self.process
             .as_ref()
             .map(|process| process.replica.member().id)
     }
 
-    pub fn member(&self) -> Option<Member> {
+    pub(crate) fn member(&self) -> Option<Member> {
         self.process
             .as_ref()
             .map(|process| process.replica.member().clone())
@@ -145,7 +145,7 @@
 }
 
 /// The machine number in a member's contact.
-pub fn address_of(member: &Member) -> usize {
+pub(crate) fn address_of(member: &Member) -> usize {
     usize::from_be_bytes(
         member
             .contact
@@ -156,69 +156,69 @@
 }
 
 impl Disk {
-    /// Begins a write; says when it ends.
-    pub fn begin(
+    /// Starts a write and returns the time at which it completes.
+    pub(crate) fn begin_write(
         &mut self,
         now: Millis,
-        chance: &mut Rand64,
+        rng: &mut Rand64,
         token: Token,
         writes: Vec<Vec<u8>>,
         replace_all: Option<Vec<u8>>,
     ) -> Millis {
-        self.under_way.push_back(DiskWrite {
+        self.in_flight.push_back(DiskWrite {
             token,
             writes,
             replace_all,
         });
         let factor = if now < self.slow_until { 30 } else { 1 };
-        let took = chance.rand_range(1..3) * factor;
+        let took = rng.rand_range(1..3) * factor;
         self.busy_until = self.busy_until.max(now).max(self.stalled_until) + took;
         self.busy_until
     }
 
-    /// A write's time has come. False: it failed.
-    pub fn finish(&mut self, now: Millis, chance: &mut Rand64, token: Token) -> bool {
-        let Some(write) = self.under_way.pop_front() else {
+    /// Completes a write; `false` if it failed.
+    pub(crate) fn finish(&mut self, now: Millis, rng: &mut Rand64, token: Token) -> bool {
+        let Some(write) = self.in_flight.pop_front() else {
             return true;
         };
         assert_eq!(write.token, token, "writes end in order");
         if now < self.full_until {
-            if chance.rand_range(0..2) == 0 {
-                self.take(write);
+            if rng.rand_range(0..2) == 0 {
+                self.apply(write);
             }
             return false;
         }
-        self.take(write);
+        self.apply(write);
         true
     }
 
-    pub fn has(&self, token: Token) -> bool {
-        self.under_way.iter().any(|write| write.token == token)
+    pub(crate) fn contains(&self, token: Token) -> bool {
+        self.in_flight.iter().any(|write| write.token == token)
     }
 
-    pub fn is_next(&self, token: Token) -> bool {
-        self.under_way
+    pub(crate) fn is_next(&self, token: Token) -> bool {
+        self.in_flight
             .front()
             .is_some_and(|write| write.token == token)
     }
 
-    /// After a failed write nothing is certain of those that waited.
-    pub fn drop_waiting(&mut self) -> Vec<Token> {
-        self.under_way.drain(..).map(|write| write.token).collect()
+    /// Drops the writes in flight after a failed one.
+    pub(crate) fn drop_in_flight(&mut self) -> Vec<Token> {
+        self.in_flight.drain(..).map(|write| write.token).collect()
     }
 
-    /// The process ended: of what was not synced, some is there, in order.
-    pub fn crash(&mut self, chance: &mut Rand64) {
-        let kept = chance.rand_range(0..self.under_way.len() as u64 + 1);
-        for _ in 0..kept {
-            if let Some(write) = self.under_way.pop_front() {
-                self.take(write);
+    /// Ends the process: a prefix of the writes in flight is on disk.
+    pub(crate) fn crash(&mut self, rng: &mut Rand64) {
+        let synced_count = rng.rand_range(0..self.in_flight.len() as u64 + 1);
+        for _ in 0..synced_count {
+            if let Some(write) = self.in_flight.pop_front() {
+                self.apply(write);
             }
         }
-        self.under_way.clear();
+        self.in_flight.clear();
     }
 
-    fn take(&mut self, write: DiskWrite) {
+    fn apply(&mut self, write: DiskWrite) {
         if write.replace_all.is_some() {
             self.content.snapshot = write.replace_all;
             self.content.records.clear();
