--- a/gateway-cluster/examples/engines.rs
+++ b/gateway-cluster/examples/engines.rs
@@ -64,7 +64,7 @@
     foca: Foca<Name, PostcardCodec, Pcg64Mcg, foca::NoCustomBroadcast>,
     timers: BTreeMap<(Micros, u64), Timer<Name>>,
     count: u64,
-    birth: StartOptions,
+    options: StartOptions,
 }
 
 impl Swim {
@@ -85,8 +85,8 @@
     }
 }
 
-fn config(birth: &StartOptions) -> Config {
-    let period = Duration::from_micros(birth.probe);
+fn config(options: &StartOptions) -> Config {
+    let period = Duration::from_micros(options.probe_period);
     let every = |periods: u32, members| {
         Some(PeriodicParams {
             frequency: period * periods,
@@ -94,7 +94,7 @@
         })
     };
     let mut config =
-        Config::new_lan(std::num::NonZeroU32::new(birth.peers.max(2) as u32).expect("some"));
+        Config::new_lan(std::num::NonZeroU32::new(options.peer_count.max(2) as u32).expect("some"));
     config.probe_period = period;
     config.probe_rtt = period / 3;
     config.num_indirect_probes = NonZeroUsize::new(3).expect("some");
@@ -111,22 +111,22 @@
 }
 
 impl Protocol for Swim {
-    fn born(now: Micros, birth: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Swim {
+    fn start(now: Micros, options: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Swim {
         let me = Name {
-            place: birth.me as u16,
-            life: birth.unix,
+            place: options.own_index as u16,
+            life: options.unix_us,
         };
-        let rng = Pcg64Mcg::seed_from_u64(birth.seed);
-        let foca = Foca::new(me, config(&birth), rng, PostcardCodec);
+        let rng = Pcg64Mcg::seed_from_u64(options.seed);
+        let foca = Foca::new(me, config(&options), rng, PostcardCodec);
         let mut swim = Swim {
             foca,
             timers: BTreeMap::new(),
             count: 0,
-            birth,
+            options,
         };
         swim.with(now, sends, |swim, asked| {
             // The peer set is known: its names are taken for alive under any life.
-            let others = (0..birth.peers).filter(|place| *place != birth.me);
+            let others = (0..options.peer_count).filter(|place| *place != options.own_index);
             let members = others.map(|place| {
                 Member::alive(Name {
                     place: place as u16,
@@ -135,8 +135,9 @@
             });
             let _ = swim.foca.apply_many(members, false, &mut *asked);
             // Their true lives are learned from those who answer.
-            for step in 1..=JOINS.min(birth.peers - 1) {
-                let place = (birth.me + step * 7 % birth.peers) % birth.peers;
+            for step in 1..=JOINS.min(options.peer_count - 1) {
+                let place =
+                    (options.own_index + step * 7 % options.peer_count) % options.peer_count;
                 let _ = swim.foca.announce(
                     Name {
                         place: place as u16,
@@ -170,8 +171,8 @@
         }
     }
     fn view(&self) -> Vec<PeerState> {
-        let mut view = vec![PeerState::Dead; self.birth.peers];
-        view[self.birth.me] = PeerState::Alive;
+        let mut view = vec![PeerState::Dead; self.options.peer_count];
+        view[self.options.own_index] = PeerState::Alive;
         for member in self.foca.iter_members() {
             let suspect = member.state() == foca::State::Suspect;
             view[usize::from(member.id().place)] = if suspect {
--- a/gateway-cluster/src/hash.rs
+++ b/gateway-cluster/src/hash.rs
@@ -9,13 +9,13 @@
 use twox_hash::{XxHash32, XxHash64};
 
 /// Of a text, in 32 bits.
-pub fn of_text(text: &str) -> u32 {
+pub fn hash_text(text: &str) -> u32 {
     XxHash32::oneshot(0, text.as_bytes())
 }
 
 /// Mixes two numbers into one: the hash of the second, with the first for a seed.
-pub fn mix(a: u64, b: u64) -> u64 {
-    XxHash64::oneshot(a, &b.to_le_bytes())
+pub fn mix(seed: u64, value: u64) -> u64 {
+    XxHash64::oneshot(seed, &value.to_le_bytes())
 }
 
 #[cfg(test)]
--- a/gateway-cluster/src/hash/tests.rs
+++ b/gateway-cluster/src/hash/tests.rs
@@ -2,7 +2,7 @@
 
 #[test]
 fn hashes_are_those_of_the_specification_and_stay_so() {
-    let of = ["", "a", "abc", "Nobody inspects the spammish repetition"].map(of_text);
+    let of = ["", "a", "abc", "Nobody inspects the spammish repetition"].map(hash_text);
     assert_eq!(of, [0x02cc_5d05, 0x550d_7456, 0x32d1_53ff, 0xe229_3b2f]);
     // Reckoned from the specification for eight bytes, least first.
     assert_eq!(
--- a/gateway-cluster/src/membership/claims.rs
+++ b/gateway-cluster/src/membership/claims.rs
@@ -45,8 +45,8 @@
             incarnation: member.incarnation,
             dead: member.dead,
         };
-        let weight = precedence::weigh(held, incarnation);
-        if weight == Precedence::Behind {
+        let weight = precedence::precedence_of(held, incarnation);
+        if weight == Precedence::Older {
             return false;
         }
         let cause = if from == place {
@@ -54,7 +54,7 @@
         } else {
             Cause::ToldBy(from)
         };
-        if let Precedence::Later { same_life } = weight {
+        if let Precedence::Newer { same_process } = weight {
             let returned = member.dead;
             // Only what refutes something is worth telling: that it lives is held of each from the beginning.
             let sent = match before {
@@ -69,7 +69,7 @@
                 _ => Some(0),
             };
             let pressing = returned || member.is_strongly_doubted();
-            let dead = precedence::take(held, incarnation, claim).dead;
+            let dead = precedence::apply_update(held, incarnation, claim).dead;
             *member = Member {
                 incarnation,
                 dead,
@@ -81,7 +81,7 @@
                 } else {
                     member.returned
                 },
-                rejoined: if returned && !dead && same_life {
+                rejoined: if returned && !dead && same_process {
                     Some(now)
                 } else {
                     member.rejoined
@@ -147,12 +147,18 @@
     ) {
         let young = self.is_recent(now, self.born);
         let own = &mut self.members[self.me];
-        match precedence::of_self(own.incarnation, young, self.superseded, incarnation, claim) {
-            SelfUpdateAction::Keep => {}
+        match precedence::action_on_self_update(
+            own.incarnation,
+            young,
+            self.superseded,
+            incarnation,
+            claim,
+        ) {
+            SelfUpdateAction::Ignore => {}
             SelfUpdateAction::Resume => (self.superseded, self.superseded_told) = (false, false),
             SelfUpdateAction::Adopt(incarnation) => own.incarnation = incarnation,
             SelfUpdateAction::Superseded => self.superseded = true,
-            SelfUpdateAction::Outbid(incarnation) => {
+            SelfUpdateAction::Refute(incarnation) => {
                 own.incarnation = incarnation;
                 (own.sent, own.pressing) = (Some(0), true);
                 (self.superseded, self.superseded_told) = (false, false);
--- a/gateway-cluster/src/membership/doubts.rs
+++ b/gateway-cluster/src/membership/doubts.rs
@@ -6,7 +6,7 @@
 use super::sending::Class;
 use super::Membership;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
-use crate::wire::Kind;
+use crate::wire::MessageKind;
 use rand::Rng;
 
 /// Probe periods from a doubt to the verdict, by its weight.
@@ -193,7 +193,7 @@
         let went = self.put(
             now,
             to,
-            Kind::Confirm(number),
+            MessageKind::ConfirmRequest(number),
             places.clone(),
             Class::News,
             sends,
--- a/gateway-cluster/src/membership/exchange.rs
+++ b/gateway-cluster/src/membership/exchange.rs
@@ -5,7 +5,7 @@
 use super::Membership;
 use crate::hash::mix;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
-use crate::wire::{Kind, PeerSummary, ViewSummary};
+use crate::wire::{MessageKind, PeerSummary, ViewSummary};
 use rand::Rng;
 
 /// Probe periods between two exchanges of what differs: where digests differ, and where peer sets do; and by how much
@@ -41,8 +41,8 @@
     }
 
     pub(super) fn marks(&self, now: Micros) -> ViewSummary {
-        let mut marks = ViewSummary::none(self.members.len());
-        marks.vouches = self.vouches(now);
+        let mut marks = ViewSummary::all_alive(self.members.len());
+        marks.is_authoritative = self.is_authoritative(now);
         for (place, member) in self.members.iter().enumerate() {
             marks.set(place, self.mark(now, member));
         }
@@ -52,9 +52,9 @@
     fn mark(&self, now: Micros, member: &Member) -> PeerSummary {
         match member.told() {
             PeerState::Dead => PeerSummary::Dead,
-            PeerState::Suspect => PeerSummary::Doubted,
+            PeerState::Suspect => PeerSummary::Suspect,
             PeerState::Alive if member.raised.is_some_and(|at| self.is_recent(now, at)) => {
-                PeerSummary::Raised
+                PeerSummary::IncarnationRaised
             }
             PeerState::Alive => PeerSummary::Alive,
         }
@@ -66,7 +66,7 @@
         with: PeerIndex,
         sends: &mut Vec<IndexedTransmit>,
     ) {
-        if self.send(now, with, Kind::Compare, 0, Class::News, sends) {
+        if self.send(now, with, MessageKind::SyncRequest, 0, Class::News, sends) {
             self.compared = now;
             // Where exchanges change nothing the next one waits longer.
             self.compare_gap = (COMPARE_MORE * self.compare_gap).min(COMPARE_PEER_SETS);
@@ -86,26 +86,26 @@
         let mut differs = Differs::default();
         for place in (0..names).map(|n| (first + n) % names) {
             let held = match self.mark(now, &self.members[place]) {
-                PeerSummary::Alive if place == self.me => PeerSummary::Raised,
+                PeerSummary::Alive if place == self.me => PeerSummary::IncarnationRaised,
                 held => held,
             };
             let theirs = theirs.get(place);
-            let gone = matches!(theirs, PeerSummary::Doubted | PeerSummary::Dead);
+            let gone = matches!(theirs, PeerSummary::Suspect | PeerSummary::Dead);
             if let Some(doubt) = self.members[place].doubt.as_mut().filter(|_| gone) {
                 // Another that doubts it has no refutation either.
                 doubt.confirmed |= doubt.is_strong();
             }
             match (held, theirs) {
                 _ if place == from || held == theirs => {}
-                (PeerSummary::Alive, PeerSummary::Raised)
-                | (PeerSummary::Raised, PeerSummary::Alive) => {}
+                (PeerSummary::Alive, PeerSummary::IncarnationRaised)
+                | (PeerSummary::IncarnationRaised, PeerSummary::Alive) => {}
                 (PeerSummary::Alive, _)
-                | (PeerSummary::Doubted | PeerSummary::Dead, PeerSummary::Raised) => {
+                | (PeerSummary::Suspect | PeerSummary::Dead, PeerSummary::IncarnationRaised) => {
                     differs.lacks = true
                 }
-                (PeerSummary::Doubted, PeerSummary::Dead) => differs.lacks = true,
+                (PeerSummary::Suspect, PeerSummary::Dead) => differs.lacks = true,
                 // What lives goes before what is gone: a refutation has to outrun the doubt.
-                (PeerSummary::Raised, _) => differs.tells.insert(0, place),
+                (PeerSummary::IncarnationRaised, _) => differs.tells.insert(0, place),
                 _ => differs.tells.push(place),
             }
         }
@@ -135,7 +135,7 @@
         &mut self,
         now: Micros,
         to: PeerIndex,
-        kind: Kind,
+        kind: MessageKind,
         differs: &Differs,
         may_ask: bool,
         sends: &mut Vec<IndexedTransmit>,
@@ -146,7 +146,7 @@
             tells.push(to);
         }
         tells.extend(differs.tells.iter().filter(|place| **place != to));
-        let owed = matches!(kind, Kind::Ack(_));
+        let owed = matches!(kind, MessageKind::Ack(_));
         let most = if owed { CLAIMS_ANSWERED } else { CLAIMS_ALONE };
         let asks = may_ask && differs.lacks || owed && self.was_apart(now, to);
         // A part of it is better than nothing where the budget is nearly spent.
@@ -182,11 +182,11 @@
         now: Micros,
         to: PeerIndex,
         behind: Vec<PeerIndex>,
-        kind: Kind,
+        kind: MessageKind,
         sends: &mut Vec<IndexedTransmit>,
     ) {
         let newer: Vec<PeerIndex> = behind.into_iter().take(CLAIMS_ALONE).collect();
-        let owed = matches!(kind, Kind::Confirmed(_));
+        let owed = matches!(kind, MessageKind::ConfirmResponse(_));
         if owed || !newer.is_empty() {
             let class = if owed { Class::Answer } else { Class::Question };
             self.put(now, to, kind, newer, class, sends);
--- a/gateway-cluster/src/membership/healing.rs
+++ b/gateway-cluster/src/membership/healing.rs
@@ -5,7 +5,7 @@
 use super::Membership;
 use crate::precedence;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
-use crate::wire::{Kind, PeerSummary, ViewSummary};
+use crate::wire::{MessageKind, PeerSummary, ViewSummary};
 use rand::seq::SliceRandom;
 use rand::Rng;
 
@@ -45,7 +45,7 @@
             Class::Call
         };
         let number = self.next_number();
-        self.send(now, place, Kind::Ping(number), 0, class, sends);
+        self.send(now, place, MessageKind::Ping(number), 0, class, sends);
     }
 
     /// Whether a gateway was out of reach until not long ago, or is.
@@ -55,7 +55,7 @@
     }
 
     /// Whether this life has seen the cluster for long enough to speak of who lives.
-    pub(super) fn vouches(&self, now: Micros) -> bool {
+    pub(super) fn is_authoritative(&self, now: Micros) -> bool {
         !self.is_recent(now, self.watching)
     }
 
@@ -66,15 +66,18 @@
     pub(super) fn believe(&mut self, now: Micros, from: PeerIndex, theirs: &ViewSummary) {
         let member = &self.members[from];
         let rejoined = member.rejoined.is_some_and(|at| self.is_recent(now, at));
-        if !theirs.vouches || !(member.dead || rejoined) {
+        if !theirs.is_authoritative || !(member.dead || rejoined) {
             return;
         }
         for place in 0..self.members.len() {
             let member = &mut self.members[place];
-            let lives = matches!(theirs.get(place), PeerSummary::Alive | PeerSummary::Raised);
+            let lives = matches!(
+                theirs.get(place),
+                PeerSummary::Alive | PeerSummary::IncarnationRaised
+            );
             let before = member.state();
             if member.told() != PeerState::Alive && !member.left && lives {
-                member.incarnation = precedence::raised(member.incarnation);
+                member.incarnation = precedence::with_next_refutation(member.incarnation);
                 (member.dead, member.doubt, member.sent, member.pressing) =
                     (false, None, None, false);
                 (member.raised, member.returned, member.rejoined) =
--- a/gateway-cluster/src/membership/inputs.rs
+++ b/gateway-cluster/src/membership/inputs.rs
@@ -5,9 +5,9 @@
 use super::healing::HEAL_STEPS;
 use super::sending::{Class, CLAIMS_ALONE, CLAIMS_BESIDE};
 use super::Membership;
-use crate::precedence::life;
+use crate::precedence::started_at_ms;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex};
-use crate::wire::{Datagram, Kind, Update, UpdateStatus};
+use crate::wire::{Datagram, MessageKind, Update, UpdateStatus};
 
 /// The step of all that is periodic, in parts of the probe period.
 pub(super) const STEP: f64 = 0.1;
@@ -40,7 +40,7 @@
                 self.put(
                     now,
                     place,
-                    Kind::Ping(number),
+                    MessageKind::Ping(number),
                     vec![place],
                     Class::Question,
                     sends,
@@ -84,7 +84,14 @@
             }
         } else if (1..=FEW).contains(&pressing) {
             if let Some(place) = self.anybody() {
-                self.send(now, place, Kind::Gossip, CLAIMS_ALONE, Class::News, sends);
+                self.send(
+                    now,
+                    place,
+                    MessageKind::Gossip,
+                    CLAIMS_ALONE,
+                    Class::News,
+                    sends,
+                );
             }
         }
     }
@@ -96,7 +103,7 @@
             self.dropped.malformed += 1;
             return;
         };
-        let from = self.peers.place(datagram.from);
+        let from = self.peers.index_of(datagram.from);
         let Some(from) = from.filter(|from| *from != self.me) else {
             self.dropped.unknown += 1;
             return;
@@ -104,14 +111,14 @@
         if self.left {
             return;
         }
-        let same_peers = datagram.peers == self.peers.digest();
+        let same_peers = datagram.peer_set_digest == self.peers.digest();
         let own = self.incarnation();
-        if let Kind::Claimed(_, incarnation) = datagram.kind {
+        if let MessageKind::PingReportedDead(_, incarnation) = datagram.kind {
             self.hear_of_self(now, incarnation, UpdateStatus::Dead);
         }
         self.end_silence(now);
         self.members[from].heard = Some(now);
-        self.members[from].peers = Some(datagram.peers);
+        self.members[from].peers = Some(datagram.peer_set_digest);
         self.members[from].behind = !self.hear(
             now,
             from,
@@ -120,96 +127,116 @@
             UpdateStatus::Alive,
             sends,
         );
-        if life(datagram.incarnation) < life(self.members[from].incarnation) {
+        if started_at_ms(datagram.incarnation) < started_at_ms(self.members[from].incarnation) {
             self.dropped.stale += 1;
         }
         self.clear_own_doubt(now, from);
         let mut behind = Vec::new();
         for Update {
-            who,
+            peer,
             incarnation,
-            claim,
+            status,
         } in &datagram.updates
         {
-            let place = match datagram.by_place {
+            let place = match datagram.by_index {
                 true if same_peers => {
-                    Some(*who as PeerIndex).filter(|place| *place < self.members.len())
+                    Some(*peer as PeerIndex).filter(|place| *place < self.members.len())
                 }
                 true => None,
-                false => self.peers.place(*who),
+                false => self.peers.index_of(*peer),
             };
             // Of names that this peer set does not have nothing is kept.
             let Some(place) = place else { continue };
-            if !self.hear(now, from, place, *incarnation, *claim, sends) {
+            if !self.hear(now, from, place, *incarnation, *status, sends) {
                 behind.push(place);
             }
         }
-        if self.incarnation() > own && !matches!(datagram.kind, Kind::Ping(_) | Kind::Claimed(..)) {
+        if self.incarnation() > own
+            && !matches!(
+                datagram.kind,
+                MessageKind::Ping(_) | MessageKind::PingReportedDead(..)
+            )
+        {
             // Who holds it for doubted or dead is the first to hear that it is not.
-            self.send(now, from, Kind::Gossip, CLAIMS_BESIDE, Class::Answer, sends);
+            self.send(
+                now,
+                from,
+                MessageKind::Gossip,
+                CLAIMS_BESIDE,
+                Class::Answer,
+                sends,
+            );
         }
-        let theirs = datagram.marks.filter(|_| same_peers);
+        let theirs = datagram.summary.filter(|_| same_peers);
         let differs = theirs
             .as_ref()
             .map(|theirs| self.what_differs(now, from, theirs));
         match datagram.kind {
-            Kind::Ping(number) | Kind::Claimed(number, _) => match &differs {
-                Some(differs) => self.tell(now, from, Kind::Ack(number), differs, false, sends),
-                None => {
-                    self.send(
-                        now,
-                        from,
-                        Kind::Ack(number),
-                        CLAIMS_BESIDE,
-                        Class::Answer,
-                        sends,
-                    );
+            MessageKind::Ping(number) | MessageKind::PingReportedDead(number, _) => {
+                match &differs {
+                    Some(differs) => {
+                        self.tell(now, from, MessageKind::Ack(number), differs, false, sends)
+                    }
+                    None => {
+                        self.send(
+                            now,
+                            from,
+                            MessageKind::Ack(number),
+                            CLAIMS_BESIDE,
+                            Class::Answer,
+                            sends,
+                        );
+                    }
                 }
-            },
-            Kind::Ack(number) => self.answered(now, number, sends),
-            Kind::PingFor(number, target) => self.help(now, from, number, target, sends),
-            Kind::Reached(number) => {
+            }
+            MessageKind::Ack(number) => self.answered(now, number, sends),
+            MessageKind::PingRequest(number, target) => self.help(now, from, number, target, sends),
+            MessageKind::IndirectAck(number) => {
                 self.probes.remove(&number);
             }
-            Kind::Missed(number) => {
+            MessageKind::IndirectNack(number) => {
                 if let Some(probe) = self.probes.get_mut(&number) {
                     probe.missed += 1;
                 }
             }
-            Kind::Compare => {
+            MessageKind::SyncRequest => {
                 let differs = match differs {
                     Some(differs) if !differs.tells.is_empty() || differs.lacks => differs,
                     _ => self.all_gone(),
                 };
-                self.tell(now, from, Kind::Entries, &differs, true, sends);
+                self.tell(now, from, MessageKind::SyncUpdates, &differs, true, sends);
                 return;
             }
             // Where the sender is behind it is told so, in turn.
-            Kind::Entries => {
-                self.tell_newer(now, from, behind, Kind::Gossip, sends);
+            MessageKind::SyncUpdates => {
+                self.tell_newer(now, from, behind, MessageKind::Gossip, sends);
                 if let Some(differs) = differs {
-                    self.tell(now, from, Kind::Entries, &differs, false, sends);
+                    self.tell(now, from, MessageKind::SyncUpdates, &differs, false, sends);
                 }
                 return;
             }
-            Kind::Confirm(number) => {
-                self.tell_newer(now, from, behind, Kind::Confirmed(number), sends)
-            }
-            Kind::Confirmed(number) => {
+            MessageKind::ConfirmRequest(number) => self.tell_newer(
+                now,
+                from,
+                behind,
+                MessageKind::ConfirmResponse(number),
+                sends,
+            ),
+            MessageKind::ConfirmResponse(number) => {
                 for place in self.confirming.remove(&number).unwrap_or_default() {
                     if let Some(doubt) = &mut self.members[place].doubt {
                         doubt.confirmed = true;
                     }
                 }
             }
-            Kind::Gossip => {}
+            MessageKind::Gossip => {}
         }
         let periods = if same_peers {
             self.compare_gap
         } else {
             COMPARE_PEER_SETS
         };
-        let apart = datagram.digest != self.inner_digest() || !same_peers;
+        let apart = datagram.view_digest != self.inner_digest() || !same_peers;
         if apart && same_peers {
             self.apart_until = now + self.part(APART);
         }
--- a/gateway-cluster/src/membership/mod.rs
+++ b/gateway-cluster/src/membership/mod.rs
@@ -16,7 +16,7 @@
 use crate::peers::{PeerId, PeerSet, PeerSetError};
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::token_bucket::TokenBucket;
-use crate::wire::{Incarnation, Kind};
+use crate::wire::{Incarnation, MessageKind};
 use exchange::COMPARE_PERIODS;
 use inputs::{ANYBODY_STEPS, STEP};
 use member::Member;
@@ -170,7 +170,7 @@
             probe,
         } = settings;
         let peers = PeerSet::new(peers)?;
-        let me = peers.own_place(&name)?;
+        let me = peers.own_index(&name)?;
         let mut members = vec![Member::unknown(); peers.len()];
         members[me].incarnation = unix_ms << 16;
         members[me].sent = Some(0);
@@ -231,13 +231,13 @@
     /// As [`Membership::new`]; the peer set stays as it was.
     pub fn set_peers(&mut self, now: Micros, names: Vec<String>) -> Result<(), PeerSetError> {
         let peers = PeerSet::new(names)?;
-        let me = peers.own_place(&self.names()[self.me])?;
+        let me = peers.own_index(&self.names()[self.me])?;
         if peers == self.peers {
             return Ok(());
         }
         let held = |id: &PeerId| {
             self.peers
-                .place(*id)
+                .index_of(*id)
                 .map(|place| self.members[place].clone())
         };
         let members = peers
@@ -263,7 +263,7 @@
             self.put(
                 now,
                 place,
-                Kind::Entries,
+                MessageKind::SyncUpdates,
                 vec![self.me],
                 Class::Answer,
                 sends,
--- a/gateway-cluster/src/membership/probes.rs
+++ b/gateway-cluster/src/membership/probes.rs
@@ -6,7 +6,7 @@
 use crate::hash::mix;
 use crate::peers::{PeerId, PeerSet};
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
-use crate::wire::{Incarnation, Kind};
+use crate::wire::{Incarnation, MessageKind};
 use rand::seq::SliceRandom;
 use rand::Rng;
 
@@ -79,7 +79,7 @@
         if self.send(
             now,
             target,
-            Kind::Ping(number),
+            MessageKind::Ping(number),
             claims,
             Class::Question,
             sends,
@@ -113,7 +113,7 @@
             return;
         }
         let number = self.next_number();
-        let kind = Kind::Claimed(number, claimed);
+        let kind = MessageKind::PingReportedDead(number, claimed);
         if self.put(now, target, kind, Vec::new(), Class::News, sends) {
             let probe = Probe {
                 target,
@@ -177,7 +177,7 @@
                     self.send(
                         now,
                         helper,
-                        Kind::PingFor(number, id),
+                        MessageKind::PingRequest(number, id),
                         CLAIMS_BESIDE,
                         Class::Question,
                         sends,
@@ -185,7 +185,14 @@
                 }
             } else if matches!(stage, 2 | 3) && pinged < stage && !self.much {
                 // Claims are not wasted on one that may be gone.
-                self.send(now, target, Kind::Ping(number), 0, Class::Question, sends);
+                self.send(
+                    now,
+                    target,
+                    MessageKind::Ping(number),
+                    0,
+                    Class::Question,
+                    sends,
+                );
             }
         }
     }
@@ -198,7 +205,7 @@
         target: PeerId,
         sends: &mut Vec<IndexedTransmit>,
     ) {
-        let Some(target) = self.peers.place(target) else {
+        let Some(target) = self.peers.index_of(target) else {
             return;
         };
         if target == self.me {
@@ -206,7 +213,7 @@
             self.send(
                 now,
                 asker,
-                Kind::Reached(number),
+                MessageKind::IndirectAck(number),
                 CLAIMS_BESIDE,
                 Class::Answer,
                 sends,
@@ -223,7 +230,14 @@
                     pinged: 1,
                 },
             );
-            self.send(now, target, Kind::Ping(own), 0, Class::Question, sends);
+            self.send(
+                now,
+                target,
+                MessageKind::Ping(own),
+                0,
+                Class::Question,
+                sends,
+            );
         }
     }
 
@@ -245,7 +259,7 @@
                 self.send(
                     now,
                     asker,
-                    Kind::Missed(number),
+                    MessageKind::IndirectNack(number),
                     CLAIMS_BESIDE,
                     Class::Answer,
                     sends,
@@ -254,7 +268,14 @@
                 if let Some(relay) = self.relays.get_mut(&own) {
                     relay.pinged = 2;
                 }
-                self.send(now, target, Kind::Ping(own), 0, Class::Question, sends);
+                self.send(
+                    now,
+                    target,
+                    MessageKind::Ping(own),
+                    0,
+                    Class::Question,
+                    sends,
+                );
             }
         }
     }
@@ -266,7 +287,7 @@
             self.send(
                 now,
                 relay.asker,
-                Kind::Reached(relay.number),
+                MessageKind::IndirectAck(relay.number),
                 CLAIMS_BESIDE,
                 Class::Answer,
                 sends,
--- a/gateway-cluster/src/membership/sending.rs
+++ b/gateway-cluster/src/membership/sending.rs
@@ -4,7 +4,7 @@
 use super::member::Member;
 use super::Membership;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
-use crate::wire::{Datagram, Kind, Update, ViewSummary, HEADER_BYTES};
+use crate::wire::{Datagram, MessageKind, Update, ViewSummary, HEADER_BYTES};
 
 /// What is sent in any ten seconds: the bucket's size and ten times its rate. Gossip and healing leave a part of it to
 /// probes and answers.
@@ -35,7 +35,7 @@
         &mut self,
         now: Micros,
         to: PeerIndex,
-        kind: Kind,
+        kind: MessageKind,
         most: usize,
         class: Class,
         sends: &mut Vec<IndexedTransmit>,
@@ -53,7 +53,8 @@
         }
         let apart = self.much || now < self.apart_until;
         let marked = apart && most > 0 || self.was_apart(now, to);
-        let asks = kind == Kind::Compare || marked && matches!(kind, Kind::Ping(_) | Kind::Ack(_));
+        let asks = kind == MessageKind::SyncRequest
+            || marked && matches!(kind, MessageKind::Ping(_) | MessageKind::Ack(_));
         let marks = asks.then(|| self.marks(now));
         if self.much && asks {
             // The answer tells what differs; many claims of which most are known would only take its room.
@@ -88,7 +89,7 @@
         &mut self,
         now: Micros,
         to: PeerIndex,
-        kind: Kind,
+        kind: MessageKind,
         claims: Vec<PeerIndex>,
         class: Class,
         sends: &mut Vec<IndexedTransmit>,
@@ -102,7 +103,7 @@
         &mut self,
         now: Micros,
         to: PeerIndex,
-        kind: Kind,
+        kind: MessageKind,
         marks: Option<ViewSummary>,
         claims: Vec<PeerIndex>,
         class: Class,
@@ -118,30 +119,30 @@
         if self.superseded || self.left || !self.messages.has(1.0, kept) {
             return false;
         }
-        let by_place = self.members[to]
+        let by_index = self.members[to]
             .peers
             .is_none_or(|peers| peers == self.peers.digest());
         let updates = claims.iter().map(|place| {
             let Member { incarnation, .. } = self.members[*place];
-            let who = if by_place {
+            let peer = if by_index {
                 *place as u32
             } else {
                 self.peers.ids()[*place]
             };
             Update {
-                who,
+                peer,
                 incarnation,
-                claim: self.members[*place].claim(now, self.probe),
+                status: self.members[*place].claim(now, self.probe),
             }
         });
         let (bytes, _) = Datagram {
-            peers: self.peers.digest(),
+            peer_set_digest: self.peers.digest(),
             from: self.peers.ids()[self.me],
             incarnation: self.incarnation(),
-            digest: self.inner_digest(),
+            view_digest: self.inner_digest(),
             kind,
-            marks,
-            by_place,
+            summary: marks,
+            by_index,
             updates: updates.collect(),
         }
         .encode();
--- a/gateway-cluster/src/peers.rs
+++ b/gateway-cluster/src/peers.rs
@@ -12,26 +12,26 @@
 
 /// The id of a name, at every gateway.
 pub fn peer_id_of(name: &str) -> PeerId {
-    hash::of_text(name)
+    hash::hash_text(name)
 }
 
 /// What is wrong with a peer set.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PeerSetError {
     /// It has so many names.
-    #[error("the roster has {0} names, and {most} are the most: take some out of it", most = MAX_PEERS)]
+    #[error("the peer set has {0} names, the maximum is {max}: remove some", max = MAX_PEERS)]
     TooMany(usize),
     /// It has a name more than once.
-    #[error("the roster has '{0}' twice: take it out once, or give one of the two another name")]
-    Twice(String),
+    #[error("the peer set has '{0}' twice: remove one, or rename one of the two gateways")]
+    Duplicate(String),
     /// It has two names whose hashes are equal.
     #[error(
-        "the roster has '{0}' and '{1}', whose hashes are equal: give one of the two another name"
+        "the peer set has '{0}' and '{1}', whose hashes are equal: rename one of the two gateways"
     )]
-    SameHash(String, String),
+    HashCollision(String, String),
     /// It lacks the name of the gateway that is to go by it.
-    #[error("the roster lacks '{0}', the name of this front door: add it, or give this front door a name that is there")]
-    Lacks(String),
+    #[error("the peer set lacks '{0}', the name of this gateway: add it, or give this gateway a name of the peer set")]
+    MissingOwnName(String),
 }
 
 /// All names of a cluster. Gateways whose peer sets have the same names have the same places, ids and digest, in whatever
@@ -40,7 +40,7 @@
 pub struct PeerSet {
     names: Vec<String>,
     ids: Vec<PeerId>,
-    places: BTreeMap<PeerId, PeerIndex>,
+    index_by_id: BTreeMap<PeerId, PeerIndex>,
     digest: u32,
 }
 
@@ -55,12 +55,12 @@
         }
         names.sort();
         let ids: Vec<PeerId> = names.iter().map(|name| peer_id_of(name)).collect();
-        let mut places = BTreeMap::new();
-        for (place, (name, id)) in names.iter().zip(&ids).enumerate() {
-            if let Some(other) = places.insert(*id, place) {
+        let mut index_by_id = BTreeMap::new();
+        for (index, (name, id)) in names.iter().zip(&ids).enumerate() {
+            if let Some(other) = index_by_id.insert(*id, index) {
                 return Err(match &names[other] {
-                    other if other == name => PeerSetError::Twice(name.clone()),
-                    other => PeerSetError::SameHash(other.clone(), name.clone()),
+                    other if other == name => PeerSetError::Duplicate(name.clone()),
+                    other => PeerSetError::HashCollision(other.clone(), name.clone()),
                 });
             }
         }
@@ -68,7 +68,7 @@
         Ok(PeerSet {
             names,
             ids,
-            places,
+            index_by_id,
             digest,
         })
     }
@@ -99,19 +99,19 @@
     }
 
     /// Where the name with this id stands, if there is one.
-    pub fn place(&self, id: PeerId) -> Option<PeerIndex> {
-        self.places.get(&id).copied()
+    pub fn index_of(&self, id: PeerId) -> Option<PeerIndex> {
+        self.index_by_id.get(&id).copied()
     }
 
     /// Where a gateway's own name stands.
     ///
     /// # Errors
     /// It is not there.
-    pub fn own_place(&self, name: &str) -> Result<PeerIndex, PeerSetError> {
+    pub fn own_index(&self, name: &str) -> Result<PeerIndex, PeerSetError> {
         let found = self
             .names
             .binary_search_by(|other| other.as_str().cmp(name));
-        found.map_err(|_| PeerSetError::Lacks(name.to_string()))
+        found.map_err(|_| PeerSetError::MissingOwnName(name.to_string()))
     }
 }
 
--- a/gateway-cluster/src/precedence.rs
+++ b/gateway-cluster/src/precedence.rs
@@ -16,50 +16,54 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Precedence {
     /// Older than what is held: whoever made it is to be told.
-    Behind,
+    Older,
     /// Of a later incarnation: what was held is over.
-    Later {
+    Newer {
         /// Of the same life, and not of one that began since.
-        same_life: bool,
+        same_process: bool,
     },
     /// Of the incarnation that is held.
     Equal,
 }
 
 /// The life of an incarnation.
-pub fn life(incarnation: Incarnation) -> u64 {
+pub fn started_at_ms(incarnation: Incarnation) -> u64 {
     incarnation >> 16
 }
 
 /// Where a claim of an incarnation stands.
-pub fn weigh(held: KnownUpdate, incarnation: Incarnation) -> Precedence {
-    match incarnation.cmp(&held.incarnation) {
-        std::cmp::Ordering::Less => Precedence::Behind,
+pub fn precedence_of(known: KnownUpdate, incarnation: Incarnation) -> Precedence {
+    match incarnation.cmp(&known.incarnation) {
+        std::cmp::Ordering::Less => Precedence::Older,
         std::cmp::Ordering::Equal => Precedence::Equal,
-        std::cmp::Ordering::Greater => Precedence::Later {
-            same_life: life(incarnation) == life(held.incarnation),
+        std::cmp::Ordering::Greater => Precedence::Newer {
+            same_process: started_at_ms(incarnation) == started_at_ms(known.incarnation),
         },
     }
 }
 
 /// What is held once a claim has been taken in that is no doubt.
-pub fn take(held: KnownUpdate, incarnation: Incarnation, claim: UpdateStatus) -> KnownUpdate {
-    let gone = matches!(claim, UpdateStatus::Dead | UpdateStatus::Left);
-    match weigh(held, incarnation) {
-        Precedence::Behind => held,
+pub fn apply_update(
+    known: KnownUpdate,
+    incarnation: Incarnation,
+    claim: UpdateStatus,
+) -> KnownUpdate {
+    let dead = matches!(claim, UpdateStatus::Dead | UpdateStatus::Left);
+    match precedence_of(known, incarnation) {
+        Precedence::Older => known,
         // Who was gone and is claimed to be so again, in a later incarnation, never came back here. Who lives is gone
         // only after a doubt of this gateway's own, whoever claims it.
-        Precedence::Later { .. } => KnownUpdate {
+        Precedence::Newer { .. } => KnownUpdate {
             incarnation,
-            dead: held.dead && gone,
+            dead: known.dead && dead,
         },
-        Precedence::Equal => held,
+        Precedence::Equal => known,
     }
 }
 
 /// The incarnation that another gateway gives one that it held for gone, and that a third one speaks for: the verdict is
 /// over, and the life stays.
-pub fn raised(incarnation: Incarnation) -> Incarnation {
+pub fn with_next_refutation(incarnation: Incarnation) -> Incarnation {
     incarnation + u64::from(incarnation as u16 != u16::MAX)
 }
 
@@ -67,11 +71,11 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SelfUpdateAction {
     /// Nothing: it is old, or true.
-    Keep,
+    Ignore,
     /// Others have raised the incarnation in its stead: it is taken over.
     Adopt(Incarnation),
     /// It is refuted with a higher incarnation.
-    Outbid(Incarnation),
+    Refute(Incarnation),
     /// A life that was started later has the name: this one is silent until somebody doubts the name or holds it for
     /// gone.
     Superseded,
@@ -82,25 +86,25 @@
 
 /// What a gateway of this incarnation makes of a claim of itself. `young` is one that was started not long ago: if its
 /// wall clock was set back, claims of the life before it look later. `silent` is one that was superseded.
-pub fn of_self(
+pub fn action_on_self_update(
     own: Incarnation,
-    young: bool,
-    silent: bool,
+    recently_started: bool,
+    superseded: bool,
     incarnation: Incarnation,
     claim: UpdateStatus,
 ) -> SelfUpdateAction {
-    if silent && claim != UpdateStatus::Alive && incarnation < own {
+    if superseded && claim != UpdateStatus::Alive && incarnation < own {
         return SelfUpdateAction::Resume;
     }
     if incarnation < own || incarnation == own && claim == UpdateStatus::Alive {
-        return SelfUpdateAction::Keep;
+        return SelfUpdateAction::Ignore;
     }
     match claim {
-        UpdateStatus::Alive if life(incarnation) == life(own) => {
+        UpdateStatus::Alive if started_at_ms(incarnation) == started_at_ms(own) => {
             SelfUpdateAction::Adopt(incarnation)
         }
-        UpdateStatus::Alive if !young => SelfUpdateAction::Superseded,
+        UpdateStatus::Alive if !recently_started => SelfUpdateAction::Superseded,
         // Whoever is doubted or gone, it is not this process.
-        _ => SelfUpdateAction::Outbid(incarnation + 1),
+        _ => SelfUpdateAction::Refute(incarnation + 1),
     }
 }
--- a/gateway-cluster/src/protocol.rs
+++ b/gateway-cluster/src/protocol.rs
@@ -35,13 +35,13 @@
 #[derive(Debug, Clone, Copy)]
 pub struct StartOptions {
     /// Its place in the peer set.
-    pub me: PeerIndex,
+    pub own_index: PeerIndex,
     /// How many names the peer set has.
-    pub peers: usize,
+    pub peer_count: usize,
     /// The wall clock at its start, in microseconds: later lives have later ones, unless the clock was set back.
-    pub unix: Micros,
+    pub unix_us: Micros,
     /// The probe period.
-    pub probe: Micros,
+    pub probe_period: Micros,
     /// What all of its chance follows from.
     pub seed: u64,
 }
@@ -49,7 +49,7 @@
 /// One life of a gateway's view of the cluster.
 pub trait Protocol: Sized {
     /// A new life that knows the peer set and nothing else.
-    fn born(now: Micros, birth: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Self;
+    fn start(now: Micros, options: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Self;
     /// A datagram has come. Who sent it is for its content to say.
     fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<IndexedTransmit>);
     /// When [`Protocol::on_timer`] is wanted, if ever.
--- a/gateway-cluster/src/sim.rs
+++ b/gateway-cluster/src/sim.rs
@@ -136,14 +136,14 @@
     /// Starts a gateway from nothing. Its wall clock says `unix`.
     pub fn start(&mut self, gateway: PeerIndex, unix: Micros) {
         let seed = self.rng.random();
-        let birth = StartOptions {
-            me: gateway,
-            peers: self.gateways.len(),
-            unix,
-            probe: self.probe,
+        let options = StartOptions {
+            own_index: gateway,
+            peer_count: self.gateways.len(),
+            unix_us: unix,
+            probe_period: self.probe,
             seed,
         };
-        let engine = E::born(self.now, birth, &mut self.sends);
+        let engine = E::start(self.now, options, &mut self.sends);
         let place = &mut self.gateways[gateway];
         (place.engine, place.stopped, place.wakes) = (Some(engine), false, None);
         place.incarnation += 1;
@@ -375,17 +375,17 @@
 
 /// The view in the simulation, with names that are made here.
 impl Protocol for Membership {
-    fn born(now: Micros, birth: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Membership {
-        let peers: Vec<String> = (0..birth.peers).map(name_of).collect();
-        let name = name_of(birth.me);
+    fn start(now: Micros, options: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Membership {
+        let peers: Vec<String> = (0..options.peer_count).map(name_of).collect();
+        let name = name_of(options.own_index);
         let settings = MembershipSettings {
             peers,
             name,
-            unix_ms: birth.unix / 1000,
-            probe: birth.probe,
+            unix_ms: options.unix_us / 1000,
+            probe: options.probe_period,
         };
         // Names that are made here are good ones.
-        Membership::new(now, settings, birth.seed, sends)
+        Membership::new(now, settings, options.seed, sends)
             .unwrap_or_else(|problem| unreachable!("{problem}"))
     }
     fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<IndexedTransmit>) {
@@ -472,17 +472,17 @@
     pub fn begin(
         &mut self,
         now: Micros,
-        birth: StartOptions,
+        options: StartOptions,
         places: impl Iterator<Item = PeerIndex>,
         sends: &mut Vec<IndexedTransmit>,
     ) {
         let view = MembershipSettings {
             peers: places.map(name_of).collect(),
-            name: name_of(birth.me),
-            unix_ms: birth.unix / 1000,
-            probe: birth.probe,
+            name: name_of(options.own_index),
+            unix_ms: options.unix_us / 1000,
+            probe: options.probe_period,
         };
-        let stack = ClusterNode::new(now, Self::settings(view), birth.seed, &mut self.packets);
+        let stack = ClusterNode::new(now, Self::settings(view), options.seed, &mut self.packets);
         self.stack = stack.unwrap_or_else(|problem| unreachable!("{problem}"));
         self.hand_on(sends);
     }
@@ -519,18 +519,18 @@
 impl<const LEASE_MS: u64, const RANGES: usize, const SESSIONS: bool> Protocol
     for SimulatedNode<LEASE_MS, RANGES, SESSIONS>
 {
-    fn born(now: Micros, birth: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Self {
-        let peers: Vec<String> = (0..birth.peers).map(name_of).collect();
+    fn start(now: Micros, options: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Self {
+        let peers: Vec<String> = (0..options.peer_count).map(name_of).collect();
         let all = peers.iter().map(|name| peer_id_of(name)).collect();
-        let name = name_of(birth.me);
+        let name = name_of(options.own_index);
         let view = MembershipSettings {
             peers,
             name,
-            unix_ms: birth.unix / 1000,
-            probe: birth.probe,
+            unix_ms: options.unix_us / 1000,
+            probe: options.probe_period,
         };
         let mut packets = Vec::new();
-        let stack = ClusterNode::new(now, Self::settings(view), birth.seed, &mut packets);
+        let stack = ClusterNode::new(now, Self::settings(view), options.seed, &mut packets);
         let stack = stack.unwrap_or_else(|problem| unreachable!("{problem}"));
         let (sent, kept, told) = Default::default();
         let mut owned = SimulatedNode {
--- a/gateway-cluster/src/sim/tests.rs
+++ b/gateway-cluster/src/sim/tests.rs
@@ -2,17 +2,17 @@
 
 /// Tells everybody twice a second that it lives, and counts whom it hears.
 struct Shout {
-    birth: StartOptions,
+    options: StartOptions,
     next: Micros,
     heard: Vec<u64>,
 }
 
 impl Protocol for Shout {
-    fn born(now: Micros, birth: StartOptions, _: &mut Vec<IndexedTransmit>) -> Shout {
+    fn start(now: Micros, options: StartOptions, _: &mut Vec<IndexedTransmit>) -> Shout {
         Shout {
-            birth,
+            options,
             next: now,
-            heard: vec![0; birth.peers],
+            heard: vec![0; options.peer_count],
         }
     }
     fn on_datagram(&mut self, _: Micros, bytes: &[u8], _: &mut Vec<IndexedTransmit>) {
@@ -22,11 +22,11 @@
         Some(self.next)
     }
     fn on_timer(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
-        self.next = now + self.birth.probe;
-        let others = (0..self.birth.peers).filter(|to| *to != self.birth.me);
+        self.next = now + self.options.probe_period;
+        let others = (0..self.options.peer_count).filter(|to| *to != self.options.own_index);
         sends.extend(others.map(|to| IndexedTransmit {
             to,
-            bytes: vec![self.birth.me as u8],
+            bytes: vec![self.options.own_index as u8],
         }));
     }
     fn view(&self) -> Vec<PeerState> {
--- a/gateway-cluster/src/wire.rs
+++ b/gateway-cluster/src/wire.rs
@@ -29,8 +29,8 @@
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return None;
     }
-    let ((told, datagram), rest) = postcard::take_from_bytes::<(u8, T)>(bytes).ok()?;
-    (told == version && rest.is_empty()).then_some(datagram)
+    let ((received_version, datagram), rest) = postcard::take_from_bytes::<(u8, T)>(bytes).ok()?;
+    (received_version == version && rest.is_empty()).then_some(datagram)
 }
 
 /// What is claimed of a gateway.
@@ -52,9 +52,9 @@
     /// It lives, as far as is known.
     Alive,
     /// It lives, and refuted a claim or began a new life not long ago: that is worth telling.
-    Raised,
+    IncarnationRaised,
     /// A strong doubt is held of it.
-    Doubted,
+    Suspect,
     /// It is gone.
     Dead,
 }
@@ -65,36 +65,36 @@
 pub struct ViewSummary {
     bits: Vec<u8>,
     /// The sender has seen the cluster for long enough, without a stop, to speak of who lives.
-    pub vouches: bool,
+    pub is_authoritative: bool,
 }
 
 impl ViewSummary {
     /// All alive in a peer set of so many names.
-    pub fn none(names: usize) -> ViewSummary {
+    pub fn all_alive(names: usize) -> ViewSummary {
         ViewSummary {
             bits: vec![0; names.div_ceil(4)],
-            vouches: false,
+            is_authoritative: false,
         }
     }
 
     /// Sets the mark of one name.
-    pub fn set(&mut self, place: usize, mark: PeerSummary) {
-        if let Some(byte) = self.bits.get_mut(place / 4) {
-            let shift = place % 4 * 2;
-            *byte = *byte & !(3 << shift) | (mark as u8) << shift;
+    pub fn set(&mut self, index: usize, summary: PeerSummary) {
+        if let Some(byte) = self.bits.get_mut(index / 4) {
+            let shift = index % 4 * 2;
+            *byte = *byte & !(3 << shift) | (summary as u8) << shift;
         }
     }
 
     /// The mark of one name; what is beyond the peer set is alive.
-    pub fn get(&self, place: usize) -> PeerSummary {
+    pub fn get(&self, index: usize) -> PeerSummary {
         match self
             .bits
-            .get(place / 4)
-            .map_or(0, |byte| byte >> (place % 4 * 2) & 3)
+            .get(index / 4)
+            .map_or(0, |byte| byte >> (index % 4 * 2) & 3)
         {
             0 => PeerSummary::Alive,
-            1 => PeerSummary::Raised,
-            2 => PeerSummary::Doubted,
+            1 => PeerSummary::IncarnationRaised,
+            2 => PeerSummary::Suspect,
             _ => PeerSummary::Dead,
         }
     }
@@ -102,7 +102,7 @@
     /// How many of so many names are gone.
     pub fn count_dead(&self, names: usize) -> usize {
         (0..names)
-            .filter(|place| self.get(*place) == PeerSummary::Dead)
+            .filter(|index| self.get(*index) == PeerSummary::Dead)
             .count()
     }
 }
@@ -111,159 +111,159 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Update {
     /// Of whom: its place in the sender's peer set or its [`PeerId`], as the datagram says.
-    pub who: u32,
+    pub peer: u32,
     /// In which incarnation.
     pub incarnation: Incarnation,
     /// What.
-    pub claim: UpdateStatus,
+    pub status: UpdateStatus,
 }
 
 /// A claim as it is sent: lives by how far they are from the sender's, as most began not long before or after it.
 #[derive(Serialize, Deserialize)]
-struct Packed {
-    who: u32,
-    life: i64,
-    refuted: u16,
-    claim: u8,
+struct PackedUpdate {
+    peer: u32,
+    start_offset_ms: i64,
+    refutations: u16,
+    status: u8,
 }
 
-impl Packed {
-    fn of(update: &Update, base: Incarnation) -> Packed {
-        let claim = match update.claim {
+impl PackedUpdate {
+    fn of(update: &Update, base: Incarnation) -> PackedUpdate {
+        let status = match update.status {
             UpdateStatus::Alive => 0,
             UpdateStatus::Dead => 1,
             UpdateStatus::Left => 2,
             UpdateStatus::Suspect(age) => 3 + age.min(MAX_SUSPICION_AGE),
         };
-        let life = (update.incarnation >> 16) as i64 - (base >> 16) as i64;
-        Packed {
-            who: update.who,
-            life,
-            refuted: update.incarnation as u16,
-            claim,
+        let start_offset_ms = (update.incarnation >> 16) as i64 - (base >> 16) as i64;
+        PackedUpdate {
+            peer: update.peer,
+            start_offset_ms,
+            refutations: update.incarnation as u16,
+            status,
         }
     }
 
     fn update(&self, base: Incarnation) -> Option<Update> {
-        let claim = match self.claim {
+        let status = match self.status {
             0 => UpdateStatus::Alive,
             1 => UpdateStatus::Dead,
             2 => UpdateStatus::Left,
-            told if told - 3 <= MAX_SUSPICION_AGE => UpdateStatus::Suspect(told - 3),
+            byte if byte - 3 <= MAX_SUSPICION_AGE => UpdateStatus::Suspect(byte - 3),
             _ => return None,
         };
-        let life = (base >> 16)
-            .checked_add_signed(self.life)
-            .filter(|life| *life < 1 << 48)?;
+        let start_ms = (base >> 16)
+            .checked_add_signed(self.start_offset_ms)
+            .filter(|start_ms| *start_ms < 1 << 48)?;
         Some(Update {
-            who: self.who,
-            incarnation: life << 16 | u64::from(self.refuted),
-            claim,
+            peer: self.peer,
+            incarnation: start_ms << 16 | u64::from(self.refutations),
+            status,
         })
     }
 
     /// Bytes that it takes.
     fn size(&self) -> usize {
         let varint = |number: u64| (64 - number.leading_zeros() as usize).div_ceil(7).max(1);
-        let zigzag = (self.life << 1 ^ self.life >> 63) as u64;
-        varint(self.who.into()) + varint(zigzag) + varint(self.refuted.into()) + 1
+        let zigzag = (self.start_offset_ms << 1 ^ self.start_offset_ms >> 63) as u64;
+        varint(self.peer.into()) + varint(zigzag) + varint(self.refutations.into()) + 1
     }
 }
 
 /// What a datagram is for, beside the claims that it carries.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
+pub enum MessageKind {
     /// Answer this.
     Ping(u32),
     /// Answer this too: somebody claims that you are gone, in this incarnation.
-    Claimed(u32, Incarnation),
+    PingReportedDead(u32, Incarnation),
     /// The ping with this number has come.
     Ack(u32),
     /// Ping this one for me, and tell me how that went.
-    PingFor(u32, PeerId),
+    PingRequest(u32, PeerId),
     /// It has answered.
-    Reached(u32),
+    IndirectAck(u32),
     /// It has not answered within a part of the probe period.
-    Missed(u32),
+    IndirectNack(u32),
     /// Nothing but claims.
     Gossip,
     /// Transmit what differs from these marks.
-    Compare,
+    SyncRequest,
     /// Claims that differ: correct me where I am behind.
-    Entries,
+    SyncUpdates,
     /// These are to be held for dead soon: is there anything that refutes it?
-    Confirm(u32),
+    ConfirmRequest(u32),
     /// Nothing but what the claims beside this say.
-    Confirmed(u32),
+    ConfirmResponse(u32),
 }
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Datagram {
     /// The digest of the peer set's names that the sender has.
-    pub peers: u32,
+    pub peer_set_digest: u32,
     /// Who sends it.
     pub from: PeerId,
     /// In which incarnation.
     pub incarnation: Incarnation,
     /// The digest of the sender's view.
-    pub digest: u32,
+    pub view_digest: u32,
     /// What it is for.
-    pub kind: Kind,
+    pub kind: MessageKind,
     /// What the sender's view holds of everybody: who can tell it more is asked to.
-    pub marks: Option<ViewSummary>,
+    pub summary: Option<ViewSummary>,
     /// Claims go by places in the peer set and not by names: they say something to those who have the same peer set.
-    pub by_place: bool,
+    pub by_index: bool,
     /// Claims.
     pub updates: Vec<Update>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Written {
+struct EncodedDatagram {
     version: u8,
     #[serde(with = "postcard::fixint::le")]
-    peers: u32,
+    peer_set_digest: u32,
     #[serde(with = "postcard::fixint::le")]
     from: PeerId,
     #[serde(with = "postcard::fixint::le")]
     incarnation: Incarnation,
     #[serde(with = "postcard::fixint::le")]
-    digest: u32,
-    kind: Kind,
-    marks: Option<ViewSummary>,
-    by_place: bool,
-    updates: Vec<Packed>,
+    view_digest: u32,
+    kind: MessageKind,
+    summary: Option<ViewSummary>,
+    by_index: bool,
+    updates: Vec<PackedUpdate>,
 }
 
 impl Datagram {
     /// Its bytes, [`MAX_DATAGRAM_BYTES`] at most: claims that have no room are left out, and how many went is told.
     pub fn encode(&self) -> (Vec<u8>, usize) {
-        let mut written = Written {
+        let mut encoded = EncodedDatagram {
             version: VERSION,
-            peers: self.peers,
+            peer_set_digest: self.peer_set_digest,
             from: self.from,
             incarnation: self.incarnation,
-            digest: self.digest,
+            view_digest: self.view_digest,
             kind: self.kind.clone(),
-            marks: self.marks.clone(),
-            by_place: self.by_place,
+            summary: self.summary.clone(),
+            by_index: self.by_index,
             updates: Vec::new(),
         };
         // A vector takes whatever comes: there is no error to have.
-        let empty = postcard::to_allocvec(&written).unwrap_or_default().len();
+        let empty = postcard::to_allocvec(&encoded).unwrap_or_default().len();
         // The count of claims takes a second byte where they are many.
-        let mut room = MAX_DATAGRAM_BYTES.saturating_sub(empty + 1);
+        let mut remaining_bytes = MAX_DATAGRAM_BYTES.saturating_sub(empty + 1);
         for update in &self.updates {
-            let packed = Packed::of(update, self.incarnation);
-            let Some(rest) = room.checked_sub(packed.size()) else {
+            let packed = PackedUpdate::of(update, self.incarnation);
+            let Some(rest) = remaining_bytes.checked_sub(packed.size()) else {
                 break;
             };
-            room = rest;
-            written.updates.push(packed);
+            remaining_bytes = rest;
+            encoded.updates.push(packed);
         }
         (
-            postcard::to_allocvec(&written).unwrap_or_default(),
-            written.updates.len(),
+            postcard::to_allocvec(&encoded).unwrap_or_default(),
+            encoded.updates.len(),
         )
     }
 
@@ -272,30 +272,30 @@
         if bytes.len() > MAX_DATAGRAM_BYTES || bytes.first() != Some(&VERSION) {
             return None;
         }
-        let (written, rest) = postcard::take_from_bytes::<Written>(bytes).ok()?;
-        let updates = written
+        let (encoded, rest) = postcard::take_from_bytes::<EncodedDatagram>(bytes).ok()?;
+        let updates = encoded
             .updates
             .iter()
-            .map(|packed| packed.update(written.incarnation));
+            .map(|packed| packed.update(encoded.incarnation));
         let updates = updates.collect::<Option<Vec<Update>>>()?;
-        let Written {
-            peers,
+        let EncodedDatagram {
+            peer_set_digest,
             from,
             incarnation,
-            digest,
+            view_digest,
             kind,
-            marks,
-            by_place,
+            summary,
+            by_index,
             ..
-        } = written;
+        } = encoded;
         rest.is_empty().then_some(Datagram {
-            peers,
+            peer_set_digest,
             from,
             incarnation,
-            digest,
+            view_digest,
             kind,
-            marks,
-            by_place,
+            summary,
+            by_index,
             updates,
         })
     }
--- a/gateway-cluster/src/wire/tests.rs
+++ b/gateway-cluster/src/wire/tests.rs
@@ -4,17 +4,17 @@
 
 const NOW: Incarnation = 1_700_000_000_000 << 16;
 
-fn marks() -> ViewSummary {
-    let mut marks = ViewSummary::none(MAX_PEERS);
+fn summary() -> ViewSummary {
+    let mut summary = ViewSummary::all_alive(MAX_PEERS);
     [0, 7, 8, 999]
         .iter()
-        .for_each(|place| marks.set(*place, PeerSummary::Dead));
-    marks
+        .for_each(|index| summary.set(*index, PeerSummary::Dead));
+    summary
 }
 
-fn datagram(claims: usize, kind: Kind) -> Datagram {
-    let marks = (kind == Kind::Compare).then(marks);
-    let claim = |n: usize| {
+fn datagram(updates: usize, kind: MessageKind) -> Datagram {
+    let summary = (kind == MessageKind::SyncRequest).then(summary);
+    let status = |n: usize| {
         [
             UpdateStatus::Alive,
             UpdateStatus::Suspect(3),
@@ -23,40 +23,43 @@
         ][n % 4]
     };
     let update = |n: usize| Update {
-        who: n as u32,
+        peer: n as u32,
         incarnation: NOW - 1_000_000_000 * n as u64,
-        claim: claim(n),
+        status: status(n),
     };
-    let updates = (0..claims).map(update).collect();
-    let (peers, by_place) = (u32::MAX, true);
+    let updates = (0..updates).map(update).collect();
+    let (peer_set_digest, by_index) = (u32::MAX, true);
     Datagram {
-        peers,
+        peer_set_digest,
         from: 7,
         incarnation: NOW,
-        digest: 9,
+        view_digest: 9,
         kind,
-        marks,
-        by_place,
+        summary,
+        by_index,
         updates,
     }
 }
 
 #[test]
 fn marks_are_set_and_read_and_what_is_beyond_them_is_none() {
-    let mut marks = marks();
-    marks.set(5000, PeerSummary::Dead);
-    marks.set(6, PeerSummary::Raised);
-    marks.set(8, PeerSummary::Doubted);
+    let mut summary = summary();
+    summary.set(5000, PeerSummary::Dead);
+    summary.set(6, PeerSummary::IncarnationRaised);
+    summary.set(8, PeerSummary::Suspect);
     let set: Vec<_> = (0..5000)
-        .filter(|place| marks.get(*place) != PeerSummary::Alive)
+        .filter(|index| summary.get(*index) != PeerSummary::Alive)
         .collect();
     assert_eq!(set, [0, 6, 7, 8, 999]);
     assert_eq!(
-        (marks.get(6), marks.get(8)),
-        (PeerSummary::Raised, PeerSummary::Doubted)
+        (summary.get(6), summary.get(8)),
+        (PeerSummary::IncarnationRaised, PeerSummary::Suspect)
     );
     assert_eq!(
-        (marks.count_dead(1000), ViewSummary::none(9).count_dead(9)),
+        (
+            summary.count_dead(1000),
+            ViewSummary::all_alive(9).count_dead(9)
+        ),
         (3, 0)
     );
 }
@@ -64,13 +67,13 @@
 #[test]
 fn what_is_written_is_read_and_what_has_no_room_is_left_out() {
     for kind in [
-        Kind::Ping(u32::MAX),
-        Kind::Compare,
-        Kind::PingFor(1, u32::MAX),
+        MessageKind::Ping(u32::MAX),
+        MessageKind::SyncRequest,
+        MessageKind::PingRequest(1, u32::MAX),
     ] {
-        let (bytes, went) = datagram(10, kind.clone()).encode();
+        let (bytes, encoded_updates) = datagram(10, kind.clone()).encode();
         assert_eq!(
-            (Datagram::decode(&bytes), went),
+            (Datagram::decode(&bytes), encoded_updates),
             (Some(datagram(10, kind.clone())), 10)
         );
         assert_eq!(
@@ -78,22 +81,25 @@
             None,
             "nothing may follow"
         );
-        let (bytes, went) = datagram(1000, kind.clone()).encode();
+        let (bytes, encoded_updates) = datagram(1000, kind.clone()).encode();
         assert!(
             bytes.len() <= MAX_DATAGRAM_BYTES && bytes.len() > MAX_DATAGRAM_BYTES - 20,
             "{} bytes",
             bytes.len()
         );
-        assert_eq!(Datagram::decode(&bytes), Some(datagram(went, kind)));
+        assert_eq!(
+            Datagram::decode(&bytes),
+            Some(datagram(encoded_updates, kind))
+        );
     }
     let far = Update {
-        who: u32::MAX,
+        peer: u32::MAX,
         incarnation: u64::MAX,
-        claim: UpdateStatus::Dead,
+        status: UpdateStatus::Dead,
     };
     let mut far = Datagram {
         updates: vec![far; 5],
-        ..datagram(0, Kind::Gossip)
+        ..datagram(0, MessageKind::Gossip)
     };
     for incarnation in [0, u64::MAX] {
         far.incarnation = incarnation;
@@ -114,7 +120,7 @@
 
     #[test]
     fn a_good_one_that_is_changed_at_a_place_ends_nothing(at in 0usize..200, to in any::<u8>(), cut in 0usize..200) {
-        let mut bytes = datagram(10, Kind::Compare).encode().0;
+        let mut bytes = datagram(10, MessageKind::SyncRequest).encode().0;
         let length = bytes.len();
         bytes[at % length] = to;
         let _ = Datagram::decode(&bytes);
--- a/gateway-cluster/tests/compatibility.rs
+++ b/gateway-cluster/tests/compatibility.rs
@@ -12,7 +12,9 @@
 use gateway_cluster::shards::wire::{self as shards, FindingReport};
 use gateway_cluster::shards::Rule;
 use gateway_cluster::shards::{MapHash, ShardMap, ShardRange};
-use gateway_cluster::wire::{Datagram, Kind, PeerSummary, Update, UpdateStatus, ViewSummary};
+use gateway_cluster::wire::{
+    Datagram, MessageKind, PeerSummary, Update, UpdateStatus, ViewSummary,
+};
 
 const INCARNATION: u64 = 1_700_000_000_000 << 16 | 3;
 
@@ -23,16 +25,16 @@
     ))
 }
 
-fn view_datagram(kind: Kind) -> Datagram {
-    let mut marks = ViewSummary::none(9);
-    marks.set(1, PeerSummary::Raised);
-    marks.set(2, PeerSummary::Doubted);
-    marks.set(8, PeerSummary::Dead);
-    marks.vouches = true;
-    let update = |who, claim| Update {
-        who,
+fn membership_datagram(kind: MessageKind) -> Datagram {
+    let mut summary = ViewSummary::all_alive(9);
+    summary.set(1, PeerSummary::IncarnationRaised);
+    summary.set(2, PeerSummary::Suspect);
+    summary.set(8, PeerSummary::Dead);
+    summary.is_authoritative = true;
+    let update = |peer, status| Update {
+        peer,
         incarnation: INCARNATION - 70_000,
-        claim,
+        status,
     };
     let updates = vec![
         update(1, UpdateStatus::Alive),
@@ -41,13 +43,13 @@
         update(4, UpdateStatus::Left),
     ];
     Datagram {
-        peers: 0x0102_0304,
+        peer_set_digest: 0x0102_0304,
         from: 7,
         incarnation: INCARNATION,
-        digest: 9,
+        view_digest: 9,
         kind,
-        marks: Some(marks),
-        by_place: true,
+        summary: Some(summary),
+        by_index: true,
         updates,
     }
 }
@@ -56,22 +58,22 @@
 fn datagrams_of_the_view_encode_and_decode_as_recorded() {
     let mut recorded = fixture("view");
     let kinds = [
-        ("ping", Kind::Ping(300)),
-        ("claimed", Kind::Claimed(5, INCARNATION)),
-        ("ack", Kind::Ack(300)),
-        ("ping_for", Kind::PingFor(6, 77)),
-        ("reached", Kind::Reached(6)),
-        ("missed", Kind::Missed(6)),
-        ("gossip", Kind::Gossip),
-        ("compare", Kind::Compare),
-        ("entries", Kind::Entries),
-        ("confirm", Kind::Confirm(8)),
-        ("confirmed", Kind::Confirmed(8)),
+        ("ping", MessageKind::Ping(300)),
+        ("claimed", MessageKind::PingReportedDead(5, INCARNATION)),
+        ("ack", MessageKind::Ack(300)),
+        ("ping_for", MessageKind::PingRequest(6, 77)),
+        ("reached", MessageKind::IndirectAck(6)),
+        ("missed", MessageKind::IndirectNack(6)),
+        ("gossip", MessageKind::Gossip),
+        ("compare", MessageKind::SyncRequest),
+        ("entries", MessageKind::SyncUpdates),
+        ("confirm", MessageKind::ConfirmRequest(8)),
+        ("confirmed", MessageKind::ConfirmResponse(8)),
     ];
     for (name, kind) in kinds {
         recorded.check(
             name,
-            &view_datagram(kind),
+            &membership_datagram(kind),
             |datagram| datagram.encode().0,
             Datagram::decode,
         );
--- a/gateway-cluster/tests/model.rs
+++ b/gateway-cluster/tests/model.rs
@@ -3,7 +3,8 @@
 //! functions that the view goes by (`gateway_cluster::rules`).
 
 use gateway_cluster::precedence::{
-    life, of_self, raised, take, weigh, KnownUpdate, Precedence, SelfUpdateAction,
+    action_on_self_update, apply_update, precedence_of, started_at_ms, with_next_refutation,
+    KnownUpdate, Precedence, SelfUpdateAction,
 };
 use gateway_cluster::wire::{Incarnation, UpdateStatus};
 use stateright::{Checker, Model, Property};
@@ -20,14 +21,14 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Process {
     own: Incarnation,
-    young: bool,
+    recently_started: bool,
     superseded: bool,
 }
 
 /// What one of the two others holds.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Other {
-    held: KnownUpdate,
+    known: KnownUpdate,
     doubted: bool,
     /// The highest incarnation that it ever held, to see that it goes back never.
     highest: Incarnation,
@@ -107,14 +108,16 @@
     fn hear(&self, other: &mut Other, message: Message) {
         let claim = message.claim();
         let later = matches!(
-            weigh(other.held, message.incarnation),
-            Precedence::Later { .. }
+            precedence_of(other.known, message.incarnation),
+            Precedence::Newer { .. }
         );
-        let equal = weigh(other.held, message.incarnation) == Precedence::Equal;
-        let before = other.held;
-        other.held = take(other.held, message.incarnation, claim);
-        if self.takes_older && life(message.incarnation) < life(before.incarnation) {
-            other.held = KnownUpdate {
+        let equal = precedence_of(other.known, message.incarnation) == Precedence::Equal;
+        let before = other.known;
+        other.known = apply_update(other.known, message.incarnation, claim);
+        if self.takes_older
+            && started_at_ms(message.incarnation) < started_at_ms(before.incarnation)
+        {
+            other.known = KnownUpdate {
                 incarnation: message.incarnation,
                 dead: false,
             };
@@ -122,23 +125,31 @@
         if later {
             other.doubted = false;
         }
-        if (later || equal) && !other.held.dead && claim != UpdateStatus::Alive {
+        if (later || equal) && !other.known.dead && claim != UpdateStatus::Alive {
             // A claim of a death is a doubt here, and a verdict only after that.
             other.doubted = true;
         }
-        other.highest = other.highest.max(other.held.incarnation);
+        other.highest = other.highest.max(other.known.incarnation);
     }
 
     fn hear_of_self(&self, process: &mut Process, message: Message) {
         let Process {
             own,
-            young,
+            recently_started,
             superseded,
         } = *process;
-        let own = of_self(own, young, superseded, message.incarnation, message.claim());
+        let own = action_on_self_update(
+            own,
+            recently_started,
+            superseded,
+            message.incarnation,
+            message.claim(),
+        );
         let own = match own {
-            SelfUpdateAction::Outbid(_) if self.silenced_by_verdicts && !process.young => {
-                if life(message.incarnation) > life(process.own) {
+            SelfUpdateAction::Refute(_)
+                if self.silenced_by_verdicts && !process.recently_started =>
+            {
+                if started_at_ms(message.incarnation) > started_at_ms(process.own) {
                     SelfUpdateAction::Superseded
                 } else {
                     own
@@ -147,9 +158,9 @@
             own => own,
         };
         match own {
-            SelfUpdateAction::Keep => {}
+            SelfUpdateAction::Ignore => {}
             SelfUpdateAction::Adopt(incarnation) => process.own = incarnation,
-            SelfUpdateAction::Outbid(incarnation) => {
+            SelfUpdateAction::Refute(incarnation) => {
                 (process.own, process.superseded) = (incarnation, false)
             }
             SelfUpdateAction::Superseded => process.superseded = true,
@@ -164,7 +175,7 @@
     let (mut process, mut other) = (process, other);
     let told = Message {
         to: To::Door,
-        incarnation: other.held.incarnation,
+        incarnation: other.known.incarnation,
         claim: 2,
     };
     order.hear_of_self(&mut process, told);
@@ -176,7 +187,7 @@
     if !process.superseded {
         order.hear(&mut other, spoken);
     }
-    !other.held.dead
+    !other.known.dead
 }
 
 impl Model for Order {
@@ -185,7 +196,7 @@
 
     fn init_states(&self) -> Vec<PeerState> {
         let other = Other {
-            held: KnownUpdate {
+            known: KnownUpdate {
                 incarnation: 0,
                 dead: false,
             },
@@ -210,7 +221,7 @@
             None => {}
             Some(process) => {
                 acts.push(Act::Kill);
-                if process.young {
+                if process.recently_started {
                     acts.push(Act::Age);
                 }
                 if !process.superseded {
@@ -219,15 +230,15 @@
             }
         }
         for (n, other) in state.others.iter().enumerate() {
-            if !other.held.dead && !other.doubted {
+            if !other.known.dead && !other.doubted {
                 acts.push(Act::Doubt(n));
             }
-            if !other.held.dead && other.doubted {
+            if !other.known.dead && other.doubted {
                 acts.push(Act::Verdict(n));
             }
             acts.extend([Act::Tell(n, To::Door), Act::Tell(n, To::Other(1 - n))]);
             let word = state.others[1 - n];
-            if other.held.dead && !word.held.dead && !word.doubted {
+            if other.known.dead && !word.known.dead && !word.doubted {
                 acts.push(Act::Believe(n));
             }
         }
@@ -251,12 +262,12 @@
                 let own = incarnation_of(clock);
                 next.process = Some(Process {
                     own,
-                    young: true,
+                    recently_started: true,
                     superseded: false,
                 });
             }
             Act::Kill => next.process = None,
-            Act::Age => next.process.as_mut()?.young = false,
+            Act::Age => next.process.as_mut()?.recently_started = false,
             Act::Speak(n) => {
                 send = Some(Message {
                     to: To::Other(n),
@@ -266,24 +277,24 @@
             }
             Act::Doubt(n) => next.others[n].doubted = true,
             Act::Verdict(n) => {
-                (next.others[n].held.dead, next.others[n].doubted) = (true, false);
+                (next.others[n].known.dead, next.others[n].doubted) = (true, false);
             }
             Act::Tell(n, to) => {
-                let Other { held, doubted, .. } = state.others[n];
-                let claim = if held.dead { 2 } else { u8::from(doubted) };
+                let Other { known, doubted, .. } = state.others[n];
+                let claim = if known.dead { 2 } else { u8::from(doubted) };
                 send = Some(Message {
                     to,
-                    incarnation: held.incarnation,
+                    incarnation: known.incarnation,
                     claim,
                 });
             }
             Act::Believe(n) => {
                 let other = &mut next.others[n];
-                other.held = KnownUpdate {
-                    incarnation: raised(other.held.incarnation),
+                other.known = KnownUpdate {
+                    incarnation: with_next_refutation(other.known.incarnation),
                     dead: false,
                 };
-                other.highest = other.highest.max(other.held.incarnation);
+                other.highest = other.highest.max(other.known.incarnation);
             }
             Act::Deliver(message) => match message.to {
                 To::Door => {
@@ -303,7 +314,7 @@
     }
 
     fn within_boundary(&self, state: &PeerState) -> bool {
-        let incarnations = state.others.iter().map(|other| other.held.incarnation);
+        let incarnations = state.others.iter().map(|other| other.known.incarnation);
         let own = state.process.map(|process| process.own);
         incarnations
             .chain(own)
@@ -319,13 +330,13 @@
                     state
                         .others
                         .iter()
-                        .all(|other| other.held.incarnation == other.highest)
+                        .all(|other| other.known.incarnation == other.highest)
                 },
             ),
             Property::always(
                 "each verdict on a door that lives can be refuted",
                 |order: &Order, state: &PeerState| {
-                    let dead = state.others.iter().filter(|other| other.held.dead);
+                    let dead = state.others.iter().filter(|other| other.known.dead);
                     state.process.is_none_or(|process| {
                         dead.clone()
                             .all(|other| is_refutable(order, process, *other))
@@ -341,7 +352,7 @@
                 |_: &Order, state: &PeerState| {
                     let wins = |process: Process| {
                         let lives = |other: &Other| {
-                            !other.held.dead && other.held.incarnation == process.own
+                            !other.known.dead && other.known.incarnation == process.own
                         };
                         state.begun > 1 && state.others.iter().all(lives)
                     };
--- a/gateway-cluster/tests/ownership.rs
+++ b/gateway-cluster/tests/ownership.rs
@@ -491,15 +491,15 @@
     let start = |cluster: &mut Fleet, gateway: PeerIndex, names: std::ops::Range<usize>| {
         let unix = UNIX + cluster.sim.now();
         cluster.sim.start(gateway, unix);
-        let birth = StartOptions {
-            me: gateway,
-            peers: names.end,
-            unix,
-            probe: 500_000,
+        let options = StartOptions {
+            own_index: gateway,
+            peer_count: names.end,
+            unix_us: unix,
+            probe_period: 500_000,
             seed: cluster.seed + gateway as u64,
         };
         cluster.sim.act(gateway, |owned, now, sends| {
-            owned.begin(now, birth, names, sends)
+            owned.begin(now, options, names, sends)
         });
     };
     for seed in SEEDS {
--- a/gateway-cluster/tests/view.rs
+++ b/gateway-cluster/tests/view.rs
@@ -347,7 +347,7 @@
             .map(|view| view.set_peers(now, names[1..].to_vec()));
         assert_eq!(
             lacks,
-            Some(Err(PeerSetError::Lacks("n000".into()))),
+            Some(Err(PeerSetError::MissingOwnName("n000".into()))),
             "what it had stays"
         );
     }
@@ -433,7 +433,13 @@
     let problem = |name: &str, peers: &[String]| {
         Membership::new(0, settings(name, peers), 1, &mut Vec::new()).err()
     };
-    assert_eq!(problem("e", &peers), Some(PeerSetError::Lacks("e".into())));
+    assert_eq!(
+        problem("e", &peers),
+        Some(PeerSetError::MissingOwnName("e".into()))
+    );
     let twice = [peers.clone(), vec!["a".into()]].concat();
-    assert_eq!(problem("a", &twice), Some(PeerSetError::Twice("a".into())));
+    assert_eq!(
+        problem("a", &twice),
+        Some(PeerSetError::Duplicate("a".into()))
+    );
 }
