--- a/gateway-cluster/src/hash.rs
+++ b/gateway-cluster/src/hash.rs
@@ -1,19 +1,18 @@
-//! Numbers that look like chance and are the same at every gateway, on every machine and in every version: gateways compare
-//! what follows from them.
+//! Hash functions whose results are the same at every gateway, on every machine and in every version, because gateways
+//! exchange and compare values that are derived from them.
 //!
-//! They are xxHash's, whose results are laid down in a specification with test vectors: the hash of the standard library
-//! may change with any release, and a checksum such as CRC32 is made to find errors: names that differ in the same bits
-//! have sums that do too, whatever else they are. The crate `twox-hash` has both widths, needs nothing else, and is kept
-//! up.
+//! The algorithm is xxHash: its results are fixed by a specification with test vectors. The standard library's hasher may
+//! change with any release. A checksum such as CRC32 is linear: inputs that differ in the same bits have checksums that
+//! differ in the same bits, so it does not spread similar names.
 
 use twox_hash::{XxHash32, XxHash64};
 
-/// Of a text, in 32 bits.
+/// The 32-bit xxHash of a text, with seed 0.
 pub fn hash_text(text: &str) -> u32 {
     XxHash32::oneshot(0, text.as_bytes())
 }
 
-/// Mixes two numbers into one: the hash of the second, with the first for a seed.
+/// The 64-bit xxHash of `value` in little-endian order, with `seed` as the hash's seed.
 pub fn mix(seed: u64, value: u64) -> u64 {
     XxHash64::oneshot(seed, &value.to_le_bytes())
 }
--- a/gateway-cluster/src/lib.rs
+++ b/gateway-cluster/src/lib.rs
@@ -1,6 +1,13 @@
-//! What gateways tell each other, as state machines: no sockets, no clock, no threads. Time and chance are passed
-//! in, so that the same code runs in the program and in a simulation of hundreds of gateways that follows from a
-//! seed alone.
+//! The protocols between gateways as sans-I/O state machines: cluster membership (SWIM), leader election by a majority
+//! lease, a replicated shard map, and session classification.
+//!
+//! No module opens sockets, reads clocks or starts threads. Callers pass in the time and a seed for random numbers and
+//! send the datagrams that come out, so the same code runs in the gateway and in a deterministic simulation of
+//! hundreds of gateways ([`sim`]).
+//!
+//! Layers, lowest first: [`wire`], [`peers`], [`protocol`], [`precedence`] and [`token_bucket`] are used by
+//! [`membership`]; [`leadership`] builds on the peer set, [`shards`] on the leader, [`sessions`] on the shard map.
+//! [`node`] combines them for one socket.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/gateway-cluster/src/peers.rs
+++ b/gateway-cluster/src/peers.rs
@@ -1,41 +1,42 @@
-//! The names of a cluster: who is in it, in which order, and how that is said in few bytes.
+//! The peer set: the configured names of all gateways of a cluster, their order, and the hashes that stand for them in
+//! datagrams.
 
 use crate::hash::{self, mix};
 use crate::protocol::PeerIndex;
 use std::collections::BTreeMap;
 
-/// Most names of a peer set: the marks of two views have to fit into a datagram, with room for what differs.
+/// Maximum number of names in a peer set: the summary of a view has to fit into a datagram together with updates.
 pub const MAX_PEERS: usize = 1000;
 
-/// A name of the peer set, as its hash: names whose hashes are equal are refused with the peer set.
+/// The hash of a name of the peer set. A peer set in which two names have equal hashes is rejected.
 pub type PeerId = u32;
 
-/// The id of a name, at every gateway.
+/// The id of a name, the same at every gateway.
 pub fn peer_id_of(name: &str) -> PeerId {
     hash::hash_text(name)
 }
 
-/// What is wrong with a peer set.
+/// Reasons to reject a peer set.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PeerSetError {
-    /// It has so many names.
+    /// It has this many names, more than [`MAX_PEERS`].
     #[error("the peer set has {0} names, the maximum is {max}: remove some", max = MAX_PEERS)]
     TooMany(usize),
-    /// It has a name more than once.
+    /// It has this name more than once.
     #[error("the peer set has '{0}' twice: remove one, or rename one of the two gateways")]
     Duplicate(String),
-    /// It has two names whose hashes are equal.
+    /// It has these two names, whose hashes are equal.
     #[error(
         "the peer set has '{0}' and '{1}', whose hashes are equal: rename one of the two gateways"
     )]
     HashCollision(String, String),
-    /// It lacks the name of the gateway that is to go by it.
+    /// It lacks this name, which is the one of the gateway itself.
     #[error("the peer set lacks '{0}', the name of this gateway: add it, or give this gateway a name of the peer set")]
     MissingOwnName(String),
 }
 
-/// All names of a cluster. Gateways whose peer sets have the same names have the same places, ids and digest, in whatever
-/// order they were told them.
+/// All names of a cluster. Peer sets with the same names have the same indexes, ids and digest, whatever the order in the
+/// configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerSet {
     names: Vec<String>,
@@ -45,10 +46,10 @@
 }
 
 impl PeerSet {
-    /// A peer set of these names, in any order.
+    /// Builds a peer set of these names, given in any order.
     ///
     /// # Errors
-    /// There are too many of them, or two that cannot be told apart.
+    /// There are more than [`MAX_PEERS`] names, a duplicate, or two names with equal hashes.
     pub fn new(mut names: Vec<String>) -> Result<PeerSet, PeerSetError> {
         if names.len() > MAX_PEERS {
             return Err(PeerSetError::TooMany(names.len()));
@@ -73,40 +74,40 @@
         })
     }
 
-    /// The names in order.
+    /// The names, sorted.
     pub fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// Their ids, in the order of the names.
+    /// The ids, in the order of the names.
     pub fn ids(&self) -> &[PeerId] {
         &self.ids
     }
 
-    /// How many there are.
+    /// Number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether there are none.
+    /// Whether the set has no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// Equal where the peer sets are. Of two that differ it is equal once in 2^32.
+    /// A digest of the ids. Two different peer sets have the same digest with a probability of 2^-32.
     pub fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// Where the name with this id stands, if there is one.
+    /// The index of the name with this id, if the set has it.
     pub fn index_of(&self, id: PeerId) -> Option<PeerIndex> {
         self.index_by_id.get(&id).copied()
     }
 
-    /// Where a gateway's own name stands.
+    /// The index of the gateway's own name.
     ///
     /// # Errors
-    /// It is not there.
+    /// The set lacks the name.
     pub fn own_index(&self, name: &str) -> Result<PeerIndex, PeerSetError> {
         let found = self
             .names
--- a/gateway-cluster/src/peers/tests.rs
+++ b/gateway-cluster/src/peers/tests.rs
@@ -5,12 +5,12 @@
 }
 
 #[test]
-fn a_peers_is_the_same_in_whatever_order_its_names_are_told() {
+fn a_peer_set_does_not_depend_on_the_order_of_its_names() {
     let (one, other) = (peers(&["b", "c", "a"]), peers(&["a", "b", "c"]));
     assert_eq!(one, other);
     let (one, fewer) = (
-        one.expect("it is good"),
-        peers(&["a", "b"]).expect("it is good"),
+        one.expect("the peer set is valid"),
+        peers(&["a", "b"]).expect("the peer set is valid"),
     );
     assert_ne!(one.digest(), fewer.digest());
     assert_eq!(
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn names_that_cannot_be_told_apart_or_are_too_many_are_no_peers() {
+fn duplicate_names_hash_collisions_and_too_many_names_are_rejected() {
     let duplicate = PeerSetError::Duplicate("a".into());
     assert_eq!(peers(&["a", "b", "a"]), Err(duplicate.clone()));
     let message = "the peer set has 'a' twice: remove one, or rename one of the two gateways";
--- a/gateway-cluster/src/precedence.rs
+++ b/gateway-cluster/src/precedence.rs
@@ -1,37 +1,41 @@
-//! The order of claims, by itself: which claim of a gateway goes before which, and what a gateway makes of claims of itself.
-//! The view goes by these functions, and the model check (`tests/model.rs`) runs them through all orders of events.
+//! Precedence of SWIM's membership updates: which update about a peer overrides which, and how a gateway reacts to an
+//! update about itself (SWIM, section 4.2: incarnation numbers and refutation).
+//!
+//! These are pure functions. [`crate::membership`] applies them, and the model check (`tests/model.rs`) runs the same
+//! functions through all orders of events. Invariants that it checks: the incarnation known of a peer never decreases, and
+//! a running gateway can always refute the verdict that it is dead.
 
 use crate::wire::{Incarnation, UpdateStatus};
 
-/// What is held of a gateway, as far as the order of claims goes.
+/// The part of a peer's state that decides about precedence.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct KnownUpdate {
-    /// In which incarnation.
+    /// The highest known incarnation of the peer.
     pub incarnation: Incarnation,
-    /// It is gone.
+    /// The peer is dead or has left.
     pub dead: bool,
 }
 
-/// What a claim is against what is held.
+/// The relation of an update to the known state of its peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Precedence {
-    /// Older than what is held: whoever made it is to be told.
+    /// The update's incarnation is older; its sender should receive the known one.
     Older,
-    /// Of a later incarnation: what was held is over.
+    /// The update's incarnation is newer and overrides the known state.
     Newer {
-        /// Of the same life, and not of one that began since.
+        /// The incarnation belongs to the same process, which refuted a suspicion; not to a restarted one.
         same_process: bool,
     },
-    /// Of the incarnation that is held.
+    /// The update is about the known incarnation.
     Equal,
 }
 
-/// The life of an incarnation.
+/// The start time of the process with this incarnation, in milliseconds since 1970.
 pub fn started_at_ms(incarnation: Incarnation) -> u64 {
     incarnation >> 16
 }
 
-/// Where a claim of an incarnation stands.
+/// The precedence of an update with this incarnation.
 pub fn precedence_of(known: KnownUpdate, incarnation: Incarnation) -> Precedence {
     match incarnation.cmp(&known.incarnation) {
         std::cmp::Ordering::Less => Precedence::Older,
@@ -42,17 +46,18 @@
     }
 }
 
-/// What is held once a claim has been taken in that is no doubt.
+/// The known state after an update that is not a suspicion. A peer that is alive is declared dead only by this gateway's
+/// own suspicion, whichever gateway reports the death.
 pub fn apply_update(
     known: KnownUpdate,
     incarnation: Incarnation,
-    claim: UpdateStatus,
+    status: UpdateStatus,
 ) -> KnownUpdate {
-    let dead = matches!(claim, UpdateStatus::Dead | UpdateStatus::Left);
+    let dead = matches!(status, UpdateStatus::Dead | UpdateStatus::Left);
     match precedence_of(known, incarnation) {
         Precedence::Older => known,
-        // Who was gone and is claimed to be so again, in a later incarnation, never came back here. Who lives is gone
-        // only after a doubt of this gateway's own, whoever claims it.
+        // A dead peer stays dead if the update reports the death of a newer incarnation: this gateway never saw that
+        // incarnation alive. Otherwise the newer incarnation is alive until a suspicion of this gateway expires.
         Precedence::Newer { .. } => KnownUpdate {
             incarnation,
             dead: known.dead && dead,
@@ -61,50 +66,50 @@
     }
 }
 
-/// The incarnation that another gateway gives one that it held for gone, and that a third one speaks for: the verdict is
-/// over, and the life stays.
+/// The incarnation that a gateway assigns to a peer which it considered dead and a third gateway considers alive: it
+/// overrides the verdict, and the process stays the same. The refutation count is not incremented past its maximum.
 pub fn with_next_refutation(incarnation: Incarnation) -> Incarnation {
     incarnation + u64::from(incarnation as u16 != u16::MAX)
 }
 
-/// What a gateway makes of a claim of itself.
+/// The reaction of a gateway to an update about itself.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SelfUpdateAction {
-    /// Nothing: it is old, or true.
+    /// None: the update is old or correct.
     Ignore,
-    /// Others have raised the incarnation in its stead: it is taken over.
+    /// Adopt this incarnation, which others raised on behalf of this process.
     Adopt(Incarnation),
-    /// It is refuted with a higher incarnation.
+    /// Refute the update with this higher incarnation.
     Refute(Incarnation),
-    /// A life that was started later has the name: this one is silent until somebody doubts the name or holds it for
-    /// gone.
+    /// A process that started later has the same name: this one sends nothing until a gateway suspects the name or
+    /// considers it dead.
     Superseded,
-    /// It was silent for a later life, and somebody holds the name for gone, if in an older incarnation: it speaks
-    /// again. Where a later life does live, it is told so once more.
+    /// This process was superseded, and a gateway suspects the name or considers it dead in an older incarnation: send
+    /// again. If the later process does run, this one is superseded once more.
     Resume,
 }
 
-/// What a gateway of this incarnation makes of a claim of itself. `young` is one that was started not long ago: if its
-/// wall clock was set back, claims of the life before it look later. `silent` is one that was superseded.
+/// The reaction of a gateway with incarnation `own` to an update about itself. A process that was started recently refutes
+/// an update with a later incarnation: if its wall clock was set back, updates about its predecessor look newer.
 pub fn action_on_self_update(
     own: Incarnation,
     recently_started: bool,
     superseded: bool,
     incarnation: Incarnation,
-    claim: UpdateStatus,
+    status: UpdateStatus,
 ) -> SelfUpdateAction {
-    if superseded && claim != UpdateStatus::Alive && incarnation < own {
+    if superseded && status != UpdateStatus::Alive && incarnation < own {
         return SelfUpdateAction::Resume;
     }
-    if incarnation < own || incarnation == own && claim == UpdateStatus::Alive {
+    if incarnation < own || incarnation == own && status == UpdateStatus::Alive {
         return SelfUpdateAction::Ignore;
     }
-    match claim {
+    match status {
         UpdateStatus::Alive if started_at_ms(incarnation) == started_at_ms(own) => {
             SelfUpdateAction::Adopt(incarnation)
         }
         UpdateStatus::Alive if !recently_started => SelfUpdateAction::Superseded,
-        // Whoever is doubted or gone, it is not this process.
+        // The update is about another process or another time: this one is running.
         _ => SelfUpdateAction::Refute(incarnation + 1),
     }
 }
--- a/gateway-cluster/src/protocol.rs
+++ b/gateway-cluster/src/protocol.rs
@@ -1,63 +1,65 @@
-//! What an engine of the cluster's view is to its surroundings, be they sockets or a simulation.
+//! The interface between a membership protocol and its driver, which is either a socket loop or the simulation: units of
+//! time, outgoing datagrams, and the [`Protocol`] trait that the simulation runs.
 
 use crate::peers::PeerId;
 
 /// Microseconds on a monotonic clock.
 pub type Micros = u64;
 
-/// A gateway's place in the peer set, whose names are sorted.
+/// A gateway's index in the peer set, whose names are sorted.
 pub type PeerIndex = usize;
 
-/// What one gateway holds of another.
+/// The state of one gateway in the membership of another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PeerState {
-    /// It answers, or was never doubted.
+    /// It answers health checks, or was never suspected.
     Alive,
-    /// It did not answer and may yet refute that.
+    /// It missed a health check; the suspicion can still be refuted.
     Suspect,
-    /// It is counted as gone.
+    /// Its suspicion expired without a refutation, or it left.
     Dead,
 }
 
-/// A datagram that is to be sent.
+/// A datagram for the driver to send.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Transmit<To = PeerId> {
-    /// The peer that it is for.
+    /// The receiver.
     pub to: To,
-    /// Its payload, without the headers of IP and UDP.
+    /// The payload, without the headers of IP and UDP.
     pub bytes: Vec<u8>,
 }
 
 /// A datagram of the membership protocol, which addresses peers by their index in the peer set.
 pub type IndexedTransmit = Transmit<PeerIndex>;
 
-/// What a life of a gateway is born with.
+/// Parameters of one incarnation of a simulated gateway.
 #[derive(Debug, Clone, Copy)]
 pub struct StartOptions {
-    /// Its place in the peer set.
+    /// This gateway's index in the peer set.
     pub own_index: PeerIndex,
-    /// How many names the peer set has.
+    /// Number of names in the peer set.
     pub peer_count: usize,
-    /// The wall clock at its start, in microseconds: later lives have later ones, unless the clock was set back.
+    /// Wall clock at the start, in microseconds since 1970. A later incarnation has a later one, unless the clock was set
+    /// back.
     pub unix_us: Micros,
-    /// The probe period.
+    /// The period of SWIM's health checks.
     pub probe_period: Micros,
-    /// What all of its chance follows from.
+    /// Seed of all random numbers of this incarnation.
     pub seed: u64,
 }
 
-/// One life of a gateway's view of the cluster.
+/// A membership protocol at one gateway, for one incarnation of it.
 pub trait Protocol: Sized {
-    /// A new life that knows the peer set and nothing else.
+    /// Starts a new incarnation, which knows only the names of the peer set.
     fn start(now: Micros, options: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Self;
-    /// A datagram has come. Who sent it is for its content to say.
+    /// Handles a received datagram. The sender is identified by the datagram's content.
     fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<IndexedTransmit>);
-    /// When [`Protocol::on_timer`] is wanted, if ever.
+    /// When [`Protocol::on_timer`] is to be called next, if at all.
     fn next_wakeup(&self) -> Option<Micros>;
-    /// It is due, or past that.
+    /// Runs the timers that are due.
     fn on_timer(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>);
-    /// The view: a state for each place of the peer set.
+    /// The state of each peer, by index in the peer set.
     fn view(&self) -> Vec<PeerState>;
-    /// It goes, and may say so.
+    /// Shuts down; the protocol may announce it to others.
     fn leave(&mut self, _now: Micros, _sends: &mut Vec<IndexedTransmit>) {}
 }
--- a/gateway-cluster/src/wire.rs
+++ b/gateway-cluster/src/wire.rs
@@ -1,30 +1,33 @@
-//! What gateways send each other: one datagram each, bounded, with names of the peer set and no addresses.
+//! Datagrams of the membership protocol, and the framing that all layers share: a version byte, then a postcard body of
+//! bounded size. Peers appear by id or by index in the peer set, never by address.
+//!
+//! The bytes are fixed by `tests/compatibility.rs`: order of fields and variants is part of the format.
 
 use crate::peers::PeerId;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// The first byte of each datagram.
+/// Version byte of the membership protocol, the first byte of each of its datagrams.
 pub const VERSION: u8 = 1;
-/// Most bytes of a datagram's payload.
+/// Maximum size of a datagram's payload, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Bytes that IP and UDP put before a datagram's payload. They count in all that is said of what is sent.
+/// Size of the IP and UDP headers of a datagram, in bytes. They are included in send budgets and traffic counters.
 pub const HEADER_BYTES: usize = 28;
 
-/// The highest age of a doubt that is told apart, in tenths of a probe period.
+/// Maximum encoded age of a suspicion, in tenths of a probe period.
 pub const MAX_SUSPICION_AGE: u8 = 200;
 
-/// One life of a gateway and how often it has refuted a doubt, in one number that only grows: the life's start in
-/// milliseconds above 16 bits, refutations below.
+/// SWIM's incarnation number of a gateway: the process's start time in milliseconds since 1970, shifted left by 16 bits,
+/// plus the number of its refutations. It only grows.
 pub type Incarnation = u64;
 
-/// A layer's datagram as it is sent: its first byte says whose it is.
+/// Encodes a layer's datagram behind its version byte.
 pub fn encode(version: u8, datagram: &impl Serialize) -> Vec<u8> {
-    // A vector takes whatever comes: there is no error to have.
+    // Writing to a vector cannot fail.
     postcard::to_allocvec(&(version, datagram)).unwrap_or_default()
 }
 
-/// Reads one. What is too long, of another version, or followed by anything is none.
+/// Decodes a datagram. Returns `None` for bytes that are too long, of another version, malformed, or have a trailing rest.
 pub fn decode<T: DeserializeOwned>(version: u8, bytes: &[u8]) -> Option<T> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return None;
@@ -33,43 +36,44 @@
     (received_version == version && rest.is_empty()).then_some(datagram)
 }
 
-/// What is claimed of a gateway.
+/// The state that an update reports of a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum UpdateStatus {
-    /// It lives in this incarnation.
+    /// It is alive in this incarnation.
     Alive,
-    /// It has not answered, and that was found so many tenths of a probe period ago ([`MAX_SUSPICION_AGE`] at the most).
+    /// It failed a health check; the value is the age of the suspicion in tenths of a probe period, at most
+    /// [`MAX_SUSPICION_AGE`].
     Suspect(u8),
-    /// It is gone.
+    /// Its suspicion expired without a refutation.
     Dead,
-    /// It said that it goes.
+    /// It announced its shutdown.
     Left,
 }
 
-/// What a view holds of one name, in two bits.
+/// A peer's state in a [`ViewSummary`], encoded in two bits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerSummary {
-    /// It lives, as far as is known.
+    /// Alive; nothing else is known.
     Alive,
-    /// It lives, and refuted a claim or began a new life not long ago: that is worth telling.
+    /// Alive with an incarnation that rose recently, by a refutation or a restart: others may not know it yet.
     IncarnationRaised,
-    /// A strong doubt is held of it.
+    /// Suspected, with a suspicion that is gossiped.
     Suspect,
-    /// It is gone.
+    /// Dead, or left.
     Dead,
 }
 
-/// What a view holds of the whole peer set, name by name in order: what two views differ in shows at once, and nothing
-/// else has to be told. Of use between gateways that have the same peer set.
+/// The states of all peers in one gateway's view, by index, for anti-entropy: the receiver compares it with its own view
+/// and sends only the differences. Valid between gateways with the same peer set.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewSummary {
     bits: Vec<u8>,
-    /// The sender has seen the cluster for long enough, without a stop, to speak of who lives.
+    /// The sender has observed the cluster long enough, without a stall, to vouch for the peers that it considers alive.
     pub is_authoritative: bool,
 }
 
 impl ViewSummary {
-    /// All alive in a peer set of so many names.
+    /// A summary in which all peers of a set of this size are alive.
     pub fn all_alive(names: usize) -> ViewSummary {
         ViewSummary {
             bits: vec![0; names.div_ceil(4)],
@@ -77,7 +81,7 @@
         }
     }
 
-    /// Sets the mark of one name.
+    /// Sets the state of one peer. An index outside the set is ignored.
     pub fn set(&mut self, index: usize, summary: PeerSummary) {
         if let Some(byte) = self.bits.get_mut(index / 4) {
             let shift = index % 4 * 2;
@@ -85,7 +89,7 @@
         }
     }
 
-    /// The mark of one name; what is beyond the peer set is alive.
+    /// The state of one peer. An index outside the set is alive.
     pub fn get(&self, index: usize) -> PeerSummary {
         match self
             .bits
@@ -99,7 +103,7 @@
         }
     }
 
-    /// How many of so many names are gone.
+    /// Number of dead peers in a set of this size.
     pub fn count_dead(&self, names: usize) -> usize {
         (0..names)
             .filter(|index| self.get(*index) == PeerSummary::Dead)
@@ -107,18 +111,19 @@
     }
 }
 
-/// A claim of one gateway.
+/// A membership update: the reported status of one peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Update {
-    /// Of whom: its place in the sender's peer set or its [`PeerId`], as the datagram says.
+    /// The peer, as index in the sender's peer set or as [`PeerId`]; see [`Datagram::by_index`].
     pub peer: u32,
-    /// In which incarnation.
+    /// The peer's incarnation.
     pub incarnation: Incarnation,
-    /// What.
+    /// The reported status.
     pub status: UpdateStatus,
 }
 
-/// A claim as it is sent: lives by how far they are from the sender's, as most began not long before or after it.
+/// An update as encoded. The start time is relative to the sender's, which keeps the number small: most processes of a
+/// cluster start at about the same time.
 #[derive(Serialize, Deserialize)]
 struct PackedUpdate {
     peer: u32,
@@ -162,7 +167,7 @@
         })
     }
 
-    /// Bytes that it takes.
+    /// Its encoded size, in bytes.
     fn size(&self) -> usize {
         let varint = |number: u64| (64 - number.leading_zeros() as usize).div_ceil(7).max(1);
         let zigzag = (self.start_offset_ms << 1 ^ self.start_offset_ms >> 63) as u64;
@@ -170,51 +175,52 @@
     }
 }
 
-/// What a datagram is for, beside the claims that it carries.
+/// The purpose of a datagram, beside the updates that it carries. Numbers match an answer to its request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum MessageKind {
-    /// Answer this.
+    /// SWIM's ping: request an [`MessageKind::Ack`].
     Ping(u32),
-    /// Answer this too: somebody claims that you are gone, in this incarnation.
+    /// A ping that also reports to its receiver that a gateway considers it dead in this incarnation.
     PingReportedDead(u32, Incarnation),
-    /// The ping with this number has come.
+    /// Acknowledges the ping with this number.
     Ack(u32),
-    /// Ping this one for me, and tell me how that went.
+    /// SWIM's ping-req: ping this peer on behalf of the sender and report the result.
     PingRequest(u32, PeerId),
-    /// It has answered.
+    /// The target of the ping request with this number answered.
     IndirectAck(u32),
-    /// It has not answered within a part of the probe period.
+    /// The target of the ping request with this number did not answer in time.
     IndirectNack(u32),
-    /// Nothing but claims.
+    /// Carries updates only.
     Gossip,
-    /// Transmit what differs from these marks.
+    /// Anti-entropy: request the updates that differ from the summary.
     SyncRequest,
-    /// Claims that differ: correct me where I am behind.
+    /// Anti-entropy: the updates that differ. The receiver answers with newer ones where these are outdated.
     SyncUpdates,
-    /// These are to be held for dead soon: is there anything that refutes it?
+    /// The suspicions in the updates are about to expire: request updates that refute them.
     ConfirmRequest(u32),
-    /// Nothing but what the claims beside this say.
+    /// The answer: the updates in the datagram are all the refutations that the sender knows.
     ConfirmResponse(u32),
 }
 
-/// A datagram.
+/// A datagram of the membership protocol.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Datagram {
-    /// The digest of the peer set's names that the sender has.
+    /// Digest of the sender's peer set, [`crate::peers::PeerSet::digest`].
     pub peer_set_digest: u32,
-    /// Who sends it.
+    /// The sender.
     pub from: PeerId,
-    /// In which incarnation.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// The digest of the sender's view.
+    /// Digest of the dead peers and their incarnations in the sender's view.
     pub view_digest: u32,
-    /// What it is for.
+    /// The purpose of the datagram.
     pub kind: MessageKind,
-    /// What the sender's view holds of everybody: who can tell it more is asked to.
+    /// Summary of the sender's view, with the request to answer with what differs.
     pub summary: Option<ViewSummary>,
-    /// Claims go by places in the peer set and not by names: they say something to those who have the same peer set.
+    /// [`Update::peer`] is an index in the peer set and not a [`PeerId`]. Only receivers with the same peer set apply such
+    /// updates.
     pub by_index: bool,
-    /// Claims.
+    /// Membership updates.
     pub updates: Vec<Update>,
 }
 
@@ -236,7 +242,8 @@
 }
 
 impl Datagram {
-    /// Its bytes, [`MAX_DATAGRAM_BYTES`] at most: claims that have no room are left out, and how many went is told.
+    /// Encodes the datagram in at most [`MAX_DATAGRAM_BYTES`]. Updates that do not fit are left out; the second value is the
+    /// number of encoded ones.
     pub fn encode(&self) -> (Vec<u8>, usize) {
         let mut encoded = EncodedDatagram {
             version: VERSION,
@@ -249,9 +256,9 @@
             by_index: self.by_index,
             updates: Vec::new(),
         };
-        // A vector takes whatever comes: there is no error to have.
+        // Writing to a vector cannot fail.
         let empty = postcard::to_allocvec(&encoded).unwrap_or_default().len();
-        // The count of claims takes a second byte where they are many.
+        // The number of updates takes a second byte from 128 on.
         let mut remaining_bytes = MAX_DATAGRAM_BYTES.saturating_sub(empty + 1);
         for update in &self.updates {
             let packed = PackedUpdate::of(update, self.incarnation);
@@ -267,7 +274,7 @@
         )
     }
 
-    /// Reads one. What is too long, of another version, or followed by anything is none.
+    /// Decodes a datagram. Returns `None` for bytes that are too long, of another version, malformed, or have a trailing rest.
     pub fn decode(bytes: &[u8]) -> Option<Datagram> {
         if bytes.len() > MAX_DATAGRAM_BYTES || bytes.first() != Some(&VERSION) {
             return None;
--- a/gateway-cluster/src/wire/tests.rs
+++ b/gateway-cluster/src/wire/tests.rs
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn marks_are_set_and_read_and_what_is_beyond_them_is_none() {
+fn a_summary_stores_the_state_of_each_peer_and_ignores_indexes_outside_the_set() {
     let mut summary = summary();
     summary.set(5000, PeerSummary::Dead);
     summary.set(6, PeerSummary::IncarnationRaised);
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn what_is_written_is_read_and_what_has_no_room_is_left_out() {
+fn datagrams_round_trip_and_updates_that_do_not_fit_are_left_out() {
     for kind in [
         MessageKind::Ping(u32::MAX),
         MessageKind::SyncRequest,
@@ -79,7 +79,7 @@
         assert_eq!(
             Datagram::decode(&[bytes, vec![0]].concat()),
             None,
-            "nothing may follow"
+            "a trailing byte is rejected"
         );
         let (bytes, encoded_updates) = datagram(1000, kind.clone()).encode();
         assert!(
@@ -109,7 +109,7 @@
 
 proptest! {
     #[test]
-    fn bytes_that_make_no_sense_are_no_datagram(mut bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
+    fn random_bytes_never_panic_and_decode_to_bounded_datagrams(mut bytes in proptest::collection::vec(any::<u8>(), 0..1500)) {
         if let Some(first) = bytes.first_mut() {
             *first = VERSION;
         }
@@ -119,11 +119,11 @@
     }
 
     #[test]
-    fn a_good_one_that_is_changed_at_a_place_ends_nothing(at in 0usize..200, to in any::<u8>(), cut in 0usize..200) {
+    fn decoding_a_corrupted_or_truncated_datagram_never_panics(position in 0usize..200, value in any::<u8>(), length_limit in 0usize..200) {
         let mut bytes = datagram(10, MessageKind::SyncRequest).encode().0;
         let length = bytes.len();
-        bytes[at % length] = to;
+        bytes[position % length] = value;
         let _ = Datagram::decode(&bytes);
-        let _ = Datagram::decode(&bytes[..cut % length]);
+        let _ = Datagram::decode(&bytes[..length_limit % length]);
     }
 }
