--- a/gateway-cluster/examples/bounds.rs
+++ b/gateway-cluster/examples/membership_bounds.rs
@@ -1,5 +1,5 @@
 //! The view's bounds over seeds, on all processors:
-//! `cargo run --release -p gateway-cluster --example bounds heal [GATEWAYS [SEEDS]]`, how long views take to be right
+//! `cargo run --release -p gateway-cluster --example membership_bounds heal [GATEWAYS [SEEDS]]`, how long views take to be right
 //! again after partitions of several shapes and lengths; `... bounds loss [GATEWAYS [SEEDS [SECONDS [PERCENT]]]]`, how
 //! often a gateway that lives is held for dead while datagrams are lost; `... bounds kill [GATEWAYS [SEEDS [PERCENT]]]`, how
 //! long a killed gateway is not dead everywhere; `... bounds storm [GATEWAYS [SEEDS [PERCENT]]]`, what is sent after many die.
--- a/gateway-cluster/examples/engines.rs
+++ b/gateway-cluster/examples/membership_protocols.rs
@@ -1,5 +1,5 @@
 //! Measures an engine of the view in the simulation, by the bounds that the view is to reach:
-//! `cargo run --release -p gateway-cluster --example engines [SEEDS [view|foca]]`: the view of this crate, or the
+//! `cargo run --release -p gateway-cluster --example membership_protocols [SEEDS [view|foca]]`: the view of this crate, or the
 //! crate `foca` with the settings that come nearest to those bounds.
 
 use foca::{Config, Foca, Identity, Member, PeriodicParams, PostcardCodec, Runtime, Timer};
--- a/gateway-cluster/src/leadership/election/campaign.rs
+++ b/gateway-cluster/src/leadership/election/campaign.rs
@@ -1,6 +1,6 @@
 //! How a gateway asks for leadership and renews its lease: first promises, then grants.
 
-use super::schedule::AGAIN;
+use super::timing::AGAIN;
 use super::{ElectionEvent, LeaderElection, Stage};
 use crate::leadership::voter::MAX_EPOCH;
 use crate::leadership::votes::CollectedVotes;
--- a/gateway-cluster/src/leadership/election/receiving.rs
+++ b/gateway-cluster/src/leadership/election/datagrams.rs
@@ -1,6 +1,6 @@
 //! A datagram that has come: what it tells of its sender, and what it asks or answers.
 
-use super::leader::{KnownLeader, ELSEWHERE};
+use super::known_leader::{KnownLeader, ELSEWHERE};
 use super::{LeaderElection, LeaseProof, Stage};
 use crate::leadership::voter::{VoteRejection, VoteRequest};
 use crate::leadership::wire::{Datagram, Kind};
--- a/gateway-cluster/src/leadership/election/leader.rs
+++ b/gateway-cluster/src/leadership/election/known_leader.rs
@@ -1,7 +1,7 @@
 //! Who owns, as far as this gateway has heard, and how it asks for that; and how leadership is given back.
 
-use super::peers::Peer;
-use super::schedule::order;
+use super::peer_table::Peer;
+use super::timing::order;
 use super::{ElectionEvent, LeaderElection, LeaseProof, Stage};
 use crate::leadership::wire::Kind;
 use crate::leadership::LeaseHolder;
--- a/gateway-cluster/src/leadership/election/mod.rs
+++ b/gateway-cluster/src/leadership/election/mod.rs
@@ -1,15 +1,15 @@
 //! The leadership at one gateway: it grants, asks for grants when nobody owns, renews them, and knows who owns.
 
 mod campaign;
-mod granting;
-mod leader;
-mod peers;
-mod receiving;
-mod refusals;
-mod schedule;
-mod sending;
+mod datagrams;
+mod known_leader;
+mod peer_table;
+mod rejections;
+mod timing;
+mod transmit;
+mod voting;
 
-pub use schedule::{min_lease, renewal};
+pub use timing::{min_lease, renewal};
 
 use super::configuration::{ConfigurationReport, PeerConfiguration};
 use super::voter::LeaseVoter;
@@ -18,12 +18,12 @@
 use crate::peers::PeerId;
 use crate::protocol::{Micros, Transmit};
 use crate::token_bucket::TokenBucket;
-use leader::KnownLeader;
-use peers::Peer;
+use known_leader::KnownLeader;
+use peer_table::Peer;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use schedule::{BURST, PER_SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use timing::{BURST, PER_SECOND};
 
 /// Things to tell the log that may wait.
 const MAX_EVENTS: usize = 256;
--- a/gateway-cluster/src/leadership/election/refusals.rs
+++ b/gateway-cluster/src/leadership/election/rejections.rs
@@ -1,6 +1,6 @@
 //! What follows from a refusal, from a later epoch, and from a round that has failed.
 
-use super::schedule::AGAIN;
+use super::timing::AGAIN;
 use super::{ElectionEvent, LeaderElection, Stage};
 use crate::leadership::voter::{VoteRejection, MAX_EPOCH};
 use crate::leadership::votes::CollectedVotes;
--- a/gateway-cluster/src/leadership/election/schedule.rs
+++ b/gateway-cluster/src/leadership/election/timing.rs
@@ -1,6 +1,6 @@
 //! When a gateway asks, and who is to ask before it.
 
-use super::leader::{WHO, WHO_AHEAD, WHO_GAP};
+use super::known_leader::{WHO, WHO_AHEAD, WHO_GAP};
 use super::LeaderElection;
 use crate::hash::mix;
 use crate::peers::PeerId;
--- a/gateway-cluster/src/leadership/voter.rs
+++ b/gateway-cluster/src/leadership/voter.rs
@@ -1,5 +1,5 @@
 //! What one gateway has granted, and to whom it may grant next. All of the safety of ownership is in these rules; the model
-//! check (`tests/ownership_model.rs`) runs them through all orders of events.
+//! check (`tests/leadership_model.rs`) runs them through all orders of events.
 
 use super::configuration::{ConfigurationMismatch, ConfigurationReport, PeerConfiguration};
 use super::{longer, LeaseHolder};
--- a/gateway-cluster/src/membership/exchange.rs
+++ b/gateway-cluster/src/membership/anti_entropy.rs
@@ -1,7 +1,7 @@
 //! What two views differ in, and telling it.
 
 use super::member::Member;
-use super::sending::{Class, CLAIMS_ALONE};
+use super::transmit::{Class, CLAIMS_ALONE};
 use super::Membership;
 use crate::hash::mix;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
--- a/gateway-cluster/src/membership/inputs.rs
+++ b/gateway-cluster/src/membership/datagrams.rs
@@ -1,9 +1,9 @@
 //! What comes in: time, and datagrams.
 
-use super::claims::FEW;
-use super::exchange::COMPARE_PEER_SETS;
+use super::anti_entropy::COMPARE_PEER_SETS;
 use super::healing::HEAL_STEPS;
-use super::sending::{Class, CLAIMS_ALONE, CLAIMS_BESIDE};
+use super::transmit::{Class, CLAIMS_ALONE, CLAIMS_BESIDE};
+use super::updates::FEW;
 use super::Membership;
 use crate::precedence::started_at_ms;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex};
--- a/gateway-cluster/src/membership/healing.rs
+++ b/gateway-cluster/src/membership/healing.rs
@@ -1,7 +1,7 @@
 //! Healing: dead gateways are called for ever, and who comes back is believed for those that live on its side.
 
 use super::member::Cause;
-use super::sending::Class;
+use super::transmit::Class;
 use super::Membership;
 use crate::precedence;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
--- a/gateway-cluster/src/membership/mod.rs
+++ b/gateway-cluster/src/membership/mod.rs
@@ -3,29 +3,29 @@
 //!
 //! The page `docs/cluster-view.md` has the reasons and the times that follow from the probe period.
 
-mod claims;
-mod doubts;
-mod exchange;
+mod anti_entropy;
+mod datagrams;
 mod healing;
-mod inputs;
 mod member;
 mod probes;
-mod sending;
+mod suspicion;
+mod transmit;
+mod updates;
 
 use crate::hash::mix;
 use crate::peers::{PeerId, PeerSet, PeerSetError};
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::token_bucket::TokenBucket;
 use crate::wire::{Incarnation, MessageKind};
-use exchange::COMPARE_PERIODS;
-use inputs::{ANYBODY_STEPS, STEP};
+use anti_entropy::COMPARE_PERIODS;
+use datagrams::{ANYBODY_STEPS, STEP};
 use member::Member;
 use probes::{ring, Probe, Relay, HELPERS};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sending::{Class, BYTES, BYTES_PER_S, MESSAGES, MESSAGES_PER_S};
 use std::collections::{BTreeMap, VecDeque};
+use transmit::{Class, BYTES, BYTES_PER_S, MESSAGES, MESSAGES_PER_S};
 
 /// What began so long ago is no longer new: a life, which outbids a claim of a higher one until then and takes it for
 /// its successor's later, a refutation, a return, and a watch that no stop has ended.
--- a/gateway-cluster/src/membership/probes.rs
+++ b/gateway-cluster/src/membership/probes.rs
@@ -1,7 +1,7 @@
 //! Who is asked whether it lives, by whom, and what is made of the answers.
 
 use super::member::STRONG;
-use super::sending::{Class, CLAIMS_BESIDE};
+use super::transmit::{Class, CLAIMS_BESIDE};
 use super::Membership;
 use crate::hash::mix;
 use crate::peers::{PeerId, PeerSet};
--- a/gateway-cluster/src/membership/doubts.rs
+++ b/gateway-cluster/src/membership/suspicion.rs
@@ -1,9 +1,9 @@
 //! What is doubted, for how long, and when a doubt is a verdict. And when this gateway doubts itself: after a stall, and
 //! where it hears nobody.
 
-use super::claims::FEW;
 use super::member::{Cause, Doubt, STRONG};
-use super::sending::Class;
+use super::transmit::Class;
+use super::updates::FEW;
 use super::Membership;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::wire::MessageKind;
--- a/gateway-cluster/src/membership/sending.rs
+++ b/gateway-cluster/src/membership/transmit.rs
@@ -1,7 +1,7 @@
 //! The one place that sends, and its budget.
 
-use super::claims::{FEW, TIMES_FEW, TIMES_MANY};
 use super::member::Member;
+use super::updates::{FEW, TIMES_FEW, TIMES_MANY};
 use super::Membership;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::wire::{Datagram, MessageKind, Update, ViewSummary, HEADER_BYTES};
--- a/gateway-cluster/src/membership/claims.rs
+++ b/gateway-cluster/src/membership/updates.rs
@@ -1,6 +1,6 @@
 //! What is made of the claims of others, of other gateways and of this one.
 
-use super::exchange::COMPARE_PERIODS;
+use super::anti_entropy::COMPARE_PERIODS;
 use super::healing::HEALING;
 use super::member::{Cause, Member, STRONG};
 use super::{ChangeReason, Membership, MembershipChange};
--- a/gateway-cluster/src/precedence.rs
+++ b/gateway-cluster/src/precedence.rs
@@ -1,7 +1,7 @@
 //! Precedence of SWIM's membership updates: which update about a peer overrides which, and how a gateway reacts to an
 //! update about itself (SWIM, section 4.2: incarnation numbers and refutation).
 //!
-//! These are pure functions. [`crate::membership`] applies them, and the model check (`tests/model.rs`) runs the same
+//! These are pure functions. [`crate::membership`] applies them, and the model check (`tests/precedence_model.rs`) runs the same
 //! functions through all orders of events. Invariants that it checks: the incarnation known of a peer never decreases, and
 //! a running gateway can always refute the verdict that it is dead.
 
