--- a/gateway-cluster/src/membership/anti_entropy.rs
+++ b/gateway-cluster/src/membership/anti_entropy.rs
@@ -1,195 +1,227 @@
-//! What two views differ in, and telling it.
+//! Anti-entropy between two views: each gateway compares a summary of the other's view with its own and sends the
+//! updates that the other lacks.
+//!
+//! All datagrams carry a digest of the sender's dead peers. If digests differ, a gateway sends a sync request with its
+//! summary; the answer has the differing updates.
 
 use super::member::Member;
-use super::transmit::{Class, CLAIMS_ALONE};
+use super::transmit::{Priority, MAX_GOSSIP_UPDATES};
 use super::Membership;
 use crate::hash::mix;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::wire::{MessageKind, PeerSummary, ViewSummary};
 use rand::Rng;
 
-/// Probe periods between two exchanges of what differs: where digests differ, and where peer sets do; and by how much
-/// they grow while exchanges change nothing.
-pub(super) const COMPARE_PERIODS: f64 = 0.6;
-pub(super) const COMPARE_PEER_SETS: f64 = 8.0;
-const COMPARE_MORE: f64 = 1.5;
-/// Most claims of an answer that tells what differs; bytes of a claim, about, and of what is beside them.
-const CLAIMS_ANSWERED: usize = 60;
-const CLAIM_BYTES: f64 = 9.0;
-const TELL_BESIDE: f64 = 60.0;
-/// Most claims that are told where only incarnations differ.
-const GONE_MOST: usize = 40;
+/// Initial and maximum time between two sync requests, in probe periods, and the factor by which it grows with each
+/// request. A change of state resets it. With another peer set the maximum applies.
+pub(super) const SYNC_INTERVAL_PERIODS: f64 = 0.6;
+pub(super) const SYNC_MAX_INTERVAL_PERIODS: f64 = 8.0;
+const SYNC_INTERVAL_GROWTH: f64 = 1.5;
+/// Maximum number of differing updates in an ack.
+const MAX_UPDATES_IN_ACK: usize = 60;
+/// Estimated size of an encoded update and of the rest of a datagram, in bytes.
+const UPDATE_BYTES: f64 = 9.0;
+const SYNC_OVERHEAD_BYTES: f64 = 60.0;
+/// Maximum number of dead peers sent where only incarnations differ.
+const MAX_DEAD_PEERS_SENT: usize = 40;
 
-/// What two views differ in.
+/// The differences between this view and another one.
 #[derive(Debug, Default)]
-pub(super) struct Differs {
-    /// What one can tell the other.
-    pub(super) tells: Vec<PeerIndex>,
-    /// The other can tell this one something.
-    pub(super) lacks: bool,
+pub(super) struct ViewDifferences {
+    /// Peers about which this gateway has a newer update.
+    pub(super) to_send: Vec<PeerIndex>,
+    /// The other gateway has a newer update about some peer.
+    pub(super) other_is_newer: bool,
 }
 
 impl Membership {
-    /// Of what others are told: who is gone, in which incarnation.
-    pub(super) fn inner_digest(&self) -> u32 {
-        // Those who live are told by nobody, and by themselves with all that they send.
-        let held = self.peers.ids().iter().zip(&self.members);
-        let dead = held.filter(|(_, member)| member.dead);
+    /// Digest of the dead peers and their incarnations. It is independent of their order.
+    pub(super) fn dead_peers_digest(&self) -> u32 {
+        // Alive peers are left out: each announces its incarnation with all its datagrams.
+        let states = self.peers.ids().iter().zip(&self.members);
+        let dead = states.filter(|(_, member)| member.dead);
         dead.fold(0, |sum, (id, member)| {
             sum ^ mix(u64::from(*id), member.incarnation)
         }) as u32
     }
 
-    pub(super) fn marks(&self, now: Micros) -> ViewSummary {
-        let mut marks = ViewSummary::all_alive(self.members.len());
-        marks.is_authoritative = self.is_authoritative(now);
-        for (place, member) in self.members.iter().enumerate() {
-            marks.set(place, self.mark(now, member));
+    /// The summary of this view.
+    pub(super) fn view_summary(&self, now: Micros) -> ViewSummary {
+        let mut summary = ViewSummary::all_alive(self.members.len());
+        summary.is_authoritative = self.is_authoritative(now);
+        for (index, member) in self.members.iter().enumerate() {
+            summary.set(index, self.peer_summary(now, member));
         }
-        marks
+        summary
     }
 
-    fn mark(&self, now: Micros, member: &Member) -> PeerSummary {
-        match member.told() {
+    fn peer_summary(&self, now: Micros, member: &Member) -> PeerSummary {
+        match member.gossiped_state() {
             PeerState::Dead => PeerSummary::Dead,
             PeerState::Suspect => PeerSummary::Suspect,
-            PeerState::Alive if member.raised.is_some_and(|at| self.is_recent(now, at)) => {
+            PeerState::Alive if member.raised_at.is_some_and(|at| self.is_recent(now, at)) => {
                 PeerSummary::IncarnationRaised
             }
             PeerState::Alive => PeerSummary::Alive,
         }
     }
 
-    pub(super) fn compare(
+    /// Requests the differences to another gateway's view.
+    pub(super) fn send_sync_request(
         &mut self,
         now: Micros,
-        with: PeerIndex,
+        to: PeerIndex,
         sends: &mut Vec<IndexedTransmit>,
     ) {
-        if self.send(now, with, MessageKind::SyncRequest, 0, Class::News, sends) {
-            self.compared = now;
-            // Where exchanges change nothing the next one waits longer.
-            self.compare_gap = (COMPARE_MORE * self.compare_gap).min(COMPARE_PEER_SETS);
+        if self.send(
+            now,
+            to,
+            MessageKind::SyncRequest,
+            0,
+            Priority::Gossip,
+            sends,
+        ) {
+            self.last_sync_at = now;
+            // Exponential backoff while exchanges change nothing.
+            self.sync_interval_periods =
+                (SYNC_INTERVAL_GROWTH * self.sync_interval_periods).min(SYNC_MAX_INTERVAL_PERIODS);
         }
     }
 
-    /// What another view lacks of this one, from a place drawn at random on, and whether this one lacks something.
-    pub(super) fn what_differs(
+    /// Compares this view with another gateway's summary. The order of the result starts at a random index, as an answer may
+    /// hold only a part of it.
+    pub(super) fn differences_to(
         &mut self,
         now: Micros,
         from: PeerIndex,
         theirs: &ViewSummary,
-    ) -> Differs {
-        self.believe(now, from, theirs);
+    ) -> ViewDifferences {
+        self.adopt_alive_peers_of(now, from, theirs);
         let names = self.members.len();
         let first = self.rng.random_range(0..names);
-        let mut differs = Differs::default();
-        for place in (0..names).map(|n| (first + n) % names) {
-            let held = match self.mark(now, &self.members[place]) {
-                PeerSummary::Alive if place == self.me => PeerSummary::IncarnationRaised,
-                held => held,
+        let mut differences = ViewDifferences::default();
+        for index in (0..names).map(|n| (first + n) % names) {
+            let known = match self.peer_summary(now, &self.members[index]) {
+                PeerSummary::Alive if index == self.own_index => PeerSummary::IncarnationRaised,
+                known => known,
             };
-            let theirs = theirs.get(place);
-            let gone = matches!(theirs, PeerSummary::Suspect | PeerSummary::Dead);
-            if let Some(doubt) = self.members[place].doubt.as_mut().filter(|_| gone) {
-                // Another that doubts it has no refutation either.
-                doubt.confirmed |= doubt.is_strong();
+            let theirs = theirs.get(index);
+            let considers_dead = matches!(theirs, PeerSummary::Suspect | PeerSummary::Dead);
+            if let Some(suspicion) = self.members[index]
+                .suspicion
+                .as_mut()
+                .filter(|_| considers_dead)
+            {
+                // The other gateway suspects the peer too, so it knows no refutation.
+                suspicion.confirmed |= suspicion.is_gossiped();
             }
-            match (held, theirs) {
-                _ if place == from || held == theirs => {}
+            match (known, theirs) {
+                _ if index == from || known == theirs => {}
                 (PeerSummary::Alive, PeerSummary::IncarnationRaised)
                 | (PeerSummary::IncarnationRaised, PeerSummary::Alive) => {}
                 (PeerSummary::Alive, _)
                 | (PeerSummary::Suspect | PeerSummary::Dead, PeerSummary::IncarnationRaised) => {
-                    differs.lacks = true
+                    differences.other_is_newer = true
                 }
-                (PeerSummary::Suspect, PeerSummary::Dead) => differs.lacks = true,
-                // What lives goes before what is gone: a refutation has to outrun the doubt.
-                (PeerSummary::IncarnationRaised, _) => differs.tells.insert(0, place),
-                _ => differs.tells.push(place),
+                (PeerSummary::Suspect, PeerSummary::Dead) => differences.other_is_newer = true,
+                // Refutations go first: they have to overtake the suspicion.
+                (PeerSummary::IncarnationRaised, _) => differences.to_send.insert(0, index),
+                _ => differences.to_send.push(index),
             }
         }
-        differs
+        differences
     }
 
-    /// All that are gone, from one drawn at random on: for a view with another peer set, or one that agrees on who is
-    /// gone and not on the incarnation.
-    pub(super) fn all_gone(&mut self) -> Differs {
-        let mut tells: Vec<PeerIndex> = (0..self.members.len())
-            .filter(|place| self.members[*place].dead)
+    /// Up to [`MAX_DEAD_PEERS_SENT`] dead peers from a random one on: for a gateway with another peer set, or one whose view
+    /// differs only in the incarnations of dead peers.
+    pub(super) fn dead_peers(&mut self) -> ViewDifferences {
+        let mut to_send: Vec<PeerIndex> = (0..self.members.len())
+            .filter(|index| self.members[*index].dead)
             .collect();
-        if !tells.is_empty() {
-            let first = self.rng.random_range(0..tells.len());
-            tells.rotate_left(first);
-            tells.truncate(GONE_MOST);
+        if !to_send.is_empty() {
+            let first = self.rng.random_range(0..to_send.len());
+            to_send.rotate_left(first);
+            to_send.truncate(MAX_DEAD_PEERS_SENT);
         }
-        Differs {
-            tells,
-            lacks: false,
+        ViewDifferences {
+            to_send,
+            other_is_newer: false,
         }
     }
 
-    /// Tells what differs, as much as an answer holds, with marks where the other can tell something in turn. An
-    /// answer to a ping goes in any case.
-    pub(super) fn tell(
+    /// Sends the differing updates, as many as fit into the datagram and the budget. A summary is added if the other gateway
+    /// has newer updates. An ack is sent in any case.
+    pub(super) fn send_differences(
         &mut self,
         now: Micros,
         to: PeerIndex,
         kind: MessageKind,
-        differs: &Differs,
-        may_ask: bool,
+        differences: &ViewDifferences,
+        may_request_answer: bool,
         sends: &mut Vec<IndexedTransmit>,
     ) {
-        let mut tells: Vec<PeerIndex> = Vec::new();
-        if self.members[to].told() != PeerState::Alive || self.members[to].behind {
-            // What is held of itself comes first: it can refute that.
-            tells.push(to);
+        let mut to_send: Vec<PeerIndex> = Vec::new();
+        if self.members[to].gossiped_state() != PeerState::Alive
+            || self.members[to].has_stale_incarnation
+        {
+            // The update about the receiver goes first: it can refute it.
+            to_send.push(to);
         }
-        tells.extend(differs.tells.iter().filter(|place| **place != to));
-        let owed = matches!(kind, MessageKind::Ack(_));
-        let most = if owed { CLAIMS_ANSWERED } else { CLAIMS_ALONE };
-        let asks = may_ask && differs.lacks || owed && self.was_apart(now, to);
-        // A part of it is better than nothing where the budget is nearly spent.
-        self.fill(now);
-        let room = (self.bytes.level() - TELL_BESIDE) / CLAIM_BYTES;
-        tells.truncate(most.min(room.max(0.0) as usize));
-        if tells.is_empty() && !asks && !owed {
+        to_send.extend(differences.to_send.iter().filter(|index| **index != to));
+        let is_ack = matches!(kind, MessageKind::Ack(_));
+        let max_updates = if is_ack {
+            MAX_UPDATES_IN_ACK
+        } else {
+            MAX_GOSSIP_UPDATES
+        };
+        let requests_answer = may_request_answer && differences.other_is_newer
+            || is_ack && self.was_recently_unreachable(now, to);
+        // With little budget a part of the updates is sent.
+        self.refill_budget(now);
+        let affordable = (self.byte_budget.level() - SYNC_OVERHEAD_BYTES) / UPDATE_BYTES;
+        to_send.truncate(max_updates.min(affordable.max(0.0) as usize));
+        if to_send.is_empty() && !requests_answer && !is_ack {
             return;
         }
-        let marks = asks.then(|| self.marks(now));
-        let went = self.put_marked(
+        let summary = requests_answer.then(|| self.view_summary(now));
+        let was_sent = self.send_updates_with_summary(
             now,
             to,
             kind.clone(),
-            marks,
-            tells.clone(),
-            Class::Answer,
+            summary,
+            to_send.clone(),
+            Priority::Answer,
             sends,
         );
-        if went {
-            for place in tells {
-                let member = &mut self.members[place];
-                member.sent = member.sent.map(|sent| sent.saturating_add(1));
+        if was_sent {
+            for index in to_send {
+                let member = &mut self.members[index];
+                member.transmissions = member.transmissions.map(|count| count.saturating_add(1));
             }
-        } else if owed {
-            self.put(now, to, kind, Vec::new(), Class::Answer, sends);
+        } else if is_ack {
+            self.send_updates(now, to, kind, Vec::new(), Priority::Answer, sends);
         }
     }
 
-    /// Tells a gateway what it is behind in, with an answer that is owed.
-    pub(super) fn tell_newer(
+    /// Sends newer updates about the peers for which another gateway's updates were outdated. A confirm response is sent
+    /// even without updates.
+    pub(super) fn send_newer_updates(
         &mut self,
         now: Micros,
         to: PeerIndex,
-        behind: Vec<PeerIndex>,
+        outdated: Vec<PeerIndex>,
         kind: MessageKind,
         sends: &mut Vec<IndexedTransmit>,
     ) {
-        let newer: Vec<PeerIndex> = behind.into_iter().take(CLAIMS_ALONE).collect();
-        let owed = matches!(kind, MessageKind::ConfirmResponse(_));
-        if owed || !newer.is_empty() {
-            let class = if owed { Class::Answer } else { Class::Question };
-            self.put(now, to, kind, newer, class, sends);
+        let newer: Vec<PeerIndex> = outdated.into_iter().take(MAX_GOSSIP_UPDATES).collect();
+        let is_ack = matches!(kind, MessageKind::ConfirmResponse(_));
+        if is_ack || !newer.is_empty() {
+            let priority = if is_ack {
+                Priority::Answer
+            } else {
+                Priority::Request
+            };
+            self.send_updates(now, to, kind, newer, priority, sends);
         }
     }
 }
--- a/gateway-cluster/src/membership/member.rs
+++ b/gateway-cluster/src/membership/member.rs
@@ -1,135 +1,152 @@
-//! What is held of one name of the peer set.
+//! The state of one peer in a gateway's membership, and of the suspicion of it.
+//!
+//! Data and small queries only; the rules that change it are in `updates` and `suspicion`.
 
 use crate::protocol::{Micros, PeerIndex, PeerState};
 use crate::wire::{Incarnation, UpdateStatus, MAX_SUSPICION_AGE};
 
-/// What a doubt weighs that is told to others.
-pub(super) const STRONG: u8 = 3;
-/// How often a claim that presses is gossiped, beside what other datagrams carry.
-const PRESSING: u8 = 4;
+/// Confidence from which a suspicion is gossiped. A suspicion of lower confidence is local to this gateway.
+pub(super) const GOSSIPED_CONFIDENCE: u8 = 3;
+/// Number of transmissions after which an urgent update is no longer gossiped by itself, but only piggybacked.
+const URGENT_TRANSMISSIONS: u8 = 4;
 
+/// A suspicion of a peer. It becomes a verdict at `expires_at` unless the peer refutes it.
 #[derive(Debug, Clone)]
-pub(super) struct Doubt {
-    pub(super) since: Micros,
-    pub(super) until: Micros,
-    pub(super) weight: u8,
-    /// How often others were asked to confirm it, when the next is, and whether one had nothing against it.
-    pub(super) asked: u8,
-    pub(super) ask_at: Micros,
+pub(super) struct Suspicion {
+    pub(super) started_at: Micros,
+    pub(super) expires_at: Micros,
+    /// From 1 to [`GOSSIPED_CONFIDENCE`]: higher where indirect probes failed too.
+    pub(super) confidence: u8,
+    /// Number of requests to another gateway to confirm the suspicion before it expires.
+    pub(super) confirm_requests: u8,
+    /// Time of the next such request.
+    pub(super) next_confirm_at: Micros,
+    /// Another gateway answered and knows no refutation.
     pub(super) confirmed: bool,
 }
 
+/// The state of one peer.
 #[derive(Debug, Clone)]
 pub(super) struct Member {
     pub(super) incarnation: Incarnation,
     pub(super) dead: bool,
-    /// It is gone by its own word.
+    /// It is dead because it announced its shutdown.
     pub(super) left: bool,
-    pub(super) doubt: Option<Doubt>,
-    /// When it was last heard itself.
-    pub(super) heard: Option<Micros>,
-    /// When it was last held for dead and came back, and when in the life that it had before.
-    pub(super) returned: Option<Micros>,
-    pub(super) rejoined: Option<Micros>,
-    /// When its incarnation was last raised while this gateway looked.
-    pub(super) raised: Option<Micros>,
-    /// How often the claim has been sent on; `None` once that is enough.
-    pub(super) sent: Option<u8>,
-    /// The peer set that it had when it was last heard.
-    pub(super) peers: Option<u32>,
-    /// It speaks in an incarnation that is behind what is held of it: it is to be told.
-    pub(super) behind: bool,
-    /// Others are to hear of it soon: a verdict, a strong doubt, or what refutes those.
-    pub(super) pressing: bool,
+    pub(super) suspicion: Option<Suspicion>,
+    /// Time of the last datagram from the peer itself.
+    pub(super) last_heard_at: Option<Micros>,
+    /// Time at which it last came back from the dead state.
+    pub(super) returned_at: Option<Micros>,
+    /// The same, where it came back as the same process.
+    pub(super) rejoined_at: Option<Micros>,
+    /// Time at which this gateway last saw its incarnation rise.
+    pub(super) raised_at: Option<Micros>,
+    /// Number of transmissions of the update about it; `None` once it was transmitted often enough.
+    pub(super) transmissions: Option<u8>,
+    /// Digest of the peer set in its last datagram.
+    pub(super) peer_set_digest: Option<u32>,
+    /// Its last datagram had an older incarnation than the known one: it has to receive the known one.
+    pub(super) has_stale_incarnation: bool,
+    /// The update about it is to spread soon: a verdict, a gossiped suspicion, or a refutation.
+    pub(super) urgent: bool,
 }
 
-/// The same with a place for the name, which is looked up when a change is kept.
+/// Reason for a change of state, with peers by index. [`super::ChangeReason`] is the public form with names.
 #[derive(Debug, Clone, Copy)]
 pub(super) enum Cause {
     NoAnswer,
-    ToldBy(PeerIndex),
+    ReportedBy(PeerIndex),
     NotRefuted,
     Returned,
     Left,
 }
 
-impl Doubt {
-    /// Others are told of it; a weak one is this gateway's own.
-    pub(super) fn is_strong(&self) -> bool {
-        self.weight >= STRONG
+impl Suspicion {
+    /// Whether it is gossiped; otherwise it is local to this gateway.
+    pub(super) fn is_gossiped(&self) -> bool {
+        self.confidence >= GOSSIPED_CONFIDENCE
     }
 
-    pub(super) fn new(now: Micros, wait: Micros, weight: u8) -> Doubt {
-        Doubt {
-            since: now,
-            until: now + wait,
-            weight,
-            asked: 0,
-            ask_at: now,
+    pub(super) fn new(now: Micros, timeout: Micros, confidence: u8) -> Suspicion {
+        Suspicion {
+            started_at: now,
+            expires_at: now + timeout,
+            confidence,
+            confirm_requests: 0,
+            next_confirm_at: now,
             confirmed: false,
         }
     }
 }
 
 impl Member {
-    /// One that is in the peer set, and of which nothing is known.
-    pub(super) fn unknown() -> Member {
+    /// A peer of which only the name is known.
+    pub(super) fn initial() -> Member {
         Member {
             incarnation: 0,
             dead: false,
             left: false,
-            doubt: None,
-            heard: None,
-            returned: None,
-            rejoined: None,
-            raised: None,
-            sent: None,
-            peers: None,
-            behind: false,
-            pressing: false,
+            suspicion: None,
+            last_heard_at: None,
+            returned_at: None,
+            rejoined_at: None,
+            raised_at: None,
+            transmissions: None,
+            peer_set_digest: None,
+            has_stale_incarnation: false,
+            urgent: false,
         }
     }
 
-    /// The state that is told to others: a weak doubt is this gateway's own.
-    pub(super) fn told(&self) -> PeerState {
-        match &self.doubt {
-            Some(doubt) if !doubt.is_strong() && !self.dead => PeerState::Alive,
+    /// The state that other gateways receive: a peer under a local suspicion is alive for them.
+    pub(super) fn gossiped_state(&self) -> PeerState {
+        match &self.suspicion {
+            Some(suspicion) if !suspicion.is_gossiped() && !self.dead => PeerState::Alive,
             _ => self.state(),
         }
     }
 
     pub(super) fn state(&self) -> PeerState {
-        match (&self.doubt, self.dead) {
+        match (&self.suspicion, self.dead) {
             (_, true) => PeerState::Dead,
             (Some(_), false) => PeerState::Suspect,
             (None, false) => PeerState::Alive,
         }
     }
 
-    pub(super) fn is_strongly_doubted(&self) -> bool {
-        self.doubt.as_ref().is_some_and(Doubt::is_strong)
+    pub(super) fn has_gossiped_suspicion(&self) -> bool {
+        self.suspicion.as_ref().is_some_and(Suspicion::is_gossiped)
     }
 
-    pub(super) fn is_weakly_doubted(&self) -> bool {
-        self.doubt.as_ref().is_some_and(|doubt| !doubt.is_strong())
+    pub(super) fn has_local_suspicion(&self) -> bool {
+        self.suspicion
+            .as_ref()
+            .is_some_and(|suspicion| !suspicion.is_gossiped())
     }
 
-    /// It is dead from now on, and that counts as having been sent on so often.
-    pub(super) fn bury(&mut self, sent: u8) {
-        (self.doubt, self.dead, self.sent, self.pressing) = (None, true, Some(sent), true);
+    /// Declares the peer dead. The verdict counts as transmitted this many times already.
+    pub(super) fn mark_dead(&mut self, transmissions: u8) {
+        self.suspicion = None;
+        self.dead = true;
+        self.transmissions = Some(transmissions);
+        self.urgent = true;
     }
 
-    /// Whether others are to hear of it soon: a weak doubt has the time to wait for other datagrams.
-    pub(super) fn presses(&self) -> bool {
-        self.pressing && self.sent.is_some_and(|sent| sent < PRESSING)
+    /// Whether the update is gossiped by itself. Other updates wait to be piggybacked on other datagrams.
+    pub(super) fn is_urgent(&self) -> bool {
+        self.urgent
+            && self
+                .transmissions
+                .is_some_and(|transmissions| transmissions < URGENT_TRANSMISSIONS)
     }
 
-    pub(super) fn claim(&self, now: Micros, probe: Micros) -> UpdateStatus {
-        match (&self.doubt, self.dead) {
+    /// The status in an update about this peer.
+    pub(super) fn update_status(&self, now: Micros, probe_period: Micros) -> UpdateStatus {
+        match (&self.suspicion, self.dead) {
             (_, true) if self.left => UpdateStatus::Left,
             (_, true) => UpdateStatus::Dead,
-            (Some(doubt), false) => {
-                let tenths = 10 * now.saturating_sub(doubt.since) / probe.max(1);
+            (Some(suspicion), false) => {
+                let tenths = 10 * now.saturating_sub(suspicion.started_at) / probe_period.max(1);
                 UpdateStatus::Suspect(tenths.min(u64::from(MAX_SUSPICION_AGE)) as u8)
             }
             (None, false) => UpdateStatus::Alive,
--- a/gateway-cluster/src/membership/mod.rs
+++ b/gateway-cluster/src/membership/mod.rs
@@ -1,7 +1,15 @@
-//! The view of the cluster: SWIM with Lifeguard's refinements, and what those two do not have: healing after any
-//! partition, a look at the own clock after a stall, exchange of what differs, and a bound on all that is sent.
+//! Cluster membership: SWIM (Das, Gupta, Motivala, 2002) with Lifeguard's refinements (Dadgar et al., 2017): direct and
+//! indirect probes, suspicion with refutation by incarnation numbers, updates piggybacked on probes, a local health score.
 //!
-//! The page `docs/cluster-view.md` has the reasons and the times that follow from the probe period.
+//! Additions to both: dead peers are contacted for ever, so that every partition heals; a process that stalled discards
+//! its pending verdicts; views are compared by summary (anti-entropy); two token buckets bound all sent traffic.
+//!
+//! [`Membership`] is a state machine without I/O; the driver calls [`Membership::on_datagram`] and
+//! [`Membership::on_timer`]. `docs/fleet-view.md` has the guarantees and the times that follow from the probe period.
+//!
+//! Modules: `datagrams` handles received datagrams, `timer` the periodic step, `updates` applies membership updates,
+//! `probes` runs health checks, `suspicion` its verdicts, `anti_entropy` compares views, `healing` reconnects
+//! partitions, `transmit` sends within the budget, `member` holds the state of one peer.
 
 mod anti_entropy;
 mod datagrams;
@@ -17,146 +25,157 @@
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::token_bucket::TokenBucket;
 use crate::wire::{Incarnation, MessageKind};
-use anti_entropy::COMPARE_PERIODS;
-use datagrams::{ANYBODY_STEPS, STEP};
+use anti_entropy::SYNC_INTERVAL_PERIODS;
+use datagrams::{RANDOM_PROBE_STEPS, STEP_PERIODS};
 use member::Member;
-use probes::{ring, Probe, Relay, HELPERS};
+use probes::{ring, IndirectProbe, Probe, HELPERS};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
-use transmit::{Class, BYTES, BYTES_PER_S, MESSAGES, MESSAGES_PER_S};
+use transmit::{Priority, BYTES_PER_S, BYTE_BURST, MESSAGES_PER_S, MESSAGE_BURST};
 
-/// What began so long ago is no longer new: a life, which outbids a claim of a higher one until then and takes it for
-/// its successor's later, a refutation, a return, and a watch that no stop has ended.
-const YOUNG_PERIODS: f64 = 20.0;
-/// Gateways that one tells that goes.
-const TOLD_OF_LEAVING: usize = 8;
+/// Age, in probe periods, up to which an event counts as recent: the start of this process, a raised incarnation, a return
+/// from the dead state, and the start of uninterrupted observation. A process that started recently refutes updates with
+/// a later incarnation instead of taking them for those of its successor.
+const RECENT_PERIODS: f64 = 20.0;
+/// Number of gateways that receive the announcement of a shutdown.
+const MAX_LEAVE_NOTICES: usize = 8;
 
-/// Of which part of the peer set a gateway can speak.
+/// The side of a network partition on which a gateway finds itself, by the number of peers that are not dead.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PartitionSide {
-    /// All of it lives.
+    /// No peer is dead.
     Whole,
-    /// More than half, this gateway too.
+    /// More than half of the peer set is reachable, this gateway included.
     Majority,
-    /// Half or less.
+    /// Half of the peer set or less is reachable.
     Minority,
-    /// This gateway alone.
+    /// No other gateway is reachable.
     Alone,
 }
 
-/// ChangeReason a view changed.
+/// Reason for a change of a peer's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ChangeReason {
-    /// It did not answer this gateway.
+    /// The peer did not answer this gateway's health checks.
     NoAnswer,
-    /// This gateway was told by another.
+    /// The gateway with this name reported it.
     ToldBy(String),
-    /// A doubt was not refuted in time.
+    /// A suspicion of the peer expired without a refutation.
     NotRefuted,
-    /// It spoke, in a later incarnation.
+    /// The peer sent a datagram with a newer incarnation.
     Returned,
-    /// It said that it goes.
+    /// The peer announced its shutdown.
     Left,
 }
 
-/// A change of the view.
+/// A change of a peer's state.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct MembershipChange {
-    /// Of whom.
+    /// Name of the peer.
     pub name: String,
-    /// What it was held for.
+    /// Previous state.
     pub from: PeerState,
-    /// What it is held for.
+    /// New state.
     pub to: PeerState,
-    /// ChangeReason.
+    /// Reason for the change.
     pub why: ChangeReason,
 }
 
-/// What was received and dropped.
+/// Counters of received datagrams that were dropped.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct DroppedDatagrams {
-    /// It makes no sense.
+    /// Datagrams that could not be decoded.
     pub malformed: u64,
-    /// It is from a name that this gateway's peer set does not have, or from its own.
+    /// Datagrams from a name outside the peer set, or from this gateway's own name.
     pub unknown: u64,
-    /// It is from a life that is over.
+    /// Datagrams from a process that a later one with the same name has replaced.
     pub stale: u64,
 }
 
-/// What a view begins with.
+/// Settings of [`Membership`].
 #[derive(Debug, Clone)]
 pub struct MembershipSettings {
-    /// All names of the peer set, this gateway's too.
+    /// All names of the peer set, this gateway's included.
     pub peers: Vec<String>,
-    /// This gateway's.
+    /// The name of this gateway.
     pub name: String,
-    /// The wall clock in milliseconds since 1970. Later lives have later ones, unless the clock was set back.
+    /// Wall clock at the start, in milliseconds since 1970. A later process has a later one, unless the clock was set back.
     pub unix_ms: u64,
-    /// The probe period.
+    /// SWIM's protocol period, in microseconds: all other times are multiples of it.
     pub probe: Micros,
 }
 
-/// One life's view.
+/// The membership protocol at one gateway, for one incarnation of it.
 #[derive(Debug)]
 pub struct Membership {
     peers: PeerSet,
-    /// The peer set in the order of the ring, beginning behind this gateway.
+    /// The other gateways in the order of the ring, from this gateway's successor on.
     ring: Vec<PeerIndex>,
-    me: PeerIndex,
+    own_index: PeerIndex,
+    /// States by index in the peer set, this gateway's included.
     members: Vec<Member>,
     rng: Pcg64Mcg,
-    probe: Micros,
-    born: Micros,
-    next: Micros,
+    probe_period: Micros,
+    started_at: Micros,
+    /// Time and number of the next periodic step.
+    next_step_at: Micros,
     step: u64,
-    number: u32,
+    last_request_number: u32,
+    /// Health checks in progress, by request number.
     probes: BTreeMap<u32, Probe>,
-    relays: BTreeMap<u32, Relay>,
-    /// Those to probe at random, each once before the first comes again.
-    round: Vec<PeerIndex>,
-    /// Dead ones to call, each once before the first is called again.
-    calls: Vec<PeerIndex>,
-    healing_until: u64,
-    messages: TokenBucket,
-    bytes: TokenBucket,
-    compared: Micros,
-    compare_gap: f64,
-    /// When anybody was last heard, and whether all are doubted as that was long ago.
-    heard: Micros,
-    silent: bool,
-    /// There is much to tell; views were seen to differ not long ago.
-    much: bool,
-    /// Doubted ones that are to be told.
-    inform: Vec<PeerIndex>,
-    apart_until: Micros,
-    /// When another was last asked to confirm doubts.
-    confirmed: Micros,
-    health: u32,
-    changed: Micros,
+    /// Health checks on behalf of others, by this gateway's request number.
+    indirect_probes: BTreeMap<u32, IndirectProbe>,
+    /// Remaining targets of the random probes: each peer once per round.
+    probe_round: Vec<PeerIndex>,
+    /// Remaining dead peers to contact: each once per round.
+    dead_contact_round: Vec<PeerIndex>,
+    /// Step up to which dead peers are contacted more often, as one has returned.
+    healing_until_step: u64,
+    message_budget: TokenBucket,
+    byte_budget: TokenBucket,
+    last_sync_at: Micros,
+    /// Minimum time between two sync requests, in probe periods.
+    sync_interval_periods: f64,
+    /// Time of the last datagram from any peer.
+    last_contact_at: Micros,
+    /// No datagram arrived for [`suspicion`]'s isolation timeout: all peers are under local suspicion.
+    isolated: bool,
+    /// So many updates are urgent that sync requests replace gossip.
+    is_update_backlog_large: bool,
+    /// Suspected peers to which this gateway sends the suspicion at the next step.
+    suspects_to_notify: Vec<PeerIndex>,
+    /// Time up to which pings carry a summary, as a peer's view was seen to differ.
+    views_differ_until: Micros,
+    last_confirm_request_at: Micros,
+    /// Lifeguard's local health score; timeouts of suspicions grow with it.
+    local_health_score: u32,
+    last_change_at: Micros,
+    /// Changes that the driver has not taken yet.
     changes: VecDeque<MembershipChange>,
-    /// Since when this life has seen the cluster without a stop.
-    watching: Micros,
-    /// When it last went on after a stop.
-    woke: Micros,
-    /// Doubts that another was asked to confirm, by the question's number.
-    confirming: BTreeMap<u32, Vec<PeerIndex>>,
+    /// Start of the observation of the cluster without a stall of this process.
+    watching_since: Micros,
+    /// Time at which this process resumed after its last stall.
+    resumed_at: Micros,
+    /// Suspicions that another gateway was requested to confirm, by request number.
+    pending_confirmations: BTreeMap<u32, Vec<PeerIndex>>,
+    /// A later process has this gateway's name: this one sends nothing.
     superseded: bool,
-    superseded_told: bool,
-    /// It has told that it goes, and says nothing more.
+    superseded_reported: bool,
+    /// The shutdown was announced: nothing is sent any more.
     left: bool,
-    /// What was received and dropped.
+    /// Counters of dropped datagrams.
     pub dropped: DroppedDatagrams,
-    /// Messages and bytes sent, with the headers of IP and UDP.
+    /// Datagrams and bytes sent, with the headers of IP and UDP.
     pub sent: (u64, u64),
 }
 
 impl Membership {
-    /// A new life that knows the peer set and nothing else.
+    /// Starts the protocol, knowing only the names of the peer set, and sends sync requests to a few peers.
     ///
     /// # Errors
-    /// The peer set lacks this gateway's name, has a name twice, two whose hashes are equal, or too many.
+    /// The peer set is invalid or lacks this gateway's name; see [`PeerSetError`].
     pub fn new(
         now: Micros,
         settings: MembershipSettings,
@@ -167,139 +186,150 @@
             peers,
             name,
             unix_ms,
-            probe,
+            probe: probe_period,
         } = settings;
         let peers = PeerSet::new(peers)?;
-        let me = peers.own_index(&name)?;
-        let mut members = vec![Member::unknown(); peers.len()];
-        members[me].incarnation = unix_ms << 16;
-        members[me].sent = Some(0);
-        let mut view = Membership {
-            ring: ring(&peers, me),
+        let own_index = peers.own_index(&name)?;
+        let mut members = vec![Member::initial(); peers.len()];
+        members[own_index].incarnation = unix_ms << 16;
+        members[own_index].transmissions = Some(0);
+        let mut membership = Membership {
+            ring: ring(&peers, own_index),
             peers,
-            me,
+            own_index,
             members,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            probe,
-            born: now,
-            next: now,
+            probe_period,
+            started_at: now,
+            next_step_at: now,
             step: 0,
-            number: 0,
+            last_request_number: 0,
             probes: BTreeMap::new(),
-            relays: BTreeMap::new(),
-            round: Vec::new(),
-            calls: Vec::new(),
-            healing_until: 0,
-            messages: TokenBucket::full(now, MESSAGES, MESSAGES_PER_S),
-            bytes: TokenBucket::full(now, BYTES, BYTES_PER_S),
-            compared: now,
-            compare_gap: COMPARE_PERIODS,
-            heard: now,
-            silent: false,
-            much: false,
-            inform: Vec::new(),
-            apart_until: 0,
-            confirmed: 0,
-            health: 0,
-            changed: now,
+            indirect_probes: BTreeMap::new(),
+            probe_round: Vec::new(),
+            dead_contact_round: Vec::new(),
+            healing_until_step: 0,
+            message_budget: TokenBucket::full(now, MESSAGE_BURST, MESSAGES_PER_S),
+            byte_budget: TokenBucket::full(now, BYTE_BURST, BYTES_PER_S),
+            last_sync_at: now,
+            sync_interval_periods: SYNC_INTERVAL_PERIODS,
+            last_contact_at: now,
+            isolated: false,
+            is_update_backlog_large: false,
+            suspects_to_notify: Vec::new(),
+            views_differ_until: 0,
+            last_confirm_request_at: 0,
+            local_health_score: 0,
+            last_change_at: now,
             changes: VecDeque::new(),
-            watching: now,
-            woke: 0,
-            confirming: BTreeMap::new(),
+            watching_since: now,
+            resumed_at: 0,
+            pending_confirmations: BTreeMap::new(),
             superseded: false,
-            superseded_told: false,
+            superseded_reported: false,
             left: false,
             dropped: DroppedDatagrams::default(),
             sent: (0, 0),
         };
-        // Gateways that start together are not to call together.
-        view.step = view.rng.random_range(0..ANYBODY_STEPS);
-        view.next = now + (view.part(STEP) as f64 * view.rng.random::<f64>()) as Micros;
-        // Others hold an earlier life, or hold this gateway for dead: some learn at once, and tell what they hold.
+        // A random phase, so that gateways that start together do not send together.
+        membership.step = membership.rng.random_range(0..RANDOM_PROBE_STEPS);
+        membership.next_step_at = now
+            + (membership.probe_periods(STEP_PERIODS) as f64 * membership.rng.random::<f64>())
+                as Micros;
+        // Others may know an earlier incarnation or consider this gateway dead: some learn of this one at once and answer with
+        // their view.
         for _ in 0..HELPERS {
-            if let Some(place) = view.anybody() {
-                view.compare(now, place, sends);
+            if let Some(index) = membership.random_alive_peer() {
+                membership.send_sync_request(now, index, sends);
             }
         }
-        Ok(view)
+        Ok(membership)
     }
 
-    /// Takes over another peer set. What is held of names that stay is kept; names that go are forgotten, and what
-    /// comes from them revives nobody; names that come are held for alive until they do not answer.
+    /// Replaces the peer set. Names in both sets keep their state. Removed names are forgotten, and their datagrams are
+    /// dropped. Added names are alive until they miss health checks.
     ///
     /// # Errors
-    /// As [`Membership::new`]; the peer set stays as it was.
+    /// As for [`Membership::new`]; the current peer set stays in use.
     pub fn set_peers(&mut self, now: Micros, names: Vec<String>) -> Result<(), PeerSetError> {
         let peers = PeerSet::new(names)?;
-        let me = peers.own_index(&self.names()[self.me])?;
+        let own_index = peers.own_index(&self.names()[self.own_index])?;
         if peers == self.peers {
             return Ok(());
         }
-        let held = |id: &PeerId| {
+        let known_member = |id: &PeerId| {
             self.peers
                 .index_of(*id)
-                .map(|place| self.members[place].clone())
+                .map(|index| self.members[index].clone())
         };
         let members = peers
             .ids()
             .iter()
-            .map(|id| held(id).unwrap_or(Member::unknown()));
+            .map(|id| known_member(id).unwrap_or(Member::initial()));
         self.members = members.collect();
-        (self.ring, self.peers, self.me) = (ring(&peers, me), peers, me);
-        // These go by places of the old peer set.
-        (self.probes, self.relays, self.confirming) = Default::default();
-        (self.round, self.calls, self.inform) = Default::default();
-        self.changed = now;
+        (self.ring, self.peers, self.own_index) = (ring(&peers, own_index), peers, own_index);
+        // These refer to indexes in the old peer set.
+        (
+            self.probes,
+            self.indirect_probes,
+            self.pending_confirmations,
+        ) = Default::default();
+        (
+            self.probe_round,
+            self.dead_contact_round,
+            self.suspects_to_notify,
+        ) = Default::default();
+        self.last_change_at = now;
         Ok(())
     }
 
-    /// Tells others that this gateway goes, and says nothing more from then on.
+    /// Announces the shutdown of this gateway to a few peers and sends nothing afterwards.
     pub fn leave(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
-        self.members[self.me].left = true;
-        self.members[self.me].dead = true;
-        let mut told: Vec<PeerIndex> = self.sound().collect();
-        told.shuffle(&mut self.rng);
-        for place in told.into_iter().take(TOLD_OF_LEAVING) {
-            self.put(
+        self.members[self.own_index].left = true;
+        self.members[self.own_index].dead = true;
+        let mut receivers: Vec<PeerIndex> = self.alive_peers().collect();
+        receivers.shuffle(&mut self.rng);
+        for index in receivers.into_iter().take(MAX_LEAVE_NOTICES) {
+            self.send_updates(
                 now,
-                place,
+                index,
                 MessageKind::SyncUpdates,
-                vec![self.me],
-                Class::Answer,
+                vec![self.own_index],
+                Priority::Answer,
                 sends,
             );
         }
         self.left = true;
     }
 
-    /// This many parts of a probe period.
-    fn part(&self, part: f64) -> Micros {
-        (self.probe as f64 * part) as Micros
+    /// A number of probe periods as time.
+    fn probe_periods(&self, periods: f64) -> Micros {
+        (self.probe_period as f64 * periods) as Micros
     }
 
-    /// Whether this was not long ago, as lives and partitions go.
+    /// Whether the time `at` is at most [`RECENT_PERIODS`] ago.
     fn is_recent(&self, now: Micros, at: Micros) -> bool {
-        now < at + self.part(YOUNG_PERIODS)
+        now < at + self.probe_periods(RECENT_PERIODS)
     }
 
-    /// The states of the peer set, in the order of its names.
+    /// The state of each peer, in the order of [`Membership::names`].
     pub fn states(&self) -> Vec<PeerState> {
         self.members.iter().map(Member::state).collect()
     }
 
-    /// The names of the peer set in order.
+    /// The names of the peer set, sorted.
     pub fn names(&self) -> &[String] {
         self.peers.names()
     }
 
-    /// Gateways that are not dead, this one too.
-    fn living(&self) -> usize {
+    /// Number of gateways that are not dead, this one included.
+    fn count_not_dead(&self) -> usize {
         self.members.iter().filter(|member| !member.dead).count()
     }
 
-    /// Of which part of the peer set this gateway can speak.
+    /// The side of a partition on which this gateway is.
     pub fn side(&self) -> PartitionSide {
-        match self.living() {
+        match self.count_not_dead() {
             alive if alive == self.members.len() => PartitionSide::Whole,
             1 => PartitionSide::Alone,
             alive if 2 * alive > self.members.len() => PartitionSide::Majority,
@@ -307,42 +337,42 @@
         }
     }
 
-    /// Equal at two gateways exactly when peer set and states are.
+    /// A digest of the peer set and of all states. Two gateways with equal digests agree on both.
     pub fn digest(&self) -> u64 {
-        let held = self.peers.ids().iter().zip(&self.members);
-        let not_alive = held.filter(|(_, member)| member.state() != PeerState::Alive);
+        let states = self.peers.ids().iter().zip(&self.members);
+        let not_alive = states.filter(|(_, member)| member.state() != PeerState::Alive);
         not_alive.fold(u64::from(self.peers.digest()), |sum, (id, member)| {
             mix(sum, u64::from(*id) << 1 | u64::from(member.dead))
         })
     }
 
-    /// For how long no state has changed.
+    /// Time since the last change of any state.
     pub fn settled(&self, now: Micros) -> Micros {
-        now.saturating_sub(self.changed)
+        now.saturating_sub(self.last_change_at)
     }
 
-    /// A later life has this gateway's name.
+    /// Whether a later process has this gateway's name, so that this one sends nothing.
     pub fn is_superseded(&self) -> bool {
         self.superseded
     }
 
-    /// True once, after a later life was heard of.
+    /// Whether this gateway was superseded since the last call. True once for each time.
     pub fn take_superseded(&mut self) -> bool {
-        self.superseded && !std::mem::replace(&mut self.superseded_told, true)
+        self.superseded && !std::mem::replace(&mut self.superseded_reported, true)
     }
 
-    /// This gateway's incarnation.
+    /// The incarnation number of this gateway.
     pub fn incarnation(&self) -> Incarnation {
-        self.members[self.me].incarnation
+        self.members[self.own_index].incarnation
     }
 
-    /// The oldest change that was not taken yet.
+    /// Takes the oldest change that was not taken yet.
     pub fn next_change(&mut self) -> Option<MembershipChange> {
         self.changes.pop_front()
     }
 
-    /// When [`Membership::on_timer`] is wanted.
+    /// When [`Membership::on_timer`] is to be called next.
     pub fn next_wakeup(&self) -> Micros {
-        self.next
+        self.next_step_at
     }
 }
--- a/gateway-cluster/src/membership/probes.rs
+++ b/gateway-cluster/src/membership/probes.rs
@@ -1,7 +1,10 @@
-//! Who is asked whether it lives, by whom, and what is made of the answers.
+//! SWIM's failure detector: direct probes with retries, indirect probes through helpers, and the choice of targets.
+//!
+//! Targets are the successor on a hash ring, peers in random order (each once per round), and suspected peers. A probe
+//! that times out raises a suspicion (`suspicion`); its confidence is the number of helpers that missed the target too.
 
-use super::member::STRONG;
-use super::transmit::{Class, CLAIMS_BESIDE};
+use super::member::GOSSIPED_CONFIDENCE;
+use super::transmit::{Priority, MAX_PIGGYBACKED_UPDATES};
 use super::Membership;
 use crate::hash::mix;
 use crate::peers::{PeerId, PeerSet};
@@ -10,57 +13,65 @@
 use rand::seq::SliceRandom;
 use rand::Rng;
 
-/// Parts of the probe period: a second and a third ping, the call for help, a helper's second ping and its report, and
-/// the verdict of a probe.
-const SECOND_PING: f64 = 0.2;
-const THIRD_PING: f64 = 0.36;
-const HELP: f64 = 0.52;
-const HELPER_SECOND: f64 = 0.16;
-const HELPER_REPORT: f64 = 0.56;
-const VERDICT: f64 = 1.5;
-/// Others that are asked to help. All of them have to miss a gateway for its doubt to be a strong one at once.
+/// Ages of a probe, in probe periods, at which it sends its second and third ping and requests indirect probes.
+const SECOND_PING_PERIODS: f64 = 0.2;
+const THIRD_PING_PERIODS: f64 = 0.36;
+const INDIRECT_PROBE_PERIODS: f64 = 0.52;
+/// Ages of an indirect probe, in probe periods, at which the helper sends its second ping and reports a miss.
+const HELPER_SECOND_PING_PERIODS: f64 = 0.16;
+const HELPER_REPORT_PERIODS: f64 = 0.56;
+/// Age of a probe, in probe periods, at which it has failed.
+const PROBE_TIMEOUT_PERIODS: f64 = 1.5;
+/// Number of helpers of an indirect probe. If all of them miss the target, the suspicion is gossiped at once.
 pub(super) const HELPERS: usize = 3;
-/// While there is much to tell there are fewer, and each question is asked once.
-const HELPERS_MUCH: usize = 2;
-/// They are drawn from so many that were heard last.
-const HEARD_LAST: usize = 8;
-/// Reports that may be owed to others.
-const MOST_RELAYS: usize = 64;
+/// The same while the update backlog is large; pings are not repeated then.
+const HELPERS_UNDER_LOAD: usize = 2;
+/// Helpers are drawn from this many peers, those with the latest datagrams.
+const HELPER_CANDIDATES: usize = 8;
+/// Maximum number of indirect probes in progress on behalf of others.
+const MAX_INDIRECT_PROBES: usize = 64;
 
+/// A health check of a peer by this gateway.
 #[derive(Debug, Clone)]
 pub(super) struct Probe {
     pub(super) target: PeerIndex,
-    pub(super) began: Micros,
-    pub(super) pinged: u8,
-    /// Helpers there were to ask, and those that report a miss.
-    pub(super) asked: usize,
-    pub(super) missed: usize,
-    /// Whether others are asked for help.
-    pub(super) help: bool,
-    /// It was begun as somebody claims the target to be dead.
-    pub(super) claimed: bool,
+    pub(super) started_at: Micros,
+    /// The last stage that was carried out: 1 to 3 for that many pings, 4 for the request of indirect probes.
+    pub(super) last_stage: u8,
+    /// Number of helpers, and of those that reported a miss.
+    pub(super) helpers_requested: usize,
+    pub(super) helpers_missed: usize,
+    /// Whether indirect probes are requested.
+    pub(super) use_helpers: bool,
+    /// The probe verifies another gateway's report that the target is dead.
+    pub(super) target_reported_dead: bool,
 }
 
+/// A health check on behalf of another gateway.
 #[derive(Debug, Clone)]
-pub(super) struct Relay {
-    asker: PeerIndex,
+pub(super) struct IndirectProbe {
+    requester: PeerIndex,
     number: u32,
     target: PeerIndex,
-    began: Micros,
-    pinged: u8,
+    started_at: Micros,
+    last_stage: u8,
 }
 
-/// The others in the order of the ring, beginning behind this gateway.
-pub(super) fn ring(peers: &PeerSet, me: PeerIndex) -> Vec<PeerIndex> {
+/// The other gateways in the order of a hash ring, from this gateway's successor on.
+pub(super) fn ring(peers: &PeerSet, own_index: PeerIndex) -> Vec<PeerIndex> {
     let mut ring: Vec<PeerIndex> = (0..peers.len()).collect();
-    ring.sort_by_key(|place| mix(1, u64::from(peers.ids()[*place])));
-    let own = ring.iter().position(|place| *place == me).unwrap_or(0);
-    ring.rotate_left(own);
+    ring.sort_by_key(|index| mix(1, u64::from(peers.ids()[*index])));
+    let own_position = ring
+        .iter()
+        .position(|index| *index == own_index)
+        .unwrap_or(0);
+    ring.rotate_left(own_position);
     ring.into_iter().skip(1).collect()
 }
 
 impl Membership {
-    pub(super) fn begin_probe(
+    /// Starts a health check of a peer, unless it is dead or one is in progress.
+    pub(super) fn start_probe(
         &mut self,
         now: Micros,
         target: PeerIndex,
@@ -70,137 +81,146 @@
             return;
         }
         let number = self.next_number();
-        // What was never sent has no answer to miss.
-        let claims = if self.members[target].doubt.is_some() {
+        // If the budget does not allow the ping, no probe starts: an unsent ping cannot time out.
+        let max_updates = if self.members[target].suspicion.is_some() {
             0
         } else {
-            CLAIMS_BESIDE
+            MAX_PIGGYBACKED_UPDATES
         };
         if self.send(
             now,
             target,
             MessageKind::Ping(number),
-            claims,
-            Class::Question,
+            max_updates,
+            Priority::Request,
             sends,
         ) {
-            // While there is much to tell, one that is doubted already is asked again plainly.
-            let help = !self.much || self.members[target].doubt.is_none();
+            // While the update backlog is large, suspected peers are probed without helpers.
+            let use_helpers =
+                !self.is_update_backlog_large || self.members[target].suspicion.is_none();
             self.probes.insert(
                 number,
                 Probe {
                     target,
-                    began: now,
-                    pinged: 1,
-                    asked: 0,
-                    missed: 0,
-                    help,
-                    claimed: false,
+                    started_at: now,
+                    last_stage: 1,
+                    helpers_requested: 0,
+                    helpers_missed: 0,
+                    use_helpers,
+                    target_reported_dead: false,
                 },
             );
         }
     }
 
-    /// Tells a gateway that it is held for dead somewhere. No answer makes the claim good.
-    pub(super) fn ask_whether_dead(
+    /// Probes a peer that another gateway reports as dead. The ping contains the report, so that the peer can refute it; if
+    /// the probe fails, the report is taken for correct.
+    pub(super) fn probe_reported_dead(
         &mut self,
         now: Micros,
         target: PeerIndex,
-        claimed: Incarnation,
+        reported: Incarnation,
         sends: &mut Vec<IndexedTransmit>,
     ) {
         if self.probes.values().any(|probe| probe.target == target) {
             return;
         }
         let number = self.next_number();
-        let kind = MessageKind::PingReportedDead(number, claimed);
-        if self.put(now, target, kind, Vec::new(), Class::News, sends) {
+        let kind = MessageKind::PingReportedDead(number, reported);
+        if self.send_updates(now, target, kind, Vec::new(), Priority::Gossip, sends) {
             let probe = Probe {
                 target,
-                began: now,
-                pinged: 1,
-                asked: 0,
-                missed: 0,
-                help: false,
-                claimed: true,
+                started_at: now,
+                last_stage: 1,
+                helpers_requested: 0,
+                helpers_missed: 0,
+                use_helpers: false,
+                target_reported_dead: true,
             };
             self.probes.insert(number, probe);
         }
     }
 
-    pub(super) fn go_on_with_probes(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
+    /// Advances each direct probe to the stage that is due at its age.
+    pub(super) fn check_probes(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
         let numbers: Vec<u32> = self.probes.keys().copied().collect();
         for number in numbers {
             let Some(Probe {
                 target,
-                began,
-                pinged,
-                asked,
-                missed,
-                help,
-                claimed,
+                started_at,
+                last_stage,
+                helpers_requested,
+                helpers_missed,
+                use_helpers,
+                target_reported_dead,
             }) = self.probes.get(&number).cloned()
             else {
                 continue;
             };
-            let age = now - began;
+            let age = now - started_at;
             let stage = match age {
-                age if age >= self.part(HELP) && help => 4,
-                age if age >= self.part(THIRD_PING) => 3,
-                age if age >= self.part(SECOND_PING) => 2,
+                age if age >= self.probe_periods(INDIRECT_PROBE_PERIODS) && use_helpers => 4,
+                age if age >= self.probe_periods(THIRD_PING_PERIODS) => 3,
+                age if age >= self.probe_periods(SECOND_PING_PERIODS) => 2,
                 _ => 1,
             };
             if let Some(probe) = self.probes.get_mut(&number) {
-                probe.pinged = stage;
+                probe.last_stage = stage;
             }
-            if age >= self.part(VERDICT) {
+            if age >= self.probe_periods(PROBE_TIMEOUT_PERIODS) {
                 self.probes.remove(&number);
-                let found = match missed {
-                    _ if claimed => 2,
-                    missed if asked > 0 && missed >= asked => STRONG,
-                    missed => missed as u8,
+                let confidence = match helpers_missed {
+                    _ if target_reported_dead => 2,
+                    helpers_missed
+                        if helpers_requested > 0 && helpers_missed >= helpers_requested =>
+                    {
+                        GOSSIPED_CONFIDENCE
+                    }
+                    helpers_missed => helpers_missed as u8,
                 };
-                let before = self.members[target].is_strongly_doubted();
-                self.doubt(now, target, found);
-                // It is told that it is doubted, and asked again.
+                let before = self.members[target].has_gossiped_suspicion();
+                self.on_failed_probe(now, target, confidence);
+                // The next ping carries the suspicion, so that the target can refute it.
                 if !before {
-                    self.begin_probe(now, target, sends);
+                    self.start_probe(now, target, sends);
                 }
-            } else if stage == 4 && pinged < 4 {
+            } else if stage == 4 && last_stage < 4 {
                 let id = self.peers.ids()[target];
-                let helpers = self.helpers(target);
+                let helpers = self.choose_helpers(target);
                 if let Some(probe) = self.probes.get_mut(&number) {
-                    probe.asked = helpers.len();
+                    probe.helpers_requested = helpers.len();
                 }
-                // Where the budget is spent fewer are asked, and the doubt is a weak one.
+                // With little budget fewer helpers receive the request, and the suspicion has a lower confidence.
                 for helper in helpers {
                     self.send(
                         now,
                         helper,
                         MessageKind::PingRequest(number, id),
-                        CLAIMS_BESIDE,
-                        Class::Question,
+                        MAX_PIGGYBACKED_UPDATES,
+                        Priority::Request,
                         sends,
                     );
                 }
-            } else if matches!(stage, 2 | 3) && pinged < stage && !self.much {
-                // Claims are not wasted on one that may be gone.
+            } else if matches!(stage, 2 | 3) && last_stage < stage && !self.is_update_backlog_large
+            {
+                // Repeated pings carry no updates: the target may be dead.
                 self.send(
                     now,
                     target,
                     MessageKind::Ping(number),
                     0,
-                    Class::Question,
+                    Priority::Request,
                     sends,
                 );
             }
         }
     }
 
-    pub(super) fn help(
+    /// Handles a ping request: starts an indirect probe of the target.
+    pub(super) fn on_ping_request(
         &mut self,
         now: Micros,
-        asker: PeerIndex,
+        requester: PeerIndex,
         number: u32,
         target: PeerId,
         sends: &mut Vec<IndexedTransmit>,
@@ -208,132 +228,146 @@
         let Some(target) = self.peers.index_of(target) else {
             return;
         };
-        if target == self.me {
-            // It is here: nothing could answer better.
+        if target == self.own_index {
+            // This gateway is the target itself.
             self.send(
                 now,
-                asker,
+                requester,
                 MessageKind::IndirectAck(number),
-                CLAIMS_BESIDE,
-                Class::Answer,
+                MAX_PIGGYBACKED_UPDATES,
+                Priority::Answer,
                 sends,
             );
-        } else if self.relays.len() < MOST_RELAYS {
-            let own = self.next_number();
-            self.relays.insert(
-                own,
-                Relay {
-                    asker,
+        } else if self.indirect_probes.len() < MAX_INDIRECT_PROBES {
+            let own_number = self.next_number();
+            self.indirect_probes.insert(
+                own_number,
+                IndirectProbe {
+                    requester,
                     number,
                     target,
-                    began: now,
-                    pinged: 1,
+                    started_at: now,
+                    last_stage: 1,
                 },
             );
             self.send(
                 now,
                 target,
-                MessageKind::Ping(own),
+                MessageKind::Ping(own_number),
                 0,
-                Class::Question,
+                Priority::Request,
                 sends,
             );
         }
     }
 
-    pub(super) fn go_on_with_relays(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
-        let numbers: Vec<u32> = self.relays.keys().copied().collect();
-        for own in numbers {
-            let Some(Relay {
-                asker,
+    /// Repeats the pings of indirect probes and reports those that timed out.
+    pub(super) fn check_indirect_probes(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
+        let numbers: Vec<u32> = self.indirect_probes.keys().copied().collect();
+        for own_number in numbers {
+            let Some(IndirectProbe {
+                requester,
                 number,
                 target,
-                began,
-                pinged,
-            }) = self.relays.get(&own).cloned()
+                started_at,
+                last_stage,
+            }) = self.indirect_probes.get(&own_number).cloned()
             else {
                 continue;
             };
-            if now - began >= self.part(HELPER_REPORT) {
-                self.relays.remove(&own);
+            if now - started_at >= self.probe_periods(HELPER_REPORT_PERIODS) {
+                self.indirect_probes.remove(&own_number);
                 self.send(
                     now,
-                    asker,
+                    requester,
                     MessageKind::IndirectNack(number),
-                    CLAIMS_BESIDE,
-                    Class::Answer,
+                    MAX_PIGGYBACKED_UPDATES,
+                    Priority::Answer,
                     sends,
                 );
-            } else if now - began >= self.part(HELPER_SECOND) && pinged < 2 && !self.much {
-                if let Some(relay) = self.relays.get_mut(&own) {
-                    relay.pinged = 2;
+            } else if now - started_at >= self.probe_periods(HELPER_SECOND_PING_PERIODS)
+                && last_stage < 2
+                && !self.is_update_backlog_large
+            {
+                if let Some(indirect_probe) = self.indirect_probes.get_mut(&own_number) {
+                    indirect_probe.last_stage = 2;
                 }
                 self.send(
                     now,
                     target,
-                    MessageKind::Ping(own),
+                    MessageKind::Ping(own_number),
                     0,
-                    Class::Question,
+                    Priority::Request,
                     sends,
                 );
             }
         }
     }
 
-    pub(super) fn answered(&mut self, now: Micros, number: u32, sends: &mut Vec<IndexedTransmit>) {
+    /// Handles an ack of a direct probe, or reports that of an indirect probe to its requester.
+    pub(super) fn on_ack(&mut self, now: Micros, number: u32, sends: &mut Vec<IndexedTransmit>) {
         if self.probes.remove(&number).is_some() {
-            self.health = self.health.saturating_sub(1);
-        } else if let Some(relay) = self.relays.remove(&number) {
+            self.local_health_score = self.local_health_score.saturating_sub(1);
+        } else if let Some(indirect_probe) = self.indirect_probes.remove(&number) {
             self.send(
                 now,
-                relay.asker,
-                MessageKind::IndirectAck(relay.number),
-                CLAIMS_BESIDE,
-                Class::Answer,
+                indirect_probe.requester,
+                MessageKind::IndirectAck(indirect_probe.number),
+                MAX_PIGGYBACKED_UPDATES,
+                Priority::Answer,
                 sends,
             );
         }
     }
 
-    pub(super) fn next_of_round(&mut self) -> Option<PeerIndex> {
+    /// The next target of the random probes. Each round visits all peers that are not dead in a new random order.
+    pub(super) fn next_random_target(&mut self) -> Option<PeerIndex> {
         loop {
-            if self.round.is_empty() {
-                self.round = self
+            if self.probe_round.is_empty() {
+                self.probe_round = self
                     .ring
                     .iter()
                     .copied()
-                    .filter(|place| !self.members[*place].dead)
+                    .filter(|index| !self.members[*index].dead)
                     .collect();
-                self.round.shuffle(&mut self.rng);
+                self.probe_round.shuffle(&mut self.rng);
             }
-            let place = self.round.pop()?;
-            if !self.members[place].dead {
-                return Some(place);
+            let index = self.probe_round.pop()?;
+            if !self.members[index].dead {
+                return Some(index);
             }
         }
     }
 
-    /// The others that are neither dead nor doubted, in the order of the ring.
-    pub(super) fn sound(&self) -> impl Iterator<Item = PeerIndex> + '_ {
+    /// The other gateways that are neither dead nor suspected, in the order of the ring.
+    pub(super) fn alive_peers(&self) -> impl Iterator<Item = PeerIndex> + '_ {
         self.ring
             .iter()
             .copied()
-            .filter(|place| self.members[*place].state() == PeerState::Alive)
+            .filter(|index| self.members[*index].state() == PeerState::Alive)
     }
 
-    /// One of them.
-    pub(super) fn anybody(&mut self) -> Option<PeerIndex> {
-        let alive: Vec<PeerIndex> = self.sound().collect();
+    /// A random one of the alive peers.
+    pub(super) fn random_alive_peer(&mut self) -> Option<PeerIndex> {
+        let alive: Vec<PeerIndex> = self.alive_peers().collect();
         (!alive.is_empty()).then(|| alive[self.rng.random_range(0..alive.len())])
     }
 
-    pub(super) fn helpers(&mut self, target: PeerIndex) -> Vec<PeerIndex> {
-        let mut able: Vec<PeerIndex> = self.sound().filter(|place| *place != target).collect();
-        // Those that were heard last can be reached most surely, also where a part of the cluster is cut off just now.
-        able.sort_by_key(|place| std::cmp::Reverse(self.members[*place].heard));
-        able.truncate(HEARD_LAST);
-        let most = if self.much { HELPERS_MUCH } else { HELPERS };
-        let (some, _) = able.partial_shuffle(&mut self.rng, most);
-        some.to_vec()
+    /// Random alive peers, other than the target, to run indirect probes or to confirm suspicions.
+    pub(super) fn choose_helpers(&mut self, target: PeerIndex) -> Vec<PeerIndex> {
+        let mut candidates: Vec<PeerIndex> = self
+            .alive_peers()
+            .filter(|index| *index != target)
+            .collect();
+        // Peers with recent datagrams are probably reachable, also if a partition has just begun.
+        candidates.sort_by_key(|index| std::cmp::Reverse(self.members[*index].last_heard_at));
+        candidates.truncate(HELPER_CANDIDATES);
+        let count = if self.is_update_backlog_large {
+            HELPERS_UNDER_LOAD
+        } else {
+            HELPERS
+        };
+        let (chosen, _) = candidates.partial_shuffle(&mut self.rng, count);
+        chosen.to_vec()
     }
 }
--- a/gateway-cluster/src/membership/suspicion.rs
+++ b/gateway-cluster/src/membership/suspicion.rs
@@ -1,237 +1,281 @@
-//! What is doubted, for how long, and when a doubt is a verdict. And when this gateway doubts itself: after a stall, and
-//! where it hears nobody.
+//! Suspicion: how it is raised, confirmed and expires into a verdict, with Lifeguard's local health score. Also the two
+//! cases in which this gateway distrusts its own observations: after a stall, and while it receives nothing at all.
+//!
+//! A suspicion below [`GOSSIPED_CONFIDENCE`] is local: any datagram from the peer clears it. One that is gossiped ends
+//! only by a refutation, which is a newer incarnation, or by its timeout.
 
-use super::member::{Cause, Doubt, STRONG};
-use super::transmit::Class;
-use super::updates::FEW;
+use super::member::{Cause, Suspicion, GOSSIPED_CONFIDENCE};
+use super::transmit::Priority;
+use super::updates::SMALL_BACKLOG;
 use super::Membership;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::wire::MessageKind;
 use rand::Rng;
 
-/// Probe periods from a doubt to the verdict, by its weight.
-const DOUBT: [f64; 3] = [10.0, 6.0, 4.2];
-/// Before a verdict another gateway is asked whether it knows better: so long before, so long again where it does not
-/// answer, so often at the most, so many doubts at a time.
-const CONFIRM: f64 = 1.2;
-const CONFIRM_AGAIN: f64 = 0.4;
-const CONFIRMS: u8 = 5;
-const CONFIRM_EVERY: f64 = 0.8;
-const CONFIRM_MOST: usize = 40;
-const CONFIRM_TIME: f64 = 0.8;
-/// Gateways, in the mean, that tell one that it is doubted, beside those that found so.
-const INFORM: f64 = 4.0;
-/// Probe periods without a word from anybody after which a gateway holds itself for cut off.
-const SILENCE: f64 = 6.0;
-/// Late by more than this many probe periods, a gateway has been stopped: what was due meanwhile is no verdict.
-const STALL: f64 = 0.6;
-/// Local health: how bad it can be said to be. Doubts wait so many times longer.
-const WORST_HEALTH: u32 = 2;
+/// Time from suspicion to verdict in probe periods, by confidence from 1 to 3.
+const SUSPICION_PERIODS: [f64; 3] = [10.0, 6.0, 4.2];
+/// Before a suspicion expires, another gateway is requested to confirm it. Time before the expiry of the first request,
+/// interval of retries for one suspicion, and interval of requests altogether, in probe periods.
+const CONFIRM_LEAD_PERIODS: f64 = 1.2;
+const CONFIRM_RETRY_PERIODS: f64 = 0.4;
+/// Maximum number of requests for one suspicion.
+const MAX_CONFIRM_REQUESTS: u8 = 5;
+const CONFIRM_INTERVAL_PERIODS: f64 = 0.8;
+/// Maximum number of suspicions in one request.
+const MAX_CONFIRMED_AT_ONCE: usize = 40;
+/// Minimum time from the receipt of a gossiped suspicion to its expiry, in probe periods, which leaves time to confirm it.
+const MIN_CONFIRM_PERIODS: f64 = 0.8;
+/// Mean number of gateways that forward a gossiped suspicion to the suspected peer itself.
+const SUSPECT_NOTIFICATIONS: f64 = 4.0;
+/// Probe periods without any datagram after which a gateway considers itself isolated.
+const ISOLATION_PERIODS: f64 = 6.0;
+/// Delay of a timer, in probe periods, from which on the process has stalled: timeouts of that time prove nothing.
+const STALL_PERIODS: f64 = 0.6;
+/// Maximum local health score (Lifeguard). A score of `n` multiplies the timeout of suspicions by `1 + n`.
+const MAX_LOCAL_HEALTH_SCORE: u32 = 2;
 
 impl Membership {
-    /// A probe had no answer. What it weighs is how many helpers missed the gateway too, if any was heard.
-    pub(super) fn doubt(&mut self, now: Micros, target: PeerIndex, found: u8) {
+    /// Handles a probe that timed out. `confidence` is the number of helpers that reported a miss too.
+    pub(super) fn on_failed_probe(&mut self, now: Micros, target: PeerIndex, confidence: u8) {
         let member = &self.members[target];
         if member.dead {
             return;
         }
-        let alone = self.living() <= 2;
-        if found == 0 && !alone && member.doubt.is_none() {
-            // Not even the helpers were heard: the fault may be here.
-            self.health = (self.health + 1).min(WORST_HEALTH);
+        let is_pair = self.count_not_dead() <= 2;
+        if confidence == 0 && !is_pair && member.suspicion.is_none() {
+            // No helper reported either: the fault may be at this gateway.
+            self.local_health_score = (self.local_health_score + 1).min(MAX_LOCAL_HEALTH_SCORE);
         }
-        let held = member.doubt.as_ref().map_or(0, |doubt| doubt.weight);
-        self.weigh(
+        let known_confidence = member
+            .suspicion
+            .as_ref()
+            .map_or(0, |suspicion| suspicion.confidence);
+        self.raise_suspicion(
             now,
             target,
             now,
-            found.max(held + 1).min(STRONG),
+            confidence
+                .max(known_confidence + 1)
+                .min(GOSSIPED_CONFIDENCE),
             Cause::NoAnswer,
         );
     }
 
-    /// A doubt of this weight is held of a gateway since then, or has grown.
-    pub(super) fn weigh(
+    /// Suspects a peer with this confidence since `started_at`, or raises the confidence of its suspicion. A higher
+    /// confidence shortens the timeout.
+    pub(super) fn raise_suspicion(
         &mut self,
         now: Micros,
-        place: PeerIndex,
-        since: Micros,
-        weight: u8,
+        index: PeerIndex,
+        started_at: Micros,
+        confidence: u8,
         cause: Cause,
     ) {
-        let wait =
-            |weight: u8| DOUBT[usize::from(weight.clamp(1, 3)) - 1] * f64::from(1 + self.health);
-        let (wait, least) = (self.part(wait(weight)), self.part(CONFIRM_TIME));
-        let before = self.members[place].state();
-        let member = &mut self.members[place];
-        match &mut member.doubt {
-            Some(doubt) if doubt.weight >= weight => return,
-            Some(doubt) => {
-                (doubt.weight, doubt.until) =
-                    (weight, doubt.until.min(doubt.since + wait).max(now));
+        let timeout = |confidence: u8| {
+            SUSPICION_PERIODS[usize::from(confidence.clamp(1, 3)) - 1]
+                * f64::from(1 + self.local_health_score)
+        };
+        let (timeout, min_confirm_time) = (
+            self.probe_periods(timeout(confidence)),
+            self.probe_periods(MIN_CONFIRM_PERIODS),
+        );
+        let before = self.members[index].state();
+        let member = &mut self.members[index];
+        match &mut member.suspicion {
+            Some(suspicion) if suspicion.confidence >= confidence => return,
+            Some(suspicion) => {
+                (suspicion.confidence, suspicion.expires_at) = (
+                    confidence,
+                    suspicion
+                        .expires_at
+                        .min(suspicion.started_at + timeout)
+                        .max(now),
+                );
             }
             none => {
-                // Who hears of it late still has the time to ask another whether it was refuted.
-                let until = (since + wait).max(now + least);
-                *none = Some(Doubt {
-                    since,
-                    until,
-                    ..Doubt::new(now, wait, weight)
+                // A gateway that learns of the suspicion late still has time to request a confirmation.
+                let expires_at = (started_at + timeout).max(now + min_confirm_time);
+                *none = Some(Suspicion {
+                    started_at,
+                    expires_at,
+                    ..Suspicion::new(now, timeout, confidence)
                 });
             }
         }
-        if weight >= STRONG {
-            // A weak doubt is this gateway's own until it is a strong one, or refuted.
-            (member.sent, member.pressing) = (Some(0), true);
-            if matches!(cause, Cause::ToldBy(_)) {
-                self.tell_some(place);
+        if confidence >= GOSSIPED_CONFIDENCE {
+            // A local suspicion is not gossiped.
+            (member.transmissions, member.urgent) = (Some(0), true);
+            if matches!(cause, Cause::ReportedBy(_)) {
+                self.maybe_notify_suspect(index);
             }
         }
-        self.note(now, place, before, cause);
+        self.record_change(now, index, before, cause);
     }
 
-    /// A doubt that was told to nobody ends with anything that comes from the gateway itself.
-    pub(super) fn clear_own_doubt(&mut self, now: Micros, place: PeerIndex) {
-        let member = &mut self.members[place];
-        if member.is_weakly_doubted() {
-            member.doubt = None;
-            self.note(now, place, PeerState::Suspect, Cause::Returned);
+    /// Clears a local suspicion, as a datagram from the peer itself arrived.
+    pub(super) fn clear_local_suspicion(&mut self, now: Micros, index: PeerIndex) {
+        let member = &mut self.members[index];
+        if member.has_local_suspicion() {
+            member.suspicion = None;
+            self.record_change(now, index, PeerState::Suspect, Cause::Returned);
         }
     }
 
-    /// A gateway that was stopped has missed what others answered: it takes no verdict from that time, and asks anew.
-    pub(super) fn look_at_clock(&mut self, now: Micros) {
-        if now <= self.next + self.part(STALL) {
+    /// Detects a stall of this process by a late timer. Answers may have been lost during the stall, so probes are dropped,
+    /// suspicions restart with the lowest confidence, and the observation of the cluster starts again.
+    pub(super) fn check_for_stall(&mut self, now: Micros) {
+        if now <= self.next_step_at + self.probe_periods(STALL_PERIODS) {
             return;
         }
         self.probes.clear();
-        self.relays.clear();
-        self.confirming.clear();
-        (self.watching, self.woke) = (now, now);
-        self.end_silence(now);
-        self.health = (self.health + 1).min(WORST_HEALTH);
-        let wait = self.part(DOUBT[0]);
+        self.indirect_probes.clear();
+        self.pending_confirmations.clear();
+        (self.watching_since, self.resumed_at) = (now, now);
+        self.on_contact(now);
+        self.local_health_score = (self.local_health_score + 1).min(MAX_LOCAL_HEALTH_SCORE);
+        let timeout = self.probe_periods(SUSPICION_PERIODS[0]);
         for member in &mut self.members {
-            if member.doubt.is_some() {
-                member.doubt = Some(Doubt::new(now, wait, 1));
+            if member.suspicion.is_some() {
+                member.suspicion = Some(Suspicion::new(now, timeout, 1));
             }
         }
-        self.next = now;
+        self.next_step_at = now;
     }
 
-    /// Where nobody is heard at all this gateway is cut off, and does not ask for each in turn: it doubts all at once. These
-    /// doubts are its own, and end with the first thing that it hears.
-    pub(super) fn look_for_silence(&mut self, now: Micros) {
-        if self.silent || now < self.heard + self.part(SILENCE) {
+    /// Detects the isolation of this gateway: if no datagram arrives at all, it suspects all peers at once instead of probing
+    /// each. These suspicions are local and end with the first datagram ([`Membership::on_contact`]).
+    pub(super) fn check_isolation(&mut self, now: Micros) {
+        if self.isolated || now < self.last_contact_at + self.probe_periods(ISOLATION_PERIODS) {
             return;
         }
-        self.silent = true;
-        let wait = self.part(DOUBT[2]);
-        for place in (0..self.members.len())
-            .filter(|place| *place != self.me)
+        self.isolated = true;
+        let timeout = self.probe_periods(SUSPICION_PERIODS[2]);
+        for index in (0..self.members.len())
+            .filter(|index| *index != self.own_index)
             .collect::<Vec<_>>()
         {
-            let member = &mut self.members[place];
+            let member = &mut self.members[index];
             let before = member.state();
             if member.dead {
                 continue;
             }
-            let doubt = member.doubt.get_or_insert(Doubt::new(now, wait, 1));
-            (doubt.until, doubt.confirmed) = (doubt.until.min(now + wait), true);
-            self.note(now, place, before, Cause::NoAnswer);
+            let suspicion = member
+                .suspicion
+                .get_or_insert(Suspicion::new(now, timeout, 1));
+            (suspicion.expires_at, suspicion.confirmed) =
+                (suspicion.expires_at.min(now + timeout), true);
+            self.record_change(now, index, before, Cause::NoAnswer);
         }
     }
 
-    pub(super) fn end_silence(&mut self, now: Micros) {
-        self.heard = now;
-        if std::mem::take(&mut self.silent) {
-            (0..self.members.len()).for_each(|place| self.clear_own_doubt(now, place));
+    /// Handles the arrival of any datagram: the gateway is not isolated.
+    pub(super) fn on_contact(&mut self, now: Micros) {
+        self.last_contact_at = now;
+        if std::mem::take(&mut self.isolated) {
+            (0..self.members.len()).for_each(|index| self.clear_local_suspicion(now, index));
         }
     }
 
-    /// Asks others about the doubts that are to end soon: a refutation may have passed this gateway by.
-    pub(super) fn confirm_doubts(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
+    /// Requests another gateway to confirm the suspicions that expire soon: this gateway may have missed a refutation.
+    pub(super) fn check_expiring_suspicions(
+        &mut self,
+        now: Micros,
+        sends: &mut Vec<IndexedTransmit>,
+    ) {
         if self
             .members
             .iter()
-            .filter(|member| member.told() == PeerState::Suspect)
+            .filter(|member| member.gossiped_state() == PeerState::Suspect)
             .count()
-            > FEW
+            > SMALL_BACKLOG
         {
-            // ViewSummary that are exchanged anyway confirm so many.
+            // So many suspicions are confirmed by the summaries that are exchanged anyway.
             return;
         }
-        let (ahead, again) = (self.part(CONFIRM), self.part(CONFIRM_AGAIN));
-        if now < self.confirmed + self.part(CONFIRM_EVERY) {
+        let (lead, retry_interval) = (
+            self.probe_periods(CONFIRM_LEAD_PERIODS),
+            self.probe_periods(CONFIRM_RETRY_PERIODS),
+        );
+        if now < self.last_confirm_request_at + self.probe_periods(CONFIRM_INTERVAL_PERIODS) {
             return;
         }
-        let soon = |doubt: &Doubt| {
-            !doubt.confirmed
-                && doubt.asked < CONFIRMS
-                && doubt.until <= now + ahead
-                && doubt.ask_at <= now
+        let expires_soon = |suspicion: &Suspicion| {
+            !suspicion.confirmed
+                && suspicion.confirm_requests < MAX_CONFIRM_REQUESTS
+                && suspicion.expires_at <= now + lead
+                && suspicion.next_confirm_at <= now
+        };
+        let is_candidate = |index: &PeerIndex| {
+            self.members[*index]
+                .suspicion
+                .as_ref()
+                .is_some_and(expires_soon)
         };
-        let of = |place: &PeerIndex| self.members[*place].doubt.as_ref().is_some_and(soon);
-        let places: Vec<PeerIndex> = (0..self.members.len())
-            .filter(of)
-            .take(CONFIRM_MOST)
+        let indexes: Vec<PeerIndex> = (0..self.members.len())
+            .filter(is_candidate)
+            .take(MAX_CONFIRMED_AT_ONCE)
             .collect();
-        if places.is_empty() {
+        if indexes.is_empty() {
             return;
         }
-        let Some(to) = self.helpers(self.me).first().copied() else {
-            // There is nobody to know better.
-            for place in places {
-                if let Some(doubt) = &mut self.members[place].doubt {
-                    doubt.confirmed = true;
+        let Some(to) = self.choose_helpers(self.own_index).first().copied() else {
+            // No other gateway is alive that could know a refutation.
+            for index in indexes {
+                if let Some(suspicion) = &mut self.members[index].suspicion {
+                    suspicion.confirmed = true;
                 }
             }
             return;
         };
-        self.confirmed = now;
+        self.last_confirm_request_at = now;
         let number = self.next_number();
-        let went = self.put(
+        let was_sent = self.send_updates(
             now,
             to,
             MessageKind::ConfirmRequest(number),
-            places.clone(),
-            Class::News,
+            indexes.clone(),
+            Priority::Gossip,
             sends,
         );
-        for place in &places {
-            if let Some(doubt) = &mut self.members[*place].doubt {
-                (doubt.asked, doubt.ask_at) = (doubt.asked + 1, now + again);
+        for index in &indexes {
+            if let Some(suspicion) = &mut self.members[*index].suspicion {
+                (suspicion.confirm_requests, suspicion.next_confirm_at) =
+                    (suspicion.confirm_requests + 1, now + retry_interval);
             }
         }
-        if went {
-            self.confirming.insert(number, places);
-            while self.confirming.len() > usize::from(CONFIRMS) {
-                self.confirming.pop_first();
+        if was_sent {
+            self.pending_confirmations.insert(number, indexes);
+            while self.pending_confirmations.len() > usize::from(MAX_CONFIRM_REQUESTS) {
+                self.pending_confirmations.pop_first();
             }
         }
     }
 
-    /// Some of those that are told of a doubt tell the doubted one, which cannot refute what it never hears.
-    fn tell_some(&mut self, place: PeerIndex) {
-        let chance = (INFORM / self.living().max(1) as f64).min(1.0);
+    /// Forwards a gossiped suspicion to the suspected peer with a probability such that a few gateways do so: the peer can
+    /// only refute what it receives.
+    fn maybe_notify_suspect(&mut self, index: PeerIndex) {
+        let chance = (SUSPECT_NOTIFICATIONS / self.count_not_dead().max(1) as f64).min(1.0);
         if self.rng.random_bool(chance) {
-            self.inform.push(place);
+            self.suspects_to_notify.push(index);
         }
     }
 
-    pub(super) fn end_doubts(&mut self, now: Micros) {
-        let patience = self.part(CONFIRM_AGAIN * f64::from(CONFIRMS));
-        for place in 0..self.members.len() {
-            let member = &mut self.members[place];
-            let over = |doubt: &Doubt| {
-                doubt.until <= now && (doubt.confirmed || doubt.until + patience <= now)
+    /// Declares peers dead whose suspicion has expired. An unconfirmed suspicion waits for its confirmation requests first.
+    pub(super) fn check_expired_suspicions(&mut self, now: Micros) {
+        let confirm_timeout =
+            self.probe_periods(CONFIRM_RETRY_PERIODS * f64::from(MAX_CONFIRM_REQUESTS));
+        for index in 0..self.members.len() {
+            let member = &mut self.members[index];
+            let has_expired = |suspicion: &Suspicion| {
+                suspicion.expires_at <= now
+                    && (suspicion.confirmed || suspicion.expires_at + confirm_timeout <= now)
             };
-            if member.doubt.as_ref().is_some_and(over) {
+            if member.suspicion.as_ref().is_some_and(has_expired) {
                 let before = member.state();
-                member.bury(1);
-                // Who holds the doubt comes to the verdict by itself.
-                member.pressing = false;
-                self.note(now, place, before, Cause::NotRefuted);
+                member.mark_dead(1);
+                // Other gateways know the suspicion and reach the verdict themselves.
+                member.urgent = false;
+                self.record_change(now, index, before, Cause::NotRefuted);
             }
         }
     }
--- a/gateway-cluster/src/membership/transmit.rs
+++ b/gateway-cluster/src/membership/transmit.rs
@@ -1,171 +1,183 @@
-//! The one place that sends, and its budget.
+//! Sends datagrams within the budget. All datagrams of the membership protocol go through this module.
+//!
+//! Two token buckets bound the number and the bytes of datagrams in any interval. Each priority leaves a part of the
+//! buckets to the higher ones, so that answers are sent before requests, and requests before gossip.
 
 use super::member::Member;
-use super::updates::{FEW, TIMES_FEW, TIMES_MANY};
+use super::updates::{MAX_TRANSMISSIONS, MAX_TRANSMISSIONS_LARGE_BACKLOG, SMALL_BACKLOG};
 use super::Membership;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::wire::{Datagram, MessageKind, Update, ViewSummary, HEADER_BYTES};
 
-/// What is sent in any ten seconds: the bucket's size and ten times its rate. Gossip and healing leave a part of it to
-/// probes and answers.
-pub(super) const MESSAGES: f64 = 14.0;
+/// Capacity and rate of the bucket for datagrams.
+pub(super) const MESSAGE_BURST: f64 = 14.0;
 pub(super) const MESSAGES_PER_S: f64 = 8.6;
-pub(super) const BYTES: f64 = 4500.0;
+/// Capacity and rate of the bucket for bytes, with the headers of IP and UDP.
+pub(super) const BYTE_BURST: f64 = 4500.0;
 pub(super) const BYTES_PER_S: f64 = 1030.0;
-/// Parts of both that questions leave to answers, news to questions, and calls at rest to news.
-const KEPT_FOR_ANSWERS: f64 = 0.05;
-const KEPT_FOR_QUESTIONS: f64 = 0.2;
-const KEPT_FOR_NEWS: f64 = 0.5;
-/// Most claims of a datagram that is for something else, and of one that is for them.
-pub(super) const CLAIMS_BESIDE: usize = 10;
-pub(super) const CLAIMS_ALONE: usize = 160;
+/// Fraction of both buckets that requests leave to answers.
+const RESERVED_FOR_ANSWERS: f64 = 0.05;
+/// Fraction that gossip leaves to requests and answers.
+const RESERVED_FOR_REQUESTS: f64 = 0.2;
+/// Fraction that contacts of dead peers leave to all others.
+const RESERVED_FOR_GOSSIP: f64 = 0.5;
+/// Maximum number of updates piggybacked on a datagram with another purpose.
+pub(super) const MAX_PIGGYBACKED_UPDATES: usize = 10;
+/// Maximum number of updates in a datagram that is sent for them.
+pub(super) const MAX_GOSSIP_UPDATES: usize = 160;
 
-/// What a datagram is sent for, dearest first: what is cheaper leaves a part of the budget.
+/// Priority of a datagram, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-pub(super) enum Class {
+pub(super) enum Priority {
     Answer,
-    Question,
-    News,
-    Call,
+    Request,
+    Gossip,
+    DeadPeerContact,
 }
 
 impl Membership {
-    /// Sends with up to so many claims: what is held of the receiver, if that is not alive, then those sent least.
+    /// Sends a datagram with up to `max_updates` updates: first the one about the receiver, if it is not alive, then those
+    /// with the fewest transmissions. Returns whether the budget allowed it.
     pub(super) fn send(
         &mut self,
         now: Micros,
         to: PeerIndex,
         kind: MessageKind,
-        most: usize,
-        class: Class,
+        max_updates: usize,
+        priority: Priority,
         sends: &mut Vec<IndexedTransmit>,
     ) -> bool {
-        let mut claims = Vec::new();
-        if self.members[to].told() != PeerState::Alive || self.members[to].behind {
-            claims.push(to);
+        let mut updates_about = Vec::new();
+        if self.members[to].gossiped_state() != PeerState::Alive
+            || self.members[to].has_stale_incarnation
+        {
+            updates_about.push(to);
         }
-        let mut fresh: Vec<(u8, PeerIndex)> = Vec::new();
-        for (place, member) in self.members.iter().enumerate() {
-            if let Some(sent) = member.sent.filter(|_| place != to) {
-                // This gateway's own claim goes first.
-                fresh.push((if place == self.me { 0 } else { sent }, place));
+        let mut pending: Vec<(u8, PeerIndex)> = Vec::new();
+        for (index, member) in self.members.iter().enumerate() {
+            if let Some(sent) = member.transmissions.filter(|_| index != to) {
+                // The update about this gateway goes first.
+                pending.push((if index == self.own_index { 0 } else { sent }, index));
             }
         }
-        let apart = self.much || now < self.apart_until;
-        let marked = apart && most > 0 || self.was_apart(now, to);
-        let asks = kind == MessageKind::SyncRequest
-            || marked && matches!(kind, MessageKind::Ping(_) | MessageKind::Ack(_));
-        let marks = asks.then(|| self.marks(now));
-        if self.much && asks {
-            // The answer tells what differs; many claims of which most are known would only take its room.
-            fresh.clear();
+        let views_differ = self.is_update_backlog_large || now < self.views_differ_until;
+        let wants_summary =
+            views_differ && max_updates > 0 || self.was_recently_unreachable(now, to);
+        let has_summary = kind == MessageKind::SyncRequest
+            || wants_summary && matches!(kind, MessageKind::Ping(_) | MessageKind::Ack(_));
+        let summary = has_summary.then(|| self.view_summary(now));
+        if self.is_update_backlog_large && has_summary {
+            // The answer to the summary has what differs; other updates would mostly be known already.
+            pending.clear();
         }
-        if class < Class::News && !self.bytes.has(0.0, KEPT_FOR_QUESTIONS) {
-            // Claims wait before answers do.
-            fresh.clear();
+        if priority < Priority::Gossip && !self.byte_budget.has(0.0, RESERVED_FOR_REQUESTS) {
+            // With little budget, updates are left out so that answers can be sent.
+            pending.clear();
         }
-        let times = if fresh.len() <= FEW {
-            TIMES_FEW
+        let max_transmissions = if pending.len() <= SMALL_BACKLOG {
+            MAX_TRANSMISSIONS
         } else {
-            TIMES_MANY
+            MAX_TRANSMISSIONS_LARGE_BACKLOG
         };
-        fresh.sort_unstable();
-        fresh.truncate(most);
-        claims.extend(fresh.iter().map(|(_, place)| *place));
-        let went = self.put_marked(now, to, kind, marks, claims, class, sends);
-        if went {
-            for (_, place) in fresh {
-                let member = &mut self.members[place];
-                member.sent = member
-                    .sent
-                    .map(|sent| sent + 1)
-                    .filter(|sent| *sent < times);
+        pending.sort_unstable();
+        pending.truncate(max_updates);
+        updates_about.extend(pending.iter().map(|(_, index)| *index));
+        let was_sent =
+            self.send_updates_with_summary(now, to, kind, summary, updates_about, priority, sends);
+        if was_sent {
+            for (_, index) in pending {
+                let member = &mut self.members[index];
+                member.transmissions = member
+                    .transmissions
+                    .map(|count| count + 1)
+                    .filter(|count| *count < max_transmissions);
             }
         }
-        went
+        was_sent
     }
 
-    pub(super) fn put(
+    /// Sends a datagram with updates about these peers. Returns whether the budget allowed it.
+    pub(super) fn send_updates(
         &mut self,
         now: Micros,
         to: PeerIndex,
         kind: MessageKind,
-        claims: Vec<PeerIndex>,
-        class: Class,
+        updates_about: Vec<PeerIndex>,
+        priority: Priority,
         sends: &mut Vec<IndexedTransmit>,
     ) -> bool {
-        self.put_marked(now, to, kind, None, claims, class, sends)
+        self.send_updates_with_summary(now, to, kind, None, updates_about, priority, sends)
     }
 
-    /// Sends if the budget allows it. What is not owed leaves some of it.
+    /// Sends a datagram with a summary of this view and updates about these peers. Returns whether the budget allowed it.
     #[allow(clippy::too_many_arguments)]
-    pub(super) fn put_marked(
+    pub(super) fn send_updates_with_summary(
         &mut self,
         now: Micros,
         to: PeerIndex,
         kind: MessageKind,
-        marks: Option<ViewSummary>,
-        claims: Vec<PeerIndex>,
-        class: Class,
+        summary: Option<ViewSummary>,
+        updates_about: Vec<PeerIndex>,
+        priority: Priority,
         sends: &mut Vec<IndexedTransmit>,
     ) -> bool {
-        self.fill(now);
-        let kept = match class {
-            Class::Answer => 0.0,
-            Class::Question => KEPT_FOR_ANSWERS,
-            Class::News => KEPT_FOR_QUESTIONS,
-            Class::Call => KEPT_FOR_NEWS,
+        self.refill_budget(now);
+        let reserved_fraction = match priority {
+            Priority::Answer => 0.0,
+            Priority::Request => RESERVED_FOR_ANSWERS,
+            Priority::Gossip => RESERVED_FOR_REQUESTS,
+            Priority::DeadPeerContact => RESERVED_FOR_GOSSIP,
         };
-        if self.superseded || self.left || !self.messages.has(1.0, kept) {
+        if self.superseded || self.left || !self.message_budget.has(1.0, reserved_fraction) {
             return false;
         }
         let by_index = self.members[to]
-            .peers
+            .peer_set_digest
             .is_none_or(|peers| peers == self.peers.digest());
-        let updates = claims.iter().map(|place| {
-            let Member { incarnation, .. } = self.members[*place];
+        let updates = updates_about.iter().map(|index| {
+            let Member { incarnation, .. } = self.members[*index];
             let peer = if by_index {
-                *place as u32
+                *index as u32
             } else {
-                self.peers.ids()[*place]
+                self.peers.ids()[*index]
             };
             Update {
                 peer,
                 incarnation,
-                status: self.members[*place].claim(now, self.probe),
+                status: self.members[*index].update_status(now, self.probe_period),
             }
         });
         let (bytes, _) = Datagram {
             peer_set_digest: self.peers.digest(),
-            from: self.peers.ids()[self.me],
+            from: self.peers.ids()[self.own_index],
             incarnation: self.incarnation(),
-            view_digest: self.inner_digest(),
+            view_digest: self.dead_peers_digest(),
             kind,
-            summary: marks,
+            summary,
             by_index,
             updates: updates.collect(),
         }
         .encode();
         let size = (bytes.len() + HEADER_BYTES) as f64;
-        if !self.bytes.has(size, kept) {
+        if !self.byte_budget.has(size, reserved_fraction) {
             return false;
         }
-        self.messages.take(1.0);
-        self.bytes.take(size);
+        self.message_budget.take(1.0);
+        self.byte_budget.take(size);
         self.sent.0 += 1;
         self.sent.1 += size as u64;
         sends.push(IndexedTransmit { to, bytes });
         true
     }
 
-    /// The number of the next question.
+    /// A new number for a request.
     pub(super) fn next_number(&mut self) -> u32 {
-        self.number = self.number.wrapping_add(1);
-        self.number
+        self.last_request_number = self.last_request_number.wrapping_add(1);
+        self.last_request_number
     }
 
-    pub(super) fn fill(&mut self, now: Micros) {
-        self.messages.fill(now);
-        self.bytes.fill(now);
+    pub(super) fn refill_budget(&mut self, now: Micros) {
+        self.message_budget.fill(now);
+        self.byte_budget.fill(now);
     }
 }
--- a/gateway-cluster/src/membership/updates.rs
+++ b/gateway-cluster/src/membership/updates.rs
@@ -1,183 +1,213 @@
-//! What is made of the claims of others, of other gateways and of this one.
+//! Applies received membership updates, about other gateways and about this one.
+//!
+//! Precedence follows [`crate::precedence`]. A report of a death is never taken over by itself: it becomes a suspicion or
+//! a probe of this gateway, unless this gateway suspects the peer already.
 
-use super::anti_entropy::COMPARE_PERIODS;
-use super::healing::HEALING;
-use super::member::{Cause, Member, STRONG};
+use super::anti_entropy::SYNC_INTERVAL_PERIODS;
+use super::healing::HEALING_STEPS;
+use super::member::{Cause, Member, GOSSIPED_CONFIDENCE};
 use super::{ChangeReason, Membership, MembershipChange};
 use crate::precedence::{self, KnownUpdate, Precedence, SelfUpdateAction};
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::wire::{Incarnation, UpdateStatus};
 
-/// How often a claim is sent on while there are few, and while there are many.
-pub(super) const FEW: usize = 16;
-pub(super) const TIMES_FEW: u8 = 12;
-pub(super) const TIMES_MANY: u8 = 4;
-const TIMES_KNOWN: u8 = 3;
-/// Claims of a death that are being looked into at a time.
-const CLAIMED: usize = 2;
-/// Probe periods after which a doubt is no news to anybody: by then it is a verdict, or was refuted. And the age of one
-/// that comes from another's verdict.
-const DOUBT_OVER: f64 = 6.0;
-const DOUBT_LATE: f64 = 1.0;
-/// Probe periods after a stop in which others' verdicts may have waited in the socket, and be over long since.
-const WOKE: f64 = 1.0;
-/// Changes that may wait to be taken.
+/// Number of urgent updates up to which the backlog is small: updates are gossiped, and transmitted more often.
+pub(super) const SMALL_BACKLOG: usize = 16;
+/// Transmissions of an update by each gateway while the backlog is small, and while it is large.
+pub(super) const MAX_TRANSMISSIONS: u8 = 12;
+pub(super) const MAX_TRANSMISSIONS_LARGE_BACKLOG: u8 = 4;
+/// Remaining transmissions of an update that raises the incarnation of a peer which was alive here.
+const TRANSMISSIONS_OF_KNOWN_UPDATE: u8 = 3;
+/// Maximum number of probes in progress that verify a reported death.
+const MAX_REPORTED_DEAD_PROBES: usize = 2;
+/// Age in probe periods beyond which a reported suspicion is ignored: it has expired or was refuted.
+const MAX_SUSPICION_AGE_PERIODS: f64 = 6.0;
+/// Age, in probe periods, of the suspicion that follows from a reported death.
+const REPORTED_DEATH_AGE_PERIODS: f64 = 1.0;
+/// Probe periods after a stall during which reported deaths are not taken for verdicts: they may have waited in the
+/// socket's buffer and be refuted since.
+const RESUME_GRACE_PERIODS: f64 = 1.0;
+/// Maximum number of changes that the driver has not taken; further ones are dropped.
 const MAX_CHANGES: usize = 4096;
 
 impl Membership {
-    /// Takes a claim in; false if it is behind what is held.
-    pub(super) fn hear(
+    /// Handles an update that `from` sent about the peer at `index`. Returns `false` if the update is outdated.
+    pub(super) fn on_update(
         &mut self,
         now: Micros,
         from: PeerIndex,
-        place: PeerIndex,
+        index: PeerIndex,
         incarnation: Incarnation,
-        claim: UpdateStatus,
+        status: UpdateStatus,
         sends: &mut Vec<IndexedTransmit>,
     ) -> bool {
-        if place == self.me {
-            self.hear_of_self(now, incarnation, claim);
+        if index == self.own_index {
+            self.on_update_about_self(now, incarnation, status);
             return true;
         }
-        let before = self.members[place].state();
-        let member = &mut self.members[place];
-        let held = KnownUpdate {
+        let before = self.members[index].state();
+        let member = &mut self.members[index];
+        let known = KnownUpdate {
             incarnation: member.incarnation,
             dead: member.dead,
         };
-        let weight = precedence::precedence_of(held, incarnation);
-        if weight == Precedence::Older {
+        let precedence = precedence::precedence_of(known, incarnation);
+        if precedence == Precedence::Older {
             return false;
         }
-        let cause = if from == place {
+        let cause = if from == index {
             Cause::Returned
         } else {
-            Cause::ToldBy(from)
+            Cause::ReportedBy(from)
         };
-        if let Precedence::Newer { same_process } = weight {
+        if let Precedence::Newer { same_process } = precedence {
             let returned = member.dead;
-            // Only what refutes something is worth telling: that it lives is held of each from the beginning.
-            let sent = match before {
-                PeerState::Alive if self.much || incarnation as u16 == 0 => member.sent,
-                // Who has not heard of the doubt yet is not to take it for news.
+            // Only refutations are gossiped: every gateway considers a peer alive from the beginning.
+            let transmissions = match before {
+                PeerState::Alive if self.is_update_backlog_large || incarnation as u16 == 0 => {
+                    member.transmissions
+                }
+                // The refuted suspicion never reached this gateway, so the refutation needs few transmissions.
                 PeerState::Alive => Some(
                     member
-                        .sent
-                        .unwrap_or(TIMES_FEW)
-                        .min(TIMES_FEW - TIMES_KNOWN),
+                        .transmissions
+                        .unwrap_or(MAX_TRANSMISSIONS)
+                        .min(MAX_TRANSMISSIONS - TRANSMISSIONS_OF_KNOWN_UPDATE),
                 ),
                 _ => Some(0),
             };
-            let pressing = returned || member.is_strongly_doubted();
-            let dead = precedence::apply_update(held, incarnation, claim).dead;
+            let urgent = returned || member.has_gossiped_suspicion();
+            let dead = precedence::apply_update(known, incarnation, status).dead;
             *member = Member {
                 incarnation,
                 dead,
-                left: dead && claim == UpdateStatus::Left,
-                doubt: None,
-                raised: Some(now),
-                returned: if returned && !dead {
+                left: dead && status == UpdateStatus::Left,
+                suspicion: None,
+                raised_at: Some(now),
+                returned_at: if returned && !dead {
                     Some(now)
                 } else {
-                    member.returned
+                    member.returned_at
                 },
-                rejoined: if returned && !dead && same_process {
+                rejoined_at: if returned && !dead && same_process {
                     Some(now)
                 } else {
-                    member.rejoined
+                    member.rejoined_at
                 },
-                sent,
-                pressing,
+                transmissions,
+                urgent,
                 ..*member
             };
-            self.note(now, place, before, cause);
+            self.record_change(now, index, before, cause);
             if returned && !dead {
-                self.healing_until = self.step + HEALING;
+                self.healing_until_step = self.step + HEALING_STEPS;
             }
         }
-        let awake = now >= self.woke + self.part(WOKE);
-        let member = &mut self.members[place];
-        match claim {
+        let awake = now >= self.resumed_at + self.probe_periods(RESUME_GRACE_PERIODS);
+        let member = &mut self.members[index];
+        match status {
             UpdateStatus::Alive => !member.dead,
             UpdateStatus::Suspect(_) if member.dead => false,
             UpdateStatus::Suspect(tenths) => {
-                let age = self.part(f64::from(tenths) / 10.0);
-                if age <= self.part(DOUBT_OVER) {
-                    self.weigh(now, place, now.saturating_sub(age), STRONG, cause);
+                let age = self.probe_periods(f64::from(tenths) / 10.0);
+                if age <= self.probe_periods(MAX_SUSPICION_AGE_PERIODS) {
+                    self.raise_suspicion(
+                        now,
+                        index,
+                        now.saturating_sub(age),
+                        GOSSIPED_CONFIDENCE,
+                        cause,
+                    );
                 }
                 true
             }
             UpdateStatus::Dead | UpdateStatus::Left if member.dead => true,
             UpdateStatus::Left => {
-                // Its own word: nobody else makes this claim of an incarnation.
-                member.bury(0);
+                // Only the peer itself announces its shutdown.
+                member.mark_dead(0);
                 member.left = true;
-                self.note(now, place, before, Cause::Left);
+                self.record_change(now, index, before, Cause::Left);
                 true
             }
-            UpdateStatus::Dead if member.is_strongly_doubted() && awake => {
-                member.bury(0);
-                self.note(now, place, before, cause);
+            UpdateStatus::Dead if member.has_gossiped_suspicion() && awake => {
+                member.mark_dead(0);
+                self.record_change(now, index, before, cause);
                 true
             }
-            UpdateStatus::Dead if self.was_apart(now, from) => {
-                // This may be the verdict of another part of the cluster: it is asked.
-                if self.probes.values().filter(|probe| probe.claimed).count() < CLAIMED {
-                    self.ask_whether_dead(now, place, incarnation, sends);
+            UpdateStatus::Dead if self.was_recently_unreachable(now, from) => {
+                // The verdict may come from the other side of a partition: probe the peer.
+                if self
+                    .probes
+                    .values()
+                    .filter(|probe| probe.target_reported_dead)
+                    .count()
+                    < MAX_REPORTED_DEAD_PROBES
+                {
+                    self.probe_reported_dead(now, index, incarnation, sends);
                 }
                 true
             }
             UpdateStatus::Dead => {
-                // The doubt has passed this gateway by; a refutation may yet come.
-                let since = now.saturating_sub(self.part(DOUBT_LATE));
-                self.weigh(now, place, since, STRONG, cause);
-                if !self.much {
-                    self.inform.push(place);
+                // This gateway missed the suspicion; a refutation may still arrive.
+                let since = now.saturating_sub(self.probe_periods(REPORTED_DEATH_AGE_PERIODS));
+                self.raise_suspicion(now, index, since, GOSSIPED_CONFIDENCE, cause);
+                if !self.is_update_backlog_large {
+                    self.suspects_to_notify.push(index);
                 }
                 true
             }
         }
     }
 
-    pub(super) fn hear_of_self(
+    /// Handles an update about this gateway; see [`precedence::action_on_self_update`].
+    pub(super) fn on_update_about_self(
         &mut self,
         now: Micros,
         incarnation: Incarnation,
-        claim: UpdateStatus,
+        status: UpdateStatus,
     ) {
-        let young = self.is_recent(now, self.born);
-        let own = &mut self.members[self.me];
+        let recently_started = self.is_recent(now, self.started_at);
+        let own = &mut self.members[self.own_index];
         match precedence::action_on_self_update(
             own.incarnation,
-            young,
+            recently_started,
             self.superseded,
             incarnation,
-            claim,
+            status,
         ) {
             SelfUpdateAction::Ignore => {}
-            SelfUpdateAction::Resume => (self.superseded, self.superseded_told) = (false, false),
+            SelfUpdateAction::Resume => {
+                (self.superseded, self.superseded_reported) = (false, false)
+            }
             SelfUpdateAction::Adopt(incarnation) => own.incarnation = incarnation,
             SelfUpdateAction::Superseded => self.superseded = true,
             SelfUpdateAction::Refute(incarnation) => {
                 own.incarnation = incarnation;
-                (own.sent, own.pressing) = (Some(0), true);
-                (self.superseded, self.superseded_told) = (false, false);
+                (own.transmissions, own.urgent) = (Some(0), true);
+                (self.superseded, self.superseded_reported) = (false, false);
             }
         }
     }
 
-    pub(super) fn note(&mut self, now: Micros, place: PeerIndex, before: PeerState, cause: Cause) {
-        let after = self.members[place].state();
+    /// Records a change of a peer's state for the driver, if there is one.
+    pub(super) fn record_change(
+        &mut self,
+        now: Micros,
+        index: PeerIndex,
+        before: PeerState,
+        cause: Cause,
+    ) {
+        let after = self.members[index].state();
         if before == after {
             return;
         }
-        self.changed = now;
-        self.compare_gap = COMPARE_PERIODS;
+        self.last_change_at = now;
+        self.sync_interval_periods = SYNC_INTERVAL_PERIODS;
         if self.changes.len() < MAX_CHANGES {
-            let name = self.names()[place].clone();
+            let name = self.names()[index].clone();
             let why = match cause {
                 Cause::NoAnswer => ChangeReason::NoAnswer,
-                Cause::ToldBy(place) => ChangeReason::ToldBy(self.names()[place].clone()),
+                Cause::ReportedBy(index) => ChangeReason::ToldBy(self.names()[index].clone()),
                 Cause::NotRefuted => ChangeReason::NotRefuted,
                 Cause::Returned => ChangeReason::Returned,
                 Cause::Left => ChangeReason::Left,
