--- a/gateway-cluster/src/membership/anti_entropy.rs
+++ b/gateway-cluster/src/membership/anti_entropy.rs
@@ -5,7 +5,7 @@
 //! summary; the answer has the differing updates.
 
 use super::member::Member;
-use super::transmit::{Priority, MAX_GOSSIP_UPDATES};
+use super::transmit::{OutgoingMessage, Priority, MAX_GOSSIP_UPDATES};
 use super::Membership;
 use crate::hash::mix;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
@@ -34,6 +34,13 @@
     pub(super) other_is_newer: bool,
 }
 
+impl ViewDifferences {
+    /// Whether the two views agree.
+    pub(super) fn is_empty(&self) -> bool {
+        self.to_send.is_empty() && !self.other_is_newer
+    }
+}
+
 impl Membership {
     /// Digest of the dead peers and their incarnations. It is independent of their order.
     pub(super) fn dead_peers_digest(&self) -> u32 {
@@ -121,7 +128,7 @@
                 | (PeerSummary::IncarnationRaised, PeerSummary::Alive) => {}
                 (PeerSummary::Alive, _)
                 | (PeerSummary::Suspect | PeerSummary::Dead, PeerSummary::IncarnationRaised) => {
-                    differences.other_is_newer = true
+                    differences.other_is_newer = true;
                 }
                 (PeerSummary::Suspect, PeerSummary::Dead) => differences.other_is_newer = true,
                 // Refutations go first: they have to overtake the suspicion.
@@ -183,16 +190,14 @@
         if to_send.is_empty() && !requests_answer && !is_ack {
             return;
         }
-        let summary = requests_answer.then(|| self.view_summary(now));
-        let was_sent = self.send_updates_with_summary(
-            now,
+        let message = OutgoingMessage {
             to,
-            kind.clone(),
-            summary,
-            to_send.clone(),
-            Priority::Answer,
-            sends,
-        );
+            kind: kind.clone(),
+            summary: requests_answer.then(|| self.view_summary(now)),
+            updates_about: to_send.clone(),
+            priority: Priority::Answer,
+        };
+        let was_sent = self.send_message(now, message, sends);
         if was_sent {
             for index in to_send {
                 let member = &mut self.members[index];
@@ -214,9 +219,9 @@
         sends: &mut Vec<IndexedTransmit>,
     ) {
         let newer: Vec<PeerIndex> = outdated.into_iter().take(MAX_GOSSIP_UPDATES).collect();
-        let is_ack = matches!(kind, MessageKind::ConfirmResponse(_));
-        if is_ack || !newer.is_empty() {
-            let priority = if is_ack {
+        let is_response = matches!(kind, MessageKind::ConfirmResponse(_));
+        if is_response || !newer.is_empty() {
+            let priority = if is_response {
                 Priority::Answer
             } else {
                 Priority::Request
--- a/gateway-cluster/src/membership/mod.rs
+++ b/gateway-cluster/src/membership/mod.rs
@@ -17,6 +17,7 @@
 mod member;
 mod probes;
 mod suspicion;
+mod timer;
 mod transmit;
 mod updates;
 
@@ -26,13 +27,13 @@
 use crate::token_bucket::TokenBucket;
 use crate::wire::{Incarnation, MessageKind};
 use anti_entropy::SYNC_INTERVAL_PERIODS;
-use datagrams::{RANDOM_PROBE_STEPS, STEP_PERIODS};
 use member::Member;
 use probes::{ring, IndirectProbe, Probe, HELPERS};
 use rand::seq::SliceRandom;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, VecDeque};
+use timer::{RANDOM_PROBE_STEPS, STEP_PERIODS};
 use transmit::{Priority, BYTES_PER_S, BYTE_BURST, MESSAGES_PER_S, MESSAGE_BURST};
 
 /// Age, in probe periods, up to which an event counts as recent: the start of this process, a raised incarnation, a return
@@ -140,7 +141,7 @@
     sync_interval_periods: f64,
     /// Time of the last datagram from any peer.
     last_contact_at: Micros,
-    /// No datagram arrived for [`suspicion`]'s isolation timeout: all peers are under local suspicion.
+    /// No datagram arrived for the isolation timeout: all peers are under local suspicion.
     isolated: bool,
     /// So many updates are urgent that sync requests replace gossip.
     is_update_backlog_large: bool,
--- a/gateway-cluster/src/membership/transmit.rs
+++ b/gateway-cluster/src/membership/transmit.rs
@@ -35,6 +35,17 @@
     DeadPeerContact,
 }
 
+/// A message that is sent if the budget allows it.
+pub(super) struct OutgoingMessage {
+    pub(super) to: PeerIndex,
+    pub(super) kind: MessageKind,
+    /// Summary of this view, which requests an answer with what differs.
+    pub(super) summary: Option<ViewSummary>,
+    /// Peers whose updates the message carries.
+    pub(super) updates_about: Vec<PeerIndex>,
+    pub(super) priority: Priority,
+}
+
 impl Membership {
     /// Sends a datagram with up to `max_updates` updates: first the one about the receiver, if it is not alive, then those
     /// with the fewest transmissions. Returns whether the budget allowed it.
@@ -82,8 +93,14 @@
         pending.sort_unstable();
         pending.truncate(max_updates);
         updates_about.extend(pending.iter().map(|(_, index)| *index));
-        let was_sent =
-            self.send_updates_with_summary(now, to, kind, summary, updates_about, priority, sends);
+        let message = OutgoingMessage {
+            to,
+            kind,
+            summary,
+            updates_about,
+            priority,
+        };
+        let was_sent = self.send_message(now, message, sends);
         if was_sent {
             for (_, index) in pending {
                 let member = &mut self.members[index];
@@ -106,21 +123,30 @@
         priority: Priority,
         sends: &mut Vec<IndexedTransmit>,
     ) -> bool {
-        self.send_updates_with_summary(now, to, kind, None, updates_about, priority, sends)
+        let message = OutgoingMessage {
+            to,
+            kind,
+            summary: None,
+            updates_about,
+            priority,
+        };
+        self.send_message(now, message, sends)
     }
 
-    /// Sends a datagram with a summary of this view and updates about these peers. Returns whether the budget allowed it.
-    #[allow(clippy::too_many_arguments)]
-    pub(super) fn send_updates_with_summary(
+    /// Encodes and sends a message. Returns whether the budget allowed it.
+    pub(super) fn send_message(
         &mut self,
         now: Micros,
-        to: PeerIndex,
-        kind: MessageKind,
-        summary: Option<ViewSummary>,
-        updates_about: Vec<PeerIndex>,
-        priority: Priority,
+        message: OutgoingMessage,
         sends: &mut Vec<IndexedTransmit>,
     ) -> bool {
+        let OutgoingMessage {
+            to,
+            kind,
+            summary,
+            updates_about,
+            priority,
+        } = message;
         self.refill_budget(now);
         let reserved_fraction = match priority {
             Priority::Answer => 0.0,
--- a/gateway-cluster/src/membership/updates.rs
+++ b/gateway-cluster/src/membership/updates.rs
@@ -5,7 +5,7 @@
 
 use super::anti_entropy::SYNC_INTERVAL_PERIODS;
 use super::healing::HEALING_STEPS;
-use super::member::{Cause, Member, GOSSIPED_CONFIDENCE};
+use super::member::{Cause, GOSSIPED_CONFIDENCE};
 use super::{ChangeReason, Membership, MembershipChange};
 use crate::precedence::{self, KnownUpdate, Precedence, SelfUpdateAction};
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
@@ -30,6 +30,27 @@
 /// Maximum number of changes that the driver has not taken; further ones are dropped.
 const MAX_CHANGES: usize = 4096;
 
+/// An update about another gateway that is being applied.
+struct ReceivedUpdate {
+    from: PeerIndex,
+    index: PeerIndex,
+    incarnation: Incarnation,
+    status: UpdateStatus,
+    /// The peer's state before the update.
+    state_before: PeerState,
+}
+
+impl ReceivedUpdate {
+    /// The cause of a change of state by this update.
+    fn cause(&self) -> Cause {
+        if self.from == self.index {
+            Cause::Returned
+        } else {
+            Cause::ReportedBy(self.from)
+        }
+    }
+}
+
 impl Membership {
     /// Handles an update that `from` sent about the peer at `index`. Returns `false` if the update is outdated.
     pub(super) fn on_update(
@@ -45,80 +66,87 @@
             self.on_update_about_self(now, incarnation, status);
             return true;
         }
-        let before = self.members[index].state();
-        let member = &mut self.members[index];
-        let known = KnownUpdate {
+        let update = ReceivedUpdate {
+            from,
+            index,
+            incarnation,
+            status,
+            state_before: self.members[index].state(),
+        };
+        match precedence::precedence_of(self.known_update(index), incarnation) {
+            Precedence::Older => return false,
+            Precedence::Newer { same_process } => {
+                self.on_newer_incarnation(now, &update, same_process);
+            }
+            Precedence::Equal => {}
+        }
+        self.on_status(now, &update, sends)
+    }
+
+    fn known_update(&self, index: PeerIndex) -> KnownUpdate {
+        let member = &self.members[index];
+        KnownUpdate {
             incarnation: member.incarnation,
             dead: member.dead,
-        };
-        let precedence = precedence::precedence_of(known, incarnation);
-        if precedence == Precedence::Older {
-            return false;
         }
-        let cause = if from == index {
-            Cause::Returned
-        } else {
-            Cause::ReportedBy(from)
-        };
-        if let Precedence::Newer { same_process } = precedence {
-            let returned = member.dead;
-            // Only refutations are gossiped: every gateway considers a peer alive from the beginning.
-            let transmissions = match before {
-                PeerState::Alive if self.is_update_backlog_large || incarnation as u16 == 0 => {
-                    member.transmissions
-                }
-                // The refuted suspicion never reached this gateway, so the refutation needs few transmissions.
-                PeerState::Alive => Some(
-                    member
-                        .transmissions
-                        .unwrap_or(MAX_TRANSMISSIONS)
-                        .min(MAX_TRANSMISSIONS - TRANSMISSIONS_OF_KNOWN_UPDATE),
-                ),
-                _ => Some(0),
-            };
-            let urgent = returned || member.has_gossiped_suspicion();
-            let dead = precedence::apply_update(known, incarnation, status).dead;
-            *member = Member {
-                incarnation,
-                dead,
-                left: dead && status == UpdateStatus::Left,
-                suspicion: None,
-                raised_at: Some(now),
-                returned_at: if returned && !dead {
-                    Some(now)
-                } else {
-                    member.returned_at
-                },
-                rejoined_at: if returned && !dead && same_process {
-                    Some(now)
-                } else {
-                    member.rejoined_at
-                },
-                transmissions,
-                urgent,
-                ..*member
-            };
-            self.record_change(now, index, before, cause);
-            if returned && !dead {
-                self.healing_until_step = self.step + HEALING_STEPS;
-            }
+    }
+
+    /// Replaces the state of a peer of which a newer incarnation is reported.
+    fn on_newer_incarnation(&mut self, now: Micros, update: &ReceivedUpdate, same_process: bool) {
+        let known = self.known_update(update.index);
+        let dead = precedence::apply_update(known, update.incarnation, update.status).dead;
+        let transmissions = self.transmissions_of_newer(update);
+        let member = &mut self.members[update.index];
+        let returned = member.dead && !dead;
+        member.urgent = member.dead || member.has_gossiped_suspicion();
+        member.transmissions = transmissions;
+        member.incarnation = update.incarnation;
+        member.dead = dead;
+        member.left = dead && update.status == UpdateStatus::Left;
+        member.suspicion = None;
+        member.raised_at = Some(now);
+        if returned {
+            member.returned_at = Some(now);
+        }
+        if returned && same_process {
+            member.rejoined_at = Some(now);
+        }
+        self.record_change(now, update.index, update.state_before, update.cause());
+        if returned {
+            self.healing_until_step = self.step + HEALING_STEPS;
         }
-        let awake = now >= self.resumed_at + self.probe_periods(RESUME_GRACE_PERIODS);
-        let member = &mut self.members[index];
-        match status {
+    }
+
+    /// The transmission count of an update with a newer incarnation. Only refutations are gossiped: every gateway
+    /// considers a peer alive from the beginning.
+    fn transmissions_of_newer(&self, update: &ReceivedUpdate) -> Option<u8> {
+        let transmissions = self.members[update.index].transmissions;
+        let has_no_refutation = update.incarnation as u16 == 0;
+        match update.state_before {
+            PeerState::Alive if self.is_update_backlog_large || has_no_refutation => transmissions,
+            // The refuted suspicion never reached this gateway, so the refutation needs few transmissions.
+            PeerState::Alive => Some(
+                transmissions
+                    .unwrap_or(MAX_TRANSMISSIONS)
+                    .min(MAX_TRANSMISSIONS - TRANSMISSIONS_OF_KNOWN_UPDATE),
+            ),
+            PeerState::Suspect | PeerState::Dead => Some(0),
+        }
+    }
+
+    /// Handles the status of an update whose incarnation is the known one now. Returns `false` if it is outdated.
+    fn on_status(
+        &mut self,
+        now: Micros,
+        update: &ReceivedUpdate,
+        sends: &mut Vec<IndexedTransmit>,
+    ) -> bool {
+        let member = &mut self.members[update.index];
+        match update.status {
             UpdateStatus::Alive => !member.dead,
             UpdateStatus::Suspect(_) if member.dead => false,
             UpdateStatus::Suspect(tenths) => {
-                let age = self.probe_periods(f64::from(tenths) / 10.0);
-                if age <= self.probe_periods(MAX_SUSPICION_AGE_PERIODS) {
-                    self.raise_suspicion(
-                        now,
-                        index,
-                        now.saturating_sub(age),
-                        GOSSIPED_CONFIDENCE,
-                        cause,
-                    );
-                }
+                self.on_reported_suspicion(now, update, tenths);
                 true
             }
             UpdateStatus::Dead | UpdateStatus::Left if member.dead => true,
@@ -126,35 +154,55 @@
                 // Only the peer itself announces its shutdown.
                 member.mark_dead(0);
                 member.left = true;
-                self.record_change(now, index, before, Cause::Left);
+                self.record_change(now, update.index, update.state_before, Cause::Left);
                 true
             }
-            UpdateStatus::Dead if member.has_gossiped_suspicion() && awake => {
-                member.mark_dead(0);
-                self.record_change(now, index, before, cause);
+            UpdateStatus::Dead => {
+                self.on_reported_death(now, update, sends);
                 true
             }
-            UpdateStatus::Dead if self.was_recently_unreachable(now, from) => {
-                // The verdict may come from the other side of a partition: probe the peer.
-                if self
-                    .probes
-                    .values()
-                    .filter(|probe| probe.target_reported_dead)
-                    .count()
-                    < MAX_REPORTED_DEAD_PROBES
-                {
-                    self.probe_reported_dead(now, index, incarnation, sends);
-                }
-                true
+        }
+    }
+
+    fn on_reported_suspicion(&mut self, now: Micros, update: &ReceivedUpdate, tenths: u8) {
+        let age = self.probe_periods(f64::from(tenths) / 10.0);
+        if age <= self.probe_periods(MAX_SUSPICION_AGE_PERIODS) {
+            let started_at = now.saturating_sub(age);
+            self.raise_suspicion(
+                now,
+                update.index,
+                started_at,
+                GOSSIPED_CONFIDENCE,
+                update.cause(),
+            );
+        }
+    }
+
+    /// Handles another gateway's verdict on a peer that is not dead here.
+    fn on_reported_death(
+        &mut self,
+        now: Micros,
+        update: &ReceivedUpdate,
+        sends: &mut Vec<IndexedTransmit>,
+    ) {
+        let index = update.index;
+        let resumed_long_ago = now >= self.resumed_at + self.probe_periods(RESUME_GRACE_PERIODS);
+        if self.members[index].has_gossiped_suspicion() && resumed_long_ago {
+            self.members[index].mark_dead(0);
+            self.record_change(now, index, update.state_before, update.cause());
+        } else if self.was_recently_unreachable(now, update.from) {
+            // The verdict may come from the other side of a partition: probe the peer.
+            let verifications = self.probes.values();
+            let verifications = verifications.filter(|probe| probe.target_reported_dead);
+            if verifications.count() < MAX_REPORTED_DEAD_PROBES {
+                self.probe_reported_dead(now, index, update.incarnation, sends);
             }
-            UpdateStatus::Dead => {
-                // This gateway missed the suspicion; a refutation may still arrive.
-                let since = now.saturating_sub(self.probe_periods(REPORTED_DEATH_AGE_PERIODS));
-                self.raise_suspicion(now, index, since, GOSSIPED_CONFIDENCE, cause);
-                if !self.is_update_backlog_large {
-                    self.suspects_to_notify.push(index);
-                }
-                true
+        } else {
+            // This gateway missed the suspicion; a refutation may still arrive.
+            let started_at = now.saturating_sub(self.probe_periods(REPORTED_DEATH_AGE_PERIODS));
+            self.raise_suspicion(now, index, started_at, GOSSIPED_CONFIDENCE, update.cause());
+            if !self.is_update_backlog_large {
+                self.suspects_to_notify.push(index);
             }
         }
     }
@@ -177,7 +225,7 @@
         ) {
             SelfUpdateAction::Ignore => {}
             SelfUpdateAction::Resume => {
-                (self.superseded, self.superseded_reported) = (false, false)
+                (self.superseded, self.superseded_reported) = (false, false);
             }
             SelfUpdateAction::Adopt(incarnation) => own.incarnation = incarnation,
             SelfUpdateAction::Superseded => self.superseded = true,
