--- a/gateway-cluster/src/leadership/election/campaign.rs
+++ b/gateway-cluster/src/leadership/election/campaign.rs
@@ -1,4 +1,5 @@
-//! How a gateway asks for leadership and renews its lease: first promises, then grants.
+//! Campaigns and renewals. A candidate first requests promises, then votes (the two phases of Paxos' prepare and accept);
+//! a leader repeats its vote requests to renew the lease.
 
 use super::timing::RETRY_INTERVAL;
 use super::{ElectionEvent, LeaderElection, Stage};
@@ -10,16 +11,16 @@
 use rand::seq::SliceRandom;
 use std::collections::BTreeMap;
 
-/// Asked once more so often at the most while a round goes on.
+/// Maximum number of transmissions of one request to one peer during a campaign.
 const MAX_ATTEMPTS: u8 = 4;
-/// How long gateways that all have just begun wait for names that none has heard, in leases: those may be the cluster that is
-/// in service, to which this peer set was not told yet.
+/// Time, in leases, for which gateways that have all just started wait for peers that none has heard from. Those may be a
+/// cluster in service that is not configured with this peer set yet.
 const BOOTSTRAP_LEASES: u64 = 20;
-/// Questions to one gateway that may still be answered.
+/// Maximum number of pending requests to one peer.
 const MAX_PENDING_REQUESTS: usize = 4;
 
 impl LeaderElection {
-    /// Asks for leadership, unless something speaks against that.
+    /// Starts a campaign, or postpones it for the reasons in [`LeaderElection::campaign_delay`].
     pub(super) fn start_campaign(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
         let own = self
             .voter
@@ -42,7 +43,7 @@
                 .last_campaign_at
                 .is_some_and(|at| now < at + 2 * self.lease)
         {
-            // The view sees no majority. It may be wrong: now and then it is tried all the same.
+            // The membership has no reachable majority. It may be wrong, so a campaign starts all the same from time to time.
             self.lease / 2
         } else if !self.peer_sets.is_majority(|_| true) {
             self.lease
@@ -78,7 +79,7 @@
         self.send_due_requests(now, sends);
     }
 
-    /// Everybody is to be asked from now on, those first that live.
+    /// Schedules a request to each peer, in random order, those first that are alive in the membership.
     pub(super) fn schedule_requests_to_all(&mut self, now: Micros) {
         let mut names = self.others();
         names.shuffle(&mut self.rng);
@@ -87,14 +88,14 @@
             if let Some(peer) = self.peers.get_mut(&name) {
                 peer.pending_requests.clear();
                 peer.knows_later_epoch = false;
-                // The order in which they are asked, where not all can be at once.
+                // Times that differ by less than a millisecond keep the order where the budget does not allow all at once.
                 (peer.attempts, peer.next_request_at) =
                     (0, now - now.min(1000) + n as Micros * 1000 / 1024);
             }
         }
     }
 
-    /// Asks those whose turn it is, as far as the budget goes.
+    /// Sends the requests that are due, as far as the budget allows.
     pub(super) fn send_due_requests(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
         let mut turns: Vec<(Micros, PeerId)> = self
             .peers
@@ -116,7 +117,7 @@
                 peer.next_request_at = Micros::MAX;
                 continue;
             }
-            // What is asked once more is the same question: the grant counts from when it was first asked.
+            // A retry repeats the pending request: the vote counts from the time of its first transmission.
             let last = peer
                 .pending_requests
                 .back()
@@ -132,7 +133,7 @@
                 }
             }
             peer.attempts += 1;
-            // Without an answer it is asked twice more soon, and then at its next turn.
+            // Two quick retries, then the next renewal.
             let soon = !holding || peer.attempts < 3;
             peer.next_request_at = if soon {
                 now + RETRY_INTERVAL.min(renewal)
@@ -167,6 +168,7 @@
         }
     }
 
+    /// Handles a promise.
     pub(super) fn on_promise(
         &mut self,
         now: Micros,
@@ -182,6 +184,7 @@
         }
     }
 
+    /// Counts a promise. With a majority the campaign goes on to collect votes.
     fn count_promise(&mut self, now: Micros, from: PeerId) {
         if let Some(peer) = self.peers.get_mut(&from) {
             peer.next_request_at = Micros::MAX;
@@ -210,7 +213,7 @@
             };
             self.schedule_requests_to_all(now);
             for (name, peer) in &mut self.peers {
-                // Those that have promised first.
+                // Peers that promised receive their vote request first.
                 if !promised.contains(name) {
                     peer.next_request_at += 1;
                 }
@@ -220,6 +223,7 @@
         }
     }
 
+    /// Handles a vote.
     pub(super) fn on_vote(
         &mut self,
         now: Micros,
@@ -250,14 +254,14 @@
             };
         }
         if let Some(epoch) = held {
-            // Its own grant is renewed with each of the others.
+            // The leader's own vote is renewed with each vote of a peer.
             self.vote_for_itself(now, epoch);
         }
         self.check_majority(now);
         self.send_due_requests(now, sends);
     }
 
-    /// Whether a majority of each peer set has granted, and for how long.
+    /// Extends the lease if a majority of each required peer set has voted, and takes leadership if it is the first time.
     fn check_majority(&mut self, now: Micros) {
         let (epoch, new) = match self.stage {
             Stage::CollectingVotes { epoch, .. } => (epoch, true),
@@ -275,7 +279,7 @@
             self.stage = Stage::Leading { epoch };
             (self.latest_epoch, self.announced_leader) = ((epoch, Some(self.own.name)), None);
             self.record_event(ElectionEvent::Won(epoch));
-            // All are to know it at once.
+            // The renewals announce the new leader to all peers.
             self.schedule_requests_to_all(now);
         }
     }
--- a/gateway-cluster/src/leadership/election/datagrams.rs
+++ b/gateway-cluster/src/leadership/election/datagrams.rs
@@ -1,4 +1,4 @@
-//! A datagram that has come: what it tells of its sender, and what it asks or answers.
+//! Handles received datagrams: what the header says of the sender, then the message.
 
 use super::known_leader::{KnownLeader, PEER_SET_WAIT_LEASES};
 use super::{LeaderElection, LeaseProof, Stage};
@@ -8,7 +8,7 @@
 use crate::protocol::{Micros, Transmit};
 
 impl LeaderElection {
-    /// A datagram has come.
+    /// Handles a received datagram. Malformed ones and those of unknown senders are counted and dropped.
     pub fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<Transmit>) {
         let Some(datagram) = Datagram::decode(bytes) else {
             self.dropped.0 += 1;
@@ -95,7 +95,7 @@
             Kind::Release { epoch, next } if for_me => self.on_release(now, holder, epoch, next),
             Kind::QueryLeader(number) => {
                 let known = self.known_leader(now);
-                // What is told is what is left, cut to whole milliseconds.
+                // The remaining time, truncated to whole milliseconds.
                 let told = |leader: KnownLeader| {
                     (
                         leader.leader,
--- a/gateway-cluster/src/leadership/election/known_leader.rs
+++ b/gateway-cluster/src/leadership/election/known_leader.rs
@@ -1,4 +1,4 @@
-//! Who owns, as far as this gateway has heard, and how it asks for that; and how leadership is given back.
+//! The leader that this gateway knows: from its announcements, from answers of other gateways, and until its release.
 
 use super::peer_table::Peer;
 use super::timing::succession_order;
@@ -10,16 +10,18 @@
 use rand::seq::IndexedRandom;
 use rand::Rng;
 
-/// How long a gateway that has just begun waits for those that use another peer set, in leases.
+/// Time, in leases, for which a report of another gateway's peer sets is considered recent.
 pub(super) const PEER_SET_WAIT_LEASES: u64 = 3;
-/// How long the one that a leader names waits, so that all have heard that leadership is free.
+/// Delay before the named successor campaigns after a release, so that the release has reached all peers.
 const RELEASE_SPREAD_TIME: Micros = 5_000;
-/// A gateway that does not know the leader asks another so often in the time of a lease, and once more shortly before what
-/// it knows is over.
+/// Leader queries per lease of a gateway that does not know the leader.
 pub(super) const LEADER_QUERIES_PER_LEASE: u64 = 3;
+/// Time before the known lease expires at which a gateway queries the leader again.
 pub(super) const LEADER_QUERY_LEAD: Micros = 200_000;
+/// Minimum time between two leader queries.
 pub(super) const MIN_LEADER_QUERY_INTERVAL: Micros = 350_000;
 
+/// A leader, its epoch and the end of its lease on this gateway's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct KnownLeader {
     pub(super) leader: PeerId,
@@ -28,7 +30,7 @@
 }
 
 impl LeaderElection {
-    /// Who owns, as far as this gateway knows at this moment.
+    /// The leader that this gateway knows now; itself while it is the leader.
     pub(super) fn known_leader(&self, now: Micros) -> Option<KnownLeader> {
         if let Some(epoch) = self.epoch(now) {
             return Some(KnownLeader {
@@ -37,14 +39,14 @@
                 until: self.lease_until,
             });
         }
-        // Of a epoch that another followed nothing is left, however long it was to last.
-        let stands =
+        // A later epoch ends the lease of an earlier one, whatever its remaining time.
+        let is_valid =
             |leader: &KnownLeader| now < leader.until && leader.epoch >= self.latest_epoch.0;
         self.announced_leader
-            .filter(|leader| stands(leader) && leader.leader != self.own.name)
+            .filter(|leader| is_valid(leader) && leader.leader != self.own.name)
     }
 
-    /// Another gateway says that it owns.
+    /// Handles the announcement of a leader, which is part of its renewals.
     pub(super) fn on_leader_announcement(
         &mut self,
         now: Micros,
@@ -53,7 +55,7 @@
         sends: &mut Vec<Transmit>,
     ) {
         if stamp.to_incarnation != self.own.incarnation {
-            // It does not know yet that this is another process: the answer tells it.
+            // The leader knows an earlier process of this name; the answer carries the new incarnation.
             return;
         }
         if self.admit(now, from, stamp).is_ok() {
@@ -70,20 +72,21 @@
         }
     }
 
+    /// Accepts another gateway as leader, unless its release is known.
     pub(super) fn follow(&mut self, now: Micros, leader: KnownLeader, sends: &mut Vec<Transmit>) {
         if self.released_lease.is_some_and(|(released, epoch, _)| {
             released.name == leader.leader && epoch == leader.epoch
         }) {
-            // Whoever tells this has not heard that it gave leadership back.
+            // The report is older than the release of this lease.
             return;
         }
-        let same = self
+        let current = self
             .announced_leader
-            .filter(|held| held.leader == leader.leader && held.epoch == leader.epoch);
-        if same.is_none() {
+            .filter(|current| current.leader == leader.leader && current.epoch == leader.epoch);
+        if current.is_none() {
             self.record_event(ElectionEvent::Leader(leader.leader, leader.epoch));
         }
-        let until = same.map_or(leader.until, |held| held.until.max(leader.until));
+        let until = current.map_or(leader.until, |current| current.until.max(leader.until));
         self.announced_leader = Some(KnownLeader { until, ..leader });
         if matches!(
             self.stage,
@@ -94,7 +97,7 @@
         self.schedule_campaign(now);
     }
 
-    /// A holder has given leadership back.
+    /// Handles the release of a lease by its holder.
     pub(super) fn on_release(
         &mut self,
         now: Micros,
@@ -122,15 +125,15 @@
         }
     }
 
-    /// Asks another gateway who owns.
+    /// Queries a peer for the leader.
     pub(super) fn query_leader(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
-        let able = |name: &&PeerId| self.peers.contains_key(*name);
-        let living: Vec<PeerId> = self.alive_peers.iter().filter(able).copied().collect();
-        // Where few can be reached, who knew it last is the best to ask; now and then another.
-        let known = self
+        let is_peer = |name: &&PeerId| self.peers.contains_key(*name);
+        let alive: Vec<PeerId> = self.alive_peers.iter().filter(is_peer).copied().collect();
+        // The peer that last knew the leader is queried again with a probability of 3/4: it is reachable.
+        let reporter = self
             .last_leader_reporter
             .filter(|reporter| self.rng.random_bool(0.75) && self.peers.contains_key(reporter));
-        let to = known.or_else(|| living.choose(&mut self.rng).copied());
+        let to = reporter.or_else(|| alive.choose(&mut self.rng).copied());
         self.last_request_number = self.last_request_number.wrapping_add(1);
         if let Some(to) = to {
             self.leader_query = (self.last_request_number, now);
@@ -140,7 +143,7 @@
             now + MIN_LEADER_QUERY_INTERVAL.max(self.lease / LEADER_QUERIES_PER_LEASE);
     }
 
-    /// Gives leadership back, if this gateway has it, so that this one may have it at once.
+    /// Releases the lease, if this gateway is the leader, so that `next` can be elected at once.
     pub(super) fn release_leadership(
         &mut self,
         now: Micros,
@@ -151,27 +154,29 @@
         self.record_event(ElectionEvent::Released(epoch));
         self.voter.release(self.own, epoch);
         self.step_down(now);
-        // Nobody says it again where it is lost: it is said twice. It is owed, so it costs no budget.
+        // A lost release is not repeated later, so it is sent twice, outside the budget.
         for to in self.others().into_iter().chain(self.others()) {
             self.send_unbudgeted(now, to, Kind::Release { epoch, next }, sends);
         }
     }
 
-    /// One of two or more that were told of another peer set, which this gateway's file does not name yet: they are to own, as
-    /// only they can finish the change. One alone may have a file with a mistake.
+    /// A peer that is configured with a later peer set than this gateway, if at least two peers are: only these can complete
+    /// the change, so one of them should lead. A single peer may be misconfigured.
     pub(super) fn peer_with_next_peer_set(&self, now: Micros) -> Option<PeerId> {
-        let recent = |peer: &Peer| now < peer.last_heard_at + PEER_SET_WAIT_LEASES * self.lease;
-        let told = self
+        let is_recent = |peer: &Peer| now < peer.last_heard_at + PEER_SET_WAIT_LEASES * self.lease;
+        let candidates = self
             .peers
             .iter()
-            .filter(|(_, peer)| recent(peer))
+            .filter(|(_, peer)| is_recent(peer))
             .filter_map(|(name, peer)| {
-                let of = |(other, held): &(&PeerId, &Peer)| {
-                    *other != name && held.next_peer_set == peer.next_peer_set && recent(held)
+                let agrees = |(other, other_peer): &(&PeerId, &Peer)| {
+                    *other != name
+                        && other_peer.next_peer_set == peer.next_peer_set
+                        && is_recent(other_peer)
                 };
-                (peer.next_peer_set.is_some() && self.peers.iter().any(|other| of(&other)))
+                (peer.next_peer_set.is_some() && self.peers.iter().any(|other| agrees(&other)))
                     .then_some(*name)
             });
-        told.min_by_key(|name| succession_order(self.latest_epoch.0, *name))
+        candidates.min_by_key(|name| succession_order(self.latest_epoch.0, *name))
     }
 }
--- a/gateway-cluster/src/leadership/election/mod.rs
+++ b/gateway-cluster/src/leadership/election/mod.rs
@@ -1,4 +1,11 @@
-//! The leadership at one gateway: it grants, asks for grants when nobody owns, renews them, and knows who owns.
+//! The election's state machine at one gateway: it votes, campaigns while there is no leader, renews its lease as leader,
+//! and knows the current leader.
+//!
+//! The driver calls [`LeaderElection::on_datagram`] and [`LeaderElection::on_timer`].
+//!
+//! Modules: `datagrams` handles received datagrams, `voting` casts votes, `campaign` collects them, `rejections` handles
+//! rejections and later epochs, `known_leader` tracks the leader, `timing` schedules, `peer_table` stores what is known of
+//! each peer, `transmit` sends within the budget.
 
 mod campaign;
 mod datagrams;
@@ -25,95 +32,96 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use timing::{DATAGRAMS_PER_S, DATAGRAM_BURST};
 
-/// Things to tell the log that may wait.
+/// Maximum number of events that the driver has not taken; further ones are dropped.
 const MAX_EVENTS: usize = 256;
 
-/// What an leadership begins with.
+/// Settings of [`LeaderElection`].
 #[derive(Debug, Clone)]
 pub struct ElectionSettings {
-    /// All names of the peer set, this gateway's too.
+    /// Ids of the peer set, this gateway's included.
     pub names: Vec<PeerId>,
-    /// This gateway's.
+    /// The id of this gateway.
     pub name: PeerId,
-    /// The lease, the same at all gateways, in microseconds.
+    /// Lease duration in microseconds, the same at all gateways.
     pub lease: Micros,
-    /// The wall clock in milliseconds since 1970. Terms begin there, so that they go on growing when all gateways restart;
-    /// nothing rests on it.
+    /// Wall clock in milliseconds since 1970. Epochs start there, so that they grow across a restart of all gateways. Safety
+    /// does not rest on it.
     pub unix_ms: u64,
 }
 
-/// Something that operators should know.
+/// An event for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ElectionEvent {
-    /// This gateway owns, in this epoch.
+    /// This gateway was elected in this epoch.
     Won(u64),
-    /// It does not any more: its lease was over before a majority renewed it.
+    /// The lease of this epoch expired before a majority renewed it.
     Lost(u64),
-    /// It gave leadership back.
+    /// This gateway released its lease of this epoch.
     Released(u64),
-    /// Another gateway owns, in this epoch.
+    /// Another gateway is the leader in this epoch.
     Leader(PeerId, u64),
-    /// An act on behalf of the cluster was refused.
+    /// An act of this peer on behalf of the cluster was rejected.
     ActRejected(PeerId, ActRejection),
-    /// Another gateway goes by another lease, in milliseconds: the two grant each other nothing.
+    /// This peer is configured with another lease duration, in milliseconds: neither votes for the other.
     LeaseDiffers(PeerId, u32),
-    /// Another gateway has other peer sets.
+    /// This peer has peer sets for which this gateway cannot vote.
     PeerSetsDiffer(PeerId),
 }
 
-/// What operators are told.
+/// The state of the election for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ElectionStatus {
-    /// The leader, if this gateway knows one now.
+    /// The leader that this gateway knows now.
     pub leader: Option<PeerId>,
-    /// The highest epoch of any leader that it knows.
+    /// The highest epoch of any known leader.
     pub epoch: u64,
-    /// It is this gateway.
+    /// Whether this gateway is the leader.
     pub mine: bool,
-    /// For how long yet that is known; 0 where nobody is known.
+    /// Remaining time of the known lease, in microseconds; 0 without a leader.
     pub left: Micros,
-    /// How long this gateway still grants nothing.
+    /// Remaining time of the voter's quiet period, in microseconds.
     pub quiet: Micros,
-    /// Acts that were refused.
+    /// Number of rejected acts.
     pub refused: u64,
 }
 
-/// What goes with an act on behalf of the cluster to one gateway: it is of use there only before the leader's lease is over,
-/// by that gateway's own clock, whatever held the act up.
+/// Proof of the lease that accompanies an act of the leader to one gateway. The receiver rejects the act after the lease has
+/// expired on its own clock, whatever delayed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseProof {
     /// The leader's epoch.
     pub epoch: u64,
     /// The incarnation of the receiver.
     pub to_incarnation: u64,
-    /// On the receiver's clock.
+    /// End of the lease on the receiver's clock, in microseconds.
     pub until: u64,
 }
 
+/// The role of this gateway in the election.
 #[derive(Debug)]
 enum Stage {
-    /// Somebody else owns, or nobody does and this gateway asks for leadership then.
+    /// Follows a leader, or waits for the next campaign.
     Idle,
-    /// Asks who would grant.
+    /// Collects promises for an epoch.
     Preparing {
         epoch: u64,
         deadline: Micros,
         promised: BTreeSet<PeerId>,
         rejected_until: BTreeMap<PeerId, Micros>,
     },
-    /// Asks for grants.
+    /// Collects votes for an epoch.
     CollectingVotes {
         epoch: u64,
         deadline: Micros,
         rejected_until: BTreeMap<PeerId, Micros>,
     },
-    /// Owns, for as long as the lease lasts.
+    /// Leader until the lease expires.
     Leading { epoch: u64 },
-    /// Takes no part: another process has this gateway's name, or it goes.
+    /// Takes no part: another process has this gateway's name, or it is shutting down.
     Paused,
 }
 
-/// One gateway's part in ownership.
+/// The election at one gateway.
 #[derive(Debug)]
 pub struct LeaderElection {
     own: LeaseHolder,
@@ -123,26 +131,26 @@
     peer_sets: PeerConfiguration,
     voter: LeaseVoter,
     votes: CollectedVotes,
-    /// The end of the lease: what was won stays won until then, also when the peer set changes.
+    /// End of the lease. A change of the peer set does not shorten it.
     lease_until: Micros,
     stage: Stage,
-    /// When this gateway asks for leadership, if nobody owns then.
+    /// Time of the next campaign, if there is no leader then.
     campaign_at: Micros,
     peers: BTreeMap<PeerId, Peer>,
     announced_leader: Option<KnownLeader>,
-    /// The highest epoch of a leader that is known, and whose it was, if that is known too.
+    /// The highest epoch of any known leader, and the leader if it is known.
     latest_epoch: (u64, Option<PeerId>),
-    /// The highest epoch that anybody was heard to speak of.
+    /// The highest epoch in any received request or rejection.
     highest_seen_epoch: u64,
     refused: u64,
-    /// Those who live, by the view.
+    /// Peers that are alive in the membership.
     alive_peers: Vec<PeerId>,
     peer_set_wait_until: Micros,
     last_campaign_at: Option<Micros>,
-    /// Who gave leadership back not long ago, and in which epoch; others may not have heard of it until then.
+    /// The last released lease: holder, epoch, and the time up to which others may still report it as valid.
     released_lease: Option<(LeaseHolder, u64, Micros)>,
     leader_query: (u32, Micros),
-    /// Who told it last.
+    /// The peer that last answered a leader query.
     last_leader_reporter: Option<PeerId>,
     next_leader_query_at: Micros,
     last_request_number: u32,
@@ -150,14 +158,14 @@
     next_wakeup_at: Micros,
     rng: Pcg64Mcg,
     events: VecDeque<ElectionEvent>,
-    /// Datagrams that make no sense, and those of names that no peer set here has.
+    /// Number of malformed datagrams, and of those from names outside the peer sets.
     pub dropped: (u64, u64),
-    /// Datagrams sent, and their bytes without headers.
+    /// Number of datagrams sent, and their bytes without headers.
     pub sent: (u64, u64),
 }
 
 impl LeaderElection {
-    /// A new incarnation that knows the peer set and nothing else.
+    /// Starts a new incarnation, which knows only the names of the peer set.
     pub fn new(now: Micros, settings: ElectionSettings, seed: u64) -> LeaderElection {
         let ElectionSettings {
             names,
@@ -207,17 +215,17 @@
         election
     }
 
-    /// This gateway's incarnation.
+    /// The incarnation of this gateway.
     pub fn incarnation(&self) -> u64 {
         self.own.incarnation
     }
 
-    /// Everybody who has a say in any peer set that this gateway is bound by, this gateway too.
+    /// All ids of the required and the configured peer sets, this gateway's included.
     pub fn names(&self) -> Vec<PeerId> {
         self.peer_sets.names()
     }
 
-    /// The file names another peer set.
+    /// Starts a change to another configured peer set.
     pub fn set_peers(&mut self, now: Micros, names: Vec<PeerId>, sends: &mut Vec<Transmit>) {
         let before = self.peer_sets.told();
         self.peer_sets.set(names);
@@ -225,8 +233,8 @@
         self.on_configuration_change(now, before, sends);
     }
 
-    /// What was granted to one that counted other peer sets says nothing for these: it is asked anew. A lease that was won
-    /// stays won until its end.
+    /// Handles a change of the required peer sets. Votes for the previous ones do not count, so they are requested again. A
+    /// lease that was acquired stays valid until its end.
     fn on_configuration_change(
         &mut self,
         now: Micros,
@@ -239,7 +247,7 @@
         }
         self.refresh_peers();
         if before.current == after.current && after.previous.is_none() {
-            // One less has to be won: what was granted for both counts for one.
+            // A completed change requires one peer set less: the votes stay valid.
             return;
         }
         match self.stage {
@@ -255,12 +263,12 @@
         self.update_next_wakeup(now);
     }
 
-    /// The view holds these for living: they are asked first.
+    /// Takes over the peers that are alive in the membership: they are asked first.
     pub fn on_membership_change(&mut self, alive_peers: Vec<PeerId>) {
         self.alive_peers = alive_peers;
     }
 
-    /// What operators are told. True at this moment, however long ago this gateway was woken.
+    /// The status at this time, independent of the last call of [`LeaderElection::on_timer`].
     pub fn status(&self, now: Micros) -> ElectionStatus {
         let known = self.known_leader(now);
         ElectionStatus {
@@ -273,7 +281,7 @@
         }
     }
 
-    /// The epoch in which this gateway may act on behalf of the cluster at this moment. To be asked at the moment of each act.
+    /// The epoch in which this gateway is the leader at this time. Has to be checked at the time of each act.
     pub fn epoch(&self, now: Micros) -> Option<u64> {
         match self.stage {
             Stage::Leading { epoch } if now < self.lease_until => Some(epoch),
@@ -281,7 +289,8 @@
         }
     }
 
-    /// What has to go with an act to another gateway; none if this gateway does not own now, or has not heard from the other.
+    /// The lease proof for an act to another gateway; `None` if this gateway is not the leader or never received a datagram
+    /// from the other.
     pub fn stamp(&self, now: Micros, to: PeerId) -> Option<LeaseProof> {
         let epoch = self.epoch(now)?;
         let peer = self.peers.get(&to).filter(|peer| peer.incarnation != 0)?;
@@ -293,10 +302,10 @@
         })
     }
 
-    /// Whether an act on behalf of the cluster may be carried out here at this moment.
+    /// Checks whether an act of another gateway on behalf of the cluster may be carried out here now.
     ///
     /// # Errors
-    /// Why not. It is counted.
+    /// The reason of the rejection, which is also counted and recorded as an event.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -326,34 +335,34 @@
         Err(refused)
     }
 
-    /// Whether these names are a majority of each peer set that this gateway is bound by.
+    /// Whether the ids for which `has` is true are a majority of each required peer set.
     pub fn is_majority(&self, has: impl Fn(PeerId) -> bool) -> bool {
         self.peer_sets.is_majority(has)
     }
 
-    /// Another gateway's incarnation, its clock when it sent what came last, and this gateway's clock when that came; none if nothing
-    /// has come.
+    /// Another gateway's incarnation, its clock when it sent its last datagram, and this gateway's clock at the receipt;
+    /// `None` before the first datagram.
     pub fn clock_of(&self, name: PeerId) -> Option<(u64, u64, Micros)> {
         let peer = self.peers.get(&name).filter(|peer| peer.incarnation != 0)?;
         Some((peer.incarnation, peer.clock_us, peer.last_heard_at))
     }
 
-    /// The lease.
+    /// The lease duration, in microseconds.
     pub fn lease(&self) -> Micros {
         self.lease
     }
 
-    /// The oldest thing to tell that was not taken yet.
+    /// Takes the oldest event that was not taken yet.
     pub fn next_event(&mut self) -> Option<ElectionEvent> {
         self.events.pop_front()
     }
 
-    /// When [`LeaderElection::on_timer`] is wanted.
+    /// When [`LeaderElection::on_timer`] is to be called next.
     pub fn next_wakeup(&self) -> Micros {
         self.next_wakeup_at
     }
 
-    /// Gives leadership back, if this gateway has it, and takes no part any more.
+    /// Releases the lease, if this gateway is the leader, and takes no further part.
     pub fn leave(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
         let next = self
             .ranked_successors(self.latest_epoch.0)
@@ -365,7 +374,7 @@
         self.next_wakeup_at = Micros::MAX;
     }
 
-    /// It takes part again, after another process had its name: that one may have granted.
+    /// Takes part again after another process had this name. That process may have voted, so a new quiet period begins.
     pub fn resume(&mut self, now: Micros) {
         self.own.incarnation = self.rng.random_range(1..=u64::MAX);
         self.voter.restart(now);
@@ -378,12 +387,12 @@
         self.schedule_campaign(now);
     }
 
-    /// Whether it takes no part.
+    /// Whether this gateway takes no part in the election.
     pub fn is_hushed(&self) -> bool {
         matches!(self.stage, Stage::Paused)
     }
 
-    /// Something is due, or past that.
+    /// Runs the timers that are due.
     pub fn on_timer(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
         self.budget.fill(now);
         match self.stage {
@@ -441,7 +450,7 @@
             }
             Stage::Leading { .. } => asks().min(self.lease_until),
         };
-        // Where the budget is spent the next question waits for it.
+        // Without budget the next request waits until one datagram is affordable.
         let least = if !self.budget.has(1.0, 0.0) {
             now + (1e6 / DATAGRAMS_PER_S) as Micros
         } else {
--- a/gateway-cluster/src/leadership/election/peer_table.rs
+++ b/gateway-cluster/src/leadership/election/peer_table.rs
@@ -1,38 +1,41 @@
-//! What is known of each other gateway.
+//! The state of each other gateway in the election.
 
 use super::{ElectionEvent, LeaderElection};
 use crate::peers::PeerId;
 use crate::protocol::Micros;
 use std::collections::VecDeque;
 
-/// What is known of another gateway.
+/// Another gateway.
 #[derive(Debug, Clone, Default)]
 pub(super) struct Peer {
+    /// Incarnation in its last datagram; 0 before the first one.
     pub(super) incarnation: u64,
-    /// Its clock when it sent what came last, and this gateway's clock when that came.
+    /// Its clock when it sent its last datagram, and this gateway's clock at the receipt.
     pub(super) clock_us: u64,
     pub(super) last_heard_at: Micros,
-    /// Questions that it may still answer, with when each was first asked.
+    /// Number and first transmission time of each pending request.
     pub(super) pending_requests: VecDeque<(u32, Micros)>,
+    /// Number of transmissions of the last request.
     pub(super) attempts: u8,
-    /// It and this gateway grant each other nothing.
+    /// It and this gateway cannot vote for each other.
     pub(super) is_incompatible: bool,
-    /// It has granted a later epoch than this gateway asks for.
+    /// It rejected a request because it voted in a later epoch.
     pub(super) knows_later_epoch: bool,
-    /// It has taken part in a epoch.
+    /// Its peer sets are in use.
     pub(super) peer_set_in_use: bool,
-    /// The peer set that its file names, where this gateway's file names the one that it leaves.
+    /// Digest of its current peer set, if the previous one is the current one of this gateway.
     pub(super) next_peer_set: Option<u64>,
-    /// When it is asked next.
+    /// Time of the next request.
     pub(super) next_request_at: Micros,
 }
 
 impl LeaderElection {
+    /// Ids of all other gateways.
     pub(super) fn others(&self) -> Vec<PeerId> {
         self.peers.keys().copied().collect()
     }
 
-    /// Keeps what is known of the names of all peer sets, and forgets the others.
+    /// Adds the peers of all peer sets and removes all others.
     pub(super) fn refresh_peers(&mut self) {
         let names = self.peer_sets.names();
         self.peers.retain(|name, _| names.contains(name));
@@ -41,7 +44,7 @@
         }
     }
 
-    /// Tells the log once of what keeps another gateway and this one from granting each other.
+    /// Records once why another gateway and this one cannot vote for each other.
     pub(super) fn report_incompatibility(&mut self, name: PeerId, differs: Option<ElectionEvent>) {
         let Some(peer) = self.peers.get_mut(&name) else {
             return;
@@ -52,7 +55,7 @@
         }
     }
 
-    /// When the question was asked that this answers.
+    /// Removes a pending request that was answered, and returns the time of its first transmission.
     pub(super) fn take_request_time(&mut self, from: PeerId, number: u32) -> Option<Micros> {
         let peer = self.peers.get_mut(&from)?;
         let place = peer
--- a/gateway-cluster/src/leadership/election/rejections.rs
+++ b/gateway-cluster/src/leadership/election/rejections.rs
@@ -1,4 +1,4 @@
-//! What follows from a refusal, from a later epoch, and from a round that has failed.
+//! Reactions to rejections, to later epochs, and to failed campaigns.
 
 use super::timing::RETRY_INTERVAL;
 use super::{ElectionEvent, LeaderElection, Stage};
@@ -10,31 +10,32 @@
 use crate::protocol::{Micros, Transmit};
 
 impl LeaderElection {
+    /// Handles a rejection of a promise or a vote.
     pub(super) fn on_rejection(
         &mut self,
         now: Micros,
         from: PeerId,
         number: u32,
-        why: VoteRejection,
+        reason: VoteRejection,
         sends: &mut Vec<Transmit>,
     ) {
         if self.take_request_time(from, number).is_none() {
             return;
         }
-        let wait = match why {
+        let wait = match reason {
             VoteRejection::EpochOutdated(epoch) => {
                 self.highest_seen_epoch = self.highest_seen_epoch.max(epoch.min(MAX_EPOCH - 1));
                 if let Some(peer) = self.peers.get_mut(&from) {
                     peer.knows_later_epoch = true;
                 }
-                let holding = matches!(self.stage, Stage::Leading { .. });
-                let behind = |name: &PeerId| {
+                let is_leader = matches!(self.stage, Stage::Leading { .. });
+                let knows_later_epoch = |name: &PeerId| {
                     self.peers
                         .get(name)
                         .is_some_and(|peer| peer.knows_later_epoch)
                 };
-                if holding && self.peer_sets.is_majority(|name| !behind(&name)) {
-                    // Somebody has tried in vain; enough of the others renew.
+                if is_leader && self.peer_sets.is_majority(|name| !knows_later_epoch(&name)) {
+                    // A failed candidate raised the epoch at a few voters; a majority still renews.
                     return;
                 }
                 return self.on_later_epoch(now, epoch, sends);
@@ -42,7 +43,7 @@
             VoteRejection::QuietPeriod(left) | VoteRejection::PromisedToOther(left) => {
                 Micros::from(left) * 1000
             }
-            // What was given back is free as soon as this one has heard of that too.
+            // The voter has not received the release of this lease yet.
             VoteRejection::VotedForOther(holder, _)
                 if self
                     .released_lease
@@ -51,7 +52,7 @@
                 RETRY_INTERVAL
             }
             VoteRejection::VotedForOther(_, left) => {
-                // Somebody may own whom this gateway has not heard of.
+                // There may be a leader that this gateway does not know.
                 self.next_leader_query_at = self.next_leader_query_at.min(now);
                 Micros::from(left) * 1000
             }
@@ -81,7 +82,7 @@
                 let open =
                     |name: PeerId| name == self.own.name || !rejected_until.contains_key(&name);
                 if !self.peer_sets.is_majority(open) {
-                    // So many have refused that it cannot be won before some of them are free.
+                    // Without some of the rejecting voters there is no majority: wait until enough of them are free.
                     let mut ends: Vec<Micros> = rejected_until.values().copied().collect();
                     ends.sort_unstable();
                     let enough = |end: &Micros| {
@@ -103,7 +104,7 @@
         }
     }
 
-    /// A later epoch is known: this one is no use.
+    /// Handles a later epoch: a campaign or lease of an earlier one is ended.
     pub(super) fn on_later_epoch(&mut self, now: Micros, epoch: u64, sends: &mut Vec<Transmit>) {
         match self.stage {
             Stage::Preparing { epoch: own, .. } | Stage::CollectingVotes { epoch: own, .. }
@@ -112,9 +113,9 @@
                 self.abandon_campaign(now, sends);
                 self.campaign_at = now + self.random_up_to(RETRY_INTERVAL);
             }
-            // Of its own epoch it hears where another had that too.
+            // The same epoch arrives here only if another gateway had it too.
             Stage::Leading { epoch: own } if epoch >= own => {
-                // It asks anew at once, for a epoch beyond that; its grants let it pass.
+                // It campaigns at once for a higher epoch; its voters accept it as the current holder.
                 self.record_event(ElectionEvent::Lost(own));
                 self.step_down(now);
                 self.campaign_at = now;
@@ -123,7 +124,7 @@
         }
     }
 
-    /// A round has failed: whoever has granted is free at once.
+    /// Ends a failed campaign and releases the votes that were received.
     pub(super) fn abandon_campaign(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
         if let Stage::CollectingVotes { epoch, .. } = self.stage {
             for to in self.others() {
@@ -137,6 +138,7 @@
         self.campaign_at = now + self.random_up_to(2 * self.round_duration());
     }
 
+    /// Becomes a follower.
     pub(super) fn step_down(&mut self, now: Micros) {
         (self.stage, self.lease_until, self.votes) = (Stage::Idle, 0, CollectedVotes::default());
         self.schedule_campaign(now);
--- a/gateway-cluster/src/leadership/election/timing.rs
+++ b/gateway-cluster/src/leadership/election/timing.rs
@@ -1,4 +1,5 @@
-//! When a gateway asks, and who is to ask before it.
+//! Times of campaigns, renewals and leader queries. Gateways campaign one after the other, in an order that is derived from
+//! the epoch, with a random delay.
 
 use super::known_leader::{LEADER_QUERIES_PER_LEASE, LEADER_QUERY_LEAD, MIN_LEADER_QUERY_INTERVAL};
 use super::LeaderElection;
@@ -7,72 +8,78 @@
 use crate::protocol::Micros;
 use rand::Rng;
 
-/// What is sent in any second: the bucket's size and its rate. Together they are the most of one second.
+/// Capacity of the token bucket for datagrams, and its rate. Their sum bounds the datagrams of any second.
 pub(super) const DATAGRAM_BURST: f64 = 20.0;
 pub(super) const DATAGRAMS_PER_S: f64 = 130.0;
-/// Renewals of one gateway in the time of a lease, where that many can be sent.
+/// Renewals of a vote in the time of a lease, if the budget allows as many.
 const RENEWALS_PER_LEASE: u64 = 4;
-/// How long a round of questions takes beside the time that it takes to send them, and after how long one that was not
-/// answered is asked once more.
+/// Time allowed for the answers of a round of requests, beside the time to send them, in microseconds.
 const ANSWER_TIME: Micros = 200_000;
+/// Time after which an unanswered request is repeated, in microseconds.
 pub(super) const RETRY_INTERVAL: Micros = 60_000;
 
 impl LeaderElection {
-    /// After how long a round of questions has failed: what was lost has been asked once more by then.
+    /// Timeout of a round of requests; lost ones have been repeated by then.
     pub(super) fn round_timeout(&self) -> Micros {
         2 * self.round_duration() - ANSWER_TIME
     }
 
-    /// The time from one that tries to the next one in turn: that of both rounds of the first, as a majority of the questions
-    /// is enough for each.
+    /// Time between the campaigns of two successive candidates: enough for the two rounds of the first, each of which needs
+    /// the answers of a majority only.
     pub(super) fn campaign_stagger(&self) -> Micros {
         self.round_duration() * 3 / 2
     }
 
-    /// The time that a round of questions to all takes.
+    /// Time of a round of requests to all peers.
     pub(super) fn round_duration(&self) -> Micros {
         let names = self.peers.len() as u64;
         ANSWER_TIME + names * 1_000_000 / DATAGRAMS_PER_S as u64
     }
 
-    /// Those who may own next, in an order that is the same at all gateways which hold the same for living.
+    /// The possible next leaders, best first. Gateways with the same membership have the same order. The last leader is last.
     pub(super) fn ranked_successors(&self, epoch: u64) -> Vec<PeerId> {
-        let last = self.announced_leader.map(|leader| leader.leader);
-        let able = |name: &&PeerId| self.peer_sets.has_current(**name) && **name != self.own.name;
-        let mut ranked: Vec<PeerId> = self.alive_peers.iter().filter(able).copied().collect();
-        ranked.sort_by_key(|name| (Some(*name) == last, succession_order(epoch, *name)));
+        let last_leader = self.announced_leader.map(|leader| leader.leader);
+        let is_candidate =
+            |name: &&PeerId| self.peer_sets.has_current(**name) && **name != self.own.name;
+        let mut ranked: Vec<PeerId> = self
+            .alive_peers
+            .iter()
+            .filter(is_candidate)
+            .copied()
+            .collect();
+        ranked.sort_by_key(|name| (Some(*name) == last_leader, succession_order(epoch, *name)));
         ranked
     }
 
-    /// How many others are to try before this gateway.
+    /// Number of peers that campaign before this gateway.
     fn campaign_rank(&self) -> u64 {
         let (epoch, own) = (
             self.latest_epoch.0,
             succession_order(self.latest_epoch.0, self.own.name),
         );
-        let last = self.announced_leader.map(|leader| leader.leader);
+        let last_leader = self.announced_leader.map(|leader| leader.leader);
         let ranked = self.ranked_successors(epoch);
         ranked
             .iter()
-            .filter(|name| Some(**name) != last && succession_order(epoch, **name) < own)
+            .filter(|name| Some(**name) != last_leader && succession_order(epoch, **name) < own)
             .count() as u64
     }
 
-    /// When this gateway asks for leadership, if nobody else has it by then.
+    /// Schedules the next campaign and the next leader query.
     pub(super) fn schedule_campaign(&mut self, now: Micros) {
-        let deadline = self
+        let lease_end = self
             .announced_leader
             .map_or(now, |leader| leader.until.max(now));
-        let rejected_until = deadline.max(now + self.voter.quiet_time_left(now));
-        // One after the other, and not two that hold different names for living at the same moment.
-        self.campaign_at = rejected_until
+        let earliest = lease_end.max(now + self.voter.quiet_time_left(now));
+        // A random delay, as gateways with different memberships may compute the same rank.
+        self.campaign_at = earliest
             + self.campaign_rank() * self.campaign_stagger()
             + self.random_up_to(RETRY_INTERVAL);
-        let ahead = LEADER_QUERY_LEAD.min(self.lease / 8);
-        let soon = self
+        let lead = LEADER_QUERY_LEAD.min(self.lease / 8);
+        let before_expiry = self
             .announced_leader
-            .map_or(now, |leader| leader.until.saturating_sub(ahead));
-        self.next_leader_query_at = soon
+            .map_or(now, |leader| leader.until.saturating_sub(lead));
+        self.next_leader_query_at = before_expiry
             .max(
                 self.leader_query.1
                     + MIN_LEADER_QUERY_INTERVAL.min(self.lease / LEADER_QUERIES_PER_LEASE),
@@ -81,29 +88,30 @@
         self.update_next_wakeup(now);
     }
 
-    pub(super) fn random_up_to(&mut self, most: Micros) -> Micros {
-        self.rng.random_range(0..=most)
+    /// A random time up to `max`.
+    pub(super) fn random_up_to(&mut self, max: Micros) -> Micros {
+        self.rng.random_range(0..=max)
     }
 
-    /// The time from one question to a gateway to the next, as a holder.
+    /// Time between two renewals of a leader at one peer.
     pub(super) fn renewal(&self) -> Micros {
         renewal(self.lease, self.peers.len())
     }
 }
 
-/// The time from one question of a holder to a gateway to the next: four in a lease, or as the budget allows for so many
-/// others.
+/// Time between two renewals of a leader at one peer: a quarter of the lease, or what the budget allows for this number of
+/// other gateways.
 pub fn renewal(lease: Micros, others: usize) -> Micros {
     (lease / RENEWALS_PER_LEASE).max(others as Micros * 1_000_000 / DATAGRAMS_PER_S as Micros)
 }
 
-/// The shortest lease with which a leader can renew so many others: a lease that is renewed in turn is half a turn old in
-/// the median, and has to last until the next turn.
+/// The shortest lease that a leader can renew at this number of other gateways within the budget. The votes of the median
+/// peer are half a renewal interval old, and they have to last until the next renewal.
 pub fn min_lease(others: usize) -> Micros {
     renewal(0, others) * 13 / 10
 }
 
-/// Looks like chance, and is the same at all gateways.
+/// The pseudo-random position of a peer in the order of candidates, the same at all gateways.
 pub(super) fn succession_order(epoch: u64, name: PeerId) -> u64 {
     mix(epoch, u64::from(name))
 }
--- a/gateway-cluster/src/leadership/election/transmit.rs
+++ b/gateway-cluster/src/leadership/election/transmit.rs
@@ -1,4 +1,4 @@
-//! How a datagram is sent, within the budget.
+//! Sends datagrams, within the budget.
 
 use super::LeaderElection;
 use crate::leadership::configuration::ConfigurationReport;
@@ -8,7 +8,7 @@
 use crate::protocol::{Micros, Transmit};
 
 impl LeaderElection {
-    /// Sends if the budget allows it.
+    /// Sends a message if the budget allows it; otherwise it is lost, like a datagram on the network.
     pub(super) fn send(&mut self, now: Micros, to: PeerId, kind: Kind, sends: &mut Vec<Transmit>) {
         if self.budget.has(1.0, 0.0) {
             self.budget.take(1.0);
@@ -16,6 +16,7 @@
         }
     }
 
+    /// Sends a message outside the budget.
     pub(super) fn send_unbudgeted(
         &mut self,
         now: Micros,
--- a/gateway-cluster/src/leadership/election/voting.rs
+++ b/gateway-cluster/src/leadership/election/voting.rs
@@ -1,4 +1,4 @@
-//! What this gateway promises and grants to others, and to itself.
+//! Promises and votes of this gateway, for other candidates and for itself.
 
 use super::{ElectionEvent, LeaderElection};
 use crate::leadership::configuration::ConfigurationMismatch;
@@ -7,6 +7,7 @@
 use crate::protocol::Micros;
 
 impl LeaderElection {
+    /// The request for votes with which this gateway campaigns.
     pub(super) fn vote_request(&self, epoch: u64) -> VoteRequest {
         VoteRequest {
             holder: self.own,
@@ -16,13 +17,14 @@
         }
     }
 
-    /// Whether the epoch is behind one that a leader had.
+    /// Whether a leader with a later epoch is known, or another leader with the same one.
     fn is_outdated(&self, request: &VoteRequest) -> bool {
         let (known, of) = self.latest_epoch;
         request.epoch < known
             || request.epoch == known && of.is_some_and(|of| of != request.holder.name)
     }
 
+    /// Promises the epoch to a candidate, if the rules allow it.
     pub(super) fn promise_to(
         &mut self,
         now: Micros,
@@ -34,12 +36,13 @@
         }
         self.voter.promise(now, request, &self.peer_sets)?;
         if request.holder != self.own {
-            // Somebody is about to own: this gateway lets it try.
+            // Another candidate campaigns: this gateway postpones its own campaign.
             self.campaign_at = self.campaign_at.max(now + self.round_duration());
         }
         Ok(())
     }
 
+    /// Votes for a candidate, if the rules allow it.
     pub(super) fn vote_for(
         &mut self,
         now: Micros,
@@ -58,7 +61,7 @@
         self.voter.vote(now, request, &mut self.peer_sets)
     }
 
-    /// What a question tells beside what it asks.
+    /// Takes over what a request reveals: lease duration, epoch and peer sets.
     fn observe_request(&mut self, request: &VoteRequest) {
         if request.lease <= MAX_LEASE {
             self.voter.observe_lease(request.lease);
@@ -81,7 +84,7 @@
         self.report_incompatibility(name, differs);
     }
 
-    /// This gateway grants to itself by the rules that it goes by for others.
+    /// Votes for itself, by the same rules as for other candidates.
     pub(super) fn vote_for_itself(&mut self, now: Micros, epoch: u64) {
         if self.vote_for(now, &self.vote_request(epoch)).is_ok() {
             self.votes.add(self.own.name, now, self.lease);
