--- a/gateway-cluster/src/leadership/election/campaign.rs
+++ b/gateway-cluster/src/leadership/election/campaign.rs
@@ -9,7 +9,7 @@
 use crate::peers::PeerId;
 use crate::protocol::{Micros, Transmit};
 use rand::seq::SliceRandom;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
 /// Maximum number of transmissions of one request to one peer during a campaign.
 const MAX_ATTEMPTS: u8 = 4;
@@ -18,59 +18,25 @@
 const BOOTSTRAP_LEASES: u64 = 20;
 /// Maximum number of pending requests to one peer.
 const MAX_PENDING_REQUESTS: usize = 4;
+/// Number of quick retries of a renewal before the next regular one.
+const QUICK_RENEWAL_RETRIES: u8 = 2;
 
 impl LeaderElection {
     /// Starts a campaign, or postpones it for the reasons in [`LeaderElection::campaign_delay`].
     pub(super) fn start_campaign(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
-        let own = self
-            .voter
-            .current_vote(now)
-            .filter(|granted| granted.holder != self.own);
-        let quiet = self.voter.quiet_time_left(now);
-        let lost = !self
-            .peer_sets
-            .is_majority(|name| name == self.own.name || self.alive_peers.contains(&name));
-        let wait = if quiet > 0 {
-            quiet
-        } else if let Some(granted) = own {
-            granted.until - now
-        } else if now < self.peer_set_wait_until && !self.peer_sets.is_in_use() {
-            self.peer_set_wait_until - now
-        } else if self.peer_with_next_peer_set(now).is_some() {
-            self.lease / 2
-        } else if lost
-            && self
-                .last_campaign_at
-                .is_some_and(|at| now < at + 2 * self.lease)
-        {
-            // The membership has no reachable majority. It may be wrong, so a campaign starts all the same from time to time.
-            self.lease / 2
-        } else if !self.peer_sets.is_majority(|_| true) {
-            self.lease
-        } else {
-            0
-        };
-        if wait > 0 {
-            self.campaign_at = now + wait + self.random_up_to(RETRY_INTERVAL);
+        let delay = self.campaign_delay(now);
+        if delay > 0 {
+            self.campaign_at = now + delay + self.random_up_to(RETRY_INTERVAL);
             return;
         }
         self.last_campaign_at = Some(now);
-        let clock = self.unix_ms.saturating_add((now - self.started_at) / 1000);
-        let epoch = (self
-            .highest_seen_epoch
-            .max(self.latest_epoch.0)
-            .max(self.voter.highest_epoch())
-            + 1)
-        .max(clock)
-        .min(MAX_EPOCH);
-        let deadline = now + self.round_timeout();
+        let epoch = self.next_epoch(now);
         (self.votes, self.lease_until) = (CollectedVotes::default(), 0);
-        let (promised, rejected_until) = Default::default();
         self.stage = Stage::Preparing {
             epoch,
-            deadline,
-            promised,
-            rejected_until,
+            deadline: now + self.round_timeout(),
+            promised: BTreeSet::new(),
+            rejected_until: BTreeMap::new(),
         };
         self.schedule_requests_to_all(now);
         if self.promise_to(now, &self.vote_request(epoch)).is_ok() {
@@ -79,6 +45,46 @@
         self.send_due_requests(now, sends);
     }
 
+    /// The time for which a campaign has no prospect of success; 0 if it may start now.
+    fn campaign_delay(&self, now: Micros) -> Micros {
+        let quiet = self.voter.quiet_time_left(now);
+        if quiet > 0 {
+            return quiet;
+        }
+        let vote = self.voter.current_vote(now);
+        if let Some(vote) = vote.filter(|vote| vote.holder != self.own) {
+            return vote.until - now;
+        }
+        if now < self.peer_set_wait_until && !self.peer_sets.is_in_use() {
+            return self.peer_set_wait_until - now;
+        }
+        if self.peer_with_next_peer_set(now).is_some() {
+            return self.lease / 2;
+        }
+        let is_alive = |name| name == self.own.name || self.alive_peers.contains(&name);
+        let campaigned_recently = self
+            .last_campaign_at
+            .is_some_and(|at| now < at + 2 * self.lease);
+        // The membership has no reachable majority. It may be wrong, so a campaign starts all the same from time to time.
+        if campaigned_recently && !self.peer_sets.is_majority(is_alive) {
+            return self.lease / 2;
+        }
+        if !self.peer_sets.is_majority(|_| true) {
+            return self.lease;
+        }
+        0
+    }
+
+    /// The epoch of a new campaign: higher than all known ones, and not below the wall clock.
+    fn next_epoch(&self, now: Micros) -> u64 {
+        let unix_ms = self.unix_ms.saturating_add((now - self.started_at) / 1000);
+        let highest_known = self
+            .highest_seen_epoch
+            .max(self.latest_epoch.0)
+            .max(self.voter.highest_epoch());
+        (highest_known + 1).max(unix_ms).min(MAX_EPOCH)
+    }
+
     /// Schedules a request to each peer, in random order, those first that are alive in the membership.
     pub(super) fn schedule_requests_to_all(&mut self, now: Micros) {
         let mut names = self.others();
@@ -97,74 +103,81 @@
 
     /// Sends the requests that are due, as far as the budget allows.
     pub(super) fn send_due_requests(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
-        let mut turns: Vec<(Micros, PeerId)> = self
+        let mut due: Vec<(Micros, PeerId)> = self
             .peers
             .iter()
             .filter(|(_, peer)| peer.next_request_at <= now)
             .map(|(name, peer)| (peer.next_request_at, *name))
             .collect();
-        turns.sort_unstable();
-        for (_, name) in turns {
+        due.sort_unstable();
+        for (_, name) in due {
             if !self.budget.has(1.0, 0.0) {
                 return;
             }
-            let holding = matches!(self.stage, Stage::Leading { .. });
-            let renewal = self.renewal();
-            let Some(peer) = self.peers.get_mut(&name) else {
-                continue;
-            };
-            if !holding && peer.attempts >= MAX_ATTEMPTS {
-                peer.next_request_at = Micros::MAX;
+            let Some(number) = self.next_transmission(now, name) else {
                 continue;
-            }
-            // A retry repeats the pending request: the vote counts from the time of its first transmission.
-            let last = peer
-                .pending_requests
-                .back()
-                .copied()
-                .filter(|(_, at)| now < at + renewal / 2);
-            let (number, at) = last.unwrap_or((self.last_request_number, now));
-            if last.is_none() {
-                self.last_request_number = self.last_request_number.wrapping_add(1);
-                peer.pending_requests.push_back((number, at));
-                peer.attempts = 0;
-                if peer.pending_requests.len() > MAX_PENDING_REQUESTS {
-                    peer.pending_requests.pop_front();
-                }
-            }
-            peer.attempts += 1;
-            // Two quick retries, then the next renewal.
-            let soon = !holding || peer.attempts < 3;
-            peer.next_request_at = if soon {
-                now + RETRY_INTERVAL.min(renewal)
-            } else {
-                at + renewal
             };
-            let lease_ms = (self.lease / 1000) as u32;
-            let kind = match self.stage {
-                Stage::Preparing { epoch, .. } => Kind::Prepare {
-                    number,
-                    epoch,
-                    lease_ms,
-                },
-                Stage::CollectingVotes { epoch, .. } => Kind::Ask {
-                    number,
-                    epoch,
-                    lease_ms,
-                    until: None,
-                },
-                Stage::Leading { epoch } => {
-                    let until = self.stamp(now, name).map(|stamp| stamp.until);
-                    Kind::Ask {
-                        number,
-                        epoch,
-                        lease_ms,
-                        until,
-                    }
-                }
-                Stage::Idle | Stage::Paused => return,
+            let Some(request) = self.request_to(now, name, number) else {
+                return;
             };
-            self.send(now, name, kind, sends);
+            self.send(now, name, request, sends);
+        }
+    }
+
+    /// The number of the request to send to a peer now, which is a new one or that of a retry; `None` if the attempts of a
+    /// campaign are used up. Schedules the next transmission.
+    fn next_transmission(&mut self, now: Micros, to: PeerId) -> Option<u32> {
+        let is_leader = matches!(self.stage, Stage::Leading { .. });
+        let renewal = self.renewal();
+        let peer = self.peers.get_mut(&to)?;
+        if !is_leader && peer.attempts >= MAX_ATTEMPTS {
+            peer.next_request_at = Micros::MAX;
+            return None;
+        }
+        // A retry repeats the pending request: the vote counts from the time of its first transmission.
+        let pending = peer.pending_requests.back().copied();
+        let pending = pending.filter(|(_, sent_at)| now < sent_at + renewal / 2);
+        let (number, first_sent_at) = pending.unwrap_or((self.last_request_number, now));
+        if pending.is_none() {
+            self.last_request_number = self.last_request_number.wrapping_add(1);
+            peer.pending_requests.push_back((number, first_sent_at));
+            peer.attempts = 0;
+            if peer.pending_requests.len() > MAX_PENDING_REQUESTS {
+                peer.pending_requests.pop_front();
+            }
+        }
+        peer.attempts += 1;
+        let retries_soon = !is_leader || peer.attempts <= QUICK_RENEWAL_RETRIES;
+        peer.next_request_at = if retries_soon {
+            now + RETRY_INTERVAL.min(renewal)
+        } else {
+            first_sent_at + renewal
+        };
+        Some(number)
+    }
+
+    /// The request of the current stage; `None` if this gateway neither campaigns nor leads.
+    fn request_to(&self, now: Micros, to: PeerId, number: u32) -> Option<Kind> {
+        let lease_ms = (self.lease / 1000) as u32;
+        match self.stage {
+            Stage::Preparing { epoch, .. } => Some(Kind::Prepare {
+                number,
+                epoch,
+                lease_ms,
+            }),
+            Stage::CollectingVotes { epoch, .. } => Some(Kind::Ask {
+                number,
+                epoch,
+                lease_ms,
+                until: None,
+            }),
+            Stage::Leading { epoch } => Some(Kind::Ask {
+                number,
+                epoch,
+                lease_ms,
+                until: self.stamp(now, to).map(|proof| proof.until),
+            }),
+            Stage::Idle | Stage::Paused => None,
         }
     }
 
