--- a/gateway-cluster/src/leadership/election/campaign.rs
+++ b/gateway-cluster/src/leadership/election/campaign.rs
@@ -2,7 +2,7 @@
 //! a leader repeats its vote requests to renew the lease.
 
 use super::timing::RETRY_INTERVAL;
-use super::{ElectionEvent, LeaderElection, Stage};
+use super::{ElectionEvent, LatestEpoch, LeaderElection, Stage};
 use crate::leadership::voter::MAX_EPOCH;
 use crate::leadership::votes::CollectedVotes;
 use crate::leadership::wire::Kind;
@@ -80,7 +80,7 @@
         let unix_ms = self.unix_ms.saturating_add((now - self.started_at) / 1000);
         let highest_known = self
             .highest_seen_epoch
-            .max(self.latest_epoch.0)
+            .max(self.latest_epoch.epoch)
             .max(self.voter.highest_epoch());
         (highest_known + 1).max(unix_ms).min(MAX_EPOCH)
     }
@@ -90,13 +90,13 @@
         let mut names = self.others();
         names.shuffle(&mut self.rng);
         names.sort_by_key(|name| !self.alive_peers.contains(name));
-        for (n, name) in names.into_iter().enumerate() {
+        for (position, name) in names.into_iter().enumerate() {
             if let Some(peer) = self.peers.get_mut(&name) {
                 peer.pending_requests.clear();
                 peer.knows_later_epoch = false;
                 // Times that differ by less than a millisecond keep the order where the budget does not allow all at once.
                 (peer.attempts, peer.next_request_at) =
-                    (0, now - now.min(1000) + n as Micros * 1000 / 1024);
+                    (0, now - now.min(1000) + position as Micros * 1000 / 1024);
             }
         }
     }
@@ -215,9 +215,10 @@
             || promised
                 .iter()
                 .any(|name| peers.get(name).is_some_and(|peer| peer.peer_set_in_use));
-        let begins = now >= self.started_at + BOOTSTRAP_LEASES * self.lease
+        let may_bootstrap = now >= self.started_at + BOOTSTRAP_LEASES * self.lease
             || peers.values().all(|peer| peer.incarnation != 0);
-        if (in_use || begins) && self.peer_sets.is_majority(|name| promised.contains(&name)) {
+        if (in_use || may_bootstrap) && self.peer_sets.is_majority(|name| promised.contains(&name))
+        {
             let promised = std::mem::take(promised);
             self.stage = Stage::CollectingVotes {
                 epoch,
@@ -250,23 +251,23 @@
         ) {
             return;
         }
-        let Some(asked) = self.take_request_time(from, number) else {
+        let Some(requested_at) = self.take_request_time(from, number) else {
             return;
         };
-        self.votes.add(from, asked, self.lease);
+        self.votes.add(from, requested_at, self.lease);
         let renewal = self.renewal();
-        let held = match self.stage {
+        let leading_epoch = match self.stage {
             Stage::Leading { epoch } => Some(epoch),
             _ => None,
         };
         if let Some(peer) = self.peers.get_mut(&from) {
-            peer.next_request_at = if held.is_some() {
-                asked + renewal
+            peer.next_request_at = if leading_epoch.is_some() {
+                requested_at + renewal
             } else {
                 Micros::MAX
             };
         }
-        if let Some(epoch) = held {
+        if let Some(epoch) = leading_epoch {
             // The leader's own vote is renewed with each vote of a peer.
             self.vote_for_itself(now, epoch);
         }
@@ -276,7 +277,7 @@
 
     /// Extends the lease if a majority of each required peer set has voted, and takes leadership if it is the first time.
     fn check_majority(&mut self, now: Micros) {
-        let (epoch, new) = match self.stage {
+        let (epoch, is_first) = match self.stage {
             Stage::CollectingVotes { epoch, .. } => (epoch, true),
             Stage::Leading { epoch } => (epoch, false),
             _ => return,
@@ -288,9 +289,13 @@
         self.lease_until = self.lease_until.max(until);
         self.peer_sets.on_elected();
         self.refresh_peers();
-        if new {
+        if is_first {
             self.stage = Stage::Leading { epoch };
-            (self.latest_epoch, self.announced_leader) = ((epoch, Some(self.own.name)), None);
+            self.latest_epoch = LatestEpoch {
+                epoch,
+                leader: Some(self.own.name),
+            };
+            self.announced_leader = None;
             self.record_event(ElectionEvent::Won(epoch));
             // The renewals announce the new leader to all peers.
             self.schedule_requests_to_all(now);
--- a/gateway-cluster/src/leadership/election/datagrams.rs
+++ b/gateway-cluster/src/leadership/election/datagrams.rs
@@ -1,7 +1,7 @@
 //! Handles received datagrams: what the header says of the sender, then the message.
 
 use super::known_leader::{KnownLeader, PEER_SET_WAIT_LEASES};
-use super::{LeaderElection, LeaseProof, Stage};
+use super::{LatestEpoch, LeaderElection, LeaseProof, Stage};
 use crate::leadership::configuration::ConfigurationReport;
 use crate::leadership::voter::{VoteRejection, VoteRequest};
 use crate::leadership::wire::{Datagram, Kind};
@@ -29,8 +29,11 @@
         }
         self.on_sender(now, &datagram);
         self.on_peer_sets(now, datagram.peer_sets, sends);
-        if datagram.epoch > self.latest_epoch.0 {
-            self.latest_epoch = (datagram.epoch, None);
+        if datagram.epoch > self.latest_epoch.epoch {
+            self.latest_epoch = LatestEpoch {
+                epoch: datagram.epoch,
+                leader: None,
+            };
             self.on_later_epoch(now, datagram.epoch, sends);
         }
         let successor = self.peer_with_next_peer_set(now);
@@ -121,8 +124,8 @@
             Kind::LeaderReport {
                 number,
                 leader: Some((leader, epoch, left_ms)),
-            } if is_for_this_incarnation && number == self.leader_query.0 => {
-                let until = self.leader_query.1 + shorter(Micros::from(left_ms) * 1000);
+            } if is_for_this_incarnation && number == self.leader_query.number => {
+                let until = self.leader_query.sent_at + shorter(Micros::from(left_ms) * 1000);
                 let leader = KnownLeader {
                     leader,
                     epoch,
@@ -158,12 +161,18 @@
         reported: KnownLeader,
         sends: &mut Vec<Transmit>,
     ) {
-        let (known_epoch, known_leader) = self.latest_epoch;
+        let LatestEpoch {
+            epoch: known_epoch,
+            leader: known_leader,
+        } = self.latest_epoch;
         let is_current = reported.epoch > known_epoch
             || reported.epoch == known_epoch
                 && known_leader.is_none_or(|known| known == reported.leader);
         if is_current && now < reported.until && reported.leader != self.own.name {
-            self.latest_epoch = (reported.epoch, Some(reported.leader));
+            self.latest_epoch = LatestEpoch {
+                epoch: reported.epoch,
+                leader: Some(reported.leader),
+            };
             self.last_leader_reporter = Some(from);
             self.follow(now, reported, sends);
         }
--- a/gateway-cluster/src/leadership/election/known_leader.rs
+++ b/gateway-cluster/src/leadership/election/known_leader.rs
@@ -2,7 +2,7 @@
 
 use super::peer_table::Peer;
 use super::timing::succession_order;
-use super::{ElectionEvent, LeaderElection, LeaseProof, Stage};
+use super::{ElectionEvent, LeaderElection, LeaderQuery, LeaseProof, ReleasedLease, Stage};
 use crate::leadership::wire::Kind;
 use crate::leadership::LeaseHolder;
 use crate::peers::PeerId;
@@ -41,7 +41,7 @@
         }
         // A later epoch ends the lease of an earlier one, whatever its remaining time.
         let is_valid =
-            |leader: &KnownLeader| now < leader.until && leader.epoch >= self.latest_epoch.0;
+            |leader: &KnownLeader| now < leader.until && leader.epoch >= self.latest_epoch.epoch;
         self.announced_leader
             .filter(|leader| is_valid(leader) && leader.leader != self.own.name)
     }
@@ -74,8 +74,8 @@
 
     /// Accepts another gateway as leader, unless its release is known.
     pub(super) fn follow(&mut self, now: Micros, leader: KnownLeader, sends: &mut Vec<Transmit>) {
-        if self.released_lease.is_some_and(|(released, epoch, _)| {
-            released.name == leader.leader && epoch == leader.epoch
+        if self.released_lease.is_some_and(|released| {
+            released.holder.name == leader.leader && released.epoch == leader.epoch
         }) {
             // The report is older than the release of this lease.
             return;
@@ -106,7 +106,11 @@
         next: PeerId,
     ) {
         self.voter.release(holder, epoch);
-        self.released_lease = Some((holder, epoch, now + self.lease));
+        self.released_lease = Some(ReleasedLease {
+            holder,
+            epoch,
+            reported_until: now + self.lease,
+        });
         let was_leader = self
             .announced_leader
             .is_some_and(|leader| leader.leader == holder.name && leader.epoch == epoch);
@@ -136,7 +140,10 @@
         let to = reporter.or_else(|| alive.choose(&mut self.rng).copied());
         self.last_request_number = self.last_request_number.wrapping_add(1);
         if let Some(to) = to {
-            self.leader_query = (self.last_request_number, now);
+            self.leader_query = LeaderQuery {
+                number: self.last_request_number,
+                sent_at: now,
+            };
             self.send(now, to, Kind::QueryLeader(self.last_request_number), sends);
         }
         self.next_leader_query_at =
@@ -177,6 +184,6 @@
                 (peer.next_peer_set.is_some() && self.peers.iter().any(|other| agrees(&other)))
                     .then_some(*name)
             });
-        candidates.min_by_key(|name| succession_order(self.latest_epoch.0, *name))
+        candidates.min_by_key(|name| succession_order(self.latest_epoch.epoch, *name))
     }
 }
--- a/gateway-cluster/src/leadership/election/mod.rs
+++ b/gateway-cluster/src/leadership/election/mod.rs
@@ -97,6 +97,30 @@
     pub until: u64,
 }
 
+/// The highest epoch of any known leader.
+#[derive(Debug, Clone, Copy)]
+struct LatestEpoch {
+    epoch: u64,
+    /// The leader of the epoch, if it is known.
+    leader: Option<PeerId>,
+}
+
+/// A lease that its holder released before its end.
+#[derive(Debug, Clone, Copy)]
+struct ReleasedLease {
+    holder: LeaseHolder,
+    epoch: u64,
+    /// Up to this time other gateways may still report the lease as valid.
+    reported_until: Micros,
+}
+
+/// The last query for the leader.
+#[derive(Debug, Clone, Copy)]
+struct LeaderQuery {
+    number: u32,
+    sent_at: Micros,
+}
+
 /// The role of this gateway in the election.
 #[derive(Debug)]
 enum Stage {
@@ -138,8 +162,7 @@
     campaign_at: Micros,
     peers: BTreeMap<PeerId, Peer>,
     announced_leader: Option<KnownLeader>,
-    /// The highest epoch of any known leader, and the leader if it is known.
-    latest_epoch: (u64, Option<PeerId>),
+    latest_epoch: LatestEpoch,
     /// The highest epoch in any received request or rejection.
     highest_seen_epoch: u64,
     refused: u64,
@@ -147,9 +170,8 @@
     alive_peers: Vec<PeerId>,
     peer_set_wait_until: Micros,
     last_campaign_at: Option<Micros>,
-    /// The last released lease: holder, epoch, and the time up to which others may still report it as valid.
-    released_lease: Option<(LeaseHolder, u64, Micros)>,
-    leader_query: (u32, Micros),
+    released_lease: Option<ReleasedLease>,
+    leader_query: LeaderQuery,
     /// The peer that last answered a leader query.
     last_leader_reporter: Option<PeerId>,
     next_leader_query_at: Micros,
@@ -191,7 +213,10 @@
             campaign_at: 0,
             peers: BTreeMap::new(),
             announced_leader: None,
-            latest_epoch: (0, None),
+            latest_epoch: LatestEpoch {
+                epoch: 0,
+                leader: None,
+            },
             highest_seen_epoch: 0,
             refused: 0,
             alive_peers: names.clone(),
@@ -199,7 +224,10 @@
             peer_set_wait_until: 0,
             last_campaign_at: None,
             released_lease: None,
-            leader_query: (0, 0),
+            leader_query: LeaderQuery {
+                number: 0,
+                sent_at: 0,
+            },
             last_leader_reporter: None,
             next_leader_query_at: now,
             last_request_number: number,
@@ -273,7 +301,7 @@
         let known = self.known_leader(now);
         ElectionStatus {
             leader: known.map(|leader| leader.leader),
-            epoch: self.latest_epoch.0,
+            epoch: self.latest_epoch.epoch,
             mine: known.is_some_and(|leader| leader.leader == self.own.name),
             left: known.map_or(0, |leader| leader.until - now),
             quiet: self.voter.quiet_time_left(now),
@@ -317,22 +345,29 @@
             to_incarnation,
             until,
         } = stamp;
-        let (known, of) = self.latest_epoch;
-        let refused = if to_incarnation != self.own.incarnation {
+        let LatestEpoch {
+            epoch: known,
+            leader: known_leader,
+        } = self.latest_epoch;
+        let rejection = if to_incarnation != self.own.incarnation {
             ActRejection::OtherIncarnation
-        } else if epoch < known || epoch == known && of.is_some_and(|of| of != from) {
+        } else if epoch < known || epoch == known && known_leader.is_some_and(|known| known != from)
+        {
             ActRejection::Old { epoch, known }
         } else if now >= until {
             ActRejection::Late {
                 late_ms: (now - until) / 1000,
             }
         } else {
-            self.latest_epoch = (epoch, Some(from));
+            self.latest_epoch = LatestEpoch {
+                epoch,
+                leader: Some(from),
+            };
             return Ok(());
         };
         self.refused += 1;
-        self.record_event(ElectionEvent::ActRejected(from, refused));
-        Err(refused)
+        self.record_event(ElectionEvent::ActRejected(from, rejection));
+        Err(rejection)
     }
 
     /// Whether the ids for which `has` is true are a majority of each required peer set.
@@ -365,7 +400,7 @@
     /// Releases the lease, if this gateway is the leader, and takes no further part.
     pub fn leave(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
         let next = self
-            .ranked_successors(self.latest_epoch.0)
+            .ranked_successors(self.latest_epoch.epoch)
             .first()
             .copied()
             .unwrap_or(self.own.name);
--- a/gateway-cluster/src/leadership/election/rejections.rs
+++ b/gateway-cluster/src/leadership/election/rejections.rs
@@ -77,9 +77,9 @@
             }
             // The voter has not received the release of this lease yet.
             VoteRejection::VotedForOther(holder, _)
-                if self
-                    .released_lease
-                    .is_some_and(|(released, _, until)| released == holder && now < until) =>
+                if self.released_lease.is_some_and(|released| {
+                    released.holder == holder && now < released.reported_until
+                }) =>
             {
                 RETRY_INTERVAL
             }
--- a/gateway-cluster/src/leadership/election/timing.rs
+++ b/gateway-cluster/src/leadership/election/timing.rs
@@ -54,8 +54,8 @@
     /// Number of peers that campaign before this gateway.
     fn campaign_rank(&self) -> u64 {
         let (epoch, own) = (
-            self.latest_epoch.0,
-            succession_order(self.latest_epoch.0, self.own.name),
+            self.latest_epoch.epoch,
+            succession_order(self.latest_epoch.epoch, self.own.name),
         );
         let last_leader = self.announced_leader.map(|leader| leader.leader);
         let ranked = self.ranked_successors(epoch);
@@ -81,7 +81,7 @@
             .map_or(now, |leader| leader.until.saturating_sub(lead));
         self.next_leader_query_at = before_expiry
             .max(
-                self.leader_query.1
+                self.leader_query.sent_at
                     + MIN_LEADER_QUERY_INTERVAL.min(self.lease / LEADER_QUERIES_PER_LEASE),
             )
             .max(now);
--- a/gateway-cluster/src/leadership/election/transmit.rs
+++ b/gateway-cluster/src/leadership/election/transmit.rs
@@ -36,7 +36,7 @@
             to_incarnation,
             tick: now,
             peer_sets,
-            epoch: self.latest_epoch.0,
+            epoch: self.latest_epoch.epoch,
             kind,
         }
         .encode();
--- a/gateway-cluster/src/leadership/election/voting.rs
+++ b/gateway-cluster/src/leadership/election/voting.rs
@@ -1,6 +1,6 @@
 //! Promises and votes of this gateway, for other candidates and for itself.
 
-use super::{ElectionEvent, LeaderElection};
+use super::{ElectionEvent, LatestEpoch, LeaderElection};
 use crate::leadership::configuration::ConfigurationMismatch;
 use crate::leadership::voter::{VoteRejection, VoteRequest, MAX_EPOCH};
 use crate::leadership::MAX_LEASE;
@@ -19,9 +19,13 @@
 
     /// Whether a leader with a later epoch is known, or another leader with the same one.
     fn is_outdated(&self, request: &VoteRequest) -> bool {
-        let (known, of) = self.latest_epoch;
+        let LatestEpoch {
+            epoch: known,
+            leader: known_leader,
+        } = self.latest_epoch;
         request.epoch < known
-            || request.epoch == known && of.is_some_and(|of| of != request.holder.name)
+            || request.epoch == known
+                && known_leader.is_some_and(|known| known != request.holder.name)
     }
 
     /// Promises the epoch to a candidate, if the rules allow it.
@@ -32,7 +36,7 @@
     ) -> Result<(), VoteRejection> {
         self.observe_request(request);
         if self.is_outdated(request) {
-            return Err(VoteRejection::EpochOutdated(self.latest_epoch.0));
+            return Err(VoteRejection::EpochOutdated(self.latest_epoch.epoch));
         }
         self.voter.promise(now, request, &self.peer_sets)?;
         if request.holder != self.own {
@@ -50,7 +54,7 @@
     ) -> Result<(), VoteRejection> {
         self.observe_request(request);
         if self.is_outdated(request) {
-            return Err(VoteRejection::EpochOutdated(self.latest_epoch.0));
+            return Err(VoteRejection::EpochOutdated(self.latest_epoch.epoch));
         }
         let waits = now < self.peer_set_wait_until && !self.peer_sets.is_in_use();
         if waits && request.peer_sets.previous.is_none() && !request.peer_sets.in_use {
--- a/gateway-cluster/src/leadership/mod.rs
+++ b/gateway-cluster/src/leadership/mod.rs
@@ -1,7 +1,7 @@
 //! Leader election by a majority lease: at most one gateway at a time acts on behalf of the cluster.
 //!
 //! Voters keep their votes in memory. A restarted voter therefore rejects all requests for a quiet period that is as long
-//! as the longest lease (compare the diskless leases of PaxosLease, Trencseni et al., 2012). While the peer set changes, a
+//! as the longest lease (compare the diskless leases of `PaxosLease`, Trencseni et al., 2012). While the peer set changes, a
 //! leader needs a majority of the old and of the new set (joint consensus, Raft section 6). Safety rests on the votes
 //! alone; the membership only decides which peers are asked first and when a gateway campaigns.
 //!
