--- a/gateway-cluster/src/node.rs
+++ b/gateway-cluster/src/node.rs
@@ -1,5 +1,8 @@
-//! One gateway's part in the cluster: the view and what rests on it, for one socket. The first byte of a datagram says whose
-//! it is; what is understood by nobody is counted by the view and dropped.
+//! One gateway of the cluster: membership, leader election, shard map and session classification behind one socket.
+//!
+//! The version byte of a datagram selects the layer. Each layer sees only the ones below: the election receives the alive
+//! peers of the membership, the shard map the leader, the sessions the shard map. Datagrams that no layer understands are
+//! counted by the membership and dropped.
 
 use crate::leadership::election::{self, LeaderElection};
 use crate::leadership::wire::VERSION as LEADERSHIP;
@@ -17,45 +20,48 @@
 use crate::shards::{Key, PeerCondition};
 use crate::wire::HEADER_BYTES;
 
-/// What a part begins with.
+/// Settings of [`ClusterNode`].
 #[derive(Debug, Clone)]
 pub struct ClusterNodeSettings {
-    /// For the view.
+    /// Settings of the membership.
     pub view: membership::MembershipSettings,
-    /// The lease of leadership, if there is to be one.
+    /// Lease duration of the leader election in microseconds; `None` disables the election.
     pub lease: Option<Micros>,
-    /// For the shard map, if there is to be one; that needs a lease.
+    /// Settings of the shard map; ignored without a lease.
     pub shards: Option<shards::node::ShardMapSettings>,
-    /// For the sessions, if they are to be classified; that needs a shard map.
+    /// Settings of the session classification; ignored without a shard map.
     pub sessions: Option<classifier::ClassifierSettings>,
 }
 
-/// One incarnation's part.
+/// The cluster protocols at one gateway, for one incarnation of it.
 #[derive(Debug)]
 pub struct ClusterNode {
-    view: Membership,
+    membership: Membership,
     election: Option<LeaderElection>,
     shard_map: Option<ShardMapNode>,
     sessions: Option<SessionClassifier>,
+    /// Ids of the peer set, by index.
     ids: Vec<PeerId>,
-    /// When the view had changed last as leadership was told of it.
-    advised: Option<Micros>,
-    /// It goes, or another process has its name.
-    out: bool,
+    /// Time of the last membership change that the election and the shard map received.
+    last_advised_change_at: Option<Micros>,
+    /// This gateway is shutting down, or has handed its name over to another process.
+    is_stopped: bool,
+    /// Datagrams of the membership, collected during an input.
     membership_transmits: Vec<IndexedTransmit>,
-    election_transmits: Vec<Transmit>,
+    /// Datagrams of the other layers, collected during an input.
+    upper_layer_transmits: Vec<Transmit>,
 }
 
 impl ClusterNode {
-    /// A new incarnation that knows the peer set and nothing else.
+    /// Starts a new incarnation, which knows only the names of the peer set.
     ///
     /// # Errors
-    /// As [`Membership::new`].
+    /// As for [`Membership::new`].
     pub fn new(
         now: Micros,
         settings: ClusterNodeSettings,
         seed: u64,
-        packets: &mut Vec<Transmit>,
+        transmits: &mut Vec<Transmit>,
     ) -> Result<ClusterNode, PeerSetError> {
         let ClusterNodeSettings {
             view,
@@ -72,7 +78,7 @@
         });
         let mut membership_transmits = Vec::new();
         let view = Membership::new(now, view, seed, &mut membership_transmits)?;
-        let ids = ids_of(&view);
+        let ids = peer_ids(&view);
         let election = lease.map(|lease| {
             let settings = election::ElectionSettings {
                 names: ids.clone(),
@@ -82,35 +88,35 @@
             };
             LeaderElection::new(now, settings, seed.rotate_left(32))
         });
-        let (advised, out, election_transmits) = (None, false, Vec::new());
-        let mut stack = ClusterNode {
-            view,
+        let (last_advised_change_at, is_stopped, upper_layer_transmits) = (None, false, Vec::new());
+        let mut node = ClusterNode {
+            membership: view,
             election,
             shard_map,
             sessions,
             ids,
-            advised,
-            out,
+            last_advised_change_at,
+            is_stopped,
             membership_transmits,
-            election_transmits,
+            upper_layer_transmits,
         };
-        stack.settle(now, packets);
-        Ok(stack)
+        node.advance(now, transmits);
+        Ok(node)
     }
 
-    /// The view.
+    /// The membership.
     pub fn view(&self) -> &Membership {
-        &self.view
+        &self.membership
     }
 
-    /// The view, for what is taken from it.
+    /// The membership, to take changes from it.
     pub fn membership_mut(&mut self) -> &mut Membership {
-        &mut self.view
+        &mut self.membership
     }
 
-    /// Messages and bytes sent, with the headers of IP and UDP.
+    /// Number of datagrams sent by all layers, and their bytes with the headers of IP and UDP.
     pub fn sent(&self) -> (u64, u64) {
-        let (messages, bytes) = self.view.sent;
+        let (messages, bytes) = self.membership.sent;
         let election = self
             .election
             .as_ref()
@@ -123,17 +129,17 @@
             .sessions
             .as_ref()
             .map_or((0, 0), |sessions| sessions.sent);
-        let others = (
+        let upper_layers = (
             election.0 + shard_map.0 + sessions.0,
             election.1 + shard_map.1 + sessions.1,
         );
         (
-            messages + others.0,
-            bytes + others.1 + others.0 * HEADER_BYTES as u64,
+            messages + upper_layers.0,
+            bytes + upper_layers.1 + upper_layers.0 * HEADER_BYTES as u64,
         )
     }
 
-    /// What was received and dropped, by any layer.
+    /// Counters of the datagrams that any layer dropped.
     pub fn dropped(&self) -> DroppedDatagrams {
         let election = self
             .election
@@ -151,7 +157,7 @@
             malformed,
             unknown,
             stale,
-        } = self.view.dropped;
+        } = self.membership.dropped;
         DroppedDatagrams {
             malformed: malformed + election.0 + shard_map.0 + sessions.0,
             unknown: unknown + election.1 + shard_map.1 + sessions.1,
@@ -159,22 +165,22 @@
         }
     }
 
-    /// The part in the shard map, if there is one.
+    /// The shard map, if it is enabled.
     pub fn shard_map(&self) -> Option<&ShardMapNode> {
         self.shard_map.as_ref()
     }
 
-    /// The part in the shard map, for what is taken from it.
+    /// The shard map, to take events from it.
     pub fn shard_map_mut(&mut self) -> Option<&mut ShardMapNode> {
         self.shard_map.as_mut()
     }
 
-    /// The part in the sessions, if there is one.
+    /// The session classification, if it is enabled.
     pub fn sessions(&self) -> Option<&SessionClassifier> {
         self.sessions.as_ref()
     }
 
-    /// A request of a customer has ended, for the sessions.
+    /// Records the outcome of a customer's request for the session classification.
     pub fn note(
         &mut self,
         now: Micros,
@@ -188,7 +194,7 @@
         }
     }
 
-    /// How a request of a customer is to get its connection.
+    /// The connection policy for a customer's request.
     pub fn hold(&mut self, now: Micros, customer: Customer) -> ConnectionPolicy {
         match (&mut self.sessions, &self.shard_map) {
             (Some(sessions), Some(shard_map)) => sessions.hold(now, customer, shard_map),
@@ -196,75 +202,77 @@
         }
     }
 
-    /// What operators are told of a customer's sessions.
+    /// The status of a customer's session classification, for operators.
     pub fn session(&self, now: Micros, customer: Customer) -> Option<classifier::ClassifierStatus> {
         let (sessions, shard_map) = self.sessions.as_ref().zip(self.shard_map.as_ref())?;
         Some(sessions.status(now, customer, shard_map))
     }
 
-    /// The keys that this gateway keeps at this moment, from and up to.
+    /// The key ranges that this gateway owns at this time, each from a key (inclusive) to a key (exclusive).
     pub fn mine(&self, now: Micros) -> Vec<(Key, Key)> {
         let shard_map = self
             .shard_map
             .as_ref()
-            .filter(|_| !self.out && !self.view.is_superseded());
+            .filter(|_| !self.is_stopped && !self.membership.is_superseded());
         shard_map.map_or_else(Vec::new, |shard_map| shard_map.mine(now))
     }
 
-    /// The leadership, if there is one.
+    /// The leader election, if it is enabled.
     pub fn election(&self) -> Option<&LeaderElection> {
         self.election.as_ref()
     }
 
-    /// The leadership, for what is taken from it.
+    /// The leader election, to take events from it.
     pub fn election_mut(&mut self) -> Option<&mut LeaderElection> {
         self.election.as_mut()
     }
 
-    /// Takes over another peer set.
+    /// Replaces the peer set.
     ///
     /// # Errors
-    /// As [`Membership::set_peers`]; all stays as it was.
+    /// As for [`Membership::set_peers`]; nothing is changed then.
     pub fn set_peers(
         &mut self,
         now: Micros,
         names: Vec<String>,
-        packets: &mut Vec<Transmit>,
+        transmits: &mut Vec<Transmit>,
     ) -> Result<(), PeerSetError> {
-        self.view.set_peers(now, names)?;
-        self.ids = ids_of(&self.view);
+        self.membership.set_peers(now, names)?;
+        self.ids = peer_ids(&self.membership);
         if let Some(election) = &mut self.election {
-            election.set_peers(now, self.ids.clone(), &mut self.election_transmits);
+            election.set_peers(now, self.ids.clone(), &mut self.upper_layer_transmits);
         }
-        self.settle(now, packets);
+        self.advance(now, transmits);
         Ok(())
     }
 
-    /// A datagram has come.
-    pub fn on_datagram(&mut self, now: Micros, bytes: &[u8], packets: &mut Vec<Transmit>) {
+    /// Handles a received datagram.
+    pub fn on_datagram(&mut self, now: Micros, bytes: &[u8], transmits: &mut Vec<Transmit>) {
         match (&mut self.election, bytes.first()) {
             (Some(election), Some(&LEADERSHIP)) => {
-                election.on_datagram(now, bytes, &mut self.election_transmits)
+                election.on_datagram(now, bytes, &mut self.upper_layer_transmits);
             }
             (Some(election), Some(&SHARDS)) => match &mut self.shard_map {
                 Some(shard_map) => {
-                    shard_map.on_datagram(now, bytes, election, &mut self.election_transmits)
+                    shard_map.on_datagram(now, bytes, election, &mut self.upper_layer_transmits);
                 }
                 None => self
-                    .view
+                    .membership
                     .on_datagram(now, bytes, &mut self.membership_transmits),
             },
             (Some(_), Some(&SESSIONS)) if self.sessions.is_some() => {
-                self.in_sessions(|part, around, sends| part.on_datagram(now, bytes, around, sends));
+                self.with_sessions(|classifier, context, sends| {
+                    classifier.on_datagram(now, bytes, context, sends)
+                });
             }
             _ => self
-                .view
+                .membership
                 .on_datagram(now, bytes, &mut self.membership_transmits),
         }
-        self.settle(now, packets);
+        self.advance(now, transmits);
     }
 
-    /// When [`ClusterNode::on_timer`] is wanted.
+    /// When [`ClusterNode::on_timer`] is to be called next.
     pub fn next_wakeup(&self) -> Micros {
         let election = self
             .election
@@ -281,56 +289,59 @@
         election
             .min(shard_map)
             .min(sessions)
-            .min(self.view.next_wakeup())
+            .min(self.membership.next_wakeup())
     }
 
-    /// Something is due, or past that.
-    pub fn on_timer(&mut self, now: Micros, packets: &mut Vec<Transmit>) {
-        if now >= self.view.next_wakeup() {
-            self.view.on_timer(now, &mut self.membership_transmits);
+    /// Runs the timers that are due.
+    pub fn on_timer(&mut self, now: Micros, transmits: &mut Vec<Transmit>) {
+        if now >= self.membership.next_wakeup() {
+            self.membership
+                .on_timer(now, &mut self.membership_transmits);
         }
         if let Some(election) = self
             .election
             .as_mut()
             .filter(|election| now >= election.next_wakeup())
         {
-            election.on_timer(now, &mut self.election_transmits);
+            election.on_timer(now, &mut self.upper_layer_transmits);
         }
-        self.settle(now, packets);
+        self.advance(now, transmits);
     }
 
-    /// Gives back what it has, tells others that this gateway goes, and says nothing more.
-    pub fn leave(&mut self, now: Micros, packets: &mut Vec<Transmit>) {
-        self.go(now);
-        self.view.leave(now, &mut self.membership_transmits);
-        self.settle(now, packets);
+    /// Shuts down: releases shards and leadership and announces the shutdown to peers.
+    pub fn leave(&mut self, now: Micros, transmits: &mut Vec<Transmit>) {
+        self.stop(now);
+        self.membership.leave(now, &mut self.membership_transmits);
+        self.advance(now, transmits);
     }
 
-    /// Another process takes this name over: what this one has it gives back, and it says nothing until [`ClusterNode::resume`].
-    pub fn hand_over(&mut self, now: Micros, packets: &mut Vec<Transmit>) {
-        self.go(now);
-        self.settle(now, packets);
+    /// Hands the name over to another process: releases shards and leadership, and takes no part until
+    /// [`ClusterNode::resume`].
+    pub fn hand_over(&mut self, now: Micros, transmits: &mut Vec<Transmit>) {
+        self.stop(now);
+        self.advance(now, transmits);
     }
 
-    /// Lets go of what is kept, and then of leadership.
-    fn go(&mut self, now: Micros) {
-        self.out = true;
-        self.let_go(now);
+    /// Releases all leases for a shutdown or a hand-over.
+    fn stop(&mut self, now: Micros) {
+        self.is_stopped = true;
+        self.release_leases(now);
     }
 
-    fn let_go(&mut self, now: Micros) {
+    /// Releases the shard leases, then the leadership.
+    fn release_leases(&mut self, now: Micros) {
         let Some(election) = &mut self.election else {
             return;
         };
         if let Some(shard_map) = &mut self.shard_map {
-            shard_map.leave(now, election, &mut self.election_transmits);
+            shard_map.leave(now, election, &mut self.upper_layer_transmits);
         }
-        election.leave(now, &mut self.election_transmits);
+        election.leave(now, &mut self.upper_layer_transmits);
     }
 
-    /// The other process has ended: this one goes on.
+    /// Takes part again, after the process that took the name over has ended.
     pub fn resume(&mut self, now: Micros) {
-        self.out = false;
+        self.is_stopped = false;
         if let Some(election) = self
             .election
             .as_mut()
@@ -340,91 +351,103 @@
         }
     }
 
-    /// Lets the part in the sessions act by what the view and the shard map are now.
-    fn in_sessions(
+    /// Calls the session classification with the current membership and shard map.
+    fn with_sessions(
         &mut self,
         act: impl FnOnce(&mut SessionClassifier, &ClusterContext<'_>, &mut Vec<Transmit>),
     ) {
-        let Some((part, shard_map)) = self.sessions.as_mut().zip(self.shard_map.as_ref()) else {
+        let Some((classifier, shard_map)) = self.sessions.as_mut().zip(self.shard_map.as_ref())
+        else {
             return;
         };
-        let around = ClusterContext {
+        let context = ClusterContext {
             shard_map,
-            names: self.view.names(),
-            states: &self.view.states(),
-            side: self.view.side(),
-            silent: self.out || self.view.is_superseded(),
+            names: self.membership.names(),
+            states: &self.membership.states(),
+            side: self.membership.side(),
+            silent: self.is_stopped || self.membership.is_superseded(),
         };
-        act(part, &around, &mut self.election_transmits);
+        act(classifier, &context, &mut self.upper_layer_transmits);
     }
 
-    /// Tells leadership what the view holds, and gathers what both send.
-    fn settle(&mut self, now: Micros, packets: &mut Vec<Transmit>) {
+    /// Passes changes between the layers and collects the datagrams of all of them. Called after each input.
+    fn advance(&mut self, now: Micros, transmits: &mut Vec<Transmit>) {
         if let Some(election) = &mut self.election {
-            let changed = now - self.view.settled(now);
-            if self.advised != Some(changed) {
-                self.advised = Some(changed);
-                let sound = self
+            let changed = now - self.membership.settled(now);
+            if self.last_advised_change_at != Some(changed) {
+                self.last_advised_change_at = Some(changed);
+                let alive = self
                     .ids
                     .iter()
-                    .zip(self.view.states())
+                    .zip(self.membership.states())
                     .filter(|(_, state)| *state == PeerState::Alive);
-                election.on_membership_change(sound.map(|(id, _)| *id).collect());
+                election.on_membership_change(alive.map(|(id, _)| *id).collect());
                 if let Some(shard_map) = &mut self.shard_map {
-                    let gateway = |state| {
+                    let condition = |state| {
                         if state == PeerState::Dead {
                             PeerCondition::Dead
                         } else {
                             PeerCondition::Alive
                         }
                     };
-                    let states = self.view.states().into_iter().map(gateway);
+                    let states = self.membership.states().into_iter().map(condition);
                     shard_map.on_membership_change(
                         now,
-                        self.view.names().iter().cloned().zip(states).collect(),
+                        self.membership
+                            .names()
+                            .iter()
+                            .cloned()
+                            .zip(states)
+                            .collect(),
                     );
                 }
             }
         }
-        // Of two lives under one name the one that the view silences takes no part here either.
+        // Of two processes with one name, the one that the membership supersedes takes no part in the election either.
         match (
-            self.view.is_superseded(),
+            self.membership.is_superseded(),
             self.election
                 .as_ref()
                 .is_some_and(LeaderElection::is_hushed),
         ) {
-            (true, false) => self.let_go(now),
-            (false, true) if !self.out => self.resume(now),
+            (true, false) => self.release_leases(now),
+            (false, true) if !self.is_stopped => self.resume(now),
             _ => {}
         }
         if let Some(election) = &mut self.election {
             if let Some(shard_map) = &mut self.shard_map {
-                // What leadership has just won or lost counts at once.
+                // A change of the leader takes effect in the shard map at once.
                 if now >= shard_map.next_wakeup() || election.epoch(now) != shard_map.term() {
-                    shard_map.on_timer(now, election, &mut self.election_transmits);
+                    shard_map.on_timer(now, election, &mut self.upper_layer_transmits);
                 }
             }
         }
         if self
             .sessions
             .as_ref()
-            .is_some_and(|part| now >= part.next_wakeup())
+            .is_some_and(|classifier| now >= classifier.next_wakeup())
         {
-            self.in_sessions(|part, around, sends| part.on_timer(now, around, sends));
+            self.with_sessions(|classifier, context, sends| {
+                classifier.on_timer(now, context, sends)
+            });
         }
         let ids = &self.ids;
-        let membership_transmits = self.membership_transmits.drain(..).filter_map(|send| {
+        let addressed = self.membership_transmits.drain(..).filter_map(|transmit| {
             Some(Transmit {
-                to: *ids.get(send.to)?,
-                bytes: send.bytes,
+                to: *ids.get(transmit.to)?,
+                bytes: transmit.bytes,
             })
         });
-        packets.extend(membership_transmits);
-        packets.append(&mut self.election_transmits);
+        transmits.extend(addressed);
+        transmits.append(&mut self.upper_layer_transmits);
     }
 }
 
-/// The names of a view's peer set as ids, in their order.
-fn ids_of(view: &Membership) -> Vec<PeerId> {
-    view.names().iter().map(|name| peer_id_of(name)).collect()
+/// The ids of a membership's peer set, in the order of the names.
+fn peer_ids(membership: &Membership) -> Vec<PeerId> {
+    membership
+        .names()
+        .iter()
+        .map(|name| peer_id_of(name))
+        .collect()
 }
