--- a/gateway-cluster/src/node.rs
+++ b/gateway-cluster/src/node.rs
@@ -33,6 +33,14 @@
     pub sessions: Option<classifier::ClassifierSettings>,
 }
 
+/// Counters of one layer above the membership.
+struct LayerCounters {
+    /// Datagrams, and their bytes without headers.
+    sent: (u64, u64),
+    /// Malformed datagrams, and those of unknown senders.
+    dropped: (u64, u64),
+}
+
 /// The cluster protocols at one gateway, for one incarnation of it.
 #[derive(Debug)]
 pub struct ClusterNode {
@@ -116,53 +124,40 @@
 
     /// Number of datagrams sent by all layers, and their bytes with the headers of IP and UDP.
     pub fn sent(&self) -> (u64, u64) {
-        let (messages, bytes) = self.membership.sent;
-        let election = self
-            .election
-            .as_ref()
-            .map_or((0, 0), |election| election.sent);
-        let shard_map = self
-            .shard_map
-            .as_ref()
-            .map_or((0, 0), |shard_map| shard_map.sent);
-        let sessions = self
-            .sessions
-            .as_ref()
-            .map_or((0, 0), |sessions| sessions.sent);
-        let upper_layers = (
-            election.0 + shard_map.0 + sessions.0,
-            election.1 + shard_map.1 + sessions.1,
-        );
-        (
-            messages + upper_layers.0,
-            bytes + upper_layers.1 + upper_layers.0 * HEADER_BYTES as u64,
-        )
+        let (mut messages, mut bytes) = self.membership.sent;
+        // The other layers count bytes without headers.
+        for (layer_messages, layer_bytes) in self.upper_layer_counters().map(|layer| layer.sent) {
+            messages += layer_messages;
+            bytes += layer_bytes + layer_messages * HEADER_BYTES as u64;
+        }
+        (messages, bytes)
     }
 
     /// Counters of the datagrams that any layer dropped.
     pub fn dropped(&self) -> DroppedDatagrams {
-        let election = self
-            .election
-            .as_ref()
-            .map_or((0, 0), |election| election.dropped);
-        let shard_map = self
-            .shard_map
-            .as_ref()
-            .map_or((0, 0), |shard_map| shard_map.dropped);
-        let sessions = self
-            .sessions
-            .as_ref()
-            .map_or((0, 0), |sessions| sessions.dropped);
-        let DroppedDatagrams {
-            malformed,
-            unknown,
-            stale,
-        } = self.membership.dropped;
-        DroppedDatagrams {
-            malformed: malformed + election.0 + shard_map.0 + sessions.0,
-            unknown: unknown + election.1 + shard_map.1 + sessions.1,
-            stale,
+        let mut dropped = self.membership.dropped;
+        for (malformed, unknown) in self.upper_layer_counters().map(|layer| layer.dropped) {
+            dropped.malformed += malformed;
+            dropped.unknown += unknown;
         }
+        dropped
+    }
+
+    /// The counters of the enabled layers above the membership.
+    fn upper_layer_counters(&self) -> impl Iterator<Item = LayerCounters> {
+        let election = self.election.as_ref().map(|layer| LayerCounters {
+            sent: layer.sent,
+            dropped: layer.dropped,
+        });
+        let shard_map = self.shard_map.as_ref().map(|layer| LayerCounters {
+            sent: layer.sent,
+            dropped: layer.dropped,
+        });
+        let sessions = self.sessions.as_ref().map(|layer| LayerCounters {
+            sent: layer.sent,
+            dropped: layer.dropped,
+        });
+        [election, shard_map, sessions].into_iter().flatten()
     }
 
     /// The shard map, if it is enabled.
@@ -372,65 +367,72 @@
 
     /// Passes changes between the layers and collects the datagrams of all of them. Called after each input.
     fn advance(&mut self, now: Micros, transmits: &mut Vec<Transmit>) {
-        if let Some(election) = &mut self.election {
-            let changed = now - self.membership.settled(now);
-            if self.last_advised_change_at != Some(changed) {
-                self.last_advised_change_at = Some(changed);
-                let alive = self
-                    .ids
-                    .iter()
-                    .zip(self.membership.states())
-                    .filter(|(_, state)| *state == PeerState::Alive);
-                election.on_membership_change(alive.map(|(id, _)| *id).collect());
-                if let Some(shard_map) = &mut self.shard_map {
-                    let condition = |state| {
-                        if state == PeerState::Dead {
-                            PeerCondition::Dead
-                        } else {
-                            PeerCondition::Alive
-                        }
-                    };
-                    let states = self.membership.states().into_iter().map(condition);
-                    shard_map.on_membership_change(
-                        now,
-                        self.membership
-                            .names()
-                            .iter()
-                            .cloned()
-                            .zip(states)
-                            .collect(),
-                    );
-                }
-            }
+        self.advise_of_membership(now);
+        self.follow_supersession(now);
+        self.advance_shard_map(now);
+        self.advance_sessions(now);
+        self.collect_transmits(transmits);
+    }
+
+    /// Passes a change of the membership to the election and to the shard map.
+    fn advise_of_membership(&mut self, now: Micros) {
+        let Some(election) = &mut self.election else {
+            return;
+        };
+        let last_change_at = now - self.membership.settled(now);
+        if self.last_advised_change_at == Some(last_change_at) {
+            return;
+        }
+        self.last_advised_change_at = Some(last_change_at);
+        let states = self.membership.states();
+        let alive = self.ids.iter().zip(&states);
+        let alive = alive.filter(|(_, state)| **state == PeerState::Alive);
+        election.on_membership_change(alive.map(|(id, _)| *id).collect());
+        if let Some(shard_map) = &mut self.shard_map {
+            let names = self.membership.names().iter().cloned();
+            let conditions = states.into_iter().map(peer_condition);
+            shard_map.on_membership_change(now, names.zip(conditions).collect());
         }
-        // Of two processes with one name, the one that the membership supersedes takes no part in the election either.
-        match (
-            self.membership.is_superseded(),
-            self.election
-                .as_ref()
-                .is_some_and(LeaderElection::is_hushed),
-        ) {
+    }
+
+    /// Of two processes with one name, the one that the membership supersedes takes no part in the election either.
+    fn follow_supersession(&mut self, now: Micros) {
+        let is_superseded = self.membership.is_superseded();
+        let is_paused = self
+            .election
+            .as_ref()
+            .is_some_and(LeaderElection::is_hushed);
+        match (is_superseded, is_paused) {
             (true, false) => self.release_leases(now),
             (false, true) if !self.is_stopped => self.resume(now),
             _ => {}
         }
-        if let Some(election) = &mut self.election {
-            if let Some(shard_map) = &mut self.shard_map {
-                // A change of the leader takes effect in the shard map at once.
-                if now >= shard_map.next_wakeup() || election.epoch(now) != shard_map.term() {
-                    shard_map.on_timer(now, election, &mut self.upper_layer_transmits);
-                }
-            }
+    }
+
+    /// Runs the timers of the shard map. A change of the leader takes effect in it at once.
+    fn advance_shard_map(&mut self, now: Micros) {
+        let Some((election, shard_map)) = self.election.as_mut().zip(self.shard_map.as_mut())
+        else {
+            return;
+        };
+        if now >= shard_map.next_wakeup() || election.epoch(now) != shard_map.term() {
+            shard_map.on_timer(now, election, &mut self.upper_layer_transmits);
         }
-        if self
+    }
+
+    fn advance_sessions(&mut self, now: Micros) {
+        let is_due = self
             .sessions
             .as_ref()
-            .is_some_and(|classifier| now >= classifier.next_wakeup())
-        {
+            .is_some_and(|classifier| now >= classifier.next_wakeup());
+        if is_due {
             self.with_sessions(|classifier, context, sends| {
-                classifier.on_timer(now, context, sends)
+                classifier.on_timer(now, context, sends);
             });
         }
+    }
+
+    fn collect_transmits(&mut self, transmits: &mut Vec<Transmit>) {
         let ids = &self.ids;
         let addressed = self.membership_transmits.drain(..).filter_map(|transmit| {
             Some(Transmit {
@@ -443,6 +445,14 @@
     }
 }
 
+/// The condition of a peer for the shard map: a suspected peer still counts as alive.
+fn peer_condition(state: PeerState) -> PeerCondition {
+    match state {
+        PeerState::Alive | PeerState::Suspect => PeerCondition::Alive,
+        PeerState::Dead => PeerCondition::Dead,
+    }
+}
+
 /// The ids of a membership's peer set, in the order of the names.
 fn peer_ids(membership: &Membership) -> Vec<PeerId> {
     membership
