--- a/gateway-cluster/src/sim.rs
+++ b/gateway-cluster/src/sim.rs
@@ -1,7 +1,8 @@
-//! A network of gateways in one thread: all that happens follows from the seed.
+//! A deterministic discrete-event simulation of a cluster in one thread: the seed decides everything.
 //!
-//! Datagrams are lost, doubled, delayed and so overtaken; links are cut one way; gateways are killed, stopped and started
-//! anew. A stopped gateway receives what its socket's buffer holds once it goes on, and its timers are late.
+//! Datagrams are lost, duplicated, delayed and reordered. Links are blocked in one direction or both. Gateways are killed,
+//! paused and restarted: a paused gateway receives the datagrams in its socket's buffer when it resumes, and its timers
+//! are late. [`Sim`] runs any [`Protocol`]: [`Membership`] alone, or all layers as a [`SimulatedNode`].
 
 use crate::membership::{Membership, MembershipSettings};
 use crate::node::{self, ClusterNode};
@@ -18,19 +19,19 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-/// Datagrams that a stopped gateway's socket holds. More are lost.
-const BUFFERED: usize = 256;
+/// Number of datagrams in the socket buffer of a paused gateway; further ones are lost.
+const SOCKET_BUFFER_DATAGRAMS: usize = 256;
 
-/// What the network does to every datagram.
+/// Behaviour of the network, for each datagram.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct NetworkConditions {
-    /// Least time on the way, and by how much it varies at most.
+    /// Minimum latency, in microseconds.
     pub delay: Micros,
-    /// Up to so much more.
+    /// Maximum additional latency, in microseconds.
     pub jitter: Micros,
-    /// The chance that a datagram is lost.
+    /// Probability that a datagram is lost.
     pub loss: f64,
-    /// The chance that it comes twice.
+    /// Probability that a datagram is duplicated.
     pub double: f64,
 }
 
@@ -45,95 +46,100 @@
     }
 }
 
-/// What a gateway has sent.
+/// Counters of sent datagrams.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Sent {
-    /// Datagrams.
+    /// Number of datagrams.
     pub messages: u64,
     /// Bytes, with the headers of IP and UDP.
     pub bytes: u64,
-    /// The largest payload.
+    /// Size of the largest payload, in bytes.
     pub largest: usize,
 }
 
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
-    Arrive {
+    Arrival {
         to: PeerIndex,
         bytes: Vec<u8>,
     },
-    /// Of the incarnation with this number.
-    Wake {
+    /// A timer of the process with this incarnation number.
+    Wakeup {
         gateway: PeerIndex,
         incarnation: u32,
     },
 }
 
-struct Door<E> {
-    engine: Option<E>,
+/// One gateway of the simulation.
+struct SimulatedGateway<P> {
+    /// The running process, if there is one.
+    protocol: Option<P>,
+    /// Number of the process, counted from the first start.
     incarnation: u32,
+    /// The process is paused.
     stopped: bool,
+    /// The socket's buffer, while the process is paused.
     buffer: VecDeque<Vec<u8>>,
     sent: Sent,
-    /// When the engine is woken next.
-    wakes: Option<Micros>,
+    /// Time of the next timer.
+    wakeup_at: Option<Micros>,
 }
 
-/// The simulated cluster.
-pub struct Sim<E> {
+/// A simulated cluster.
+pub struct Sim<P> {
     now: Micros,
-    gateways: Vec<Door<E>>,
-    queue: BinaryHeap<Reverse<(Micros, u64, Event)>>,
-    count: u64,
+    gateways: Vec<SimulatedGateway<P>>,
+    events: BinaryHeap<Reverse<(Micros, u64, Event)>>,
+    event_count: u64,
     rng: Pcg64Mcg,
-    /// Whether nothing passes from one gateway to another, by `from * gateways + to`.
-    cut: Vec<bool>,
+    /// Whether the link from one gateway to another is blocked, by `from * gateways + to`.
+    blocked_links: Vec<bool>,
     probe: Micros,
-    /// What happens to datagrams that are sent from now on.
+    /// Behaviour of the network for datagrams that are sent from now on.
     pub network: NetworkConditions,
     sends: Vec<IndexedTransmit>,
 }
 
-impl<E: Protocol> Sim<E> {
-    /// A cluster of which nobody runs yet.
-    pub fn new(gateways: usize, probe: Micros, seed: u64) -> Sim<E> {
-        let gateway = || Door {
-            engine: None,
+impl<P: Protocol> Sim<P> {
+    /// A cluster in which no gateway runs yet.
+    pub fn new(gateways: usize, probe: Micros, seed: u64) -> Sim<P> {
+        let new_gateway = || SimulatedGateway {
+            protocol: None,
             incarnation: 0,
             stopped: false,
             buffer: VecDeque::new(),
             sent: Sent::default(),
-            wakes: None,
+            wakeup_at: None,
         };
         Sim {
             now: 0,
-            gateways: (0..gateways).map(|_| gateway()).collect(),
-            queue: BinaryHeap::new(),
-            count: 0,
+            gateways: (0..gateways).map(|_| new_gateway()).collect(),
+            events: BinaryHeap::new(),
+            event_count: 0,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            cut: vec![false; gateways * gateways],
+            blocked_links: vec![false; gateways * gateways],
             probe,
             network: NetworkConditions::default(),
             sends: Vec::new(),
         }
     }
 
-    /// The time.
+    /// The simulated time.
     pub fn now(&self) -> Micros {
         self.now
     }
 
-    /// Names in the peer set.
+    /// Number of gateways.
     pub fn peers(&self) -> usize {
         self.gateways.len()
     }
 
-    /// Whether a process of this gateway runs, stopped or not.
+    /// Whether a process of this gateway runs, paused or not.
     pub fn runs(&self, gateway: PeerIndex) -> bool {
-        self.gateways[gateway].engine.is_some()
+        self.gateways[gateway].protocol.is_some()
     }
 
-    /// Starts a gateway from nothing. Its wall clock says `unix`.
+    /// Starts a new process of a gateway. Its wall clock reads `unix` microseconds since 1970.
     pub fn start(&mut self, gateway: PeerIndex, unix: Micros) {
         let seed = self.rng.random();
         let options = StartOptions {
@@ -143,54 +149,54 @@
             probe_period: self.probe,
             seed,
         };
-        let engine = E::start(self.now, options, &mut self.sends);
-        let place = &mut self.gateways[gateway];
-        (place.engine, place.stopped, place.wakes) = (Some(engine), false, None);
-        place.incarnation += 1;
-        place.buffer.clear();
-        self.after(gateway);
+        let protocol = P::start(self.now, options, &mut self.sends);
+        let state = &mut self.gateways[gateway];
+        (state.protocol, state.stopped, state.wakeup_at) = (Some(protocol), false, None);
+        state.incarnation += 1;
+        state.buffer.clear();
+        self.dispatch_sends(gateway);
     }
 
-    /// A gateway says that it goes, and ends.
+    /// Shuts a gateway down gracefully.
     pub fn leave(&mut self, gateway: PeerIndex) {
         let now = self.now;
-        if let Some(engine) = &mut self.gateways[gateway].engine {
-            engine.leave(now, &mut self.sends);
+        if let Some(protocol) = &mut self.gateways[gateway].protocol {
+            protocol.leave(now, &mut self.sends);
         }
-        self.after(gateway);
+        self.dispatch_sends(gateway);
         self.kill(gateway);
     }
 
-    /// What a gateway does by itself, with what it sends.
+    /// Runs an operation on a gateway's protocol and dispatches what it sends.
     pub fn act<T>(
         &mut self,
         gateway: PeerIndex,
-        act: impl FnOnce(&mut E, Micros, &mut Vec<IndexedTransmit>) -> T,
+        act: impl FnOnce(&mut P, Micros, &mut Vec<IndexedTransmit>) -> T,
     ) -> Option<T> {
         let now = self.now;
         let done = self.gateways[gateway]
-            .engine
+            .protocol
             .as_mut()
-            .map(|engine| act(engine, now, &mut self.sends));
-        self.after(gateway);
+            .map(|protocol| act(protocol, now, &mut self.sends));
+        self.dispatch_sends(gateway);
         done
     }
 
-    /// Whether a gateway's process is stopped.
+    /// Whether a gateway's process is paused.
     pub fn is_stopped(&self, gateway: PeerIndex) -> bool {
         self.gateways[gateway].stopped
     }
 
-    /// Kills a gateway.
+    /// Kills a gateway's process.
     pub fn kill(&mut self, gateway: PeerIndex) {
-        self.gateways[gateway].engine = None;
+        self.gateways[gateway].protocol = None;
     }
 
-    /// Stops a gateway's process, or lets it go on.
+    /// Pauses a gateway's process, or resumes it.
     pub fn stop(&mut self, gateway: PeerIndex, stopped: bool) {
         self.gateways[gateway].stopped = stopped;
         if !stopped {
-            // What was due goes first, as a program's timers may: the harder order.
+            // The late timer runs before the buffered datagrams, which is the harder order for the protocols.
             self.on_timer(gateway);
             while let Some(bytes) = self.gateways[gateway].buffer.pop_front() {
                 self.deliver(gateway, bytes);
@@ -198,13 +204,13 @@
         }
     }
 
-    /// Cuts the link from one gateway to another, or makes it whole.
-    pub fn cut(&mut self, from: PeerIndex, to: PeerIndex, cut: bool) {
-        let at = from * self.gateways.len() + to;
-        self.cut[at] = cut;
+    /// Blocks the link from one gateway to another, or unblocks it.
+    pub fn cut(&mut self, from: PeerIndex, to: PeerIndex, blocked: bool) {
+        let link = from * self.gateways.len() + to;
+        self.blocked_links[link] = blocked;
     }
 
-    /// Cuts all links between gateways for which this differs, in both directions.
+    /// Partitions the network: links between gateways with different sides are blocked, all others unblocked.
     pub fn partition(&mut self, side: impl Fn(PeerIndex) -> usize) {
         for from in 0..self.gateways.len() {
             for to in 0..self.gateways.len() {
@@ -213,24 +219,26 @@
         }
     }
 
-    /// Goes on to this time.
+    /// Runs the simulation up to this time.
     pub fn run_until(&mut self, until: Micros) {
-        while let Some(Reverse((at, ..))) = self.queue.peek() {
+        while let Some(Reverse((at, ..))) = self.events.peek() {
             if *at > until {
                 break;
             }
-            let Some(Reverse((at, _, event))) = self.queue.pop() else {
+            let Some(Reverse((at, _, event))) = self.events.pop() else {
                 break;
             };
             self.now = at;
             match event {
-                Event::Arrive { to, bytes } => self.deliver(to, bytes),
-                Event::Wake {
+                Event::Arrival { to, bytes } => self.deliver(to, bytes),
+                Event::Wakeup {
                     gateway,
                     incarnation,
                 } => {
-                    let place = &self.gateways[gateway];
-                    if place.incarnation == incarnation && place.wakes == Some(at) && !place.stopped
+                    let state = &self.gateways[gateway];
+                    if state.incarnation == incarnation
+                        && state.wakeup_at == Some(at)
+                        && !state.stopped
                     {
                         self.on_timer(gateway);
                     }
@@ -240,23 +248,23 @@
         self.now = until;
     }
 
-    /// What a gateway holds of the others; `None` while it does not run.
+    /// The peer states at a gateway; `None` while it does not run.
     pub fn view(&self, gateway: PeerIndex) -> Option<Vec<PeerState>> {
-        self.gateways[gateway].engine.as_ref().map(E::view)
+        self.gateways[gateway].protocol.as_ref().map(P::view)
     }
 
-    /// The engine of a gateway that runs.
-    pub fn engine(&mut self, gateway: PeerIndex) -> Option<&mut E> {
-        self.gateways[gateway].engine.as_mut()
+    /// The protocol of a gateway that runs.
+    pub fn engine(&mut self, gateway: PeerIndex) -> Option<&mut P> {
+        self.gateways[gateway].protocol.as_mut()
     }
 
-    /// Whether each gateway that runs holds exactly those for alive that run.
+    /// Whether in each running gateway's view exactly the running gateways are alive and all others dead.
     pub fn is_settled(&self) -> bool {
-        let truth: Vec<bool> = (0..self.gateways.len())
+        let is_running: Vec<bool> = (0..self.gateways.len())
             .map(|gateway| self.runs(gateway))
             .collect();
-        let right = |view: Vec<PeerState>| {
-            view.iter().zip(&truth).all(|(state, runs)| {
+        let is_correct = |view: Vec<PeerState>| {
+            view.iter().zip(&is_running).all(|(state, runs)| {
                 *state
                     == if *runs {
                         PeerState::Alive
@@ -267,14 +275,14 @@
         };
         (0..self.gateways.len())
             .filter_map(|gateway| self.view(gateway))
-            .all(right)
+            .all(is_correct)
     }
 
-    /// Goes on in steps of 50 ms until `done`, at most until this time. Returns when that was.
+    /// Runs in steps of 50 ms until `done` is true, at most until this time. Returns the time at which it was true.
     pub fn run_until_true(
         &mut self,
         until: Micros,
-        done: impl Fn(&Sim<E>) -> bool,
+        done: impl Fn(&Sim<P>) -> bool,
     ) -> Option<Micros> {
         while self.now < until {
             if done(self) {
@@ -285,7 +293,7 @@
         done(self).then_some(self.now)
     }
 
-    /// What a gateway has sent since this was last asked.
+    /// Takes the counters of a gateway's datagrams since the last call.
     pub fn take_sent(&mut self, gateway: PeerIndex) -> Sent {
         std::mem::take(&mut self.gateways[gateway].sent)
     }
@@ -293,34 +301,34 @@
     fn deliver(&mut self, to: PeerIndex, bytes: Vec<u8>) {
         let gateway = &mut self.gateways[to];
         if gateway.stopped {
-            if gateway.buffer.len() < BUFFERED {
+            if gateway.buffer.len() < SOCKET_BUFFER_DATAGRAMS {
                 gateway.buffer.push_back(bytes);
             }
             return;
         }
-        if let Some(engine) = &mut gateway.engine {
-            engine.on_datagram(self.now, &bytes, &mut self.sends);
-            self.after(to);
+        if let Some(protocol) = &mut gateway.protocol {
+            protocol.on_datagram(self.now, &bytes, &mut self.sends);
+            self.dispatch_sends(to);
         }
     }
 
     fn on_timer(&mut self, gateway: PeerIndex) {
         let now = self.now;
-        let Some(engine) = &mut self.gateways[gateway].engine else {
+        let Some(protocol) = &mut self.gateways[gateway].protocol else {
             return;
         };
-        if engine
+        if protocol
             .next_wakeup()
             .is_some_and(|next_wakeup| next_wakeup <= now)
         {
-            engine.on_timer(now, &mut self.sends);
+            protocol.on_timer(now, &mut self.sends);
         }
-        self.gateways[gateway].wakes = None;
-        self.after(gateway);
+        self.gateways[gateway].wakeup_at = None;
+        self.dispatch_sends(gateway);
     }
 
-    /// Puts what a gateway sent on its way, and notes when it is to be woken.
-    fn after(&mut self, from: PeerIndex) {
+    /// Schedules the arrival of the datagrams that a gateway sent, and its next timer.
+    fn dispatch_sends(&mut self, from: PeerIndex) {
         let gateways = self.gateways.len();
         for IndexedTransmit { to, bytes } in std::mem::take(&mut self.sends) {
             let sent = &mut self.gateways[from].sent;
@@ -328,18 +336,18 @@
             sent.bytes += (bytes.len() + HEADER_BYTES) as u64;
             sent.largest = sent.largest.max(bytes.len());
             if to >= gateways
-                || self.cut[from * gateways + to]
+                || self.blocked_links[from * gateways + to]
                 || self.rng.random_bool(self.network.loss)
             {
                 continue;
             }
             let copies = 1 + usize::from(self.rng.random_bool(self.network.double));
             for _ in 0..copies {
-                let late = self.rng.random_range(0..=self.network.jitter);
-                let at = self.now + self.network.delay + late;
-                self.put(
+                let jitter = self.rng.random_range(0..=self.network.jitter);
+                let at = self.now + self.network.delay + jitter;
+                self.schedule(
                     at,
-                    Event::Arrive {
+                    Event::Arrival {
                         to,
                         bytes: bytes.clone(),
                     },
@@ -348,17 +356,17 @@
         }
         let gateway = &mut self.gateways[from];
         let next_wakeup = gateway
-            .engine
+            .protocol
             .as_ref()
-            .and_then(E::next_wakeup)
+            .and_then(P::next_wakeup)
             .map(|next_wakeup| next_wakeup.max(self.now));
-        if next_wakeup != gateway.wakes {
-            gateway.wakes = next_wakeup;
+        if next_wakeup != gateway.wakeup_at {
+            gateway.wakeup_at = next_wakeup;
             let incarnation = gateway.incarnation;
             if let Some(at) = next_wakeup {
-                self.put(
+                self.schedule(
                     at,
-                    Event::Wake {
+                    Event::Wakeup {
                         gateway: from,
                         incarnation,
                     },
@@ -367,13 +375,13 @@
         }
     }
 
-    fn put(&mut self, at: Micros, event: Event) {
-        self.count += 1;
-        self.queue.push(Reverse((at, self.count, event)));
+    fn schedule(&mut self, at: Micros, event: Event) {
+        self.event_count += 1;
+        self.events.push(Reverse((at, self.event_count, event)));
     }
 }
 
-/// The view in the simulation, with names that are made here.
+/// The membership alone in the simulation.
 impl Protocol for Membership {
     fn start(now: Micros, options: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Membership {
         let peers: Vec<String> = (0..options.peer_count).map(name_of).collect();
@@ -384,9 +392,9 @@
             unix_ms: options.unix_us / 1000,
             probe: options.probe_period,
         };
-        // Names that are made here are good ones.
+        // Generated names are valid.
         Membership::new(now, settings, options.seed, sends)
-            .unwrap_or_else(|problem| unreachable!("{problem}"))
+            .unwrap_or_else(|error| unreachable!("{error}"))
     }
     fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<IndexedTransmit>) {
         Membership::on_datagram(self, now, bytes, sends);
@@ -405,20 +413,20 @@
     }
 }
 
-/// A view with an leadership on it, whose lease is so many milliseconds, in the simulation; and on that a shard map, whose
-/// first one has so many ranges, if any; and on that the sessions, if wanted.
+/// All layers in the simulation: membership, leader election with a lease of `LEASE_MS`, a shard map with `RANGES` initial
+/// ranges unless that is 0, and session classification if `SESSIONS` is set.
 pub struct SimulatedNode<const LEASE_MS: u64, const RANGES: usize = 0, const SESSIONS: bool = false>
 {
-    /// The part.
+    /// The node.
     pub stack: ClusterNode,
-    /// All names that there may be, as ids by place.
-    all: Vec<PeerId>,
-    packets: Vec<Transmit>,
-    /// What leadership sent, with the headers of IP and UDP.
+    /// Ids of all gateways of the simulation, by index.
+    all_ids: Vec<PeerId>,
+    transmits: Vec<Transmit>,
+    /// Datagrams of the leader election.
     pub sent: Sent,
-    /// What went for the shard map, with the headers of IP and UDP.
+    /// Datagrams of the shard map.
     pub kept: Sent,
-    /// What went for the sessions, with the headers of IP and UDP.
+    /// Datagrams of the session classification.
     pub told: Sent,
 }
 
@@ -439,7 +447,7 @@
         }
     }
 
-    /// operators propose a map at this gateway.
+    /// Proposes a shard map at this gateway, as operators do.
     pub fn propose(
         &mut self,
         now: Micros,
@@ -450,51 +458,51 @@
         if let Some(shard_map) = self.stack.shard_map_mut() {
             shard_map.propose(now, expect, ranges);
         }
-        self.stack.on_timer(now, &mut self.packets);
-        self.hand_on(sends);
+        self.stack.on_timer(now, &mut self.transmits);
+        self.route_transmits(sends);
     }
 
-    /// Takes another peer set over.
+    /// Replaces the peer set by the gateways with these indexes.
     pub fn set_peers(
         &mut self,
         now: Micros,
-        places: impl Iterator<Item = PeerIndex>,
+        indexes: impl Iterator<Item = PeerIndex>,
         sends: &mut Vec<IndexedTransmit>,
     ) {
-        let taken = self
+        let result = self
             .stack
-            .set_peers(now, places.map(name_of).collect(), &mut self.packets);
-        taken.unwrap_or_else(|problem| unreachable!("{problem}"));
-        self.hand_on(sends);
+            .set_peers(now, indexes.map(name_of).collect(), &mut self.transmits);
+        result.unwrap_or_else(|error| unreachable!("{error}"));
+        self.route_transmits(sends);
     }
 
-    /// Begins once more, from nothing, with these names alone.
+    /// Restarts without state, with the gateways of these indexes as peer set.
     pub fn begin(
         &mut self,
         now: Micros,
         options: StartOptions,
-        places: impl Iterator<Item = PeerIndex>,
+        indexes: impl Iterator<Item = PeerIndex>,
         sends: &mut Vec<IndexedTransmit>,
     ) {
         let view = MembershipSettings {
-            peers: places.map(name_of).collect(),
+            peers: indexes.map(name_of).collect(),
             name: name_of(options.own_index),
             unix_ms: options.unix_us / 1000,
             probe: options.probe_period,
         };
-        let stack = ClusterNode::new(now, Self::settings(view), options.seed, &mut self.packets);
-        self.stack = stack.unwrap_or_else(|problem| unreachable!("{problem}"));
-        self.hand_on(sends);
+        let stack = ClusterNode::new(now, Self::settings(view), options.seed, &mut self.transmits);
+        self.stack = stack.unwrap_or_else(|error| unreachable!("{error}"));
+        self.route_transmits(sends);
     }
 
-    /// Another process takes its name over.
+    /// Hands the name over to another process.
     pub fn hand_over(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
-        self.stack.hand_over(now, &mut self.packets);
-        self.hand_on(sends);
+        self.stack.hand_over(now, &mut self.transmits);
+        self.route_transmits(sends);
     }
 
-    fn hand_on(&mut self, sends: &mut Vec<IndexedTransmit>) {
-        for Transmit { to, bytes } in self.packets.drain(..) {
+    fn route_transmits(&mut self, sends: &mut Vec<IndexedTransmit>) {
+        for Transmit { to, bytes } in self.transmits.drain(..) {
             let sent = match bytes.first() {
                 Some(&crate::leadership::wire::VERSION) => Some(&mut self.sent),
                 Some(&crate::shards::wire::VERSION) => Some(&mut self.kept),
@@ -506,14 +514,14 @@
                 sent.bytes += bytes.len() as u64 + HEADER_BYTES as u64;
                 sent.largest = sent.largest.max(bytes.len());
             }
-            let place = self.all.iter().position(|id| *id == to);
-            sends.extend(place.map(|to| IndexedTransmit { to, bytes }));
+            let index = self.all_ids.iter().position(|id| *id == to);
+            sends.extend(index.map(|to| IndexedTransmit { to, bytes }));
         }
     }
 }
 
-fn name_of(place: PeerIndex) -> String {
-    format!("n{place:03}")
+fn name_of(index: PeerIndex) -> String {
+    format!("n{index:03}")
 }
 
 impl<const LEASE_MS: u64, const RANGES: usize, const SESSIONS: bool> Protocol
@@ -521,7 +529,7 @@
 {
     fn start(now: Micros, options: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Self {
         let peers: Vec<String> = (0..options.peer_count).map(name_of).collect();
-        let all = peers.iter().map(|name| peer_id_of(name)).collect();
+        let all_ids = peers.iter().map(|name| peer_id_of(name)).collect();
         let name = name_of(options.own_index);
         let view = MembershipSettings {
             peers,
@@ -529,38 +537,38 @@
             unix_ms: options.unix_us / 1000,
             probe: options.probe_period,
         };
-        let mut packets = Vec::new();
-        let stack = ClusterNode::new(now, Self::settings(view), options.seed, &mut packets);
-        let stack = stack.unwrap_or_else(|problem| unreachable!("{problem}"));
+        let mut transmits = Vec::new();
+        let stack = ClusterNode::new(now, Self::settings(view), options.seed, &mut transmits);
+        let stack = stack.unwrap_or_else(|error| unreachable!("{error}"));
         let (sent, kept, told) = Default::default();
-        let mut owned = SimulatedNode {
+        let mut node = SimulatedNode {
             stack,
-            all,
-            packets,
+            all_ids,
+            transmits,
             sent,
             kept,
             told,
         };
-        owned.hand_on(sends);
-        owned
+        node.route_transmits(sends);
+        node
     }
     fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<IndexedTransmit>) {
-        self.stack.on_datagram(now, bytes, &mut self.packets);
-        self.hand_on(sends);
+        self.stack.on_datagram(now, bytes, &mut self.transmits);
+        self.route_transmits(sends);
     }
     fn next_wakeup(&self) -> Option<Micros> {
         Some(self.stack.next_wakeup())
     }
     fn on_timer(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
-        self.stack.on_timer(now, &mut self.packets);
-        self.hand_on(sends);
+        self.stack.on_timer(now, &mut self.transmits);
+        self.route_transmits(sends);
     }
     fn view(&self) -> Vec<PeerState> {
         self.stack.view().states()
     }
     fn leave(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
-        self.stack.leave(now, &mut self.packets);
-        self.hand_on(sends);
+        self.stack.leave(now, &mut self.transmits);
+        self.route_transmits(sends);
     }
 }
 
--- a/gateway-cluster/src/sim/tests.rs
+++ b/gateway-cluster/src/sim/tests.rs
@@ -1,22 +1,22 @@
 use super::*;
 
-/// Tells everybody twice a second that it lives, and counts whom it hears.
-struct Shout {
+/// Sends a heartbeat to all others every probe period and counts the received ones by sender.
+struct HeartbeatCounter {
     options: StartOptions,
     next: Micros,
-    heard: Vec<u64>,
+    received: Vec<u64>,
 }
 
-impl Protocol for Shout {
-    fn start(now: Micros, options: StartOptions, _: &mut Vec<IndexedTransmit>) -> Shout {
-        Shout {
+impl Protocol for HeartbeatCounter {
+    fn start(now: Micros, options: StartOptions, _: &mut Vec<IndexedTransmit>) -> HeartbeatCounter {
+        HeartbeatCounter {
             options,
             next: now,
-            heard: vec![0; options.peer_count],
+            received: vec![0; options.peer_count],
         }
     }
     fn on_datagram(&mut self, _: Micros, bytes: &[u8], _: &mut Vec<IndexedTransmit>) {
-        self.heard[usize::from(bytes[0])] += 1;
+        self.received[usize::from(bytes[0])] += 1;
     }
     fn next_wakeup(&self) -> Option<Micros> {
         Some(self.next)
@@ -30,10 +30,10 @@
         }));
     }
     fn view(&self) -> Vec<PeerState> {
-        self.heard
+        self.received
             .iter()
-            .map(|heard| {
-                if *heard > 0 {
+            .map(|received| {
+                if *received > 0 {
                     PeerState::Alive
                 } else {
                     PeerState::Dead
@@ -43,21 +43,21 @@
     }
 }
 
-fn cluster(seed: u64) -> Sim<Shout> {
+fn cluster(seed: u64) -> Sim<HeartbeatCounter> {
     let mut sim = Sim::new(4, 500_000, seed);
     (0..4).for_each(|gateway| sim.start(gateway, 0));
     sim
 }
 
-fn heard(sim: &Sim<Shout>, by: PeerIndex, of: PeerIndex) -> u64 {
-    sim.gateways[by]
-        .engine
+fn received(sim: &Sim<HeartbeatCounter>, at: PeerIndex, from: PeerIndex) -> u64 {
+    sim.gateways[at]
+        .protocol
         .as_ref()
-        .map_or(0, |engine| engine.heard[of])
+        .map_or(0, |protocol| protocol.received[from])
 }
 
 #[test]
-fn a_seed_gives_the_same_run_again_and_another_gives_another() {
+fn a_seed_reproduces_a_run_and_another_seed_does_not() {
     let run = |seed| {
         let mut sim = cluster(seed);
         sim.network = NetworkConditions {
@@ -68,7 +68,7 @@
         };
         sim.run_until(60_000_000);
         (0..16)
-            .map(|n| heard(&sim, n / 4, n % 4))
+            .map(|n| received(&sim, n / 4, n % 4))
             .collect::<Vec<u64>>()
     };
     assert_eq!(run(1), run(1));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn datagrams_are_lost_and_doubled_as_often_as_told() {
+fn datagrams_are_lost_and_duplicated_with_the_configured_probabilities() {
     let mut sim = cluster(1);
     sim.network = NetworkConditions {
         loss: 0.25,
@@ -84,10 +84,10 @@
         ..NetworkConditions::default()
     };
     sim.run_until(1_000_000_000);
-    let came = heard(&sim, 0, 1) as f64 / 2000.0;
+    let arrived = received(&sim, 0, 1) as f64 / 2000.0;
     assert!(
-        (came - 0.75 * 1.5).abs() < 0.1,
-        "{came} for each that was sent"
+        (arrived - 0.75 * 1.5).abs() < 0.1,
+        "{arrived} arrivals per datagram"
     );
     assert_eq!(
         sim.take_sent(0),
@@ -100,32 +100,36 @@
 }
 
 #[test]
-fn a_cut_is_one_way_and_what_is_killed_or_stopped_is_silent() {
+fn a_blocked_link_is_one_way_and_killed_or_paused_gateways_send_nothing() {
     let mut sim = cluster(1);
     sim.cut(0, 1, true);
     sim.kill(2);
     sim.stop(3, true);
     sim.run_until(10_000_000);
     assert_eq!(
-        (heard(&sim, 1, 0), heard(&sim, 0, 2), heard(&sim, 0, 3)),
+        (
+            received(&sim, 1, 0),
+            received(&sim, 0, 2),
+            received(&sim, 0, 3)
+        ),
         (0, 0, 0)
     );
-    assert!(heard(&sim, 0, 1) > 15);
-    assert_eq!(heard(&sim, 3, 0), 0);
+    assert!(received(&sim, 0, 1) > 15);
+    assert_eq!(received(&sim, 3, 0), 0);
     sim.stop(3, false);
     assert!(
-        heard(&sim, 3, 0) > 15,
-        "its socket held what came meanwhile"
+        received(&sim, 3, 0) > 15,
+        "the socket buffered the datagrams"
     );
-    let before = heard(&sim, 0, 3);
+    let before = received(&sim, 0, 3);
     sim.run_until(11_000_000);
     assert!(
-        (1..=4).contains(&(heard(&sim, 0, 3) - before)),
-        "its timers do not make up for what they missed"
+        (1..=4).contains(&(received(&sim, 0, 3) - before)),
+        "missed timers are not repeated"
     );
     sim.start(2, 0);
     sim.partition(|gateway| gateway % 2);
-    let before = [heard(&sim, 0, 1), heard(&sim, 0, 2)];
+    let before = [received(&sim, 0, 1), received(&sim, 0, 2)];
     sim.run_until(20_000_000);
-    assert!(heard(&sim, 0, 1) <= before[0] + 1 && heard(&sim, 0, 2) > before[1] + 10);
+    assert!(received(&sim, 0, 1) <= before[0] + 1 && received(&sim, 0, 2) > before[1] + 10);
 }
