--- a/gateway-cluster/tests/compatibility.rs
+++ b/gateway-cluster/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Datagrams between front doors have the bytes that earlier builds sent.
+//! Datagrams between gateways have the bytes that earlier builds sent.
 
 use alderhollow_recorded_bytes::RecordedBytes;
 use gateway_cluster::leadership::configuration::{ConfigurationMismatch, ConfigurationReport};
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn datagrams_of_the_view_encode_and_decode_as_recorded() {
+fn datagrams_of_the_membership_encode_and_decode_as_recorded() {
     let mut recorded = fixture("view");
     let kinds = [
         ("ping", MessageKind::Ping(300)),
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn datagrams_of_the_office_encode_and_decode_as_recorded() {
+fn datagrams_of_the_election_encode_and_decode_as_recorded() {
     let mut recorded = fixture("ownership");
     let holder = LeaseHolder {
         name: 5,
--- a/gateway-cluster/tests/leadership.rs
+++ b/gateway-cluster/tests/leadership.rs
@@ -1,4 +1,4 @@
-//! The leadership in the simulation: never two leaders at one instant, whatever happens, and one again in time. Each failure
+//! Simulations of the leader election: never two leaders at the same time, and a new leader within the bound. Each failure
 //! names its seed.
 
 mod steps;
@@ -15,23 +15,23 @@
 const SEEDS: std::ops::Range<u64> = 0..6;
 const UNIX: Micros = 1_700_000_000 * SECOND;
 
-/// A cluster with what was seen of it at each step.
-struct Fleet {
+/// A cluster with the leaders that were observed at each step.
+struct Cluster {
     sim: Sim<SimulatedNode<2000>>,
     seed: u64,
-    /// Which gateway had a epoch; epochs grow in the order in which they are first seen.
-    terms: BTreeMap<u64, PeerIndex>,
-    highest: u64,
+    /// The leader of each epoch. Epochs grow in the order in which they are first observed.
+    leader_by_epoch: BTreeMap<u64, PeerIndex>,
+    highest_epoch: u64,
 }
 
-impl Watched for Fleet {
+impl Watched for Cluster {
     type Door = SimulatedNode<2000>;
 
     fn sim(&mut self) -> &mut Sim<SimulatedNode<2000>> {
         &mut self.sim
     }
 
-    /// Looks at all invariants.
+    /// Checks all invariants.
     fn look(&mut self) {
         let (now, seed) = (self.sim.now(), self.seed);
         let leaders = self.leaders();
@@ -41,59 +41,62 @@
             now / 1000
         );
         for (gateway, epoch) in &leaders {
-            let first = *self.terms.entry(*epoch).or_insert(*gateway);
-            assert_eq!(first, *gateway, "seed {seed}: term {epoch} was another's");
+            let first = *self.leader_by_epoch.entry(*epoch).or_insert(*gateway);
+            assert_eq!(
+                first, *gateway,
+                "seed {seed}: epoch {epoch} had another leader"
+            );
             assert!(
-                *epoch >= self.highest,
-                "seed {seed}: term {epoch} after {}",
-                self.highest
+                *epoch >= self.highest_epoch,
+                "seed {seed}: epoch {epoch} after {}",
+                self.highest_epoch
             );
-            self.highest = *epoch;
+            self.highest_epoch = *epoch;
         }
         for gateway in 0..self.sim.peers() {
-            let Some(told) = self.status(gateway) else {
+            let Some(status) = self.status(gateway) else {
                 continue;
             };
             let leader = leaders.first();
             assert_eq!(
-                told.mine,
+                status.mine,
                 leader.is_some_and(|(leader, _)| *leader == gateway),
                 "seed {seed}, d{gateway}"
             );
             assert_eq!(
-                told.left == 0,
-                told.leader.is_none(),
-                "seed {seed}, d{gateway}: {told:?}"
+                status.left == 0,
+                status.leader.is_none(),
+                "seed {seed}, d{gateway}: {status:?}"
             );
             let Some((leader, epoch)) = leader else {
                 continue;
             };
-            // One that gave its leadership up, or is gone, may yet be taken for the leader, until its lease is over.
-            let named = told
+            // A leader that stepped down or was killed may be known as leader until its lease expires.
+            let named = status
                 .leader
                 .is_some_and(|named| named != peer_id_of(&format!("n{leader:03}")));
             assert!(
-                !named || told.epoch < *epoch,
-                "seed {seed} at {now}, d{gateway}: {told:?}, {leaders:?}"
+                !named || status.epoch < *epoch,
+                "seed {seed} at {now}, d{gateway}: {status:?}, {leaders:?}"
             );
         }
     }
 }
 
-impl Fleet {
-    fn new(gateways: usize, seed: u64, weather: NetworkConditions) -> Fleet {
+impl Cluster {
+    fn new(gateways: usize, seed: u64, network: NetworkConditions) -> Cluster {
         let mut sim = Sim::new(gateways, 500_000, seed);
-        sim.network = weather;
+        sim.network = network;
         (0..gateways).for_each(|gateway| sim.start(gateway, UNIX));
-        Fleet {
+        Cluster {
             sim,
             seed,
-            terms: BTreeMap::new(),
-            highest: 0,
+            leader_by_epoch: BTreeMap::new(),
+            highest_epoch: 0,
         }
     }
 
-    /// Each gateway that owns at this instant. One that is stopped would find so if it went on now.
+    /// All leaders at this time with their epochs, including paused gateways, as they would find when resumed.
     fn leaders(&mut self) -> Vec<(PeerIndex, u64)> {
         let now = self.sim.now();
         let mut leaders = Vec::new();
@@ -101,7 +104,7 @@
             let epoch = self
                 .sim
                 .engine(gateway)
-                .and_then(|owned| owned.stack.election()?.epoch(now));
+                .and_then(|node| node.stack.election()?.epoch(now));
             leaders.extend(epoch.map(|epoch| (gateway, epoch)));
         }
         leaders
@@ -112,34 +115,35 @@
         Some(self.sim.engine(gateway)?.stack.election()?.status(now))
     }
 
-    /// The leader, once there is one that all running gateways know.
-    fn settled(&mut self, time: Micros, what: &str) -> PeerIndex {
-        let known = |watched: &mut Fleet| watched.leader_known().is_some();
+    /// Waits until all running gateways know the leader, and returns it.
+    fn wait_for_known_leader(&mut self, time: Micros, what: &str) -> PeerIndex {
+        let known = |watched: &mut Cluster| watched.leader_known_to_all().is_some();
         let took = self.until(time, known);
         let leaders = self.leaders();
         assert!(
             took.is_some(),
-            "seed {}: {what}: it is not known to all who owns: {leaders:?}",
+            "seed {}: {what}: not all gateways know the leader: {leaders:?}",
             self.seed
         );
-        self.leader_known().expect("it is known")
+        self.leader_known_to_all().expect("the leader is known")
     }
 
-    fn leader_known(&mut self) -> Option<PeerIndex> {
+    fn leader_known_to_all(&mut self) -> Option<PeerIndex> {
         let leader = self.leaders().first()?.0;
         let running: Vec<PeerIndex> = (0..self.sim.peers())
             .filter(|gateway| self.sim.runs(*gateway))
             .collect();
-        let knows = |told: Option<ElectionStatus>| told.is_some_and(|told| told.leader.is_some());
+        let knows =
+            |status: Option<ElectionStatus>| status.is_some_and(|status| status.leader.is_some());
         running
             .into_iter()
             .all(|gateway| self.sim.is_stopped(gateway) || knows(self.status(gateway)))
             .then_some(leader)
     }
 
-    /// How long until another gateway owns.
-    fn next_leader(&mut self, after: PeerIndex, most: Micros, what: &str) -> Micros {
-        let took = self.until(most, |watched| {
+    /// The time until another gateway is the leader.
+    fn next_leader(&mut self, after: PeerIndex, timeout: Micros, what: &str) -> Micros {
+        let took = self.until(timeout, |watched| {
             watched
                 .leaders()
                 .first()
@@ -147,7 +151,7 @@
         });
         took.unwrap_or_else(|| {
             panic!(
-                "seed {}: {what}: nobody else owns after {most} us",
+                "seed {}: {what}: no other leader after {timeout} us",
                 self.seed
             )
         })
@@ -164,122 +168,122 @@
 }
 
 #[test]
-fn a_cluster_that_starts_has_one_leader_once_the_quiet_time_is_over_and_it_stays() {
-    for (gateways, weather) in [
+fn a_started_cluster_has_one_stable_leader_after_the_quiet_period() {
+    for (gateways, network) in [
         (3, NetworkConditions::default()),
         (7, lossy()),
         (24, NetworkConditions::default()),
         (24, lossy()),
     ] {
         for seed in SEEDS {
-            let mut cluster = Fleet::new(gateways, seed, weather);
+            let mut cluster = Cluster::new(gateways, seed, network);
             cluster.run(LEASE);
-            assert_eq!(cluster.leaders(), [], "seed {seed}: it is quiet");
-            let leader = cluster.settled(LEASE + 2 * SECOND, "the start");
+            assert_eq!(cluster.leaders(), [], "seed {seed}: quiet period");
+            let leader = cluster.wait_for_known_leader(LEASE + 2 * SECOND, "the start");
             cluster.run(20 * SECOND);
             let leaders = cluster.leaders();
             assert_eq!(
                 leaders.first().map(|(gateway, _)| *gateway),
                 Some(leader),
-                "{gateways} doors, seed {seed}: unseated"
+                "{gateways} gateways, seed {seed}: replaced"
             );
             assert_eq!(
-                cluster.terms.len(),
+                cluster.leader_by_epoch.len(),
                 1,
-                "{gateways} doors, seed {seed}: {:?}",
-                cluster.terms
+                "{gateways} gateways, seed {seed}: {:?}",
+                cluster.leader_by_epoch
             );
         }
     }
 }
 
 #[test]
-fn after_the_leader_is_killed_another_owns_in_time() {
-    for (gateways, weather, slack) in [
+fn a_killed_leader_is_replaced_within_the_bound() {
+    for (gateways, network, slack) in [
         (3, NetworkConditions::default(), 1500),
         (24, NetworkConditions::default(), 1500),
         (24, lossy(), 3000),
         (7, lossy(), 3000),
     ] {
         for seed in SEEDS {
-            let mut cluster = Fleet::new(gateways, seed, weather);
-            let leader = cluster.settled(3 * LEASE, "the start");
+            let mut cluster = Cluster::new(gateways, seed, network);
+            let leader = cluster.wait_for_known_leader(3 * LEASE, "the start");
             cluster.run(3 * SECOND);
             cluster.sim.kill(leader);
             cluster.next_leader(
                 leader,
                 LEASE + slack * 1000,
-                &format!("{gateways} doors, killed"),
+                &format!("{gateways} gateways, killed"),
             );
-            // One that comes back unseats nobody.
+            // A restarted gateway does not replace the leader.
             cluster.sim.start(leader, UNIX + 60 * SECOND);
-            let next = cluster.settled(LEASE, "the next");
-            let terms = cluster.terms.len();
+            let next = cluster.wait_for_known_leader(LEASE, "the next");
+            let leader_by_epoch = cluster.leader_by_epoch.len();
             cluster.run(10 * SECOND);
             assert_eq!(
-                (cluster.terms.len(), cluster.leader_known()),
-                (terms, Some(next)),
-                "{gateways} doors, seed {seed}"
+                (cluster.leader_by_epoch.len(), cluster.leader_known_to_all()),
+                (leader_by_epoch, Some(next)),
+                "{gateways} gateways, seed {seed}"
             );
         }
     }
 }
 
 #[test]
-fn a_planned_end_hands_the_election_on_within_a_second() {
-    for (gateways, weather) in [
+fn a_leader_that_leaves_gracefully_is_replaced_within_a_second() {
+    for (gateways, network) in [
         (3, NetworkConditions::default()),
         (7, lossy()),
         (24, NetworkConditions::default()),
         (24, lossy()),
     ] {
         for seed in SEEDS {
-            let mut cluster = Fleet::new(gateways, seed, weather);
-            let leader = cluster.settled(3 * LEASE, "the start");
+            let mut cluster = Cluster::new(gateways, seed, network);
+            let leader = cluster.wait_for_known_leader(3 * LEASE, "the start");
             cluster.run(2 * SECOND);
             cluster.sim.leave(leader);
             cluster.next_leader(
                 leader,
                 SECOND,
-                &format!("{gateways} doors, {weather:?}, left"),
+                &format!("{gateways} gateways, {network:?}, left"),
             );
         }
     }
 }
 
 #[test]
-fn after_all_are_killed_nobody_owns_for_a_lease_and_then_one_also_with_the_clock_set_back() {
+fn after_a_restart_of_all_gateways_there_is_no_leader_for_a_lease_and_then_one() {
     for (gateways, back) in [(3, 0), (24, 0), (24, 3600 * SECOND)] {
         for seed in SEEDS {
-            let mut cluster = Fleet::new(gateways, seed, NetworkConditions::default());
-            cluster.settled(3 * LEASE, "the start");
+            let mut cluster = Cluster::new(gateways, seed, NetworkConditions::default());
+            cluster.wait_for_known_leader(3 * LEASE, "the start");
             cluster.run(2 * SECOND);
             (0..gateways).for_each(|gateway| cluster.sim.kill(gateway));
-            // Terms begin at the wall clock: where that is set back for all, nobody who lives knows a higher one.
-            cluster.highest = if back > 0 { 0 } else { cluster.highest };
+            // Epochs start at the wall clock: if it is set back for all, no running gateway knows a higher one.
+            cluster.highest_epoch = if back > 0 { 0 } else { cluster.highest_epoch };
             (0..gateways)
                 .for_each(|gateway| cluster.sim.start(gateway, UNIX + 100 * SECOND - back));
             cluster.run(LEASE);
             assert_eq!(
                 cluster.leaders(),
                 [],
-                "seed {seed}: what was granted before may hold yet"
+                "seed {seed}: votes from before may still be valid"
             );
-            cluster.settled(LEASE + 2 * SECOND, "all were killed");
+            cluster.wait_for_known_leader(LEASE + 2 * SECOND, "all were killed");
         }
     }
 }
 
 #[test]
-fn gateways_that_all_have_just_begun_wait_for_one_that_none_has_heard_and_then_own_without_it() {
+fn a_bootstrapping_cluster_waits_for_an_unheard_peer_for_a_limited_time() {
     for seed in SEEDS {
-        let mut cluster = Fleet::new(5, seed, NetworkConditions::default());
+        let mut cluster = Cluster::new(5, seed, NetworkConditions::default());
         cluster.sim.kill(4);
-        // It may be of a cluster in service, to which this peer set was not told yet.
+        // The unheard peer may belong to a cluster in service that is not configured with this peer set yet.
         cluster.run(20 * LEASE);
         assert_eq!(cluster.leaders(), [], "seed {seed}");
-        cluster.settled(2 * LEASE, "it is not waited for any longer");
-        // Where the peer set is in use nobody is waited for.
+        cluster.wait_for_known_leader(2 * LEASE, "the wait has ended");
+        // With a peer set in use there is no wait.
         let leader = cluster.leaders()[0].0;
         cluster.sim.kill(leader);
         cluster.sim.start(4, UNIX + 100 * SECOND);
@@ -288,17 +292,17 @@
 }
 
 #[test]
-fn an_leader_that_was_stopped_acts_not_once_and_what_it_had_under_way_is_refused() {
+fn a_resumed_leader_does_not_act_and_its_delayed_acts_are_rejected() {
     for seed in SEEDS {
         for stop in [10, 60] {
-            let mut cluster = Fleet::new(7, seed, lossy());
-            let leader = cluster.settled(3 * LEASE, "the start");
+            let mut cluster = Cluster::new(7, seed, lossy());
+            let leader = cluster.wait_for_known_leader(3 * LEASE, "the start");
             cluster.run(2 * SECOND);
             let now = cluster.sim.now();
             let to: Vec<PeerIndex> = (0..7).filter(|gateway| *gateway != leader).collect();
             let name = |gateway: PeerIndex| peer_id_of(&format!("n{gateway:03}"));
-            // It has checked its lease, and stands still before it sends.
-            let stamps: Vec<(PeerIndex, LeaseProof)> = to
+            // The leader has checked its lease and stalls before it sends.
+            let proofs: Vec<(PeerIndex, LeaseProof)> = to
                 .iter()
                 .filter_map(|to| {
                     Some((
@@ -313,50 +317,50 @@
                 })
                 .collect();
             assert_eq!(
-                stamps.len(),
+                proofs.len(),
                 6,
-                "seed {seed}: it owns, and has heard from all"
+                "seed {seed}: it is the leader and has heard from all"
             );
-            for (to, stamp) in &stamps {
+            for (to, proof) in &proofs {
                 let admitted = cluster.sim.act(*to, |gateway, now, _| {
                     gateway
                         .stack
                         .election_mut()
-                        .expect("it has one")
-                        .admit(now, name(leader), *stamp)
+                        .expect("the election is enabled")
+                        .admit(now, name(leader), *proof)
                         .is_ok()
                 });
                 assert_eq!(
                     admitted,
                     Some(true),
-                    "seed {seed}: in time it is carried out"
+                    "seed {seed}: an act in time is admitted"
                 );
             }
             cluster.sim.stop(leader, true);
-            // Before any other owns the lease is over at each receiver, so the act comes too late by itself.
-            let over = cluster.until(2 * LEASE, |cluster| cluster.leaders().is_empty());
-            assert!(over.is_some(), "seed {seed}");
-            let refused = |cluster: &mut Fleet, what: &str| {
-                for (to, stamp) in &stamps {
+            // The lease expires at each receiver before there is another leader, so the act is late.
+            let expired = cluster.until(2 * LEASE, |cluster| cluster.leaders().is_empty());
+            assert!(expired.is_some(), "seed {seed}");
+            let assert_rejected = |cluster: &mut Cluster, what: &str| {
+                for (to, proof) in &proofs {
                     let admitted = cluster.sim.act(*to, |gateway, now, _| {
                         gateway
                             .stack
                             .election_mut()
-                            .expect("it has one")
-                            .admit(now, name(leader), *stamp)
+                            .expect("the election is enabled")
+                            .admit(now, name(leader), *proof)
                             .is_ok()
                     });
                     assert_eq!(admitted, Some(false), "seed {seed}, d{to}: {what}");
                 }
             };
-            refused(&mut cluster, "the lease is over");
+            assert_rejected(&mut cluster, "the lease has expired");
             cluster.run(stop * SECOND);
-            refused(&mut cluster, "another owns");
+            assert_rejected(&mut cluster, "there is another leader");
             cluster.sim.stop(leader, false);
-            let told = cluster.status(leader).expect("it runs");
+            let status = cluster.status(leader).expect("it runs");
             assert!(
-                !told.mine && told.left == 0 || told.leader.is_some(),
-                "seed {seed}: {told:?}"
+                !status.mine && status.left == 0 || status.leader.is_some(),
+                "seed {seed}: {status:?}"
             );
             cluster.look();
             cluster.run(5 * SECOND);
@@ -365,10 +369,10 @@
 }
 
 #[test]
-fn cut_off_with_a_minority_one_owns_no_more_and_the_majority_has_another() {
+fn a_leader_in_a_minority_partition_is_replaced_by_the_majority() {
     for seed in SEEDS {
-        let mut cluster = Fleet::new(7, seed, lossy());
-        let leader = cluster.settled(3 * LEASE, "the start");
+        let mut cluster = Cluster::new(7, seed, lossy());
+        let leader = cluster.wait_for_known_leader(3 * LEASE, "the start");
         cluster.run(2 * SECOND);
         let side = |gateway: PeerIndex| usize::from((gateway + 7 - leader) % 7 < 3);
         cluster.sim.partition(side);
@@ -377,36 +381,36 @@
         let next = cluster.leaders()[0].0;
         assert_eq!(side(next), 0, "seed {seed}: in the majority");
         cluster.sim.partition(|_| 0);
-        let terms = cluster.terms.len();
-        cluster.settled(3 * SECOND, "healed");
+        let leader_by_epoch = cluster.leader_by_epoch.len();
+        cluster.wait_for_known_leader(3 * SECOND, "healed");
         cluster.run(5 * SECOND);
         assert_eq!(
-            cluster.terms.len(),
-            terms,
-            "seed {seed}: it was not unseated"
+            cluster.leader_by_epoch.len(),
+            leader_by_epoch,
+            "seed {seed}: the leader was not replaced"
         );
     }
 }
 
 #[test]
-fn one_way_cuts_and_a_bridge_leave_one_leader_at_the_most_and_one_in_the_end() {
+fn asymmetric_partitions_allow_at_most_one_leader_and_end_with_one() {
     for seed in SEEDS {
         for shape in 0..4 {
-            let mut cluster = Fleet::new(7, seed, NetworkConditions::default());
-            let leader = cluster.settled(3 * LEASE, "the start");
+            let mut cluster = Cluster::new(7, seed, NetworkConditions::default());
+            let leader = cluster.wait_for_known_leader(3 * LEASE, "the start");
             let others: Vec<PeerIndex> = (0..7).filter(|gateway| *gateway != leader).collect();
             for gateway in &others {
                 match shape {
-                    // It hears nobody; nobody hears it.
+                    // The leader receives nothing, or nobody receives its datagrams.
                     0 => cluster.sim.cut(*gateway, leader, true),
                     1 => cluster.sim.cut(leader, *gateway, true),
-                    // Half of the others do not hear it: it can renew all the same.
+                    // Half of the others do not receive its datagrams: it can still renew.
                     2 if *gateway % 2 == 0 => cluster.sim.cut(leader, *gateway, true),
                     _ => {}
                 }
             }
             if shape == 3 {
-                // Two halves that only one other gateway joins.
+                // Two halves that only one other gateway connects.
                 let bridge = others[0];
                 for (a, b) in (0..7).flat_map(|a| (0..7).map(move |b| (a, b))) {
                     cluster
@@ -418,55 +422,58 @@
                 cluster.next_leader(leader, LEASE + 3 * SECOND, &format!("shape {shape}"));
             }
             cluster.run(20 * SECOND);
-            // Whoever can reach a majority owns, and who reaches any that knows it asks, and knows it nearly always.
-            let (mut looks, mut known) = (0, 0);
+            // A gateway that reaches a majority is the leader; gateways that reach any other one learn of it by queries.
+            let (mut samples, mut known) = (0, 0);
             for _ in 0..100 {
                 cluster.run(50_000);
-                let told: Vec<ElectionStatus> = others
+                let status: Vec<ElectionStatus> = others
                     .iter()
                     .filter_map(|gateway| cluster.status(*gateway))
                     .collect();
-                looks += told.len();
-                known += told.iter().filter(|told| told.leader.is_some()).count();
+                samples += status.len();
+                known += status
+                    .iter()
+                    .filter(|status| status.leader.is_some())
+                    .count();
             }
             assert!(
-                2 * known >= looks,
-                "seed {seed}, shape {shape}: {known} of {looks}"
+                2 * known >= samples,
+                "seed {seed}, shape {shape}: {known} of {samples}"
             );
             cluster.sim.partition(|_| 0);
-            cluster.settled(LEASE + 5 * SECOND, "whole");
+            cluster.wait_for_known_leader(LEASE + 5 * SECOND, "healed");
         }
     }
 }
 
 #[test]
-fn datagrams_late_by_a_lease_and_doubled_make_no_second_leader() {
+fn delayed_and_duplicated_datagrams_make_no_second_leader() {
     for seed in SEEDS {
-        let weather = NetworkConditions {
+        let network = NetworkConditions {
             jitter: 2 * LEASE,
             double: 0.5,
             ..NetworkConditions::default()
         };
-        let mut cluster = Fleet::new(5, seed, NetworkConditions::default());
-        cluster.settled(3 * LEASE, "the start");
+        let mut cluster = Cluster::new(5, seed, NetworkConditions::default());
+        cluster.wait_for_known_leader(3 * LEASE, "the start");
         for round in 0..4 {
-            cluster.sim.network = weather;
+            cluster.sim.network = network;
             cluster.run(6 * SECOND);
             let gateway = (seed as usize + round) % 5;
             cluster.sim.kill(gateway);
             cluster.sim.start(gateway, UNIX + 100 * SECOND);
             cluster.run(6 * SECOND);
             cluster.sim.network = NetworkConditions::default();
-            cluster.settled(3 * LEASE + 2 * SECOND, "links are good again");
+            cluster.wait_for_known_leader(3 * LEASE + 2 * SECOND, "the network has recovered");
         }
     }
 }
 
 #[test]
-fn a_rolling_restart_faster_than_the_quiet_time_ends_with_one_leader() {
+fn a_rolling_restart_faster_than_the_quiet_period_ends_with_one_leader() {
     for seed in SEEDS {
-        let mut cluster = Fleet::new(7, seed, NetworkConditions::default());
-        cluster.settled(3 * LEASE, "the start");
+        let mut cluster = Cluster::new(7, seed, NetworkConditions::default());
+        cluster.wait_for_known_leader(3 * LEASE, "the start");
         for gateway in 0..7 {
             cluster.sim.leave(gateway);
             cluster.run(100_000);
@@ -475,20 +482,20 @@
                 .start(gateway, UNIX + (100 + gateway as Micros) * SECOND);
             cluster.run(300_000);
         }
-        // All are quiet for a lease from their own start on: there is nobody for so long, and then one.
-        cluster.settled(LEASE + 2 * SECOND, "all were restarted");
+        // All are in their quiet period for a lease from their own start on, then there is a leader.
+        cluster.wait_for_known_leader(LEASE + 2 * SECOND, "all were restarted");
     }
 }
 
 #[test]
-fn peer_sets_that_change_gateway_by_gateway_never_make_two_leaders_and_leave_one() {
-    let change = |cluster: &mut Fleet, gateway: PeerIndex, names: std::ops::Range<usize>| {
-        cluster.sim.act(gateway, |owned, now, sends| {
-            owned.set_peers(now, names, sends)
+fn peer_set_changes_gateway_by_gateway_never_make_two_leaders_and_end_with_one() {
+    let change = |cluster: &mut Cluster, gateway: PeerIndex, names: std::ops::Range<usize>| {
+        cluster.sim.act(gateway, |node, now, sends| {
+            node.set_peers(now, names, sends)
         });
     };
-    // Starts a gateway from nothing with a file that has these names.
-    let start = |cluster: &mut Fleet, gateway: PeerIndex, names: std::ops::Range<usize>| {
+    // Starts a gateway that is configured with these names.
+    let start = |cluster: &mut Cluster, gateway: PeerIndex, names: std::ops::Range<usize>| {
         let unix = UNIX + cluster.sim.now();
         cluster.sim.start(gateway, unix);
         let options = StartOptions {
@@ -498,8 +505,8 @@
             probe_period: 500_000,
             seed: cluster.seed + gateway as u64,
         };
-        cluster.sim.act(gateway, |owned, now, sends| {
-            owned.begin(now, options, names, sends)
+        cluster.sim.act(gateway, |node, now, sends| {
+            node.begin(now, options, names, sends)
         });
     };
     for seed in SEEDS {
@@ -511,18 +518,18 @@
                 (3 * SECOND, true),
             ] {
                 let what =
-                    format!("{from} to {to}, pause {pause}, the new ones first: {new_first}");
-                let mut cluster = Fleet::new(from.max(to), seed, lossy());
+                    format!("{from} to {to}, pause {pause}, new gateways first: {new_first}");
+                let mut cluster = Cluster::new(from.max(to), seed, lossy());
                 for gateway in 0..from.max(to) {
                     cluster.sim.kill(gateway);
                 }
                 (0..from).for_each(|gateway| start(&mut cluster, gateway, 0..from));
-                cluster.settled(3 * LEASE + 2 * SECOND, &what);
+                cluster.wait_for_known_leader(3 * LEASE + 2 * SECOND, &what);
                 if new_first {
                     (from..to).for_each(|gateway| start(&mut cluster, gateway, 0..to));
                     cluster.run(SECOND);
                 }
-                // Those that go are told last, or never: they know the old peer set alone.
+                // Removed gateways are never reconfigured: they know only the old peer set.
                 for gateway in 0..from.min(to) {
                     change(&mut cluster, gateway, 0..to);
                     cluster.run(pause);
@@ -534,12 +541,12 @@
                 for gateway in to..from {
                     cluster.sim.kill(gateway);
                 }
-                cluster.settled(2 * LEASE + 4 * SECOND, &what);
+                cluster.wait_for_known_leader(2 * LEASE + 4 * SECOND, &what);
                 cluster.run(3 * SECOND);
                 let leader = cluster.leaders()[0].0;
                 assert!(
                     leader < to,
-                    "seed {seed}, {what}: n{leader} is not in the roster"
+                    "seed {seed}, {what}: n{leader} is not in the peer set"
                 );
             }
         }
@@ -547,37 +554,37 @@
 }
 
 #[test]
-fn a_takeover_gives_the_election_back_and_never_holds_it_twice() {
+fn a_hand_over_releases_leadership_and_never_makes_two_leaders() {
     for seed in SEEDS {
-        let mut cluster = Fleet::new(5, seed, NetworkConditions::default());
-        let leader = cluster.settled(3 * LEASE, "the start");
+        let mut cluster = Cluster::new(5, seed, NetworkConditions::default());
+        let leader = cluster.wait_for_known_leader(3 * LEASE, "the start");
         cluster.run(SECOND);
         cluster
             .sim
-            .act(leader, |owned, now, sends| owned.hand_over(now, sends));
+            .act(leader, |node, now, sends| node.hand_over(now, sends));
         cluster.next_leader(leader, SECOND, "handed over");
         cluster.run(3 * SECOND);
-        // The other process ended: this one goes on, and cannot know what that one granted.
+        // The other process ended: this one resumes and cannot know how that one voted.
         cluster
             .sim
-            .act(leader, |owned, now, _| owned.stack.resume(now));
+            .act(leader, |node, now, _| node.stack.resume(now));
         assert!(
             cluster
                 .status(leader)
-                .is_some_and(|told| told.quiet > LEASE),
+                .is_some_and(|status| status.quiet > LEASE),
             "seed {seed}"
         );
         cluster.run(10 * SECOND);
-        cluster.settled(SECOND, "it goes on");
+        cluster.wait_for_known_leader(SECOND, "resumed");
     }
 }
 
 #[test]
-fn what_is_sent_is_bounded() {
-    for (gateways, weather) in [(24, NetworkConditions::default()), (24, lossy())] {
-        let mut cluster = Fleet::new(gateways, 1, weather);
-        cluster.settled(3 * LEASE, "the start");
-        let mut most = (0, 0, 0, 0);
+fn traffic_of_the_election_is_bounded() {
+    for (gateways, network) in [(24, NetworkConditions::default()), (24, lossy())] {
+        let mut cluster = Cluster::new(gateways, 1, network);
+        cluster.wait_for_known_leader(3 * LEASE, "the start");
+        let mut max = (0, 0, 0, 0);
         for second in 0..30 {
             if second == 10 {
                 (0..17).for_each(|gateway| cluster.sim.kill(gateway));
@@ -585,7 +592,7 @@
             for gateway in 0..gateways {
                 cluster
                     .sim
-                    .act(gateway, |owned, _, _| owned.sent = Default::default());
+                    .act(gateway, |node, _, _| node.sent = Default::default());
             }
             cluster.run(SECOND);
             let leaders: Vec<PeerIndex> = cluster
@@ -594,42 +601,42 @@
                 .map(|(gateway, _)| *gateway)
                 .collect();
             for gateway in 0..gateways {
-                let Some(sent) = cluster.sim.act(gateway, |owned, _, _| owned.sent) else {
+                let Some(sent) = cluster.sim.act(gateway, |node, _, _| node.sent) else {
                     continue;
                 };
                 if leaders.contains(&gateway) {
-                    most = (
-                        most.0.max(sent.messages),
-                        most.1.max(sent.bytes),
-                        most.2,
-                        most.3,
+                    max = (
+                        max.0.max(sent.messages),
+                        max.1.max(sent.bytes),
+                        max.2,
+                        max.3,
                     );
                 } else {
-                    most = (
-                        most.0,
-                        most.1,
-                        most.2.max(sent.messages),
-                        most.3.max(sent.bytes),
+                    max = (
+                        max.0,
+                        max.1,
+                        max.2.max(sent.messages),
+                        max.3.max(sent.bytes),
                     );
                 }
             }
         }
         println!(
-            "{gateways} doors, loss {}: owner {} and {} bytes, others {} and {}",
-            weather.loss, most.0, most.1, most.2, most.3
+            "{gateways} gateways, loss {}: leader {} and {} bytes, others {} and {}",
+            network.loss, max.0, max.1, max.2, max.3
         );
-        assert!(most.0 <= 150 && most.1 <= 30_000, "the owner: {most:?}");
-        assert!(most.2 <= 150, "a candidate: {most:?}");
+        assert!(max.0 <= 150 && max.1 <= 30_000, "the leader: {max:?}");
+        assert!(max.2 <= 150, "a candidate: {max:?}");
     }
 }
 
 #[test]
-fn leases_that_differ_are_told_and_grant_nothing() {
-    let mut one = Fleet::new(3, 1, NetworkConditions::default());
-    one.settled(3 * LEASE, "the start");
-    while one
+fn a_different_lease_duration_is_reported_and_receives_no_vote() {
+    let mut cluster = Cluster::new(3, 1, NetworkConditions::default());
+    cluster.wait_for_known_leader(3 * LEASE, "the start");
+    while cluster
         .sim
-        .act(1, |owned, _, _| owned.stack.election_mut()?.next_event())
+        .act(1, |node, _, _| node.stack.election_mut()?.next_event())
         .flatten()
         .is_some()
     {}
@@ -648,20 +655,20 @@
         },
     }
     .encode();
-    one.sim.act(1, |owned, now, sends| {
+    cluster.sim.act(1, |node, now, sends| {
         use gateway_cluster::protocol::Protocol;
-        owned.on_datagram(now, &bytes, sends);
+        node.on_datagram(now, &bytes, sends);
     });
-    let mut notes = Vec::new();
-    while let Some(note) = one
+    let mut events = Vec::new();
+    while let Some(event) = cluster
         .sim
-        .act(1, |owned, _, _| owned.stack.election_mut()?.next_event())
+        .act(1, |node, _, _| node.stack.election_mut()?.next_event())
         .flatten()
     {
-        notes.push(note);
+        events.push(event);
     }
     assert!(
-        notes.contains(&ElectionEvent::LeaseDiffers(peer_id_of("n000"), 3000)),
-        "{notes:?}"
+        events.contains(&ElectionEvent::LeaseDiffers(peer_id_of("n000"), 3000)),
+        "{events:?}"
     );
 }
--- a/gateway-cluster/tests/membership.rs
+++ b/gateway-cluster/tests/membership.rs
@@ -1,5 +1,5 @@
-//! The view in the simulation: bounds that follow from the probe period, at sizes that a debug build can bear. Each
-//! failure names its seed.
+//! Simulations of the membership protocol: bounds that follow from the probe period, at cluster sizes that a debug build can
+//! run. Each failure names its seed.
 
 use gateway_cluster::membership::{ChangeReason, Membership, MembershipSettings, PartitionSide};
 use gateway_cluster::peers::PeerSetError;
@@ -10,10 +10,10 @@
 const SECOND: Micros = 1_000_000;
 const SEEDS: std::ops::Range<u64> = 0..8;
 
-/// A cluster that has run for a while.
-fn cluster(gateways: usize, seed: u64, weather: NetworkConditions) -> Sim<Membership> {
+/// A cluster after ten seconds of operation.
+fn cluster(gateways: usize, seed: u64, network: NetworkConditions) -> Sim<Membership> {
     let mut sim = Sim::new(gateways, PROBE, seed);
-    sim.network = weather;
+    sim.network = network;
     (0..gateways).for_each(|gateway| sim.start(gateway, 1_700_000_000 * SECOND));
     sim.run_until(10 * SECOND);
     sim
@@ -28,39 +28,42 @@
     }
 }
 
-/// Waits until all views are right, at most so many periods, and tells what took too long.
-fn settles(sim: &mut Sim<Membership>, periods: u64, what: &str) {
+/// Asserts that all views are correct within this number of probe periods.
+fn assert_converges(sim: &mut Sim<Membership>, periods: u64, what: &str) {
     let since = sim.now();
     let at = sim.run_until_true(since + periods * PROBE, Sim::is_settled);
     assert!(
         at.is_some(),
-        "{what}: views are not right after {periods} periods"
+        "{what}: views are not correct after {periods} periods"
     );
 }
 
 #[test]
-fn a_gateway_that_is_killed_is_dead_in_every_view_in_time() {
+fn a_killed_gateway_is_dead_in_every_view_within_the_bound() {
     for (gateways, seed) in [3, 30]
         .into_iter()
         .flat_map(|gateways| SEEDS.map(move |seed| (gateways, seed)))
     {
-        for (weather, periods) in [(NetworkConditions::default(), 8), (lossy(), 12)] {
-            let mut sim = cluster(gateways, seed, weather);
+        for (network, periods) in [(NetworkConditions::default(), 8), (lossy(), 12)] {
+            let mut sim = cluster(gateways, seed, network);
             sim.kill(0);
-            let dead = |sim: &Sim<Membership>| {
+            let dead_everywhere = |sim: &Sim<Membership>| {
                 (1..gateways).all(|gateway| {
                     sim.view(gateway)
                         .is_some_and(|view| view[0] == PeerState::Dead)
                 })
             };
-            let at = sim.run_until_true(sim.now() + periods * PROBE, dead);
-            assert!(at.is_some(), "{gateways} doors, seed {seed}, {weather:?}");
+            let at = sim.run_until_true(sim.now() + periods * PROBE, dead_everywhere);
+            assert!(
+                at.is_some(),
+                "{gateways} gateways, seed {seed}, {network:?}"
+            );
         }
     }
 }
 
 #[test]
-fn no_gateway_that_lives_is_held_for_dead_at_a_tenth_of_loss() {
+fn no_running_gateway_is_declared_dead_at_ten_percent_loss() {
     for seed in SEEDS {
         let mut sim = cluster(30, seed, lossy());
         for _ in 0..60 {
@@ -76,7 +79,7 @@
 }
 
 #[test]
-fn views_are_right_again_after_any_partition_heals() {
+fn views_converge_after_any_partition_heals() {
     const PERIODS: u64 = 10;
     type Shape = (&'static str, fn(usize) -> usize);
     let shapes: [Shape; 4] = [
@@ -91,30 +94,30 @@
                 let mut sim = cluster(gateways, seed, NetworkConditions::default());
                 sim.partition(side);
                 sim.run_until(sim.now() + 30 * SECOND);
-                assert!(!sim.is_settled(), "the partition is seen");
+                assert!(!sim.is_settled(), "the partition is detected");
                 sim.partition(|_| 0);
-                settles(
+                assert_converges(
                     &mut sim,
                     PERIODS,
-                    &format!("{gateways} doors, seed {seed}, {name}"),
+                    &format!("{gateways} gateways, seed {seed}, {name}"),
                 );
             }
         }
-        // Two halves that one gateway joins: nobody is dead.
+        // Two halves that one gateway connects: nobody is dead.
         let mut sim = cluster(30, seed, NetworkConditions::default());
         for (a, b) in (0..30).flat_map(|a| (0..30).map(move |b| (a, b))) {
             sim.cut(a, b, a != 0 && b != 0 && a % 2 != b % 2);
         }
         sim.run_until(sim.now() + 30 * SECOND);
         sim.partition(|_| 0);
-        settles(&mut sim, PERIODS, &format!("seed {seed}, a bridge"));
+        assert_converges(&mut sim, PERIODS, &format!("seed {seed}, a bridge"));
     }
 }
 
 #[test]
-fn gateways_that_were_stopped_hold_no_other_for_dead_when_they_wake() {
+fn resumed_gateways_declare_no_other_gateway_dead() {
     for seed in SEEDS {
-        // Answers take so long that some are on their way when the stop comes.
+        // Latency is so high that some answers are in flight when the gateways stop.
         let mut sim = cluster(
             30,
             seed,
@@ -127,32 +130,32 @@
         (0..10).for_each(|gateway| sim.stop(gateway, true));
         sim.run_until(sim.now() + 10 * SECOND);
         (0..10).for_each(|gateway| sim.stop(gateway, false));
-        // What was asked before the stop is no reason to doubt anybody.
-        let doubted = (0..10)
+        // Probes from before the stop raise no suspicion.
+        let states = (0..10)
             .filter_map(|gateway| sim.view(gateway))
             .flat_map(|view| view[10..].to_vec());
         assert_eq!(
-            doubted.filter(|state| *state != PeerState::Alive).count(),
+            states.filter(|state| *state != PeerState::Alive).count(),
             0,
             "seed {seed}"
         );
         for _ in 0..100 {
             sim.run_until(sim.now() + SECOND / 20);
-            let wrong = (0..10)
+            let states = (0..10)
                 .filter_map(|gateway| sim.view(gateway))
                 .flat_map(|view| view[10..].to_vec());
             assert_eq!(
-                wrong.filter(|state| *state == PeerState::Dead).count(),
+                states.filter(|state| *state == PeerState::Dead).count(),
                 0,
                 "seed {seed}"
             );
         }
-        settles(&mut sim, 10, &format!("seed {seed}"));
+        assert_converges(&mut sim, 10, &format!("seed {seed}"));
     }
 }
 
 #[test]
-fn verdicts_that_piled_up_while_a_gateway_was_stopped_are_no_verdicts_when_it_wakes() {
+fn a_resumed_gateway_does_not_adopt_verdicts_from_its_socket_buffer() {
     for (seed, stopped) in SEEDS.flat_map(|seed| {
         (0..7)
             .filter(|gateway| *gateway != 1)
@@ -160,7 +163,7 @@
     }) {
         let mut sim = cluster(7, seed, NetworkConditions::default());
         sim.kill(1);
-        // It hears the doubt, or has it itself; the verdict and the return come while it is stopped.
+        // The gateway receives or raises the suspicion; the verdict and the return happen while it is stopped.
         sim.run_until(sim.now() + 2_200_000);
         sim.stop(stopped, true);
         sim.run_until(sim.now() + 800_000);
@@ -177,34 +180,37 @@
             assert_ne!(
                 change.to,
                 PeerState::Dead,
-                "seed {seed}, door {stopped}: {change:?}"
+                "seed {seed}, gateway {stopped}: {change:?}"
             );
         }
     }
 }
 
 #[test]
-fn a_new_life_wins_though_its_clock_was_set_back() {
+fn a_restarted_process_is_alive_although_its_clock_was_set_back() {
     for (gateways, seed) in [3, 30]
         .into_iter()
         .flat_map(|gateways| SEEDS.map(move |seed| (gateways, seed)))
     {
-        for away in [PROBE, 10 * SECOND] {
+        for downtime in [PROBE, 10 * SECOND] {
             let mut sim = cluster(gateways, seed, NetworkConditions::default());
             sim.kill(1);
-            sim.run_until(sim.now() + away);
+            sim.run_until(sim.now() + downtime);
             sim.start(1, 1_699_996_400 * SECOND);
-            settles(
+            assert_converges(
                 &mut sim,
                 8,
-                &format!("{gateways} doors, seed {seed}, {} s away", away / SECOND),
+                &format!(
+                    "{gateways} gateways, seed {seed}, {} s down",
+                    downtime / SECOND
+                ),
             );
         }
     }
 }
 
 #[test]
-fn what_a_gateway_sends_in_ten_seconds_is_bounded_also_after_a_mass_kill() {
+fn traffic_of_ten_seconds_is_bounded_also_after_a_mass_failure() {
     for seed in SEEDS {
         let mut sim = cluster(30, seed, lossy());
         (0..21).for_each(|gateway| sim.kill(gateway));
@@ -224,7 +230,7 @@
 }
 
 #[test]
-fn a_settled_partition_of_a_hundred_heals_in_six_periods() {
+fn a_partition_of_a_hundred_gateways_heals_within_six_periods() {
     for side in [
         |gateway| gateway % 2,
         |gateway| gateway % 3,
@@ -235,32 +241,32 @@
         sim.partition(side);
         sim.run_until(sim.now() + 60 * SECOND);
         sim.partition(|_| 0);
-        settles(&mut sim, 6, "a hundred");
+        assert_converges(&mut sim, 6, "a hundred");
     }
 }
 
 #[test]
-fn a_gateway_that_is_cut_off_knows_it_in_time_however_many_there_are() {
+fn an_isolated_gateway_detects_it_within_the_bound_at_any_cluster_size() {
     for gateways in [3, 100] {
         let mut sim = cluster(gateways, 1, NetworkConditions::default());
         sim.partition(|gateway| usize::from(gateway == 0));
-        // Silence for six periods, and a verdict 3.4 later, with a step for each.
+        // The isolation timeout of six periods and a suspicion of 3.4, with a step for each.
         sim.run_until(sim.now() + 10 * PROBE);
         assert_eq!(
             sim.engine(0).map(|view| view.side()),
             Some(PartitionSide::Alone),
-            "{gateways} doors"
+            "{gateways} gateways"
         );
         assert_eq!(
             sim.engine(1).map(|view| view.side()),
             Some(PartitionSide::Majority),
-            "{gateways} doors"
+            "{gateways} gateways"
         );
     }
 }
 
 #[test]
-fn a_gateway_that_goes_by_its_own_word_is_never_doubted() {
+fn a_gateway_that_leaves_gracefully_is_never_suspected() {
     for seed in SEEDS {
         let mut sim = cluster(30, seed, lossy());
         for gateway in 0..30 {
@@ -271,53 +277,50 @@
             {}
         }
         sim.leave(0);
-        let gone = |sim: &Sim<Membership>| {
+        let dead_everywhere = |sim: &Sim<Membership>| {
             (1..30).all(|gateway| {
                 sim.view(gateway)
                     .is_some_and(|view| view[0] == PeerState::Dead)
             })
         };
         assert!(
-            sim.run_until_true(sim.now() + 4 * PROBE, gone).is_some(),
+            sim.run_until_true(sim.now() + 4 * PROBE, dead_everywhere)
+                .is_some(),
             "seed {seed}"
         );
         for gateway in 1..30 {
-            let mut of_it = Vec::new();
+            let mut changes = Vec::new();
             while let Some(change) = sim.engine(gateway).and_then(Membership::next_change) {
-                of_it.extend((change.name == "n000").then_some((change.to, change.why)));
+                changes.extend((change.name == "n000").then_some((change.to, change.why)));
             }
             assert_eq!(
-                of_it,
+                changes,
                 [(PeerState::Dead, ChangeReason::Left)],
-                "seed {seed}, door {gateway}"
+                "seed {seed}, gateway {gateway}"
             );
         }
         sim.start(0, 1_700_000_100 * SECOND);
-        settles(&mut sim, 8, &format!("seed {seed}, it is back"));
+        assert_converges(&mut sim, 8, &format!("seed {seed}, restarted"));
     }
 }
 
 #[test]
-fn a_name_that_is_taken_out_is_counted_nowhere_and_revives_nobody() {
+fn a_removed_name_is_forgotten_and_its_datagrams_are_dropped() {
     for seed in SEEDS {
         let mut sim = cluster(5, seed, lossy());
         let names: Vec<String> = (0..4).map(|gateway| format!("n00{gateway}")).collect();
-        // One after the other is told, while all run; the one that goes is never told and talks on.
+        // The gateways are reconfigured one after the other; the removed one is not and keeps sending.
         for gateway in 0..4 {
             let now = sim.now();
-            let told = sim
+            let result = sim
                 .engine(gateway)
                 .map(|view| view.set_peers(now, names.clone()));
-            assert_eq!(told, Some(Ok(())));
+            assert_eq!(result, Some(Ok(())));
             sim.run_until(now + 2 * SECOND);
         }
         sim.run_until(sim.now() + 5 * SECOND);
-        let membership_transmits: Vec<_> = (0..4).filter_map(|gateway| sim.view(gateway)).collect();
-        assert_eq!(
-            membership_transmits,
-            vec![vec![PeerState::Alive; 4]; 4],
-            "seed {seed}"
-        );
+        let views: Vec<_> = (0..4).filter_map(|gateway| sim.view(gateway)).collect();
+        assert_eq!(views, vec![vec![PeerState::Alive; 4]; 4], "seed {seed}");
         let digests: Vec<_> = (0..4)
             .filter_map(|gateway| Some(sim.engine(gateway)?.digest()))
             .collect();
@@ -328,79 +331,82 @@
         let unknown: u64 = (0..4)
             .filter_map(|gateway| Some(sim.engine(gateway)?.dropped.unknown))
             .sum();
-        assert!(unknown > 0, "seed {seed}: it went on talking");
-        // A name that comes back is told of those that are gone.
+        assert!(unknown > 0, "seed {seed}: the removed gateway kept sending");
+        // A name that is added again learns of the dead peers.
         sim.kill(1);
         sim.run_until(sim.now() + 6 * SECOND);
         let all: Vec<String> = (0..5).map(|gateway| format!("n00{gateway}")).collect();
         for gateway in [0, 2, 3] {
             let now = sim.now();
-            let told = sim
+            let result = sim
                 .engine(gateway)
                 .map(|view| view.set_peers(now, all.clone()));
-            assert_eq!(told, Some(Ok(())));
+            assert_eq!(result, Some(Ok(())));
         }
-        settles(&mut sim, 12, &format!("seed {seed}, five again"));
+        assert_converges(&mut sim, 12, &format!("seed {seed}, five names"));
         let now = sim.now();
-        let lacks = sim
+        let result = sim
             .engine(0)
             .map(|view| view.set_peers(now, names[1..].to_vec()));
         assert_eq!(
-            lacks,
+            result,
             Some(Err(PeerSetError::MissingOwnName("n000".into()))),
-            "what it had stays"
+            "the current peer set stays in use"
         );
     }
 }
 
 #[test]
-fn of_two_lives_under_one_name_the_later_wins_and_the_earlier_learns_it() {
+fn of_two_processes_with_one_name_the_earlier_is_superseded() {
     let peers: Vec<String> = ["a", "b"].map(String::from).to_vec();
     let mut sends = Vec::new();
-    let mut born = |now, name: &str, unix_ms| {
+    let mut start = |now, name: &str, unix_ms| {
         let settings = MembershipSettings {
             peers: peers.clone(),
             name: name.into(),
             unix_ms,
             probe: PROBE,
         };
-        Membership::new(now, settings, unix_ms, &mut sends).expect("a good roster")
+        Membership::new(now, settings, unix_ms, &mut sends).expect("a valid peer set")
     };
-    let (mut early, mut late, mut other) = (
-        born(0, "a", 1000),
-        born(20 * SECOND, "a", 21_000),
-        born(0, "b", 1),
+    let (mut earlier, mut later, mut other) = (
+        start(0, "a", 1000),
+        start(20 * SECOND, "a", 21_000),
+        start(0, "b", 1),
     );
-    let mut pending: Vec<(usize, Vec<u8>)> = Vec::new();
+    let mut in_flight: Vec<(usize, Vec<u8>)> = Vec::new();
     for now in (0..60 * SECOND).step_by(10_000) {
         let mut sends = Vec::new();
-        for (of, view) in [&mut early, &mut late, &mut other].into_iter().enumerate() {
-            if of == 1 && now < 20 * SECOND {
-                continue; // It is started later.
+        for (process, membership) in [&mut earlier, &mut later, &mut other]
+            .into_iter()
+            .enumerate()
+        {
+            if process == 1 && now < 20 * SECOND {
+                continue; // Not started yet.
             }
-            for (to, bytes) in &pending {
-                // Both lives of the first name are at its address.
-                if (*to == 0 && of < 2) || (*to == 1 && of == 2) {
-                    view.on_datagram(now, bytes, &mut sends);
+            for (to, bytes) in &in_flight {
+                // Both processes of the first name receive its datagrams.
+                if (*to == 0 && process < 2) || (*to == 1 && process == 2) {
+                    membership.on_datagram(now, bytes, &mut sends);
                 }
             }
-            view.on_timer(now, &mut sends);
+            membership.on_timer(now, &mut sends);
         }
-        pending = sends
+        in_flight = sends
             .into_iter()
-            .map(|send| (send.to, send.bytes))
+            .map(|transmit| (transmit.to, transmit.bytes))
             .collect();
     }
-    assert!(early.is_superseded() && !late.is_superseded());
+    assert!(earlier.is_superseded() && !later.is_superseded());
     assert_eq!(other.states(), [PeerState::Alive; 2]);
     assert!(
         other.dropped.stale > 0,
-        "what the earlier life said was counted"
+        "datagrams of the earlier process are counted"
     );
 }
 
 #[test]
-fn a_side_is_told_by_how_many_of_the_peers_live() {
+fn the_partition_side_follows_from_the_number_of_reachable_peers() {
     let peers: Vec<String> = ["a", "b", "c", "d"].map(String::from).to_vec();
     let settings = |name: &str, peers: &[String]| MembershipSettings {
         peers: peers.to_vec(),
@@ -409,10 +415,10 @@
         probe: PROBE,
     };
     let mut view =
-        Membership::new(0, settings("a", &peers), 1, &mut Vec::new()).expect("a good roster");
+        Membership::new(0, settings("a", &peers), 1, &mut Vec::new()).expect("a valid peer set");
     assert_eq!(view.side(), PartitionSide::Whole);
     let before = view.digest();
-    // Nobody answers: the others go one after the other.
+    // Nobody answers: the others are declared dead one after the other.
     let mut sides = vec![view.side()];
     let mut now = 0;
     while view.side() != PartitionSide::Alone {
@@ -425,21 +431,21 @@
     }
     assert_ne!(view.digest(), before);
     assert_eq!(view.settled(now + SECOND), SECOND);
-    let change = view.next_change().expect("it is told");
+    let change = view.next_change().expect("the change is recorded");
     assert_eq!(
         (change.from, change.to),
         (PeerState::Alive, PeerState::Suspect)
     );
-    let problem = |name: &str, peers: &[String]| {
+    let error = |name: &str, peers: &[String]| {
         Membership::new(0, settings(name, peers), 1, &mut Vec::new()).err()
     };
     assert_eq!(
-        problem("e", &peers),
+        error("e", &peers),
         Some(PeerSetError::MissingOwnName("e".into()))
     );
-    let twice = [peers.clone(), vec!["a".into()]].concat();
+    let duplicate = [peers.clone(), vec!["a".into()]].concat();
     assert_eq!(
-        problem("a", &twice),
+        error("a", &duplicate),
         Some(PeerSetError::Duplicate("a".into()))
     );
 }
--- a/gateway-cluster/tests/precedence_model.rs
+++ b/gateway-cluster/tests/precedence_model.rs
@@ -1,6 +1,6 @@
-//! A model check of the order of claims: one gateway that is killed and starts anew from nothing, two others that hold
-//! views of it, and messages between them that are lost, doubled and late by any time. The model runs the very
-//! functions that the view goes by (`gateway_cluster::rules`).
+//! Model check of the precedence of membership updates: one gateway that is killed and restarted, two observers of it, and
+//! messages between them that are lost, duplicated and delayed by any time. The model runs the functions that the
+//! membership protocol uses (`gateway_cluster::precedence`).
 
 use gateway_cluster::precedence::{
     action_on_self_update, apply_update, precedence_of, started_at_ms, with_next_refutation,
@@ -10,14 +10,14 @@
 use stateright::{Checker, Model, Property};
 use std::collections::BTreeSet;
 
-/// Lives that the gateway may have, by their wall clock: the second may be set back behind the first.
-const LIVES: usize = 3;
-/// Refutations that are told apart: what would go beyond is not followed.
-const REFUTED: u64 = 3;
-/// Messages under way at a time.
-const UNDER_WAY: usize = 3;
+/// Maximum number of processes of the gateway. The wall clock of each may be set back behind the earlier ones.
+const MAX_PROCESSES: usize = 3;
+/// Maximum number of refutations that are explored.
+const MAX_REFUTATIONS: u64 = 3;
+/// Maximum number of messages in flight.
+const MAX_IN_FLIGHT: usize = 3;
 
-/// The process of the gateway, if one runs.
+/// The running process of the gateway.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct Process {
     own: Incarnation,
@@ -25,114 +25,114 @@
     superseded: bool,
 }
 
-/// What one of the two others holds.
+/// The state of the gateway at one of the two observers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Other {
+struct Observer {
     known: KnownUpdate,
-    doubted: bool,
-    /// The highest incarnation that it ever held, to see that it goes back never.
+    suspected: bool,
+    /// The highest incarnation that it ever knew, to check that the known one never decreases.
     highest: Incarnation,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
-enum To {
-    Door,
-    Other(usize),
+enum Recipient {
+    Gateway,
+    Observer(usize),
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Message {
-    to: To,
+    to: Recipient,
     incarnation: Incarnation,
-    /// 0 alive, 1 doubted, 2 dead.
-    claim: u8,
+    /// 0 alive, 1 suspect, 2 dead.
+    status: u8,
 }
 
 impl Message {
-    fn claim(self) -> UpdateStatus {
+    fn status(self) -> UpdateStatus {
         [
             UpdateStatus::Alive,
             UpdateStatus::Suspect(0),
             UpdateStatus::Dead,
-        ][usize::from(self.claim)]
+        ][usize::from(self.status)]
     }
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct PeerState {
+struct State {
     process: Option<Process>,
-    /// Lives that were begun, and the wall clock of the highest.
-    begun: usize,
-    others: [Other; 2],
-    under_way: BTreeSet<Message>,
-    /// A process fell silent though it was the only one.
-    wronged: bool,
+    /// Number of processes that were started.
+    started: usize,
+    observers: [Observer; 2],
+    in_flight: BTreeSet<Message>,
+    /// The only process was superseded by a verdict.
+    superseded_by_verdict: bool,
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-enum Act {
-    /// A new life, its wall clock ahead of all before it or behind them.
+enum Action {
+    /// A new process starts, with a wall clock ahead of or behind all earlier ones.
     Start {
         back: bool,
     },
     Kill,
-    /// The gateway is no more young.
+    /// The process is no longer recently started.
     Age,
-    /// The gateway says that it lives.
-    Speak(usize),
-    /// One of the others doubts it, or holds it for gone after that.
-    Doubt(usize),
+    /// The gateway announces that it is alive.
+    Announce(usize),
+    /// An observer suspects the gateway, and declares it dead after that.
+    Suspect(usize),
     Verdict(usize),
-    /// One of the others tells the gateway, or the other one, what it holds.
-    Tell(usize, To),
-    /// It believes the other one, which was out of reach, that the gateway lives.
-    Believe(usize),
-    /// A message comes; it may come again.
+    /// An observer sends its state to the gateway or to the other observer.
+    Gossip(usize, Recipient),
+    /// An observer adopts from the other one, which was unreachable, that the gateway is alive.
+    Vouch(usize),
+    /// A message arrives; it may arrive again.
     Deliver(Message),
     Lose(Message),
 }
 
 #[derive(Clone, Copy)]
-struct Order {
-    /// For the proof that the check can fail: claims of a higher life silence a gateway whatever they say.
-    silenced_by_verdicts: bool,
-    /// For the same: an older life is taken for a later one.
-    takes_older: bool,
+struct Rules {
+    /// A wrong rule, to prove that the check can fail: any update of a later process supersedes a gateway.
+    superseded_by_verdicts: bool,
+    /// A wrong rule: an older process overrides a later one.
+    accepts_older: bool,
 }
 
 fn incarnation_of(clock: u64) -> Incarnation {
     clock << 16
 }
 
-impl Order {
-    fn hear(&self, other: &mut Other, message: Message) {
-        let claim = message.claim();
+impl Rules {
+    fn on_update(&self, observer: &mut Observer, message: Message) {
+        let status = message.status();
         let later = matches!(
-            precedence_of(other.known, message.incarnation),
+            precedence_of(observer.known, message.incarnation),
             Precedence::Newer { .. }
         );
-        let equal = precedence_of(other.known, message.incarnation) == Precedence::Equal;
-        let before = other.known;
-        other.known = apply_update(other.known, message.incarnation, claim);
-        if self.takes_older
+        let equal = precedence_of(observer.known, message.incarnation) == Precedence::Equal;
+        let before = observer.known;
+        observer.known = apply_update(observer.known, message.incarnation, status);
+        if self.accepts_older
             && started_at_ms(message.incarnation) < started_at_ms(before.incarnation)
         {
-            other.known = KnownUpdate {
+            observer.known = KnownUpdate {
                 incarnation: message.incarnation,
                 dead: false,
             };
         }
         if later {
-            other.doubted = false;
+            observer.suspected = false;
         }
-        if (later || equal) && !other.known.dead && claim != UpdateStatus::Alive {
-            // A claim of a death is a doubt here, and a verdict only after that.
-            other.doubted = true;
+        if (later || equal) && !observer.known.dead && status != UpdateStatus::Alive {
+            // A reported death is a suspicion first, and a verdict only after that.
+            observer.suspected = true;
         }
-        other.highest = other.highest.max(other.known.incarnation);
+        observer.highest = observer.highest.max(observer.known.incarnation);
     }
 
-    fn hear_of_self(&self, process: &mut Process, message: Message) {
+    fn on_update_about_self(&self, process: &mut Process, message: Message) {
         let Process {
             own,
             recently_started,
@@ -143,11 +143,11 @@
             recently_started,
             superseded,
             message.incarnation,
-            message.claim(),
+            message.status(),
         );
         let own = match own {
             SelfUpdateAction::Refute(_)
-                if self.silenced_by_verdicts && !process.recently_started =>
+                if self.superseded_by_verdicts && !process.recently_started =>
             {
                 if started_at_ms(message.incarnation) > started_at_ms(process.own) {
                     SelfUpdateAction::Superseded
@@ -169,96 +169,99 @@
     }
 }
 
-/// Whether a verdict that this one holds of the gateway ends within one exchange, where nothing is lost: it tells the gateway
-/// what it holds, and the gateway speaks.
-fn is_refutable(order: &Order, process: Process, other: Other) -> bool {
-    let (mut process, mut other) = (process, other);
-    let told = Message {
-        to: To::Door,
-        incarnation: other.known.incarnation,
-        claim: 2,
+/// Whether the verdict of an observer ends within one exchange without loss: it sends the verdict to the gateway, and the
+/// gateway answers.
+fn is_refutable(rules: &Rules, process: Process, observer: Observer) -> bool {
+    let (mut process, mut observer) = (process, observer);
+    let verdict = Message {
+        to: Recipient::Gateway,
+        incarnation: observer.known.incarnation,
+        status: 2,
     };
-    order.hear_of_self(&mut process, told);
-    let spoken = Message {
-        to: To::Other(0),
+    rules.on_update_about_self(&mut process, verdict);
+    let refutation = Message {
+        to: Recipient::Observer(0),
         incarnation: process.own,
-        claim: 0,
+        status: 0,
     };
     if !process.superseded {
-        order.hear(&mut other, spoken);
+        rules.on_update(&mut observer, refutation);
     }
-    !other.known.dead
+    !observer.known.dead
 }
 
-impl Model for Order {
-    type State = PeerState;
-    type Action = Act;
+impl Model for Rules {
+    type State = State;
+    type Action = Action;
 
-    fn init_states(&self) -> Vec<PeerState> {
-        let other = Other {
+    fn init_states(&self) -> Vec<State> {
+        let observer = Observer {
             known: KnownUpdate {
                 incarnation: 0,
                 dead: false,
             },
-            doubted: false,
+            suspected: false,
             highest: 0,
         };
-        let (process, under_way) = (None, BTreeSet::new());
-        vec![PeerState {
+        let (process, in_flight) = (None, BTreeSet::new());
+        vec![State {
             process,
-            begun: 0,
-            others: [other; 2],
-            under_way,
-            wronged: false,
+            started: 0,
+            observers: [observer; 2],
+            in_flight,
+            superseded_by_verdict: false,
         }]
     }
 
-    fn actions(&self, state: &PeerState, acts: &mut Vec<Act>) {
+    fn actions(&self, state: &State, actions: &mut Vec<Action>) {
         match state.process {
-            None if state.begun < LIVES => {
-                acts.extend([Act::Start { back: false }, Act::Start { back: true }]);
+            None if state.started < MAX_PROCESSES => {
+                actions.extend([Action::Start { back: false }, Action::Start { back: true }]);
             }
             None => {}
             Some(process) => {
-                acts.push(Act::Kill);
+                actions.push(Action::Kill);
                 if process.recently_started {
-                    acts.push(Act::Age);
+                    actions.push(Action::Age);
                 }
                 if !process.superseded {
-                    acts.extend([Act::Speak(0), Act::Speak(1)]);
+                    actions.extend([Action::Announce(0), Action::Announce(1)]);
                 }
             }
         }
-        for (n, other) in state.others.iter().enumerate() {
-            if !other.known.dead && !other.doubted {
-                acts.push(Act::Doubt(n));
+        for (n, observer) in state.observers.iter().enumerate() {
+            if !observer.known.dead && !observer.suspected {
+                actions.push(Action::Suspect(n));
             }
-            if !other.known.dead && other.doubted {
-                acts.push(Act::Verdict(n));
+            if !observer.known.dead && observer.suspected {
+                actions.push(Action::Verdict(n));
             }
-            acts.extend([Act::Tell(n, To::Door), Act::Tell(n, To::Other(1 - n))]);
-            let word = state.others[1 - n];
-            if other.known.dead && !word.known.dead && !word.doubted {
-                acts.push(Act::Believe(n));
+            actions.extend([
+                Action::Gossip(n, Recipient::Gateway),
+                Action::Gossip(n, Recipient::Observer(1 - n)),
+            ]);
+            let third = state.observers[1 - n];
+            if observer.known.dead && !third.known.dead && !third.suspected {
+                actions.push(Action::Vouch(n));
             }
         }
-        for message in &state.under_way {
-            acts.extend([Act::Deliver(*message), Act::Lose(*message)]);
+        for message in &state.in_flight {
+            actions.extend([Action::Deliver(*message), Action::Lose(*message)]);
         }
     }
 
-    fn next_state(&self, state: &PeerState, act: Act) -> Option<PeerState> {
+    fn next_state(&self, state: &State, action: Action) -> Option<State> {
         let mut next = state.clone();
         let mut send = None;
-        match act {
-            Act::Start { back } => {
-                // Clocks of lives that were set back are behind all others, each by a different time.
+        match action {
+            Action::Start { back } => {
+                // Clocks that were set back are behind all others, each by a different time.
                 let clock = if back {
-                    10 - state.begun as u64
+                    10 - state.started as u64
                 } else {
-                    20 + state.begun as u64
+                    20 + state.started as u64
                 };
-                next.begun += 1;
+                next.started += 1;
                 let own = incarnation_of(clock);
                 next.process = Some(Process {
                     own,
@@ -266,107 +269,115 @@
                     superseded: false,
                 });
             }
-            Act::Kill => next.process = None,
-            Act::Age => next.process.as_mut()?.recently_started = false,
-            Act::Speak(n) => {
+            Action::Kill => next.process = None,
+            Action::Age => next.process.as_mut()?.recently_started = false,
+            Action::Announce(n) => {
                 send = Some(Message {
-                    to: To::Other(n),
+                    to: Recipient::Observer(n),
                     incarnation: state.process?.own,
-                    claim: 0,
+                    status: 0,
                 });
             }
-            Act::Doubt(n) => next.others[n].doubted = true,
-            Act::Verdict(n) => {
-                (next.others[n].known.dead, next.others[n].doubted) = (true, false);
+            Action::Suspect(n) => next.observers[n].suspected = true,
+            Action::Verdict(n) => {
+                (next.observers[n].known.dead, next.observers[n].suspected) = (true, false);
             }
-            Act::Tell(n, to) => {
-                let Other { known, doubted, .. } = state.others[n];
-                let claim = if known.dead { 2 } else { u8::from(doubted) };
+            Action::Gossip(n, to) => {
+                let Observer {
+                    known, suspected, ..
+                } = state.observers[n];
+                let status = if known.dead { 2 } else { u8::from(suspected) };
                 send = Some(Message {
                     to,
                     incarnation: known.incarnation,
-                    claim,
+                    status,
                 });
             }
-            Act::Believe(n) => {
-                let other = &mut next.others[n];
-                other.known = KnownUpdate {
-                    incarnation: with_next_refutation(other.known.incarnation),
+            Action::Vouch(n) => {
+                let observer = &mut next.observers[n];
+                observer.known = KnownUpdate {
+                    incarnation: with_next_refutation(observer.known.incarnation),
                     dead: false,
                 };
-                other.highest = other.highest.max(other.known.incarnation);
+                observer.highest = observer.highest.max(observer.known.incarnation);
             }
-            Act::Deliver(message) => match message.to {
-                To::Door => {
+            Action::Deliver(message) => match message.to {
+                Recipient::Gateway => {
                     if let Some(process) = &mut next.process {
-                        self.hear_of_self(process, message);
-                        next.wronged |= process.superseded && message.claim != 0;
+                        self.on_update_about_self(process, message);
+                        next.superseded_by_verdict |= process.superseded && message.status != 0;
                     }
                 }
-                To::Other(n) => self.hear(&mut next.others[n], message),
+                Recipient::Observer(n) => self.on_update(&mut next.observers[n], message),
             },
-            Act::Lose(message) => drop(next.under_way.remove(&message)),
+            Action::Lose(message) => drop(next.in_flight.remove(&message)),
         }
         if let Some(message) = send {
-            next.under_way.insert(message);
+            next.in_flight.insert(message);
         }
         (next != *state).then_some(next)
     }
 
-    fn within_boundary(&self, state: &PeerState) -> bool {
-        let incarnations = state.others.iter().map(|other| other.known.incarnation);
+    fn within_boundary(&self, state: &State) -> bool {
+        let incarnations = state
+            .observers
+            .iter()
+            .map(|observer| observer.known.incarnation);
         let own = state.process.map(|process| process.own);
         incarnations
             .chain(own)
-            .all(|incarnation| incarnation & 0xffff <= REFUTED)
-            && state.under_way.len() <= UNDER_WAY
+            .all(|incarnation| incarnation & 0xffff <= MAX_REFUTATIONS)
+            && state.in_flight.len() <= MAX_IN_FLIGHT
     }
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
             Property::always(
-                "no older incarnation goes before a newer one",
-                |_: &Order, state: &PeerState| {
+                "no older incarnation overrides a newer one",
+                |_: &Rules, state: &State| {
                     state
-                        .others
+                        .observers
                         .iter()
-                        .all(|other| other.known.incarnation == other.highest)
+                        .all(|observer| observer.known.incarnation == observer.highest)
                 },
             ),
             Property::always(
-                "each verdict on a door that lives can be refuted",
-                |order: &Order, state: &PeerState| {
-                    let dead = state.others.iter().filter(|other| other.known.dead);
+                "each verdict on a running gateway can be refuted",
+                |rules: &Rules, state: &State| {
+                    let dead = state
+                        .observers
+                        .iter()
+                        .filter(|observer| observer.known.dead);
                     state.process.is_none_or(|process| {
                         dead.clone()
-                            .all(|other| is_refutable(order, process, *other))
+                            .all(|observer| is_refutable(rules, process, *observer))
                     })
                 },
             ),
             Property::always(
-                "a verdict silences no process",
-                |_: &Order, state: &PeerState| !state.wronged,
+                "no verdict supersedes a process",
+                |_: &Rules, state: &State| !state.superseded_by_verdict,
             ),
             Property::sometimes(
-                "a new life whose clock was set back is held for alive",
-                |_: &Order, state: &PeerState| {
-                    let wins = |process: Process| {
-                        let lives = |other: &Other| {
-                            !other.known.dead && other.known.incarnation == process.own
+                "a restarted process whose clock was set back is alive",
+                |_: &Rules, state: &State| {
+                    let is_alive_everywhere = |process: Process| {
+                        let is_alive_here = |observer: &Observer| {
+                            !observer.known.dead && observer.known.incarnation == process.own
                         };
-                        state.begun > 1 && state.others.iter().all(lives)
+                        state.started > 1 && state.observers.iter().all(is_alive_here)
                     };
-                    state.process.is_some_and(wins)
+                    state.process.is_some_and(is_alive_everywhere)
                 },
             ),
         ]
     }
 }
 
-/// The states that can be reached in so many steps, all of them.
-fn check(order: Order, depth: usize) -> impl Checker<Order> {
+/// Explores all states that are reachable in this number of steps.
+fn check(rules: Rules, depth: usize) -> impl Checker<Rules> {
     let threads = std::thread::available_parallelism().map_or(2, usize::from);
-    order
+    rules
         .checker()
         .threads(threads)
         .target_max_depth(depth)
@@ -374,19 +385,19 @@
         .join()
 }
 
-/// Steps from the beginning.
+/// Maximum number of steps.
 const DEPTH: usize = 13;
 
-const AS_IT_IS: Order = Order {
-    silenced_by_verdicts: false,
-    takes_older: false,
+const ACTUAL_RULES: Rules = Rules {
+    superseded_by_verdicts: false,
+    accepts_older: false,
 };
 
 #[test]
-fn no_order_of_events_lets_an_older_life_win_or_makes_a_verdict_final() {
-    let checker = check(AS_IT_IS, DEPTH);
+fn no_order_of_events_lets_an_older_incarnation_win_or_makes_a_verdict_final() {
+    let checker = check(ACTUAL_RULES, DEPTH);
     println!(
-        "depth {}, {} states, {} of them unlike",
+        "depth {}, {} states, {} of them unique",
         checker.max_depth(),
         checker.state_count(),
         checker.unique_state_count()
@@ -400,29 +411,29 @@
 }
 
 #[test]
-fn the_check_finds_a_rule_that_lets_an_older_life_win() {
+fn the_model_rejects_a_rule_that_accepts_an_older_incarnation() {
     let checker = check(
-        Order {
-            takes_older: true,
-            ..AS_IT_IS
+        Rules {
+            accepts_older: true,
+            ..ACTUAL_RULES
         },
         DEPTH,
     );
     assert!(checker
-        .discovery("no older incarnation goes before a newer one")
+        .discovery("no older incarnation overrides a newer one")
         .is_some());
 }
 
 #[test]
-fn the_check_finds_a_rule_by_which_a_verdict_is_final() {
+fn the_model_rejects_a_rule_that_makes_a_verdict_final() {
     let checker = check(
-        Order {
-            silenced_by_verdicts: true,
-            ..AS_IT_IS
+        Rules {
+            superseded_by_verdicts: true,
+            ..ACTUAL_RULES
         },
         DEPTH,
     );
     assert!(checker
-        .discovery("each verdict on a door that lives can be refuted")
+        .discovery("each verdict on a running gateway can be refuted")
         .is_some());
 }
--- a/gateway-cluster/tests/steps/mod.rs
+++ b/gateway-cluster/tests/steps/mod.rs
@@ -1,36 +1,38 @@
-//! A simulated cluster that is looked at every few milliseconds, whatever it is waited for.
+//! A simulated cluster whose invariants are checked every few milliseconds.
 
 use gateway_cluster::protocol::{Micros, Protocol};
 use gateway_cluster::sim::Sim;
 
-/// From one look to the next.
+/// Time between two checks, in microseconds.
 const STEP: Micros = 5_000;
 
-/// A cluster with what has to hold of it at each step.
+/// A cluster with invariants that hold at each step.
 pub trait Watched {
-    /// The simulated gateway.
+    /// The protocol of a simulated gateway.
     type Door: Protocol;
 
+    /// The simulation.
     fn sim(&mut self) -> &mut Sim<Self::Door>;
 
-    /// Looks at all invariants.
+    /// Checks all invariants.
     fn look(&mut self);
 
+    /// Runs for this time.
     fn run(&mut self, time: Micros) {
         self.until(time, |_| false);
     }
 
-    /// Goes on until something holds. Returns how long that took, or `None` if it did not come in time.
-    fn until(&mut self, time: Micros, holds: impl Fn(&mut Self) -> bool) -> Option<Micros> {
-        let began = self.sim().now();
-        while self.sim().now() < began + time {
-            if holds(self) {
-                return Some(self.sim().now() - began);
+    /// Runs until a condition is true. Returns the elapsed time, or `None` after a time-out.
+    fn until(&mut self, timeout: Micros, condition: impl Fn(&mut Self) -> bool) -> Option<Micros> {
+        let started_at = self.sim().now();
+        while self.sim().now() < started_at + timeout {
+            if condition(self) {
+                return Some(self.sim().now() - started_at);
             }
             let next = self.sim().now() + STEP;
             self.sim().run_until(next);
             self.look();
         }
-        holds(self).then_some(self.sim().now() - began)
+        condition(self).then_some(self.sim().now() - started_at)
     }
 }
