--- a/gateway-cluster/examples/leadership.rs
+++ b/gateway-cluster/examples/leadership.rs
@@ -1,6 +1,7 @@
-//! The leader's bounds over seeds: `cargo run --release -p gateway-cluster --example leader [GATEWAYS [SEEDS [PERCENT
-//! [THREADS]]]]`, how long nobody owns after the leader is killed, ends as planned, or all are killed at once, and what the
-//! leadership sends beyond the view, in calm and after seven in ten are killed. Two leaders at one instant are counted throughout.
+//! Bounds of the leader election over seeds: `cargo run --release -p gateway-cluster --example leadership [GATEWAYS [SEEDS
+//! [PERCENT [THREADS]]]]`. Prints the time without a leader after the leader is killed, leaves, or all gateways restart, and
+//! the traffic of the election, idle and after seven in ten gateways are killed. Steps with two leaders are counted
+//! throughout.
 
 mod seeds;
 
@@ -11,20 +12,21 @@
 const LEASE_MS: u64 = 3000;
 const PROBE: Micros = 500_000;
 const SECOND: Micros = 1_000_000;
-/// How often it is looked who owns.
+/// Time between two observations of the leaders, in microseconds.
 const STEP: Micros = 5_000;
-/// What is sent is told as the mean of any so many seconds.
+/// Traffic is averaged over any interval of this many seconds.
 const WINDOW: usize = 10;
 
-struct Fleet {
+/// A simulated cluster and its observed violations.
+struct Cluster {
     sim: Sim<SimulatedNode<LEASE_MS>>,
-    /// Steps at which there were two leaders.
-    two: u64,
+    /// Number of steps at which there were two leaders.
+    steps_with_two_leaders: u64,
 }
 
-impl Fleet {
-    /// One that has run for a while, up to a moment that differs by the seed.
-    fn running(gateways: usize, loss: f64, seed: u64) -> Fleet {
+impl Cluster {
+    /// A cluster with a leader, after a time that depends on the seed.
+    fn running(gateways: usize, loss: f64, seed: u64) -> Cluster {
         let mut sim = Sim::new(gateways, PROBE, seed);
         if loss > 0.0 {
             sim.network = NetworkConditions {
@@ -34,13 +36,16 @@
                 ..NetworkConditions::default()
             };
         }
-        let mut cluster = Fleet { sim, two: 0 };
+        let mut cluster = Cluster {
+            sim,
+            steps_with_two_leaders: 0,
+        };
         cluster.start();
         cluster.until(60 * SECOND, |_| true);
-        // Somewhere between two renewals.
+        // A random time between two renewals.
         let phase = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) % (LEASE_MS * 1000);
         cluster.until(8 * SECOND + phase, |_| false);
-        // While much is lost it may just be without one.
+        // With losses there may be no leader at the moment.
         cluster.until(60 * SECOND, |_| true);
         cluster
     }
@@ -56,54 +61,54 @@
         (0..sim.peers())
             .filter(|gateway| {
                 sim.engine(*gateway)
-                    .and_then(|owned| owned.stack.election()?.epoch(now))
+                    .and_then(|node| node.stack.election()?.epoch(now))
                     .is_some()
             })
             .collect()
     }
 
-    /// Goes on until somebody owns who will do. Returns how many seconds that took; without an end if it took too long.
-    fn until(&mut self, most: Micros, will_do: impl Fn(PeerIndex) -> bool) -> f64 {
-        let began = self.sim.now();
-        while self.sim.now() < began + most {
+    /// Runs until there is an accepted leader. Returns the elapsed seconds, or infinity after a time-out.
+    fn until(&mut self, timeout: Micros, is_accepted: impl Fn(PeerIndex) -> bool) -> f64 {
+        let started_at = self.sim.now();
+        while self.sim.now() < started_at + timeout {
             self.sim.run_until(self.sim.now() + STEP);
             let leaders = self.leaders();
-            self.two += u64::from(leaders.len() > 1);
-            if leaders.iter().any(|leader| will_do(*leader)) {
-                return (self.sim.now() - began) as f64 / 1e6;
+            self.steps_with_two_leaders += u64::from(leaders.len() > 1);
+            if leaders.iter().any(|leader| is_accepted(*leader)) {
+                return (self.sim.now() - started_at) as f64 / 1e6;
             }
         }
         f64::INFINITY
     }
 
-    /// What each gateway's leadership sends in each of so many seconds, and whether it owned in it.
+    /// The traffic of each gateway's election in each of these seconds, and whether it was the leader in it.
     fn seconds(&mut self, seconds: usize) -> Vec<Vec<(Sent, bool)>> {
         let gateways = self.sim.peers();
         let mut sent = vec![Vec::new(); gateways];
-        let mut take = |cluster: &mut Fleet, owned: &[bool]| {
+        let mut take = |cluster: &mut Cluster, node: &[bool]| {
             for (gateway, seconds) in sent.iter_mut().enumerate() {
                 let taken = cluster
                     .sim
                     .engine(gateway)
-                    .map(|owned| std::mem::take(&mut owned.sent));
-                seconds.extend(taken.map(|taken| (taken, owned[gateway])));
+                    .map(|node| std::mem::take(&mut node.sent));
+                seconds.extend(taken.map(|taken| (taken, node[gateway])));
             }
         };
-        // What was sent before counts for nothing.
+        // Discard the traffic from before.
         for gateway in 0..gateways {
             self.sim
                 .engine(gateway)
-                .map(|owned| std::mem::take(&mut owned.sent));
+                .map(|node| std::mem::take(&mut node.sent));
         }
         for _ in 0..seconds {
-            let mut owned = vec![false; gateways];
+            let mut node = vec![false; gateways];
             for _ in 0..SECOND / STEP {
                 self.until(STEP, |_| false);
                 self.leaders()
                     .into_iter()
-                    .for_each(|leader| owned[leader] = true);
+                    .for_each(|leader| node[leader] = true);
             }
-            take(self, &owned);
+            take(self, &node);
         }
         sent
     }
@@ -116,9 +121,9 @@
     (one.0.max(other.0), one.1.max(other.1))
 }
 
-/// The most that was sent over any window: by one that owned in it, by one that did not, and by all in the mean.
-fn most(sent: &[Vec<(Sent, bool)>]) -> [Rate; 3] {
-    let mut most = [(0.0, 0.0); 3];
+/// The maximum traffic over any window: of a leader, of another gateway, and of all gateways on average.
+fn max_rates(sent: &[Vec<(Sent, bool)>]) -> [Rate; 3] {
+    let mut max_rates = [(0.0, 0.0); 3];
     let rate = |window: &[(Sent, bool)]| {
         let sum =
             |of: fn(&Sent) -> u64| window.iter().map(|(sent, _)| of(sent)).sum::<u64>() as f64;
@@ -128,8 +133,8 @@
         )
     };
     for window in sent.iter().flat_map(|gateway| gateway.windows(WINDOW)) {
-        let kind = usize::from(!window.iter().any(|(_, owned)| *owned));
-        most[kind] = higher(most[kind], rate(window));
+        let kind = usize::from(!window.iter().any(|(_, node)| *node));
+        max_rates[kind] = higher(max_rates[kind], rate(window));
     }
     let running: Vec<&Vec<(Sent, bool)>> =
         sent.iter().filter(|gateway| !gateway.is_empty()).collect();
@@ -144,76 +149,76 @@
             .map(|gateway| rate(&gateway[begin..begin + WINDOW]));
         let sum = all.fold((0.0, 0.0), |sum, one| (sum.0 + one.0, sum.1 + one.1));
         let gateways = running.len() as f64;
-        most[2] = higher(most[2], (sum.0 / gateways, sum.1 / gateways));
+        max_rates[2] = higher(max_rates[2], (sum.0 / gateways, sum.1 / gateways));
     }
-    most
+    max_rates
 }
 
-/// What was measured with one seed.
-struct Found {
-    killed: f64,
-    ended: f64,
-    all: f64,
-    calm: [Rate; 3],
-    storm: [Rate; 3],
-    two: u64,
-    /// Whether one leader stayed through the calm time.
-    stayed: bool,
+/// The measurements of one seed.
+struct Measurement {
+    after_kill_s: f64,
+    after_leave_s: f64,
+    after_restart_s: f64,
+    idle: [Rate; 3],
+    after_mass_failure: [Rate; 3],
+    steps_with_two_leaders: u64,
+    /// Whether the leader stayed the same while the cluster was idle.
+    leader_is_stable: bool,
 }
 
-/// One of the figures.
-type Of<T> = fn(&Found) -> T;
+/// Selects a figure of a measurement.
+type Figure<T> = fn(&Measurement) -> T;
 
-fn measure(gateways: usize, loss: f64, seed: u64) -> Found {
-    let patience = 60 * SECOND;
-    let mut cluster = Fleet::running(gateways, loss, seed);
+fn measure(gateways: usize, loss: f64, seed: u64) -> Measurement {
+    let timeout = 60 * SECOND;
+    let mut cluster = Cluster::running(gateways, loss, seed);
     let Some(leader) = cluster.leaders().first().copied() else {
-        let (never, none) = (f64::INFINITY, [(0.0, 0.0); 3]);
-        let two = cluster.two;
-        return Found {
-            killed: never,
-            ended: never,
-            all: never,
-            calm: none,
-            storm: none,
-            two,
-            stayed: false,
+        let (unreached, none) = (f64::INFINITY, [(0.0, 0.0); 3]);
+        let steps_with_two_leaders = cluster.steps_with_two_leaders;
+        return Measurement {
+            after_kill_s: unreached,
+            after_leave_s: unreached,
+            after_restart_s: unreached,
+            idle: none,
+            after_mass_failure: none,
+            steps_with_two_leaders,
+            leader_is_stable: false,
         };
     };
-    let calm = most(&cluster.seconds(20));
-    let stayed = cluster.leaders() == [leader];
-    cluster.until(patience, |_| true);
+    let idle = max_rates(&cluster.seconds(20));
+    let leader_is_stable = cluster.leaders() == [leader];
+    cluster.until(timeout, |_| true);
     let leader = cluster.leaders().first().copied().unwrap_or(leader);
     cluster.sim.kill(leader);
-    let killed = cluster.until(patience, |next| next != leader);
-    // Of few gateways all are needed for what comes next.
+    let after_kill_s = cluster.until(timeout, |next| next != leader);
+    // In small clusters all gateways are needed for the next steps.
     cluster
         .sim
         .start(leader, 1_700_000_000 * SECOND + cluster.sim.now());
     cluster.until(10 * SECOND, |_| false);
-    cluster.until(patience, |_| true);
+    cluster.until(timeout, |_| true);
     let leader = cluster.leaders().first().copied().unwrap_or(leader);
     cluster.sim.leave(leader);
-    let ended = cluster.until(patience, |next| next != leader);
+    let after_leave_s = cluster.until(timeout, |next| next != leader);
     (0..gateways).for_each(|gateway| cluster.sim.kill(gateway));
     cluster.start();
-    let all = cluster.until(patience, |_| true);
-    let mut two = cluster.two;
-    // The leader is among those that are left in some runs: then it is cut down to a minority.
-    let mut cluster = Fleet::running(gateways, loss, seed);
+    let after_restart_s = cluster.until(timeout, |_| true);
+    let mut steps_with_two_leaders = cluster.steps_with_two_leaders;
+    // In some runs the leader survives and is left with a minority.
+    let mut cluster = Cluster::running(gateways, loss, seed);
     (0..gateways)
         .filter(|gateway| gateway % 10 < 7)
         .for_each(|gateway| cluster.sim.kill(gateway));
-    let storm = most(&cluster.seconds(40));
-    two += cluster.two;
-    Found {
-        killed,
-        ended,
-        all,
-        calm,
-        storm,
-        two,
-        stayed,
+    let after_mass_failure = max_rates(&cluster.seconds(40));
+    steps_with_two_leaders += cluster.steps_with_two_leaders;
+    Measurement {
+        after_kill_s,
+        after_leave_s,
+        after_restart_s,
+        idle,
+        after_mass_failure,
+        steps_with_two_leaders,
+        leader_is_stable,
     }
 }
 
@@ -221,12 +226,14 @@
     let found = over_seeds(seeds, threads, |seed| {
         measure(gateways, percent as f64 / 100.0, seed)
     });
-    let found: Vec<Found> = found.into_iter().map(|(_, found)| found).collect();
-    println!("{gateways} doors, {percent}% loss, {seeds} seeds, lease {LEASE_MS} ms:");
-    let times: [(&str, Of<f64>); 3] = [
-        ("the owner is killed", |found| found.killed),
-        ("the owner ends as planned", |found| found.ended),
-        ("all are killed and start at once", |found| found.all),
+    let found: Vec<Measurement> = found.into_iter().map(|(_, found)| found).collect();
+    println!("{gateways} gateways, {percent}% loss, {seeds} seeds, lease {LEASE_MS} ms:");
+    let times: [(&str, Figure<f64>); 3] = [
+        ("the leader is killed", |found| found.after_kill_s),
+        ("the leader leaves", |found| found.after_leave_s),
+        ("all are killed and start at once", |found| {
+            found.after_restart_s
+        }),
     ];
     for (what, of) in times {
         let mut times: Vec<f64> = found.iter().map(of).collect();
@@ -239,17 +246,17 @@
         };
         let worst = times.last().copied().unwrap_or(f64::NAN);
         println!(
-            "  {what}: the next owns after {:.2} s in the median, {:.2} s in 99%, {worst:.2} s at most",
+            "  {what}: the next leader is elected after {:.2} s in the median, {:.2} s in 99%, {worst:.2} s at most",
             at(0.5),
             at(0.99)
         );
     }
-    let sent: [(&str, Of<[Rate; 3]>); 2] = [
-        ("calm", |found| found.calm),
-        ("seven in ten killed", |found| found.storm),
+    let sent: [(&str, Figure<[Rate; 3]>); 2] = [
+        ("calm", |found| found.idle),
+        ("seven in ten killed", |found| found.after_mass_failure),
     ];
     for (what, of) in sent {
-        for (kind, who) in ["one that owns", "another door", "a door in the mean"]
+        for (kind, who) in ["the leader", "another gateway", "a gateway on average"]
             .into_iter()
             .enumerate()
         {
@@ -260,32 +267,32 @@
             println!("  {what}: {who} sends {messages:.1} messages and {bytes:.0} bytes a second at most");
         }
     }
-    let two: u64 = found.iter().map(|found| found.two).sum();
-    let unseated = found.iter().filter(|found| !found.stayed).count();
-    let never = found
+    let steps_with_two_leaders: u64 = found.iter().map(|found| found.steps_with_two_leaders).sum();
+    let unstable_runs = found.iter().filter(|found| !found.leader_is_stable).count();
+    let unreached = found
         .iter()
-        .filter(|found| found.killed.is_infinite())
+        .filter(|found| found.after_kill_s.is_infinite())
         .count();
-    println!("  nobody owned for a minute in {never} runs");
+    println!("  there was no leader for a minute in {unreached} runs");
     println!(
-        "  two owners at {two} steps of {STEP} us; the owner changed in calm in {unseated} runs"
+        "  two leaders at {steps_with_two_leaders} steps of {STEP} us; the leader changed while idle in {unstable_runs} runs"
     );
 }
 
 fn main() {
-    let words: Vec<u64> = std::env::args()
+    let arguments: Vec<u64> = std::env::args()
         .skip(1)
-        .filter_map(|word| word.parse().ok())
+        .filter_map(|argument| argument.parse().ok())
         .collect();
-    let number = |at: usize, otherwise: u64| words.get(at).copied().unwrap_or(otherwise);
+    let number = |at: usize, otherwise: u64| arguments.get(at).copied().unwrap_or(otherwise);
     let threads = number(
         3,
         std::thread::available_parallelism().map_or(4, usize::from) as u64,
     ) as usize;
-    if words.len() > 2 {
+    if arguments.len() > 2 {
         return report(number(0, 300) as usize, number(1, 6), number(2, 0), threads);
     }
-    for gateways in words
+    for gateways in arguments
         .first()
         .map_or(vec![3, 30, 300], |gateways| vec![*gateways])
     {
--- a/gateway-cluster/examples/membership_bounds.rs
+++ b/gateway-cluster/examples/membership_bounds.rs
@@ -1,8 +1,8 @@
-//! The view's bounds over seeds, on all processors:
-//! `cargo run --release -p gateway-cluster --example membership_bounds heal [GATEWAYS [SEEDS]]`, how long views take to be right
-//! again after partitions of several shapes and lengths; `... bounds loss [GATEWAYS [SEEDS [SECONDS [PERCENT]]]]`, how
-//! often a gateway that lives is held for dead while datagrams are lost; `... bounds kill [GATEWAYS [SEEDS [PERCENT]]]`, how
-//! long a killed gateway is not dead everywhere; `... bounds storm [GATEWAYS [SEEDS [PERCENT]]]`, what is sent after many die.
+//! Bounds of the membership protocol over seeds, on all processors:
+//! `cargo run --release -p gateway-cluster --example membership_bounds heal [GATEWAYS [SEEDS]]`, the time until all views
+//! are correct after partitions of several shapes and durations; `... loss [GATEWAYS [SEEDS [SECONDS [PERCENT]]]]`, wrong
+//! verdicts while datagrams are lost; `... kill [GATEWAYS [SEEDS [PERCENT]]]`, the time until a killed gateway is dead in
+//! every view; `... storm [GATEWAYS [SEEDS [PERCENT]]]`, the traffic after a mass failure.
 
 mod seeds;
 
@@ -23,8 +23,8 @@
     }
 }
 
-/// Seconds from healing to all views right; `None` if that takes more than a minute.
-fn heal(gateways: usize, shape: &str, long: u64, seed: u64) -> Option<f64> {
+/// Seconds from the end of a partition until all views are correct; `None` after a minute.
+fn healing_time_s(gateways: usize, shape: &str, duration_s: u64, seed: u64) -> Option<f64> {
     let mut sim = cluster(gateways, 0.0, seed);
     if shape == "bridge" {
         for (a, b) in (0..gateways).flat_map(|a| (0..gateways).map(move |b| (a, b))) {
@@ -33,14 +33,14 @@
     } else {
         sim.partition(|gateway| side(shape, gateway));
     }
-    sim.run_until(sim.now() + long * SECOND);
+    sim.run_until(sim.now() + duration_s * SECOND);
     sim.partition(|_| 0);
     let since = sim.now();
-    let at = sim.run_until_true(since + 60 * SECOND, Sim::is_settled);
+    let at = sim.run_until_true(since + 60 * SECOND, Sim::has_converged);
     at.map(|at| (at - since) as f64 / 1e6)
 }
 
-/// A cluster that starts now. With loss there are jitter and doubled datagrams too.
+/// A cluster that starts now. With loss there are jitter and duplicated datagrams too.
 fn started(gateways: usize, loss: f64, seed: u64) -> Sim<Membership> {
     let mut sim = Sim::<Membership>::new(gateways, PROBE, seed);
     sim.network = match loss > 0.0 {
@@ -61,7 +61,7 @@
     sim
 }
 
-/// One that has run for a while.
+/// A cluster after twenty seconds of operation.
 fn cluster(gateways: usize, loss: f64, seed: u64) -> Sim<Membership> {
     let mut sim = started(gateways, loss, seed);
     sim.run_until(20 * SECOND);
@@ -69,7 +69,7 @@
 }
 
 /// Seconds until a killed gateway is dead in every view.
-fn killed(gateways: usize, loss: f64, seed: u64) -> f64 {
+fn detection_time_s(gateways: usize, loss: f64, seed: u64) -> f64 {
     let mut sim = cluster(gateways, loss, seed);
     let since = sim.now();
     sim.kill(0);
@@ -82,9 +82,9 @@
     at.map_or(f64::INFINITY, |at| (at - since) as f64 / 1e6)
 }
 
-/// The most that a gateway sends in a second, averaged over any ten of the forty after seven in ten are killed: messages
-/// and bytes.
-fn storm(gateways: usize, loss: f64, seed: u64) -> (f64, f64) {
+/// Maximum rate of a gateway in the forty seconds after seven in ten are killed, averaged over any ten seconds: datagrams
+/// and bytes per second.
+fn traffic_after_mass_failure(gateways: usize, loss: f64, seed: u64) -> (f64, f64) {
     let mut sim = cluster(gateways, loss, seed);
     (0..gateways)
         .filter(|gateway| gateway % 10 < 7)
@@ -105,8 +105,8 @@
     (messages as f64 / 10.0, bytes as f64 / 10.0)
 }
 
-/// In how many seconds some gateway that lives was held for dead, over so many of them at this loss and 50 ms jitter, and
-/// the verdicts that were wrong.
+/// Number of seconds in which some running gateway was considered dead, at this loss and 50 ms jitter, and number of wrong
+/// verdicts.
 fn false_verdicts(gateways: usize, seconds: u64, loss: f64, seed: u64) -> (u64, usize) {
     let mut sim = started(gateways, loss, seed);
     let (mut wrong, mut verdicts) = (0, 0);
@@ -134,71 +134,73 @@
 }
 
 fn main() {
-    let words: Vec<String> = std::env::args().skip(1).collect();
+    let arguments: Vec<String> = std::env::args().skip(1).collect();
     let number = |at: usize, otherwise: u64| {
-        words
+        arguments
             .get(at)
-            .and_then(|word| word.parse().ok())
+            .and_then(|argument| argument.parse().ok())
             .unwrap_or(otherwise)
     };
     let (gateways, seeds) = (number(1, 300) as usize, number(2, 6));
-    if words.first().is_some_and(|word| word == "loss") {
+    if arguments.first().is_some_and(|argument| argument == "loss") {
         let (seconds, percent) = (number(3, 3600), number(4, 10));
         let found = over_seeds(seeds, |seed| {
             false_verdicts(gateways, seconds, percent as f64 / 100.0, seed)
         });
         let wrong: u64 = found.iter().map(|(_, (wrong, _))| wrong).sum();
         let verdicts: usize = found.iter().map(|(_, (_, verdicts))| verdicts).sum();
-        let bad: Vec<u64> = found
+        let seeds_with_wrong_verdicts: Vec<u64> = found
             .iter()
             .filter(|(_, found)| found.1 > 0)
             .map(|(seed, _)| *seed)
             .collect();
         println!(
-            "{gateways:>3} doors, {percent}% loss, {seeds} seeds of {seconds} s: {wrong} seconds with a door that lives \
-             held for dead, {verdicts} wrong verdicts, in seeds {bad:?}"
+            "{gateways:>3} gateways, {percent}% loss, {seeds} seeds of {seconds} s: {wrong} seconds with a running \
+             gateway considered dead, {verdicts} wrong verdicts, in seeds {seeds_with_wrong_verdicts:?}"
         );
         return;
     }
-    if words
+    if arguments
         .first()
-        .is_some_and(|word| word == "kill" || word == "storm")
+        .is_some_and(|argument| argument == "kill" || argument == "storm")
     {
         let percent = number(3, 0);
         let loss = percent as f64 / 100.0;
-        let what = format!("{gateways:>3} doors, {percent}% loss, {seeds} seeds");
-        if words[0] == "storm" {
-            let found = over_seeds(seeds, |seed| storm(gateways, loss, seed));
-            let most = |of: fn(&(f64, f64)) -> f64| {
+        let what = format!("{gateways:>3} gateways, {percent}% loss, {seeds} seeds");
+        if arguments[0] == "storm" {
+            let found = over_seeds(seeds, |seed| {
+                traffic_after_mass_failure(gateways, loss, seed)
+            });
+            let max = |of: fn(&(f64, f64)) -> f64| {
                 found.iter().map(|(_, sent)| of(sent)).fold(0.0, f64::max)
             };
             println!(
                 "{what}, seven in ten killed: {:.1} messages and {:.0} bytes a second at most",
-                most(|sent| sent.0),
-                most(|sent| sent.1)
+                max(|sent| sent.0),
+                max(|sent| sent.1)
             );
             return;
         }
-        let found = over_seeds(seeds, |seed| killed(gateways, loss, seed));
+        let found = over_seeds(seeds, |seed| detection_time_s(gateways, loss, seed));
         let mut times: Vec<f64> = found.iter().map(|(_, took)| *took).collect();
         times.sort_by(f64::total_cmp);
         println!(
-            "{what}: a killed door is dead in every view after {:.2} s in the median, {:.2} s at most",
+            "{what}: a killed gateway is dead in every view after {:.2} s in the median, {:.2} s at most",
             times[times.len() / 2],
             times[times.len() - 1]
         );
         return;
     }
     for shape in SHAPES {
-        for long in [3, 8, 30, 90] {
+        for duration_s in [3, 8, 30, 90] {
             let found = over_seeds(seeds, |seed| {
-                heal(gateways, shape, long, seed).unwrap_or(f64::INFINITY)
+                healing_time_s(gateways, shape, duration_s, seed).unwrap_or(f64::INFINITY)
             });
             let mut times: Vec<f64> = found.iter().map(|(_, took)| *took).collect();
             times.sort_by(f64::total_cmp);
             let over = found.iter().filter(|(_, took)| *took > 5.0).count();
             println!(
-                "{gateways:>3} doors, {shape:>6} for {long:>2} s, {seeds} seeds: median {:.2} s, worst {:.2} s, over 5 s {over}",
+                "{gateways:>3} gateways, {shape:>6} for {duration_s:>2} s, {seeds} seeds: median {:.2} s, worst {:.2} s, over 5 s {over}",
                 times[times.len() / 2],
                 times[times.len() - 1]
             );
--- a/gateway-cluster/examples/membership_protocols.rs
+++ b/gateway-cluster/examples/membership_protocols.rs
@@ -1,6 +1,6 @@
-//! Measures an engine of the view in the simulation, by the bounds that the view is to reach:
-//! `cargo run --release -p gateway-cluster --example membership_protocols [SEEDS [view|foca]]`: the view of this crate, or the
-//! crate `foca` with the settings that come nearest to those bounds.
+//! Measures a membership protocol in the simulation:
+//! `cargo run --release -p gateway-cluster --example membership_protocols [SEEDS [view|foca]]`: the membership of this
+//! crate, or the crate `foca` with the settings that come closest to the bounds of `docs/fleet-view.md`.
 
 use foca::{Config, Foca, Identity, Member, PeriodicParams, PostcardCodec, Runtime, Timer};
 use gateway_cluster::protocol::{IndexedTransmit, Micros, PeerState, Protocol, StartOptions};
@@ -14,73 +14,74 @@
 
 const PROBE: Micros = 500_000;
 const SECOND: Micros = 1_000_000;
-/// Gateways that a new life asks for the others.
-const JOINS: usize = 3;
+/// Number of gateways from which a new process requests the members.
+const JOIN_REQUESTS: usize = 3;
 
-/// A name of the peer set and one of its lives.
+/// A peer by index and its incarnation.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-struct Name {
-    place: u16,
-    life: u64,
+struct PeerIdentity {
+    index: u16,
+    incarnation: u64,
 }
 
-impl Identity for Name {
+impl Identity for PeerIdentity {
     type Addr = u16;
-    fn renew(&self) -> Option<Name> {
-        Some(Name {
-            life: self.life + 1,
+    fn renew(&self) -> Option<PeerIdentity> {
+        Some(PeerIdentity {
+            incarnation: self.incarnation + 1,
             ..self.clone()
         })
     }
     fn addr(&self) -> u16 {
-        self.place
+        self.index
     }
-    fn win_addr_conflict(&self, other: &Name) -> bool {
-        self.life > other.life
+    fn win_addr_conflict(&self, other: &PeerIdentity) -> bool {
+        self.incarnation > other.incarnation
     }
 }
 
-/// What the engine asks for while it handles one input.
+/// Datagrams and timers that `foca` requests while it handles one input.
 #[derive(Default)]
-struct Asked {
+struct RecordedEffects {
     sends: Vec<IndexedTransmit>,
-    timers: Vec<(Duration, Timer<Name>)>,
+    timers: Vec<(Duration, Timer<PeerIdentity>)>,
 }
 
-impl Runtime<Name> for &mut Asked {
-    fn notify(&mut self, _: foca::Notification<'_, Name>) {}
-    fn send_to(&mut self, to: Name, data: &[u8]) {
+impl Runtime<PeerIdentity> for &mut RecordedEffects {
+    fn notify(&mut self, _: foca::Notification<'_, PeerIdentity>) {}
+    fn send_to(&mut self, to: PeerIdentity, data: &[u8]) {
         self.sends.push(IndexedTransmit {
-            to: usize::from(to.place),
+            to: usize::from(to.index),
             bytes: data.to_vec(),
         });
     }
-    fn submit_after(&mut self, event: Timer<Name>, after: Duration) {
+    fn submit_after(&mut self, event: Timer<PeerIdentity>, after: Duration) {
         self.timers.push((after, event));
     }
 }
 
+/// The crate `foca` as a [`Protocol`].
 struct Swim {
-    foca: Foca<Name, PostcardCodec, Pcg64Mcg, foca::NoCustomBroadcast>,
-    timers: BTreeMap<(Micros, u64), Timer<Name>>,
-    count: u64,
+    foca: Foca<PeerIdentity, PostcardCodec, Pcg64Mcg, foca::NoCustomBroadcast>,
+    timers: BTreeMap<(Micros, u64), Timer<PeerIdentity>>,
+    timer_count: u64,
     options: StartOptions,
 }
 
 impl Swim {
-    fn with(
+    fn apply(
         &mut self,
         now: Micros,
         sends: &mut Vec<IndexedTransmit>,
-        act: impl FnOnce(&mut Self, &mut Asked),
+        input: impl FnOnce(&mut Self, &mut RecordedEffects),
     ) {
-        let mut asked = Asked::default();
-        act(self, &mut asked);
-        sends.append(&mut asked.sends);
-        for (after, timer) in asked.timers {
-            self.count += 1;
+        let mut effects = RecordedEffects::default();
+        input(self, &mut effects);
+        sends.append(&mut effects.sends);
+        for (after, timer) in effects.timers {
+            self.timer_count += 1;
             self.timers
-                .insert((now + after.as_micros() as Micros, self.count), timer);
+                .insert((now + after.as_micros() as Micros, self.timer_count), timer);
         }
     }
 }
@@ -99,7 +100,7 @@
     config.probe_rtt = period / 3;
     config.num_indirect_probes = NonZeroUsize::new(3).expect("some");
     config.max_transmissions = NonZeroU8::new(10).expect("some");
-    // What is left of the 4 s once a killed gateway has been probed and everybody has heard.
+    // The rest of the bound of 4 s after the probe of a killed gateway and the gossip of the verdict.
     config.suspect_to_down_after = period * 4;
     config.max_packet_size = NonZeroUsize::new(1400).expect("some");
     config.notify_down_members = true;
@@ -112,47 +113,47 @@
 
 impl Protocol for Swim {
     fn start(now: Micros, options: StartOptions, sends: &mut Vec<IndexedTransmit>) -> Swim {
-        let me = Name {
-            place: options.own_index as u16,
-            life: options.unix_us,
+        let me = PeerIdentity {
+            index: options.own_index as u16,
+            incarnation: options.unix_us,
         };
         let rng = Pcg64Mcg::seed_from_u64(options.seed);
         let foca = Foca::new(me, config(&options), rng, PostcardCodec);
         let mut swim = Swim {
             foca,
             timers: BTreeMap::new(),
-            count: 0,
+            timer_count: 0,
             options,
         };
-        swim.with(now, sends, |swim, asked| {
-            // The peer set is known: its names are taken for alive under any life.
-            let others = (0..options.peer_count).filter(|place| *place != options.own_index);
-            let members = others.map(|place| {
-                Member::alive(Name {
-                    place: place as u16,
-                    life: 0,
+        swim.apply(now, sends, |swim, effects| {
+            // The peer set is known: all peers are alive with incarnation 0.
+            let others = (0..options.peer_count).filter(|index| *index != options.own_index);
+            let members = others.map(|index| {
+                Member::alive(PeerIdentity {
+                    index: index as u16,
+                    incarnation: 0,
                 })
             });
-            let _ = swim.foca.apply_many(members, false, &mut *asked);
-            // Their true lives are learned from those who answer.
-            for step in 1..=JOINS.min(options.peer_count - 1) {
-                let place =
+            let _ = swim.foca.apply_many(members, false, &mut *effects);
+            // The actual incarnations are learned from the answers.
+            for step in 1..=JOIN_REQUESTS.min(options.peer_count - 1) {
+                let index =
                     (options.own_index + step * 7 % options.peer_count) % options.peer_count;
                 let _ = swim.foca.announce(
-                    Name {
-                        place: place as u16,
-                        life: 0,
+                    PeerIdentity {
+                        index: index as u16,
+                        incarnation: 0,
                     },
-                    &mut *asked,
+                    &mut *effects,
                 );
             }
         });
         swim
     }
     fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<IndexedTransmit>) {
-        // What makes no sense to it is dropped.
-        self.with(now, sends, |swim, asked| {
-            drop(swim.foca.handle_data(bytes, asked))
+        // Malformed datagrams are dropped.
+        self.apply(now, sends, |swim, effects| {
+            drop(swim.foca.handle_data(bytes, effects))
         });
     }
     fn next_wakeup(&self) -> Option<Micros> {
@@ -165,8 +166,8 @@
             .filter(|entry| entry.key().0 <= now)
         {
             let timer = entry.remove();
-            self.with(now, sends, |swim, asked| {
-                drop(swim.foca.handle_timer(timer, asked))
+            self.apply(now, sends, |swim, effects| {
+                drop(swim.foca.handle_timer(timer, effects))
             });
         }
     }
@@ -175,7 +176,7 @@
         view[self.options.own_index] = PeerState::Alive;
         for member in self.foca.iter_members() {
             let suspect = member.state() == foca::State::Suspect;
-            view[usize::from(member.id().place)] = if suspect {
+            view[usize::from(member.id().index)] = if suspect {
                 PeerState::Suspect
             } else {
                 PeerState::Alive
@@ -185,25 +186,25 @@
     }
 }
 
-/// A cluster that has run for a while.
-fn cluster<E: Protocol>(gateways: usize, seed: u64, weather: NetworkConditions) -> Sim<E> {
+/// A cluster after twenty seconds of operation.
+fn cluster<P: Protocol>(gateways: usize, seed: u64, network: NetworkConditions) -> Sim<P> {
     let mut sim = Sim::new(gateways, PROBE, seed);
-    sim.network = weather;
+    sim.network = network;
     (0..gateways).for_each(|gateway| sim.start(gateway, SECOND));
     sim.run_until(20 * SECOND);
     sim
 }
 
-/// Ordered pairs of running gateways of which one holds the other for dead.
-fn wrong<E: Protocol>(sim: &Sim<E>) -> usize {
-    let membership_transmits = (0..sim.peers()).filter_map(|gateway| sim.view(gateway));
+/// Number of ordered pairs of running gateways of which the first considers the second dead.
+fn wrong<P: Protocol>(sim: &Sim<P>) -> usize {
+    let views = (0..sim.peers()).filter_map(|gateway| sim.view(gateway));
     let dead = |view: Vec<PeerState>| {
         view.iter()
             .enumerate()
             .filter(|(gateway, state)| **state == PeerState::Dead && sim.runs(*gateway))
             .count()
     };
-    membership_transmits.map(dead).sum()
+    views.map(dead).sum()
 }
 
 fn seconds(at: Option<Micros>, since: Micros) -> String {
@@ -213,18 +214,18 @@
 }
 
 fn main() {
-    let words: Vec<String> = std::env::args().collect();
-    let seeds: u64 = words
+    let arguments: Vec<String> = std::env::args().collect();
+    let seeds: u64 = arguments
         .get(1)
         .and_then(|seeds| seeds.parse().ok())
         .unwrap_or(3);
-    match words.get(2).map(String::as_str) {
+    match arguments.get(2).map(String::as_str) {
         Some("foca") => measure::<Swim>(seeds),
         _ => measure::<gateway_cluster::membership::Membership>(seeds),
     }
 }
 
-fn measure<E: Protocol>(seeds: u64) {
+fn measure<P: Protocol>(seeds: u64) {
     for gateways in [3, 30, 300] {
         for seed in 1..=seeds {
             let calm = NetworkConditions::default();
@@ -233,42 +234,42 @@
                 jitter: 50_000,
                 ..calm
             };
-            let dead = |sim: &Sim<E>| {
+            let dead = |sim: &Sim<P>| {
                 (1..sim.peers())
                     .filter_map(|gateway| sim.view(gateway))
                     .all(|view| view[0] == PeerState::Dead)
             };
-            for (name, weather) in [("no loss", calm), ("10% loss", lossy)] {
-                let mut sim = cluster::<E>(gateways, seed, weather);
-                let (since, settled) = (sim.now(), sim.is_settled());
+            for (name, network) in [("no loss", calm), ("10% loss", lossy)] {
+                let mut sim = cluster::<P>(gateways, seed, network);
+                let (since, converged) = (sim.now(), sim.has_converged());
                 sim.kill(0);
                 let at = sim.run_until_true(since + 60 * SECOND, dead);
-                println!("{gateways:>3} doors, seed {seed}, {name}: settled before {settled}, a killed one is dead after {}",
+                println!("{gateways:>3} gateways, seed {seed}, {name}: converged before {converged}, a killed gateway is dead after {}",
                     seconds(at, since));
             }
-            let mut sim = cluster::<E>(gateways, seed, lossy);
-            let (mut most, mut samples) = (0, 0);
+            let mut sim = cluster::<P>(gateways, seed, lossy);
+            let (mut max, mut samples) = (0, 0);
             for _ in 0..60 {
                 sim.run_until(sim.now() + SECOND);
                 let now = wrong(&sim);
-                most = most.max(now);
+                max = max.max(now);
                 samples += usize::from(now > 0);
             }
-            println!("{gateways:>3} doors, seed {seed}, 10% loss for 60 s: {samples} of 60 seconds with a live door held for dead, \
-                      {most} pairs at most");
+            println!("{gateways:>3} gateways, seed {seed}, 10% loss for 60 s: {samples} of 60 seconds with a live door held for dead, \
+                      {max} pairs at most");
             for (name, shape) in [("halves", 2), ("thirds", 3)] {
-                let mut sim = cluster::<E>(gateways, seed, calm);
+                let mut sim = cluster::<P>(gateways, seed, calm);
                 sim.partition(|gateway| gateway % shape);
                 sim.run_until(sim.now() + 30 * SECOND);
                 sim.partition(|_| 0);
                 let since = sim.now();
-                let at = sim.run_until_true(since + 120 * SECOND, Sim::is_settled);
+                let at = sim.run_until_true(since + 120 * SECOND, Sim::has_converged);
                 println!(
-                    "{gateways:>3} doors, seed {seed}, {name} for 30 s: all views are right {} after healing",
+                    "{gateways:>3} gateways, seed {seed}, {name} for 30 s: all views are correct {} after healing",
                     seconds(at, since)
                 );
             }
-            let mut sim = cluster::<E>(gateways, seed, calm);
+            let mut sim = cluster::<P>(gateways, seed, calm);
             (0..gateways).for_each(|gateway| sim.stop(gateway, gateway % 3 == 0));
             sim.run_until(sim.now() + 10 * SECOND);
             (0..gateways).for_each(|gateway| {
@@ -277,22 +278,22 @@
                 }
             });
             sim.run_until(sim.now() + SECOND / 10);
-            let slept = |gateway: &usize| gateway % 3 == 0;
-            let membership_transmits = (0..gateways)
-                .filter(slept)
+            let was_paused = |gateway: &usize| gateway % 3 == 0;
+            let views = (0..gateways)
+                .filter(was_paused)
                 .filter_map(|gateway| sim.view(gateway));
             let awake = |view: Vec<PeerState>| {
                 view.iter()
                     .enumerate()
-                    .filter(|(gateway, state)| !slept(gateway) && **state == PeerState::Dead)
+                    .filter(|(gateway, state)| !was_paused(gateway) && **state == PeerState::Dead)
                     .count()
             };
-            let flaps: usize = membership_transmits.map(awake).sum();
+            let flaps: usize = views.map(awake).sum();
             let since = sim.now();
-            let at = sim.run_until_true(since + 120 * SECOND, Sim::is_settled);
-            println!("{gateways:>3} doors, seed {seed}, a third stopped for 10 s: on waking they hold {flaps} of the others for dead, \
-                      right after {}", seconds(at, since));
-            let mut sim = cluster::<E>(gateways, seed, calm);
+            let at = sim.run_until_true(since + 120 * SECOND, Sim::has_converged);
+            println!("{gateways:>3} gateways, seed {seed}, a third stopped for 10 s: after resuming they consider {flaps} others dead, \
+                      correct after {}", seconds(at, since));
+            let mut sim = cluster::<P>(gateways, seed, calm);
             let quiet: Vec<_> = (0..gateways)
                 .map(|gateway| sim.take_sent(gateway))
                 .collect();
@@ -318,15 +319,15 @@
                     all.iter().map(|sent| sent.messages).max().unwrap_or(0) as f64 / seconds;
                 format!("{bytes:.0} bytes and {messages:.1} messages a second")
             };
-            println!("{gateways:>3} doors, seed {seed}, sent by the busiest: calm {}, after seven in ten were killed {}",
+            println!("{gateways:>3} gateways, seed {seed}, sent by the busiest: calm {}, after seven in ten were killed {}",
                 rate(&quiet, 20.0), rate(&storm, 10.0));
-            let mut sim = cluster::<E>(gateways, seed, calm);
+            let mut sim = cluster::<P>(gateways, seed, calm);
             sim.kill(0);
             sim.run_until(sim.now() + SECOND / 5);
             sim.start(0, 0);
             let since = sim.now();
-            let at = sim.run_until_true(since + 120 * SECOND, Sim::is_settled);
-            println!("{gateways:>3} doors, seed {seed}, killed and back with the clock set back: all views are right after {}",
+            let at = sim.run_until_true(since + 120 * SECOND, Sim::has_converged);
+            println!("{gateways:>3} gateways, seed {seed}, killed and back with the clock set back: all views are correct after {}",
                 seconds(at, since));
         }
     }
--- a/gateway-cluster/examples/seeds/mod.rs
+++ b/gateway-cluster/examples/seeds/mod.rs
@@ -1,15 +1,16 @@
-//! Runs of many seeds beside each other, for the programs that print figures.
+//! Runs simulations of many seeds in parallel, for the examples that print figures.
 
 use std::sync::atomic::{AtomicU64, Ordering};
 use std::sync::Mutex;
 
-/// Runs this for each seed from 1 on, on so many threads. Results come as they are done, with their seeds.
+/// Runs this for each seed from 1 to `seeds`, on this number of threads. Returns the results with their seeds, in the order
+/// of completion.
 pub fn over_seeds<T: Send>(
     seeds: u64,
     threads: usize,
     run: impl Fn(u64) -> T + Sync,
 ) -> Vec<(u64, T)> {
-    let (next, found) = (AtomicU64::new(1), Mutex::new(Vec::new()));
+    let (next, results) = (AtomicU64::new(1), Mutex::new(Vec::new()));
     std::thread::scope(|scope| {
         for _ in 0..threads {
             scope.spawn(|| loop {
@@ -17,12 +18,12 @@
                 if seed > seeds {
                     return;
                 }
-                let took = run(seed);
-                if let Ok(mut found) = found.lock() {
-                    found.push((seed, took));
+                let result = run(seed);
+                if let Ok(mut results) = results.lock() {
+                    results.push((seed, result));
                 }
             });
         }
     });
-    found.into_inner().unwrap_or_default()
+    results.into_inner().unwrap_or_default()
 }
--- a/gateway-cluster/src/leadership/configuration.rs
+++ b/gateway-cluster/src/leadership/configuration.rs
@@ -174,7 +174,7 @@
     }
 
     /// Records that this gateway takes part in an epoch.
-    pub fn mark_in_use(&mut self) {
+    pub fn set_in_use(&mut self) {
         self.in_use = true;
     }
 
--- a/gateway-cluster/src/leadership/election/datagrams.rs
+++ b/gateway-cluster/src/leadership/election/datagrams.rs
@@ -55,7 +55,7 @@
             (peer.incarnation, peer.clock_us) = (datagram.incarnation, 0);
         }
         if datagram.tick >= peer.clock_us {
-            (peer.clock_us, peer.last_heard_at) = (datagram.tick, now);
+            (peer.clock_us, peer.last_received_at) = (datagram.tick, now);
         }
         peer.peer_set_in_use = theirs.in_use;
         let has_next = theirs.previous == Some(own_peer_set) && theirs.current != own_peer_set;
--- a/gateway-cluster/src/leadership/election/known_leader.rs
+++ b/gateway-cluster/src/leadership/election/known_leader.rs
@@ -59,7 +59,7 @@
             return;
         }
         if self.admit(now, from, stamp).is_ok() {
-            self.peer_sets.mark_in_use();
+            self.peer_sets.set_in_use();
             self.follow(
                 now,
                 KnownLeader {
@@ -170,7 +170,8 @@
     /// A peer that is configured with a later peer set than this gateway, if at least two peers are: only these can complete
     /// the change, so one of them should lead. A single peer may be misconfigured.
     pub(super) fn peer_with_next_peer_set(&self, now: Micros) -> Option<PeerId> {
-        let is_recent = |peer: &Peer| now < peer.last_heard_at + PEER_SET_WAIT_LEASES * self.lease;
+        let is_recent =
+            |peer: &Peer| now < peer.last_received_at + PEER_SET_WAIT_LEASES * self.lease;
         let candidates = self
             .peers
             .iter()
--- a/gateway-cluster/src/leadership/election/mod.rs
+++ b/gateway-cluster/src/leadership/election/mod.rs
@@ -322,7 +322,7 @@
     pub fn stamp(&self, now: Micros, to: PeerId) -> Option<LeaseProof> {
         let epoch = self.epoch(now)?;
         let peer = self.peers.get(&to).filter(|peer| peer.incarnation != 0)?;
-        let until = peer.clock_us + shorter(self.lease_until.saturating_sub(peer.last_heard_at));
+        let until = peer.clock_us + shorter(self.lease_until.saturating_sub(peer.last_received_at));
         Some(LeaseProof {
             epoch,
             to_incarnation: peer.incarnation,
@@ -379,7 +379,7 @@
     /// `None` before the first datagram.
     pub fn clock_of(&self, name: PeerId) -> Option<(u64, u64, Micros)> {
         let peer = self.peers.get(&name).filter(|peer| peer.incarnation != 0)?;
-        Some((peer.incarnation, peer.clock_us, peer.last_heard_at))
+        Some((peer.incarnation, peer.clock_us, peer.last_received_at))
     }
 
     /// The lease duration, in microseconds.
--- a/gateway-cluster/src/leadership/election/peer_table.rs
+++ b/gateway-cluster/src/leadership/election/peer_table.rs
@@ -12,7 +12,7 @@
     pub(super) incarnation: u64,
     /// Its clock when it sent its last datagram, and this gateway's clock at the receipt.
     pub(super) clock_us: u64,
-    pub(super) last_heard_at: Micros,
+    pub(super) last_received_at: Micros,
     /// Number and first transmission time of each pending request.
     pub(super) pending_requests: VecDeque<(u32, Micros)>,
     /// Number of transmissions of the last request.
--- a/gateway-cluster/src/membership/datagrams.rs
+++ b/gateway-cluster/src/membership/datagrams.rs
@@ -75,7 +75,7 @@
         datagram: &Datagram,
         sends: &mut Vec<IndexedTransmit>,
     ) {
-        self.members[from].last_heard_at = Some(now);
+        self.members[from].last_received_at = Some(now);
         self.members[from].peer_set_digest = Some(datagram.peer_set_digest);
         self.members[from].has_stale_incarnation = !self.on_update(
             now,
--- a/gateway-cluster/src/membership/member.rs
+++ b/gateway-cluster/src/membership/member.rs
@@ -34,7 +34,7 @@
     pub(super) left: bool,
     pub(super) suspicion: Option<Suspicion>,
     /// Time of the last datagram from the peer itself.
-    pub(super) last_heard_at: Option<Micros>,
+    pub(super) last_received_at: Option<Micros>,
     /// Time at which it last came back from the dead state.
     pub(super) returned_at: Option<Micros>,
     /// The same, where it came back as the same process.
@@ -87,7 +87,7 @@
             dead: false,
             left: false,
             suspicion: None,
-            last_heard_at: None,
+            last_received_at: None,
             returned_at: None,
             rejoined_at: None,
             raised_at: None,
@@ -125,7 +125,7 @@
     }
 
     /// Declares the peer dead. The verdict counts as transmitted this many times already.
-    pub(super) fn mark_dead(&mut self, transmissions: u8) {
+    pub(super) fn declare_dead(&mut self, transmissions: u8) {
         self.suspicion = None;
         self.dead = true;
         self.transmissions = Some(transmissions);
--- a/gateway-cluster/src/membership/probes.rs
+++ b/gateway-cluster/src/membership/probes.rs
@@ -360,7 +360,7 @@
             .filter(|index| *index != target)
             .collect();
         // Peers with recent datagrams are probably reachable, also if a partition has just begun.
-        candidates.sort_by_key(|index| std::cmp::Reverse(self.members[*index].last_heard_at));
+        candidates.sort_by_key(|index| std::cmp::Reverse(self.members[*index].last_received_at));
         candidates.truncate(HELPER_CANDIDATES);
         let count = if self.is_update_backlog_large {
             HELPERS_UNDER_LOAD
--- a/gateway-cluster/src/membership/suspicion.rs
+++ b/gateway-cluster/src/membership/suspicion.rs
@@ -272,7 +272,7 @@
             };
             if member.suspicion.as_ref().is_some_and(has_expired) {
                 let before = member.state();
-                member.mark_dead(1);
+                member.declare_dead(1);
                 // Other gateways know the suspicion and reach the verdict themselves.
                 member.urgent = false;
                 self.record_change(now, index, before, Cause::NotRefuted);
--- a/gateway-cluster/src/membership/updates.rs
+++ b/gateway-cluster/src/membership/updates.rs
@@ -152,7 +152,7 @@
             UpdateStatus::Dead | UpdateStatus::Left if member.dead => true,
             UpdateStatus::Left => {
                 // Only the peer itself announces its shutdown.
-                member.mark_dead(0);
+                member.declare_dead(0);
                 member.left = true;
                 self.record_change(now, update.index, update.state_before, Cause::Left);
                 true
@@ -188,7 +188,7 @@
         let index = update.index;
         let resumed_long_ago = now >= self.resumed_at + self.probe_periods(RESUME_GRACE_PERIODS);
         if self.members[index].has_gossiped_suspicion() && resumed_long_ago {
-            self.members[index].mark_dead(0);
+            self.members[index].declare_dead(0);
             self.record_change(now, index, update.state_before, update.cause());
         } else if self.was_recently_unreachable(now, update.from) {
             // The verdict may come from the other side of a partition: probe the peer.
--- a/gateway-cluster/src/sim.rs
+++ b/gateway-cluster/src/sim.rs
@@ -259,7 +259,7 @@
     }
 
     /// Whether in each running gateway's view exactly the running gateways are alive and all others dead.
-    pub fn is_settled(&self) -> bool {
+    pub fn has_converged(&self) -> bool {
         let is_running: Vec<bool> = (0..self.gateways.len())
             .map(|gateway| self.runs(gateway))
             .collect();
--- a/gateway-cluster/tests/membership.rs
+++ b/gateway-cluster/tests/membership.rs
@@ -31,7 +31,7 @@
 /// Asserts that all views are correct within this number of probe periods.
 fn assert_converges(sim: &mut Sim<Membership>, periods: u64, what: &str) {
     let since = sim.now();
-    let at = sim.run_until_true(since + periods * PROBE, Sim::is_settled);
+    let at = sim.run_until_true(since + periods * PROBE, Sim::has_converged);
     assert!(
         at.is_some(),
         "{what}: views are not correct after {periods} periods"
@@ -94,7 +94,7 @@
                 let mut sim = cluster(gateways, seed, NetworkConditions::default());
                 sim.partition(side);
                 sim.run_until(sim.now() + 30 * SECOND);
-                assert!(!sim.is_settled(), "the partition is detected");
+                assert!(!sim.has_converged(), "the partition is detected");
                 sim.partition(|_| 0);
                 assert_converges(
                     &mut sim,
