--- a/gateway-cluster/examples/membership_bounds.rs
+++ b/gateway-cluster/examples/membership_bounds.rs
@@ -56,7 +56,7 @@
         sim.start(
             gateway,
             1_700_000_000 * SECOND + gateway as u64 * 77 * SECOND,
-        )
+        );
     });
     sim
 }
--- a/gateway-cluster/examples/membership_protocols.rs
+++ b/gateway-cluster/examples/membership_protocols.rs
@@ -153,7 +153,7 @@
     fn on_datagram(&mut self, now: Micros, bytes: &[u8], sends: &mut Vec<IndexedTransmit>) {
         // Malformed datagrams are dropped.
         self.apply(now, sends, |swim, effects| {
-            drop(swim.foca.handle_data(bytes, effects))
+            drop(swim.foca.handle_data(bytes, effects));
         });
     }
     fn next_wakeup(&self) -> Option<Micros> {
@@ -167,7 +167,7 @@
         {
             let timer = entry.remove();
             self.apply(now, sends, |swim, effects| {
-                drop(swim.foca.handle_timer(timer, effects))
+                drop(swim.foca.handle_timer(timer, effects));
             });
         }
     }
@@ -274,7 +274,7 @@
             sim.run_until(sim.now() + 10 * SECOND);
             (0..gateways).for_each(|gateway| {
                 if gateway % 3 == 0 {
-                    sim.stop(gateway, false)
+                    sim.stop(gateway, false);
                 }
             });
             sim.run_until(sim.now() + SECOND / 10);
@@ -299,7 +299,7 @@
                 .collect();
             (0..gateways).for_each(|gateway| {
                 if gateway % 10 < 7 {
-                    sim.kill(gateway)
+                    sim.kill(gateway);
                 }
             });
             for gateway in 0..gateways {
--- a/gateway-cluster/src/leadership/election/mod.rs
+++ b/gateway-cluster/src/leadership/election/mod.rs
@@ -280,7 +280,7 @@
         }
         match self.stage {
             Stage::Preparing { .. } | Stage::CollectingVotes { .. } => {
-                self.abandon_campaign(now, sends)
+                self.abandon_campaign(now, sends);
             }
             Stage::Leading { .. } => {
                 self.votes = CollectedVotes::default();
@@ -440,13 +440,13 @@
             Stage::Preparing { deadline, .. } | Stage::CollectingVotes { deadline, .. }
                 if now >= deadline =>
             {
-                self.abandon_campaign(now, sends)
+                self.abandon_campaign(now, sends);
             }
             Stage::Preparing { .. } | Stage::CollectingVotes { .. } => {
-                self.send_due_requests(now, sends)
+                self.send_due_requests(now, sends);
             }
             Stage::Idle if self.known_leader(now).is_none() && now >= self.campaign_at => {
-                self.start_campaign(now, sends)
+                self.start_campaign(now, sends);
             }
             Stage::Idle => {}
         }
--- a/gateway-cluster/src/node.rs
+++ b/gateway-cluster/src/node.rs
@@ -257,7 +257,7 @@
             },
             (Some(_), Some(&SESSIONS)) if self.sessions.is_some() => {
                 self.with_sessions(|classifier, context, sends| {
-                    classifier.on_datagram(now, bytes, context, sends)
+                    classifier.on_datagram(now, bytes, context, sends);
                 });
             }
             _ => self
--- a/gateway-cluster/tests/leadership.rs
+++ b/gateway-cluster/tests/leadership.rs
@@ -491,7 +491,7 @@
 fn peer_set_changes_gateway_by_gateway_never_make_two_leaders_and_end_with_one() {
     let change = |cluster: &mut Cluster, gateway: PeerIndex, names: std::ops::Range<usize>| {
         cluster.sim.act(gateway, |node, now, sends| {
-            node.set_peers(now, names, sends)
+            node.set_peers(now, names, sends);
         });
     };
     // Starts a gateway that is configured with these names.
@@ -506,7 +506,7 @@
             seed: cluster.seed + gateway as u64,
         };
         cluster.sim.act(gateway, |node, now, sends| {
-            node.begin(now, options, names, sends)
+            node.begin(now, options, names, sends);
         });
     };
     for seed in SEEDS {
@@ -561,7 +561,7 @@
         cluster.run(SECOND);
         cluster
             .sim
-            .act(leader, |node, now, sends| node.hand_over(now, sends));
+            .act(leader, gateway_cluster::sim::SimulatedNode::hand_over);
         cluster.next_leader(leader, SECOND, "handed over");
         cluster.run(3 * SECOND);
         // The other process ended: this one resumes and cannot know how that one voted.
--- a/gateway-cluster/tests/leadership_model.rs
+++ b/gateway-cluster/tests/leadership_model.rs
@@ -515,7 +515,7 @@
         }
         match gateway.stage {
             Stage::Preparing(_) | Stage::CollectingVotes(_) => {
-                self.abandon_campaign(state, process)
+                self.abandon_campaign(state, process);
             }
             Stage::Leading(_) => {
                 gateway.votes = CollectedVotes::default();
@@ -744,7 +744,7 @@
             match gateway.stage {
                 Stage::Idle if self.candidates.contains(&n) => steps.push(Step::StartCampaign(n)),
                 Stage::Leading(_) if over && self.candidates.contains(&n) => {
-                    steps.push(Step::StartCampaign(n))
+                    steps.push(Step::StartCampaign(n));
                 }
                 Stage::Preparing(_) => steps.push(Step::RequestVotes(n)),
                 _ => {}
--- a/gateway-cluster/tests/membership.rs
+++ b/gateway-cluster/tests/membership.rs
@@ -443,7 +443,7 @@
         error("e", &peers),
         Some(PeerSetError::MissingOwnName("e".into()))
     );
-    let duplicate = [peers.clone(), vec!["a".into()]].concat();
+    let duplicate = [peers, vec!["a".into()]].concat();
     assert_eq!(
         error("a", &duplicate),
         Some(PeerSetError::Duplicate("a".into()))
--- a/gateway-cluster/tests/precedence_model.rs
+++ b/gateway-cluster/tests/precedence_model.rs
@@ -161,7 +161,7 @@
             SelfUpdateAction::Ignore => {}
             SelfUpdateAction::Adopt(incarnation) => process.own = incarnation,
             SelfUpdateAction::Refute(incarnation) => {
-                (process.own, process.superseded) = (incarnation, false)
+                (process.own, process.superseded) = (incarnation, false);
             }
             SelfUpdateAction::Superseded => process.superseded = true,
             SelfUpdateAction::Resume => process.superseded = false,
--- a/gateway-cluster/tests/steps/mod.rs
+++ b/gateway-cluster/tests/steps/mod.rs
@@ -7,7 +7,7 @@
 const STEP: Micros = 5_000;
 
 /// A cluster with invariants that hold at each step.
-pub trait Watched {
+pub(crate) trait Watched {
     /// The protocol of a simulated gateway.
     type Door: Protocol;
 
