--- a/gateway-cluster/tests/leadership_model.rs
+++ b/gateway-cluster/tests/leadership_model.rs
@@ -194,7 +194,7 @@
 struct State {
     tick: u8,
     gateways: Vec<Arc<GatewayState>>,
-    under_way: BTreeSet<Message>,
+    in_flight: BTreeSet<Message>,
     held_epochs: Vec<HeldEpoch>,
     restarts: u8,
     acts: u8,
@@ -401,7 +401,7 @@
     fn send(&self, state: &mut State, from: usize, to: usize, kind: MessageKind) {
         let gateway = &state.gateways[from];
         let peer_sets = OrderedReport(gateway.peer_sets.told());
-        state.under_way.insert(Message {
+        state.in_flight.insert(Message {
             from,
             to,
             incarnation: gateway.incarnation,
@@ -549,7 +549,6 @@
             peer_sets,
             kind,
         } = message;
-        let now = clock(to, state.tick);
         if state.gateways[to].stage == Stage::Left {
             return;
         }
@@ -559,116 +558,260 @@
         }
         self.on_configuration_change(state, to, before);
         let holder = self.holder(from, incarnation);
-        let gateway = state.gateway(to);
+        let request = |epoch| VoteRequest {
+            holder,
+            epoch,
+            lease: LEASE,
+            peer_sets: peer_sets.0,
+        };
         match kind {
             MessageKind::Prepare { epoch } => {
-                let request = VoteRequest {
-                    holder,
-                    epoch,
-                    lease: LEASE,
-                    peer_sets: peer_sets.0,
-                };
-                let _ = gateway.voter.promise(now, &request, &gateway.peer_sets);
+                let now = clock(to, state.tick);
+                let gateway = state.gateway(to);
+                let _ = gateway
+                    .voter
+                    .promise(now, &request(epoch), &gateway.peer_sets);
             }
             MessageKind::RequestVote { number, epoch } => {
-                let request = VoteRequest {
-                    holder,
-                    epoch,
-                    lease: LEASE,
-                    peer_sets: peer_sets.0,
-                };
-                let bars = self.without != Without::ObservedChanges;
-                let mut peer_sets = gateway.peer_sets.clone();
-                let granted = gateway.voter.vote(now, &request, &mut peer_sets).is_ok();
-                if bars {
-                    gateway.peer_sets = peer_sets;
-                }
-                if granted {
-                    self.send(
-                        state,
-                        to,
-                        from,
-                        MessageKind::Vote {
-                            number,
-                            to_incarnation: incarnation,
-                            tick: now,
-                        },
-                    );
-                }
+                self.deliver_vote_request(state, message, number, request(epoch));
             }
             MessageKind::Vote {
                 number,
                 to_incarnation,
                 tick,
-            } => {
-                let open = matches!(gateway.stage, Stage::CollectingVotes(_) | Stage::Leading(_));
-                let request = if self.without == Without::DistinctVoters {
-                    gateway.pending_requests.get(&(from, number)).copied()
-                } else {
-                    gateway.pending_requests.remove(&(from, number))
-                };
-                let (true, true, Some(asked)) =
-                    (open, to_incarnation == gateway.incarnation, request)
-                else {
-                    return;
-                };
-                let asked = if self.without == Without::RequestTime {
-                    now
-                } else {
-                    asked
-                };
-                if self.acts > 0 {
-                    let known = gateway.peer_clocks.entry(from).or_default();
-                    if known.0 != incarnation || tick >= known.1 {
-                        *known = (incarnation, tick, now);
-                    }
-                }
-                gateway.votes.add(self.processes[from], asked, LEASE);
-                gateway.answers += usize::from(self.without == Without::DistinctVoters);
-                if let Stage::Leading(epoch) = gateway.stage {
-                    if let Some(term) = state
-                        .held_epochs
-                        .iter_mut()
-                        .find(|t| t.epoch == epoch && t.holder.name == to as PeerId)
-                    {
-                        term.voters.insert((from, incarnation));
-                    }
-                    self.vote_for_itself(state, to, epoch);
-                }
-                self.check_majority(state, to);
-            }
+            } => self.deliver_vote(state, message, number, to_incarnation, tick),
             MessageKind::Release { epoch } => {
-                let whatever = self.without == Without::ReleasedEpoch;
-                gateway
-                    .voter
-                    .release(holder, if whatever { u64::MAX } else { epoch });
+                let frees_any = self.without == Without::ReleasedEpoch;
+                let epoch = if frees_any { u64::MAX } else { epoch };
+                state.gateway(to).voter.release(holder, epoch);
             }
-            MessageKind::Act(act) => {
-                let (known, of) = gateway.latest_epoch;
-                let name = self.processes[from];
-                let looks_at_epoch =
-                    !matches!(self.without, Without::Epoch | Without::FencingToken);
-                let looks_at_time =
-                    !matches!(self.without, Without::Deadline | Without::FencingToken);
-                // The check of `LeaderElection::admit`.
-                let old =
-                    act.epoch < known || act.epoch == known && of.is_some_and(|of| of != name);
-                if act.to_incarnation != gateway.incarnation
-                    || looks_at_epoch && old
-                    || looks_at_time && now >= act.until
-                {
-                    state.refused = true;
-                    return;
-                }
-                state.accepted = true;
-                state.acted_with_outdated_epoch |= old;
-                state.acted_under_other_leader |=
-                    self.leaders(state).iter().any(|holder| *holder != from);
-                state.acted_late |= state.tick >= act.over;
-                let gateway = state.gateway(to);
-                gateway.latest_epoch = gateway.latest_epoch.max((act.epoch, Some(name)));
+            MessageKind::Act(act) => self.deliver_act(state, message, act),
+        }
+    }
+
+    fn deliver_vote_request(
+        &self,
+        state: &mut State,
+        message: Message,
+        number: u8,
+        request: VoteRequest,
+    ) {
+        let now = clock(message.to, state.tick);
+        let gateway = state.gateway(message.to);
+        let mut peer_sets = gateway.peer_sets.clone();
+        let is_accepted = gateway.voter.vote(now, &request, &mut peer_sets).is_ok();
+        if self.without != Without::ObservedChanges {
+            gateway.peer_sets = peer_sets;
+        }
+        if is_accepted {
+            let vote = MessageKind::Vote {
+                number,
+                to_incarnation: message.incarnation,
+                tick: now,
+            };
+            self.send(state, message.to, message.from, vote);
+        }
+    }
+
+    fn deliver_vote(
+        &self,
+        state: &mut State,
+        message: Message,
+        number: u8,
+        to_incarnation: u64,
+        tick: Micros,
+    ) {
+        let Message {
+            from,
+            to,
+            incarnation,
+            ..
+        } = message;
+        let now = clock(to, state.tick);
+        let gateway = state.gateway(to);
+        let is_open = matches!(gateway.stage, Stage::CollectingVotes(_) | Stage::Leading(_));
+        let requested_at = if self.without == Without::DistinctVoters {
+            gateway.pending_requests.get(&(from, number)).copied()
+        } else {
+            gateway.pending_requests.remove(&(from, number))
+        };
+        let (true, true, Some(requested_at)) =
+            (is_open, to_incarnation == gateway.incarnation, requested_at)
+        else {
+            return;
+        };
+        let lease_start = if self.without == Without::RequestTime {
+            now
+        } else {
+            requested_at
+        };
+        if self.acts > 0 {
+            let known = gateway.peer_clocks.entry(from).or_default();
+            if known.0 != incarnation || tick >= known.1 {
+                *known = (incarnation, tick, now);
             }
         }
+        gateway.votes.add(self.processes[from], lease_start, LEASE);
+        gateway.answers += usize::from(self.without == Without::DistinctVoters);
+        if let Stage::Leading(epoch) = gateway.stage {
+            let held = state
+                .held_epochs
+                .iter_mut()
+                .find(|held| held.epoch == epoch && held.holder.name == to as PeerId);
+            if let Some(held) = held {
+                held.voters.insert((from, incarnation));
+            }
+            self.vote_for_itself(state, to, epoch);
+        }
+        self.check_majority(state, to);
+    }
+
+    /// The check of `LeaderElection::admit`, and the effect of an admitted act.
+    fn deliver_act(&self, state: &mut State, message: Message, act: Act) {
+        let Message { from, to, .. } = message;
+        let now = clock(to, state.tick);
+        let gateway = state.gateway(to);
+        let (known_epoch, known_leader) = gateway.latest_epoch;
+        let name = self.processes[from];
+        let checks_epoch = !matches!(self.without, Without::Epoch | Without::FencingToken);
+        let checks_deadline = !matches!(self.without, Without::Deadline | Without::FencingToken);
+        let is_outdated = act.epoch < known_epoch
+            || act.epoch == known_epoch && known_leader.is_some_and(|leader| leader != name);
+        if act.to_incarnation != gateway.incarnation
+            || checks_epoch && is_outdated
+            || checks_deadline && now >= act.until
+        {
+            state.refused = true;
+            return;
+        }
+        state.accepted = true;
+        state.acted_with_outdated_epoch |= is_outdated;
+        state.acted_under_other_leader |= self.leaders(state).iter().any(|leader| *leader != from);
+        state.acted_late |= state.tick >= act.over;
+        let gateway = state.gateway(to);
+        gateway.latest_epoch = gateway.latest_epoch.max((act.epoch, Some(name)));
+    }
+
+    /// Starts a campaign; `None` if the process may not.
+    fn start_campaign(&self, next: &mut State, process: usize) -> Option<()> {
+        let now = clock(process, next.tick);
+        let gateway = next.gateway(process);
+        let epoch = gateway
+            .highest_epoch
+            .max(gateway.voter.highest_epoch())
+            .max(gateway.latest_epoch.0)
+            + 1;
+        if epoch > self.epochs {
+            return None;
+        }
+        let request = self.vote_request(process, gateway, epoch);
+        let promise = gateway.voter.promise(now, &request, &gateway.peer_sets);
+        promise.ok()?;
+        (gateway.stage, gateway.until, gateway.votes, gateway.answers) =
+            (Stage::Preparing(epoch), 0, CollectedVotes::default(), 0);
+        (gateway.highest_epoch, gateway.pending_requests) = (epoch, BTreeMap::new());
+        if self.prepares {
+            for to in self.others(&next.gateways[process], process) {
+                self.send(next, process, to, MessageKind::Prepare { epoch });
+            }
+        } else {
+            self.request_votes(next, process);
+        }
+        Some(())
+    }
+
+    /// A leader releases its lease and takes no further part; `None` for any other process.
+    fn leave(&self, next: &mut State, process: usize) -> Option<()> {
+        let Stage::Leading(epoch) = next.gateways[process].stage else {
+            return None;
+        };
+        for to in self.others(&next.gateways[process], process) {
+            self.send(next, process, to, MessageKind::Release { epoch });
+        }
+        let gateway = next.gateway(process);
+        (gateway.stage, gateway.until) = (Stage::Left, 0);
+        gateway.pending_requests.clear();
+        Some(())
+    }
+
+    /// Restarts a process without state, with the peer set that it is configured with now.
+    fn restart(&self, next: &mut State, process: usize) {
+        let old_peer_set = PeerConfiguration::new(self.peer_sets[0].to_vec());
+        let gateway = &next.gateways[process];
+        let is_changed = self.reconfigured.contains(&process)
+            && gateway.peer_sets.told().current != old_peer_set.told().current;
+        let names = self.peer_sets[usize::from(is_changed || self.fresh.contains(&process))];
+        let incarnation = gateway.incarnation + 1;
+        let started = self.started_gateway(process, next.tick, incarnation, names);
+        next.gateways[process] = Arc::new(started);
+        next.restarts += 1;
+    }
+
+    /// Changes the configured peer set to the new one, or back; `None` if it may not change back.
+    fn change_peer_set(&self, next: &mut State, process: usize) -> Option<()> {
+        let [old, new] = self.peer_sets;
+        let before = next.gateways[process].peer_sets.told();
+        let gateway = next.gateway(process);
+        gateway.peer_sets.set(new.to_vec());
+        if gateway.peer_sets.told().current == before.current {
+            if !self.back {
+                return None;
+            }
+            gateway.peer_sets.set(old.to_vec());
+        }
+        if self.without == Without::JointConfiguration {
+            gateway.peer_sets = PeerConfiguration::new(new.to_vec());
+        }
+        self.on_configuration_change(next, process, before);
+        Some(())
+    }
+
+    /// A leader checks its lease and computes the proof of `LeaderElection::stamp`; `None` if it is not a leader or has
+    /// never received a message from the receiver.
+    fn check_lease(&self, next: &mut State, process: usize, to: usize) -> Option<()> {
+        let gateway = next.gateway(process);
+        let Stage::Leading(epoch) = gateway.stage else {
+            return None;
+        };
+        let (to_incarnation, tick, received_at) = *gateway.peer_clocks.get(&to)?;
+        let until = tick + shorter(gateway.until.saturating_sub(received_at));
+        let act = Act {
+            epoch,
+            to_incarnation,
+            until,
+            over: tick_of(process, gateway.until),
+        };
+        gateway.checked = Some((to, act));
+        next.acts += 1;
+        Some(())
+    }
+
+    /// Drops messages that cannot change the state any more: answers to requests that are not pending, and requests below
+    /// the promised epoch, which any voter that does not restart rejects.
+    fn drop_ineffective_messages(&self, next: &mut State) {
+        let no_more_restarts = next.restarts == self.restarts;
+        let State {
+            gateways,
+            in_flight,
+            ..
+        } = next;
+        in_flight.retain(|message| match message.kind {
+            MessageKind::Vote {
+                number,
+                to_incarnation,
+                ..
+            } => {
+                let candidate = &gateways[message.to];
+                let request = (message.from, number);
+                candidate.incarnation == to_incarnation
+                    && candidate.pending_requests.contains_key(&request)
+            }
+            MessageKind::Prepare { epoch } | MessageKind::RequestVote { epoch, .. } => {
+                let voter = &gateways[message.to].voter;
+                !(no_more_restarts && voter.highest_epoch() > epoch)
+            }
+            _ => true,
+        });
     }
 
     fn apply_opening(&self, state: &State, opening: Opening) -> State {
@@ -676,7 +819,7 @@
             let fits = |m: &&Message| (m.from, m.to) == (from, to) && is(m.kind);
             Step::Deliver(
                 *state
-                    .under_way
+                    .in_flight
                     .iter()
                     .rev()
                     .find(fits)
@@ -718,7 +861,7 @@
         let state = State {
             tick: BEGIN,
             gateways: gateways.collect(),
-            under_way: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             held_epochs: Vec::new(),
             restarts: 0,
             acts: 0,
@@ -778,41 +921,14 @@
                 steps.push(Step::ChangePeerSet(n));
             }
         }
-        steps.extend(state.under_way.iter().copied().map(Step::Deliver));
+        steps.extend(state.in_flight.iter().copied().map(Step::Deliver));
     }
 
     fn next_state(&self, state: &State, step: Step) -> Option<State> {
         let mut next = state.clone();
         match step {
             Step::Tick => next.tick += 1,
-            Step::StartCampaign(n) => {
-                let now = clock(n, state.tick);
-                let gateway = next.gateway(n);
-                let epoch = gateway
-                    .highest_epoch
-                    .max(gateway.voter.highest_epoch())
-                    .max(gateway.latest_epoch.0)
-                    + 1;
-                let request = self.vote_request(n, gateway, epoch);
-                if epoch > self.epochs
-                    || gateway
-                        .voter
-                        .promise(now, &request, &gateway.peer_sets)
-                        .is_err()
-                {
-                    return None;
-                }
-                (gateway.stage, gateway.until, gateway.votes, gateway.answers) =
-                    (Stage::Preparing(epoch), 0, CollectedVotes::default(), 0);
-                (gateway.highest_epoch, gateway.pending_requests) = (epoch, BTreeMap::new());
-                if self.prepares {
-                    for to in self.others(&state.gateways[n], n) {
-                        self.send(&mut next, n, to, MessageKind::Prepare { epoch });
-                    }
-                } else {
-                    self.request_votes(&mut next, n);
-                }
-            }
+            Step::StartCampaign(n) => self.start_campaign(&mut next, n)?,
             Step::RequestVotes(n) => self.request_votes(&mut next, n),
             Step::RepeatRequests(n) => {
                 let (Stage::CollectingVotes(epoch) | Stage::Leading(epoch)) =
@@ -823,96 +939,17 @@
                 self.send_prepares_or_requests(&mut next, n, epoch);
             }
             Step::AbandonCampaign(n) => self.abandon_campaign(&mut next, n),
-            Step::Leave(n) => {
-                let Stage::Leading(epoch) = state.gateways[n].stage else {
-                    return None;
-                };
-                for to in self.others(&state.gateways[n], n) {
-                    self.send(&mut next, n, to, MessageKind::Release { epoch });
-                }
-                (next.gateway(n).stage, next.gateway(n).until) = (Stage::Left, 0);
-                next.gateway(n).pending_requests.clear();
-            }
-            Step::Restart(n) => {
-                let changed = self.reconfigured.contains(&n)
-                    && state.gateways[n].peer_sets.told().current
-                        != PeerConfiguration::new(self.peer_sets[0].to_vec())
-                            .told()
-                            .current;
-                let names = self.peer_sets[usize::from(changed || self.fresh.contains(&n))];
-                next.gateways[n] = Arc::new(self.started_gateway(
-                    n,
-                    state.tick,
-                    state.gateways[n].incarnation + 1,
-                    names,
-                ));
-                next.restarts += 1;
-            }
-            Step::ChangePeerSet(n) => {
-                let before = state.gateways[n].peer_sets.told();
-                next.gateway(n).peer_sets.set(self.peer_sets[1].to_vec());
-                if next.gateways[n].peer_sets.told().current == before.current {
-                    if !self.back {
-                        return None;
-                    }
-                    next.gateway(n).peer_sets.set(self.peer_sets[0].to_vec());
-                }
-                if self.without == Without::JointConfiguration {
-                    next.gateway(n).peer_sets = PeerConfiguration::new(self.peer_sets[1].to_vec());
-                }
-                self.on_configuration_change(&mut next, n, before);
-            }
-            Step::CheckLease(n, to) => {
-                let gateway = next.gateway(n);
-                let Stage::Leading(epoch) = gateway.stage else {
-                    return None;
-                };
-                let (to_incarnation, tick, heard) = *gateway.peer_clocks.get(&to)?;
-                // The lease proof of `LeaderElection::stamp`.
-                let until = tick + shorter(gateway.until.saturating_sub(heard));
-                gateway.checked = Some((
-                    to,
-                    Act {
-                        epoch,
-                        to_incarnation,
-                        until,
-                        over: tick_of(n, gateway.until),
-                    },
-                ));
-                next.acts += 1;
-            }
+            Step::Leave(n) => self.leave(&mut next, n)?,
+            Step::Restart(n) => self.restart(&mut next, n),
+            Step::ChangePeerSet(n) => self.change_peer_set(&mut next, n)?,
+            Step::CheckLease(n, to) => self.check_lease(&mut next, n, to)?,
             Step::Act(n) => {
                 let (to, act) = next.gateway(n).checked.take()?;
                 self.send(&mut next, n, to, MessageKind::Act(act));
             }
             Step::Deliver(message) => self.deliver(&mut next, message),
         }
-        // Answers to requests that are not pending are ignored, and requests below the promised epoch are rejected by any
-        // voter that does not restart: neither changes the state.
-        let lasts = next.restarts == self.restarts;
-        let State {
-            gateways,
-            under_way,
-            ..
-        } = &mut next;
-        under_way.retain(|message| match message.kind {
-            MessageKind::Vote {
-                number,
-                to_incarnation,
-                ..
-            } => {
-                let candidate = &gateways[message.to];
-                candidate.incarnation == to_incarnation
-                    && candidate
-                        .pending_requests
-                        .contains_key(&(message.from, number))
-            }
-            MessageKind::Prepare { epoch } | MessageKind::RequestVote { epoch, .. } => {
-                let to = &gateways[message.to];
-                !(lasts && to.voter.highest_epoch() > epoch)
-            }
-            _ => true,
-        });
+        self.drop_ineffective_messages(&mut next);
         (next != *state).then_some(next)
     }
 
@@ -1409,17 +1446,17 @@
     first: Vec<Transmit>,
     now: Micros,
 ) {
-    let mut under_way: Vec<(PeerId, Transmit)> =
+    let mut in_flight: Vec<(PeerId, Transmit)> =
         first.into_iter().map(|send| (candidate, send)).collect();
-    while !under_way.is_empty() {
-        for (from, send) in std::mem::take(&mut under_way) {
+    while !in_flight.is_empty() {
+        for (from, send) in std::mem::take(&mut in_flight) {
             let (to, mut sends) = (send.to, Vec::new());
             if (from == candidate && with.contains(&to))
                 || (to == candidate && with.contains(&from))
             {
                 elections[to as usize].on_datagram(now, &send.bytes, &mut sends);
             }
-            under_way.extend(sends.into_iter().map(|send| (to, send)));
+            in_flight.extend(sends.into_iter().map(|send| (to, send)));
         }
     }
 }
