--- a/gateway-cluster/examples/membership_protocols.rs
+++ b/gateway-cluster/examples/membership_protocols.rs
@@ -4,7 +4,7 @@
 
 use foca::{Config, Foca, Identity, Member, PeriodicParams, PostcardCodec, Runtime, Timer};
 use gateway_cluster::protocol::{IndexedTransmit, Micros, PeerState, Protocol, StartOptions};
-use gateway_cluster::sim::{NetworkConditions, Sim};
+use gateway_cluster::sim::{NetworkConditions, Sent, Sim};
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
@@ -225,110 +225,153 @@
     }
 }
 
+/// Network without loss.
+const IDEAL: NetworkConditions = NetworkConditions {
+    delay: 500,
+    jitter: 500,
+    loss: 0.0,
+    double: 0.0,
+};
+const LOSSY: NetworkConditions = NetworkConditions {
+    loss: 0.1,
+    jitter: 50_000,
+    ..IDEAL
+};
+
 fn measure<P: Protocol>(seeds: u64) {
     for gateways in [3, 30, 300] {
         for seed in 1..=seeds {
-            let calm = NetworkConditions::default();
-            let lossy = NetworkConditions {
-                loss: 0.1,
-                jitter: 50_000,
-                ..calm
-            };
-            let dead = |sim: &Sim<P>| {
-                (1..sim.peers())
-                    .filter_map(|gateway| sim.view(gateway))
-                    .all(|view| view[0] == PeerState::Dead)
-            };
-            for (name, network) in [("no loss", calm), ("10% loss", lossy)] {
-                let mut sim = cluster::<P>(gateways, seed, network);
-                let (since, converged) = (sim.now(), sim.has_converged());
-                sim.kill(0);
-                let at = sim.run_until_true(since + 60 * SECOND, dead);
-                println!("{gateways:>3} gateways, seed {seed}, {name}: converged before {converged}, a killed gateway is dead after {}",
-                    seconds(at, since));
-            }
-            let mut sim = cluster::<P>(gateways, seed, lossy);
-            let (mut max, mut samples) = (0, 0);
-            for _ in 0..60 {
-                sim.run_until(sim.now() + SECOND);
-                let now = wrong(&sim);
-                max = max.max(now);
-                samples += usize::from(now > 0);
-            }
-            println!("{gateways:>3} gateways, seed {seed}, 10% loss for 60 s: {samples} of 60 seconds with a live door held for dead, \
-                      {max} pairs at most");
-            for (name, shape) in [("halves", 2), ("thirds", 3)] {
-                let mut sim = cluster::<P>(gateways, seed, calm);
-                sim.partition(|gateway| gateway % shape);
-                sim.run_until(sim.now() + 30 * SECOND);
-                sim.partition(|_| 0);
-                let since = sim.now();
-                let at = sim.run_until_true(since + 120 * SECOND, Sim::has_converged);
-                println!(
-                    "{gateways:>3} gateways, seed {seed}, {name} for 30 s: all views are correct {} after healing",
-                    seconds(at, since)
-                );
-            }
-            let mut sim = cluster::<P>(gateways, seed, calm);
-            (0..gateways).for_each(|gateway| sim.stop(gateway, gateway % 3 == 0));
-            sim.run_until(sim.now() + 10 * SECOND);
-            (0..gateways).for_each(|gateway| {
-                if gateway % 3 == 0 {
-                    sim.stop(gateway, false);
-                }
-            });
-            sim.run_until(sim.now() + SECOND / 10);
-            let was_paused = |gateway: &usize| gateway % 3 == 0;
-            let views = (0..gateways)
-                .filter(was_paused)
-                .filter_map(|gateway| sim.view(gateway));
-            let awake = |view: Vec<PeerState>| {
-                view.iter()
-                    .enumerate()
-                    .filter(|(gateway, state)| !was_paused(gateway) && **state == PeerState::Dead)
-                    .count()
-            };
-            let flaps: usize = views.map(awake).sum();
-            let since = sim.now();
-            let at = sim.run_until_true(since + 120 * SECOND, Sim::has_converged);
-            println!("{gateways:>3} gateways, seed {seed}, a third stopped for 10 s: after resuming they consider {flaps} others dead, \
-                      correct after {}", seconds(at, since));
-            let mut sim = cluster::<P>(gateways, seed, calm);
-            let quiet: Vec<_> = (0..gateways)
-                .map(|gateway| sim.take_sent(gateway))
-                .collect();
-            (0..gateways).for_each(|gateway| {
-                if gateway % 10 < 7 {
-                    sim.kill(gateway);
-                }
-            });
-            for gateway in 0..gateways {
-                sim.take_sent(gateway);
-            }
-            sim.run_until(sim.now() + 10 * SECOND);
-            let storm = (0..gateways)
-                .filter(|gateway| sim.runs(*gateway))
-                .collect::<Vec<_>>();
-            let storm: Vec<_> = storm
-                .into_iter()
-                .map(|gateway| sim.take_sent(gateway))
-                .collect();
-            let rate = |all: &[gateway_cluster::sim::Sent], seconds: f64| {
-                let bytes = all.iter().map(|sent| sent.bytes).max().unwrap_or(0) as f64 / seconds;
-                let messages =
-                    all.iter().map(|sent| sent.messages).max().unwrap_or(0) as f64 / seconds;
-                format!("{bytes:.0} bytes and {messages:.1} messages a second")
-            };
-            println!("{gateways:>3} gateways, seed {seed}, sent by the busiest: calm {}, after seven in ten were killed {}",
-                rate(&quiet, 20.0), rate(&storm, 10.0));
-            let mut sim = cluster::<P>(gateways, seed, calm);
-            sim.kill(0);
-            sim.run_until(sim.now() + SECOND / 5);
-            sim.start(0, 0);
-            let since = sim.now();
-            let at = sim.run_until_true(since + 120 * SECOND, Sim::has_converged);
-            println!("{gateways:>3} gateways, seed {seed}, killed and back with the clock set back: all views are correct after {}",
-                seconds(at, since));
+            measure_detection::<P>(gateways, seed);
+            measure_wrong_verdicts::<P>(gateways, seed);
+            measure_healing::<P>(gateways, seed);
+            measure_pause::<P>(gateways, seed);
+            measure_traffic::<P>(gateways, seed);
+            measure_restart::<P>(gateways, seed);
         }
     }
 }
+
+/// The time until a killed gateway is dead in every view.
+fn measure_detection<P: Protocol>(gateways: usize, seed: u64) {
+    let dead = |sim: &Sim<P>| {
+        (1..sim.peers())
+            .filter_map(|gateway| sim.view(gateway))
+            .all(|view| view[0] == PeerState::Dead)
+    };
+    for (name, network) in [("no loss", IDEAL), ("10% loss", LOSSY)] {
+        let mut sim = cluster::<P>(gateways, seed, network);
+        let (since, converged) = (sim.now(), sim.has_converged());
+        sim.kill(0);
+        let at = sim.run_until_true(since + 60 * SECOND, dead);
+        println!(
+            "{gateways:>3} gateways, seed {seed}, {name}: converged before {converged}, a killed gateway is dead after {}",
+            seconds(at, since)
+        );
+    }
+}
+
+/// Running gateways that are considered dead while datagrams are lost.
+fn measure_wrong_verdicts<P: Protocol>(gateways: usize, seed: u64) {
+    let mut sim = cluster::<P>(gateways, seed, LOSSY);
+    let (mut max, mut samples) = (0, 0);
+    for _ in 0..60 {
+        sim.run_until(sim.now() + SECOND);
+        let now = wrong(&sim);
+        max = max.max(now);
+        samples += usize::from(now > 0);
+    }
+    println!(
+        "{gateways:>3} gateways, seed {seed}, 10% loss for 60 s: {samples} of 60 seconds with a running gateway considered \
+         dead, {max} pairs at most"
+    );
+}
+
+/// The time until all views are correct after a partition.
+fn measure_healing<P: Protocol>(gateways: usize, seed: u64) {
+    for (name, sides) in [("halves", 2), ("thirds", 3)] {
+        let mut sim = cluster::<P>(gateways, seed, IDEAL);
+        sim.partition(|gateway| gateway % sides);
+        sim.run_until(sim.now() + 30 * SECOND);
+        sim.partition(|_| 0);
+        let since = sim.now();
+        let at = sim.run_until_true(since + 120 * SECOND, Sim::has_converged);
+        println!(
+            "{gateways:>3} gateways, seed {seed}, {name} for 30 s: all views are correct {} after healing",
+            seconds(at, since)
+        );
+    }
+}
+
+/// Wrong verdicts of gateways that were paused, and the time until all views are correct.
+fn measure_pause<P: Protocol>(gateways: usize, seed: u64) {
+    let is_paused = |gateway: usize| gateway % 3 == 0;
+    let mut sim = cluster::<P>(gateways, seed, IDEAL);
+    (0..gateways).for_each(|gateway| sim.stop(gateway, is_paused(gateway)));
+    sim.run_until(sim.now() + 10 * SECOND);
+    for gateway in (0..gateways).filter(|gateway| is_paused(*gateway)) {
+        sim.stop(gateway, false);
+    }
+    sim.run_until(sim.now() + SECOND / 10);
+    let views = (0..gateways)
+        .filter(|gateway| is_paused(*gateway))
+        .filter_map(|gateway| sim.view(gateway));
+    let dead_others = |view: Vec<PeerState>| {
+        view.iter()
+            .enumerate()
+            .filter(|(gateway, state)| !is_paused(*gateway) && **state == PeerState::Dead)
+            .count()
+    };
+    let wrong_verdicts: usize = views.map(dead_others).sum();
+    let since = sim.now();
+    let at = sim.run_until_true(since + 120 * SECOND, Sim::has_converged);
+    println!(
+        "{gateways:>3} gateways, seed {seed}, a third stopped for 10 s: after resuming they consider {wrong_verdicts} others \
+         dead, correct after {}",
+        seconds(at, since)
+    );
+}
+
+/// The traffic of the busiest gateway, idle and after a mass failure.
+fn measure_traffic<P: Protocol>(gateways: usize, seed: u64) {
+    let mut sim = cluster::<P>(gateways, seed, IDEAL);
+    let idle: Vec<Sent> = (0..gateways)
+        .map(|gateway| sim.take_sent(gateway))
+        .collect();
+    for gateway in (0..gateways).filter(|gateway| gateway % 10 < 7) {
+        sim.kill(gateway);
+    }
+    for gateway in 0..gateways {
+        sim.take_sent(gateway);
+    }
+    sim.run_until(sim.now() + 10 * SECOND);
+    let running: Vec<usize> = (0..gateways).filter(|gateway| sim.runs(*gateway)).collect();
+    let after_failure: Vec<Sent> = running
+        .into_iter()
+        .map(|gateway| sim.take_sent(gateway))
+        .collect();
+    println!(
+        "{gateways:>3} gateways, seed {seed}, sent by the busiest: idle {}, after seven in ten were killed {}",
+        max_rate(&idle, 20.0),
+        max_rate(&after_failure, 10.0)
+    );
+}
+
+fn max_rate(sent: &[Sent], seconds: f64) -> String {
+    let bytes = sent.iter().map(|sent| sent.bytes).max().unwrap_or(0) as f64 / seconds;
+    let messages = sent.iter().map(|sent| sent.messages).max().unwrap_or(0) as f64 / seconds;
+    format!("{bytes:.0} bytes and {messages:.1} messages a second")
+}
+
+/// The time until all views are correct after a restart with the clock set back.
+fn measure_restart<P: Protocol>(gateways: usize, seed: u64) {
+    let mut sim = cluster::<P>(gateways, seed, IDEAL);
+    sim.kill(0);
+    sim.run_until(sim.now() + SECOND / 5);
+    sim.start(0, 0);
+    let since = sim.now();
+    let at = sim.run_until_true(since + 120 * SECOND, Sim::has_converged);
+    println!(
+        "{gateways:>3} gateways, seed {seed}, restarted with the clock set back: all views are correct after {}",
+        seconds(at, since)
+    );
+}
