--- a/gateway-cluster/src/membership/datagrams.rs
+++ b/gateway-cluster/src/membership/datagrams.rs
@@ -204,15 +204,6 @@
         }
     }
 
-    fn on_confirm_response(&mut self, number: u32) {
-        let confirmed = self.pending_confirmations.remove(&number);
-        for index in confirmed.unwrap_or_default() {
-            if let Some(suspicion) = &mut self.members[index].suspicion {
-                suspicion.confirmed = true;
-            }
-        }
-    }
-
     /// Sends a sync request if the sender's view differs and the last request is long enough ago.
     fn maybe_send_sync_request(
         &mut self,
--- a/gateway-cluster/src/membership/probes.rs
+++ b/gateway-cluster/src/membership/probes.rs
@@ -22,6 +22,8 @@
 const HELPER_REPORT_PERIODS: f64 = 0.56;
 /// Age of a probe, in probe periods, at which it has failed.
 const PROBE_TIMEOUT_PERIODS: f64 = 1.5;
+/// Confidence of a suspicion if a peer that is reported dead does not answer.
+const REPORTED_DEAD_CONFIDENCE: u8 = 2;
 /// Number of helpers of an indirect probe. If all of them miss the target, the suspicion is gossiped at once.
 pub(super) const HELPERS: usize = 3;
 /// The same while the update backlog is large; pings are not repeated then.
@@ -31,30 +33,56 @@
 /// Maximum number of indirect probes in progress on behalf of others.
 const MAX_INDIRECT_PROBES: usize = 64;
 
+/// Progress of a direct probe.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+enum ProbeStage {
+    FirstPing,
+    SecondPing,
+    ThirdPing,
+    IndirectProbes,
+}
+
 /// A health check of a peer by this gateway.
 #[derive(Debug, Clone)]
 pub(super) struct Probe {
-    pub(super) target: PeerIndex,
-    pub(super) started_at: Micros,
-    /// The last stage that was carried out: 1 to 3 for that many pings, 4 for the request of indirect probes.
-    pub(super) last_stage: u8,
+    target: PeerIndex,
+    started_at: Micros,
+    /// The last stage that was carried out.
+    stage: ProbeStage,
     /// Number of helpers, and of those that reported a miss.
-    pub(super) helpers_requested: usize,
+    helpers_requested: usize,
     pub(super) helpers_missed: usize,
     /// Whether indirect probes are requested.
-    pub(super) use_helpers: bool,
+    use_helpers: bool,
     /// The probe verifies another gateway's report that the target is dead.
     pub(super) target_reported_dead: bool,
 }
 
+impl Probe {
+    /// A probe after its first ping, without helpers.
+    fn new(now: Micros, target: PeerIndex) -> Probe {
+        Probe {
+            target,
+            started_at: now,
+            stage: ProbeStage::FirstPing,
+            helpers_requested: 0,
+            helpers_missed: 0,
+            use_helpers: false,
+            target_reported_dead: false,
+        }
+    }
+}
+
 /// A health check on behalf of another gateway.
 #[derive(Debug, Clone)]
 pub(super) struct IndirectProbe {
     requester: PeerIndex,
+    /// Number of the requester's probe.
     number: u32,
     target: PeerIndex,
     started_at: Micros,
-    last_stage: u8,
+    /// Whether the second ping was sent.
+    is_repeated: bool,
 }
 
 /// The other gateways in the order of a hash ring, from this gateway's successor on.
@@ -70,49 +98,41 @@
 }
 
 impl Membership {
-    /// Starts a health check of a peer, unless it is dead or one is in progress.
+    /// Starts a health check of a peer, unless it is dead or one is in progress. If the budget does not allow the ping, no
+    /// probe starts: an unsent ping cannot time out.
     pub(super) fn start_probe(
         &mut self,
         now: Micros,
         target: PeerIndex,
         sends: &mut Vec<IndexedTransmit>,
     ) {
-        if self.members[target].dead || self.probes.values().any(|probe| probe.target == target) {
+        if self.members[target].dead || self.is_probed(target) {
             return;
         }
         let number = self.next_number();
-        // If the budget does not allow the ping, no probe starts: an unsent ping cannot time out.
-        let max_updates = if self.members[target].suspicion.is_some() {
+        let ping = MessageKind::Ping(number);
+        let is_suspect = self.members[target].suspicion.is_some();
+        let max_updates = if is_suspect {
             0
         } else {
             MAX_PIGGYBACKED_UPDATES
         };
-        if self.send(
-            now,
-            target,
-            MessageKind::Ping(number),
-            max_updates,
-            Priority::Request,
-            sends,
-        ) {
+        if self.send(now, target, ping, max_updates, Priority::Request, sends) {
             // While the update backlog is large, suspected peers are probed without helpers.
-            let use_helpers =
-                !self.is_update_backlog_large || self.members[target].suspicion.is_none();
-            self.probes.insert(
-                number,
-                Probe {
-                    target,
-                    started_at: now,
-                    last_stage: 1,
-                    helpers_requested: 0,
-                    helpers_missed: 0,
-                    use_helpers,
-                    target_reported_dead: false,
-                },
-            );
+            let use_helpers = !self.is_update_backlog_large || !is_suspect;
+            let probe = Probe {
+                use_helpers,
+                ..Probe::new(now, target)
+            };
+            self.probes.insert(number, probe);
         }
     }
 
+    /// Whether a direct probe of this peer is in progress.
+    pub(super) fn is_probed(&self, target: PeerIndex) -> bool {
+        self.probes.values().any(|probe| probe.target == target)
+    }
+
     /// Probes a peer that another gateway reports as dead. The ping contains the report, so that the peer can refute it; if
     /// the probe fails, the report is taken for correct.
     pub(super) fn probe_reported_dead(
@@ -122,20 +142,15 @@
         reported: Incarnation,
         sends: &mut Vec<IndexedTransmit>,
     ) {
-        if self.probes.values().any(|probe| probe.target == target) {
+        if self.is_probed(target) {
             return;
         }
         let number = self.next_number();
         let kind = MessageKind::PingReportedDead(number, reported);
         if self.send_updates(now, target, kind, Vec::new(), Priority::Gossip, sends) {
             let probe = Probe {
-                target,
-                started_at: now,
-                last_stage: 1,
-                helpers_requested: 0,
-                helpers_missed: 0,
-                use_helpers: false,
                 target_reported_dead: true,
+                ..Probe::new(now, target)
             };
             self.probes.insert(number, probe);
         }
@@ -145,77 +160,90 @@
     pub(super) fn check_probes(&mut self, now: Micros, sends: &mut Vec<IndexedTransmit>) {
         let numbers: Vec<u32> = self.probes.keys().copied().collect();
         for number in numbers {
-            let Some(Probe {
-                target,
-                started_at,
-                last_stage,
-                helpers_requested,
-                helpers_missed,
-                use_helpers,
-                target_reported_dead,
-            }) = self.probes.get(&number).cloned()
-            else {
+            let Some(probe) = self.probes.get(&number).cloned() else {
                 continue;
             };
-            let age = now - started_at;
-            let stage = match age {
-                age if age >= self.probe_periods(INDIRECT_PROBE_PERIODS) && use_helpers => 4,
-                age if age >= self.probe_periods(THIRD_PING_PERIODS) => 3,
-                age if age >= self.probe_periods(SECOND_PING_PERIODS) => 2,
-                _ => 1,
-            };
-            if let Some(probe) = self.probes.get_mut(&number) {
-                probe.last_stage = stage;
-            }
+            let age = now - probe.started_at;
             if age >= self.probe_periods(PROBE_TIMEOUT_PERIODS) {
                 self.probes.remove(&number);
-                let confidence = match helpers_missed {
-                    _ if target_reported_dead => 2,
-                    helpers_missed
-                        if helpers_requested > 0 && helpers_missed >= helpers_requested =>
-                    {
-                        GOSSIPED_CONFIDENCE
-                    }
-                    helpers_missed => helpers_missed as u8,
-                };
-                let before = self.members[target].has_gossiped_suspicion();
-                self.on_failed_probe(now, target, confidence);
-                // The next ping carries the suspicion, so that the target can refute it.
-                if !before {
-                    self.start_probe(now, target, sends);
-                }
-            } else if stage == 4 && last_stage < 4 {
-                let id = self.peers.ids()[target];
-                let helpers = self.choose_helpers(target);
-                if let Some(probe) = self.probes.get_mut(&number) {
-                    probe.helpers_requested = helpers.len();
-                }
-                // With little budget fewer helpers receive the request, and the suspicion has a lower confidence.
-                for helper in helpers {
-                    self.send(
-                        now,
-                        helper,
-                        MessageKind::PingRequest(number, id),
-                        MAX_PIGGYBACKED_UPDATES,
-                        Priority::Request,
-                        sends,
-                    );
-                }
-            } else if matches!(stage, 2 | 3) && last_stage < stage && !self.is_update_backlog_large
-            {
+                self.on_probe_timeout(now, &probe, sends);
+                continue;
+            }
+            let stage = self.probe_stage(age, probe.use_helpers);
+            if stage <= probe.stage {
+                continue;
+            }
+            if let Some(probe) = self.probes.get_mut(&number) {
+                probe.stage = stage;
+            }
+            if stage == ProbeStage::IndirectProbes {
+                self.request_indirect_probes(now, number, probe.target, sends);
+            } else if !self.is_update_backlog_large {
                 // Repeated pings carry no updates: the target may be dead.
-                self.send(
-                    now,
-                    target,
-                    MessageKind::Ping(number),
-                    0,
-                    Priority::Request,
-                    sends,
-                );
+                let ping = MessageKind::Ping(number);
+                self.send(now, probe.target, ping, 0, Priority::Request, sends);
             }
         }
     }
 
+    /// The stage of a probe at this age.
+    fn probe_stage(&self, age: Micros, use_helpers: bool) -> ProbeStage {
+        if use_helpers && age >= self.probe_periods(INDIRECT_PROBE_PERIODS) {
+            ProbeStage::IndirectProbes
+        } else if age >= self.probe_periods(THIRD_PING_PERIODS) {
+            ProbeStage::ThirdPing
+        } else if age >= self.probe_periods(SECOND_PING_PERIODS) {
+            ProbeStage::SecondPing
+        } else {
+            ProbeStage::FirstPing
+        }
+    }
+
+    /// Handles a probe without an answer: suspects the target, and probes it again unless the suspicion was gossiped before.
+    fn on_probe_timeout(&mut self, now: Micros, probe: &Probe, sends: &mut Vec<IndexedTransmit>) {
+        let all_helpers_missed =
+            probe.helpers_requested > 0 && probe.helpers_missed >= probe.helpers_requested;
+        let confidence = if probe.target_reported_dead {
+            REPORTED_DEAD_CONFIDENCE
+        } else if all_helpers_missed {
+            GOSSIPED_CONFIDENCE
+        } else {
+            probe.helpers_missed as u8
+        };
+        let was_gossiped = self.members[probe.target].has_gossiped_suspicion();
+        self.on_failed_probe(now, probe.target, confidence);
+        // The next ping carries the suspicion, so that the target can refute it.
+        if !was_gossiped {
+            self.start_probe(now, probe.target, sends);
+        }
+    }
+
+    /// Requests helpers to probe the target of a probe.
+    fn request_indirect_probes(
+        &mut self,
+        now: Micros,
+        number: u32,
+        target: PeerIndex,
+        sends: &mut Vec<IndexedTransmit>,
+    ) {
+        let id = self.peers.ids()[target];
+        let helpers = self.choose_helpers(target);
+        if let Some(probe) = self.probes.get_mut(&number) {
+            probe.helpers_requested = helpers.len();
+        }
+        // With little budget fewer helpers receive the request, and the suspicion has a lower confidence.
+        for helper in helpers {
+            self.send(
+                now,
+                helper,
+                MessageKind::PingRequest(number, id),
+                MAX_PIGGYBACKED_UPDATES,
+                Priority::Request,
+                sends,
+            );
+        }
+    }
+
     /// Handles a ping request: starts an indirect probe of the target.
     pub(super) fn on_ping_request(
         &mut self,
@@ -247,7 +275,7 @@
                     number,
                     target,
                     started_at: now,
-                    last_stage: 1,
+                    is_repeated: false,
                 },
             );
             self.send(
@@ -270,7 +298,7 @@
                 number,
                 target,
                 started_at,
-                last_stage,
+                is_repeated,
             }) = self.indirect_probes.get(&own_number).cloned()
             else {
                 continue;
@@ -286,11 +314,11 @@
                     sends,
                 );
             } else if now - started_at >= self.probe_periods(HELPER_SECOND_PING_PERIODS)
-                && last_stage < 2
+                && !is_repeated
                 && !self.is_update_backlog_large
             {
                 if let Some(indirect_probe) = self.indirect_probes.get_mut(&own_number) {
-                    indirect_probe.last_stage = 2;
+                    indirect_probe.is_repeated = true;
                 }
                 self.send(
                     now,
--- a/gateway-cluster/src/membership/suspicion.rs
+++ b/gateway-cluster/src/membership/suspicion.rs
@@ -103,7 +103,7 @@
             }
         }
         if confidence >= GOSSIPED_CONFIDENCE {
-            // A local suspicion is not gossiped.
+            // Only suspicions from this confidence on are gossiped.
             (member.transmissions, member.urgent) = (Some(0), true);
             if matches!(cause, Cause::ReportedBy(_)) {
                 self.maybe_notify_suspect(index);
@@ -182,75 +182,90 @@
         now: Micros,
         sends: &mut Vec<IndexedTransmit>,
     ) {
-        if self
+        let gossiped_suspicions = self
             .members
             .iter()
             .filter(|member| member.gossiped_state() == PeerState::Suspect)
-            .count()
-            > SMALL_BACKLOG
-        {
+            .count();
+        if gossiped_suspicions > SMALL_BACKLOG {
             // So many suspicions are confirmed by the summaries that are exchanged anyway.
             return;
         }
-        let (lead, retry_interval) = (
-            self.probe_periods(CONFIRM_LEAD_PERIODS),
-            self.probe_periods(CONFIRM_RETRY_PERIODS),
-        );
-        if now < self.last_confirm_request_at + self.probe_periods(CONFIRM_INTERVAL_PERIODS) {
+        let interval = self.probe_periods(CONFIRM_INTERVAL_PERIODS);
+        if now < self.last_confirm_request_at + interval {
+            return;
+        }
+        let suspects = self.suspects_to_confirm(now);
+        if suspects.is_empty() {
             return;
         }
-        let expires_soon = |suspicion: &Suspicion| {
+        match self.choose_helpers(self.own_index).first().copied() {
+            Some(to) => self.send_confirm_request(now, to, suspects, sends),
+            // No other gateway is alive that could know a refutation.
+            None => self.confirm_suspicions(&suspects),
+        }
+    }
+
+    /// The peers whose suspicion expires soon and has to be confirmed now.
+    fn suspects_to_confirm(&self, now: Micros) -> Vec<PeerIndex> {
+        let lead = self.probe_periods(CONFIRM_LEAD_PERIODS);
+        let is_due = |suspicion: &Suspicion| {
             !suspicion.confirmed
                 && suspicion.confirm_requests < MAX_CONFIRM_REQUESTS
                 && suspicion.expires_at <= now + lead
                 && suspicion.next_confirm_at <= now
         };
-        let is_candidate = |index: &PeerIndex| {
-            self.members[*index]
-                .suspicion
-                .as_ref()
-                .is_some_and(expires_soon)
-        };
-        let indexes: Vec<PeerIndex> = (0..self.members.len())
-            .filter(is_candidate)
+        (0..self.members.len())
+            .filter(|index| {
+                let suspicion = self.members[*index].suspicion.as_ref();
+                suspicion.is_some_and(is_due)
+            })
             .take(MAX_CONFIRMED_AT_ONCE)
-            .collect();
-        if indexes.is_empty() {
-            return;
-        }
-        let Some(to) = self.choose_helpers(self.own_index).first().copied() else {
-            // No other gateway is alive that could know a refutation.
-            for index in indexes {
-                if let Some(suspicion) = &mut self.members[index].suspicion {
-                    suspicion.confirmed = true;
-                }
-            }
-            return;
-        };
+            .collect()
+    }
+
+    fn send_confirm_request(
+        &mut self,
+        now: Micros,
+        to: PeerIndex,
+        suspects: Vec<PeerIndex>,
+        sends: &mut Vec<IndexedTransmit>,
+    ) {
         self.last_confirm_request_at = now;
         let number = self.next_number();
-        let was_sent = self.send_updates(
-            now,
-            to,
-            MessageKind::ConfirmRequest(number),
-            indexes.clone(),
-            Priority::Gossip,
-            sends,
-        );
-        for index in &indexes {
+        let request = MessageKind::ConfirmRequest(number);
+        let was_sent =
+            self.send_updates(now, to, request, suspects.clone(), Priority::Gossip, sends);
+        let next_confirm_at = now + self.probe_periods(CONFIRM_RETRY_PERIODS);
+        for index in &suspects {
             if let Some(suspicion) = &mut self.members[*index].suspicion {
-                (suspicion.confirm_requests, suspicion.next_confirm_at) =
-                    (suspicion.confirm_requests + 1, now + retry_interval);
+                suspicion.confirm_requests += 1;
+                suspicion.next_confirm_at = next_confirm_at;
             }
         }
         if was_sent {
-            self.pending_confirmations.insert(number, indexes);
+            self.pending_confirmations.insert(number, suspects);
             while self.pending_confirmations.len() > usize::from(MAX_CONFIRM_REQUESTS) {
                 self.pending_confirmations.pop_first();
             }
         }
     }
 
+    /// Handles the answer to a confirm request. Refutations in the same datagram have cleared their suspicions before.
+    pub(super) fn on_confirm_response(&mut self, number: u32) {
+        let suspects = self.pending_confirmations.remove(&number);
+        self.confirm_suspicions(&suspects.unwrap_or_default());
+    }
+
+    /// Marks the suspicions of these peers as confirmed, so that they expire in time.
+    fn confirm_suspicions(&mut self, suspects: &[PeerIndex]) {
+        for index in suspects {
+            if let Some(suspicion) = &mut self.members[*index].suspicion {
+                suspicion.confirmed = true;
+            }
+        }
+    }
+
     /// Forwards a gossiped suspicion to the suspected peer with a probability such that a few gateways do so: the peer can
     /// only refute what it receives.
     fn maybe_notify_suspect(&mut self, index: PeerIndex) {
--- a/gateway-cluster/src/membership/timer.rs
+++ b/gateway-cluster/src/membership/timer.rs
@@ -69,10 +69,9 @@
         }
         if self.step % SUSPECT_PROBE_STEPS == 0 {
             // A suspected peer is probed again here if the budget did not allow it at once.
-            let is_probed =
-                |index: &usize| self.probes.values().any(|probe| probe.target == *index);
-            let suspect = (0..self.members.len())
-                .find(|index| self.members[*index].has_local_suspicion() && !is_probed(index));
+            let suspect = (0..self.members.len()).find(|index| {
+                self.members[*index].has_local_suspicion() && !self.is_probed(*index)
+            });
             if let Some(index) = suspect {
                 self.start_probe(now, index, sends);
             }
