--- a/gateway-cluster/src/leadership/election/known_leader.rs
+++ b/gateway-cluster/src/leadership/election/known_leader.rs
@@ -1,7 +1,7 @@
 //! The leader that this gateway knows: from its announcements, from answers of other gateways, and until its release.
 
 use super::peer_table::Peer;
-use super::timing::succession_order;
+use super::timing::{succession_order, LEADER_QUERIES_PER_LEASE, MIN_LEADER_QUERY_INTERVAL};
 use super::{ElectionEvent, LeaderElection, LeaderQuery, LeaseProof, ReleasedLease, Stage};
 use crate::leadership::wire::Kind;
 use crate::leadership::LeaseHolder;
@@ -14,12 +14,6 @@
 pub(super) const PEER_SET_WAIT_LEASES: u64 = 3;
 /// Delay before the named successor campaigns after a release, so that the release has reached all peers.
 const RELEASE_SPREAD_TIME: Micros = 5_000;
-/// Leader queries per lease of a gateway that does not know the leader.
-pub(super) const LEADER_QUERIES_PER_LEASE: u64 = 3;
-/// Time before the known lease expires at which a gateway queries the leader again.
-pub(super) const LEADER_QUERY_LEAD: Micros = 200_000;
-/// Minimum time between two leader queries.
-pub(super) const MIN_LEADER_QUERY_INTERVAL: Micros = 350_000;
 
 /// A leader, its epoch and the end of its lease on this gateway's clock.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
--- a/gateway-cluster/src/leadership/election/timing.rs
+++ b/gateway-cluster/src/leadership/election/timing.rs
@@ -1,7 +1,6 @@
 //! Times of campaigns, renewals and leader queries. Gateways campaign one after the other, in an order that is derived from
 //! the epoch, with a random delay.
 
-use super::known_leader::{LEADER_QUERIES_PER_LEASE, LEADER_QUERY_LEAD, MIN_LEADER_QUERY_INTERVAL};
 use super::LeaderElection;
 use crate::hash::mix;
 use crate::peers::PeerId;
@@ -18,6 +17,13 @@
 /// Time after which an unanswered request is repeated, in microseconds.
 pub(super) const RETRY_INTERVAL: Micros = 60_000;
 
+/// Leader queries per lease of a gateway that does not know the leader.
+pub(super) const LEADER_QUERIES_PER_LEASE: u64 = 3;
+/// Time before the known lease expires at which a gateway queries the leader again.
+const LEADER_QUERY_LEAD: Micros = 200_000;
+/// Minimum time between two leader queries.
+pub(super) const MIN_LEADER_QUERY_INTERVAL: Micros = 350_000;
+
 impl LeaderElection {
     /// Timeout of a round of requests; lost ones have been repeated by then.
     pub(super) fn round_timeout(&self) -> Micros {
--- a/gateway-cluster/src/membership/suspicion.rs
+++ b/gateway-cluster/src/membership/suspicion.rs
@@ -5,8 +5,7 @@
 //! only by a refutation, which is a newer incarnation, or by its timeout.
 
 use super::member::{Cause, Suspicion, GOSSIPED_CONFIDENCE};
-use super::transmit::Priority;
-use super::updates::SMALL_BACKLOG;
+use super::transmit::{Priority, SMALL_BACKLOG};
 use super::Membership;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::wire::MessageKind;
--- a/gateway-cluster/src/membership/timer.rs
+++ b/gateway-cluster/src/membership/timer.rs
@@ -1,8 +1,7 @@
 //! The periodic step: advances health checks and suspicions, starts the probes that are due, and spreads updates.
 
 use super::healing::DEAD_CONTACT_STEPS;
-use super::transmit::{Priority, MAX_GOSSIP_UPDATES};
-use super::updates::SMALL_BACKLOG;
+use super::transmit::{Priority, MAX_GOSSIP_UPDATES, SMALL_BACKLOG};
 use super::Membership;
 use crate::protocol::{IndexedTransmit, Micros};
 use crate::wire::MessageKind;
--- a/gateway-cluster/src/membership/transmit.rs
+++ b/gateway-cluster/src/membership/transmit.rs
@@ -4,7 +4,6 @@
 //! buckets to the higher ones, so that answers are sent before requests, and requests before gossip.
 
 use super::member::Member;
-use super::updates::{MAX_TRANSMISSIONS, MAX_TRANSMISSIONS_LARGE_BACKLOG, SMALL_BACKLOG};
 use super::Membership;
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::wire::{Datagram, MessageKind, Update, ViewSummary, HEADER_BYTES};
@@ -26,6 +25,12 @@
 /// Maximum number of updates in a datagram that is sent for them.
 pub(super) const MAX_GOSSIP_UPDATES: usize = 160;
 
+/// Number of urgent updates up to which the backlog is small: updates are gossiped, and transmitted more often.
+pub(super) const SMALL_BACKLOG: usize = 16;
+/// Transmissions of an update by each gateway while the backlog is small, and while it is large.
+pub(super) const MAX_TRANSMISSIONS: u8 = 12;
+const MAX_TRANSMISSIONS_LARGE_BACKLOG: u8 = 4;
+
 /// Priority of a datagram, highest first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Priority {
--- a/gateway-cluster/src/membership/updates.rs
+++ b/gateway-cluster/src/membership/updates.rs
@@ -6,16 +6,12 @@
 use super::anti_entropy::SYNC_INTERVAL_PERIODS;
 use super::healing::HEALING_STEPS;
 use super::member::{Cause, GOSSIPED_CONFIDENCE};
+use super::transmit::MAX_TRANSMISSIONS;
 use super::{ChangeReason, Membership, MembershipChange};
 use crate::precedence::{self, KnownUpdate, Precedence, SelfUpdateAction};
 use crate::protocol::{IndexedTransmit, Micros, PeerIndex, PeerState};
 use crate::wire::{Incarnation, UpdateStatus};
 
-/// Number of urgent updates up to which the backlog is small: updates are gossiped, and transmitted more often.
-pub(super) const SMALL_BACKLOG: usize = 16;
-/// Transmissions of an update by each gateway while the backlog is small, and while it is large.
-pub(super) const MAX_TRANSMISSIONS: u8 = 12;
-pub(super) const MAX_TRANSMISSIONS_LARGE_BACKLOG: u8 = 4;
 /// Remaining transmissions of an update that raises the incarnation of a peer which was alive here.
 const TRANSMISSIONS_OF_KNOWN_UPDATE: u8 = 3;
 /// Maximum number of probes in progress that verify a reported death.
--- a/gateway-cluster/src/peers.rs
+++ b/gateway-cluster/src/peers.rs
@@ -2,7 +2,6 @@
 //! datagrams.
 
 use crate::hash::{self, mix};
-use crate::protocol::PeerIndex;
 use std::collections::BTreeMap;
 
 /// Maximum number of names in a peer set: the summary of a view has to fit into a datagram together with updates.
@@ -11,6 +10,9 @@
 /// The hash of a name of the peer set. A peer set in which two names have equal hashes is rejected.
 pub type PeerId = u32;
 
+/// A gateway's index in the peer set, whose names are sorted.
+pub type PeerIndex = usize;
+
 /// The id of a name, the same at every gateway.
 pub fn peer_id_of(name: &str) -> PeerId {
     hash::hash_text(name)
--- a/gateway-cluster/src/protocol.rs
+++ b/gateway-cluster/src/protocol.rs
@@ -2,13 +2,11 @@
 //! time, outgoing datagrams, and the [`Protocol`] trait that the simulation runs.
 
 use crate::peers::PeerId;
+pub use crate::peers::PeerIndex;
 
 /// Microseconds on a monotonic clock.
 pub type Micros = u64;
 
-/// A gateway's index in the peer set, whose names are sorted.
-pub type PeerIndex = usize;
-
 /// The state of one gateway in the membership of another.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub enum PeerState {
