--- a/gateway-cluster/tests/leadership.rs
+++ b/gateway-cluster/tests/leadership.rs
@@ -218,11 +218,11 @@
             // A restarted gateway does not replace the leader.
             cluster.sim.start(leader, UNIX + 60 * SECOND);
             let next = cluster.wait_for_known_leader(LEASE, "the next");
-            let leader_by_epoch = cluster.leader_by_epoch.len();
+            let epochs = cluster.leader_by_epoch.len();
             cluster.run(10 * SECOND);
             assert_eq!(
                 (cluster.leader_by_epoch.len(), cluster.leader_known_to_all()),
-                (leader_by_epoch, Some(next)),
+                (epochs, Some(next)),
                 "{gateways} gateways, seed {seed}"
             );
         }
@@ -299,10 +299,10 @@
             let leader = cluster.wait_for_known_leader(3 * LEASE, "the start");
             cluster.run(2 * SECOND);
             let now = cluster.sim.now();
-            let to: Vec<PeerIndex> = (0..7).filter(|gateway| *gateway != leader).collect();
+            let receivers: Vec<PeerIndex> = (0..7).filter(|gateway| *gateway != leader).collect();
             let name = |gateway: PeerIndex| peer_id_of(&format!("n{gateway:03}"));
             // The leader has checked its lease and stalls before it sends.
-            let proofs: Vec<(PeerIndex, LeaseProof)> = to
+            let proofs: Vec<(PeerIndex, LeaseProof)> = receivers
                 .iter()
                 .filter_map(|to| {
                     Some((
@@ -381,12 +381,12 @@
         let next = cluster.leaders()[0].0;
         assert_eq!(side(next), 0, "seed {seed}: in the majority");
         cluster.sim.partition(|_| 0);
-        let leader_by_epoch = cluster.leader_by_epoch.len();
+        let epochs = cluster.leader_by_epoch.len();
         cluster.wait_for_known_leader(3 * SECOND, "healed");
         cluster.run(5 * SECOND);
         assert_eq!(
             cluster.leader_by_epoch.len(),
-            leader_by_epoch,
+            epochs,
             "seed {seed}: the leader was not replaced"
         );
     }
@@ -426,12 +426,12 @@
             let (mut samples, mut known) = (0, 0);
             for _ in 0..100 {
                 cluster.run(50_000);
-                let status: Vec<ElectionStatus> = others
+                let statuses: Vec<ElectionStatus> = others
                     .iter()
                     .filter_map(|gateway| cluster.status(*gateway))
                     .collect();
-                samples += status.len();
-                known += status
+                samples += statuses.len();
+                known += statuses
                     .iter()
                     .filter(|status| status.leader.is_some())
                     .count();
