--- a/gateway-cluster/src/leadership/mod.rs
+++ b/gateway-cluster/src/leadership/mod.rs
@@ -67,7 +67,7 @@
 pub enum ActRejection {
     /// The receiver knows a later epoch.
     #[error(
-        "the act has epoch {epoch}, and epoch {known} is known; no action needed, the older leader learns of it"
+        "the act has epoch {epoch}, and epoch {known} is known; leave it, as the older leader learns of it"
     )]
     Old {
         /// The epoch of the act.
@@ -77,14 +77,14 @@
     },
     /// The sender's lease had expired on the receiver's clock.
     #[error(
-        "the act arrived {late_ms} ms after its leader's lease expired; if this repeats, look for a process or a link that \
-         stalls for longer than fleet.lease_ms"
+        "the act arrived {late_ms} ms after its leader's lease expired; look for a process or a link that stalls \
+         for longer than fleet.lease_ms, if this repeats"
     )]
     Late {
         /// Time since the expiry, in milliseconds.
         late_ms: u64,
     },
     /// The act is addressed to an earlier process with the receiver's name.
-    #[error("the act is addressed to an earlier process of this gateway; no action needed, its sender learns of this one")]
+    #[error("the act is addressed to an earlier process of this gateway; leave it, as its sender learns of this one")]
     OtherIncarnation,
 }
