--- a/gateway-cluster/src/leadership/election/campaign.rs
+++ b/gateway-cluster/src/leadership/election/campaign.rs
@@ -1,179 +1,206 @@
-//! How a gateway asks for leadership and renews its lease: first promises, then grants.
+//! Campaigns and renewals. A candidate first requests promises, then votes (the two phases of Paxos' prepare and accept);
+//! a leader repeats its vote requests to renew the lease.
 
-use super::schedule::AGAIN;
-use super::{ElectionEvent, LeaderElection, Stage};
+use super::timing::RETRY_INTERVAL;
+use super::{ElectionEvent, LatestEpoch, LeaderElection, Stage};
 use crate::leadership::voter::MAX_EPOCH;
 use crate::leadership::votes::CollectedVotes;
 use crate::leadership::wire::Kind;
 use crate::peers::PeerId;
 use crate::protocol::{Micros, Transmit};
 use rand::seq::SliceRandom;
-use std::collections::BTreeMap;
+use std::collections::{BTreeMap, BTreeSet};
 
-/// Asked once more so often at the most while a round goes on.
-const TRIES: u8 = 4;
-/// How long gateways that all have just begun wait for names that none has heard, in leases: those may be the cluster that is
-/// in service, to which this peer set was not told yet.
-const BEGIN: u64 = 20;
-/// Questions to one gateway that may still be answered.
-const OUTSTANDING: usize = 4;
+/// Maximum number of transmissions of one request to one peer during a campaign.
+const MAX_ATTEMPTS: u8 = 4;
+/// Time, in leases, for which gateways that have all just started wait for peers that none has heard from. Those may be a
+/// cluster in service that is not configured with this peer set yet.
+const BOOTSTRAP_LEASES: u64 = 20;
+/// Maximum number of pending requests to one peer.
+const MAX_PENDING_REQUESTS: usize = 4;
+/// Number of quick retries of a renewal before the next regular one.
+const QUICK_RENEWAL_RETRIES: u8 = 2;
 
 impl LeaderElection {
-    /// Asks for leadership, unless something speaks against that.
-    pub(super) fn begin(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
-        let own = self
-            .granter
-            .granted(now)
-            .filter(|granted| granted.holder != self.me);
-        let quiet = self.granter.quiet(now);
-        let lost = !self
-            .peer_sets
-            .are_won_by(|name| name == self.me.name || self.living.contains(&name));
-        let wait = if quiet > 0 {
-            quiet
-        } else if let Some(granted) = own {
-            granted.until - now
-        } else if now < self.elsewhere_until && !self.peer_sets.is_seasoned() {
-            self.elsewhere_until - now
-        } else if self.told_before(now).is_some() {
-            self.lease / 2
-        } else if lost && self.tried.is_some_and(|tried| now < tried + 2 * self.lease) {
-            // The view sees no majority. It may be wrong: now and then it is tried all the same.
-            self.lease / 2
-        } else if !self.peer_sets.are_won_by(|_| true) {
-            self.lease
-        } else {
-            0
-        };
-        if wait > 0 {
-            self.at = now + wait + self.some(AGAIN);
+    /// Starts a campaign, or postpones it for the reasons in [`LeaderElection::campaign_delay`].
+    pub(super) fn start_campaign(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
+        let delay = self.campaign_delay(now);
+        if delay > 0 {
+            self.campaign_at = now + delay + self.random_up_to(RETRY_INTERVAL);
             return;
         }
-        self.tried = Some(now);
-        let clock = self.unix_ms.saturating_add((now - self.born) / 1000);
-        let epoch = (self.hint.max(self.fence.0).max(self.granter.highest()) + 1)
-            .max(clock)
-            .min(MAX_EPOCH);
-        let over = now + self.patience();
-        (self.held, self.until) = (CollectedVotes::default(), 0);
-        let (promised, free) = Default::default();
+        self.last_campaign_at = Some(now);
+        let epoch = self.next_epoch(now);
+        (self.votes, self.lease_until) = (CollectedVotes::default(), 0);
         self.stage = Stage::Preparing {
             epoch,
-            over,
-            promised,
-            free,
+            deadline: now + self.round_timeout(),
+            promised: BTreeSet::new(),
+            rejected_until: BTreeMap::new(),
         };
-        self.ask_all(now);
-        if self.promise(now, &self.question(epoch)).is_ok() {
-            self.take_promise(now, self.me.name);
+        self.schedule_requests_to_all(now);
+        if self.promise_to(now, &self.vote_request(epoch)).is_ok() {
+            self.count_promise(now, self.own.name);
+        }
+        self.send_due_requests(now, sends);
+    }
+
+    /// The time for which a campaign has no prospect of success; 0 if it may start now.
+    fn campaign_delay(&self, now: Micros) -> Micros {
+        let quiet = self.voter.quiet_time_left(now);
+        if quiet > 0 {
+            return quiet;
+        }
+        let vote = self.voter.current_vote(now);
+        if let Some(vote) = vote.filter(|vote| vote.holder != self.own) {
+            return vote.until - now;
+        }
+        if now < self.peer_set_wait_until && !self.peer_sets.is_in_use() {
+            return self.peer_set_wait_until - now;
+        }
+        if self.peer_with_next_peer_set(now).is_some() {
+            return self.lease / 2;
+        }
+        let is_alive = |name| name == self.own.name || self.alive_peers.contains(&name);
+        let campaigned_recently = self
+            .last_campaign_at
+            .is_some_and(|at| now < at + 2 * self.lease);
+        // The membership has no reachable majority. It may be wrong, so a campaign starts all the same from time to time.
+        if campaigned_recently && !self.peer_sets.is_majority(is_alive) {
+            return self.lease / 2;
         }
-        self.ask(now, sends);
+        if !self.peer_sets.is_majority(|_| true) {
+            return self.lease;
+        }
+        0
+    }
+
+    /// The epoch of a new campaign: higher than all known ones, and not below the wall clock.
+    fn next_epoch(&self, now: Micros) -> u64 {
+        let unix_ms = self.unix_ms.saturating_add((now - self.started_at) / 1000);
+        let highest_known = self
+            .highest_seen_epoch
+            .max(self.latest_epoch.epoch)
+            .max(self.voter.highest_epoch());
+        (highest_known + 1).max(unix_ms).min(MAX_EPOCH)
     }
 
-    /// Everybody is to be asked from now on, those first that live.
-    pub(super) fn ask_all(&mut self, now: Micros) {
+    /// Schedules a request to each peer, in random order, those first that are alive in the membership.
+    pub(super) fn schedule_requests_to_all(&mut self, now: Micros) {
         let mut names = self.others();
         names.shuffle(&mut self.rng);
-        names.sort_by_key(|name| !self.living.contains(name));
-        for (n, name) in names.into_iter().enumerate() {
+        names.sort_by_key(|name| !self.alive_peers.contains(name));
+        for (position, name) in names.into_iter().enumerate() {
             if let Some(peer) = self.peers.get_mut(&name) {
-                peer.asked.clear();
-                peer.behind = false;
-                // The order in which they are asked, where not all can be at once.
-                (peer.tries, peer.ask_at) = (0, now - now.min(1000) + n as Micros * 1000 / 1024);
+                peer.pending_requests.clear();
+                peer.knows_later_epoch = false;
+                // Times that differ by less than a millisecond keep the order where the budget does not allow all at once.
+                (peer.attempts, peer.next_request_at) =
+                    (0, now - now.min(1000) + position as Micros * 1000 / 1024);
             }
         }
     }
 
-    /// Asks those whose turn it is, as far as the budget goes.
-    pub(super) fn ask(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
-        let mut turns: Vec<(Micros, PeerId)> = self
+    /// Sends the requests that are due, as far as the budget allows.
+    pub(super) fn send_due_requests(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
+        let mut due: Vec<(Micros, PeerId)> = self
             .peers
             .iter()
-            .filter(|(_, peer)| peer.ask_at <= now)
-            .map(|(name, peer)| (peer.ask_at, *name))
+            .filter(|(_, peer)| peer.next_request_at <= now)
+            .map(|(name, peer)| (peer.next_request_at, *name))
             .collect();
-        turns.sort_unstable();
-        for (_, name) in turns {
+        due.sort_unstable();
+        for (_, name) in due {
             if !self.budget.has(1.0, 0.0) {
                 return;
             }
-            let holding = matches!(self.stage, Stage::Holding { .. });
-            let renewal = self.renewal();
-            let Some(peer) = self.peers.get_mut(&name) else {
-                continue;
-            };
-            if !holding && peer.tries >= TRIES {
-                peer.ask_at = Micros::MAX;
+            let Some(number) = self.next_transmission(now, name) else {
                 continue;
-            }
-            // What is asked once more is the same question: the grant counts from when it was first asked.
-            let last = peer
-                .asked
-                .back()
-                .copied()
-                .filter(|(_, at)| now < at + renewal / 2);
-            let (number, at) = last.unwrap_or((self.number, now));
-            if last.is_none() {
-                self.number = self.number.wrapping_add(1);
-                peer.asked.push_back((number, at));
-                peer.tries = 0;
-                if peer.asked.len() > OUTSTANDING {
-                    peer.asked.pop_front();
-                }
-            }
-            peer.tries += 1;
-            // Without an answer it is asked twice more soon, and then at its next turn.
-            let soon = !holding || peer.tries < 3;
-            peer.ask_at = if soon {
-                now + AGAIN.min(renewal)
-            } else {
-                at + renewal
             };
-            let lease_ms = (self.lease / 1000) as u32;
-            let kind = match self.stage {
-                Stage::Preparing { epoch, .. } => Kind::Prepare {
-                    number,
-                    epoch,
-                    lease_ms,
-                },
-                Stage::Asking { epoch, .. } => Kind::Ask {
-                    number,
-                    epoch,
-                    lease_ms,
-                    until: None,
-                },
-                Stage::Holding { epoch } => {
-                    let until = self.stamp(now, name).map(|stamp| stamp.until);
-                    Kind::Ask {
-                        number,
-                        epoch,
-                        lease_ms,
-                        until,
-                    }
-                }
-                Stage::Idle | Stage::Hushed => return,
+            let Some(request) = self.request_to(now, name, number) else {
+                return;
             };
-            self.put(now, name, kind, sends);
+            self.send(now, name, request, sends);
+        }
+    }
+
+    /// The number of the request to send to a peer now, which is a new one or that of a retry; `None` if the attempts of a
+    /// campaign are used up. Schedules the next transmission.
+    fn next_transmission(&mut self, now: Micros, to: PeerId) -> Option<u32> {
+        let is_leader = matches!(self.stage, Stage::Leading { .. });
+        let renewal = self.renewal();
+        let peer = self.peers.get_mut(&to)?;
+        if !is_leader && peer.attempts >= MAX_ATTEMPTS {
+            peer.next_request_at = Micros::MAX;
+            return None;
+        }
+        // A retry repeats the pending request: the vote counts from the time of its first transmission.
+        let pending = peer.pending_requests.back().copied();
+        let pending = pending.filter(|(_, sent_at)| now < sent_at + renewal / 2);
+        let (number, first_sent_at) = pending.unwrap_or((self.last_request_number, now));
+        if pending.is_none() {
+            self.last_request_number = self.last_request_number.wrapping_add(1);
+            peer.pending_requests.push_back((number, first_sent_at));
+            peer.attempts = 0;
+            if peer.pending_requests.len() > MAX_PENDING_REQUESTS {
+                peer.pending_requests.pop_front();
+            }
+        }
+        peer.attempts += 1;
+        let retries_soon = !is_leader || peer.attempts <= QUICK_RENEWAL_RETRIES;
+        peer.next_request_at = if retries_soon {
+            now + RETRY_INTERVAL.min(renewal)
+        } else {
+            first_sent_at + renewal
+        };
+        Some(number)
+    }
+
+    /// The request of the current stage; `None` if this gateway neither campaigns nor leads.
+    fn request_to(&self, now: Micros, to: PeerId, number: u32) -> Option<Kind> {
+        let lease_ms = (self.lease / 1000) as u32;
+        match self.stage {
+            Stage::Preparing { epoch, .. } => Some(Kind::Prepare {
+                number,
+                epoch,
+                lease_ms,
+            }),
+            Stage::CollectingVotes { epoch, .. } => Some(Kind::Ask {
+                number,
+                epoch,
+                lease_ms,
+                until: None,
+            }),
+            Stage::Leading { epoch } => Some(Kind::Ask {
+                number,
+                epoch,
+                lease_ms,
+                until: self.stamp(now, to).map(|proof| proof.until),
+            }),
+            Stage::Idle | Stage::Paused => None,
         }
     }
 
-    pub(super) fn promised(
+    /// Handles a promise.
+    pub(super) fn on_promise(
         &mut self,
         now: Micros,
         from: PeerId,
         number: u32,
         sends: &mut Vec<Transmit>,
     ) {
-        if matches!(self.stage, Stage::Preparing { .. }) && self.asked(from, number).is_some() {
-            self.take_promise(now, from);
-            self.ask(now, sends);
+        if matches!(self.stage, Stage::Preparing { .. })
+            && self.take_request_time(from, number).is_some()
+        {
+            self.count_promise(now, from);
+            self.send_due_requests(now, sends);
         }
     }
 
-    fn take_promise(&mut self, now: Micros, from: PeerId) {
+    /// Counts a promise. With a majority the campaign goes on to collect votes.
+    fn count_promise(&mut self, now: Micros, from: PeerId) {
         if let Some(peer) = self.peers.get_mut(&from) {
-            peer.ask_at = Micros::MAX;
+            peer.next_request_at = Micros::MAX;
         }
         let Stage::Preparing {
             epoch, promised, ..
@@ -184,85 +211,94 @@
         promised.insert(from);
         let epoch = *epoch;
         let peers = &self.peers;
-        let in_use = self.peer_sets.is_seasoned()
+        let in_use = self.peer_sets.is_in_use()
             || promised
                 .iter()
-                .any(|name| peers.get(name).is_some_and(|peer| peer.seasoned));
-        let begins = now >= self.born + BEGIN * self.lease
+                .any(|name| peers.get(name).is_some_and(|peer| peer.peer_set_in_use));
+        let may_bootstrap = now >= self.started_at + BOOTSTRAP_LEASES * self.lease
             || peers.values().all(|peer| peer.incarnation != 0);
-        if (in_use || begins) && self.peer_sets.are_won_by(|name| promised.contains(&name)) {
+        if (in_use || may_bootstrap) && self.peer_sets.is_majority(|name| promised.contains(&name))
+        {
             let promised = std::mem::take(promised);
-            self.stage = Stage::Asking {
+            self.stage = Stage::CollectingVotes {
                 epoch,
-                over: now + self.patience(),
-                free: BTreeMap::new(),
+                deadline: now + self.round_timeout(),
+                rejected_until: BTreeMap::new(),
             };
-            self.ask_all(now);
+            self.schedule_requests_to_all(now);
             for (name, peer) in &mut self.peers {
-                // Those that have promised first.
+                // Peers that promised receive their vote request first.
                 if !promised.contains(name) {
-                    peer.ask_at += 1;
+                    peer.next_request_at += 1;
                 }
             }
-            self.grant_itself(now, epoch);
-            self.look_at_lease(now);
+            self.vote_for_itself(now, epoch);
+            self.check_majority(now);
         }
     }
 
-    pub(super) fn granted(
+    /// Handles a vote.
+    pub(super) fn on_vote(
         &mut self,
         now: Micros,
         from: PeerId,
         number: u32,
         sends: &mut Vec<Transmit>,
     ) {
-        if !matches!(self.stage, Stage::Asking { .. } | Stage::Holding { .. }) {
+        if !matches!(
+            self.stage,
+            Stage::CollectingVotes { .. } | Stage::Leading { .. }
+        ) {
             return;
         }
-        let Some(asked) = self.asked(from, number) else {
+        let Some(requested_at) = self.take_request_time(from, number) else {
             return;
         };
-        self.held.granted(from, asked, self.lease);
+        self.votes.add(from, requested_at, self.lease);
         let renewal = self.renewal();
-        let held = match self.stage {
-            Stage::Holding { epoch } => Some(epoch),
+        let leading_epoch = match self.stage {
+            Stage::Leading { epoch } => Some(epoch),
             _ => None,
         };
         if let Some(peer) = self.peers.get_mut(&from) {
-            peer.ask_at = if held.is_some() {
-                asked + renewal
+            peer.next_request_at = if leading_epoch.is_some() {
+                requested_at + renewal
             } else {
                 Micros::MAX
             };
         }
-        if let Some(epoch) = held {
-            // Its own grant is renewed with each of the others.
-            self.grant_itself(now, epoch);
+        if let Some(epoch) = leading_epoch {
+            // The leader's own vote is renewed with each vote of a peer.
+            self.vote_for_itself(now, epoch);
         }
-        self.look_at_lease(now);
-        self.ask(now, sends);
+        self.check_majority(now);
+        self.send_due_requests(now, sends);
     }
 
-    /// Whether a majority of each peer set has granted, and for how long.
-    fn look_at_lease(&mut self, now: Micros) {
-        let (epoch, new) = match self.stage {
-            Stage::Asking { epoch, .. } => (epoch, true),
-            Stage::Holding { epoch } => (epoch, false),
+    /// Extends the lease if a majority of each required peer set has voted, and takes leadership if it is the first time.
+    fn check_majority(&mut self, now: Micros) {
+        let (epoch, is_first) = match self.stage {
+            Stage::CollectingVotes { epoch, .. } => (epoch, true),
+            Stage::Leading { epoch } => (epoch, false),
             _ => return,
         };
-        let until = self.held.until(&self.peer_sets);
+        let until = self.votes.valid_until(&self.peer_sets);
         if now >= until {
             return;
         }
-        self.until = self.until.max(until);
-        self.peer_sets.won();
-        self.know_peers();
-        if new {
-            self.stage = Stage::Holding { epoch };
-            (self.fence, self.claim) = ((epoch, Some(self.me.name)), None);
-            self.note(ElectionEvent::Won(epoch));
-            // All are to know it at once.
-            self.ask_all(now);
+        self.lease_until = self.lease_until.max(until);
+        self.peer_sets.on_elected();
+        self.refresh_peers();
+        if is_first {
+            self.stage = Stage::Leading { epoch };
+            self.latest_epoch = LatestEpoch {
+                epoch,
+                leader: Some(self.own.name),
+            };
+            self.announced_leader = None;
+            self.record_event(ElectionEvent::Won(epoch));
+            // The renewals announce the new leader to all peers.
+            self.schedule_requests_to_all(now);
         }
     }
 }
--- a/gateway-cluster/src/leadership/election/mod.rs
+++ b/gateway-cluster/src/leadership/election/mod.rs
@@ -1,15 +1,22 @@
-//! The leadership at one gateway: it grants, asks for grants when nobody owns, renews them, and knows who owns.
+//! The election's state machine at one gateway: it votes, campaigns while there is no leader, renews its lease as leader,
+//! and knows the current leader.
+//!
+//! The driver calls [`LeaderElection::on_datagram`] and [`LeaderElection::on_timer`].
+//!
+//! Modules: `datagrams` handles received datagrams, `voting` casts votes, `campaign` collects them, `rejections` handles
+//! rejections and later epochs, `known_leader` tracks the leader, `timing` schedules, `peer_table` stores what is known of
+//! each peer, `transmit` sends within the budget.
 
 mod campaign;
-mod granting;
-mod leader;
-mod peers;
-mod receiving;
-mod refusals;
-mod schedule;
-mod sending;
+mod datagrams;
+mod known_leader;
+mod peer_table;
+mod rejections;
+mod timing;
+mod transmit;
+mod voting;
 
-pub use schedule::{min_lease, renewal};
+pub use timing::{min_lease, renewal};
 
 use super::configuration::{ConfigurationReport, PeerConfiguration};
 use super::voter::LeaseVoter;
@@ -18,146 +25,169 @@
 use crate::peers::PeerId;
 use crate::protocol::{Micros, Transmit};
 use crate::token_bucket::TokenBucket;
-use leader::KnownLeader;
-use peers::Peer;
+use known_leader::KnownLeader;
+use peer_table::Peer;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use schedule::{BURST, PER_SECOND};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
+use timing::{DATAGRAMS_PER_S, DATAGRAM_BURST};
 
-/// Things to tell the log that may wait.
+/// Maximum number of events that the driver has not taken; further ones are dropped.
 const MAX_EVENTS: usize = 256;
 
-/// What an leadership begins with.
+/// Settings of [`LeaderElection`].
 #[derive(Debug, Clone)]
 pub struct ElectionSettings {
-    /// All names of the peer set, this gateway's too.
+    /// Ids of the peer set, this gateway's included.
     pub names: Vec<PeerId>,
-    /// This gateway's.
+    /// The id of this gateway.
     pub name: PeerId,
-    /// The lease, the same at all gateways, in microseconds.
+    /// Lease duration in microseconds, the same at all gateways.
     pub lease: Micros,
-    /// The wall clock in milliseconds since 1970. Terms begin there, so that they go on growing when all gateways restart;
-    /// nothing rests on it.
+    /// Wall clock in milliseconds since 1970. Epochs start there, so that they grow across a restart of all gateways. Safety
+    /// does not rest on it.
     pub unix_ms: u64,
 }
 
-/// Something that operators should know.
+/// An event for the log.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ElectionEvent {
-    /// This gateway owns, in this epoch.
+    /// This gateway was elected in this epoch.
     Won(u64),
-    /// It does not any more: its lease was over before a majority renewed it.
+    /// The lease of this epoch expired before a majority renewed it.
     Lost(u64),
-    /// It gave leadership back.
+    /// This gateway released its lease of this epoch.
     Released(u64),
-    /// Another gateway owns, in this epoch.
+    /// Another gateway is the leader in this epoch.
     Leader(PeerId, u64),
-    /// An act on behalf of the cluster was refused.
+    /// An act of this peer on behalf of the cluster was rejected.
     ActRejected(PeerId, ActRejection),
-    /// Another gateway goes by another lease, in milliseconds: the two grant each other nothing.
+    /// This peer is configured with another lease duration, in milliseconds: neither votes for the other.
     LeaseDiffers(PeerId, u32),
-    /// Another gateway has other peer sets.
+    /// This peer has peer sets for which this gateway cannot vote.
     PeerSetsDiffer(PeerId),
 }
 
-/// What operators are told.
+/// The state of the election for operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ElectionStatus {
-    /// The leader, if this gateway knows one now.
+    /// The leader that this gateway knows now.
     pub leader: Option<PeerId>,
-    /// The highest epoch of any leader that it knows.
+    /// The highest epoch of any known leader.
     pub epoch: u64,
-    /// It is this gateway.
+    /// Whether this gateway is the leader.
     pub mine: bool,
-    /// For how long yet that is known; 0 where nobody is known.
+    /// Remaining time of the known lease, in microseconds; 0 without a leader.
     pub left: Micros,
-    /// How long this gateway still grants nothing.
+    /// Remaining time of the voter's quiet period, in microseconds.
     pub quiet: Micros,
-    /// Acts that were refused.
+    /// Number of rejected acts.
     pub refused: u64,
 }
 
-/// What goes with an act on behalf of the cluster to one gateway: it is of use there only before the leader's lease is over,
-/// by that gateway's own clock, whatever held the act up.
+/// Proof of the lease that accompanies an act of the leader to one gateway. The receiver rejects the act after the lease has
+/// expired on its own clock, whatever delayed it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LeaseProof {
     /// The leader's epoch.
     pub epoch: u64,
     /// The incarnation of the receiver.
     pub to_incarnation: u64,
-    /// On the receiver's clock.
+    /// End of the lease on the receiver's clock, in microseconds.
     pub until: u64,
 }
 
+/// The highest epoch of any known leader.
+#[derive(Debug, Clone, Copy)]
+struct LatestEpoch {
+    epoch: u64,
+    /// The leader of the epoch, if it is known.
+    leader: Option<PeerId>,
+}
+
+/// A lease that its holder released before its end.
+#[derive(Debug, Clone, Copy)]
+struct ReleasedLease {
+    holder: LeaseHolder,
+    epoch: u64,
+    /// Up to this time other gateways may still report the lease as valid.
+    reported_until: Micros,
+}
+
+/// The last query for the leader.
+#[derive(Debug, Clone, Copy)]
+struct LeaderQuery {
+    number: u32,
+    sent_at: Micros,
+}
+
+/// The role of this gateway in the election.
 #[derive(Debug)]
 enum Stage {
-    /// Somebody else owns, or nobody does and this gateway asks for leadership then.
+    /// Follows a leader, or waits for the next campaign.
     Idle,
-    /// Asks who would grant.
+    /// Collects promises for an epoch.
     Preparing {
         epoch: u64,
-        over: Micros,
+        deadline: Micros,
         promised: BTreeSet<PeerId>,
-        free: BTreeMap<PeerId, Micros>,
+        rejected_until: BTreeMap<PeerId, Micros>,
     },
-    /// Asks for grants.
-    Asking {
+    /// Collects votes for an epoch.
+    CollectingVotes {
         epoch: u64,
-        over: Micros,
-        free: BTreeMap<PeerId, Micros>,
+        deadline: Micros,
+        rejected_until: BTreeMap<PeerId, Micros>,
     },
-    /// Owns, for as long as the lease lasts.
-    Holding { epoch: u64 },
-    /// Takes no part: another process has this gateway's name, or it goes.
-    Hushed,
+    /// Leader until the lease expires.
+    Leading { epoch: u64 },
+    /// Takes no part: another process has this gateway's name, or it is shutting down.
+    Paused,
 }
 
-/// One gateway's part in ownership.
+/// The election at one gateway.
 #[derive(Debug)]
 pub struct LeaderElection {
-    me: LeaseHolder,
+    own: LeaseHolder,
     lease: Micros,
     unix_ms: u64,
-    born: Micros,
+    started_at: Micros,
     peer_sets: PeerConfiguration,
-    granter: LeaseVoter,
-    held: CollectedVotes,
-    /// The end of the lease: what was won stays won until then, also when the peer set changes.
-    until: Micros,
+    voter: LeaseVoter,
+    votes: CollectedVotes,
+    /// End of the lease. A change of the peer set does not shorten it.
+    lease_until: Micros,
     stage: Stage,
-    /// When this gateway asks for leadership, if nobody owns then.
-    at: Micros,
+    /// Time of the next campaign, if there is no leader then.
+    campaign_at: Micros,
     peers: BTreeMap<PeerId, Peer>,
-    claim: Option<KnownLeader>,
-    /// The highest epoch of a leader that is known, and whose it was, if that is known too.
-    fence: (u64, Option<PeerId>),
-    /// The highest epoch that anybody was heard to speak of.
-    hint: u64,
+    announced_leader: Option<KnownLeader>,
+    latest_epoch: LatestEpoch,
+    /// The highest epoch in any received request or rejection.
+    highest_seen_epoch: u64,
     refused: u64,
-    /// Those who live, by the view.
-    living: Vec<PeerId>,
-    elsewhere_until: Micros,
-    tried: Option<Micros>,
-    /// Who gave leadership back not long ago, and in which epoch; others may not have heard of it until then.
-    freed: Option<(LeaseHolder, u64, Micros)>,
-    who: (u32, Micros),
-    /// Who told it last.
-    teller: Option<PeerId>,
-    who_at: Micros,
-    number: u32,
+    /// Peers that are alive in the membership.
+    alive_peers: Vec<PeerId>,
+    peer_set_wait_until: Micros,
+    last_campaign_at: Option<Micros>,
+    released_lease: Option<ReleasedLease>,
+    leader_query: LeaderQuery,
+    /// The peer that last answered a leader query.
+    last_leader_reporter: Option<PeerId>,
+    next_leader_query_at: Micros,
+    last_request_number: u32,
     budget: TokenBucket,
-    next: Micros,
+    next_wakeup_at: Micros,
     rng: Pcg64Mcg,
-    notes: VecDeque<ElectionEvent>,
-    /// Datagrams that make no sense, and those of names that no peer set here has.
+    events: VecDeque<ElectionEvent>,
+    /// Number of malformed datagrams, and of those from names outside the peer sets.
     pub dropped: (u64, u64),
-    /// Datagrams sent, and their bytes without headers.
+    /// Number of datagrams sent, and their bytes without headers.
     pub sent: (u64, u64),
 }
 
 impl LeaderElection {
-    /// A new incarnation that knows the peer set and nothing else.
+    /// Starts a new incarnation, which knows only the names of the peer set.
     pub fn new(now: Micros, settings: ElectionSettings, seed: u64) -> LeaderElection {
         let ElectionSettings {
             names,
@@ -166,119 +196,133 @@
             unix_ms,
         } = settings;
         let mut rng = Pcg64Mcg::seed_from_u64(seed);
-        let me = LeaseHolder {
+        let own = LeaseHolder {
             name,
             incarnation: rng.random_range(1..=u64::MAX),
         };
         let number = rng.random();
         let mut election = LeaderElection {
-            me,
+            own,
             lease,
             unix_ms,
-            born: now,
-            granter: LeaseVoter::new(now, lease),
-            held: CollectedVotes::default(),
-            until: 0,
+            started_at: now,
+            voter: LeaseVoter::new(now, lease),
+            votes: CollectedVotes::default(),
+            lease_until: 0,
             stage: Stage::Idle,
-            at: 0,
+            campaign_at: 0,
             peers: BTreeMap::new(),
-            claim: None,
-            fence: (0, None),
-            hint: 0,
+            announced_leader: None,
+            latest_epoch: LatestEpoch {
+                epoch: 0,
+                leader: None,
+            },
+            highest_seen_epoch: 0,
             refused: 0,
-            living: names.clone(),
+            alive_peers: names.clone(),
             peer_sets: PeerConfiguration::new(names),
-            elsewhere_until: 0,
-            tried: None,
-            freed: None,
-            who: (0, 0),
-            teller: None,
-            who_at: now,
-            number,
-            budget: TokenBucket::full(now, BURST, PER_SECOND),
-            next: now,
+            peer_set_wait_until: 0,
+            last_campaign_at: None,
+            released_lease: None,
+            leader_query: LeaderQuery {
+                number: 0,
+                sent_at: 0,
+            },
+            last_leader_reporter: None,
+            next_leader_query_at: now,
+            last_request_number: number,
+            budget: TokenBucket::full(now, DATAGRAM_BURST, DATAGRAMS_PER_S),
+            next_wakeup_at: now,
             rng,
-            notes: VecDeque::new(),
+            events: VecDeque::new(),
             dropped: (0, 0),
             sent: (0, 0),
         };
-        election.know_peers();
-        election.plan(now);
+        election.refresh_peers();
+        election.schedule_campaign(now);
         election
     }
 
-    /// This gateway's incarnation.
+    /// The incarnation of this gateway.
     pub fn incarnation(&self) -> u64 {
-        self.me.incarnation
+        self.own.incarnation
     }
 
-    /// Everybody who has a say in any peer set that this gateway is bound by, this gateway too.
+    /// All ids of the required and the configured peer sets, this gateway's included.
     pub fn names(&self) -> Vec<PeerId> {
         self.peer_sets.names()
     }
 
-    /// The file names another peer set.
+    /// Starts a change to another configured peer set.
     pub fn set_peers(&mut self, now: Micros, names: Vec<PeerId>, sends: &mut Vec<Transmit>) {
         let before = self.peer_sets.told();
         self.peer_sets.set(names);
-        self.know_peers();
-        self.rebind(now, before, sends);
+        self.refresh_peers();
+        self.on_configuration_change(now, before, sends);
     }
 
-    /// What was granted to one that counted other peer sets says nothing for these: it is asked anew. A lease that was won
-    /// stays won until its end.
-    fn rebind(&mut self, now: Micros, before: ConfigurationReport, sends: &mut Vec<Transmit>) {
+    /// Handles a change of the required peer sets. Votes for the previous ones do not count, so they are requested again. A
+    /// lease that was acquired stays valid until its end.
+    fn on_configuration_change(
+        &mut self,
+        now: Micros,
+        before: ConfigurationReport,
+        sends: &mut Vec<Transmit>,
+    ) {
         let after = self.peer_sets.told();
-        if (before.now, before.base) == (after.now, after.base) {
+        if (before.current, before.previous) == (after.current, after.previous) {
             return;
         }
-        self.know_peers();
-        if before.now == after.now && after.base.is_none() {
-            // One less has to be won: what was granted for both counts for one.
+        self.refresh_peers();
+        if before.current == after.current && after.previous.is_none() {
+            // A completed change requires one peer set less: the votes stay valid.
             return;
         }
         match self.stage {
-            Stage::Preparing { .. } | Stage::Asking { .. } => self.give_up(now, sends),
-            Stage::Holding { .. } => {
-                self.held = CollectedVotes::default();
-                self.ask_all(now);
+            Stage::Preparing { .. } | Stage::CollectingVotes { .. } => {
+                self.abandon_campaign(now, sends);
+            }
+            Stage::Leading { .. } => {
+                self.votes = CollectedVotes::default();
+                self.schedule_requests_to_all(now);
             }
-            Stage::Idle | Stage::Hushed => self.plan(now),
+            Stage::Idle | Stage::Paused => self.schedule_campaign(now),
         }
-        self.set_next(now);
+        self.update_next_wakeup(now);
     }
 
-    /// The view holds these for living: they are asked first.
-    pub fn on_membership_change(&mut self, living: Vec<PeerId>) {
-        self.living = living;
+    /// Takes over the peers that are alive in the membership: they are asked first.
+    pub fn on_membership_change(&mut self, alive_peers: Vec<PeerId>) {
+        self.alive_peers = alive_peers;
     }
 
-    /// What operators are told. True at this moment, however long ago this gateway was woken.
+    /// The status at this time, independent of the last call of [`LeaderElection::on_timer`].
     pub fn status(&self, now: Micros) -> ElectionStatus {
-        let known = self.known(now);
+        let known = self.known_leader(now);
         ElectionStatus {
-            leader: known.map(|claim| claim.leader),
-            epoch: self.fence.0,
-            mine: known.is_some_and(|claim| claim.leader == self.me.name),
-            left: known.map_or(0, |claim| claim.until - now),
-            quiet: self.granter.quiet(now),
+            leader: known.map(|leader| leader.leader),
+            epoch: self.latest_epoch.epoch,
+            mine: known.is_some_and(|leader| leader.leader == self.own.name),
+            left: known.map_or(0, |leader| leader.until - now),
+            quiet: self.voter.quiet_time_left(now),
             refused: self.refused,
         }
     }
 
-    /// The epoch in which this gateway may act on behalf of the cluster at this moment. To be asked at the moment of each act.
+    /// The epoch in which this gateway is the leader at this time. Has to be checked at the time of each act.
     pub fn epoch(&self, now: Micros) -> Option<u64> {
         match self.stage {
-            Stage::Holding { epoch } if now < self.until => Some(epoch),
+            Stage::Leading { epoch } if now < self.lease_until => Some(epoch),
             _ => None,
         }
     }
 
-    /// What has to go with an act to another gateway; none if this gateway does not own now, or has not heard from the other.
+    /// The lease proof for an act to another gateway; `None` if this gateway is not the leader or never received a datagram
+    /// from the other.
     pub fn stamp(&self, now: Micros, to: PeerId) -> Option<LeaseProof> {
         let epoch = self.epoch(now)?;
         let peer = self.peers.get(&to).filter(|peer| peer.incarnation != 0)?;
-        let until = peer.tick + shorter(self.until.saturating_sub(peer.heard));
+        let until = peer.clock_us + shorter(self.lease_until.saturating_sub(peer.last_received_at));
         Some(LeaseProof {
             epoch,
             to_incarnation: peer.incarnation,
@@ -286,10 +330,10 @@
         })
     }
 
-    /// Whether an act on behalf of the cluster may be carried out here at this moment.
+    /// Checks whether an act of another gateway on behalf of the cluster may be carried out here now.
     ///
     /// # Errors
-    /// Why not. It is counted.
+    /// The reason of the rejection, which is also counted and recorded as an event.
     pub fn admit(
         &mut self,
         now: Micros,
@@ -301,133 +345,152 @@
             to_incarnation,
             until,
         } = stamp;
-        let (known, of) = self.fence;
-        let refused = if to_incarnation != self.me.incarnation {
+        let LatestEpoch {
+            epoch: known,
+            leader: known_leader,
+        } = self.latest_epoch;
+        let rejection = if to_incarnation != self.own.incarnation {
             ActRejection::OtherIncarnation
-        } else if epoch < known || epoch == known && of.is_some_and(|of| of != from) {
+        } else if epoch < known || epoch == known && known_leader.is_some_and(|known| known != from)
+        {
             ActRejection::Old { epoch, known }
         } else if now >= until {
             ActRejection::Late {
                 late_ms: (now - until) / 1000,
             }
         } else {
-            self.fence = (epoch, Some(from));
+            self.latest_epoch = LatestEpoch {
+                epoch,
+                leader: Some(from),
+            };
             return Ok(());
         };
         self.refused += 1;
-        self.note(ElectionEvent::ActRejected(from, refused));
-        Err(refused)
+        self.record_event(ElectionEvent::ActRejected(from, rejection));
+        Err(rejection)
     }
 
-    /// Whether these names are a majority of each peer set that this gateway is bound by.
+    /// Whether the ids for which `has` is true are a majority of each required peer set.
     pub fn is_majority(&self, has: impl Fn(PeerId) -> bool) -> bool {
-        self.peer_sets.are_won_by(has)
+        self.peer_sets.is_majority(has)
     }
 
-    /// Another gateway's incarnation, its clock when it sent what came last, and this gateway's clock when that came; none if nothing
-    /// has come.
+    /// Another gateway's incarnation, its clock when it sent its last datagram, and this gateway's clock at the receipt;
+    /// `None` before the first datagram.
     pub fn clock_of(&self, name: PeerId) -> Option<(u64, u64, Micros)> {
         let peer = self.peers.get(&name).filter(|peer| peer.incarnation != 0)?;
-        Some((peer.incarnation, peer.tick, peer.heard))
+        Some((peer.incarnation, peer.clock_us, peer.last_received_at))
     }
 
-    /// The lease.
+    /// The lease duration, in microseconds.
     pub fn lease(&self) -> Micros {
         self.lease
     }
 
-    /// The oldest thing to tell that was not taken yet.
+    /// Takes the oldest event that was not taken yet.
     pub fn next_event(&mut self) -> Option<ElectionEvent> {
-        self.notes.pop_front()
+        self.events.pop_front()
     }
 
-    /// When [`LeaderElection::on_timer`] is wanted.
+    /// When [`LeaderElection::on_timer`] is to be called next.
     pub fn next_wakeup(&self) -> Micros {
-        self.next
+        self.next_wakeup_at
     }
 
-    /// Gives leadership back, if this gateway has it, and takes no part any more.
+    /// Releases the lease, if this gateway is the leader, and takes no further part.
     pub fn leave(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
         let next = self
-            .ranked(self.fence.0)
+            .ranked_successors(self.latest_epoch.epoch)
             .first()
             .copied()
-            .unwrap_or(self.me.name);
-        self.give_back(now, next, sends);
-        self.stage = Stage::Hushed;
-        self.next = Micros::MAX;
+            .unwrap_or(self.own.name);
+        self.release_leadership(now, next, sends);
+        self.stage = Stage::Paused;
+        self.next_wakeup_at = Micros::MAX;
     }
 
-    /// It takes part again, after another process had its name: that one may have granted.
+    /// Takes part again after another process had this name. That process may have voted, so a new quiet period begins.
     pub fn resume(&mut self, now: Micros) {
-        self.me.incarnation = self.rng.random_range(1..=u64::MAX);
-        self.granter.begin_anew(now);
-        (self.held, self.until, self.stage, self.claim) =
-            (CollectedVotes::default(), 0, Stage::Idle, None);
-        self.plan(now);
+        self.own.incarnation = self.rng.random_range(1..=u64::MAX);
+        self.voter.restart(now);
+        (
+            self.votes,
+            self.lease_until,
+            self.stage,
+            self.announced_leader,
+        ) = (CollectedVotes::default(), 0, Stage::Idle, None);
+        self.schedule_campaign(now);
     }
 
-    /// Whether it takes no part.
+    /// Whether this gateway takes no part in the election.
     pub fn is_hushed(&self) -> bool {
-        matches!(self.stage, Stage::Hushed)
+        matches!(self.stage, Stage::Paused)
     }
 
-    /// Something is due, or past that.
+    /// Runs the timers that are due.
     pub fn on_timer(&mut self, now: Micros, sends: &mut Vec<Transmit>) {
         self.budget.fill(now);
         match self.stage {
-            Stage::Hushed => return,
-            Stage::Holding { epoch } if now >= self.until => {
-                self.note(ElectionEvent::Lost(epoch));
+            Stage::Paused => return,
+            Stage::Leading { epoch } if now >= self.lease_until => {
+                self.record_event(ElectionEvent::Lost(epoch));
                 self.step_down(now);
             }
-            Stage::Holding { .. } => self.ask(now, sends),
-            Stage::Preparing { over, .. } | Stage::Asking { over, .. } if now >= over => {
-                self.give_up(now, sends)
+            Stage::Leading { .. } => self.send_due_requests(now, sends),
+            Stage::Preparing { deadline, .. } | Stage::CollectingVotes { deadline, .. }
+                if now >= deadline =>
+            {
+                self.abandon_campaign(now, sends);
+            }
+            Stage::Preparing { .. } | Stage::CollectingVotes { .. } => {
+                self.send_due_requests(now, sends);
+            }
+            Stage::Idle if self.known_leader(now).is_none() && now >= self.campaign_at => {
+                self.start_campaign(now, sends);
             }
-            Stage::Preparing { .. } | Stage::Asking { .. } => self.ask(now, sends),
-            Stage::Idle if self.known(now).is_none() && now >= self.at => self.begin(now, sends),
             Stage::Idle => {}
         }
-        if matches!(self.stage, Stage::Idle) && now >= self.who_at {
-            self.ask_who(now, sends);
+        if matches!(self.stage, Stage::Idle) && now >= self.next_leader_query_at {
+            self.query_leader(now, sends);
         }
-        self.set_next(now);
+        self.update_next_wakeup(now);
     }
 
-    fn note(&mut self, note: ElectionEvent) {
-        if self.notes.len() < MAX_EVENTS && self.notes.back() != Some(&note) {
-            self.notes.push_back(note);
+    fn record_event(&mut self, note: ElectionEvent) {
+        if self.events.len() < MAX_EVENTS && self.events.back() != Some(&note) {
+            self.events.push_back(note);
         }
     }
 
-    fn set_next(&mut self, now: Micros) {
+    fn update_next_wakeup(&mut self, now: Micros) {
         let asks = || {
             self.peers
                 .values()
-                .map(|peer| peer.ask_at)
+                .map(|peer| peer.next_request_at)
                 .min()
                 .unwrap_or(Micros::MAX)
         };
         let next = match self.stage {
-            Stage::Hushed => Micros::MAX,
+            Stage::Paused => Micros::MAX,
             Stage::Idle => {
-                let at = if self.known(now).is_some() {
+                let at = if self.known_leader(now).is_some() {
                     Micros::MAX
                 } else {
-                    self.at
+                    self.campaign_at
                 };
-                at.min(self.who_at)
+                at.min(self.next_leader_query_at)
+            }
+            Stage::Preparing { deadline, .. } | Stage::CollectingVotes { deadline, .. } => {
+                asks().min(deadline)
             }
-            Stage::Preparing { over, .. } | Stage::Asking { over, .. } => asks().min(over),
-            Stage::Holding { .. } => asks().min(self.until),
+            Stage::Leading { .. } => asks().min(self.lease_until),
         };
-        // Where the budget is spent the next question waits for it.
+        // Without budget the next request waits until one datagram is affordable.
         let least = if !self.budget.has(1.0, 0.0) {
-            now + (1e6 / PER_SECOND) as Micros
+            now + (1e6 / DATAGRAMS_PER_S) as Micros
         } else {
             now
         };
-        self.next = next.max(least);
+        self.next_wakeup_at = next.max(least);
     }
 }
--- a/gateway-cluster/src/peers.rs
+++ b/gateway-cluster/src/peers.rs
@@ -1,66 +1,69 @@
-//! The names of a cluster: who is in it, in which order, and how that is said in few bytes.
+//! The peer set: the configured names of all gateways of a cluster, their order, and the hashes that stand for them in
+//! datagrams.
 
 use crate::hash::{self, mix};
-use crate::protocol::PeerIndex;
 use std::collections::BTreeMap;
 
-/// Most names of a peer set: the marks of two views have to fit into a datagram, with room for what differs.
+/// Maximum number of names in a peer set: the summary of a view has to fit into a datagram together with updates.
 pub const MAX_PEERS: usize = 1000;
 
-/// A name of the peer set, as its hash: names whose hashes are equal are refused with the peer set.
+/// The hash of a name of the peer set. A peer set in which two names have equal hashes is rejected.
 pub type PeerId = u32;
 
-/// The id of a name, at every gateway.
+/// A gateway's index in the peer set, whose names are sorted.
+pub type PeerIndex = usize;
+
+/// The id of a name, the same at every gateway.
 pub fn peer_id_of(name: &str) -> PeerId {
-    hash::of_text(name)
+    hash::hash_text(name)
 }
 
-/// What is wrong with a peer set.
+/// Reasons to reject a peer set.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 pub enum PeerSetError {
-    /// It has so many names.
-    #[error("the roster has {0} names, and {most} are the most: take some out of it", most = MAX_PEERS)]
+    /// It has this many names, more than [`MAX_PEERS`].
+    #[error("the peer set has {0} names, the maximum is {max}: remove some", max = MAX_PEERS)]
     TooMany(usize),
-    /// It has a name more than once.
-    #[error("the roster has '{0}' twice: take it out once, or give one of the two another name")]
-    Twice(String),
-    /// It has two names whose hashes are equal.
+    /// It has this name more than once.
+    #[error("the peer set has '{0}' twice: remove one, or rename one of the two gateways")]
+    Duplicate(String),
+    /// It has these two names, whose hashes are equal.
     #[error(
-        "the roster has '{0}' and '{1}', whose hashes are equal: give one of the two another name"
+        "the peer set has '{0}' and '{1}', whose hashes are equal: rename one of the two gateways"
     )]
-    SameHash(String, String),
-    /// It lacks the name of the gateway that is to go by it.
-    #[error("the roster lacks '{0}', the name of this front door: add it, or give this front door a name that is there")]
-    Lacks(String),
+    HashCollision(String, String),
+    /// It lacks this name, which is the one of the gateway itself.
+    #[error("the peer set lacks '{0}', the name of this gateway: add it, or give this gateway a name of the peer set")]
+    MissingOwnName(String),
 }
 
-/// All names of a cluster. Gateways whose peer sets have the same names have the same places, ids and digest, in whatever
-/// order they were told them.
+/// All names of a cluster. Peer sets with the same names have the same indexes, ids and digest, whatever the order in the
+/// configuration.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PeerSet {
     names: Vec<String>,
     ids: Vec<PeerId>,
-    places: BTreeMap<PeerId, PeerIndex>,
+    index_by_id: BTreeMap<PeerId, PeerIndex>,
     digest: u32,
 }
 
 impl PeerSet {
-    /// A peer set of these names, in any order.
+    /// Builds a peer set of these names, given in any order.
     ///
     /// # Errors
-    /// There are too many of them, or two that cannot be told apart.
+    /// There are more than [`MAX_PEERS`] names, a duplicate, or two names with equal hashes.
     pub fn new(mut names: Vec<String>) -> Result<PeerSet, PeerSetError> {
         if names.len() > MAX_PEERS {
             return Err(PeerSetError::TooMany(names.len()));
         }
         names.sort();
         let ids: Vec<PeerId> = names.iter().map(|name| peer_id_of(name)).collect();
-        let mut places = BTreeMap::new();
-        for (place, (name, id)) in names.iter().zip(&ids).enumerate() {
-            if let Some(other) = places.insert(*id, place) {
+        let mut index_by_id = BTreeMap::new();
+        for (index, (name, id)) in names.iter().zip(&ids).enumerate() {
+            if let Some(other) = index_by_id.insert(*id, index) {
                 return Err(match &names[other] {
-                    other if other == name => PeerSetError::Twice(name.clone()),
-                    other => PeerSetError::SameHash(other.clone(), name.clone()),
+                    other if other == name => PeerSetError::Duplicate(name.clone()),
+                    other => PeerSetError::HashCollision(other.clone(), name.clone()),
                 });
             }
         }
@@ -68,50 +71,50 @@
         Ok(PeerSet {
             names,
             ids,
-            places,
+            index_by_id,
             digest,
         })
     }
 
-    /// The names in order.
+    /// The names, sorted.
     pub fn names(&self) -> &[String] {
         &self.names
     }
 
-    /// Their ids, in the order of the names.
+    /// The ids, in the order of the names.
     pub fn ids(&self) -> &[PeerId] {
         &self.ids
     }
 
-    /// How many there are.
+    /// Number of names.
     pub fn len(&self) -> usize {
         self.names.len()
     }
 
-    /// Whether there are none.
+    /// Whether the set has no names.
     pub fn is_empty(&self) -> bool {
         self.names.is_empty()
     }
 
-    /// Equal where the peer sets are. Of two that differ it is equal once in 2^32.
+    /// A digest of the ids. Two different peer sets have the same digest with a probability of 2^-32.
     pub fn digest(&self) -> u32 {
         self.digest
     }
 
-    /// Where the name with this id stands, if there is one.
-    pub fn place(&self, id: PeerId) -> Option<PeerIndex> {
-        self.places.get(&id).copied()
+    /// The index of the name with this id, if the set has it.
+    pub fn index_of(&self, id: PeerId) -> Option<PeerIndex> {
+        self.index_by_id.get(&id).copied()
     }
 
-    /// Where a gateway's own name stands.
+    /// The index of the gateway's own name.
     ///
     /// # Errors
-    /// It is not there.
-    pub fn own_place(&self, name: &str) -> Result<PeerIndex, PeerSetError> {
+    /// The set lacks the name.
+    pub fn own_index(&self, name: &str) -> Result<PeerIndex, PeerSetError> {
         let found = self
             .names
             .binary_search_by(|other| other.as_str().cmp(name));
-        found.map_err(|_| PeerSetError::Lacks(name.to_string()))
+        found.map_err(|_| PeerSetError::MissingOwnName(name.to_string()))
     }
 }
 
--- a/gateway-cluster/src/wire.rs
+++ b/gateway-cluster/src/wire.rs
@@ -1,301 +1,308 @@
-//! What gateways send each other: one datagram each, bounded, with names of the peer set and no addresses.
+//! Datagrams of the membership protocol, and the framing that all layers share: a version byte, then a postcard body of
+//! bounded size. Peers appear by id or by index in the peer set, never by address.
+//!
+//! The bytes are fixed by `tests/compatibility.rs`: order of fields and variants is part of the format.
 
 use crate::peers::PeerId;
 use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
-/// The first byte of each datagram.
+/// Version byte of the membership protocol, the first byte of each of its datagrams.
 pub const VERSION: u8 = 1;
-/// Most bytes of a datagram's payload.
+/// Maximum size of a datagram's payload, in bytes.
 pub const MAX_DATAGRAM_BYTES: usize = 1400;
-/// Bytes that IP and UDP put before a datagram's payload. They count in all that is said of what is sent.
+/// Size of the IP and UDP headers of a datagram, in bytes. They are included in send budgets and traffic counters.
 pub const HEADER_BYTES: usize = 28;
 
-/// The highest age of a doubt that is told apart, in tenths of a probe period.
+/// Maximum encoded age of a suspicion, in tenths of a probe period.
 pub const MAX_SUSPICION_AGE: u8 = 200;
 
-/// One life of a gateway and how often it has refuted a doubt, in one number that only grows: the life's start in
-/// milliseconds above 16 bits, refutations below.
+/// SWIM's incarnation number of a gateway: the process's start time in milliseconds since 1970, shifted left by 16 bits,
+/// plus the number of its refutations. It only grows.
 pub type Incarnation = u64;
 
-/// A layer's datagram as it is sent: its first byte says whose it is.
+/// Encodes a layer's datagram behind its version byte.
 pub fn encode(version: u8, datagram: &impl Serialize) -> Vec<u8> {
-    // A vector takes whatever comes: there is no error to have.
+    // Writing to a vector cannot fail.
     postcard::to_allocvec(&(version, datagram)).unwrap_or_default()
 }
 
-/// Reads one. What is too long, of another version, or followed by anything is none.
+/// Decodes a datagram. Returns `None` for bytes that are too long, of another version, malformed, or have a trailing rest.
 pub fn decode<T: DeserializeOwned>(version: u8, bytes: &[u8]) -> Option<T> {
     if bytes.len() > MAX_DATAGRAM_BYTES {
         return None;
     }
-    let ((told, datagram), rest) = postcard::take_from_bytes::<(u8, T)>(bytes).ok()?;
-    (told == version && rest.is_empty()).then_some(datagram)
+    let ((received_version, datagram), rest) = postcard::take_from_bytes::<(u8, T)>(bytes).ok()?;
+    (received_version == version && rest.is_empty()).then_some(datagram)
 }
 
-/// What is claimed of a gateway.
+/// The state that an update reports of a peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
 pub enum UpdateStatus {
-    /// It lives in this incarnation.
+    /// It is alive in this incarnation.
     Alive,
-    /// It has not answered, and that was found so many tenths of a probe period ago ([`MAX_SUSPICION_AGE`] at the most).
+    /// It failed a health check; the value is the age of the suspicion in tenths of a probe period, at most
+    /// [`MAX_SUSPICION_AGE`].
     Suspect(u8),
-    /// It is gone.
+    /// Its suspicion expired without a refutation.
     Dead,
-    /// It said that it goes.
+    /// It announced its shutdown.
     Left,
 }
 
-/// What a view holds of one name, in two bits.
+/// A peer's state in a [`ViewSummary`], encoded in two bits.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerSummary {
-    /// It lives, as far as is known.
+    /// Alive; nothing else is known.
     Alive,
-    /// It lives, and refuted a claim or began a new life not long ago: that is worth telling.
-    Raised,
-    /// A strong doubt is held of it.
-    Doubted,
-    /// It is gone.
+    /// Alive with an incarnation that rose recently, by a refutation or a restart: others may not know it yet.
+    IncarnationRaised,
+    /// Suspected, with a suspicion that is gossiped.
+    Suspect,
+    /// Dead, or left.
     Dead,
 }
 
-/// What a view holds of the whole peer set, name by name in order: what two views differ in shows at once, and nothing
-/// else has to be told. Of use between gateways that have the same peer set.
+/// The states of all peers in one gateway's view, by index, for anti-entropy: the receiver compares it with its own view
+/// and sends only the differences. Valid between gateways with the same peer set.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ViewSummary {
     bits: Vec<u8>,
-    /// The sender has seen the cluster for long enough, without a stop, to speak of who lives.
-    pub vouches: bool,
+    /// The sender has observed the cluster long enough, without a stall, to vouch for the peers that it considers alive.
+    pub is_authoritative: bool,
 }
 
 impl ViewSummary {
-    /// All alive in a peer set of so many names.
-    pub fn none(names: usize) -> ViewSummary {
+    /// A summary in which all peers of a set of this size are alive.
+    pub fn all_alive(names: usize) -> ViewSummary {
         ViewSummary {
             bits: vec![0; names.div_ceil(4)],
-            vouches: false,
+            is_authoritative: false,
         }
     }
 
-    /// Sets the mark of one name.
-    pub fn set(&mut self, place: usize, mark: PeerSummary) {
-        if let Some(byte) = self.bits.get_mut(place / 4) {
-            let shift = place % 4 * 2;
-            *byte = *byte & !(3 << shift) | (mark as u8) << shift;
+    /// Sets the state of one peer. An index outside the set is ignored.
+    pub fn set(&mut self, index: usize, summary: PeerSummary) {
+        if let Some(byte) = self.bits.get_mut(index / 4) {
+            let shift = index % 4 * 2;
+            *byte = *byte & !(3 << shift) | (summary as u8) << shift;
         }
     }
 
-    /// The mark of one name; what is beyond the peer set is alive.
-    pub fn get(&self, place: usize) -> PeerSummary {
+    /// The state of one peer. An index outside the set is alive.
+    pub fn get(&self, index: usize) -> PeerSummary {
         match self
             .bits
-            .get(place / 4)
-            .map_or(0, |byte| byte >> (place % 4 * 2) & 3)
+            .get(index / 4)
+            .map_or(0, |byte| byte >> (index % 4 * 2) & 3)
         {
             0 => PeerSummary::Alive,
-            1 => PeerSummary::Raised,
-            2 => PeerSummary::Doubted,
+            1 => PeerSummary::IncarnationRaised,
+            2 => PeerSummary::Suspect,
             _ => PeerSummary::Dead,
         }
     }
 
-    /// How many of so many names are gone.
+    /// Number of dead peers in a set of this size.
     pub fn count_dead(&self, names: usize) -> usize {
         (0..names)
-            .filter(|place| self.get(*place) == PeerSummary::Dead)
+            .filter(|index| self.get(*index) == PeerSummary::Dead)
             .count()
     }
 }
 
-/// A claim of one gateway.
+/// A membership update: the reported status of one peer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Update {
-    /// Of whom: its place in the sender's peer set or its [`PeerId`], as the datagram says.
-    pub who: u32,
-    /// In which incarnation.
+    /// The peer, as index in the sender's peer set or as [`PeerId`]; see [`Datagram::by_index`].
+    pub peer: u32,
+    /// The peer's incarnation.
     pub incarnation: Incarnation,
-    /// What.
-    pub claim: UpdateStatus,
+    /// The reported status.
+    pub status: UpdateStatus,
 }
 
-/// A claim as it is sent: lives by how far they are from the sender's, as most began not long before or after it.
+/// An update as encoded. The start time is relative to the sender's, which keeps the number small: most processes of a
+/// cluster start at about the same time.
 #[derive(Serialize, Deserialize)]
-struct Packed {
-    who: u32,
-    life: i64,
-    refuted: u16,
-    claim: u8,
+struct PackedUpdate {
+    peer: u32,
+    start_offset_ms: i64,
+    refutations: u16,
+    status: u8,
 }
 
-impl Packed {
-    fn of(update: &Update, base: Incarnation) -> Packed {
-        let claim = match update.claim {
+impl PackedUpdate {
+    fn of(update: &Update, base: Incarnation) -> PackedUpdate {
+        let status = match update.status {
             UpdateStatus::Alive => 0,
             UpdateStatus::Dead => 1,
             UpdateStatus::Left => 2,
             UpdateStatus::Suspect(age) => 3 + age.min(MAX_SUSPICION_AGE),
         };
-        let life = (update.incarnation >> 16) as i64 - (base >> 16) as i64;
-        Packed {
-            who: update.who,
-            life,
-            refuted: update.incarnation as u16,
-            claim,
+        let start_offset_ms = (update.incarnation >> 16) as i64 - (base >> 16) as i64;
+        PackedUpdate {
+            peer: update.peer,
+            start_offset_ms,
+            refutations: update.incarnation as u16,
+            status,
         }
     }
 
     fn update(&self, base: Incarnation) -> Option<Update> {
-        let claim = match self.claim {
+        let status = match self.status {
             0 => UpdateStatus::Alive,
             1 => UpdateStatus::Dead,
             2 => UpdateStatus::Left,
-            told if told - 3 <= MAX_SUSPICION_AGE => UpdateStatus::Suspect(told - 3),
+            byte if byte - 3 <= MAX_SUSPICION_AGE => UpdateStatus::Suspect(byte - 3),
             _ => return None,
         };
-        let life = (base >> 16)
-            .checked_add_signed(self.life)
-            .filter(|life| *life < 1 << 48)?;
+        let start_ms = (base >> 16)
+            .checked_add_signed(self.start_offset_ms)
+            .filter(|start_ms| *start_ms < 1 << 48)?;
         Some(Update {
-            who: self.who,
-            incarnation: life << 16 | u64::from(self.refuted),
-            claim,
+            peer: self.peer,
+            incarnation: start_ms << 16 | u64::from(self.refutations),
+            status,
         })
     }
 
-    /// Bytes that it takes.
+    /// Its encoded size, in bytes.
     fn size(&self) -> usize {
         let varint = |number: u64| (64 - number.leading_zeros() as usize).div_ceil(7).max(1);
-        let zigzag = (self.life << 1 ^ self.life >> 63) as u64;
-        varint(self.who.into()) + varint(zigzag) + varint(self.refuted.into()) + 1
+        let zigzag = (self.start_offset_ms << 1 ^ self.start_offset_ms >> 63) as u64;
+        varint(self.peer.into()) + varint(zigzag) + varint(self.refutations.into()) + 1
     }
 }
 
-/// What a datagram is for, beside the claims that it carries.
+/// The purpose of a datagram, beside the updates that it carries. Numbers match an answer to its request.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
-pub enum Kind {
-    /// Answer this.
+pub enum MessageKind {
+    /// SWIM's ping: request an [`MessageKind::Ack`].
     Ping(u32),
-    /// Answer this too: somebody claims that you are gone, in this incarnation.
-    Claimed(u32, Incarnation),
-    /// The ping with this number has come.
+    /// A ping that also reports to its receiver that a gateway considers it dead in this incarnation.
+    PingReportedDead(u32, Incarnation),
+    /// Acknowledges the ping with this number.
     Ack(u32),
-    /// Ping this one for me, and tell me how that went.
-    PingFor(u32, PeerId),
-    /// It has answered.
-    Reached(u32),
-    /// It has not answered within a part of the probe period.
-    Missed(u32),
-    /// Nothing but claims.
+    /// SWIM's ping-req: ping this peer on behalf of the sender and report the result.
+    PingRequest(u32, PeerId),
+    /// The target of the ping request with this number answered.
+    IndirectAck(u32),
+    /// The target of the ping request with this number did not answer in time.
+    IndirectNack(u32),
+    /// Carries updates only.
     Gossip,
-    /// Transmit what differs from these marks.
-    Compare,
-    /// Claims that differ: correct me where I am behind.
-    Entries,
-    /// These are to be held for dead soon: is there anything that refutes it?
-    Confirm(u32),
-    /// Nothing but what the claims beside this say.
-    Confirmed(u32),
+    /// Anti-entropy: request the updates that differ from the summary.
+    SyncRequest,
+    /// Anti-entropy: the updates that differ. The receiver answers with newer ones where these are outdated.
+    SyncUpdates,
+    /// The suspicions in the updates are about to expire: request updates that refute them.
+    ConfirmRequest(u32),
+    /// The answer: the updates in the datagram are all the refutations that the sender knows.
+    ConfirmResponse(u32),
 }
 
-/// A datagram.
+/// A datagram of the membership protocol.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct Datagram {
-    /// The digest of the peer set's names that the sender has.
-    pub peers: u32,
-    /// Who sends it.
+    /// Digest of the sender's peer set, [`crate::peers::PeerSet::digest`].
+    pub peer_set_digest: u32,
+    /// The sender.
     pub from: PeerId,
-    /// In which incarnation.
+    /// The sender's incarnation.
     pub incarnation: Incarnation,
-    /// The digest of the sender's view.
-    pub digest: u32,
-    /// What it is for.
-    pub kind: Kind,
-    /// What the sender's view holds of everybody: who can tell it more is asked to.
-    pub marks: Option<ViewSummary>,
-    /// Claims go by places in the peer set and not by names: they say something to those who have the same peer set.
-    pub by_place: bool,
-    /// Claims.
+    /// Digest of the dead peers and their incarnations in the sender's view.
+    pub view_digest: u32,
+    /// The purpose of the datagram.
+    pub kind: MessageKind,
+    /// Summary of the sender's view, with the request to answer with what differs.
+    pub summary: Option<ViewSummary>,
+    /// [`Update::peer`] is an index in the peer set and not a [`PeerId`]. Only receivers with the same peer set apply such
+    /// updates.
+    pub by_index: bool,
+    /// Membership updates.
     pub updates: Vec<Update>,
 }
 
 #[derive(Serialize, Deserialize)]
-struct Written {
+struct EncodedDatagram {
     version: u8,
     #[serde(with = "postcard::fixint::le")]
-    peers: u32,
+    peer_set_digest: u32,
     #[serde(with = "postcard::fixint::le")]
     from: PeerId,
     #[serde(with = "postcard::fixint::le")]
     incarnation: Incarnation,
     #[serde(with = "postcard::fixint::le")]
-    digest: u32,
-    kind: Kind,
-    marks: Option<ViewSummary>,
-    by_place: bool,
-    updates: Vec<Packed>,
+    view_digest: u32,
+    kind: MessageKind,
+    summary: Option<ViewSummary>,
+    by_index: bool,
+    updates: Vec<PackedUpdate>,
 }
 
 impl Datagram {
-    /// Its bytes, [`MAX_DATAGRAM_BYTES`] at most: claims that have no room are left out, and how many went is told.
+    /// Encodes the datagram in at most [`MAX_DATAGRAM_BYTES`]. Updates that do not fit are left out; the second value is the
+    /// number of encoded ones.
     pub fn encode(&self) -> (Vec<u8>, usize) {
-        let mut written = Written {
+        let mut encoded = EncodedDatagram {
             version: VERSION,
-            peers: self.peers,
+            peer_set_digest: self.peer_set_digest,
             from: self.from,
             incarnation: self.incarnation,
-            digest: self.digest,
+            view_digest: self.view_digest,
             kind: self.kind.clone(),
-            marks: self.marks.clone(),
-            by_place: self.by_place,
+            summary: self.summary.clone(),
+            by_index: self.by_index,
             updates: Vec::new(),
         };
-        // A vector takes whatever comes: there is no error to have.
-        let empty = postcard::to_allocvec(&written).unwrap_or_default().len();
-        // The count of claims takes a second byte where they are many.
-        let mut room = MAX_DATAGRAM_BYTES.saturating_sub(empty + 1);
+        // Writing to a vector cannot fail.
+        let empty = postcard::to_allocvec(&encoded).unwrap_or_default().len();
+        // The number of updates takes a second byte from 128 on.
+        let mut remaining_bytes = MAX_DATAGRAM_BYTES.saturating_sub(empty + 1);
         for update in &self.updates {
-            let packed = Packed::of(update, self.incarnation);
-            let Some(rest) = room.checked_sub(packed.size()) else {
+            let packed = PackedUpdate::of(update, self.incarnation);
+            let Some(rest) = remaining_bytes.checked_sub(packed.size()) else {
                 break;
             };
-            room = rest;
-            written.updates.push(packed);
+            remaining_bytes = rest;
+            encoded.updates.push(packed);
         }
         (
-            postcard::to_allocvec(&written).unwrap_or_default(),
-            written.updates.len(),
+            postcard::to_allocvec(&encoded).unwrap_or_default(),
+            encoded.updates.len(),
         )
     }
 
-    /// Reads one. What is too long, of another version, or followed by anything is none.
+    /// Decodes a datagram. Returns `None` for bytes that are too long, of another version, malformed, or have a trailing rest.
     pub fn decode(bytes: &[u8]) -> Option<Datagram> {
         if bytes.len() > MAX_DATAGRAM_BYTES || bytes.first() != Some(&VERSION) {
             return None;
         }
-        let (written, rest) = postcard::take_from_bytes::<Written>(bytes).ok()?;
-        let updates = written
+        let (encoded, rest) = postcard::take_from_bytes::<EncodedDatagram>(bytes).ok()?;
+        let updates = encoded
             .updates
             .iter()
-            .map(|packed| packed.update(written.incarnation));
+            .map(|packed| packed.update(encoded.incarnation));
         let updates = updates.collect::<Option<Vec<Update>>>()?;
-        let Written {
-            peers,
+        let EncodedDatagram {
+            peer_set_digest,
             from,
             incarnation,
-            digest,
+            view_digest,
             kind,
-            marks,
-            by_place,
+            summary,
+            by_index,
             ..
-        } = written;
+        } = encoded;
         rest.is_empty().then_some(Datagram {
-            peers,
+            peer_set_digest,
             from,
             incarnation,
-            digest,
+            view_digest,
             kind,
-            marks,
-            by_place,
+            summary,
+            by_index,
             updates,
         })
     }
--- a/gateway-cluster/tests/compatibility.rs
+++ b/gateway-cluster/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Datagrams between front doors have the bytes that earlier builds sent.
+//! Datagrams between gateways have the bytes that earlier builds sent.
 
 use alderhollow_recorded_bytes::RecordedBytes;
 use gateway_cluster::leadership::configuration::{ConfigurationMismatch, ConfigurationReport};
@@ -12,7 +12,9 @@
 use gateway_cluster::shards::wire::{self as shards, FindingReport};
 use gateway_cluster::shards::Rule;
 use gateway_cluster::shards::{MapHash, ShardMap, ShardRange};
-use gateway_cluster::wire::{Datagram, Kind, PeerSummary, Update, UpdateStatus, ViewSummary};
+use gateway_cluster::wire::{
+    Datagram, MessageKind, PeerSummary, Update, UpdateStatus, ViewSummary,
+};
 
 const INCARNATION: u64 = 1_700_000_000_000 << 16 | 3;
 
@@ -23,16 +25,16 @@
     ))
 }
 
-fn view_datagram(kind: Kind) -> Datagram {
-    let mut marks = ViewSummary::none(9);
-    marks.set(1, PeerSummary::Raised);
-    marks.set(2, PeerSummary::Doubted);
-    marks.set(8, PeerSummary::Dead);
-    marks.vouches = true;
-    let update = |who, claim| Update {
-        who,
+fn membership_datagram(kind: MessageKind) -> Datagram {
+    let mut summary = ViewSummary::all_alive(9);
+    summary.set(1, PeerSummary::IncarnationRaised);
+    summary.set(2, PeerSummary::Suspect);
+    summary.set(8, PeerSummary::Dead);
+    summary.is_authoritative = true;
+    let update = |peer, status| Update {
+        peer,
         incarnation: INCARNATION - 70_000,
-        claim,
+        status,
     };
     let updates = vec![
         update(1, UpdateStatus::Alive),
@@ -41,37 +43,37 @@
         update(4, UpdateStatus::Left),
     ];
     Datagram {
-        peers: 0x0102_0304,
+        peer_set_digest: 0x0102_0304,
         from: 7,
         incarnation: INCARNATION,
-        digest: 9,
+        view_digest: 9,
         kind,
-        marks: Some(marks),
-        by_place: true,
+        summary: Some(summary),
+        by_index: true,
         updates,
     }
 }
 
 #[test]
-fn datagrams_of_the_view_encode_and_decode_as_recorded() {
+fn datagrams_of_the_membership_encode_and_decode_as_recorded() {
     let mut recorded = fixture("view");
     let kinds = [
-        ("ping", Kind::Ping(300)),
-        ("claimed", Kind::Claimed(5, INCARNATION)),
-        ("ack", Kind::Ack(300)),
-        ("ping_for", Kind::PingFor(6, 77)),
-        ("reached", Kind::Reached(6)),
-        ("missed", Kind::Missed(6)),
-        ("gossip", Kind::Gossip),
-        ("compare", Kind::Compare),
-        ("entries", Kind::Entries),
-        ("confirm", Kind::Confirm(8)),
-        ("confirmed", Kind::Confirmed(8)),
+        ("ping", MessageKind::Ping(300)),
+        ("claimed", MessageKind::PingReportedDead(5, INCARNATION)),
+        ("ack", MessageKind::Ack(300)),
+        ("ping_for", MessageKind::PingRequest(6, 77)),
+        ("reached", MessageKind::IndirectAck(6)),
+        ("missed", MessageKind::IndirectNack(6)),
+        ("gossip", MessageKind::Gossip),
+        ("compare", MessageKind::SyncRequest),
+        ("entries", MessageKind::SyncUpdates),
+        ("confirm", MessageKind::ConfirmRequest(8)),
+        ("confirmed", MessageKind::ConfirmResponse(8)),
     ];
     for (name, kind) in kinds {
         recorded.check(
             name,
-            &view_datagram(kind),
+            &membership_datagram(kind),
             |datagram| datagram.encode().0,
             Datagram::decode,
         );
@@ -80,13 +82,13 @@
 }
 
 #[test]
-fn datagrams_of_the_office_encode_and_decode_as_recorded() {
+fn datagrams_of_the_election_encode_and_decode_as_recorded() {
     let mut recorded = fixture("ownership");
     let holder = LeaseHolder {
         name: 5,
         incarnation: 6,
     };
-    let refuse = |refusal| leadership::Kind::Refuse(4, refusal);
+    let refuse = |refusal| leadership::Kind::Reject(4, refusal);
     let kinds = [
         (
             "prepare",
@@ -106,42 +108,52 @@
                 until: Some(123_456),
             },
         ),
-        ("grant", leadership::Kind::Grant(4)),
-        ("refuse_quiet", refuse(VoteRejection::Quiet(100))),
-        ("refuse_held", refuse(VoteRejection::Held(holder, 200))),
-        ("refuse_promised", refuse(VoteRejection::Promised(300))),
-        ("refuse_behind", refuse(VoteRejection::Behind(10))),
+        ("grant", leadership::Kind::Vote(4)),
+        ("refuse_quiet", refuse(VoteRejection::QuietPeriod(100))),
+        (
+            "refuse_held",
+            refuse(VoteRejection::VotedForOther(holder, 200)),
+        ),
+        (
+            "refuse_promised",
+            refuse(VoteRejection::PromisedToOther(300)),
+        ),
+        ("refuse_behind", refuse(VoteRejection::EpochOutdated(10))),
         (
             "refuse_other_rosters",
-            refuse(VoteRejection::Configuration(ConfigurationMismatch::Other)),
+            refuse(VoteRejection::Configuration(
+                ConfigurationMismatch::NoCommonPeerSet,
+            )),
         ),
         (
             "refuse_changing_rosters",
             refuse(VoteRejection::Configuration(
-                ConfigurationMismatch::Changing,
+                ConfigurationMismatch::ChangeInProgress,
             )),
         ),
         (
             "refuse_left_roster",
-            refuse(VoteRejection::Configuration(ConfigurationMismatch::Left)),
+            refuse(VoteRejection::Configuration(
+                ConfigurationMismatch::PeerSetRetired,
+            )),
         ),
         ("refuse_lease", refuse(VoteRejection::LeaseDuration(4000))),
         ("release", leadership::Kind::Release { epoch: 9, next: 8 }),
-        ("who", leadership::Kind::Who(4)),
+        ("who", leadership::Kind::QueryLeader(4)),
         (
             "owner",
-            leadership::Kind::Leader {
+            leadership::Kind::LeaderReport {
                 number: 4,
                 leader: Some((5, 9, 1500)),
             },
         ),
     ];
     let peer_sets = ConfigurationReport {
-        now: 11,
-        base: Some(12),
+        current: 11,
+        previous: Some(12),
         retired: Some(13),
-        changes: 2,
-        seasoned: true,
+        completed_changes: 2,
+        in_use: true,
     };
     for (name, kind) in kinds {
         let datagram = leadership::Datagram {
