--- a/gateway-cluster/src/shards/consensus.rs
+++ b/gateway-cluster/src/shards/consensus.rs
@@ -36,7 +36,7 @@
     /// What it has accepted for the version after that, and of which ballot.
     pub accepted: Option<(Ballot, MapId)>,
     /// It knows all that it ever promised and accepted, or that is settled.
-    pub memory: bool,
+    pub recovered: bool,
 }
 
 /// One gateway's part in deciding.
@@ -45,7 +45,7 @@
     promised: Ballot,
     accepted: Option<(Ballot, MapId)>,
     in_force: Option<MapId>,
-    memory: bool,
+    recovered: bool,
 }
 
 impl Acceptor {
@@ -58,30 +58,31 @@
         Some(AcceptorReport {
             in_force: self.in_force,
             accepted: self.accepted,
-            memory: self.memory,
+            recovered: self.recovered,
         })
     }
 
-    /// Accepts a map, unless it has promised not to, or cannot vouch for what it did before it started. With `anew`
+    /// Accepts a map, unless it has promised not to, or cannot vouch for what it did before it started. With `recovery`
     /// the leader says that too few remember, and that all count from now on.
-    pub fn accept(&mut self, ballot: Ballot, map: MapId, anew: bool) -> bool {
-        let later = |known: MapId| map.version > known.version || anew && map.epoch > known.epoch;
+    pub fn accept(&mut self, ballot: Ballot, map: MapId, recovery: bool) -> bool {
+        let later =
+            |known: MapId| map.version > known.version || recovery && map.epoch > known.epoch;
         let follows = self.in_force.is_none_or(later);
-        if ballot < self.promised || !(self.memory || anew) || !follows {
+        if ballot < self.promised || !(self.recovered || recovery) || !follows {
             return false;
         }
-        self.memory = true;
+        self.recovered = true;
         self.promised = ballot;
         self.accepted = Some((ballot, map));
         true
     }
 
-    /// A leader has told that this map is in force. `settled` if nothing else is being decided: then there is nothing
+    /// A leader has told that this map is in force. `idle` if nothing else is being decided: then there is nothing
     /// that this gateway may have forgotten.
-    pub fn decided(&mut self, epoch: u64, map: MapId, settled: bool) {
+    pub fn on_decided(&mut self, epoch: u64, map: MapId, idle: bool) {
         self.promised = self.promised.max(Ballot { epoch, attempt: 0 });
         self.in_force = Some(map);
-        self.memory |= settled;
+        self.recovered |= idle;
         // What was accepted for this version or a lower one is over, and so is that of an older history.
         self.accepted = self.accepted.filter(|(ballot, next)| {
             Some(next.version) == map.version.checked_add(1) && ballot.epoch >= epoch
@@ -99,8 +100,8 @@
     }
 
     /// Whether it counts.
-    pub fn has_memory(&self) -> bool {
-        self.memory
+    pub fn is_recovered(&self) -> bool {
+        self.recovered
     }
 }
 
@@ -110,41 +111,43 @@
     /// What is in force.
     pub in_force: Option<MapId>,
     /// A map of the next version that a majority may have accepted: it has to be decided before anything else.
-    pub finish: Option<MapId>,
+    pub unfinished: Option<MapId>,
 }
 
-/// What the answers say, if they are enough: those of a majority that remembers, or with `anew` of any majority.
+/// What the answers say, if they are enough: those of a majority that remembers, or with `recovery` of any majority.
 pub fn learn(
-    answers: &BTreeMap<PeerId, AcceptorReport>,
-    anew: bool,
+    reports: &BTreeMap<PeerId, AcceptorReport>,
+    recovery: bool,
     is_majority: impl Fn(&dyn Fn(PeerId) -> bool) -> bool,
 ) -> Option<LearnedMap> {
-    let counted = |name: PeerId| answers.get(&name).filter(|answer| anew || answer.memory);
-    if !is_majority(&|name| counted(name).is_some()) {
+    let counted_report = |name: PeerId| {
+        reports
+            .get(&name)
+            .filter(|report| recovery || report.recovered)
+    };
+    if !is_majority(&|name| counted_report(name).is_some()) {
         return None;
     }
-    let answers_that_count = || answers.keys().filter_map(|name| counted(*name));
-    let in_force = answers_that_count()
-        .filter_map(|answer| answer.in_force)
-        .max();
+    let counted_reports = || reports.keys().filter_map(|name| counted_report(*name));
+    let in_force = counted_reports().filter_map(|report| report.in_force).max();
     let next = in_force.map_or(1, |map| map.version.saturating_add(1));
     // A history that begins is the first of its epoch, whatever others had before.
-    let begins =
+    let starts_history =
         |map: &MapId| map.version == 1 && in_force.is_none_or(|known| map.epoch > known.epoch);
-    let accepted = answers_that_count().filter_map(|answer| answer.accepted);
-    let open = accepted.filter(|(_, map)| map.version == next || begins(map));
-    let highest = open.max().map(|(_, map)| map);
+    let accepted = counted_reports().filter_map(|report| report.accepted);
+    let candidates = accepted.filter(|(_, map)| map.version == next || starts_history(map));
+    let highest = candidates.max().map(|(_, map)| map);
     // If any map was decided for that version, each proposal after it was the same one: the highest is the only one
     // that may have been. It was not, if too many have not accepted it, who now never will.
     let may_have = |map: MapId| {
         is_majority(&|name| {
-            counted(name)
-                .is_none_or(|answer| answer.accepted.is_some_and(|(_, accepted)| accepted == map))
+            counted_report(name)
+                .is_none_or(|report| report.accepted.is_some_and(|(_, accepted)| accepted == map))
         })
     };
     Some(LearnedMap {
         in_force,
-        finish: highest.filter(|map| may_have(*map)),
+        unfinished: highest.filter(|map| may_have(*map)),
     })
 }
 
--- a/gateway-cluster/src/shards/consensus/tests.rs
+++ b/gateway-cluster/src/shards/consensus/tests.rs
@@ -22,15 +22,15 @@
         !acceptor.accept(one, map(6), false),
         "it may have accepted another"
     );
-    acceptor.decided(1, map(5), false);
+    acceptor.on_decided(1, map(5), false);
     assert!(
         !acceptor.accept(one, map(6), false),
         "something else is being decided"
     );
-    acceptor.decided(1, map(5), true);
+    acceptor.on_decided(1, map(5), true);
     assert!(acceptor.accept(one, map(6), false) && !acceptor.accept(one, map(5), false));
     assert_eq!(
-        acceptor.promise(two).and_then(|answer| answer.accepted),
+        acceptor.promise(two).and_then(|report| report.accepted),
         Some((one, map(6)))
     );
     assert!(!acceptor.accept(one, map(6), false) && acceptor.promise(one).is_none());
--- a/gateway-cluster/src/shards/cover.rs
+++ b/gateway-cluster/src/shards/cover.rs
@@ -7,7 +7,7 @@
 
 /// Keys that one range alone covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub(super) struct Piece {
+pub(super) struct CoveredSpan {
     pub from: Key,
     pub to: Key,
     /// Its place in the list.
@@ -20,12 +20,12 @@
 pub(super) struct Cover {
     pub gaps: Vec<Span>,
     pub overlaps: Vec<Span>,
-    pub once: Vec<Piece>,
+    pub covered_once: Vec<CoveredSpan>,
 }
 
 /// The keys that were meant: a reversed range is wrong in its bounds, and what it was to cover is no gap
 /// beside that.
-pub(super) fn meant(range: &ShardRange) -> Span {
+pub(super) fn normalized_bounds(range: &ShardRange) -> Span {
     (range.from.min(range.to), range.from.max(range.to))
 }
 
@@ -34,7 +34,7 @@
 pub(super) fn cover(ranges: &[ShardRange], end: Key) -> Cover {
     let mut bounds: Vec<(Key, usize, bool)> = Vec::with_capacity(ranges.len().saturating_mul(2));
     for (number, range) in ranges.iter().enumerate() {
-        let (from, to) = meant(range);
+        let (from, to) = normalized_bounds(range);
         if from < to.min(end) {
             bounds.push((from, number, true));
             bounds.push((to.min(end), number, false));
@@ -45,26 +45,26 @@
     bounds.push((end, 0, false));
 
     let mut found = Cover::default();
-    let (mut at, mut open, mut which) = (0, 0_usize, 0_usize);
+    let (mut position, mut covering, mut covering_xor) = (0, 0_usize, 0_usize);
     for (bound, number, opens) in bounds {
-        if at < bound {
-            match open {
-                0 => add(&mut found.gaps, at, bound),
+        if position < bound {
+            match covering {
+                0 => add(&mut found.gaps, position, bound),
                 // With one range open, what is left of all numbers that came and went is its own.
-                1 => found.once.push(Piece {
-                    from: at,
+                1 => found.covered_once.push(CoveredSpan {
+                    from: position,
                     to: bound,
-                    range: which,
+                    range: covering_xor,
                 }),
-                _ => add(&mut found.overlaps, at, bound),
+                _ => add(&mut found.overlaps, position, bound),
             }
-            at = bound;
+            position = bound;
         }
-        which ^= number;
-        open = if opens {
-            open + 1
+        covering_xor ^= number;
+        covering = if opens {
+            covering + 1
         } else {
-            open.saturating_sub(1)
+            covering.saturating_sub(1)
         };
     }
     found
@@ -78,37 +78,37 @@
 }
 
 /// The keys that are covered once in both, cut where either is, with the places of their ranges.
-pub(super) fn common(old: &[Piece], new: &[Piece]) -> Vec<(Span, usize, usize)> {
+pub(super) fn intersect(old: &[CoveredSpan], new: &[CoveredSpan]) -> Vec<(Span, usize, usize)> {
     let mut both = Vec::new();
-    let (mut olds, mut news) = (old.iter().peekable(), new.iter().peekable());
-    while let (Some(a), Some(b)) = (olds.peek(), news.peek()) {
+    let (mut old_spans, mut new_spans) = (old.iter().peekable(), new.iter().peekable());
+    while let (Some(a), Some(b)) = (old_spans.peek(), new_spans.peek()) {
         let span = (a.from.max(b.from), a.to.min(b.to));
         if span.0 < span.1 {
             both.push((span, a.range, b.range));
         }
         if a.to <= b.to {
-            olds.next();
+            old_spans.next();
         } else {
-            news.next();
+            new_spans.next();
         }
     }
     both
 }
 
 /// The same keys as spans in order that do not touch.
-pub(super) fn joined(spans: &[Span]) -> Vec<Span> {
+pub(super) fn merged(spans: &[Span]) -> Vec<Span> {
     let mut sorted: Vec<Span> = spans
         .iter()
         .copied()
         .filter(|span| span.0 < span.1)
         .collect();
     sorted.sort_unstable();
-    let mut joined: Vec<Span> = Vec::new();
+    let mut merged: Vec<Span> = Vec::new();
     for (from, to) in sorted {
-        match joined.last_mut() {
+        match merged.last_mut() {
             Some(last) if from <= last.1 => last.1 = last.1.max(to),
-            _ => joined.push((from, to)),
+            _ => merged.push((from, to)),
         }
     }
-    joined
+    merged
 }
--- a/gateway-cluster/src/shards/leases.rs
+++ b/gateway-cluster/src/shards/leases.rs
@@ -19,21 +19,21 @@
 impl RangeSet {
     /// Those of these ranges for which this holds.
     pub fn of(ranges: usize, holds: impl Fn(usize) -> bool) -> RangeSet {
-        let mut marks = Vec::new();
-        for number in (0..ranges).filter(|number| holds(*number)) {
-            marks.resize(number / 8 + 1, 0);
-            if let Some(byte) = marks.last_mut() {
-                *byte |= 1 << (number % 8);
+        let mut bits = Vec::new();
+        for index in (0..ranges).filter(|index| holds(*index)) {
+            bits.resize(index / 8 + 1, 0);
+            if let Some(byte) = bits.last_mut() {
+                *byte |= 1 << (index % 8);
             }
         }
-        RangeSet(marks)
+        RangeSet(bits)
     }
 
     /// Whether a range is one of them.
-    pub fn has(&self, number: usize) -> bool {
+    pub fn contains(&self, index: usize) -> bool {
         self.0
-            .get(number / 8)
-            .is_some_and(|byte| byte >> (number % 8) & 1 == 1)
+            .get(index / 8)
+            .is_some_and(|byte| byte >> (index % 8) & 1 == 1)
     }
 
     /// Whether there are none.
@@ -46,7 +46,7 @@
         self.0.len()
     }
 
-    fn both(&self, other: &RangeSet) -> RangeSet {
+    fn intersection(&self, other: &RangeSet) -> RangeSet {
         RangeSet(
             self.0
                 .iter()
@@ -63,68 +63,72 @@
     /// Of which map.
     pub hash: MapHash,
     /// Ranges that others may still keep.
-    pub waits: RangeSet,
+    pub blocked: RangeSet,
     /// On this gateway's clock.
-    pub until: Micros,
+    pub expires_at: Micros,
 }
 
 /// What one gateway keeps.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct LocalShards {
-    seen: FencingToken,
-    hold: Option<ShardLease>,
-    held: bool,
+    highest_token: FencingToken,
+    lease: Option<ShardLease>,
+    had_lease: bool,
 }
 
 impl LocalShards {
     /// Whether a lease of this epoch and version is not older than one that was seen.
-    pub fn allows(&self, fence: FencingToken) -> bool {
-        fence >= self.seen
+    pub fn is_current(&self, fence: FencingToken) -> bool {
+        fence >= self.highest_token
     }
 
     /// Takes a keep lease in place of the one before. What this map gives to others is let go by that, at once.
-    pub fn keep(
+    pub fn accept_lease(
         &mut self,
         now: Micros,
         fence: FencingToken,
         hash: MapHash,
-        waits: RangeSet,
-        until: Micros,
+        blocked: RangeSet,
+        expires_at: Micros,
     ) -> bool {
-        if !self.allows(fence) {
+        if !self.is_current(fence) {
             return false;
         }
-        self.seen = fence;
-        self.held |= now < until;
+        self.highest_token = fence;
+        self.had_lease |= now < expires_at;
         let same = self
-            .hold
+            .lease
             .take()
-            .filter(|hold| hold.hash == hash && now < hold.until);
-        self.hold = Some(match same {
+            .filter(|lease| lease.hash == hash && now < lease.expires_at);
+        self.lease = Some(match same {
             // Where others were out of the way already they stay so while this lease has no end.
-            Some(hold) => ShardLease {
-                waits: hold.waits.both(&waits),
-                until: hold.until.max(until),
+            Some(lease) => ShardLease {
+                blocked: lease.blocked.intersection(&blocked),
+                expires_at: lease.expires_at.max(expires_at),
                 hash,
             },
-            None => ShardLease { hash, waits, until },
+            None => ShardLease {
+                hash,
+                blocked,
+                expires_at,
+            },
         });
         true
     }
 
     /// The lease that this gateway has at this moment.
-    pub fn hold(&self, now: Micros) -> Option<&ShardLease> {
-        self.hold.as_ref().filter(|hold| now < hold.until)
+    pub fn lease(&self, now: Micros) -> Option<&ShardLease> {
+        self.lease.as_ref().filter(|lease| now < lease.expires_at)
     }
 
     /// Whether it has had one in this incarnation.
-    pub fn has_held(&self) -> bool {
-        self.held
+    pub fn had_lease(&self) -> bool {
+        self.had_lease
     }
 
     /// It keeps nothing from now on.
-    pub fn drop_all(&mut self) {
-        (self.hold, self.held) = (None, false);
+    pub fn release_all(&mut self) {
+        (self.lease, self.had_lease) = (None, false);
     }
 
     /// The keys that this gateway keeps at this moment, from and up to. `previous` is the map before this one: a range that
@@ -136,7 +140,7 @@
         map: &ShardMap,
         previous: Option<&ShardMap>,
     ) -> Vec<(Key, Key)> {
-        let Some(hold) = self.hold(now) else {
+        let Some(lease) = self.lease(now) else {
             return Vec::new();
         };
         let mut mine: Vec<(Key, Key)> = Vec::new();
@@ -144,13 +148,13 @@
             Some(last) if last.1 == from => last.1 = to,
             _ => mine.push((from, to)),
         };
-        for (number, range) in map
+        for (index, range) in map
             .ranges
             .iter()
             .enumerate()
             .filter(|(_, range)| range.owner == me)
         {
-            if !hold.waits.has(number) {
+            if !lease.blocked.contains(index) {
                 add(range.from, range.to);
                 continue;
             }
@@ -171,11 +175,11 @@
 struct GrantedLease {
     incarnation: u64,
     /// On the leader's clock.
-    until: Micros,
+    expires_at: Micros,
     /// The version that it has taken over in this epoch.
-    has: u64,
+    acknowledged_version: u64,
     /// It has said that it keeps nothing any more.
-    left: bool,
+    released: bool,
 }
 
 /// What a leader knows of who may keep what.
@@ -183,15 +187,15 @@
 pub struct GrantedLeases {
     /// Leases of earlier leaders are over then.
     unknown_until: Micros,
-    given: BTreeMap<PeerId, GrantedLease>,
+    granted: BTreeMap<PeerId, GrantedLease>,
 }
 
 impl GrantedLeases {
     /// Of a epoch that begins. `keep` is the length of keep leases.
-    pub fn new(now: Micros, keep: Micros) -> GrantedLeases {
+    pub fn new(now: Micros, lease_duration: Micros) -> GrantedLeases {
         GrantedLeases {
-            unknown_until: now + longer(keep),
-            given: BTreeMap::new(),
+            unknown_until: now + longer(lease_duration),
+            granted: BTreeMap::new(),
         }
     }
 
@@ -201,99 +205,99 @@
     }
 
     /// Everybody has said that nobody keeps anything.
-    pub fn nobody_keeps(&mut self, now: Micros) {
+    pub fn expire_unknown(&mut self, now: Micros) {
         self.unknown_until = self.unknown_until.min(now);
     }
 
     /// This incarnation says that it has kept: an earlier one of its name is over.
-    pub fn has_held(&mut self, name: PeerId, incarnation: u64) {
+    pub fn record_prior_lease(&mut self, peer: PeerId, incarnation: u64) {
         let until = self.unknown_until;
-        self.given.entry(name).or_insert(GrantedLease {
+        self.granted.entry(peer).or_insert(GrantedLease {
             incarnation,
-            until,
-            has: 0,
-            left: false,
+            expires_at: until,
+            acknowledged_version: 0,
+            released: false,
         });
     }
 
     /// Whether a lease may be given to this incarnation: no other of its name has one.
-    pub fn may_give(&self, now: Micros, name: PeerId, incarnation: u64) -> bool {
-        match self.given.get(&name) {
-            Some(given) if given.incarnation == incarnation => !given.left,
-            Some(given) => now >= given.until,
+    pub fn may_grant(&self, now: Micros, peer: PeerId, incarnation: u64) -> bool {
+        match self.granted.get(&peer) {
+            Some(granted) if granted.incarnation == incarnation => !granted.released,
+            Some(granted) => now >= granted.expires_at,
             None => now >= self.unknown_until,
         }
     }
 
     /// A lease is given, which is over then on the leader's clock.
-    pub fn give(&mut self, name: PeerId, incarnation: u64, until: Micros) {
-        let given = self.given.entry(name).or_insert(GrantedLease {
+    pub fn grant(&mut self, peer: PeerId, incarnation: u64, until: Micros) {
+        let granted = self.granted.entry(peer).or_insert(GrantedLease {
             incarnation,
-            until,
-            has: 0,
-            left: false,
+            expires_at: until,
+            acknowledged_version: 0,
+            released: false,
         });
-        if given.incarnation != incarnation {
-            *given = GrantedLease {
+        if granted.incarnation != incarnation {
+            *granted = GrantedLease {
                 incarnation,
-                until,
-                has: 0,
-                left: false,
+                expires_at: until,
+                acknowledged_version: 0,
+                released: false,
             };
         }
-        given.until = given.until.max(until);
+        granted.expires_at = granted.expires_at.max(until);
     }
 
     /// This incarnation has taken this version over: it keeps by no lower one.
-    pub fn took(&mut self, name: PeerId, incarnation: u64, version: u64) {
-        if let Some(given) = self
-            .given
-            .get_mut(&name)
-            .filter(|given| given.incarnation == incarnation)
+    pub fn acknowledge(&mut self, peer: PeerId, incarnation: u64, version: u64) {
+        if let Some(granted) = self
+            .granted
+            .get_mut(&peer)
+            .filter(|granted| granted.incarnation == incarnation)
         {
-            given.has = given.has.max(version);
+            granted.acknowledged_version = granted.acknowledged_version.max(version);
         }
     }
 
     /// This incarnation, which has kept, keeps nothing any more, and never will.
-    pub fn left(&mut self, now: Micros, name: PeerId, incarnation: u64) {
-        self.has_held(name, incarnation);
-        if let Some(given) = self
-            .given
-            .get_mut(&name)
-            .filter(|given| given.incarnation == incarnation)
+    pub fn release(&mut self, now: Micros, peer: PeerId, incarnation: u64) {
+        self.record_prior_lease(peer, incarnation);
+        if let Some(granted) = self
+            .granted
+            .get_mut(&peer)
+            .filter(|granted| granted.incarnation == incarnation)
         {
-            (given.until, given.left) = (given.until.min(now), true);
+            (granted.expires_at, granted.released) = (granted.expires_at.min(now), true);
         }
     }
 
     /// Whether a name keeps by no version lower than this one.
-    pub fn is_free(&self, now: Micros, name: PeerId, version: u64) -> bool {
-        match self.given.get(&name) {
-            Some(given) => given.has >= version || now >= given.until,
+    pub fn is_free(&self, now: Micros, peer: PeerId, version: u64) -> bool {
+        match self.granted.get(&peer) {
+            Some(granted) => granted.acknowledged_version >= version || now >= granted.expires_at,
             None => now >= self.unknown_until,
         }
     }
 
     /// Whether a name has taken this version over.
-    pub fn has(&self, name: PeerId, version: u64) -> bool {
-        self.given
-            .get(&name)
-            .is_some_and(|given| given.has >= version)
+    pub fn has_acknowledged(&self, peer: PeerId, version: u64) -> bool {
+        self.granted
+            .get(&peer)
+            .is_some_and(|granted| granted.acknowledged_version >= version)
     }
 
     /// For how long a name may yet keep by a lower version.
-    pub fn left_of(&self, now: Micros, name: PeerId) -> Micros {
-        self.given
-            .get(&name)
-            .map_or(self.unknown_until, |given| given.until)
+    pub fn remaining(&self, now: Micros, peer: PeerId) -> Micros {
+        self.granted
+            .get(&peer)
+            .map_or(self.unknown_until, |granted| granted.expires_at)
             .saturating_sub(now)
     }
 }
 
 /// The names that keep others from what a map gives them, with the ranges that wait for each: who had keys of a range
 /// before, and may still keep them. Without the map before it, anybody may.
-pub fn waiting<'a>(
+pub fn blocked_ranges<'a>(
     map: &ShardMap,
     previous: Option<&'a ShardMap>,
     is_free: impl Fn(&str) -> bool,
@@ -302,9 +306,9 @@
         return (RangeSet::default(), Vec::new());
     };
     let mut free: BTreeMap<&str, bool> = BTreeMap::new();
-    let mut marked = vec![false; map.ranges.len()];
+    let mut blocked = vec![false; map.ranges.len()];
     let mut first = 0;
-    for (range, marked) in map.ranges.iter().zip(&mut marked) {
+    for (range, blocked) in map.ranges.iter().zip(&mut blocked) {
         while previous
             .ranges
             .get(first)
@@ -318,18 +322,18 @@
                 let free = free
                     .entry(&had.owner)
                     .or_insert_with(|| is_free(&had.owner));
-                *marked |= !*free;
+                *blocked |= !*free;
             }
         }
     }
     let names = free
         .into_iter()
         .filter(|(_, free)| !free)
-        .map(|(name, _)| name)
+        .map(|(peer, _)| peer)
         .collect();
     (
-        RangeSet::of(map.ranges.len(), |number| {
-            marked.get(number).copied().unwrap_or(false)
+        RangeSet::of(map.ranges.len(), |index| {
+            blocked.get(index).copied().unwrap_or(false)
         }),
         names,
     )
--- a/gateway-cluster/src/shards/node/acceptance.rs
+++ b/gateway-cluster/src/shards/node/acceptance.rs
@@ -1,6 +1,6 @@
 //! What a gateway does at the word of the leader: it promises, accepts or refuses a map, and takes keep leases.
 
-use super::{named, ShardMapEvent, ShardMapNode};
+use super::{map_id, ShardMapEvent, ShardMapNode};
 use crate::leadership::election::LeaderElection;
 use crate::leadership::{longer, FencingToken};
 use crate::protocol::{Micros, Transmit};
@@ -8,13 +8,13 @@
 use crate::shards::leases::RangeSet;
 use crate::shards::map::{MapHash, ShardMap};
 use crate::shards::wire::{
-    truncated_findings, unpack, Datagram, FindingReport, Kind, ProposalState,
+    decode_map, truncated_findings, Datagram, FindingReport, Kind, ProposalState,
 };
 use crate::shards::{validate, ClusterState, Rule};
 
 impl ShardMapNode {
     /// What the leader of this epoch wants is done, unless it lacks a map, which is fetched first.
-    pub(super) fn act(
+    pub(super) fn on_leader_request(
         &mut self,
         now: Micros,
         epoch: u64,
@@ -24,21 +24,21 @@
     ) {
         let from = datagram.from;
         match &datagram.kind {
-            Kind::Learn(ballot) if ballot.epoch == epoch => {
-                let Some(answer) = self.acceptor.promise(*ballot) else {
+            Kind::Prepare(ballot) if ballot.epoch == epoch => {
+                let Some(report) = self.acceptor.promise(*ballot) else {
                     return;
                 };
-                let (ballot, held) = (*ballot, self.hand.has_held());
-                let young_ms = self.young(now).div_ceil(1000) as u32;
-                self.put(
+                let (ballot, had_lease) = (*ballot, self.local_shards.had_lease());
+                let lease_uncertainty_ms = self.lease_uncertainty(now).div_ceil(1000) as u32;
+                self.send(
                     election,
                     from,
                     None,
-                    Kind::Learned {
+                    Kind::Promise {
                         ballot,
-                        answer,
-                        held,
-                        young_ms,
+                        report,
+                        had_lease,
+                        lease_uncertainty_ms,
                     },
                     sends,
                 );
@@ -46,52 +46,52 @@
             Kind::Propose {
                 ballot,
                 map,
-                finish,
-                anew,
-                whole,
+                resumed,
+                recovery,
+                map_bytes,
             } if ballot.epoch == epoch => {
                 if let Some(found) =
-                    unpack(map.hash, whole).filter(|_| self.find(map.hash).is_none())
+                    decode_map(map.hash, map_bytes).filter(|_| self.find(map.hash).is_none())
                 {
-                    self.shelve(found);
+                    self.cache_map(found);
                 }
                 let Some(found) = self.find(map.hash).cloned() else {
-                    return self.pull(now, map.hash, datagram, election, sends);
+                    return self.fetch_for(now, map.hash, datagram, election, sends);
                 };
-                let kind = match self.accept(*ballot, *map, &found, *finish, *anew) {
+                let kind = match self.accept(*ballot, *map, &found, *resumed, *recovery) {
                     Some(Ok(())) => Kind::Accepted(*ballot, map.hash),
                     Some(Err(findings)) => {
-                        Kind::Refused(*ballot, map.hash, truncated_findings(&findings))
+                        Kind::Rejected(*ballot, map.hash, truncated_findings(&findings))
                     }
                     None => return,
                 };
-                self.put(election, from, None, kind, sends);
+                self.send(election, from, None, kind, sends);
             }
-            Kind::Keep {
+            Kind::GrantLease {
                 map,
-                waits,
-                until,
-                settled,
+                blocked,
+                expires_at,
+                idle,
             } => {
-                if !self.hand.allows(FencingToken {
+                if !self.local_shards.is_current(FencingToken {
                     epoch,
                     version: map.version,
                 }) {
                     return;
                 }
                 if !self.has_in_force(map.hash) && self.find(map.hash).is_none() {
-                    return self.pull(now, map.hash, datagram, election, sends);
+                    return self.fetch_for(now, map.hash, datagram, election, sends);
                 }
-                if self.take_keep(now, epoch, *map, waits.clone(), *until, *settled) {
-                    let (version, held) = (map.version, self.hand.has_held());
-                    self.put(
+                if self.accept_lease(now, epoch, *map, blocked.clone(), *expires_at, *idle) {
+                    let (version, had_lease) = (map.version, self.local_shards.had_lease());
+                    self.send(
                         election,
                         from,
                         None,
-                        Kind::Have {
+                        Kind::AcknowledgeLease {
                             epoch,
                             version,
-                            held,
+                            had_lease,
                         },
                         sends,
                     );
@@ -106,28 +106,28 @@
     }
 
     /// For how long yet somebody may keep by a lease that was given before this incarnation began.
-    fn young(&self, now: Micros) -> Micros {
-        (self.born + longer(self.keep)).saturating_sub(now)
+    fn lease_uncertainty(&self, now: Micros) -> Micros {
+        (self.started_at + longer(self.lease_duration)).saturating_sub(now)
     }
 
     /// Accepts a map, or says what is wrong with it; `None` if it is not for this gateway to say.
     pub(super) fn accept(
         &mut self,
         ballot: Ballot,
-        name: MapId,
+        id: MapId,
         map: &ShardMap,
-        finish: bool,
-        anew: bool,
+        resumed: bool,
+        recovery: bool,
     ) -> Option<Result<(), Vec<FindingReport>>> {
         // Who is behind, or on another history, cannot judge it against what it has. What a majority may have accepted it
         // takes all the same if it is whole by itself: the gateways that could judge may have forgotten since.
-        let base = if anew && map.version == 1 {
+        let base = if recovery && map.version == 1 {
             None
         } else {
             self.map.as_ref()
         };
         let follows = base.map_or(MapHash::NONE, ShardMap::hash) == map.parent;
-        if name != named(map) || !(follows || finish) {
+        if id != map_id(map) || !(follows || resumed) {
             return None;
         }
         let limits = self.limits;
@@ -136,7 +136,7 @@
             ..self.cluster.clone()
         };
         let mut findings = validate(base.filter(|_| follows), map, &cluster, &limits);
-        if finish {
+        if resumed {
             // What has become of its owners since is for the next map.
             findings.retain(|finding| {
                 !matches!(finding.rule(), Rule::Owner | Rule::Moved | Rule::Share)
@@ -148,22 +148,22 @@
         if !findings.is_empty() {
             return Some(Err(findings.iter().map(FindingReport::from).collect()));
         }
-        if !self.acceptor.accept(ballot, name, anew) {
+        if !self.acceptor.accept(ballot, id, recovery) {
             return None;
         }
-        self.shelve(map.clone());
+        self.cache_map(map.clone());
         Some(Ok(()))
     }
 
     /// Takes a keep lease, and the map that it is of.
-    pub(super) fn take_keep(
+    pub(super) fn accept_lease(
         &mut self,
         now: Micros,
         epoch: u64,
         map: MapId,
-        waits: RangeSet,
-        until: Micros,
-        settled: bool,
+        blocked: RangeSet,
+        expires_at: Micros,
+        idle: bool,
     ) -> bool {
         if !self.has_in_force(map.hash) {
             let Some(new) = self.find(map.hash).cloned() else {
@@ -172,29 +172,30 @@
             let old = self.map.replace(new);
             if let Some(old) = &old {
                 if old.version >= map.version {
-                    self.note(ShardMapEvent::OtherHistory(old.version, map.version));
+                    self.record_event(ShardMapEvent::OtherHistory(old.version, map.version));
                 }
             }
             let parent = self.map.as_ref().map(|map| map.parent);
             self.previous = old.filter(|old| Some(old.hash()) == parent);
-            if let (Some(offer), Some(map)) = (&mut self.offer, &self.map) {
-                let is_it = offer.map.version == map.version && offer.map.ranges == map.ranges;
-                if is_it && offer.state == ProposalState::Waiting {
-                    offer.state = ProposalState::InForce;
+            if let (Some(proposal), Some(map)) = (&mut self.local_proposal, &self.map) {
+                let is_it =
+                    proposal.map.version == map.version && proposal.map.ranges == map.ranges;
+                if is_it && proposal.state == ProposalState::Waiting {
+                    proposal.state = ProposalState::InForce;
                 }
             }
-            self.note(ShardMapEvent::InForce(map.version, map.hash));
+            self.record_event(ShardMapEvent::InForce(map.version, map.hash));
         }
-        self.acceptor.decided(epoch, map, settled);
-        self.hand.keep(
+        self.acceptor.on_decided(epoch, map, idle);
+        self.local_shards.accept_lease(
             now,
             FencingToken {
                 epoch,
                 version: map.version,
             },
             map.hash,
-            waits,
-            until,
+            blocked,
+            expires_at,
         )
     }
 }
--- a/gateway-cluster/src/shards/node/fetching.rs
+++ b/gateway-cluster/src/shards/node/fetching.rs
@@ -1,58 +1,58 @@
 //! Maps by their hash: those that a gateway keeps for others, and those that it fetches part by part.
 
-use super::sending::{AGAIN, AROUND, FOR_LEASES, SELDOM};
+use super::sending::{DATAGRAM_OVERHEAD_BYTES, LEASE_RESERVE, RETRY_INTERVAL, SLOW_RETRY_INTERVAL};
 use super::term::Stage;
 use super::ShardMapNode;
 use crate::leadership::election::LeaderElection;
 use crate::peers::PeerId;
 use crate::protocol::{Micros, Transmit};
 use crate::shards::map::{MapHash, ShardMap};
-use crate::shards::wire::{pack, unpack, Datagram, Kind, MAX_CHUNKS, PART};
+use crate::shards::wire::{decode_map, encode_map, Datagram, Kind, CHUNK_BYTES, MAX_CHUNKS};
 use rand::seq::IndexedRandom;
 
 /// Maps that are kept for others to fetch, beside those in use, and maps that are fetched at a time.
-const SHELF: usize = 6;
-const PULLS: usize = 4;
+const MAX_CACHED_MAPS: usize = 6;
+const MAX_FETCHES: usize = 4;
 /// Parts that are asked for at a time, and how often a map is asked for in vain before that is given up.
-const AT_ONCE: usize = 4;
-const MOST_PULLS: u32 = 40;
+const CHUNKS_PER_REQUEST: usize = 4;
+const MAX_FETCH_ATTEMPTS: u32 = 40;
 /// Datagrams that wait for a map.
-const STASH: usize = 4;
+const MAX_WAITING_DATAGRAMS: usize = 4;
 
 /// A map that is being fetched.
 #[derive(Debug)]
-pub(super) struct Pull {
+pub(super) struct MapFetch {
     pub(super) hash: MapHash,
     pub(super) from: PeerId,
-    pub(super) parts: Vec<Option<Vec<u8>>>,
-    pub(super) at: Micros,
-    pub(super) tries: u32,
+    pub(super) chunks: Vec<Option<Vec<u8>>>,
+    pub(super) retry_at: Micros,
+    pub(super) attempts: u32,
 }
 
 impl ShardMapNode {
     /// A map by its hash.
     pub(super) fn find(&self, hash: MapHash) -> Option<&ShardMap> {
-        let offer = self.offer.as_ref().map(|offer| &offer.map);
+        let proposal = self.local_proposal.as_ref().map(|proposal| &proposal.map);
         let mut known = self
             .map
             .iter()
             .chain(&self.previous)
-            .chain(offer)
-            .chain(&self.shelf);
+            .chain(proposal)
+            .chain(&self.cached_maps);
         known.find(|map| map.hash() == hash)
     }
 
-    pub(super) fn shelve(&mut self, map: ShardMap) {
+    pub(super) fn cache_map(&mut self, map: ShardMap) {
         let hash = map.hash();
-        self.shelf.retain(|known| known.hash() != hash);
-        self.shelf.push_back(map);
-        if self.shelf.len() > SHELF {
-            self.shelf.pop_front();
+        self.cached_maps.retain(|known| known.hash() != hash);
+        self.cached_maps.push_back(map);
+        if self.cached_maps.len() > MAX_CACHED_MAPS {
+            self.cached_maps.pop_front();
         }
     }
 
     /// Begins to fetch a map. What needs it is done once it is there.
-    pub(super) fn pull(
+    pub(super) fn fetch_for(
         &mut self,
         now: Micros,
         hash: MapHash,
@@ -62,53 +62,53 @@
     ) {
         let from = datagram.from;
         // What is in force a majority has: others are asked first, as the leader has much to send then.
-        let tries = u32::from(matches!(datagram.kind, Kind::Keep { .. }));
-        self.stash.retain(|waiting| {
-            std::mem::discriminant(&waiting.kind) != std::mem::discriminant(&datagram.kind)
+        let attempts = u32::from(matches!(datagram.kind, Kind::GrantLease { .. }));
+        self.waiting_datagrams.retain(|blocked_ranges| {
+            std::mem::discriminant(&blocked_ranges.kind) != std::mem::discriminant(&datagram.kind)
         });
-        if self.stash.len() < STASH {
-            self.stash.push_back(datagram);
+        if self.waiting_datagrams.len() < MAX_WAITING_DATAGRAMS {
+            self.waiting_datagrams.push_back(datagram);
         }
-        self.pull_from(now, hash, (from, tries), election, sends);
+        self.start_fetch(now, hash, (from, attempts), election, sends);
     }
 
-    pub(super) fn pull_from(
+    pub(super) fn start_fetch(
         &mut self,
         now: Micros,
         hash: MapHash,
-        (from, tries): (PeerId, u32),
+        (from, attempts): (PeerId, u32),
         election: &LeaderElection,
         sends: &mut Vec<Transmit>,
     ) {
-        if self.pulls.iter().any(|pull| pull.hash == hash) {
+        if self.fetches.iter().any(|fetch| fetch.hash == hash) {
             return;
         }
-        if self.pulls.len() >= PULLS {
-            self.pulls.remove(0);
+        if self.fetches.len() >= MAX_FETCHES {
+            self.fetches.remove(0);
         }
-        self.pulls.push(Pull {
+        self.fetches.push(MapFetch {
             hash,
             from,
-            parts: Vec::new(),
-            at: now,
-            tries,
+            chunks: Vec::new(),
+            retry_at: now,
+            attempts,
         });
-        self.pull_on(now, election, sends);
+        self.continue_fetches(now, election, sends);
     }
 
     /// Asks for parts that are due.
-    pub(super) fn pull_on(
+    pub(super) fn continue_fetches(
         &mut self,
         now: Micros,
         election: &LeaderElection,
         sends: &mut Vec<Transmit>,
     ) {
-        let mut pulls = std::mem::take(&mut self.pulls);
-        pulls.retain(|pull| pull.tries < MOST_PULLS);
-        for pull in pulls.iter_mut().filter(|pull| pull.at <= now) {
-            pull.tries += 1;
-            let mut from = pull.from;
-            if pull.tries % 2 == 0 {
+        let mut fetches = std::mem::take(&mut self.fetches);
+        fetches.retain(|fetch| fetch.attempts < MAX_FETCH_ATTEMPTS);
+        for fetch in fetches.iter_mut().filter(|fetch| fetch.retry_at <= now) {
+            fetch.attempts += 1;
+            let mut from = fetch.from;
+            if fetch.attempts % 2 == 0 {
                 // Whoever has taken it over has it as well.
                 let others: Vec<PeerId> = election
                     .names()
@@ -117,44 +117,52 @@
                     .collect();
                 from = others.choose(&mut self.rng).copied().unwrap_or(from);
             }
-            pull.at = now + if pull.tries > 6 { SELDOM } else { AGAIN };
-            self.ask_parts(pull, from, election, sends);
+            fetch.retry_at = now
+                + if fetch.attempts > 6 {
+                    SLOW_RETRY_INTERVAL
+                } else {
+                    RETRY_INTERVAL
+                };
+            self.request_chunks(fetch, from, election, sends);
         }
-        self.pulls = pulls;
+        self.fetches = fetches;
     }
 
-    fn ask_parts(
+    fn request_chunks(
         &mut self,
-        pull: &Pull,
+        fetch: &MapFetch,
         from: PeerId,
         election: &LeaderElection,
         sends: &mut Vec<Transmit>,
     ) {
-        let missing = pull
-            .parts
+        let missing = fetch
+            .chunks
             .iter()
             .enumerate()
-            .filter(|(_, part)| part.is_none());
-        let mut missing: Vec<usize> = missing.map(|(part, _)| part).take(AT_ONCE).collect();
-        if pull.parts.is_empty() {
+            .filter(|(_, index)| index.is_none());
+        let mut missing: Vec<usize> = missing
+            .map(|(index, _)| index)
+            .take(CHUNKS_PER_REQUEST)
+            .collect();
+        if fetch.chunks.is_empty() {
             missing.push(0);
         }
-        for part in missing {
-            self.put_spared(
+        for index in missing {
+            self.send_within_budget(
                 election,
                 from,
                 None,
-                Kind::Fetch(pull.hash, part as u8),
+                Kind::FetchChunk(fetch.hash, index as u8),
                 sends,
             );
         }
     }
 
-    pub(super) fn send_part(
+    pub(super) fn send_chunk(
         &mut self,
         (to, incarnation): (PeerId, u64),
         hash: MapHash,
-        part: u8,
+        index: u8,
         sends: &mut Vec<Transmit>,
     ) {
         let deciding = self.term.as_ref().and_then(|term| match &term.stage {
@@ -167,23 +175,23 @@
         else {
             return;
         };
-        let bytes = pack(map);
-        let parts = bytes.len().div_ceil(PART).min(MAX_CHUNKS) as u8;
+        let bytes = encode_map(map);
+        let count = bytes.len().div_ceil(CHUNK_BYTES).min(MAX_CHUNKS) as u8;
         let Some(bytes) = bytes
-            .chunks(PART)
-            .nth(usize::from(part))
+            .chunks(CHUNK_BYTES)
+            .nth(usize::from(index))
             .map(<[u8]>::to_vec)
         else {
             return;
         };
-        if self.has_room(bytes.len() + AROUND, FOR_LEASES) {
-            self.put_to(
+        if self.has_budget(bytes.len() + DATAGRAM_OVERHEAD_BYTES, LEASE_RESERVE) {
+            self.send_to_incarnation(
                 (to, incarnation),
                 None,
-                Kind::Part {
+                Kind::Chunk {
                     hash,
-                    part,
-                    parts,
+                    index,
+                    count,
                     bytes,
                 },
                 sends,
@@ -191,54 +199,54 @@
         }
     }
 
-    pub(super) fn take_part(
+    pub(super) fn on_chunk(
         &mut self,
         now: Micros,
         datagram: Datagram,
         election: &mut LeaderElection,
         sends: &mut Vec<Transmit>,
     ) {
-        let Kind::Part {
+        let Kind::Chunk {
             hash,
-            part,
-            parts,
+            index,
+            count,
             bytes,
         } = datagram.kind
         else {
             return;
         };
-        let Some(place) = self.pulls.iter().position(|pull| pull.hash == hash) else {
+        let Some(place) = self.fetches.iter().position(|fetch| fetch.hash == hash) else {
             return;
         };
-        if parts == 0 || usize::from(parts) > MAX_CHUNKS || part >= parts {
+        if count == 0 || usize::from(count) > MAX_CHUNKS || index >= count {
             self.dropped.0 += 1;
             return;
         }
-        let mut pull = self.pulls.remove(place);
-        if pull.parts.len() != usize::from(parts) {
-            pull.parts = vec![None; usize::from(parts)];
+        let mut fetch = self.fetches.remove(place);
+        if fetch.chunks.len() != usize::from(count) {
+            fetch.chunks = vec![None; usize::from(count)];
         }
-        if let Some(slot) = pull.parts.get_mut(usize::from(part)) {
+        if let Some(slot) = fetch.chunks.get_mut(usize::from(index)) {
             *slot = Some(bytes);
         }
-        let missing = pull.parts.iter().filter(|part| part.is_none()).count();
+        let missing = fetch.chunks.iter().filter(|index| index.is_none()).count();
         if missing > 0 {
-            let got = pull.parts.len() - missing;
-            (pull.tries, pull.at) = (0, now + AGAIN);
-            if (got - 1) % AT_ONCE == 0 {
-                self.ask_parts(&pull, datagram.from, election, sends);
+            let got = fetch.chunks.len() - missing;
+            (fetch.attempts, fetch.retry_at) = (0, now + RETRY_INTERVAL);
+            if (got - 1) % CHUNKS_PER_REQUEST == 0 {
+                self.request_chunks(&fetch, datagram.from, election, sends);
             }
-            self.pulls.push(pull);
+            self.fetches.push(fetch);
             return;
         }
-        let whole: Vec<u8> = pull.parts.into_iter().flatten().flatten().collect();
-        let Some(map) = unpack(hash, &whole) else {
+        let map_bytes: Vec<u8> = fetch.chunks.into_iter().flatten().flatten().collect();
+        let Some(map) = decode_map(hash, &map_bytes) else {
             self.dropped.0 += 1;
             return;
         };
-        self.shelve(map);
-        for waiting in std::mem::take(&mut self.stash) {
-            self.handle(now, waiting, election, sends);
+        self.cache_map(map);
+        for blocked_ranges in std::mem::take(&mut self.waiting_datagrams) {
+            self.dispatch(now, blocked_ranges, election, sends);
         }
     }
 }
--- a/gateway-cluster/src/shards/node/leases.rs
+++ b/gateway-cluster/src/shards/node/leases.rs
@@ -1,19 +1,21 @@
 //! The leader asks the gateways, hears their answers and gives them keep leases.
 
-use super::sending::{period, AGAIN, AROUND, FOR_LEASES, SELDOM};
-use super::term::{waits, Heard, Stage, Term};
-use super::{named, ShardMapEvent, ShardMapNode};
+use super::sending::{
+    period, DATAGRAM_OVERHEAD_BYTES, LEASE_RESERVE, RETRY_INTERVAL, SLOW_RETRY_INTERVAL,
+};
+use super::term::{blocked_now, PromiseReply, Stage, Term};
+use super::{map_id, ShardMapEvent, ShardMapNode};
 use crate::leadership::election::LeaderElection;
 use crate::leadership::{longer, shorter};
 use crate::peers::{peer_id_of, PeerId};
 use crate::protocol::{Micros, Transmit};
-use crate::shards::wire::{pack, truncated_findings, Datagram, Kind, PART};
+use crate::shards::wire::{encode_map, truncated_findings, Datagram, Kind, CHUNK_BYTES};
 use crate::shards::PeerCondition;
 use std::collections::BTreeSet;
 
 impl ShardMapNode {
     /// The leader hears an answer.
-    pub(super) fn hear(
+    pub(super) fn on_reply(
         &mut self,
         now: Micros,
         term: &mut Term,
@@ -28,68 +30,68 @@
             ..
         } = datagram;
         match kind {
-            Kind::Learned {
+            Kind::Promise {
                 ballot,
-                answer,
-                held,
-                young_ms,
+                report,
+                had_lease,
+                lease_uncertainty_ms,
             } if ballot == term.ballot() => {
-                if held {
-                    term.ledger.has_held(from, incarnation);
+                if had_lease {
+                    term.granted_leases.record_prior_lease(from, incarnation);
                 }
-                if let Stage::Learning(answers) = &mut term.stage {
-                    let old_at = now + longer(Micros::from(young_ms) * 1000);
-                    answers.insert(
+                if let Stage::Preparing(replies) = &mut term.stage {
+                    let uncertain_until = now + longer(Micros::from(lease_uncertainty_ms) * 1000);
+                    replies.insert(
                         from,
-                        Heard {
-                            answer,
-                            held,
-                            old_at,
+                        PromiseReply {
+                            report,
+                            had_lease,
+                            uncertain_until,
                         },
                     );
                 }
             }
             Kind::Accepted(ballot, hash) if ballot == term.ballot() => {
                 if let Stage::Deciding(deciding) = &mut term.stage {
-                    if deciding.named.hash == hash {
+                    if deciding.id.hash == hash {
                         deciding.accepted.insert(from);
                     }
                 }
             }
-            Kind::Refused(ballot, hash, findings) if ballot == term.ballot() => {
+            Kind::Rejected(ballot, hash, findings) if ballot == term.ballot() => {
                 if let Stage::Deciding(deciding) = &mut term.stage {
-                    if deciding.named.hash == hash && !deciding.accepted.contains(&from) {
+                    if deciding.id.hash == hash && !deciding.accepted.contains(&from) {
                         deciding.refused.insert(from, findings);
                     }
                 }
             }
-            Kind::Have {
+            Kind::AcknowledgeLease {
                 epoch,
                 version,
-                held,
+                had_lease,
             } if epoch == term.epoch => {
-                let gave = term.ledger.may_give(now, from, incarnation);
-                if held {
-                    term.ledger.has_held(from, incarnation);
+                let gave = term.granted_leases.may_grant(now, from, incarnation);
+                if had_lease {
+                    term.granted_leases.record_prior_lease(from, incarnation);
                 }
-                term.ledger.took(from, incarnation, version);
-                if let Some(turn) = term.turns.get_mut(&from) {
-                    if !gave && term.ledger.may_give(now, from, incarnation) {
-                        (turn.keep_at, turn.kept) = (now, 0);
+                term.granted_leases.acknowledge(from, incarnation, version);
+                if let Some(schedule) = term.schedules.get_mut(&from) {
+                    if !gave && term.granted_leases.may_grant(now, from, incarnation) {
+                        (schedule.lease_at, schedule.leases_sent) = (now, 0);
                     }
                 }
             }
-            Kind::Offer(hash) => {
+            Kind::SubmitProposal(hash) => {
                 let Some(map) = self.find(hash).cloned() else {
                     return;
                 };
-                if let Some((state, findings)) = Self::offered(now, term, hash, &map) {
+                if let Some((state, findings)) = Self::on_proposal(now, term, hash, &map) {
                     let findings = truncated_findings(&findings);
-                    self.put(
+                    self.send(
                         election,
                         from,
                         None,
-                        Kind::Answer {
+                        Kind::ProposalResult {
                             hash,
                             state,
                             findings,
@@ -103,62 +105,68 @@
     }
 
     /// Looks at who still keeps what the map in force gives to others.
-    pub(super) fn look_at_moves(&mut self, now: Micros, term: &mut Term) {
-        if !term.ruling {
+    pub(super) fn update_blocked_ranges(&mut self, now: Micros, term: &mut Term) {
+        if !term.leases_enabled {
             return;
         }
-        let waits = waits(now, term);
-        if waits.0 != term.waits.0 {
+        let blocked = blocked_now(now, term);
+        if blocked.0 != term.blocked.0 {
             // Those that waited are told.
             let ranges = term
                 .current
                 .iter()
                 .flat_map(|map| map.ranges.iter().enumerate());
-            let changed =
-                ranges.filter(|(number, _)| waits.0.has(*number) != term.waits.0.has(*number));
+            let changed = ranges.filter(|(number, _)| {
+                blocked.0.contains(*number) != term.blocked.0.contains(*number)
+            });
             let told: BTreeSet<PeerId> =
                 changed.map(|(_, range)| peer_id_of(&range.owner)).collect();
-            for (_, turn) in term
-                .turns
+            for (_, schedule) in term
+                .schedules
                 .iter_mut()
                 .filter(|(name, _)| told.contains(name))
             {
-                (turn.keep_at, turn.kept) = (now, 0);
+                (schedule.lease_at, schedule.leases_sent) = (now, 0);
             }
-            if waits.0.is_empty() {
+            if blocked.0.is_empty() {
                 let version = term.current.as_ref().map_or(0, |map| map.version);
-                term.look_at = now;
-                self.note(ShardMapEvent::Moved(version));
+                term.plan_at = now;
+                self.record_event(ShardMapEvent::Moved(version));
             }
         }
-        term.waits = waits;
+        term.blocked = blocked;
     }
 
     /// The leader is an owner as the others are.
-    pub(super) fn keep_own(&mut self, now: Micros, term: &mut Term) {
-        let Some(map) = term.current.as_ref().filter(|_| term.ruling) else {
+    pub(super) fn grant_own_lease(&mut self, now: Micros, term: &mut Term) {
+        let Some(map) = term.current.as_ref().filter(|_| term.leases_enabled) else {
             return;
         };
-        if !term.ledger.may_give(now, self.me, self.incarnation) {
+        if !term
+            .granted_leases
+            .may_grant(now, self.me, self.incarnation)
+        {
             return;
         }
-        let until = now + shorter(self.keep);
-        term.ledger.give(self.me, self.incarnation, now + self.keep);
-        let settled = term.is_settled();
-        if self.take_keep(
+        let expires_at = now + shorter(self.lease_duration);
+        term.granted_leases
+            .grant(self.me, self.incarnation, now + self.lease_duration);
+        let idle = term.is_idle();
+        if self.accept_lease(
             now,
             term.epoch,
-            named(map),
-            term.waits.0.clone(),
-            until,
-            settled,
+            map_id(map),
+            term.blocked.0.clone(),
+            expires_at,
+            idle,
         ) {
-            term.ledger.took(self.me, self.incarnation, map.version);
+            term.granted_leases
+                .acknowledge(self.me, self.incarnation, map.version);
         }
     }
 
     /// Asks and tells those whose turn it is.
-    pub(super) fn tell(
+    pub(super) fn send_due_requests(
         &mut self,
         now: Micros,
         term: &mut Term,
@@ -168,25 +176,29 @@
         let ballot = term.ballot();
         let names: Vec<PeerId> = election.names();
         let period = period(election.lease(), names.len().saturating_sub(1));
-        let keep = term.current.as_ref().filter(|_| term.ruling).map(named);
-        let settled = term.is_settled();
+        let granted_map = term
+            .current
+            .as_ref()
+            .filter(|_| term.leases_enabled)
+            .map(map_id);
+        let idle = term.is_idle();
         // A map that fits goes with the question.
-        let whole = match &term.stage {
-            Stage::Deciding(deciding) => pack(&deciding.map),
+        let map_bytes = match &term.stage {
+            Stage::Deciding(deciding) => encode_map(&deciding.map),
             _ => Vec::new(),
         };
-        let whole = if whole.len() <= PART {
-            whole
+        let map_bytes = if map_bytes.len() <= CHUNK_BYTES {
+            map_bytes
         } else {
             Vec::new()
         };
-        let mut turns: Vec<(Micros, PeerId)> = term
-            .turns
+        let mut schedules: Vec<(Micros, PeerId)> = term
+            .schedules
             .iter()
-            .map(|(name, turn)| (turn.ask_at.min(turn.keep_at), *name))
+            .map(|(name, schedule)| (schedule.request_at.min(schedule.lease_at), *name))
             .collect();
-        turns.retain(|(at, name)| *at <= now && names.contains(name));
-        turns.sort_unstable();
+        schedules.retain(|(at, name)| *at <= now && names.contains(name));
+        schedules.sort_unstable();
         let is_dead = |(_, gateway): &(&String, &PeerCondition)| **gateway != PeerCondition::Alive;
         let dead: BTreeSet<PeerId> = self
             .cluster
@@ -195,95 +207,101 @@
             .filter(is_dead)
             .map(|(name, _)| peer_id_of(name))
             .collect();
-        for (_, name) in turns {
+        for (_, name) in schedules {
             let is_dead = dead.contains(&name);
-            let Some(turn) = term.turns.get_mut(&name) else {
+            let Some(schedule) = term.schedules.get_mut(&name) else {
                 continue;
             };
-            let (Some((incarnation, tick, heard)), Some(stamp)) =
+            let (Some((incarnation, tick, reply)), Some(proof)) =
                 (election.clock_of(name), election.stamp(now, name))
             else {
                 // It was not heard of yet.
-                (turn.ask_at, turn.keep_at) = (now + AGAIN, now + AGAIN);
+                (schedule.request_at, schedule.lease_at) =
+                    (now + RETRY_INTERVAL, now + RETRY_INTERVAL);
                 continue;
             };
-            let act = Some((stamp.epoch, stamp.until));
-            if turn.ask_at <= now {
+            let act = Some((proof.epoch, proof.until));
+            if schedule.request_at <= now {
                 let kind = match &term.stage {
-                    Stage::Learning(answers) => {
-                        (!answers.contains_key(&name)).then_some(Kind::Learn(ballot))
+                    Stage::Preparing(replies) => {
+                        (!replies.contains_key(&name)).then_some(Kind::Prepare(ballot))
                     }
                     Stage::Deciding(deciding)
                         if !deciding.accepted.contains(&name)
                             && !deciding.refused.contains_key(&name) =>
                     {
-                        let (map, finish, anew) = (deciding.named, deciding.finish, term.anew);
+                        let (map, resumed, recovery) =
+                            (deciding.id, deciding.resumed, term.recovery);
                         Some(Kind::Propose {
                             ballot,
                             map,
-                            finish,
-                            anew,
-                            whole: whole.clone(),
+                            resumed,
+                            recovery,
+                            map_bytes: map_bytes.clone(),
                         })
                     }
                     _ => None,
                 };
                 if let Some(kind) = kind {
-                    if !self.has_room(whole.len() + AROUND, FOR_LEASES) {
+                    if !self.has_budget(map_bytes.len() + DATAGRAM_OVERHEAD_BYTES, LEASE_RESERVE) {
                         return;
                     }
-                    turn.asked += 1;
-                    turn.ask_at = now
-                        + if turn.asked > 2 || is_dead {
-                            SELDOM
+                    schedule.requests_sent += 1;
+                    schedule.request_at = now
+                        + if schedule.requests_sent > 2 || is_dead {
+                            SLOW_RETRY_INTERVAL
                         } else {
-                            AGAIN
+                            RETRY_INTERVAL
                         };
-                    self.put_spared(election, name, act, kind, sends);
+                    self.send_within_budget(election, name, act, kind, sends);
                 } else {
-                    turn.ask_at = now + SELDOM;
+                    schedule.request_at = now + SLOW_RETRY_INTERVAL;
                 }
             }
-            let Some(map) = keep.filter(|_| turn.keep_at <= now) else {
-                turn.keep_at = turn
-                    .keep_at
-                    .max(now + if keep.is_some() { 0 } else { AGAIN });
+            let Some(map) = granted_map.filter(|_| schedule.lease_at <= now) else {
+                schedule.lease_at = schedule.lease_at.max(
+                    now + if granted_map.is_some() {
+                        0
+                    } else {
+                        RETRY_INTERVAL
+                    },
+                );
                 continue;
             };
-            let has = term.ledger.has(name, map.version);
-            if !self.has_room(AROUND, 0.0) {
+            let has = term.granted_leases.has_acknowledged(name, map.version);
+            if !self.has_budget(DATAGRAM_OVERHEAD_BYTES, 0.0) {
                 return;
             }
-            turn.kept += 1;
-            turn.keep_at = now
+            schedule.leases_sent += 1;
+            schedule.lease_at = now
                 + match has {
                     true => period,
                     // The view may be wrong: a lease has to reach it in time all the same.
                     false if is_dead => period,
-                    false if turn.kept > 10 => SELDOM.max(period),
-                    false if turn.kept > 2 => SELDOM.min(period),
-                    false => AGAIN,
+                    false if schedule.leases_sent > 10 => SLOW_RETRY_INTERVAL.max(period),
+                    false if schedule.leases_sent > 2 => SLOW_RETRY_INTERVAL.min(period),
+                    false => RETRY_INTERVAL,
                 };
             // A lease counts from when the gateway was last heard, on both clocks. Where another process of this name may
             // keep, this one learns the map alone.
-            let over = heard + self.keep;
-            let until = match term.ledger.may_give(now, name, incarnation) {
+            let over = reply + self.lease_duration;
+            let expires_at = match term.granted_leases.may_grant(now, name, incarnation) {
                 true if now < over => {
-                    term.ledger.give(name, incarnation, over);
-                    tick.saturating_add(shorter(self.keep))
+                    term.granted_leases.grant(name, incarnation, over);
+                    tick.saturating_add(shorter(self.lease_duration))
                 }
                 _ => 0,
             };
-            let waits = term.waits.0.clone();
-            self.put_spared(
+            let blocked = term.blocked.0.clone();
+            self.send_within_budget(
                 election,
                 name,
                 act,
-                Kind::Keep {
+                Kind::GrantLease {
                     map,
-                    waits,
-                    until,
-                    settled,
+                    blocked,
+                    expires_at,
+                    idle,
                 },
                 sends,
             );
--- a/gateway-cluster/src/shards/node/mod.rs
+++ b/gateway-cluster/src/shards/node/mod.rs
@@ -29,16 +29,19 @@
 use crate::peers::{peer_id_of, PeerId};
 use crate::protocol::{Micros, Transmit};
 use crate::token_bucket::TokenBucket;
-use fetching::Pull;
-use proposals::Offer;
+use fetching::MapFetch;
+use proposals::LocalProposal;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use sending::{BURST, BURST_BYTES, BYTES_PER_SECOND, LOOK, MAX_EVENTS, PER_SECOND};
+use sending::{
+    BYTES_PER_SECOND, BYTE_BURST, DATAGRAMS_PER_SECOND, DATAGRAM_BURST, MAX_EVENTS,
+    PLANNING_INTERVAL,
+};
 use std::collections::{BTreeMap, VecDeque};
 use term::{Stage, Term};
 
 /// How long a leader waits for more changes of the view.
-const TOGETHER: Micros = 300_000;
+const MEMBERSHIP_CHANGE_DELAY: Micros = 300_000;
 
 /// What a gateway's part begins with.
 #[derive(Debug, Clone, Default)]
@@ -68,28 +71,28 @@
     me: PeerId,
     name: String,
     incarnation: u64,
-    born: Micros,
-    keep: Micros,
+    started_at: Micros,
+    lease_duration: Micros,
     count: usize,
     limits: Limits,
     cluster: ClusterState,
     acceptor: Acceptor,
-    hand: LocalShards,
-    hushed: bool,
+    local_shards: LocalShards,
+    suspended: bool,
     map: Option<ShardMap>,
     previous: Option<ShardMap>,
-    shelf: VecDeque<ShardMap>,
-    pulls: Vec<Pull>,
-    stash: VecDeque<Datagram>,
-    offer: Option<Offer>,
+    cached_maps: VecDeque<ShardMap>,
+    fetches: Vec<MapFetch>,
+    waiting_datagrams: VecDeque<Datagram>,
+    local_proposal: Option<LocalProposal>,
     /// Lives that have kept, and said that they go, with when that came.
     departed: BTreeMap<PeerId, (u64, Micros)>,
     term: Option<Term>,
-    budget: TokenBucket,
-    bytes: TokenBucket,
-    next: Micros,
+    datagram_budget: TokenBucket,
+    byte_budget: TokenBucket,
+    wakeup_at: Micros,
     rng: Pcg64Mcg,
-    notes: VecDeque<ShardMapEvent>,
+    events: VecDeque<ShardMapEvent>,
     /// Datagrams that make no sense, and those of names that no peer set here has.
     pub dropped: (u64, u64),
     /// Datagrams sent, and their bytes without headers.
@@ -105,56 +108,57 @@
         settings: ShardMapSettings,
         seed: u64,
     ) -> ShardMapNode {
-        let mut shard_map = ShardMapNode {
+        let mut node = ShardMapNode {
             me: peer_id_of(name),
             name: name.to_string(),
             incarnation: 0,
-            born: now,
-            keep: SHARD_LEASE_FACTOR * lease,
+            started_at: now,
+            lease_duration: SHARD_LEASE_FACTOR * lease,
             count: settings.count,
             limits: Limits::default(),
             cluster: ClusterState::default(),
             acceptor: Acceptor::default(),
-            hand: LocalShards::default(),
-            hushed: false,
+            local_shards: LocalShards::default(),
+            suspended: false,
             map: None,
             previous: None,
-            shelf: VecDeque::new(),
-            pulls: Vec::new(),
-            stash: VecDeque::new(),
-            offer: None,
+            cached_maps: VecDeque::new(),
+            fetches: Vec::new(),
+            waiting_datagrams: VecDeque::new(),
+            local_proposal: None,
             departed: BTreeMap::new(),
             term: None,
-            budget: TokenBucket::full(now, BURST, PER_SECOND),
-            bytes: TokenBucket::full(now, BURST_BYTES, BYTES_PER_SECOND),
-            next: now,
+            datagram_budget: TokenBucket::full(now, DATAGRAM_BURST, DATAGRAMS_PER_SECOND),
+            byte_budget: TokenBucket::full(now, BYTE_BURST, BYTES_PER_SECOND),
+            wakeup_at: now,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            notes: VecDeque::new(),
+            events: VecDeque::new(),
             dropped: (0, 0),
             sent: (0, 0),
         };
         if let Some((expect, ranges)) = settings.proposal {
-            shard_map.propose(now, expect, ranges);
+            node.propose(now, expect, ranges);
         }
-        shard_map
+        node
     }
 
     /// What the view holds of the peer set's names.
     pub fn on_membership_change(&mut self, now: Micros, gateways: BTreeMap<String, PeerCondition>) {
         self.cluster.gateways = gateways;
-        if let Some(term) = self.term.as_mut().filter(|term| term.look_at <= now) {
+        if let Some(term) = self.term.as_mut().filter(|term| term.plan_at <= now) {
             // Where one falls others may fall with it: they go in one map.
-            term.look_at = now + TOGETHER;
+            term.plan_at = now + MEMBERSHIP_CHANGE_DELAY;
         }
-        self.next = self.next.min(now);
+        self.wakeup_at = self.wakeup_at.min(now);
     }
 
     /// The keys that this gateway keeps at this moment, from and up to.
     pub fn mine(&self, now: Micros) -> Vec<(Key, Key)> {
-        let Some(map) = self.map.as_ref().filter(|_| !self.hushed) else {
+        let Some(map) = self.map.as_ref().filter(|_| !self.suspended) else {
             return Vec::new();
         };
-        self.hand.mine(now, &self.name, map, self.previous.as_ref())
+        self.local_shards
+            .mine(now, &self.name, map, self.previous.as_ref())
     }
 
     /// Whether this gateway keeps a key at this moment.
@@ -190,12 +194,12 @@
 
     /// The oldest thing to tell that was not taken yet.
     pub fn next_event(&mut self) -> Option<ShardMapEvent> {
-        self.notes.pop_front()
+        self.events.pop_front()
     }
 
     /// When [`ShardMapNode::on_timer`] is wanted.
     pub fn next_wakeup(&self) -> Micros {
-        self.next
+        self.wakeup_at
     }
 
     /// The epoch in which this gateway rules.
@@ -207,31 +211,31 @@
     /// leaves.
     pub fn leave(&mut self, now: Micros, election: &LeaderElection, sends: &mut Vec<Transmit>) {
         self.incarnation = election.incarnation();
-        let held = self.hand.has_held() && !self.hushed;
-        self.hush();
-        if held {
+        let had_lease = self.local_shards.had_lease() && !self.suspended;
+        self.suspend();
+        if had_lease {
             let leader = election.status(now).leader;
             // Whoever owns next has to know as well.
             let mut told = election.names();
             told.extend(leader);
             told.retain(|name| *name != self.me);
             for to in told {
-                self.put(election, to, None, Kind::Left, sends);
+                self.send(election, to, None, Kind::ReleaseLeases, sends);
             }
         }
     }
 
-    fn hush(&mut self) {
-        self.hand.drop_all();
-        (self.hushed, self.term, self.next) = (true, None, Micros::MAX);
-        self.pulls.clear();
-        self.stash.clear();
+    fn suspend(&mut self) {
+        self.local_shards.release_all();
+        (self.suspended, self.term, self.wakeup_at) = (true, None, Micros::MAX);
+        self.fetches.clear();
+        self.waiting_datagrams.clear();
     }
 
     /// It takes part again. Another process had its name: what that one accepted is not known here.
     pub fn resume(&mut self, now: Micros) {
         self.acceptor = Acceptor::default();
-        (self.hushed, self.born, self.next) = (false, now, now);
+        (self.suspended, self.started_at, self.wakeup_at) = (false, now, now);
         (self.map, self.previous) = (None, None);
     }
 
@@ -242,24 +246,24 @@
         election: &mut LeaderElection,
         sends: &mut Vec<Transmit>,
     ) {
-        self.follow(now, election);
-        if self.hushed {
+        self.sync_with_election(now, election);
+        if self.suspended {
             return;
         }
-        self.fill(now);
-        self.pull_on(now, election, sends);
-        self.offer_on(now, election, sends);
+        self.refill_budgets(now);
+        self.continue_fetches(now, election, sends);
+        self.submit_proposal(now, election, sends);
         if let Some(mut term) = self.term.take() {
-            self.rule(now, &mut term, election, sends);
+            self.run_leader(now, &mut term, election, sends);
             self.term = Some(term);
         }
-        self.set_next(now);
+        self.schedule_wakeup(now);
     }
 
     /// Goes by what leadership says at this moment.
-    fn follow(&mut self, now: Micros, election: &LeaderElection) {
-        match (election.is_hushed(), self.hushed) {
-            (true, false) => self.hush(),
+    fn sync_with_election(&mut self, now: Micros, election: &LeaderElection) {
+        match (election.is_hushed(), self.suspended) {
+            (true, false) => self.suspend(),
             (false, true) => self.resume(now),
             _ => {}
         }
@@ -269,26 +273,26 @@
             return;
         }
         self.term = epoch.map(|epoch| {
-            let mut ledger = GrantedLeases::new(now, self.keep);
+            let mut granted_leases = GrantedLeases::new(now, self.lease_duration);
             for (name, (incarnation, at)) in &self.departed {
-                if now < at + self.keep {
-                    ledger.left(now, *name, *incarnation);
+                if now < at + self.lease_duration {
+                    granted_leases.release(now, *name, *incarnation);
                 }
             }
             Term {
                 epoch,
                 elected: now,
                 attempt: 0,
-                ledger,
-                stage: Stage::Learning(BTreeMap::new()),
-                ruling: false,
-                anew: false,
+                granted_leases,
+                stage: Stage::Preparing(BTreeMap::new()),
+                leases_enabled: false,
+                recovery: false,
                 current: None,
                 previous: None,
-                waits: Default::default(),
-                turns: BTreeMap::new(),
-                offers: VecDeque::new(),
-                look_at: now,
+                blocked: Default::default(),
+                schedules: BTreeMap::new(),
+                proposals: VecDeque::new(),
+                plan_at: now,
             }
         });
     }
@@ -309,20 +313,20 @@
             self.dropped.1 += 1;
             return;
         }
-        self.follow(now, election);
-        if self.hushed {
+        self.sync_with_election(now, election);
+        if self.suspended {
             return;
         }
-        self.fill(now);
-        self.handle(now, datagram, election, sends);
+        self.refill_budgets(now);
+        self.dispatch(now, datagram, election, sends);
         if let Some(mut term) = self.term.take() {
-            self.rule(now, &mut term, election, sends);
+            self.run_leader(now, &mut term, election, sends);
             self.term = Some(term);
         }
-        self.set_next(now);
+        self.schedule_wakeup(now);
     }
 
-    fn handle(
+    fn dispatch(
         &mut self,
         now: Micros,
         datagram: Datagram,
@@ -337,7 +341,7 @@
             ref kind,
         } = datagram;
         match kind {
-            Kind::Learn(_) | Kind::Propose { .. } | Kind::Keep { .. } => {
+            Kind::Prepare(_) | Kind::Propose { .. } | Kind::GrantLease { .. } => {
                 let Some((epoch, until)) = stamp else {
                     self.dropped.0 += 1;
                     return;
@@ -354,75 +358,78 @@
                     )
                     .is_ok()
                 {
-                    self.act(now, epoch, datagram, election, sends);
+                    self.on_leader_request(now, epoch, datagram, election, sends);
                 }
                 return;
             }
-            Kind::Fetch(hash, part) => {
-                return self.send_part((from, incarnation), *hash, *part, sends)
+            Kind::FetchChunk(hash, part) => {
+                return self.send_chunk((from, incarnation), *hash, *part, sends)
             }
-            Kind::Left => {
+            Kind::ReleaseLeases => {
                 // It is true of that incarnation, whoever is told.
                 self.departed.insert(from, (incarnation, now));
                 if let Some(term) = &mut self.term {
-                    term.ledger.left(now, from, incarnation);
+                    term.granted_leases.release(now, from, incarnation);
                 }
                 return;
             }
             _ if to_incarnation != self.incarnation => return,
-            Kind::Part { .. } => return self.take_part(now, datagram, election, sends),
-            Kind::Answer {
+            Kind::Chunk { .. } => return self.on_chunk(now, datagram, election, sends),
+            Kind::ProposalResult {
                 hash,
                 state,
                 findings,
-            } => return self.answered(*hash, *state, findings.clone()),
-            Kind::Offer(hash) if self.term.is_some() && self.find(*hash).is_none() => {
-                return self.pull(now, *hash, datagram, election, sends);
+            } => return self.on_proposal_result(*hash, *state, findings.clone()),
+            Kind::SubmitProposal(hash) if self.term.is_some() && self.find(*hash).is_none() => {
+                return self.fetch_for(now, *hash, datagram, election, sends);
             }
             _ => {}
         }
         let Some(mut term) = self.term.take() else {
             return;
         };
-        self.hear(now, &mut term, datagram, election, sends);
+        self.on_reply(now, &mut term, datagram, election, sends);
         self.term = Some(term);
     }
 
-    fn note(&mut self, note: ShardMapEvent) {
-        if self.notes.len() < MAX_EVENTS && self.notes.back() != Some(&note) {
-            self.notes.push_back(note);
+    fn record_event(&mut self, event: ShardMapEvent) {
+        if self.events.len() < MAX_EVENTS && self.events.back() != Some(&event) {
+            self.events.push_back(event);
         }
     }
 
-    fn set_next(&mut self, now: Micros) {
-        let mut next = now + LOOK;
+    fn schedule_wakeup(&mut self, now: Micros) {
+        let mut next = now + PLANNING_INTERVAL;
         next = self
-            .pulls
+            .fetches
             .iter()
-            .map(|pull| pull.at)
+            .map(|fetch| fetch.retry_at)
             .fold(next, Micros::min);
-        if let Some(offer) = self
-            .offer
+        if let Some(proposal) = self
+            .local_proposal
             .as_ref()
-            .filter(|offer| offer.state == ProposalState::Waiting)
+            .filter(|proposal| proposal.state == ProposalState::Waiting)
         {
-            next = next.min(offer.at);
+            next = next.min(proposal.retry_at);
         }
         if let Some(term) = &self.term {
-            let turns = term
-                .turns
+            let schedules = term
+                .schedules
                 .values()
-                .map(|turn| turn.ask_at.min(turn.keep_at));
-            next = turns.fold(next, Micros::min);
+                .map(|schedule| schedule.request_at.min(schedule.lease_at));
+            next = schedules.fold(next, Micros::min);
             let ends = term
-                .waits
+                .blocked
                 .1
                 .iter()
-                .map(|name| now + term.ledger.left_of(now, peer_id_of(name)));
+                .map(|name| now + term.granted_leases.remaining(now, peer_id_of(name)));
             next = ends.fold(next, Micros::min);
-            let mut other = vec![term.ledger.unknown_until(), self.born + longer(self.keep)];
-            if let Stage::Learning(answers) = &term.stage {
-                other.extend(answers.values().map(|heard| heard.old_at));
+            let mut other = vec![
+                term.granted_leases.unknown_until(),
+                self.started_at + longer(self.lease_duration),
+            ];
+            if let Stage::Preparing(replies) = &term.stage {
+                other.extend(replies.values().map(|reply| reply.uncertain_until));
             }
             next = other
                 .into_iter()
@@ -430,11 +437,11 @@
                 .fold(next, Micros::min);
         }
         // Without a budget, or where a gateway was not heard of yet, it is looked at again soon.
-        self.next = next.max(now + 10_000);
+        self.wakeup_at = next.max(now + 10_000);
     }
 }
 
-fn named(map: &ShardMap) -> MapId {
+fn map_id(map: &ShardMap) -> MapId {
     MapId {
         epoch: map.epoch,
         version: map.version,
--- a/gateway-cluster/src/shards/node/proposals.rs
+++ b/gateway-cluster/src/shards/node/proposals.rs
@@ -1,26 +1,28 @@
 //! What operators propose: carried to the leader by the gateway that has it, and taken in by the leader.
 
-use super::sending::SELDOM;
-use super::term::{Offered, Term};
+use super::sending::SLOW_RETRY_INTERVAL;
+use super::term::{ReceivedProposal, Term};
 use super::ShardMapNode;
 use crate::leadership::election::LeaderElection;
 use crate::protocol::{Micros, Transmit};
 use crate::shards::finding::Finding;
 use crate::shards::map::{MapHash, ShardMap, ShardRange};
 use crate::shards::validate;
-use crate::shards::wire::{pack, FindingReport, Kind, ProposalState, MAX_CHUNKS, PART};
+use crate::shards::wire::{
+    encode_map, FindingReport, Kind, ProposalState, CHUNK_BYTES, MAX_CHUNKS,
+};
 
 /// Proposals of operators that a leader remembers.
-const OFFERS: usize = 16;
+const MAX_PROPOSALS: usize = 16;
 
 /// What operators propose here.
 #[derive(Debug)]
-pub(super) struct Offer {
+pub(super) struct LocalProposal {
     pub(super) map: ShardMap,
     pub(super) hash: MapHash,
     pub(super) state: ProposalState,
     pub(super) findings: Vec<FindingReport>,
-    pub(super) at: Micros,
+    pub(super) retry_at: Micros,
 }
 
 impl ShardMapNode {
@@ -34,11 +36,9 @@
             ranges,
         };
         let hash = map.hash();
-        if self
-            .offer
-            .as_ref()
-            .is_some_and(|offer| offer.hash == hash && offer.state != ProposalState::Refused)
-        {
+        if self.local_proposal.as_ref().is_some_and(|proposal| {
+            proposal.hash == hash && proposal.state != ProposalState::Refused
+        }) {
             return;
         }
         let size = Finding::Size {
@@ -46,8 +46,8 @@
             most: self.limits.ranges,
         };
         // One that is too large for datagrams is not sent at all.
-        let too_large =
-            map.ranges.len() > self.limits.ranges || pack(&map).len() > MAX_CHUNKS * PART;
+        let too_large = map.ranges.len() > self.limits.ranges
+            || encode_map(&map).len() > MAX_CHUNKS * CHUNK_BYTES;
         let state = if too_large {
             ProposalState::Refused
         } else {
@@ -58,113 +58,123 @@
         } else {
             Vec::new()
         };
-        self.offer = Some(Offer {
+        self.local_proposal = Some(LocalProposal {
             map,
             hash,
             state,
             findings,
-            at: now,
+            retry_at: now,
         });
-        self.next = self.next.min(now);
+        self.wakeup_at = self.wakeup_at.min(now);
     }
 
     /// Carries what operators propose to the leader.
-    pub(super) fn offer_on(
+    pub(super) fn submit_proposal(
         &mut self,
         now: Micros,
         election: &LeaderElection,
         sends: &mut Vec<Transmit>,
     ) {
-        let Some(offer) = &mut self.offer else { return };
-        if offer.state != ProposalState::Waiting || now < offer.at {
+        let Some(proposal) = &mut self.local_proposal else {
+            return;
+        };
+        if proposal.state != ProposalState::Waiting || now < proposal.retry_at {
             return;
         }
-        offer.at = now + SELDOM;
-        let hash = offer.hash;
-        let map = offer.map.clone();
+        proposal.retry_at = now + SLOW_RETRY_INTERVAL;
+        let hash = proposal.hash;
+        let map = proposal.map.clone();
         match election.status(now).leader {
             Some(leader) if leader == self.me => {
                 if let Some(mut term) = self.term.take() {
-                    let answer = Self::offered(now, &mut term, hash, &map);
+                    let answer = Self::on_proposal(now, &mut term, hash, &map);
                     self.term = Some(term);
                     if let Some((state, findings)) = answer {
-                        self.answered(hash, state, findings);
+                        self.on_proposal_result(hash, state, findings);
                     }
                 }
             }
-            Some(leader) => self.put(election, leader, None, Kind::Offer(hash), sends),
+            Some(leader) => self.send(election, leader, None, Kind::SubmitProposal(hash), sends),
             None => {}
         }
     }
 
-    pub(super) fn answered(
+    pub(super) fn on_proposal_result(
         &mut self,
         hash: MapHash,
         state: ProposalState,
         findings: Vec<FindingReport>,
     ) {
-        let Some(offer) = self.offer.as_mut().filter(|offer| offer.hash == hash) else {
+        let Some(proposal) = self
+            .local_proposal
+            .as_mut()
+            .filter(|proposal| proposal.hash == hash)
+        else {
             return;
         };
-        if offer.state != ProposalState::Waiting {
+        if proposal.state != ProposalState::Waiting {
             return;
         }
-        (offer.state, offer.findings) = (state, findings);
+        (proposal.state, proposal.findings) = (state, findings);
         if state == ProposalState::Refused {
             // An answer has room for a few: this gateway finds all itself, if it knows the same.
             let Some(old) = &self.map else { return };
             let map = ShardMap {
                 parent: old.hash(),
                 epoch: old.epoch,
-                ..offer.map.clone()
+                ..proposal.map.clone()
             };
             let found = validate(Some(old), &map, &self.cluster, &self.limits);
             let told: Vec<FindingReport> = found.iter().map(FindingReport::from).collect();
-            if offer
+            if proposal
                 .findings
                 .iter()
                 .all(|one| told.iter().any(|own| own.rule == one.rule))
             {
-                offer.findings = told;
+                proposal.findings = told;
             }
         }
     }
 
     /// What has become of a proposal at the leader, which takes it in if it is new. `None` while it cannot say.
-    pub(super) fn offered(
+    pub(super) fn on_proposal(
         now: Micros,
         term: &mut Term,
         hash: MapHash,
         map: &ShardMap,
     ) -> Option<(ProposalState, Vec<FindingReport>)> {
-        let current = term.current.as_ref().filter(|_| term.ruling)?;
+        let current = term.current.as_ref().filter(|_| term.leases_enabled)?;
         if current.ranges == map.ranges && current.version >= map.version {
             return Some((ProposalState::InForce, Vec::new()));
         }
-        if let Some(place) = term.offers.iter().position(|offered| offered.hash == hash) {
-            let known = term.offers.get(place)?;
+        if let Some(place) = term
+            .proposals
+            .iter()
+            .position(|on_proposal| on_proposal.hash == hash)
+        {
+            let known = term.proposals.get(place)?;
             let answer = (known.state, known.findings.clone());
             if known.state == ProposalState::Refused {
                 // operators may propose it again once what was wrong is mended.
-                term.offers.remove(place);
+                term.proposals.remove(place);
             }
             return Some(answer);
         }
-        if term.offers.len() >= OFFERS {
+        if term.proposals.len() >= MAX_PROPOSALS {
             // One that is not decided yet is not forgotten for another.
             let over = term
-                .offers
+                .proposals
                 .iter()
-                .position(|offered| offered.state != ProposalState::Waiting)?;
-            term.offers.remove(over);
+                .position(|on_proposal| on_proposal.state != ProposalState::Waiting)?;
+            term.proposals.remove(over);
         }
-        term.offers.push_back(Offered {
+        term.proposals.push_back(ReceivedProposal {
             hash,
             map: map.clone(),
             state: ProposalState::Waiting,
             findings: Vec::new(),
         });
-        term.look_at = now;
+        term.plan_at = now;
         None
     }
 }
--- a/gateway-cluster/src/shards/node/sending.rs
+++ b/gateway-cluster/src/shards/node/sending.rs
@@ -9,34 +9,34 @@
 
 /// What is sent in any second: the bucket's size and its rate, in datagrams and in bytes with headers. Beside the
 /// leadership's that is what a leader may send in all.
-pub(super) const BURST: f64 = 25.0;
-pub(super) const PER_SECOND: f64 = 45.0;
-pub(super) const BURST_BYTES: f64 = 9_000.0;
+pub(super) const DATAGRAM_BURST: f64 = 25.0;
+pub(super) const DATAGRAMS_PER_SECOND: f64 = 45.0;
+pub(super) const BYTE_BURST: f64 = 9_000.0;
 pub(super) const BYTES_PER_SECOND: f64 = 12_000.0;
 /// Of those, leases that are renewed in calm; and the part of the bytes that maps leave to leases.
-const KEEPS_PER_SECOND: u64 = 30;
-pub(super) const FOR_LEASES: f64 = 0.2;
+const MAX_LEASES_PER_SECOND: u64 = 30;
+pub(super) const LEASE_RESERVE: f64 = 0.2;
 /// After how long what was not answered is sent once more, and after how long from the third time on.
-pub(super) const AGAIN: Micros = 100_000;
-pub(super) const SELDOM: Micros = 500_000;
+pub(super) const RETRY_INTERVAL: Micros = 100_000;
+pub(super) const SLOW_RETRY_INTERVAL: Micros = 500_000;
 /// Bytes of a datagram around what is told of its size, with headers, at most.
-pub(super) const AROUND: usize = 150;
+pub(super) const DATAGRAM_OVERHEAD_BYTES: usize = 150;
 /// After how long a leader that found nothing to change looks again.
-pub(super) const LOOK: Micros = 500_000;
+pub(super) const PLANNING_INTERVAL: Micros = 500_000;
 pub(super) const MAX_EVENTS: usize = 256;
 
 impl ShardMapNode {
-    pub(super) fn fill(&mut self, now: Micros) {
-        self.budget.fill(now);
-        self.bytes.fill(now);
+    pub(super) fn refill_budgets(&mut self, now: Micros) {
+        self.datagram_budget.fill(now);
+        self.byte_budget.fill(now);
     }
 
     /// Whether there is room for so many bytes, with headers, beside a part that is kept for others.
-    pub(super) fn has_room(&self, bytes: usize, kept: f64) -> bool {
-        self.budget.has(1.0, kept) && self.bytes.has(bytes as f64, kept)
+    pub(super) fn has_budget(&self, bytes: usize, kept: f64) -> bool {
+        self.datagram_budget.has(1.0, kept) && self.byte_budget.has(bytes as f64, kept)
     }
 
-    pub(super) fn put(
+    pub(super) fn send(
         &mut self,
         election: &LeaderElection,
         to: PeerId,
@@ -45,10 +45,10 @@
         sends: &mut Vec<Transmit>,
     ) {
         let to_incarnation = election.clock_of(to).map_or(0, |clock| clock.0);
-        self.put_to((to, to_incarnation), stamp, kind, sends);
+        self.send_to_incarnation((to, to_incarnation), stamp, kind, sends);
     }
 
-    pub(super) fn put_to(
+    pub(super) fn send_to_incarnation(
         &mut self,
         (to, to_incarnation): (PeerId, u64),
         stamp: Option<(u64, u64)>,
@@ -63,15 +63,15 @@
             kind,
         }
         .encode();
-        self.budget.take(1.0);
-        self.bytes.take((bytes.len() + HEADER_BYTES) as f64);
+        self.datagram_budget.take(1.0);
+        self.byte_budget.take((bytes.len() + HEADER_BYTES) as f64);
         self.sent.0 += 1;
         self.sent.1 += bytes.len() as u64;
         sends.push(Transmit { to, bytes });
     }
 
     /// Sends if the budget allows it.
-    pub(super) fn put_spared(
+    pub(super) fn send_within_budget(
         &mut self,
         election: &LeaderElection,
         to: PeerId,
@@ -79,15 +79,15 @@
         kind: Kind,
         sends: &mut Vec<Transmit>,
     ) {
-        if self.has_room(AROUND, 0.0) {
-            self.put(election, to, stamp, kind, sends);
+        if self.has_budget(DATAGRAM_OVERHEAD_BYTES, 0.0) {
+            self.send(election, to, stamp, kind, sends);
         }
     }
 }
 
 /// The time from one keep lease of a gateway to the next in calm.
 pub fn period(lease: Micros, others: usize) -> Micros {
-    (2 * renewal(lease, others)).max(others as Micros * 1_000_000 / KEEPS_PER_SECOND)
+    (2 * renewal(lease, others)).max(others as Micros * 1_000_000 / MAX_LEASES_PER_SECOND)
 }
 
 /// The shortest lease of leadership with which a leader can renew the keep leases of so many others: one is given each
--- a/gateway-cluster/src/shards/node/status.rs
+++ b/gateway-cluster/src/shards/node/status.rs
@@ -1,6 +1,6 @@
 //! What operators are told of the map in force, a change that is under way and a proposal of theirs.
 
-use super::proposals::Offer;
+use super::proposals::LocalProposal;
 use super::term::Stage;
 use super::ShardMapNode;
 use crate::leadership::longer;
@@ -63,13 +63,13 @@
         for range in map.into_iter().flat_map(|map| &map.ranges) {
             *kept.entry(range.owner.clone()).or_default() += 1;
         }
-        let proposal = match &self.offer {
+        let proposal = match &self.local_proposal {
             None => ProposalStatus {
                 state: ProposalState::None,
                 version: 0,
                 findings: Vec::new(),
             },
-            Some(Offer {
+            Some(LocalProposal {
                 state,
                 map,
                 findings,
@@ -88,35 +88,35 @@
             ranges: map.map_or(0, |map| map.ranges.len()),
             kept,
             mine: self.mine(now),
-            next: self.staged(now),
+            next: self.pending_change(now),
             proposal,
         }
     }
 
-    fn staged(&self, now: Micros) -> Option<PendingChange> {
+    fn pending_change(&self, now: Micros) -> Option<PendingChange> {
         if let Some(term) = &self.term {
             if let Stage::Deciding(deciding) = &term.stage {
-                let answered = |id: &PeerId| {
+                let on_proposal_result = |id: &PeerId| {
                     deciding.accepted.contains(id) || deciding.refused.contains_key(id)
                 };
-                let waits = self
+                let blocked = self
                     .cluster
                     .gateways
                     .keys()
-                    .filter(|name| !answered(&peer_id_of(name)));
-                let waits_for = waits.cloned().collect();
+                    .filter(|name| !on_proposal_result(&peer_id_of(name)));
+                let waits_for = blocked.cloned().collect();
                 return Some(PendingChange {
-                    version: deciding.named.version,
+                    version: deciding.id.version,
                     waits_for,
                     at_most: None,
                 });
             }
-            let (marks, names) = &term.waits;
+            let (marks, names) = &term.blocked;
             let left = names
                 .iter()
-                .map(|name| term.ledger.left_of(now, peer_id_of(name)))
+                .map(|name| term.granted_leases.remaining(now, peer_id_of(name)))
                 .max();
-            let left = left.unwrap_or(term.ledger.unknown_until().saturating_sub(now));
+            let left = left.unwrap_or(term.granted_leases.unknown_until().saturating_sub(now));
             let version = term.current.as_ref().map_or(0, |map| map.version);
             return (!marks.is_empty()).then(|| PendingChange {
                 version,
@@ -125,11 +125,14 @@
             });
         }
         // What another gateway knows is what it waits for itself.
-        let hold = self.hand.hold(now).filter(|hold| !hold.waits.is_empty())?;
+        let lease = self
+            .local_shards
+            .lease(now)
+            .filter(|lease| !lease.blocked.is_empty())?;
         let map = self.map.as_ref()?;
         let mut waits_for = BTreeSet::new();
         for (number, range) in map.ranges.iter().enumerate() {
-            if range.owner == self.name && hold.waits.has(number) {
+            if range.owner == self.name && lease.blocked.contains(number) {
                 let had = self.previous.iter().flat_map(|previous| &previous.ranges);
                 let had = had.filter(|had| had.from < range.to && range.from < had.to);
                 waits_for.extend(
@@ -139,7 +142,7 @@
             }
         }
         let waits_for: Vec<String> = waits_for.into_iter().collect();
-        let at_most = Some(longer(self.keep));
+        let at_most = Some(longer(self.lease_duration));
         (!waits_for.is_empty()).then_some(PendingChange {
             version: map.version,
             waits_for,
--- a/gateway-cluster/src/shards/plan.rs
+++ b/gateway-cluster/src/shards/plan.rs
@@ -7,7 +7,7 @@
 //! * [`rebalance`]: a range moves only where that is worth it, by the rule that is stated there.
 //!
 //! Ranges stay cut as they are, since loads are told by range; they are cut further only where whole ones
-//! come out too uneven ([`SLACK_PARTS`]), and as far as [`Limits::ranges`] has room, for which neighbours
+//! come out too uneven ([`SLACK_DIVISOR`]), and as far as [`Limits::ranges`] has room, for which neighbours
 //! with one owner are joined.
 //!
 //! Each plan is put before [`validate`](super::validate()) before it is given out. All take the map in force,
@@ -24,32 +24,32 @@
 
 /// Whole ranges are given out, and cuts spared, as long as that leaves owners off by no more than the even
 /// part by this.
-pub const SLACK_PARTS: u64 = 8;
+pub const SLACK_DIVISOR: u64 = 8;
 
 /// Load is evened where an owner has more than this, in thousandths of the mean, and until none has more than
-/// [`STOP`].
-pub const START: u64 = 1250;
-/// Load is even enough. Loads that change by less than 6% after that do not reach [`START`], so nothing goes
+/// [`REBALANCE_STOP`].
+pub const REBALANCE_START: u64 = 1250;
+/// Load is even enough. Loads that change by less than 6% after that do not reach [`REBALANCE_START`], so nothing goes
 /// back and forth.
-pub const STOP: u64 = 1100;
+pub const REBALANCE_STOP: u64 = 1100;
 /// A move takes at least this much off the heavier of two owners, in thousandths of the mean load.
-pub const GAIN: u64 = 50;
+pub const MIN_GAIN: u64 = 50;
 /// And at least this much for each even part of keys that it moves: a range with a tenth of the even part has
 /// to gain 25 thousandths of the mean, one with half of it 125.
-pub const PRICE: u64 = 250;
+pub const MIN_GAIN_PER_SHARE: u64 = 250;
 
 /// Why there is no plan.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PlanError {
     /// There is nobody to plan for.
     #[error("no door lives that could keep keys: start one that the roster names")]
-    NobodyLives,
+    NoLiveGateway,
     /// The map in force is not one to go on from.
     #[error(
         "the map in force does not cover each key once: propose a whole map, or restart all doors for a \
          first one"
     )]
-    NotWhole,
+    IncompleteMap,
     /// Versions are used up.
     #[error(
         "no version comes after the one in force: restart all doors, so that a history starts anew"
@@ -73,7 +73,7 @@
 /// moves nothing else. None if nobody is gone.
 ///
 /// The lightest get them: none is lifted above the level to which these keys would fill up the lightest, like
-/// water, by more than an even part by [`SLACK_PARTS`]; in a space without room for that, it is exactly that
+/// water, by more than an even part by [`SLACK_DIVISOR`]; in a space without room for that, it is exactly that
 /// level. Weight is in keys, so that the limit of a share holds; load is evened later, by [`rebalance`].
 ///
 /// While a move of such keys is not over, it is refused ([`Rule::Moving`](super::Rule::Moving)): ask again
@@ -81,24 +81,24 @@
 ///
 /// # Errors
 /// Where nobody lives, the map in force is not whole or the last one, or the plan would be refused.
-pub fn without(
+pub fn replace_lost_owners(
     in_force: &ShardMap,
     cluster: &ClusterState,
     limits: &Limits,
 ) -> Result<Option<ShardMap>, PlanError> {
-    let mut draft = Draft::new(in_force, cluster, limits)?;
-    draft.make_room();
-    let (gone, stays) = draft
+    let mut draft = MapDraft::new(in_force, cluster, limits)?;
+    draft.merge_if_crowded();
+    let (gone, unmovable) = draft
         .ranges
         .drain(..)
         .partition(|range| !cluster.is_alive(&range.owner));
-    draft.ranges = stays;
+    draft.ranges = unmovable;
     if gone.is_empty() {
         return Ok(None);
     }
     let keys = gone.iter().map(ShardRange::keys).sum();
-    let most = level(draft.kept.values().copied(), keys).saturating_add(draft.slack());
-    draft.hand_out(gone, most);
+    let max = fill_level(draft.owned.values().copied(), keys).saturating_add(draft.slack());
+    draft.assign_to_lightest(gone, max);
     draft.finish().map(Some)
 }
 
@@ -106,34 +106,34 @@
 /// most [`Limits::max_moved`] at once: asked again with what came into force, it goes on, and gives none
 /// when it has come to its end. Names that do not live are no newcomers.
 ///
-/// In the end each has the even part, rounded down, or lacks at most an even part by [`SLACK_PARTS`], and
+/// In the end each has the even part, rounded down, or lacks at most an even part by [`SLACK_DIVISOR`], and
 /// whoever gave keeps as much. Where there is no room for cuts, whole ranges go as far as that
 /// holds. What is moving stays until it has.
 ///
 /// # Errors
 /// Where nobody lives, the map in force is not whole or the last one, or the plan would be refused: so if a
 /// owner is gone ([`without`] comes first).
-pub fn joined<'a>(
+pub fn add_owners<'a>(
     in_force: &'a ShardMap,
     newcomers: impl IntoIterator<Item = &'a str>,
     cluster: &'a ClusterState,
     limits: &'a Limits,
 ) -> Result<Option<ShardMap>, PlanError> {
-    let mut draft = Draft::new(in_force, cluster, limits)?;
+    let mut draft = MapDraft::new(in_force, cluster, limits)?;
     let newcomers: BTreeSet<&str> = newcomers
         .into_iter()
         .filter(|name| cluster.is_alive(name))
         .collect();
-    draft.make_room();
+    draft.merge_if_crowded();
     let mut left = limits.max_moved();
     let mut moved = false;
     // The lightest newcomer takes from the heaviest of the others, whole ranges first.
-    while let Some((number, keys, to)) = draft
-        .whole_for(&newcomers, left)
-        .or_else(|| draft.part_for(&newcomers, left))
+    while let Some((index, keys, to)) = draft
+        .range_for(&newcomers, left)
+        .or_else(|| draft.partial_range_for(&newcomers, left))
     {
-        draft.split_off(number, keys);
-        draft.change_owner(number, to);
+        draft.split_off(index, keys);
+        draft.change_owner(index, to);
         left = left.saturating_sub(keys);
         moved = true;
     }
@@ -145,10 +145,10 @@
 
 /// Evens load, which is told for each range of the map in force, in any unit. None if nothing is worth a move.
 ///
-/// It begins only where the heaviest owner has more than [`START`] of the mean, and goes on until it has no
-/// more than [`STOP`]. A move takes a whole range from the heaviest to the lightest that may have it, the one
-/// that leaves the heavier of the two lightest, then the one with fewest keys. It has to gain [`GAIN`] and
-/// its [`PRICE`], both measured by what the heavier of the two loses. What is moving stays, nothing moves
+/// It begins only where the heaviest owner has more than [`REBALANCE_START`] of the mean, and goes on until it has no
+/// more than [`REBALANCE_STOP`]. A move takes a whole range from the heaviest to the lightest that may have it, the one
+/// that leaves the heavier of the two lightest, then the one with fewest keys. It has to gain [`MIN_GAIN`] and
+/// its [`MIN_GAIN_PER_SHARE`], both measured by what the heavier of the two loses. What is moving stays, nothing moves
 /// twice in one plan, and no more than [`Limits::max_moved`] in all.
 ///
 /// The sum of the squares of loads falls with each move, so with loads that stay nothing comes back. A single
@@ -163,20 +163,20 @@
     cluster: &ClusterState,
     limits: &Limits,
 ) -> Result<Option<ShardMap>, PlanError> {
-    let mut draft = Draft::new(in_force, cluster, limits)?;
+    let mut draft = MapDraft::new(in_force, cluster, limits)?;
     if loads.len() != in_force.ranges.len() {
         return Err(PlanError::Loads {
             loads: loads.len(),
             ranges: in_force.ranges.len(),
         });
     }
-    let mut carried: BTreeMap<&str, u128> = cluster.living().map(|name| (name, 0)).collect();
+    let mut load_of: BTreeMap<&str, u128> = cluster.living().map(|name| (name, 0)).collect();
     for (range, load) in in_force.ranges.iter().zip(loads) {
         // Whoever is gone has to go first, and `finish` says so.
-        *carried.entry(&range.owner).or_default() += u128::from(*load);
+        *load_of.entry(&range.owner).or_default() += u128::from(*load);
     }
-    let gateways = carried.len() as u128;
-    let all: u128 = carried.values().sum();
+    let gateways = load_of.len() as u128;
+    let all: u128 = load_of.values().sum();
     // Loads come from other gateways and may be any number: beyond all measure they are as good as equal.
     let parts = |load: u128, parts: u64| {
         load.saturating_mul(gateways * 1000) >= all.saturating_mul(u128::from(parts))
@@ -184,68 +184,71 @@
     let even = u128::from(draft.even());
     let pays = |gain: u128, keys: u64| {
         let price = all
-            .saturating_mul(u128::from(PRICE))
+            .saturating_mul(u128::from(MIN_GAIN_PER_SHARE))
             .saturating_mul(u128::from(keys));
         gain.saturating_mul(gateways * 1000).saturating_mul(even) >= price
     };
-    if !carried.values().any(|load| parts(*load, START + 1)) {
+    if !load_of
+        .values()
+        .any(|load| parts(*load, REBALANCE_START + 1))
+    {
         return Ok(None);
     }
     let mut left = limits.max_moved();
     let max_owned = limits.max_owned(cluster.living().count());
-    let mut stays: Vec<bool> = in_force
+    let mut unmovable: Vec<bool> = in_force
         .ranges
         .iter()
         .map(|range| draft.is_moving(range))
         .collect();
     let mut moved = false;
     loop {
-        let heaviest = carried
+        let heaviest = load_of
             .iter()
             .max_by_key(|(name, load)| (**load, Reverse(**name)));
         let Some((from, heavy)) = heaviest.map(|(name, load)| (*name, *load)) else {
             break;
         };
-        if !parts(heavy, STOP + 1) {
+        if !parts(heavy, REBALANCE_STOP + 1) {
             break;
         }
         let mut by_load: Vec<(u128, &str)> =
-            carried.iter().map(|(name, load)| (*load, *name)).collect();
+            load_of.iter().map(|(name, load)| (*load, *name)).collect();
         by_load.sort_unstable();
         let mut best: Option<(u128, u64, usize, &str, u128)> = None;
-        for (number, ((range, load), stay)) in
-            draft.ranges.iter().zip(loads).zip(&stays).enumerate()
+        for (index, ((range, load), is_unmovable)) in
+            draft.ranges.iter().zip(loads).zip(&unmovable).enumerate()
         {
             let (load, keys) = (u128::from(*load), range.keys());
-            if *stay || range.owner != from || keys > left {
+            if *is_unmovable || range.owner != from || keys > left {
                 continue;
             }
-            let has_room = |name: &str| {
+            let can_take = |name: &str| {
                 name != from
                     && draft
-                        .kept
+                        .owned
                         .get(name)
-                        .is_some_and(|kept| keys <= max_owned.saturating_sub(*kept))
+                        .is_some_and(|owned| keys <= max_owned.saturating_sub(*owned))
             };
-            let Some((light, to)) = by_load.iter().find(|(_, name)| has_room(name)) else {
+            let Some((light, to)) = by_load.iter().find(|(_, name)| can_take(name)) else {
                 continue;
             };
             let heavier = (heavy - load).max(light + load);
             let gain = heavy.saturating_sub(heavier);
-            if gain > 0 && parts(gain, GAIN) && pays(gain, keys) {
-                let candidate = (heavier, keys, number, *to, load);
+            if gain > 0 && parts(gain, MIN_GAIN) && pays(gain, keys) {
+                let candidate = (heavier, keys, index, *to, load);
                 best = Some(best.map_or(candidate, |best| best.min(candidate)));
             }
         }
-        let Some((_, keys, number, to, load)) = best else {
+        let Some((_, keys, index, to, load)) = best else {
             break;
         };
-        draft.change_owner(number, to);
-        if let Some(stay) = stays.get_mut(number) {
-            *stay = true;
+        draft.change_owner(index, to);
+        if let Some(is_unmovable) = unmovable.get_mut(index) {
+            *is_unmovable = true;
         }
-        *carried.entry(from).or_default() -= load;
-        *carried.entry(to).or_default() += load;
+        *load_of.entry(from).or_default() -= load;
+        *load_of.entry(to).or_default() += load;
         left = left.saturating_sub(keys);
         moved = true;
     }
@@ -256,23 +259,23 @@
 }
 
 /// The height, rounded up, to which so many keys fill up the lowest of these.
-fn level(kept: impl Iterator<Item = u64>, keys: u64) -> u64 {
-    let mut kept: Vec<u64> = kept.collect();
-    kept.sort_unstable();
+fn fill_level(owned: impl Iterator<Item = u64>, keys: u64) -> u64 {
+    let mut owned: Vec<u64> = owned.collect();
+    owned.sort_unstable();
     let mut below = u128::from(keys);
-    let mut level = u128::from(keys);
-    for (number, height) in kept.iter().enumerate() {
-        if number > 0 && u128::from(*height) >= level {
+    let mut fill_level = u128::from(keys);
+    for (index, height) in owned.iter().enumerate() {
+        if index > 0 && u128::from(*height) >= fill_level {
             break;
         }
         below += u128::from(*height);
-        level = below.div_ceil(number as u128 + 1);
+        fill_level = below.div_ceil(index as u128 + 1);
     }
-    u64::try_from(level).unwrap_or(u64::MAX)
+    u64::try_from(fill_level).unwrap_or(u64::MAX)
 }
 
 /// A map in the making.
-struct Draft<'a> {
+struct MapDraft<'a> {
     in_force: &'a ShardMap,
     cluster: &'a ClusterState,
     limits: &'a Limits,
@@ -280,50 +283,50 @@
     /// Not in order.
     ranges: Vec<ShardRange>,
     /// Keys of each gateway that lives.
-    kept: BTreeMap<&'a str, u64>,
+    owned: BTreeMap<&'a str, u64>,
 }
 
-impl<'a> Draft<'a> {
+impl<'a> MapDraft<'a> {
     fn new(
         in_force: &'a ShardMap,
         cluster: &'a ClusterState,
         limits: &'a Limits,
-    ) -> Result<Draft<'a>, PlanError> {
-        let mut kept: BTreeMap<&str, u64> = cluster.living().map(|name| (name, 0)).collect();
-        if kept.is_empty() {
-            return Err(PlanError::NobodyLives);
+    ) -> Result<MapDraft<'a>, PlanError> {
+        let mut owned: BTreeMap<&str, u64> = cluster.living().map(|name| (name, 0)).collect();
+        if owned.is_empty() {
+            return Err(PlanError::NoLiveGateway);
         }
         let mut end = 0;
         for range in &in_force.ranges {
             if range.from != end || range.keys() == 0 {
-                return Err(PlanError::NotWhole);
+                return Err(PlanError::IncompleteMap);
             }
             end = range.to;
-            if let Some(kept) = kept.get_mut(range.owner.as_str()) {
-                *kept += range.keys();
+            if let Some(owned) = owned.get_mut(range.owner.as_str()) {
+                *owned += range.keys();
             }
         }
         if end != limits.keys {
-            return Err(PlanError::NotWhole);
+            return Err(PlanError::IncompleteMap);
         }
-        let moving = cover::joined(&cluster.moving);
-        Ok(Draft {
+        let moving = cover::merged(&cluster.moving);
+        Ok(MapDraft {
             in_force,
             cluster,
             limits,
             moving,
             ranges: in_force.ranges.clone(),
-            kept,
+            owned,
         })
     }
 
     /// The even part, rounded down.
     fn even(&self) -> u64 {
-        self.limits.keys / (self.kept.len() as u64).max(1)
+        self.limits.keys / (self.owned.len() as u64).max(1)
     }
 
     fn slack(&self) -> u64 {
-        self.even() / SLACK_PARTS
+        self.even() / SLACK_DIVISOR
     }
 
     fn is_moving(&self, range: &ShardRange) -> bool {
@@ -333,8 +336,8 @@
 
     /// Joins neighbours that have one owner, if ranges are so many that each gateway could not be cut one.
     /// Ranges have to be in order.
-    fn make_room(&mut self) {
-        if self.ranges.len().saturating_add(self.kept.len()) > self.limits.ranges {
+    fn merge_if_crowded(&mut self) {
+        if self.ranges.len().saturating_add(self.owned.len()) > self.limits.ranges {
             self.join();
         }
     }
@@ -356,98 +359,102 @@
 
     /// Gives ranges to the lightest, none of which gets more than this, unless there is no room for another
     /// cut.
-    fn hand_out(&mut self, ranges: Vec<ShardRange>, most: u64) {
+    fn assign_to_lightest(&mut self, ranges: Vec<ShardRange>, max: u64) {
         let mut left: BinaryHeap<(u64, Reverse<Key>)> = ranges
             .iter()
             .map(|range| (range.keys(), Reverse(range.from)))
             .collect();
         while let Some((keys, Reverse(from))) = left.pop() {
             let lightest = self
-                .kept
+                .owned
                 .iter_mut()
-                .min_by_key(|(name, kept)| (**kept, **name));
-            let Some((name, kept)) = lightest else { return };
-            let room = most.saturating_sub(*kept);
+                .min_by_key(|(name, owned)| (**owned, **name));
+            let Some((name, owned)) = lightest else {
+                return;
+            };
+            let capacity = max.saturating_sub(*owned);
             let cuts = self
                 .ranges
                 .len()
                 .saturating_add(left.len())
                 .saturating_add(1)
                 < self.limits.ranges;
-            let given = if cuts && room > 0 {
-                keys.min(room)
+            let assigned = if cuts && capacity > 0 {
+                keys.min(capacity)
             } else {
                 keys
             };
-            *kept += given;
-            self.ranges.push(ShardRange::new(from, from + given, *name));
-            if given < keys {
-                left.push((keys - given, Reverse(from + given)));
+            *owned += assigned;
+            self.ranges
+                .push(ShardRange::new(from, from + assigned, *name));
+            if assigned < keys {
+                left.push((keys - assigned, Reverse(from + assigned)));
             }
         }
     }
 
     /// The newcomer that lacks most, and how much, if it lacks more than is let be.
     fn neediest(&self, newcomers: &BTreeSet<&'a str>) -> Option<(&'a str, u64)> {
-        let kept = newcomers
+        let owned = newcomers
             .iter()
-            .filter_map(|name| self.kept.get(name).map(|kept| (*kept, *name)));
-        let (kept, name) = kept.min()?;
-        let lacks = self.even().saturating_sub(kept);
-        (lacks > self.slack()).then_some((name, lacks))
+            .filter_map(|name| self.owned.get(name).map(|owned| (*owned, *name)));
+        let (owned, name) = owned.min()?;
+        let missing = self.even().saturating_sub(owned);
+        (missing > self.slack()).then_some((name, missing))
     }
 
     /// Ranges that others may give, by place, with what their owners have.
-    fn offered<'b>(
+    fn donors<'b>(
         &'b self,
         newcomers: &'b BTreeSet<&str>,
     ) -> impl Iterator<Item = (usize, &'b ShardRange, u64)> {
-        self.ranges
-            .iter()
-            .enumerate()
-            .filter_map(|(number, range)| {
-                let kept = self.kept.get(range.owner.as_str())?;
-                let stays = newcomers.contains(range.owner.as_str()) || self.is_moving(range);
-                (!stays).then_some((number, range, *kept))
-            })
+        self.ranges.iter().enumerate().filter_map(|(index, range)| {
+            let owned = self.owned.get(range.owner.as_str())?;
+            let unmovable = newcomers.contains(range.owner.as_str()) || self.is_moving(range);
+            (!unmovable).then_some((index, range, *owned))
+        })
     }
 
     /// A whole range for a newcomer, of at most so many keys: its place, its keys, and whose it shall be.
-    fn whole_for(&self, newcomers: &BTreeSet<&'a str>, most: u64) -> Option<(usize, u64, &'a str)> {
-        let (to, lacks) = self.neediest(newcomers)?;
-        let least = self.even() - self.slack();
-        let fits = |keys: u64, kept: u64| keys <= lacks.min(most) && kept - keys >= least;
+    fn range_for(&self, newcomers: &BTreeSet<&'a str>, max: u64) -> Option<(usize, u64, &'a str)> {
+        let (to, missing) = self.neediest(newcomers)?;
+        let min_kept = self.even() - self.slack();
+        let fits = |keys: u64, owned: u64| keys <= missing.min(max) && owned - keys >= min_kept;
         let ranges = self
-            .offered(newcomers)
-            .filter(|(_, range, kept)| fits(range.keys(), *kept));
-        let (number, range, _) =
-            ranges.max_by_key(|(_, range, kept)| (*kept, range.keys(), Reverse(range.from)))?;
-        Some((number, range.keys(), to))
+            .donors(newcomers)
+            .filter(|(_, range, owned)| fits(range.keys(), *owned));
+        let (index, range, _) =
+            ranges.max_by_key(|(_, range, owned)| (*owned, range.keys(), Reverse(range.from)))?;
+        Some((index, range.keys(), to))
     }
 
-    /// A part of a range, cut off at its end, as [`Draft::whole_for`].
-    fn part_for(&self, newcomers: &BTreeSet<&'a str>, most: u64) -> Option<(usize, u64, &'a str)> {
-        let (to, lacks) = self.neediest(newcomers)?;
+    /// A part of a range, cut off at its end, as [`MapDraft::range_for`].
+    fn partial_range_for(
+        &self,
+        newcomers: &BTreeSet<&'a str>,
+        max: u64,
+    ) -> Option<(usize, u64, &'a str)> {
+        let (to, missing) = self.neediest(newcomers)?;
         if self.ranges.len() >= self.limits.ranges {
             return None;
         }
-        let ranges = self.offered(newcomers);
-        let (number, range, kept) =
-            ranges.max_by_key(|(_, range, kept)| (*kept, range.keys(), Reverse(range.from)))?;
+        let ranges = self.donors(newcomers);
+        let (index, range, owned) =
+            ranges.max_by_key(|(_, range, owned)| (*owned, range.keys(), Reverse(range.from)))?;
         // The even part may be a fraction: who has more than that rounded up gives before who has just that.
-        let more = self.limits.keys.div_ceil((self.kept.len() as u64).max(1)) - self.slack();
-        let spare = kept.saturating_sub(if kept > more {
+        let more = self.limits.keys.div_ceil((self.owned.len() as u64).max(1)) - self.slack();
+        let spare = owned.saturating_sub(if owned > more {
             more
         } else {
             self.even() - self.slack()
         });
-        let keys = spare.min(lacks).min(most).min(range.keys());
-        (keys > 0).then_some((number, keys, to))
+        let keys = spare.min(missing).min(max).min(range.keys());
+        (keys > 0).then_some((index, keys, to))
     }
 
     /// Leaves a range so many keys, at its end, and makes another one of the rest.
-    fn split_off(&mut self, number: usize, keys: u64) {
-        let Some(range) = self.ranges.get_mut(number) else {
+    fn split_off(&mut self, index: usize, keys: u64) {
+        let Some(range) = self.ranges.get_mut(index) else {
             return;
         };
         if keys < range.keys() {
@@ -458,14 +465,14 @@
         }
     }
 
-    fn change_owner(&mut self, number: usize, to: &'a str) {
-        let Some(range) = self.ranges.get_mut(number) else {
+    fn change_owner(&mut self, index: usize, to: &'a str) {
+        let Some(range) = self.ranges.get_mut(index) else {
             return;
         };
-        if let Some(kept) = self.kept.get_mut(range.owner.as_str()) {
-            *kept = kept.saturating_sub(range.keys());
+        if let Some(owned) = self.owned.get_mut(range.owner.as_str()) {
+            *owned = owned.saturating_sub(range.keys());
         }
-        *self.kept.entry(to).or_default() += range.keys();
+        *self.owned.entry(to).or_default() += range.keys();
         range.owner = to.to_string();
     }
 
@@ -474,7 +481,7 @@
         if self.ranges.len() > self.limits.ranges {
             self.join();
         }
-        let Draft {
+        let MapDraft {
             in_force,
             cluster,
             limits,
--- a/gateway-cluster/src/shards/validate.rs
+++ b/gateway-cluster/src/shards/validate.rs
@@ -1,6 +1,6 @@
 //! The check that every gateway makes for itself before it accepts a map.
 
-use super::cover::{common, cover, joined, meant, Cover};
+use super::cover::{cover, intersect, merged, normalized_bounds, Cover};
 use super::finding::{shown, Finding, MAX_FINDINGS_PER_RULE};
 use super::map::{MapHash, ShardMap};
 use super::{ClusterState, Limits, PeerCondition};
@@ -31,64 +31,64 @@
     limits: &Limits,
 ) -> Vec<Finding> {
     let covered = cover(&new.ranges, limits.keys);
-    let mut told = Vec::new();
-    tell(
-        &mut told,
+    let mut findings = Vec::new();
+    push_findings(
+        &mut findings,
         covered
             .gaps
             .iter()
             .map(|&(from, to)| Finding::Gap { from, to }),
     );
-    tell(
-        &mut told,
+    push_findings(
+        &mut findings,
         covered
             .overlaps
             .iter()
             .map(|&(from, to)| Finding::Overlap { from, to }),
     );
-    tell(&mut told, empty(new));
-    tell(&mut told, order(new));
-    tell(&mut told, beyond(new, limits));
-    tell(&mut told, owners(new, cluster));
-    tell(&mut told, parent(in_force, new));
-    tell(&mut told, version(in_force, new));
-    tell(&mut told, epoch(in_force, new, cluster));
+    push_findings(&mut findings, empty(new));
+    push_findings(&mut findings, order(new));
+    push_findings(&mut findings, beyond(new, limits));
+    push_findings(&mut findings, owners(new, cluster));
+    push_findings(&mut findings, parent(in_force, new));
+    push_findings(&mut findings, version(in_force, new));
+    push_findings(&mut findings, epoch(in_force, new, cluster));
     let change = in_force.map(|old| Change::new(old, new, &covered, limits));
-    tell(
-        &mut told,
+    push_findings(
+        &mut findings,
         change
             .iter()
             .flat_map(|change| change.moved(cluster, limits)),
     );
-    tell(
-        &mut told,
+    push_findings(
+        &mut findings,
         shares(change.as_ref(), new, &covered, cluster, limits),
     );
-    tell(
-        &mut told,
+    push_findings(
+        &mut findings,
         change.iter().flat_map(|change| change.moving(cluster)),
     );
     let size = Finding::Size {
         ranges: new.ranges.len(),
         most: limits.ranges,
     };
-    tell(
-        &mut told,
+    push_findings(
+        &mut findings,
         (new.ranges.len() > limits.ranges).then_some(size),
     );
-    told
+    findings
 }
 
 /// Adds the findings of one rule.
-fn tell(told: &mut Vec<Finding>, findings: impl IntoIterator<Item = Finding>) {
-    let mut findings = findings.into_iter();
-    told.extend(findings.by_ref().take(MAX_FINDINGS_PER_RULE));
+fn push_findings(all: &mut Vec<Finding>, of_one_rule: impl IntoIterator<Item = Finding>) {
+    let mut findings = of_one_rule.into_iter();
+    all.extend(findings.by_ref().take(MAX_FINDINGS_PER_RULE));
     let (mut more, mut rule) = (0, None);
     for finding in findings {
         more += 1;
         rule = Some(finding.rule());
     }
-    told.extend(rule.map(|rule| Finding::More { rule, more }));
+    all.extend(rule.map(|rule| Finding::More { rule, more }));
 }
 
 fn empty(new: &ShardMap) -> impl Iterator<Item = Finding> + '_ {
@@ -107,9 +107,14 @@
 /// Compares each range with the one that is listed before it. A swap of two neighbours is one finding that
 /// way, and one of any two at most two. An empty range has no place.
 fn order(new: &ShardMap) -> impl Iterator<Item = Finding> + '_ {
-    let meant = || new.ranges.iter().map(meant).filter(|(from, to)| from < to);
-    meant()
-        .zip(meant().skip(1))
+    let normalized_bounds = || {
+        new.ranges
+            .iter()
+            .map(normalized_bounds)
+            .filter(|(from, to)| from < to)
+    };
+    normalized_bounds()
+        .zip(normalized_bounds().skip(1))
         .filter(|(before, next)| next.0 < before.0)
         .map(|(before, (from, to))| Finding::Order {
             from,
@@ -123,7 +128,7 @@
     let bounds = new
         .ranges
         .iter()
-        .map(meant)
+        .map(normalized_bounds)
         .filter(move |(from, to)| from < to && *to > end);
     bounds.map(move |(from, to)| Finding::Beyond {
         from: from.max(end),
@@ -194,14 +199,14 @@
 }
 
 /// Keys per owner, of those that one range alone covers.
-fn kept<'a>(map: &'a ShardMap, covered: &Cover) -> BTreeMap<&'a str, u64> {
-    let mut kept = BTreeMap::new();
-    for piece in &covered.once {
-        if let Some(range) = map.ranges.get(piece.range) {
-            *kept.entry(range.owner.as_str()).or_default() += piece.to - piece.from;
+fn owned_keys<'a>(map: &'a ShardMap, covered: &Cover) -> BTreeMap<&'a str, u64> {
+    let mut owned_keys = BTreeMap::new();
+    for span in &covered.covered_once {
+        if let Some(range) = map.ranges.get(span.range) {
+            *owned_keys.entry(range.owner.as_str()).or_default() += span.to - span.from;
         }
     }
-    kept
+    owned_keys
 }
 
 fn shares(
@@ -212,11 +217,15 @@
     limits: &Limits,
 ) -> Vec<Finding> {
     let most = limits.max_owned(cluster.living().count());
-    let over = kept(new, covered).into_iter().filter(|(owner, keys)| {
-        let had = change.and_then(|change| change.kept.get(owner)).copied();
-        // What is given to a gateway that cannot keep it is told under `owner`.
-        *keys > most && had.is_none_or(|had| *keys > had) && cluster.is_alive(owner)
-    });
+    let over = owned_keys(new, covered)
+        .into_iter()
+        .filter(|(owner, keys)| {
+            let had = change
+                .and_then(|change| change.owned_keys.get(owner))
+                .copied();
+            // What is given to a gateway that cannot keep it is told under `owner`.
+            *keys > most && had.is_none_or(|had| *keys > had) && cluster.is_alive(owner)
+        });
     over.map(|(owner, keys)| Finding::Share {
         owner: shown(owner),
         keys,
@@ -236,7 +245,7 @@
 /// What a new map does to the one in force.
 struct Change<'a> {
     /// What each owner has in force.
-    kept: BTreeMap<&'a str, u64>,
+    owned_keys: BTreeMap<&'a str, u64>,
     moves: Vec<Moves<'a>>,
 }
 
@@ -244,7 +253,7 @@
     fn new(old: &'a ShardMap, new: &'a ShardMap, covered: &Cover, limits: &Limits) -> Change<'a> {
         let before = cover(&old.ranges, limits.keys);
         let mut moves: Vec<Moves> = Vec::new();
-        for ((from, to), had, has) in common(&before.once, &covered.once) {
+        for ((from, to), had, has) in intersect(&before.covered_once, &covered.covered_once) {
             let (Some(had), Some(has)) = (old.ranges.get(had), new.ranges.get(has)) else {
                 continue;
             };
@@ -265,7 +274,7 @@
             }
         }
         Change {
-            kept: kept(old, &before),
+            owned_keys: owned_keys(old, &before),
             moves,
         }
     }
@@ -281,7 +290,7 @@
     }
 
     fn moving(&self, cluster: &ClusterState) -> Vec<Finding> {
-        let moving = joined(&cluster.moving);
+        let moving = merged(&cluster.moving);
         let mut found = Vec::new();
         for moves in &self.moves {
             let first = moving.partition_point(|span| span.1 <= moves.from);
--- a/gateway-cluster/src/shards/wire.rs
+++ b/gateway-cluster/src/shards/wire.rs
@@ -12,7 +12,7 @@
 pub const VERSION: u8 = 3;
 
 /// Bytes of a map in one datagram.
-pub const PART: usize = 1200;
+pub const CHUNK_BYTES: usize = 1200;
 /// Most parts of a map: 1,024 ranges with names of 64 bytes for each of 300 gateways take 28.
 pub const MAX_CHUNKS: usize = 80;
 /// Findings that an answer has room for, each text cut to so many characters.
@@ -61,14 +61,14 @@
 
 /// As many findings as an answer has room for.
 pub fn truncated_findings(findings: &[FindingReport]) -> Vec<FindingReport> {
-    let cut = |told: &FindingReport| FindingReport {
-        text: told.text.chars().take(MAX_FINDING_CHARS).collect(),
-        ..told.clone()
+    let truncate = |report: &FindingReport| FindingReport {
+        text: report.text.chars().take(MAX_FINDING_CHARS).collect(),
+        ..report.clone()
     };
     findings
         .iter()
         .take(MAX_FINDINGS_ON_WIRE)
-        .map(cut)
+        .map(truncate)
         .collect()
 }
 
@@ -101,7 +101,7 @@
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
     /// What do you know? Accept nothing of a lower ballot from now on.
-    Learn(Ballot),
+    Prepare(Ballot),
     /// Accept this map.
     Propose {
         /// The ballot.
@@ -109,66 +109,66 @@
         /// The map.
         map: MapId,
         /// A majority may have accepted it under an earlier leader.
-        finish: bool,
+        resumed: bool,
         /// Too few remember what they accepted before: this is where a history starts, or goes on.
-        anew: bool,
+        recovery: bool,
         /// Its bytes, where they have room; else it is fetched.
-        whole: Vec<u8>,
+        map_bytes: Vec<u8>,
     },
     /// This map is in force. Keep what it gives you, but for what waits, until then on your clock.
-    Keep {
+    GrantLease {
         /// The map.
         map: MapId,
         /// Ranges that others may still keep.
-        waits: RangeSet,
+        blocked: RangeSet,
         /// The end of the keep lease.
-        until: u64,
+        expires_at: u64,
         /// Nothing else is being decided.
-        settled: bool,
+        idle: bool,
     },
     /// Answers [`Kind::Learn`].
-    Learned {
+    Promise {
         /// Of the question.
         ballot: Ballot,
         /// What the sender knows.
-        answer: AcceptorReport,
+        report: AcceptorReport,
         /// It has had a keep lease in this incarnation.
-        held: bool,
+        had_lease: bool,
         /// It began so short ago that for so long yet, in milliseconds, somebody may keep by what was given before.
-        young_ms: u32,
+        lease_uncertainty_ms: u32,
     },
     /// Accepted.
     Accepted(Ballot, MapHash),
     /// Not accepted.
-    Refused(Ballot, MapHash, Vec<FindingReport>),
+    Rejected(Ballot, MapHash, Vec<FindingReport>),
     /// The sender has taken over the map of this version and hash, in this epoch, and keeps by no other.
-    Have {
+    AcknowledgeLease {
         /// The epoch.
         epoch: u64,
         /// The map's version.
         version: u64,
         /// It has had a keep lease in this incarnation.
-        held: bool,
+        had_lease: bool,
     },
     /// The sender keeps nothing, and goes.
-    Left,
+    ReleaseLeases,
     /// Transmit a part of the map with this hash.
-    Fetch(MapHash, u8),
+    FetchChunk(MapHash, u8),
     /// A part of it.
-    Part {
+    Chunk {
         /// The map.
         hash: MapHash,
         /// Which part.
-        part: u8,
+        index: u8,
         /// Of how many.
-        parts: u8,
+        count: u8,
         /// Its bytes.
         bytes: Vec<u8>,
     },
     /// operators propose the map with this hash.
-    Offer(MapHash),
+    SubmitProposal(MapHash),
     /// What became of it.
-    Answer {
+    ProposalResult {
         /// The proposal.
         hash: MapHash,
         /// Its state.
@@ -192,7 +192,7 @@
 
 /// A map as it is sent: each name once.
 #[derive(Serialize, Deserialize)]
-struct Packed {
+struct EncodedMap {
     version: u64,
     parent: MapHash,
     epoch: u64,
@@ -201,7 +201,7 @@
 }
 
 /// A map's bytes.
-pub fn pack(map: &ShardMap) -> Vec<u8> {
+pub fn encode_map(map: &ShardMap) -> Vec<u8> {
     let mut names: Vec<String> = map.ranges.iter().map(|range| range.owner.clone()).collect();
     names.sort();
     names.dedup();
@@ -217,7 +217,7 @@
         epoch,
         ..
     } = *map;
-    postcard::to_allocvec(&Packed {
+    postcard::to_allocvec(&EncodedMap {
         version,
         parent,
         epoch,
@@ -228,8 +228,8 @@
 }
 
 /// Puts parts together. None if they are not the bytes of the map with this hash.
-pub fn unpack(hash: MapHash, bytes: &[u8]) -> Option<ShardMap> {
-    let Packed {
+pub fn decode_map(hash: MapHash, bytes: &[u8]) -> Option<ShardMap> {
+    let EncodedMap {
         version,
         parent,
         epoch,
--- a/gateway-cluster/tests/compatibility.rs
+++ b/gateway-cluster/tests/compatibility.rs
@@ -195,14 +195,14 @@
         to: Some(2),
         text: "a gap".into(),
     };
-    let waits = RangeSet::of(12, |number| number == 3 || number == 11);
-    let answer = AcceptorReport {
+    let blocked = RangeSet::of(12, |number| number == 3 || number == 11);
+    let report = AcceptorReport {
         in_force: Some(named),
         accepted: Some((ballot, named)),
-        memory: true,
+        recovered: true,
     };
-    let refusals =
-        Rule::ALL.map(|rule| shards::Kind::Refused(ballot, MapHash(0x1234), vec![finding(rule)]));
+    let rejections =
+        Rule::ALL.map(|rule| shards::Kind::Rejected(ballot, MapHash(0x1234), vec![finding(rule)]));
     let states = [
         shards::ProposalState::None,
         shards::ProposalState::Waiting,
@@ -210,33 +210,33 @@
         shards::ProposalState::Refused,
     ];
     let mut kinds = vec![
-        ("learn".to_string(), shards::Kind::Learn(ballot)),
+        ("learn".to_string(), shards::Kind::Prepare(ballot)),
         (
             "propose".to_string(),
             shards::Kind::Propose {
                 ballot,
                 map: named,
-                finish: true,
-                anew: false,
-                whole: vec![1, 2],
+                resumed: true,
+                recovery: false,
+                map_bytes: vec![1, 2],
             },
         ),
         (
             "keep".to_string(),
-            shards::Kind::Keep {
+            shards::Kind::GrantLease {
                 map: named,
-                waits,
-                until: 5_000_000,
-                settled: true,
+                blocked,
+                expires_at: 5_000_000,
+                idle: true,
             },
         ),
         (
             "learned".to_string(),
-            shards::Kind::Learned {
+            shards::Kind::Promise {
                 ballot,
-                answer,
-                held: true,
-                young_ms: 40,
+                report,
+                had_lease: true,
+                lease_uncertainty_ms: 40,
             },
         ),
         (
@@ -245,33 +245,39 @@
         ),
         (
             "have".to_string(),
-            shards::Kind::Have {
+            shards::Kind::AcknowledgeLease {
                 epoch: 9,
                 version: 3,
-                held: true,
+                had_lease: true,
             },
         ),
-        ("left".to_string(), shards::Kind::Left),
-        ("fetch".to_string(), shards::Kind::Fetch(MapHash(0x1234), 4)),
+        ("left".to_string(), shards::Kind::ReleaseLeases),
+        (
+            "fetch".to_string(),
+            shards::Kind::FetchChunk(MapHash(0x1234), 4),
+        ),
         (
             "part".to_string(),
-            shards::Kind::Part {
+            shards::Kind::Chunk {
                 hash: MapHash(0x1234),
-                part: 1,
-                parts: 2,
+                index: 1,
+                count: 2,
                 bytes: vec![9, 8],
             },
         ),
-        ("offer".to_string(), shards::Kind::Offer(MapHash(0x1234))),
+        (
+            "offer".to_string(),
+            shards::Kind::SubmitProposal(MapHash(0x1234)),
+        ),
     ];
     kinds.extend(
-        refusals
+        rejections
             .into_iter()
             .enumerate()
             .map(|(number, kind)| (format!("refused-{number:02}"), kind)),
     );
     kinds.extend(states.into_iter().enumerate().map(|(number, state)| {
-        let kind = shards::Kind::Answer {
+        let kind = shards::Kind::ProposalResult {
             hash: MapHash(0x1234),
             state,
             findings: vec![finding(Rule::Gap)],
@@ -294,8 +300,8 @@
         );
     }
     let map = map();
-    recorded.check("map", &map, shards::pack, |bytes| {
-        shards::unpack(map.hash(), bytes)
+    recorded.check("map", &map, shards::encode_map, |bytes| {
+        shards::decode_map(map.hash(), bytes)
     });
     recorded.check(
         "map-hash",
--- a/gateway-cluster/tests/keeping.rs
+++ b/gateway-cluster/tests/keeping.rs
@@ -8,7 +8,7 @@
 use gateway_cluster::shards::consensus::{Ballot, MapId};
 use gateway_cluster::shards::leases::SHARD_LEASE_FACTOR;
 use gateway_cluster::shards::node::ShardMapStatus;
-use gateway_cluster::shards::wire::{pack, Datagram, Kind, ProposalState};
+use gateway_cluster::shards::wire::{encode_map, Datagram, Kind, ProposalState};
 use gateway_cluster::shards::{Key, MapHash, ShardMap, ShardRange, KEYS};
 use gateway_cluster::sim::{NetworkConditions, Sim, SimulatedNode};
 use std::collections::BTreeMap;
@@ -572,9 +572,9 @@
             version,
             hash,
         },
-        finish: true,
-        anew: false,
-        whole: pack(&map),
+        resumed: true,
+        recovery: false,
+        map_bytes: encode_map(&map),
     };
     let from = peer_id_of(&name(leader));
     let bytes = Datagram {
@@ -593,7 +593,7 @@
             .map(|told| told.kind)
             .collect::<Vec<_>>()
     });
-    let refused = |kind: &Kind| matches!(kind, Kind::Refused(of, _, told) if *of == ballot && told.len() == 1);
+    let refused = |kind: &Kind| matches!(kind, Kind::Rejected(of, _, told) if *of == ballot && told.len() == 1);
     assert!(
         answers
             .as_ref()
@@ -852,11 +852,11 @@
         incarnation: 1,
         to_incarnation: 1,
         stamp: Some((u64::MAX, u64::MAX)),
-        kind: Kind::Left,
+        kind: Kind::ReleaseLeases,
     };
     let unknown = bytes.encode();
     bytes.from = peer_id_of("n000");
-    bytes.kind = Kind::Fetch(MapHash(7), 255);
+    bytes.kind = Kind::FetchChunk(MapHash(7), 255);
     let nothing = bytes.encode();
     let dropped = cluster.sim.act(1, |owned, now, sends| {
         for bytes in [&unknown, &nothing, &vec![3; 1400], &vec![3; 1401], &vec![3]] {
--- a/gateway-cluster/tests/keeping_model.rs
+++ b/gateway-cluster/tests/keeping_model.rs
@@ -6,7 +6,7 @@
 use gateway_cluster::leadership::FencingToken;
 use gateway_cluster::peers::{peer_id_of, PeerId};
 use gateway_cluster::shards::consensus::{learn, Acceptor, AcceptorReport, Ballot, MapId};
-use gateway_cluster::shards::leases::{waiting, GrantedLeases, LocalShards, RangeSet};
+use gateway_cluster::shards::leases::{blocked_ranges, GrantedLeases, LocalShards, RangeSet};
 use gateway_cluster::shards::{MapHash, ShardMap, ShardRange};
 use stateright::{Checker, HasDiscoveries, Model, Property};
 use std::collections::{BTreeMap, BTreeSet};
@@ -14,10 +14,10 @@
 const GATEWAYS: usize = 3;
 const NAMES: [&str; GATEWAYS] = ["n0", "n1", "n2"];
 /// The length of a keep lease in ticks; on another's clock it is one longer.
-const KEEP: u64 = 2;
-const END: u64 = 6;
+const LEASE_DURATION: u64 = 2;
+const LAST_TICK: u64 = 6;
 /// Datagrams under way at a time.
-const UNDER_WAY: usize = 2;
+const MAX_IN_FLIGHT: usize = 2;
 
 /// The maps by their hashes: the first, what the first leader proposes, and what the second does where it finds nothing.
 fn map(hash: u64) -> ShardMap {
@@ -30,7 +30,7 @@
     }
 }
 
-fn named(hash: u64) -> MapId {
+fn map_id(hash: u64) -> MapId {
     let ShardMap { version, epoch, .. } = map(hash);
     MapId {
         epoch,
@@ -52,19 +52,19 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 enum Kind {
-    Keep {
+    GrantLease {
         map: u64,
-        waits: bool,
-        until: u64,
-        settled: bool,
+        blocked: bool,
+        expires_at: u64,
+        idle: bool,
     },
-    Have(u64),
+    AcknowledgeLease(u64),
 }
 
 /// Between the leader and a gateway, in the epoch that it is of.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Message {
-    term: u64,
+    epoch: u64,
     gateway: usize,
     incarnation: u64,
     kind: Kind,
@@ -72,27 +72,27 @@
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Stage {
-    Learning(BTreeMap<PeerId, AcceptorReport>),
+    Preparing(BTreeMap<PeerId, AcceptorReport>),
     Deciding(u64, BTreeSet<usize>),
-    Resting,
+    Idle,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-struct ProposalState {
+struct ModelState {
     now: u64,
-    term: u64,
-    lives: [u64; GATEWAYS],
+    epoch: u64,
+    incarnations: [u64; GATEWAYS],
     acceptors: [Acceptor; GATEWAYS],
-    hands: [LocalShards; GATEWAYS],
-    ledger: GrantedLeases,
+    locals: [LocalShards; GATEWAYS],
+    leases: GrantedLeases,
     stage: Stage,
     current: u64,
-    under_way: BTreeSet<Message>,
+    in_flight: BTreeSet<Message>,
     decided: BTreeSet<(u64, u64)>,
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
-enum Act {
+enum Action {
     Tick,
     /// Another owns.
     Elect,
@@ -101,28 +101,28 @@
     /// The leader proposes a map.
     Propose,
     /// A gateway answers what the leader asks as it begins.
-    Learn(usize),
+    Prepare(usize),
     /// A gateway is asked to accept what is proposed, and whether its answer comes.
     Vote(usize, bool),
     /// The leader sends a lease.
-    Keep(usize),
+    GrantLease(usize),
     Deliver(Message),
 }
 
 #[derive(Debug, Clone, Copy)]
-struct Fleet {
-    before_release: bool,
-    forgets_leases: bool,
-    starts_afresh: bool,
-    trusts_the_new: bool,
+struct ShardModel {
+    owner_starts_before_release: bool,
+    leader_ignores_old_leases: bool,
+    leader_ignores_accepted_map: bool,
+    restarted_acceptor_counts: bool,
     restarts: bool,
 }
 
-const AS_IT_IS: Fleet = Fleet {
-    before_release: false,
-    forgets_leases: false,
-    starts_afresh: false,
-    trusts_the_new: false,
+const CORRECT: ShardModel = ShardModel {
+    owner_starts_before_release: false,
+    leader_ignores_old_leases: false,
+    leader_ignores_accepted_map: false,
+    restarted_acceptor_counts: false,
     restarts: true,
 };
 
@@ -130,113 +130,124 @@
     NAMES.iter().filter(|name| has(peer_id_of(name))).count() > GATEWAYS / 2
 }
 
-impl Fleet {
-    fn waits(&self, state: &ProposalState) -> bool {
+impl ShardModel {
+    fn blocked(&self, state: &ModelState) -> bool {
         let version = map(state.current).version;
         let free = |name: &str| {
-            self.before_release || state.ledger.is_free(state.now, peer_id_of(name), version)
+            self.owner_starts_before_release
+                || state.leases.is_free(state.now, peer_id_of(name), version)
         };
-        waiting(&map(state.current), previous(state.current).as_ref(), free)
+        blocked_ranges(&map(state.current), previous(state.current).as_ref(), free)
             .0
-            .has(0)
+            .contains(0)
     }
 
-    fn learned(&self, state: &mut ProposalState) {
-        let Stage::Learning(answers) = &state.stage else {
+    fn maybe_finish_prepare(&self, state: &mut ModelState) {
+        let Stage::Preparing(promises) = &state.stage else {
             return;
         };
-        let Some(learned) = learn(answers, self.trusts_the_new, is_majority) else {
+        let Some(learned) = learn(promises, self.restarted_acceptor_counts, is_majority) else {
             return;
         };
         state.current = learned.in_force.map_or(1, |map| map.hash.0);
-        let finish = learned.finish.filter(|_| !self.starts_afresh);
+        let finish = learned
+            .unfinished
+            .filter(|_| !self.leader_ignores_accepted_map);
         state.stage = match finish {
             Some(map) => Stage::Deciding(map.hash.0, BTreeSet::new()),
             // What it would decide for itself, if nobody did before.
             None if state.current == 1 => Stage::Deciding(3, BTreeSet::new()),
-            None => Stage::Resting,
+            None => Stage::Idle,
         };
     }
 
     /// Whether leases may be given: not before it is known what is in force, and what has to be finished.
-    fn rules(&self, state: &ProposalState) -> bool {
+    fn may_grant_leases(&self, state: &ModelState) -> bool {
         match &state.stage {
-            Stage::Learning(_) => false,
-            Stage::Deciding(map, _) => *map == 3 || state.term == 1,
-            Stage::Resting => true,
+            Stage::Preparing(_) => false,
+            Stage::Deciding(map, _) => *map == 3 || state.epoch == 1,
+            Stage::Idle => true,
         }
     }
 
-    fn deliver(&self, state: &mut ProposalState, message: Message) {
+    fn deliver(&self, state: &mut ModelState, message: Message) {
         let Message {
-            term,
+            epoch,
             gateway,
             incarnation,
             kind,
         } = message;
-        let for_gateway = matches!(kind, Kind::Keep { .. });
-        if term != state.term || for_gateway && incarnation != state.lives[gateway] {
+        let for_gateway = matches!(kind, Kind::GrantLease { .. });
+        if epoch != state.epoch || for_gateway && incarnation != state.incarnations[gateway] {
             // The stamp is of no use here.
             return;
         }
         let name = peer_id_of(NAMES[gateway]);
         match kind {
-            Kind::Keep {
+            Kind::GrantLease {
                 map: hash,
-                waits,
-                until,
-                settled,
+                blocked,
+                expires_at,
+                idle,
             } => {
-                let fence = FencingToken {
-                    epoch: term,
+                let token = FencingToken {
+                    epoch: epoch,
                     version: map(hash).version,
                 };
-                if !state.hands[gateway].allows(fence) {
+                if !state.locals[gateway].is_current(token) {
                     return;
                 }
-                state.acceptors[gateway].decided(term, named(hash), settled);
-                let marks = RangeSet::of(1, |_| waits);
-                if state.hands[gateway].keep(state.now, fence, MapHash(hash), marks, until) {
-                    let kind = Kind::Have(fence.version);
-                    state.under_way.insert(Message {
-                        term,
+                state.acceptors[gateway].on_decided(epoch, map_id(hash), idle);
+                let blocked_set = RangeSet::of(1, |_| blocked);
+                if state.locals[gateway].accept_lease(
+                    state.now,
+                    token,
+                    MapHash(hash),
+                    blocked_set,
+                    expires_at,
+                ) {
+                    let kind = Kind::AcknowledgeLease(token.version);
+                    state.in_flight.insert(Message {
+                        epoch,
                         gateway,
                         incarnation,
                         kind,
                     });
                 }
             }
-            Kind::Have(version) => state.ledger.took(name, incarnation, version),
+            Kind::AcknowledgeLease(version) => state.leases.acknowledge(name, incarnation, version),
         }
     }
 }
 
-impl Fleet {
+impl ShardModel {
     /// A gateway answers as the leader begins, who hears it.
-    fn learn(&self, state: &mut ProposalState, gateway: usize) {
+    fn on_promise(&self, state: &mut ModelState, gateway: usize) {
         let (name, ballot) = (
             peer_id_of(NAMES[gateway]),
             Ballot {
-                epoch: state.term,
+                epoch: state.epoch,
                 attempt: 0,
             },
         );
-        let Some(answer) = state.acceptors[gateway].promise(ballot) else {
+        let Some(promise) = state.acceptors[gateway].promise(ballot) else {
             return;
         };
-        if state.hands[gateway].has_held() {
-            state.ledger.has_held(name, state.lives[gateway]);
+        if state.locals[gateway].had_lease() {
+            state
+                .leases
+                .record_prior_lease(name, state.incarnations[gateway]);
         }
-        if let Stage::Learning(answers) = &mut state.stage {
-            answers.insert(name, answer);
+        if let Stage::Preparing(promises) = &mut state.stage {
+            promises.insert(name, promise);
         }
-        self.learned(state);
+        self.maybe_finish_prepare(state);
     }
 
     /// A gateway is asked to accept what is proposed.
-    fn vote(&self, state: &mut ProposalState, gateway: usize, heard: bool) {
+    fn vote(&self, state: &mut ModelState, gateway: usize, reply_arrives: bool) {
         let ballot = Ballot {
-            epoch: state.term,
+            epoch: state.epoch,
             attempt: 0,
         };
         let Stage::Deciding(map, votes) = &mut state.stage else {
@@ -248,26 +259,29 @@
             .in_force()
             .map(|known| known.hash.0)
             == Some(1);
-        if !follows || !state.acceptors[gateway].accept(ballot, named(map), false) || !heard {
+        if !follows
+            || !state.acceptors[gateway].accept(ballot, map_id(map), false)
+            || !reply_arrives
+        {
             return;
         }
         votes.insert(gateway);
         if is_majority(&|name| votes.contains(&self::gateway(name))) {
             state.decided.insert((self::map(map).version, map));
-            (state.current, state.stage) = (map, Stage::Resting);
+            (state.current, state.stage) = (map, Stage::Idle);
         }
     }
 }
 
 /// Which gateways keep the key.
-fn owners(state: &ProposalState) -> Vec<usize> {
-    let keeps = |gateway: &usize| {
-        let hand = &state.hands[*gateway];
-        let Some(hold) = hand.hold(state.now) else {
+fn owners(state: &ModelState) -> Vec<usize> {
+    let is_owner = |gateway: &usize| {
+        let local = &state.locals[*gateway];
+        let Some(lease) = local.lease(state.now) else {
             return false;
         };
-        let hash = hold.hash.0;
-        !hand
+        let hash = lease.hash.0;
+        !local
             .mine(
                 state.now,
                 NAMES[*gateway],
@@ -276,19 +290,19 @@
             )
             .is_empty()
     };
-    (0..GATEWAYS).filter(keeps).collect()
+    (0..GATEWAYS).filter(is_owner).collect()
 }
 
-impl Model for Fleet {
-    type State = ProposalState;
-    type Action = Act;
+impl Model for ShardModel {
+    type State = ModelState;
+    type Action = Action;
 
     /// All have the first map, and have kept by it; the first leader knows that.
-    fn init_states(&self) -> Vec<ProposalState> {
+    fn init_states(&self) -> Vec<ModelState> {
         let mut acceptor = Acceptor::default();
-        acceptor.decided(1, named(1), true);
-        let mut hand = LocalShards::default();
-        hand.keep(
+        acceptor.on_decided(1, map_id(1), true);
+        let mut local = LocalShards::default();
+        local.accept_lease(
             0,
             FencingToken {
                 epoch: 1,
@@ -296,102 +310,107 @@
             },
             MapHash(1),
             RangeSet::default(),
-            KEEP,
+            LEASE_DURATION,
         );
-        let mut ledger = GrantedLeases::new(0, KEEP);
-        ledger.nobody_keeps(0);
+        let mut leases = GrantedLeases::new(0, LEASE_DURATION);
+        leases.expire_unknown(0);
         for name in NAMES {
-            ledger.give(peer_id_of(name), 1, KEEP);
-            ledger.took(peer_id_of(name), 1, 1);
+            leases.grant(peer_id_of(name), 1, LEASE_DURATION);
+            leases.acknowledge(peer_id_of(name), 1, 1);
         }
-        vec![ProposalState {
+        vec![ModelState {
             now: 0,
-            term: 1,
-            lives: [1; GATEWAYS],
+            epoch: 1,
+            incarnations: [1; GATEWAYS],
             acceptors: [0; GATEWAYS].map(|_| acceptor.clone()),
-            hands: [0; GATEWAYS].map(|_| hand.clone()),
-            ledger,
-            stage: Stage::Resting,
+            locals: [0; GATEWAYS].map(|_| local.clone()),
+            leases,
+            stage: Stage::Idle,
             current: 1,
-            under_way: BTreeSet::new(),
+            in_flight: BTreeSet::new(),
             decided: BTreeSet::from([(1, 1)]),
         }]
     }
 
-    fn actions(&self, state: &ProposalState, acts: &mut Vec<Act>) {
-        acts.extend(state.under_way.iter().cloned().map(Act::Deliver));
-        if state.now < END {
-            acts.push(Act::Tick);
+    fn actions(&self, state: &ModelState, actions: &mut Vec<Action>) {
+        actions.extend(state.in_flight.iter().cloned().map(Action::Deliver));
+        if state.now < LAST_TICK {
+            actions.push(Action::Tick);
         }
-        if state.term == 1 {
-            acts.push(Act::Elect);
-            if state.current == 1 && state.stage == Stage::Resting {
-                acts.push(Act::Propose);
+        if state.epoch == 1 {
+            actions.push(Action::Elect);
+            if state.current == 1 && state.stage == Stage::Idle {
+                actions.push(Action::Propose);
             }
         }
-        if self.restarts && state.lives == [1; GATEWAYS] {
-            acts.extend((0..GATEWAYS).map(Act::Restart));
+        if self.restarts && state.incarnations == [1; GATEWAYS] {
+            actions.extend((0..GATEWAYS).map(Action::Restart));
         }
         for (gateway, name) in NAMES.into_iter().enumerate() {
-            let (name, incarnation) = (peer_id_of(name), state.lives[gateway]);
+            let (name, incarnation) = (peer_id_of(name), state.incarnations[gateway]);
             match &state.stage {
-                Stage::Learning(answers) if !answers.contains_key(&name) => {
-                    acts.push(Act::Learn(gateway))
+                Stage::Preparing(promises) if !promises.contains_key(&name) => {
+                    actions.push(Action::Prepare(gateway))
                 }
                 Stage::Deciding(_, votes) if !votes.contains(&gateway) => {
-                    acts.extend([Act::Vote(gateway, true), Act::Vote(gateway, false)]);
+                    actions.extend([Action::Vote(gateway, true), Action::Vote(gateway, false)]);
                 }
                 _ => {}
             }
-            let has_room = state.under_way.len() < UNDER_WAY;
-            if has_room && self.rules(state) && state.ledger.may_give(state.now, name, incarnation)
+            let has_capacity = state.in_flight.len() < MAX_IN_FLIGHT;
+            if has_capacity
+                && self.may_grant_leases(state)
+                && state.leases.may_grant(state.now, name, incarnation)
             {
-                acts.push(Act::Keep(gateway));
+                actions.push(Action::GrantLease(gateway));
             }
         }
     }
 
-    fn next_state(&self, before: &ProposalState, act: Act) -> Option<ProposalState> {
+    fn next_state(&self, before: &ModelState, act: Action) -> Option<ModelState> {
         let mut state = before.clone();
-        let (term, now) = (state.term, state.now);
+        let (epoch, now) = (state.epoch, state.now);
         match act {
-            Act::Tick => state.now += 1,
-            Act::Elect => {
-                state.term = 2;
-                state.ledger = GrantedLeases::new(now, KEEP);
-                if self.forgets_leases {
-                    state.ledger.nobody_keeps(now);
+            Action::Tick => state.now += 1,
+            Action::Elect => {
+                state.epoch = 2;
+                state.leases = GrantedLeases::new(now, LEASE_DURATION);
+                if self.leader_ignores_old_leases {
+                    state.leases.expire_unknown(now);
                 }
-                state.stage = Stage::Learning(BTreeMap::new());
-                state.under_way.clear();
+                state.stage = Stage::Preparing(BTreeMap::new());
+                state.in_flight.clear();
             }
-            Act::Restart(gateway) => {
-                state.lives[gateway] += 1;
-                (state.acceptors[gateway], state.hands[gateway]) = Default::default();
+            Action::Restart(gateway) => {
+                state.incarnations[gateway] += 1;
+                (state.acceptors[gateway], state.locals[gateway]) = Default::default();
             }
-            Act::Propose => state.stage = Stage::Deciding(2, BTreeSet::new()),
-            Act::Learn(gateway) => self.learn(&mut state, gateway),
-            Act::Vote(gateway, heard) => self.vote(&mut state, gateway, heard),
-            Act::Keep(gateway) => {
-                let (name, incarnation, until) =
-                    (peer_id_of(NAMES[gateway]), state.lives[gateway], now + KEEP);
-                let (waits, settled) = (self.waits(&state), state.stage == Stage::Resting);
-                state.ledger.give(name, incarnation, until);
-                let kind = Kind::Keep {
+            Action::Propose => state.stage = Stage::Deciding(2, BTreeSet::new()),
+            Action::Prepare(gateway) => self.on_promise(&mut state, gateway),
+            Action::Vote(gateway, reply_arrives) => self.vote(&mut state, gateway, reply_arrives),
+            Action::GrantLease(gateway) => {
+                let (name, incarnation, expires_at) = (
+                    peer_id_of(NAMES[gateway]),
+                    state.incarnations[gateway],
+                    now + LEASE_DURATION,
+                );
+                let (blocked, idle) = (self.blocked(&state), state.stage == Stage::Idle);
+                state.leases.grant(name, incarnation, expires_at);
+                let kind = Kind::GrantLease {
                     map: state.current,
-                    waits,
-                    until,
-                    settled,
+                    blocked,
+                    expires_at,
+                    idle,
                 };
-                state.under_way.insert(Message {
-                    term,
+                state.in_flight.insert(Message {
+                    epoch,
                     gateway,
                     incarnation,
                     kind,
                 });
             }
-            Act::Deliver(message) => {
-                state.under_way.remove(&message);
+            Action::Deliver(message) => {
+                state.in_flight.remove(&message);
                 self.deliver(&mut state, message);
             }
         }
@@ -400,30 +419,30 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never two keepers", |_, state: &ProposalState| {
+            Property::always("never two keepers", |_, state: &ModelState| {
                 owners(state).len() <= 1
             }),
-            Property::always("a version is decided once", |_, state: &ProposalState| {
+            Property::always("a version is decided once", |_, state: &ModelState| {
                 let versions: BTreeSet<u64> =
                     state.decided.iter().map(|(version, _)| *version).collect();
                 versions.len() == state.decided.len()
             }),
-            Property::sometimes("a second map is kept", |_, state: &ProposalState| {
+            Property::sometimes("a second map is kept", |_, state: &ModelState| {
                 state.current == 2 && owners(state) == [1]
             }),
             Property::sometimes(
                 "a new owner finishes what was accepted",
-                |_, state: &ProposalState| {
-                    state.term == 2
+                |_, state: &ModelState| {
+                    state.epoch == 2
                         && state.decided.contains(&(2, 2))
-                        && state.stage == Stage::Resting
+                        && state.stage == Stage::Idle
                 },
             ),
         ]
     }
 }
 
-fn check(cluster: Fleet, depth: usize) -> impl Checker<Fleet> {
+fn check(cluster: ShardModel, depth: usize) -> impl Checker<ShardModel> {
     let threads = std::thread::available_parallelism()
         .map_or(2, usize::from)
         .min(3);
@@ -439,9 +458,9 @@
 fn no_key_has_two_owners_and_no_version_two_maps_over_a_change_of_leader() {
     for (restarts, depth) in [(false, 12), (true, 10)] {
         let checker = check(
-            Fleet {
+            ShardModel {
                 restarts,
-                ..AS_IT_IS
+                ..CORRECT
             },
             depth,
         );
@@ -457,7 +476,7 @@
 }
 
 /// Whether this comes up, at most so deep.
-fn finds(cluster: Fleet, depth: usize, what: &'static str) -> bool {
+fn violates(cluster: ShardModel, depth: usize, what: &'static str) -> bool {
     let threads = std::thread::available_parallelism()
         .map_or(2, usize::from)
         .min(3);
@@ -473,15 +492,15 @@
     found.is_some()
 }
 
-const NO_RESTARTS: Fleet = Fleet {
+const NO_RESTARTS: ShardModel = ShardModel {
     restarts: false,
-    ..AS_IT_IS
+    ..CORRECT
 };
 
 #[test]
 fn the_check_reaches_a_second_map_and_one_that_a_new_leader_finishes() {
-    assert!(finds(NO_RESTARTS, 12, "a second map is kept"));
-    assert!(finds(
+    assert!(violates(NO_RESTARTS, 12, "a second map is kept"));
+    assert!(violates(
         NO_RESTARTS,
         12,
         "a new owner finishes what was accepted"
@@ -490,9 +509,9 @@
 
 #[test]
 fn the_check_finds_a_owner_that_starts_before_the_release() {
-    assert!(finds(
-        Fleet {
-            before_release: true,
+    assert!(violates(
+        ShardModel {
+            owner_starts_before_release: true,
             ..NO_RESTARTS
         },
         12,
@@ -502,9 +521,9 @@
 
 #[test]
 fn the_check_finds_a_new_leader_that_does_not_wait_for_the_leases_of_the_old_one() {
-    assert!(finds(
-        Fleet {
-            forgets_leases: true,
+    assert!(violates(
+        ShardModel {
+            leader_ignores_old_leases: true,
             ..NO_RESTARTS
         },
         12,
@@ -514,9 +533,9 @@
 
 #[test]
 fn the_check_finds_a_new_leader_that_starts_afresh_though_a_majority_had_accepted_a_map() {
-    assert!(finds(
-        Fleet {
-            starts_afresh: true,
+    assert!(violates(
+        ShardModel {
+            leader_ignores_accepted_map: true,
             ..NO_RESTARTS
         },
         12,
@@ -526,10 +545,10 @@
 
 #[test]
 fn the_check_finds_a_gateway_that_started_from_nothing_and_counts_at_once() {
-    assert!(finds(
-        Fleet {
-            trusts_the_new: true,
-            ..AS_IT_IS
+    assert!(violates(
+        ShardModel {
+            restarted_acceptor_counts: true,
+            ..CORRECT
         },
         12,
         "a version is decided once"
--- a/gateway-cluster/tests/shards.rs
+++ b/gateway-cluster/tests/shards.rs
@@ -2,7 +2,8 @@
 //! spaces; single faults in the whole one.
 
 use gateway_cluster::shards::plan::{
-    joined, rebalance, without, PlanError, GAIN, PRICE, SLACK_PARTS, START, STOP,
+    add_owners, rebalance, replace_lost_owners, PlanError, MIN_GAIN, MIN_GAIN_PER_SHARE,
+    REBALANCE_START, REBALANCE_STOP, SLACK_DIVISOR,
 };
 use gateway_cluster::shards::{
     validate, ClusterState, Finding, InvalidMapHash, Key, Limits, MapHash, PeerCondition, Rule,
@@ -472,7 +473,7 @@
         };
         let even = KEYS / names.len() as u64;
         let (mut steps, mut moved) = (0, 0);
-        while let Some(new) = joined(&now, names[first..].iter().copied(), &all, &limits).expect("a plan") {
+        while let Some(new) = add_owners(&now, names[first..].iter().copied(), &all, &limits).expect("a plan") {
             for (keys, from, to) in step(&now, &new, &all) {
                 prop_assert!(names[first..].contains(&to.as_str()) && names[..first].contains(&from.as_str()));
                 moved += keys;
@@ -482,7 +483,7 @@
             prop_assert!(steps <= 8);
         }
         prop_assert!(moved <= even * more as u64);
-        let least = even - even / SLACK_PARTS;
+        let least = even - even / SLACK_DIVISOR;
         for name in &names[first..] {
             prop_assert!((least..=even).contains(&kept(&now, name)), "{} of {}", kept(&now, name), even);
         }
@@ -493,7 +494,7 @@
         let mut fewer = all.clone();
         let dead = gone.min(names.len() - 1);
         names[..dead].iter().for_each(|name| *fewer.gateways.get_mut(*name).expect("its door") = PeerCondition::Dead);
-        if let Some(new) = without(&now, &fewer, &limits).expect("a plan") {
+        if let Some(new) = replace_lost_owners(&now, &fewer, &limits).expect("a plan") {
             prop_assert!(step(&now, &new, &fewer).iter().all(|(_, from, _)| !fewer.is_alive(from)));
             now = new;
         }
@@ -1017,7 +1018,7 @@
     };
     let others = given(6, &names[..3]);
     for old in given(6, &names) {
-        let planned = without(&as_map(&old, &names), &known, &limits).expect("a plan");
+        let planned = replace_lost_owners(&as_map(&old, &names), &known, &limits).expect("a plan");
         let planned = planned.map_or(old.clone(), |map| read(&map, 6, &names));
         // Of all maps there are.
         let least = others.iter().map(|new| price(&old, new, 4)).min();
@@ -1054,7 +1055,7 @@
                 ..small()
             };
             let (mut now, mut moved, mut steps) = (as_map(old, &names), 0, 0);
-            while let Some(new) = joined(&now, ["d"], &known, &limits).expect("a plan") {
+            while let Some(new) = add_owners(&now, ["d"], &known, &limits).expect("a plan") {
                 assert_eq!(validate(Some(&now), &new, &known, &limits), []);
                 moved += moves(&now, &new)
                     .iter()
@@ -1079,18 +1080,18 @@
     let limits = Limits::default();
     let (all, before) = (alive(300), alive(299));
     let old = ShardMap::first(before.living(), 900, 5, &limits).expect("names");
-    let new = joined(&old, ["n299"], &all, &limits)
+    let new = add_owners(&old, ["n299"], &all, &limits)
         .expect("a plan")
         .expect("a move");
     let even = KEYS / 300;
-    assert!(kept(&new, "n299") >= even - even / SLACK_PARTS);
+    assert!(kept(&new, "n299") >= even - even / SLACK_DIVISOR);
     println!("joined: {} ranges", new.ranges.len());
     assert!(new.ranges.len() <= 910, "{}", new.ranges.len());
     let mut fewer = all.clone();
     fewer
         .gateways
         .insert("n007".to_string(), PeerCondition::Leaving);
-    let less = without(&new, &fewer, &limits)
+    let less = replace_lost_owners(&new, &fewer, &limits)
         .expect("a plan")
         .expect("a move");
     println!("gone: {} ranges", less.ranges.len());
@@ -1147,8 +1148,8 @@
             let gain = heavy.saturating_sub(carried(&after)[from].max(carried(&after)[to]));
             // Two keys of an even part of 2: the whole price.
             let worth = gain > 0
-                && gain * 3 * 1000 >= all * GAIN.max(PRICE)
-                && heavy * 3 * 1000 > all * START;
+                && gain * 3 * 1000 >= all * MIN_GAIN.max(MIN_GAIN_PER_SHARE)
+                && heavy * 3 * 1000 > all * REBALANCE_START;
             if owners[at] == from && to != from && worth {
                 best = best.max(Some(gain));
             }
@@ -1187,7 +1188,7 @@
         .expect("a plan")
         .expect("a move");
     assert!(
-        heaviest(&new, &loads) * 4000 <= loads.iter().sum::<u64>() * STOP,
+        heaviest(&new, &loads) * 4000 <= loads.iter().sum::<u64>() * REBALANCE_STOP,
         "{}",
         heaviest(&new, &loads)
     );
@@ -1252,12 +1253,12 @@
     let mut now = whole(&BTreeSet::from([KEYS / 4, KEYS / 2]), 2);
     (now.ranges[1].owner, now.ranges[2].owner) = ("n000".into(), "n001".into());
     // A quarter is too much to give whole.
-    while let Some(new) = joined(&now, ["n002"], &three, &limits).expect("a plan") {
+    while let Some(new) = add_owners(&now, ["n002"], &three, &limits).expect("a plan") {
         now = new;
     }
     let even = KEYS / 3;
     assert!(
-        kept(&now, "n002") > 0 && kept(&now, "n000") >= even - even / SLACK_PARTS,
+        kept(&now, "n002") > 0 && kept(&now, "n000") >= even - even / SLACK_DIVISOR,
         "{now:?}"
     );
 }
@@ -1278,7 +1279,7 @@
         (2..6).all(|at| new.owner_of(old.ranges[at].from) == Some(&old.ranges[at].owner))
     };
     assert!(stays(
-        joined(&old, ["n002"], &three, &limits)
+        add_owners(&old, ["n002"], &three, &limits)
             .expect("a plan")
             .expect("a move")
     ));
@@ -1291,7 +1292,7 @@
     three
         .gateways
         .insert("n000".to_string(), PeerCondition::Dead);
-    let Err(PlanError::Refused(findings)) = without(&old, &three, &limits) else {
+    let Err(PlanError::Refused(findings)) = replace_lost_owners(&old, &three, &limits) else {
         panic!("it has to wait")
     };
     // Its two that move are neighbours.
@@ -1304,8 +1305,8 @@
     let one = cluster(&[("a", PeerCondition::Alive)]);
     let good = map(&[(0, 8, "a")]);
     assert_eq!(
-        without(&good, &ClusterState::default(), &limits),
-        Err(PlanError::NobodyLives)
+        replace_lost_owners(&good, &ClusterState::default(), &limits),
+        Err(PlanError::NoLiveGateway)
     );
     for bad in [
         &[(0, 7, "a")][..],
@@ -1314,17 +1315,23 @@
         &[(4, 0, "a")],
         &[],
     ] {
-        assert_eq!(without(&map(bad), &one, &limits), Err(PlanError::NotWhole));
+        assert_eq!(
+            replace_lost_owners(&map(bad), &one, &limits),
+            Err(PlanError::IncompleteMap)
+        );
     }
     let last = ShardMap {
         version: u64::MAX,
         ..map(&[(0, 8, "gone")])
     };
-    assert_eq!(without(&last, &one, &limits), Err(PlanError::LastVersion));
+    assert_eq!(
+        replace_lost_owners(&last, &one, &limits),
+        Err(PlanError::LastVersion)
+    );
     assert_eq!(
         (
-            without(&good, &one, &limits),
-            joined(&good, ["?"], &one, &limits)
+            replace_lost_owners(&good, &one, &limits),
+            add_owners(&good, ["?"], &one, &limits)
         ),
         (Ok(None), Ok(None))
     );
