--- a/gateway-cluster/src/shards/leases.rs
+++ b/gateway-cluster/src/shards/leases.rs
@@ -295,15 +295,24 @@
     }
 }
 
-/// The names that keep others from what a map gives them, with the ranges that wait for each: who had keys of a range
-/// before, and may still keep them. Without the map before it, anybody may.
-pub fn blocked_ranges<'a>(
+/// Ranges of a map whose new owners have to wait, because a previous owner of some of the keys may still have a lease.
+#[derive(Debug, Clone, Default, PartialEq, Eq)]
+pub struct BlockedRanges {
+    /// The blocked ranges, by index in the map.
+    pub ranges: RangeSet,
+    /// Names of the previous owners that block them, sorted.
+    pub owners: Vec<String>,
+}
+
+/// Computes the blocked ranges of a map: `is_free` says whether a previous owner has no lease for an earlier version.
+/// Without a previous map nothing is blocked.
+pub fn blocked_ranges(
     map: &ShardMap,
-    previous: Option<&'a ShardMap>,
+    previous: Option<&ShardMap>,
     is_free: impl Fn(&str) -> bool,
-) -> (RangeSet, Vec<&'a str>) {
+) -> BlockedRanges {
     let Some(previous) = previous else {
-        return (RangeSet::default(), Vec::new());
+        return BlockedRanges::default();
     };
     let mut free: BTreeMap<&str, bool> = BTreeMap::new();
     let mut blocked = vec![false; map.ranges.len()];
@@ -326,17 +335,16 @@
             }
         }
     }
-    let names = free
-        .into_iter()
-        .filter(|(_, free)| !free)
-        .map(|(peer, _)| peer)
-        .collect();
-    (
-        RangeSet::of(map.ranges.len(), |index| {
+    BlockedRanges {
+        ranges: RangeSet::of(map.ranges.len(), |index| {
             blocked.get(index).copied().unwrap_or(false)
         }),
-        names,
-    )
+        owners: free
+            .into_iter()
+            .filter(|(_, free)| !free)
+            .map(|(name, _)| name.to_string())
+            .collect(),
+    }
 }
 
 #[cfg(test)]
--- a/gateway-cluster/src/shards/node/fetching.rs
+++ b/gateway-cluster/src/shards/node/fetching.rs
@@ -63,8 +63,8 @@
         let from = datagram.from;
         // What is in force a majority has: others are asked first, as the leader has much to send then.
         let attempts = u32::from(matches!(datagram.kind, Kind::GrantLease { .. }));
-        self.waiting_datagrams.retain(|blocked_ranges| {
-            std::mem::discriminant(&blocked_ranges.kind) != std::mem::discriminant(&datagram.kind)
+        self.waiting_datagrams.retain(|waiting| {
+            std::mem::discriminant(&waiting.kind) != std::mem::discriminant(&datagram.kind)
         });
         if self.waiting_datagrams.len() < MAX_WAITING_DATAGRAMS {
             self.waiting_datagrams.push_back(datagram);
@@ -245,8 +245,8 @@
             return;
         };
         self.cache_map(map);
-        for blocked_ranges in std::mem::take(&mut self.waiting_datagrams) {
-            self.dispatch(now, blocked_ranges, election, sends);
+        for waiting in std::mem::take(&mut self.waiting_datagrams) {
+            self.dispatch(now, waiting, election, sends);
         }
     }
 }
--- a/gateway-cluster/src/shards/node/leases.rs
+++ b/gateway-cluster/src/shards/node/leases.rs
@@ -1,134 +1,90 @@
-//! The leader asks the gateways, hears their answers and gives them keep leases.
+//! The leader's requests and shard leases: when each peer is due, and what it is sent.
+//!
+//! Invariant: a lease is granted only to the one incarnation of a peer that may have it
+//! ([`GrantedLeases::may_grant`](crate::shards::leases::GrantedLeases::may_grant)), and it is recorded before it is sent.
 
 use super::sending::{
     period, DATAGRAM_OVERHEAD_BYTES, LEASE_RESERVE, RETRY_INTERVAL, SLOW_RETRY_INTERVAL,
 };
-use super::term::{blocked_now, PromiseReply, Stage, Term};
+use super::term::{blocked_now, Stage, Term};
 use super::{map_id, ShardMapEvent, ShardMapNode};
-use crate::leadership::election::LeaderElection;
-use crate::leadership::{longer, shorter};
+use crate::leadership::election::{LeaderElection, LeaseProof};
+use crate::leadership::shorter;
 use crate::peers::{peer_id_of, PeerId};
 use crate::protocol::{Micros, Transmit};
-use crate::shards::wire::{encode_map, truncated_findings, Datagram, Kind, CHUNK_BYTES};
+use crate::shards::consensus::MapId;
+use crate::shards::wire::{encode_map, Kind, CHUNK_BYTES};
 use crate::shards::PeerCondition;
 use std::collections::BTreeSet;
 
-impl ShardMapNode {
-    /// The leader hears an answer.
-    pub(super) fn on_reply(
-        &mut self,
-        now: Micros,
-        term: &mut Term,
-        datagram: Datagram,
-        election: &LeaderElection,
-        sends: &mut Vec<Transmit>,
-    ) {
-        let Datagram {
-            from,
-            incarnation,
-            kind,
-            ..
-        } = datagram;
-        match kind {
-            Kind::Promise {
-                ballot,
-                report,
-                had_lease,
-                lease_uncertainty_ms,
-            } if ballot == term.ballot() => {
-                if had_lease {
-                    term.granted_leases.record_prior_lease(from, incarnation);
-                }
-                if let Stage::Preparing(replies) = &mut term.stage {
-                    let uncertain_until = now + longer(Micros::from(lease_uncertainty_ms) * 1000);
-                    replies.insert(
-                        from,
-                        PromiseReply {
-                            report,
-                            had_lease,
-                            uncertain_until,
-                        },
-                    );
-                }
-            }
-            Kind::Accepted(ballot, hash) if ballot == term.ballot() => {
-                if let Stage::Deciding(deciding) = &mut term.stage {
-                    if deciding.id.hash == hash {
-                        deciding.accepted.insert(from);
-                    }
-                }
-            }
-            Kind::Rejected(ballot, hash, findings) if ballot == term.ballot() => {
-                if let Stage::Deciding(deciding) = &mut term.stage {
-                    if deciding.id.hash == hash && !deciding.accepted.contains(&from) {
-                        deciding.refused.insert(from, findings);
-                    }
-                }
-            }
-            Kind::AcknowledgeLease {
-                epoch,
-                version,
-                had_lease,
-            } if epoch == term.epoch => {
-                let gave = term.granted_leases.may_grant(now, from, incarnation);
-                if had_lease {
-                    term.granted_leases.record_prior_lease(from, incarnation);
-                }
-                term.granted_leases.acknowledge(from, incarnation, version);
-                if let Some(schedule) = term.schedules.get_mut(&from) {
-                    if !gave && term.granted_leases.may_grant(now, from, incarnation) {
-                        (schedule.lease_at, schedule.leases_sent) = (now, 0);
-                    }
-                }
-            }
-            Kind::SubmitProposal(hash) => {
-                let Some(map) = self.find(hash).cloned() else {
-                    return;
-                };
-                if let Some((state, findings)) = Self::on_proposal(now, term, hash, &map) {
-                    let findings = truncated_findings(&findings);
-                    self.send(
-                        election,
-                        from,
-                        None,
-                        Kind::ProposalResult {
-                            hash,
-                            state,
-                            findings,
-                        },
-                        sends,
-                    );
-                }
-            }
-            _ => {}
-        }
+/// Fast repetitions of an unanswered request or lease, after which [`SLOW_RETRY_INTERVAL`] applies.
+const FAST_RETRIES: u32 = 2;
+/// Repetitions of an unanswered lease after which it is sent no more often than a renewal.
+const LEASE_RETRIES: u32 = 10;
+
+/// What is the same for all peers in one pass of [`ShardMapNode::send_due_requests`].
+struct SendPass {
+    now: Micros,
+    /// Time between two leases of one peer.
+    period: Micros,
+    /// The map that leases are granted for; none before the leader knows it.
+    granted_map: Option<MapId>,
+    /// The encoded map of a proposal, if it fits in one datagram; otherwise empty, and peers fetch it.
+    map_bytes: Vec<u8>,
+}
+
+/// The peer that a request or a lease goes to.
+struct Recipient {
+    peer: PeerId,
+    incarnation: u64,
+    /// The peer's clock as last heard, in microseconds.
+    clock: Micros,
+    /// When that was heard, on the leader's clock.
+    heard_at: Micros,
+    proof: LeaseProof,
+    is_dead: bool,
+}
+
+impl Recipient {
+    /// The proof of leadership as datagrams carry it: epoch, and end of validity on the peer's clock.
+    fn stamp(&self) -> Option<(u64, u64)> {
+        Some((self.proof.epoch, self.proof.until))
     }
+}
+
+/// Whether the budget of datagrams and bytes allowed it.
+#[derive(PartialEq, Eq)]
+enum Budget {
+    Available,
+    Exhausted,
+}
 
-    /// Looks at who still keeps what the map in force gives to others.
+impl ShardMapNode {
+    /// Recomputes the ranges that are blocked by their previous owners, and schedules a lease at once for each owner
+    /// for which that changed.
     pub(super) fn update_blocked_ranges(&mut self, now: Micros, term: &mut Term) {
         if !term.leases_enabled {
             return;
         }
         let blocked = blocked_now(now, term);
-        if blocked.0 != term.blocked.0 {
-            // Those that waited are told.
+        if blocked.ranges != term.blocked.ranges {
             let ranges = term
                 .current
                 .iter()
                 .flat_map(|map| map.ranges.iter().enumerate());
-            let changed = ranges.filter(|(number, _)| {
-                blocked.0.contains(*number) != term.blocked.0.contains(*number)
+            let changed = ranges.filter(|(index, _)| {
+                blocked.ranges.contains(*index) != term.blocked.ranges.contains(*index)
             });
-            let told: BTreeSet<PeerId> =
+            let affected: BTreeSet<PeerId> =
                 changed.map(|(_, range)| peer_id_of(&range.owner)).collect();
             for (_, schedule) in term
                 .schedules
                 .iter_mut()
-                .filter(|(name, _)| told.contains(name))
+                .filter(|(name, _)| affected.contains(name))
             {
                 (schedule.lease_at, schedule.leases_sent) = (now, 0);
             }
-            if blocked.0.is_empty() {
+            if blocked.ranges.is_empty() {
                 let version = term.current.as_ref().map_or(0, |map| map.version);
                 term.plan_at = now;
                 self.record_event(ShardMapEvent::Moved(version));
@@ -137,7 +93,7 @@
         term.blocked = blocked;
     }
 
-    /// The leader is an owner as the others are.
+    /// Grants the leader its own lease, under the same rules as for other owners.
     pub(super) fn grant_own_lease(&mut self, now: Micros, term: &mut Term) {
         let Some(map) = term.current.as_ref().filter(|_| term.leases_enabled) else {
             return;
@@ -156,7 +112,7 @@
             now,
             term.epoch,
             map_id(map),
-            term.blocked.0.clone(),
+            term.blocked.ranges.clone(),
             expires_at,
             idle,
         ) {
@@ -165,7 +121,7 @@
         }
     }
 
-    /// Asks and tells those whose turn it is.
+    /// Sends each peer the request and the lease that are due, the longest overdue first, until the budget is used up.
     pub(super) fn send_due_requests(
         &mut self,
         now: Micros,
@@ -173,138 +129,182 @@
         election: &LeaderElection,
         sends: &mut Vec<Transmit>,
     ) {
-        let ballot = term.ballot();
         let names: Vec<PeerId> = election.names();
-        let period = period(election.lease(), names.len().saturating_sub(1));
-        let granted_map = term
-            .current
-            .as_ref()
-            .filter(|_| term.leases_enabled)
-            .map(map_id);
-        let idle = term.is_idle();
-        // A map that fits goes with the question.
         let map_bytes = match &term.stage {
-            Stage::Deciding(deciding) => encode_map(&deciding.map),
+            Stage::Deciding(decision) => encode_map(&decision.map),
             _ => Vec::new(),
         };
-        let map_bytes = if map_bytes.len() <= CHUNK_BYTES {
-            map_bytes
-        } else {
-            Vec::new()
+        let pass = SendPass {
+            now,
+            period: period(election.lease(), names.len().saturating_sub(1)),
+            granted_map: term
+                .current
+                .as_ref()
+                .filter(|_| term.leases_enabled)
+                .map(map_id),
+            map_bytes: if map_bytes.len() <= CHUNK_BYTES {
+                map_bytes
+            } else {
+                Vec::new()
+            },
         };
-        let mut schedules: Vec<(Micros, PeerId)> = term
-            .schedules
-            .iter()
-            .map(|(name, schedule)| (schedule.request_at.min(schedule.lease_at), *name))
-            .collect();
-        schedules.retain(|(at, name)| *at <= now && names.contains(name));
-        schedules.sort_unstable();
-        let is_dead = |(_, gateway): &(&String, &PeerCondition)| **gateway != PeerCondition::Alive;
-        let dead: BTreeSet<PeerId> = self
-            .cluster
-            .gateways
-            .iter()
-            .filter(is_dead)
-            .map(|(name, _)| peer_id_of(name))
-            .collect();
-        for (_, name) in schedules {
-            let is_dead = dead.contains(&name);
-            let Some(schedule) = term.schedules.get_mut(&name) else {
-                continue;
-            };
-            let (Some((incarnation, tick, reply)), Some(proof)) =
-                (election.clock_of(name), election.stamp(now, name))
+        let dead = self.unavailable_peers();
+        for peer in due_peers(now, term, &names) {
+            let (Some((incarnation, clock, heard_at)), Some(proof)) =
+                (election.clock_of(peer), election.stamp(now, peer))
             else {
-                // It was not heard of yet.
-                (schedule.request_at, schedule.lease_at) =
-                    (now + RETRY_INTERVAL, now + RETRY_INTERVAL);
-                continue;
-            };
-            let act = Some((proof.epoch, proof.until));
-            if schedule.request_at <= now {
-                let kind = match &term.stage {
-                    Stage::Preparing(replies) => {
-                        (!replies.contains_key(&name)).then_some(Kind::Prepare(ballot))
-                    }
-                    Stage::Deciding(deciding)
-                        if !deciding.accepted.contains(&name)
-                            && !deciding.refused.contains_key(&name) =>
-                    {
-                        let (map, resumed, recovery) =
-                            (deciding.id, deciding.resumed, term.recovery);
-                        Some(Kind::Propose {
-                            ballot,
-                            map,
-                            resumed,
-                            recovery,
-                            map_bytes: map_bytes.clone(),
-                        })
-                    }
-                    _ => None,
-                };
-                if let Some(kind) = kind {
-                    if !self.has_budget(map_bytes.len() + DATAGRAM_OVERHEAD_BYTES, LEASE_RESERVE) {
-                        return;
-                    }
-                    schedule.requests_sent += 1;
-                    schedule.request_at = now
-                        + if schedule.requests_sent > 2 || is_dead {
-                            SLOW_RETRY_INTERVAL
-                        } else {
-                            RETRY_INTERVAL
-                        };
-                    self.send_within_budget(election, name, act, kind, sends);
-                } else {
-                    schedule.request_at = now + SLOW_RETRY_INTERVAL;
+                // No datagram of this peer has arrived yet.
+                if let Some(schedule) = term.schedules.get_mut(&peer) {
+                    (schedule.request_at, schedule.lease_at) =
+                        (now + RETRY_INTERVAL, now + RETRY_INTERVAL);
                 }
-            }
-            let Some(map) = granted_map.filter(|_| schedule.lease_at <= now) else {
-                schedule.lease_at = schedule.lease_at.max(
-                    now + if granted_map.is_some() {
-                        0
-                    } else {
-                        RETRY_INTERVAL
-                    },
-                );
                 continue;
             };
-            let has = term.granted_leases.has_acknowledged(name, map.version);
-            if !self.has_budget(DATAGRAM_OVERHEAD_BYTES, 0.0) {
+            let recipient = Recipient {
+                peer,
+                incarnation,
+                clock,
+                heard_at,
+                proof,
+                is_dead: dead.contains(&peer),
+            };
+            if self.send_due_request(&pass, term, &recipient, election, sends) == Budget::Exhausted
+                || self.send_due_lease(&pass, term, &recipient, election, sends)
+                    == Budget::Exhausted
+            {
                 return;
             }
-            schedule.leases_sent += 1;
-            schedule.lease_at = now
-                + match has {
-                    true => period,
-                    // The view may be wrong: a lease has to reach it in time all the same.
-                    false if is_dead => period,
-                    false if schedule.leases_sent > 10 => SLOW_RETRY_INTERVAL.max(period),
-                    false if schedule.leases_sent > 2 => SLOW_RETRY_INTERVAL.min(period),
-                    false => RETRY_INTERVAL,
-                };
-            // A lease counts from when the gateway was last heard, on both clocks. Where another process of this name may
-            // keep, this one learns the map alone.
-            let over = reply + self.lease_duration;
-            let expires_at = match term.granted_leases.may_grant(now, name, incarnation) {
-                true if now < over => {
-                    term.granted_leases.grant(name, incarnation, over);
-                    tick.saturating_add(shorter(self.lease_duration))
-                }
-                _ => 0,
-            };
-            let blocked = term.blocked.0.clone();
-            self.send_within_budget(
-                election,
-                name,
-                act,
-                Kind::GrantLease {
-                    map,
-                    blocked,
-                    expires_at,
-                    idle,
-                },
-                sends,
-            );
         }
     }
+
+    /// Peers that the membership lists as dead or leaving.
+    fn unavailable_peers(&self) -> BTreeSet<PeerId> {
+        self.cluster
+            .gateways
+            .iter()
+            .filter(|(_, condition)| **condition != PeerCondition::Alive)
+            .map(|(name, _)| peer_id_of(name))
+            .collect()
+    }
+
+    /// Sends the request of the current stage (prepare or propose) if it is due and not answered.
+    fn send_due_request(
+        &mut self,
+        pass: &SendPass,
+        term: &mut Term,
+        recipient: &Recipient,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
+    ) -> Budget {
+        let schedule = term.schedules.get(&recipient.peer);
+        if schedule.is_none_or(|schedule| schedule.request_at > pass.now) {
+            return Budget::Available;
+        }
+        let request = open_request(term, recipient.peer, &pass.map_bytes);
+        let Some(schedule) = term.schedules.get_mut(&recipient.peer) else {
+            return Budget::Available;
+        };
+        let Some(request) = request else {
+            schedule.request_at = pass.now + SLOW_RETRY_INTERVAL;
+            return Budget::Available;
+        };
+        let bytes = pass.map_bytes.len() + DATAGRAM_OVERHEAD_BYTES;
+        if !self.has_budget(bytes, LEASE_RESERVE) {
+            return Budget::Exhausted;
+        }
+        schedule.requests_sent += 1;
+        let interval = if schedule.requests_sent > FAST_RETRIES || recipient.is_dead {
+            SLOW_RETRY_INTERVAL
+        } else {
+            RETRY_INTERVAL
+        };
+        schedule.request_at = pass.now + interval;
+        self.send_within_budget(election, recipient.peer, recipient.stamp(), request, sends);
+        Budget::Available
+    }
+
+    /// Sends the lease for the map in force if it is due.
+    fn send_due_lease(
+        &mut self,
+        pass: &SendPass,
+        term: &mut Term,
+        recipient: &Recipient,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
+    ) -> Budget {
+        let (now, peer, idle) = (pass.now, recipient.peer, term.is_idle());
+        let Some(schedule) = term.schedules.get_mut(&peer) else {
+            return Budget::Available;
+        };
+        let Some(map) = pass.granted_map else {
+            schedule.lease_at = schedule.lease_at.max(now + RETRY_INTERVAL);
+            return Budget::Available;
+        };
+        if schedule.lease_at > now {
+            return Budget::Available;
+        }
+        if !self.has_budget(DATAGRAM_OVERHEAD_BYTES, 0.0) {
+            return Budget::Exhausted;
+        }
+        schedule.leases_sent += 1;
+        let interval = match term.granted_leases.has_acknowledged(peer, map.version) {
+            true => pass.period,
+            // The membership may be wrong about this peer: its lease has to be renewed in time all the same.
+            false if recipient.is_dead => pass.period,
+            false if schedule.leases_sent > LEASE_RETRIES => SLOW_RETRY_INTERVAL.max(pass.period),
+            false if schedule.leases_sent > FAST_RETRIES => SLOW_RETRY_INTERVAL.min(pass.period),
+            false => RETRY_INTERVAL,
+        };
+        schedule.lease_at = now + interval;
+        // A lease starts when the peer was last heard, on both clocks. If another incarnation of the peer may still
+        // have one, this incarnation gets the map with a lease that has already expired.
+        let ends_at = recipient.heard_at + self.lease_duration;
+        let may_grant = term
+            .granted_leases
+            .may_grant(now, peer, recipient.incarnation);
+        let expires_at = if may_grant && now < ends_at {
+            term.granted_leases
+                .grant(peer, recipient.incarnation, ends_at);
+            recipient.clock.saturating_add(shorter(self.lease_duration))
+        } else {
+            0
+        };
+        let lease = Kind::GrantLease {
+            map,
+            blocked: term.blocked.ranges.clone(),
+            expires_at,
+            idle,
+        };
+        self.send_within_budget(election, peer, recipient.stamp(), lease, sends);
+        Budget::Available
+    }
+}
+
+/// Peers whose request or lease is due, the longest overdue first.
+fn due_peers(now: Micros, term: &Term, names: &[PeerId]) -> Vec<PeerId> {
+    let mut due: Vec<(Micros, PeerId)> = term
+        .schedules
+        .iter()
+        .map(|(name, schedule)| (schedule.request_at.min(schedule.lease_at), *name))
+        .filter(|(at, name)| *at <= now && names.contains(name))
+        .collect();
+    due.sort_unstable();
+    due.into_iter().map(|(_, name)| name).collect()
+}
+
+/// The request of the current stage that this peer has not answered.
+fn open_request(term: &Term, peer: PeerId, map_bytes: &[u8]) -> Option<Kind> {
+    match &term.stage {
+        Stage::Preparing(replies) => {
+            (!replies.contains_key(&peer)).then_some(Kind::Prepare(term.ballot()))
+        }
+        Stage::Deciding(decision) if !decision.has_vote_of(peer) => Some(Kind::Propose {
+            ballot: term.ballot(),
+            map: decision.id,
+            resumed: decision.resumed,
+            recovery: term.recovery,
+            map_bytes: map_bytes.to_vec(),
+        }),
+        _ => None,
+    }
 }
--- a/gateway-cluster/src/shards/node/mod.rs
+++ b/gateway-cluster/src/shards/node/mod.rs
@@ -12,6 +12,7 @@
 mod leases;
 mod planning;
 mod proposals;
+mod replies;
 mod sending;
 mod status;
 mod term;
@@ -279,21 +280,7 @@
                     granted_leases.release(now, *name, *incarnation);
                 }
             }
-            Term {
-                epoch,
-                elected: now,
-                attempt: 0,
-                granted_leases,
-                stage: Stage::Preparing(BTreeMap::new()),
-                leases_enabled: false,
-                recovery: false,
-                current: None,
-                previous: None,
-                blocked: Default::default(),
-                schedules: BTreeMap::new(),
-                proposals: VecDeque::new(),
-                plan_at: now,
-            }
+            Term::new(now, epoch, granted_leases)
         });
     }
 
@@ -420,7 +407,7 @@
             next = schedules.fold(next, Micros::min);
             let ends = term
                 .blocked
-                .1
+                .owners
                 .iter()
                 .map(|name| now + term.granted_leases.remaining(now, peer_id_of(name)));
             next = ends.fold(next, Micros::min);
--- a/gateway-cluster/src/shards/node/planning.rs
+++ b/gateway-cluster/src/shards/node/planning.rs
@@ -1,7 +1,7 @@
 //! Which map the leader proposes next, once all ranges of the last one are where they belong.
 
 use super::sending::PLANNING_INTERVAL;
-use super::term::{blocked_now, finish_proposal, Term};
+use super::term::{blocked_now, finish_proposal, Progress, Term};
 use super::{ShardMapEvent, ShardMapNode};
 use crate::leadership::election::LeaderElection;
 use crate::peers::{peer_id_of, PeerId};
@@ -21,32 +21,32 @@
         now: Micros,
         term: &mut Term,
         election: &LeaderElection,
-    ) -> bool {
+    ) -> Progress {
         let Some(current) = &term.current else {
-            return false;
+            return Progress::Waiting;
         };
         self.cluster.epoch = term.epoch;
         let (cluster, limits) = (&self.cluster, self.limits);
-        let lives: BTreeSet<PeerId> = cluster.living().map(peer_id_of).collect();
-        if now < term.plan_at || !election.is_majority(|name| lives.contains(&name)) {
-            return false;
+        let alive: BTreeSet<PeerId> = cluster.living().map(peer_id_of).collect();
+        if now < term.plan_at || !election.is_majority(|name| alive.contains(&name)) {
+            return Progress::Waiting;
         }
-        if !blocked_now(now, term).0.is_empty() {
-            return false;
+        if !blocked_now(now, term).ranges.is_empty() {
+            return Progress::Waiting;
         }
         term.plan_at = now + PLANNING_INTERVAL;
         let mut event = None;
         let mut next =
-            plan::replace_lost_owners(current, cluster, &limits).unwrap_or_else(|problem| {
-                event = Some(ShardMapEvent::Refused(problem.to_string()));
+            plan::replace_lost_owners(current, cluster, &limits).unwrap_or_else(|error| {
+                event = Some(ShardMapEvent::Refused(error.to_string()));
                 None
             });
         let mut proposal = None;
-        let mut refused = Vec::new();
-        for on_proposal in term
+        let mut rejected = Vec::new();
+        for received in term
             .proposals
             .iter()
-            .filter(|on_proposal| on_proposal.state == ProposalState::Waiting)
+            .filter(|received| received.state == ProposalState::Waiting)
         {
             if next.is_some() {
                 break;
@@ -54,19 +54,19 @@
             let map = ShardMap {
                 parent: current.hash(),
                 epoch: term.epoch,
-                ..on_proposal.map.clone()
+                ..received.map.clone()
             };
             let findings = validate(Some(current), &map, cluster, &limits);
             if findings.is_empty() {
-                (next, proposal) = (Some(map), Some(on_proposal.hash));
+                (next, proposal) = (Some(map), Some(received.hash));
             } else {
-                refused.push((
-                    on_proposal.hash,
+                rejected.push((
+                    received.hash,
                     findings.iter().map(FindingReport::from).collect(),
                 ));
             }
         }
-        if next.is_none() && now >= term.elected + self.lease_duration {
+        if next.is_none() && now >= term.elected_at + self.lease_duration {
             let planned = Limits {
                 moved_permille: PLANNED_PERMILLE,
                 ..limits
@@ -77,19 +77,21 @@
                 .map(|range| range.owner.as_str())
                 .collect();
             let new = cluster.living().filter(|name| !owners.contains(name));
-            next = plan::add_owners(current, new, cluster, &planned).unwrap_or_else(|problem| {
-                event = Some(ShardMapEvent::Refused(problem.to_string()));
+            next = plan::add_owners(current, new, cluster, &planned).unwrap_or_else(|error| {
+                event = Some(ShardMapEvent::Refused(error.to_string()));
                 None
             });
         }
-        for (hash, findings) in refused {
+        for (hash, findings) in rejected {
             finish_proposal(term, hash, ProposalState::Refused, findings);
         }
         if let Some(event) = event {
             self.record_event(event);
         }
-        let Some(map) = next else { return false };
+        let Some(map) = next else {
+            return Progress::Waiting;
+        };
         self.propose_map(now, term, map, false, proposal);
-        true
+        Progress::Advanced
     }
 }
--- a/gateway-cluster/src/shards/node/proposals.rs
+++ b/gateway-cluster/src/shards/node/proposals.rs
@@ -150,7 +150,7 @@
         if let Some(place) = term
             .proposals
             .iter()
-            .position(|on_proposal| on_proposal.hash == hash)
+            .position(|received| received.hash == hash)
         {
             let known = term.proposals.get(place)?;
             let answer = (known.state, known.findings.clone());
@@ -165,7 +165,7 @@
             let over = term
                 .proposals
                 .iter()
-                .position(|on_proposal| on_proposal.state != ProposalState::Waiting)?;
+                .position(|received| received.state != ProposalState::Waiting)?;
             term.proposals.remove(over);
         }
         term.proposals.push_back(ReceivedProposal {
--- a/gateway-cluster/src/shards/node/status.rs
+++ b/gateway-cluster/src/shards/node/status.rs
@@ -4,8 +4,9 @@
 use super::term::Stage;
 use super::ShardMapNode;
 use crate::leadership::longer;
-use crate::peers::{peer_id_of, PeerId};
+use crate::peers::peer_id_of;
 use crate::protocol::Micros;
+use crate::shards::leases::BlockedRanges;
 use crate::shards::map::{Key, MapHash, ShardMap};
 use crate::shards::wire::{FindingReport, ProposalState};
 use std::collections::{BTreeMap, BTreeSet};
@@ -96,31 +97,29 @@
     fn pending_change(&self, now: Micros) -> Option<PendingChange> {
         if let Some(term) = &self.term {
             if let Stage::Deciding(deciding) = &term.stage {
-                let on_proposal_result = |id: &PeerId| {
-                    deciding.accepted.contains(id) || deciding.refused.contains_key(id)
-                };
-                let blocked = self
+                let waits_for = self
                     .cluster
                     .gateways
                     .keys()
-                    .filter(|name| !on_proposal_result(&peer_id_of(name)));
-                let waits_for = blocked.cloned().collect();
+                    .filter(|name| !deciding.has_vote_of(peer_id_of(name)))
+                    .cloned()
+                    .collect();
                 return Some(PendingChange {
                     version: deciding.id.version,
                     waits_for,
                     at_most: None,
                 });
             }
-            let (marks, names) = &term.blocked;
-            let left = names
+            let BlockedRanges { ranges, owners } = &term.blocked;
+            let left = owners
                 .iter()
                 .map(|name| term.granted_leases.remaining(now, peer_id_of(name)))
                 .max();
             let left = left.unwrap_or(term.granted_leases.unknown_until().saturating_sub(now));
             let version = term.current.as_ref().map_or(0, |map| map.version);
-            return (!marks.is_empty()).then(|| PendingChange {
+            return (!ranges.is_empty()).then(|| PendingChange {
                 version,
-                waits_for: names.clone(),
+                waits_for: owners.clone(),
                 at_most: Some(left),
             });
         }
--- a/gateway-cluster/src/shards/node/term.rs
+++ b/gateway-cluster/src/shards/node/term.rs
@@ -1,48 +1,80 @@
-//! What a leader of leadership knows during one epoch, and the changes of that state that need nothing else.
+//! The leader's state during one epoch, and the transitions that need nothing else.
+//!
+//! Owned by the node while it is the leader; dropped when its epoch ends.
 
 use super::sending::PLANNING_INTERVAL;
 use crate::peers::{peer_id_of, PeerId};
 use crate::protocol::Micros;
 use crate::shards::consensus::{AcceptorReport, Ballot, LearnedMap, MapId};
-use crate::shards::leases::{blocked_ranges, GrantedLeases, RangeSet};
+use crate::shards::leases::{blocked_ranges, BlockedRanges, GrantedLeases, RangeSet};
 use crate::shards::map::{MapHash, ShardMap};
 use crate::shards::wire::{FindingReport, ProposalState};
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 
-/// What the leader is about.
+/// Result of one step of the leader.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) enum Progress {
+    /// The stage changed; another step may be possible at once.
+    Advanced,
+    /// The stage waits for replies, maps or time.
+    Waiting,
+}
+
+/// Stage of the leader's current decision.
 #[derive(Debug)]
 pub(super) enum Stage {
-    /// Asks what there is.
+    /// Phase one: collects promises.
     Preparing(BTreeMap<PeerId, PromiseReply>),
-    /// Lacks maps that it has learned of, and who has them.
+    /// Fetches the maps that phase one named, from the peers that reported one.
     FetchingMaps(LearnedMap, Vec<PeerId>),
-    /// Proposes a map.
+    /// Phase two: collects votes for a map.
     Deciding(Box<PendingDecision>),
-    /// Nothing is to be decided.
+    /// No decision is pending.
     Idle,
 }
 
+/// Reply to phase one.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PromiseReply {
     pub(super) report: AcceptorReport,
+    /// The peer has had a shard lease in this incarnation.
     pub(super) had_lease: bool,
-    /// What was given before it began is over then.
+    /// Until then a lease that was granted before this incarnation started may still be valid.
     pub(super) uncertain_until: Micros,
 }
 
+impl PromiseReply {
+    /// Whether the peer has neither a map nor a lease, and no earlier incarnation can have a valid lease.
+    pub(super) fn has_no_state(&self, now: Micros) -> bool {
+        self.report.in_force.is_none()
+            && self.report.accepted.is_none()
+            && !self.had_lease
+            && now >= self.uncertain_until
+    }
+}
+
+/// Votes of phase two for one map.
 #[derive(Debug)]
 pub(super) struct PendingDecision {
     pub(super) map: ShardMap,
     pub(super) id: MapId,
+    /// A majority may have accepted the map under an earlier ballot.
     pub(super) resumed: bool,
     pub(super) accepted: BTreeSet<PeerId>,
-    pub(super) refused: BTreeMap<PeerId, Vec<FindingReport>>,
-    /// It is this proposal of operators.
+    pub(super) rejected: BTreeMap<PeerId, Vec<FindingReport>>,
+    /// Hash of the operators' proposal that the map comes from.
     pub(super) proposal: Option<MapHash>,
-    pub(super) began: Micros,
+    pub(super) started_at: Micros,
+}
+
+impl PendingDecision {
+    /// Whether a peer has accepted or rejected the map.
+    pub(super) fn has_vote_of(&self, peer: PeerId) -> bool {
+        self.accepted.contains(&peer) || self.rejected.contains_key(&peer)
+    }
 }
 
-/// A proposal of operators at the leader.
+/// An operators' proposal that the leader has received.
 #[derive(Debug)]
 pub(super) struct ReceivedProposal {
     pub(super) hash: MapHash,
@@ -51,37 +83,63 @@
     pub(super) findings: Vec<FindingReport>,
 }
 
-/// When a gateway is told something next.
+/// When a peer gets its next request and its next lease.
 #[derive(Debug, Clone, Copy, Default)]
 pub(super) struct PeerSchedule {
     pub(super) request_at: Micros,
+    /// Requests sent since the last restart of the schedule.
     pub(super) requests_sent: u32,
     pub(super) lease_at: Micros,
+    /// Leases sent since the last restart of the schedule.
     pub(super) leases_sent: u32,
 }
 
-/// One epoch of this gateway as the leader.
+/// State of this node as the leader of one epoch.
 #[derive(Debug)]
 pub(super) struct Term {
     pub(super) epoch: u64,
-    pub(super) elected: Micros,
+    pub(super) elected_at: Micros,
+    /// Attempt number of the ballot within the epoch.
     pub(super) attempt: u32,
     pub(super) granted_leases: GrantedLeases,
     pub(super) stage: Stage,
-    /// It knows what is in force, and gives leases.
+    /// The map in force is known, and leases are granted for it.
     pub(super) leases_enabled: bool,
-    /// Too few remember what they accepted.
+    /// Too few acceptors have their history: the decision rebuilds it from any majority.
     pub(super) recovery: bool,
+    /// The map in force.
     pub(super) current: Option<ShardMap>,
+    /// The map before the one in force.
     pub(super) previous: Option<ShardMap>,
-    /// Ranges that wait, and for whom; as of the last look.
-    pub(super) blocked: (RangeSet, Vec<String>),
+    /// Ranges of the map in force that are blocked, as of the last update.
+    pub(super) blocked: BlockedRanges,
     pub(super) schedules: BTreeMap<PeerId, PeerSchedule>,
     pub(super) proposals: VecDeque<ReceivedProposal>,
+    /// When the next map is planned.
     pub(super) plan_at: Micros,
 }
 
 impl Term {
+    /// State of a leader that was just elected: phase one starts at once.
+    pub(super) fn new(now: Micros, epoch: u64, granted_leases: GrantedLeases) -> Term {
+        Term {
+            epoch,
+            elected_at: now,
+            attempt: 0,
+            granted_leases,
+            stage: Stage::Preparing(BTreeMap::new()),
+            leases_enabled: false,
+            recovery: false,
+            current: None,
+            previous: None,
+            blocked: BlockedRanges::default(),
+            schedules: BTreeMap::new(),
+            proposals: VecDeque::new(),
+            plan_at: now,
+        }
+    }
+
+    /// The ballot of the current decision.
     pub(super) fn ballot(&self) -> Ballot {
         Ballot {
             epoch: self.epoch,
@@ -89,7 +147,7 @@
         }
     }
 
-    /// Everybody is asked, and told, from now on.
+    /// Restarts all schedules: each peer gets its request and its lease now.
     pub(super) fn contact_all_now(&mut self, now: Micros) {
         for schedule in self.schedules.values_mut() {
             *schedule = PeerSchedule {
@@ -101,33 +159,34 @@
         }
     }
 
+    /// Whether no decision is pending.
     pub(super) fn is_idle(&self) -> bool {
         matches!(self.stage, Stage::Idle)
     }
 }
 
-/// Ranges of the leader's map that wait, and for whom.
-pub(super) fn blocked_now(now: Micros, term: &Term) -> (RangeSet, Vec<String>) {
+/// Ranges of the leader's map that are blocked by their previous owners at this moment.
+pub(super) fn blocked_now(now: Micros, term: &Term) -> BlockedRanges {
     let Some(current) = &term.current else {
-        return Default::default();
+        return BlockedRanges::default();
     };
     match &term.previous {
-        None if now < term.granted_leases.unknown_until() && current.version > 1 => {
-            // It does not know who had what before: anybody may.
-            (RangeSet::of(current.ranges.len(), |_| true), Vec::new())
-        }
+        // The previous owners are not known: any gateway may still have a lease.
+        None if now < term.granted_leases.unknown_until() && current.version > 1 => BlockedRanges {
+            ranges: RangeSet::of(current.ranges.len(), |_| true),
+            owners: Vec::new(),
+        },
         previous => {
-            let free = |name: &str| {
+            let is_free = |name: &str| {
                 term.granted_leases
                     .is_free(now, peer_id_of(name), current.version)
             };
-            let (marks, names) = blocked_ranges(current, previous.as_ref(), free);
-            (marks, names.into_iter().map(String::from).collect())
+            blocked_ranges(current, previous.as_ref(), is_free)
         }
     }
 }
 
-/// Whoever has accepted what was proposed is found out, under a ballot in which no more can.
+/// Returns to phase one under the next ballot, in which no acceptor can accept the last proposal any more.
 pub(super) fn restart_prepare(now: Micros, term: &mut Term) {
     term.attempt = term.attempt.saturating_add(1);
     term.stage = Stage::Preparing(BTreeMap::new());
@@ -135,17 +194,18 @@
     term.contact_all_now(now);
 }
 
+/// Records the result of an operators' proposal.
 pub(super) fn finish_proposal(
     term: &mut Term,
     hash: MapHash,
     state: ProposalState,
     findings: Vec<FindingReport>,
 ) {
-    if let Some(on_proposal) = term
+    if let Some(proposal) = term
         .proposals
         .iter_mut()
-        .find(|on_proposal| on_proposal.hash == hash)
+        .find(|proposal| proposal.hash == hash)
     {
-        (on_proposal.state, on_proposal.findings) = (state, findings);
+        (proposal.state, proposal.findings) = (state, findings);
     }
 }
--- a/gateway-cluster/tests/keeping_model.rs
+++ b/gateway-cluster/tests/keeping_model.rs
@@ -138,7 +138,7 @@
                 || state.leases.is_free(state.now, peer_id_of(name), version)
         };
         blocked_ranges(&map(state.current), previous(state.current).as_ref(), free)
-            .0
+            .ranges
             .contains(0)
     }
 
