--- a/gateway-cluster/src/shards/consensus.rs
+++ b/gateway-cluster/src/shards/consensus.rs
@@ -1,45 +1,52 @@
-//! Deciding a map once per version: single-decree Paxos by version, where the leadership's epoch is the ballot. Gateways have no
-//! disks: one that starts from nothing counts for nothing until a leader has told it all that it may have forgotten.
+//! Single-decree Paxos, one instance for each map version. The leader's epoch is the ballot (L. Lamport, "Paxos Made
+//! Simple", 2001, section 2.2).
+//!
+//! Invariant: at most one map is decided for a version. Gateways have no disks, so a restarted acceptor has lost its
+//! promises. It does not count towards a majority before a leader has informed it of a decided map while no other
+//! decision was pending: then there is nothing that it could have forgotten. If too few acceptors count, the leader
+//! rebuilds the history from any majority (`recovery`), once all leases of earlier leaders have expired.
+//!
+//! No I/O. Used by [`super::node`] and by the model checks.
 
 use super::map::MapHash;
 use crate::peers::PeerId;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// What an acceptor orders proposers by: the leader's epoch, and within it how often the leader has asked anew.
+/// Paxos ballot: the leader's epoch, then the attempt within the epoch.
 #[derive(
     Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Ballot {
-    /// The leader's epoch.
+    /// Epoch of the proposing leader.
     pub epoch: u64,
-    /// Within it, after a proposal that was refused.
+    /// Attempt within the epoch; it grows by one after a rejected or timed out proposal.
     pub attempt: u32,
 }
 
-/// A map by name: the epoch that made it, its version, and its hash. Later ones are higher.
+/// Identity of a map: epoch, version and hash. Ordered by epoch first.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct MapId {
-    /// The epoch that made it.
+    /// Epoch of the leader that made the map.
     pub epoch: u64,
-    /// Its version.
+    /// Version of the map.
     pub version: u64,
-    /// Its hash.
+    /// Hash of the map.
     pub hash: MapHash,
 }
 
-/// What an acceptor answers to the question of a leader that begins.
+/// State of an acceptor, sent with its promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptorReport {
-    /// The highest decided map that it knows.
+    /// The highest decided map that the acceptor knows.
     pub in_force: Option<MapId>,
-    /// What it has accepted for the version after that, and of which ballot.
+    /// The map that the acceptor has accepted for the next version, with the ballot.
     pub accepted: Option<(Ballot, MapId)>,
-    /// It knows all that it ever promised and accepted, or that is settled.
+    /// Whether the state is complete since the last restart; an incomplete state does not count towards a majority.
     pub recovered: bool,
 }
 
-/// One gateway's part in deciding.
+/// Acceptor of one gateway.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     promised: Ballot,
@@ -49,7 +56,7 @@
 }
 
 impl Acceptor {
-    /// Promises to accept nothing of a lower ballot, and tells what it has. `None` if it has promised a higher one.
+    /// Promises to accept no lower ballot, and reports the state. `None` if a higher ballot has been promised.
     pub fn promise(&mut self, ballot: Ballot) -> Option<AcceptorReport> {
         if ballot < self.promised {
             return None;
@@ -62,8 +69,9 @@
         })
     }
 
-    /// Accepts a map, unless it has promised not to, or cannot vouch for what it did before it started. With `recovery`
-    /// the leader says that too few remember, and that all count from now on.
+    /// Accepts a map, unless a higher ballot has been promised, the map does not follow the decided one, or the
+    /// acceptor has lost its state. `recovery` is set by a leader that rebuilds the history; then an acceptor that lost
+    /// its state counts as well.
     pub fn accept(&mut self, ballot: Ballot, map: MapId, recovery: bool) -> bool {
         let later =
             |known: MapId| map.version > known.version || recovery && map.epoch > known.epoch;
@@ -77,44 +85,45 @@
         true
     }
 
-    /// A leader has told that this map is in force. `idle` if nothing else is being decided: then there is nothing
-    /// that this gateway may have forgotten.
+    /// A leader has announced the decided map. `idle` means that no other decision is pending, so that an acceptor that
+    /// lost its state is complete again.
     pub fn on_decided(&mut self, epoch: u64, map: MapId, idle: bool) {
         self.promised = self.promised.max(Ballot { epoch, attempt: 0 });
         self.in_force = Some(map);
         self.recovered |= idle;
-        // What was accepted for this version or a lower one is over, and so is that of an older history.
+        // An accepted map of this version or a lower one, or of an older epoch, is obsolete.
         self.accepted = self.accepted.filter(|(ballot, next)| {
             Some(next.version) == map.version.checked_add(1) && ballot.epoch >= epoch
         });
     }
 
-    /// What is in force, as far as this gateway knows.
+    /// The highest decided map that this acceptor knows.
     pub fn in_force(&self) -> Option<MapId> {
         self.in_force
     }
 
-    /// What is accepted.
+    /// The map accepted for the next version, with its ballot.
     pub fn accepted(&self) -> Option<(Ballot, MapId)> {
         self.accepted
     }
 
-    /// Whether it counts.
+    /// Whether this acceptor counts towards a majority.
     pub fn is_recovered(&self) -> bool {
         self.recovered
     }
 }
 
-/// What a leader that begins makes of the answers.
+/// Result of phase one.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct LearnedMap {
-    /// What is in force.
+    /// The map in force.
     pub in_force: Option<MapId>,
-    /// A map of the next version that a majority may have accepted: it has to be decided before anything else.
+    /// A map of the next version that a majority may have accepted: it has to be decided before any other.
     pub unfinished: Option<MapId>,
 }
 
-/// What the answers say, if they are enough: those of a majority that remembers, or with `recovery` of any majority.
+/// Evaluates the promises of phase one. `None` if they are not from a majority of acceptors with complete state, or,
+/// with `recovery`, not from any majority.
 pub fn learn(
     reports: &BTreeMap<PeerId, AcceptorReport>,
     recovery: bool,
@@ -131,14 +140,15 @@
     let counted_reports = || reports.keys().filter_map(|name| counted_report(*name));
     let in_force = counted_reports().filter_map(|report| report.in_force).max();
     let next = in_force.map_or(1, |map| map.version.saturating_add(1));
-    // A history that begins is the first of its epoch, whatever others had before.
+    // The first map of a history has version 1 and a later epoch than the map in force, whatever its version.
     let starts_history =
         |map: &MapId| map.version == 1 && in_force.is_none_or(|known| map.epoch > known.epoch);
     let accepted = counted_reports().filter_map(|report| report.accepted);
     let candidates = accepted.filter(|(_, map)| map.version == next || starts_history(map));
     let highest = candidates.max().map(|(_, map)| map);
-    // If any map was decided for that version, each proposal after it was the same one: the highest is the only one
-    // that may have been. It was not, if too many have not accepted it, who now never will.
+    // If a map was decided for this version, every later proposal was the same map, so only the one with the highest
+    // ballot can be decided. It cannot be if too many acceptors report that they have not accepted it: they have now
+    // promised not to.
     let may_have = |map: MapId| {
         is_majority(&|name| {
             counted_report(name)
--- a/gateway-cluster/src/shards/cover.rs
+++ b/gateway-cluster/src/shards/cover.rs
@@ -1,21 +1,23 @@
-//! How often each key is covered.
+//! Coverage of the key space by ranges: gaps, overlaps, and keys that exactly one range covers.
+//!
+//! Pure functions, used by the validation and by the plans.
 
 use super::map::{Key, ShardRange};
 
-/// Keys, from and up to.
+/// Keys `[from, to)`.
 pub(super) type Span = (Key, Key);
 
-/// Keys that one range alone covers.
+/// Keys that exactly one range covers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct CoveredSpan {
     pub from: Key,
     pub to: Key,
-    /// Its place in the list.
+    /// Index of the range in the map.
     pub range: usize,
 }
 
-/// The key space, by how often its keys are covered. Each list is in the order of keys; no two neighbouring
-/// gaps or overlaps touch.
+/// The key space, by the number of ranges that cover it. Each list is in the order of keys; neighbouring gaps, and
+/// neighbouring overlaps, are joined.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub(super) struct Cover {
     pub gaps: Vec<Span>,
@@ -23,14 +25,13 @@
     pub covered_once: Vec<CoveredSpan>,
 }
 
-/// The keys that were meant: a reversed range is wrong in its bounds, and what it was to cover is no gap
-/// beside that.
+/// The bounds of a range, in order. A reversed range is a finding of its own, and counts as covering its keys, so that
+/// they are not reported as a gap as well.
 pub(super) fn normalized_bounds(range: &ShardRange) -> Span {
     (range.from.min(range.to), range.from.max(range.to))
 }
 
-/// Goes over all bounds in the order of keys. That does not depend on the order in which ranges are listed,
-/// so ranges in a wrong order are no gaps.
+/// Sweeps over all bounds in the order of keys. The result does not depend on the order in which the ranges are listed.
 pub(super) fn cover(ranges: &[ShardRange], end: Key) -> Cover {
     let mut bounds: Vec<(Key, usize, bool)> = Vec::with_capacity(ranges.len().saturating_mul(2));
     for (number, range) in ranges.iter().enumerate() {
@@ -41,7 +42,7 @@
         }
     }
     bounds.sort_unstable();
-    // One more bound, so that what is before the end is looked at.
+    // A last bound at the end of the key space, so that a gap before it is found.
     bounds.push((end, 0, false));
 
     let mut found = Cover::default();
@@ -50,7 +51,8 @@
         if position < bound {
             match covering {
                 0 => add(&mut found.gaps, position, bound),
-                // With one range open, what is left of all numbers that came and went is its own.
+                // `covering_xor` is the XOR of the indexes of all ranges open here: with one range open it is the index
+                // of that range.
                 1 => found.covered_once.push(CoveredSpan {
                     from: position,
                     to: bound,
@@ -77,7 +79,7 @@
     }
 }
 
-/// The keys that are covered once in both, cut where either is, with the places of their ranges.
+/// Keys that exactly one range covers in both maps, split at the bounds of either, with the indexes of both ranges.
 pub(super) fn intersect(old: &[CoveredSpan], new: &[CoveredSpan]) -> Vec<(Span, usize, usize)> {
     let mut both = Vec::new();
     let (mut old_spans, mut new_spans) = (old.iter().peekable(), new.iter().peekable());
@@ -95,7 +97,7 @@
     both
 }
 
-/// The same keys as spans in order that do not touch.
+/// The same keys as sorted spans that do not touch.
 pub(super) fn merged(spans: &[Span]) -> Vec<Span> {
     let mut sorted: Vec<Span> = spans
         .iter()
--- a/gateway-cluster/src/shards/finding.rs
+++ b/gateway-cluster/src/shards/finding.rs
@@ -1,52 +1,52 @@
-//! What can be wrong with a map.
+//! Findings: what is wrong with a map, with a text for operators.
 
 use super::map::{Key, MapHash};
 use serde::{Deserialize, Serialize};
 use std::fmt;
 use thiserror::Error;
 
-/// Findings that are told of one rule; how many more there are is told in one that follows them
-/// ([`Finding::More`]). Thirteen rules are then 429 findings at the most, whatever the map.
+/// Maximum number of findings reported for one rule; one more gives the number of those left out ([`Finding::More`]).
+/// With thirteen rules there are at most 429 findings, for any map.
 pub const MAX_FINDINGS_PER_RULE: usize = 32;
 
-/// Characters that are shown of a name from a map.
+/// Maximum number of characters of a name from a map in a text.
 const SHOWN: usize = 64;
 
-/// What a map must keep to. FindingReport in lower case.
+/// Rules of a valid map. Serialized in lower case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Rule {
     /// Each key has an owner.
     Gap,
-    /// No key has two.
+    /// No key has two owners.
     Overlap,
-    /// A range has keys, its lower bound first.
+    /// A range has keys, and its lower bound comes first.
     Empty,
-    /// Ranges are listed by their keys.
+    /// Ranges are listed in the order of keys.
     Order,
-    /// There are no keys beyond the space.
+    /// Ranges end within the key space.
     Beyond,
-    /// Keepers are in the peer set, live and stay.
+    /// Owners are in the peer set, alive, and not leaving.
     #[serde(rename = "keeper")]
     Owner,
-    /// It follows on the map in force.
+    /// The parent is the map in force.
     Parent,
-    /// It has the next number.
+    /// The version follows that of the map in force.
     Version,
-    /// It was decided by the newest leader that is known.
+    /// The epoch is the newest one known.
     Epoch,
-    /// Few keys move at once.
+    /// The number of keys that move is limited.
     Moved,
-    /// No owner has too many keys.
+    /// The number of keys of an owner is limited.
     Share,
-    /// Keys move again once their last move is over.
+    /// Keys move again only after their last move is complete.
     Moving,
-    /// There are not too many ranges.
+    /// The number of ranges is limited.
     Size,
 }
 
 impl Rule {
-    /// All of them, in the order in which findings are told.
+    /// All rules, in the order in which findings are reported.
     pub const ALL: [Rule; 13] = [
         Rule::Gap,
         Rule::Overlap,
@@ -63,7 +63,7 @@
         Rule::Size,
     ];
 
-    /// Its word.
+    /// Name of the rule in replies to operators.
     pub fn name(self) -> &'static str {
         match self {
             Rule::Gap => "gap",
@@ -89,7 +89,7 @@
     }
 }
 
-/// One thing that is wrong with a map. Bounds are in keys, the upper one without; the text says what to do.
+/// One fault of a map. Upper bounds are exclusive; the text says what to do.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 #[allow(missing_docs)]
 pub enum Finding {
@@ -176,7 +176,7 @@
 }
 
 impl Finding {
-    /// Which rule it is about.
+    /// The violated rule.
     pub fn rule(&self) -> Rule {
         match self {
             Finding::Gap { .. } => Rule::Gap,
@@ -200,7 +200,7 @@
         }
     }
 
-    /// The keys that it is about, from and up to, where it is about some.
+    /// The keys `[from, to)` concerned, if the finding concerns keys.
     pub fn keys(&self) -> Option<(Key, Key)> {
         match self {
             Finding::Gap { from, to }
@@ -218,7 +218,7 @@
     }
 }
 
-/// A name from a map, which may be anything of any length, as far as a message has room for it.
+/// A name from a map, which may be any text, shortened for a message.
 pub(super) fn shown(name: &str) -> String {
     match name.char_indices().nth(SHOWN) {
         Some((end, _)) => name.get(..end).unwrap_or_default().to_string() + "...",
--- a/gateway-cluster/src/shards/leases.rs
+++ b/gateway-cluster/src/shards/leases.rs
@@ -1,6 +1,11 @@
-//! Exactly once in time: what a gateway keeps now, and what the leader knows of who may still keep what. Safety is by leases
-//! alone: a leader that begins counts each gateway for an owner of all that it may have been given before, until it says
-//! that it has let go, or until any lease that an earlier leader gave is over.
+//! Shard leases: the rules by which a key has at most one owner at any instant.
+//!
+//! [`LocalShards`] is the lease holder's side: which keys this gateway owns now. [`GrantedLeases`] is the leader's
+//! side: who may still own what. Safety rests on leases alone. A new leader assumes that every gateway has a lease for
+//! all keys of earlier maps, until the gateway acknowledges the new map, releases its leases, or every lease of an
+//! earlier leader has expired.
+//!
+//! No I/O. Used by [`super::node`] and by the model checks. Times are in microseconds.
 
 use super::map::{Key, MapHash, ShardMap};
 use crate::leadership::{longer, FencingToken};
@@ -9,15 +14,15 @@
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
 
-/// How long an owner keeps after it was last heard, in leases of leadership: it outlasts the change of a leader.
+/// Duration of a shard lease, in durations of the leadership lease: it outlasts a change of the leader.
 pub const SHARD_LEASE_FACTOR: u64 = 2;
 
-/// Ranges of a map by number, as a set.
+/// A set of ranges of a map, as a bitmap over their indexes. Trailing zero bytes are left out.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct RangeSet(Vec<u8>);
 
 impl RangeSet {
-    /// Those of these ranges for which this holds.
+    /// The ranges, by index, for which the predicate is true.
     pub fn of(ranges: usize, holds: impl Fn(usize) -> bool) -> RangeSet {
         let mut bits = Vec::new();
         for index in (0..ranges).filter(|index| holds(*index)) {
@@ -29,19 +34,19 @@
         RangeSet(bits)
     }
 
-    /// Whether a range is one of them.
+    /// Whether the range with this index is in the set.
     pub fn contains(&self, index: usize) -> bool {
         self.0
             .get(index / 8)
             .is_some_and(|byte| byte >> (index % 8) & 1 == 1)
     }
 
-    /// Whether there are none.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0.iter().all(|byte| *byte == 0)
     }
 
-    /// How many bytes it takes at most.
+    /// Size of the bitmap in bytes.
     pub fn len(&self) -> usize {
         self.0.len()
     }
@@ -57,18 +62,18 @@
     }
 }
 
-/// A keep lease.
+/// A shard lease of this gateway.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct ShardLease {
-    /// Of which map.
+    /// Hash of the map that the lease is for.
     pub hash: MapHash,
-    /// Ranges that others may still keep.
+    /// Ranges that previous owners may still own.
     pub blocked: RangeSet,
-    /// On this gateway's clock.
+    /// End of the lease on this gateway's clock.
     pub expires_at: Micros,
 }
 
-/// What one gateway keeps.
+/// Shard leases of this gateway, as their holder.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct LocalShards {
     highest_token: FencingToken,
@@ -77,12 +82,13 @@
 }
 
 impl LocalShards {
-    /// Whether a lease of this epoch and version is not older than one that was seen.
+    /// Whether a lease of this epoch and version is not older than the newest one received.
     pub fn is_current(&self, fence: FencingToken) -> bool {
         fence >= self.highest_token
     }
 
-    /// Takes a keep lease in place of the one before. What this map gives to others is let go by that, at once.
+    /// Replaces the lease by a newer one. Keys that the new map assigns to others are released at once. Returns false
+    /// if the lease is outdated.
     pub fn accept_lease(
         &mut self,
         now: Micros,
@@ -101,7 +107,7 @@
             .take()
             .filter(|lease| lease.hash == hash && now < lease.expires_at);
         self.lease = Some(match same {
-            // Where others were out of the way already they stay so while this lease has no end.
+            // Ranges that were free stay free as long as the lease does not expire: a new leader may not know it.
             Some(lease) => ShardLease {
                 blocked: lease.blocked.intersection(&blocked),
                 expires_at: lease.expires_at.max(expires_at),
@@ -116,23 +122,23 @@
         true
     }
 
-    /// The lease that this gateway has at this moment.
+    /// The lease, if it has not expired.
     pub fn lease(&self, now: Micros) -> Option<&ShardLease> {
         self.lease.as_ref().filter(|lease| now < lease.expires_at)
     }
 
-    /// Whether it has had one in this incarnation.
+    /// Whether this incarnation has had a lease.
     pub fn had_lease(&self) -> bool {
         self.had_lease
     }
 
-    /// It keeps nothing from now on.
+    /// Releases all leases.
     pub fn release_all(&mut self) {
         (self.lease, self.had_lease) = (None, false);
     }
 
-    /// The keys that this gateway keeps at this moment, from and up to. `previous` is the map before this one: a range that
-    /// waits is kept as far as it was this gateway's there.
+    /// The key ranges `[from, to)` that this gateway owns now. In a blocked range it owns the keys that it already
+    /// owned in `previous`, the map before this one.
     pub fn mine(
         &self,
         now: Micros,
@@ -170,28 +176,28 @@
     }
 }
 
-/// What a leader knows of one name.
+/// The leader's record of one peer's lease.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 struct GrantedLease {
     incarnation: u64,
-    /// On the leader's clock.
+    /// End of the lease on the leader's clock.
     expires_at: Micros,
-    /// The version that it has taken over in this epoch.
+    /// The highest map version that the peer has acknowledged in this epoch.
     acknowledged_version: u64,
-    /// It has said that it keeps nothing any more.
+    /// The peer has released its leases and gets no more in this incarnation.
     released: bool,
 }
 
-/// What a leader knows of who may keep what.
+/// The leader's record of all leases that may be valid.
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 pub struct GrantedLeases {
-    /// Leases of earlier leaders are over then.
+    /// Until then leases of earlier leaders may be valid.
     unknown_until: Micros,
     granted: BTreeMap<PeerId, GrantedLease>,
 }
 
 impl GrantedLeases {
-    /// Of a epoch that begins. `keep` is the length of keep leases.
+    /// Record of a leader that was just elected: any gateway may have a lease of an earlier leader.
     pub fn new(now: Micros, lease_duration: Micros) -> GrantedLeases {
         GrantedLeases {
             unknown_until: now + longer(lease_duration),
@@ -199,17 +205,17 @@
         }
     }
 
-    /// When all leases of earlier leaders are over.
+    /// When all leases of earlier leaders have expired, on the leader's clock.
     pub fn unknown_until(&self) -> Micros {
         self.unknown_until
     }
 
-    /// Everybody has said that nobody keeps anything.
+    /// Every peer has reported that it has no lease.
     pub fn expire_unknown(&mut self, now: Micros) {
         self.unknown_until = self.unknown_until.min(now);
     }
 
-    /// This incarnation says that it has kept: an earlier one of its name is over.
+    /// The peer reports that this incarnation has had a lease, so no earlier incarnation has one.
     pub fn record_prior_lease(&mut self, peer: PeerId, incarnation: u64) {
         let until = self.unknown_until;
         self.granted.entry(peer).or_insert(GrantedLease {
@@ -220,7 +226,7 @@
         });
     }
 
-    /// Whether a lease may be given to this incarnation: no other of its name has one.
+    /// Whether a lease may be granted to this incarnation: no other incarnation of the peer can have one.
     pub fn may_grant(&self, now: Micros, peer: PeerId, incarnation: u64) -> bool {
         match self.granted.get(&peer) {
             Some(granted) if granted.incarnation == incarnation => !granted.released,
@@ -229,7 +235,7 @@
         }
     }
 
-    /// A lease is given, which is over then on the leader's clock.
+    /// Records a lease before it is sent. `until` is its end on the leader's clock.
     pub fn grant(&mut self, peer: PeerId, incarnation: u64, until: Micros) {
         let granted = self.granted.entry(peer).or_insert(GrantedLease {
             incarnation,
@@ -248,7 +254,7 @@
         granted.expires_at = granted.expires_at.max(until);
     }
 
-    /// This incarnation has taken this version over: it keeps by no lower one.
+    /// The incarnation has taken over a map version: it owns nothing by a lower one.
     pub fn acknowledge(&mut self, peer: PeerId, incarnation: u64, version: u64) {
         if let Some(granted) = self
             .granted
@@ -259,7 +265,7 @@
         }
     }
 
-    /// This incarnation, which has kept, keeps nothing any more, and never will.
+    /// The incarnation has released its leases and will not own anything again.
     pub fn release(&mut self, now: Micros, peer: PeerId, incarnation: u64) {
         self.record_prior_lease(peer, incarnation);
         if let Some(granted) = self
@@ -271,7 +277,7 @@
         }
     }
 
-    /// Whether a name keeps by no version lower than this one.
+    /// Whether the peer owns nothing by a version lower than this one.
     pub fn is_free(&self, now: Micros, peer: PeerId, version: u64) -> bool {
         match self.granted.get(&peer) {
             Some(granted) => granted.acknowledged_version >= version || now >= granted.expires_at,
@@ -279,14 +285,14 @@
         }
     }
 
-    /// Whether a name has taken this version over.
+    /// Whether the peer has acknowledged this version.
     pub fn has_acknowledged(&self, peer: PeerId, version: u64) -> bool {
         self.granted
             .get(&peer)
             .is_some_and(|granted| granted.acknowledged_version >= version)
     }
 
-    /// For how long a name may yet keep by a lower version.
+    /// Time until all leases of the peer for lower versions have expired.
     pub fn remaining(&self, now: Micros, peer: PeerId) -> Micros {
         self.granted
             .get(&peer)
--- a/gateway-cluster/src/shards/map.rs
+++ b/gateway-cluster/src/shards/map.rs
@@ -1,4 +1,4 @@
-//! The map itself: who keeps which keys, by which decision.
+//! The shard map: ranges of customer numbers with their owners, its version and its hash.
 
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use std::collections::BTreeSet;
@@ -6,26 +6,25 @@
 use std::str::FromStr;
 use twox_hash::XxHash3_64;
 
-/// A customer's number, as the cookie has it (PROTOCOL).
+/// Customer number, as in the customer cookie (see PROTOCOL).
 pub type Key = u64;
 
-/// The end of the key space: keys are `0..KEYS`.
+/// End of the key space: keys are `0..KEYS`.
 pub const KEYS: Key = 1 << 33;
 
-/// Begins what is hashed, so that another encoding gets another number when this one changes.
+/// Prefix of the hashed bytes. A change of the encoding needs another prefix.
 const ENCODING: &[u8] = b"shard map 1";
 
-/// Names a map by its content. Shown and told in JSON as 16 lower-case hexadecimal digits, sent as a number.
+/// Identity of a map by its content. In JSON and for operators 16 lower-case hexadecimal digits, on the wire a number.
 ///
-/// XXH3 with 64 bits (`twox-hash`): its values are fixed by a published specification since its release
-/// 0.8, so gateways of different builds agree, and the crate is used for names as well. It finds out
-/// histories that parted; it does not resist a peer that makes two maps of one hash on purpose, but a peer
-/// that may decide maps needs no such trick.
+/// XXH3 with 64 bits (`twox-hash`): its values are fixed by a published specification since release 0.8, so gateways of
+/// different builds compute the same. It detects diverging histories; it does not resist a peer that constructs two
+/// maps of one hash on purpose, but a peer that may decide maps needs no such attack.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Default)]
 pub struct MapHash(pub u64);
 
 impl MapHash {
-    /// What the first map of a history has as its parent.
+    /// Parent of the first map of a history.
     pub const NONE: MapHash = MapHash(0);
 }
 
@@ -35,7 +34,7 @@
     }
 }
 
-/// What is no hash.
+/// The text is not the hash of a map.
 #[derive(Debug, Clone, PartialEq, Eq, thiserror::Error)]
 #[error("a hash of a map has 16 lower-case hexadecimal digits: copy it from what `shards` answers")]
 pub struct InvalidMapHash;
@@ -44,8 +43,7 @@
     type Err = InvalidMapHash;
 
     fn from_str(text: &str) -> Result<MapHash, InvalidMapHash> {
-        // One map has one name: neither signs nor capitals nor fewer digits, all of which the parser would
-        // take.
+        // One hash has one text: the parser of numbers would also accept signs, capitals and fewer digits.
         let digits = text.len() == 16
             && text
                 .bytes()
@@ -77,17 +75,17 @@
     }
 }
 
-/// Keys from one up to, and without, another, with the gateway that keeps them.
+/// Keys `[from, to)` and the gateway that owns them.
 ///
-/// In JSON and TOML `{"from":0,"to":4294967296,"keeper":"n0"}`, as the configuration has it.
+/// In JSON and TOML `{"from":0,"to":4294967296,"keeper":"n0"}`, as in the configuration.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardRange {
-    /// The first key.
+    /// First key.
     pub from: Key,
-    /// The first key after it.
+    /// End of the keys (exclusive).
     pub to: Key,
-    /// The name of the gateway in the peer set.
+    /// Name of the owner in the peer set.
     #[serde(rename = "keeper")]
     pub owner: String,
 }
@@ -102,40 +100,38 @@
         }
     }
 
-    /// How many keys it has; none where it is empty or reversed.
+    /// Number of keys; 0 for an empty or a reversed range.
     pub fn keys(&self) -> u64 {
         self.to.saturating_sub(self.from)
     }
 }
 
-/// Who keeps which keys. Anybody may make one; [`validate`](super::validate()) says whether it may come into
-/// force.
+/// Assignment of all keys to owners. Anybody may construct one; [`validate`](super::validate()) says whether it may
+/// come into force.
 ///
-/// With `postcard` a range takes at most 75 bytes with an owner's name of 64 bytes, as a key takes at most 5:
-/// a map of 1,024 ranges 76,832 bytes, or 55 datagrams of 1,400. On the wire it should rather go as the
-/// widths of the ranges with the number of each owner in the peer set's sorted names: 5 + 2 bytes a range,
-/// 7,200 bytes in all, or 6 datagrams. The hash is of the map and not of its form, so the receiver sees by it
-/// that it put the parts together rightly.
+/// With `postcard` a range takes at most 75 bytes with an owner's name of 64 bytes, as a key takes at most 5: a map of
+/// 1,024 ranges 76,832 bytes. On the wire each name is sent once (see [`super::wire::encode_map`]). The hash covers the
+/// content and not the encoding, so a receiver verifies with it that it joined the chunks correctly.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct ShardMap {
-    /// One more than that of the map before it; 1 for the first.
+    /// Version: one more than that of the previous map, 1 for the first.
     pub version: u64,
-    /// The hash of the map before it; [`MapHash::NONE`] for the first.
+    /// Hash of the previous map; [`MapHash::NONE`] for the first.
     pub parent: MapHash,
-    /// The leader's epoch that decided it.
+    /// Epoch of the leader that made the map.
     pub epoch: u64,
-    /// By their keys, each key once.
+    /// Ranges in the order of keys; each key is in exactly one.
     pub ranges: Vec<ShardRange>,
 }
 
 impl ShardMap {
-    /// The map that a history starts with: `count` ranges whose sizes differ by one key at most, the bigger
-    /// ones first, given to the sorted names in blocks. It follows from its arguments alone, so that it is the
-    /// same at each gateway. None is without a name or a key.
+    /// The first map of a history: `count` ranges whose sizes differ by one key at most, the larger ones first,
+    /// assigned to the sorted names in blocks. It is determined by the arguments, so that each gateway computes the
+    /// same. `None` without a name or without a key.
     ///
-    /// There are never fewer ranges than names, so that each name gets its share; never more than keys, or
-    /// than the limit of ranges. In blocks, as operators write maps, so that a map of theirs moves little.
+    /// There are at least as many ranges as names, so that each gateway gets a share, and never more than keys or than
+    /// the limit of ranges. Blocks are how operators write maps, so that a map of theirs moves few keys.
     pub fn first<'a>(
         names: impl IntoIterator<Item = &'a str>,
         count: usize,
@@ -158,7 +154,7 @@
         let gateways = names.len() as u64;
         for number in 0..count {
             let to = from + width + u64::from(number < bigger);
-            // Where there are more names than keys the first of them get one each.
+            // With more names than keys, the first names get one key each.
             let place = if count < gateways {
                 number
             } else {
@@ -178,8 +174,7 @@
         })
     }
 
-    /// The hash of all that it says, over numbers of 8 bytes, the lowest first, and names with their lengths
-    /// before them.
+    /// Hash of the content: numbers as 8 bytes, little-endian, names preceded by their lengths.
     pub fn hash(&self) -> MapHash {
         let mut bytes = ENCODING.to_vec();
         let number = |bytes: &mut Vec<u8>, number: u64| bytes.extend(number.to_le_bytes());
@@ -200,15 +195,15 @@
         MapHash(XxHash3_64::oneshot(&bytes))
     }
 
-    /// The range that a key is in, by binary search: right for a map that [`validate`](super::validate())
-    /// passes. None for a key beyond the space.
+    /// The range of a key, by binary search, for a map that [`validate`](super::validate()) accepts. `None` for a key
+    /// outside the key space.
     pub fn range_of(&self, key: Key) -> Option<&ShardRange> {
         let after = self.ranges.partition_point(|range| range.from <= key);
         let range = self.ranges.get(after.checked_sub(1)?)?;
         (key < range.to).then_some(range)
     }
 
-    /// The name of the gateway that keeps a key, as [`ShardMap::range_of`].
+    /// Name of the owner of a key, see [`ShardMap::range_of`].
     pub fn owner_of(&self, key: Key) -> Option<&str> {
         self.range_of(key).map(|range| range.owner.as_str())
     }
--- a/gateway-cluster/src/shards/mod.rs
+++ b/gateway-cluster/src/shards/mod.rs
@@ -1,8 +1,13 @@
-//! Which gateway keeps which customers: the map, the check that every gateway makes of a new one for itself, and
-//! the leader's plans for the next, which are pure functions; how a map is decided ([`decide`]) and who keeps what at an
-//! instant ([`keep`]), which are rules without datagrams; and one gateway's part in all of it ([`shard_map`]).
+//! Shard map: which gateway owns which customers.
 //!
-//! Keys are customers' numbers, `0..KEYS`. Sizes and limits are in keys, parts in thousandths.
+//! * [`ShardMap`], [`validate()`] and [`plan`] are pure: the map, the check that every gateway makes of a new map, and
+//!   the leader's plans for the next one.
+//! * [`consensus`] decides one map per version, and [`leases`] holds the rules by which a gateway may act as an owner.
+//!   Neither sends datagrams, so that models can check them.
+//! * [`node`] is the state machine of one gateway that applies them, and [`wire`] its datagrams.
+//!
+//! Keys are customer numbers, `0..KEYS`. Sizes and limits are in keys, proportions in thousandths. Uses the leadership
+//! of this crate; used by the cluster node, by the session classifier and by the settings of the gateway.
 
 pub mod consensus;
 mod cover;
@@ -20,24 +25,24 @@
 
 use std::collections::BTreeMap;
 
-/// What a map may be.
+/// Limits that a valid map keeps.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct Limits {
-    /// The end of the key space: [`KEYS`], but for tests.
+    /// End of the key space: [`KEYS`], except in tests.
     pub keys: Key,
-    /// Most ranges: what memory and datagrams are sized for.
+    /// Maximum number of ranges; memory and datagrams are sized for it.
     pub ranges: usize,
-    /// Most keys that change their owner at once, in thousandths of all. Keys whose owner is gone do not
-    /// count.
+    /// Maximum number of keys that change their owner in one map, in thousandths of all keys. Keys of an owner that is
+    /// gone do not count.
     pub moved_permille: u32,
-    /// Most keys of one owner, in thousandths of the even part, which is that of all keys by the gateways that
-    /// live.
+    /// Maximum number of keys of one owner, in thousandths of the even share, which is all keys divided by the number
+    /// of gateways alive.
     pub share_permille: u32,
 }
 
 impl Default for Limits {
-    /// The whole space in at most 1,024 ranges, half of it moved at once, twice the even part for one
-    /// owner.
+    /// The whole key space in at most 1,024 ranges, at most half of it moved at once, and at most twice the even share
+    /// for one owner.
     fn default() -> Limits {
         Limits {
             keys: KEYS,
@@ -49,12 +54,12 @@
 }
 
 impl Limits {
-    /// How many keys may change their owner at once.
+    /// Maximum number of keys that may change their owner in one map.
     pub fn max_moved(&self) -> u64 {
         permille(self.keys, self.moved_permille)
     }
 
-    /// How many keys one owner may have while so many gateways live.
+    /// Maximum number of keys of one owner while so many gateways are alive.
     pub fn max_owned(&self, living: usize) -> u64 {
         permille(
             self.keys.div_ceil((living as u64).max(1)),
@@ -63,40 +68,40 @@
     }
 }
 
-/// So many thousandths of a number, as far as numbers go.
+/// A number of thousandths of a value, saturating.
 fn permille(of: u64, parts: u32) -> u64 {
     u64::try_from(u128::from(of) * u128::from(parts) / 1000).unwrap_or(u64::MAX)
 }
 
-/// What a gateway knows of another.
+/// Condition of a peer, as the membership of this gateway sees it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PeerCondition {
-    /// It may keep keys.
+    /// The peer may own keys.
     Alive,
-    /// It does not answer.
+    /// The peer failed its health checks.
     Dead,
-    /// It has said that it goes.
+    /// The peer has announced a graceful shutdown.
     Leaving,
 }
 
-/// What a gateway knows of the cluster as it looks at a map.
+/// What a gateway knows of the cluster when it checks or plans a map.
 #[derive(Debug, Clone, PartialEq, Eq, Default)]
 pub struct ClusterState {
-    /// All names of the peer set.
+    /// All peers of the peer set, by name.
     pub gateways: BTreeMap<String, PeerCondition>,
-    /// The highest epoch that was heard of.
+    /// The highest epoch that this gateway has seen.
     pub epoch: u64,
-    /// Keys, from and up to, whose last move is not over: who had them may still act for them.
+    /// Key ranges `[from, to)` whose last move is not complete: the previous owner may still have a lease for them.
     pub moving: Vec<(Key, Key)>,
 }
 
 impl ClusterState {
-    /// Whether a gateway may keep keys.
+    /// Whether a gateway may own keys.
     pub fn is_alive(&self, name: &str) -> bool {
         self.gateways.get(name) == Some(&PeerCondition::Alive)
     }
 
-    /// The gateways that may keep keys, by name.
+    /// The gateways that may own keys, sorted by name.
     pub fn living(&self) -> impl Iterator<Item = &str> {
         self.gateways
             .iter()
--- a/gateway-cluster/src/shards/node/acceptance.rs
+++ b/gateway-cluster/src/shards/node/acceptance.rs
@@ -1,4 +1,4 @@
-//! What a gateway does at the word of the leader: it promises, accepts or refuses a map, and takes keep leases.
+//! The follower's side: handles the leader's requests to promise, to accept a map, and to take a lease.
 
 use super::{map_id, ShardMapEvent, ShardMapNode};
 use crate::leadership::election::LeaderElection;
@@ -13,7 +13,7 @@
 use crate::shards::{validate, ClusterState, Rule};
 
 impl ShardMapNode {
-    /// What the leader of this epoch wants is done, unless it lacks a map, which is fetched first.
+    /// Handles a request of the leader of this epoch. If the map that it names is missing, the map is fetched first.
     pub(super) fn on_leader_request(
         &mut self,
         now: Micros,
@@ -105,12 +105,12 @@
         self.acceptor.in_force().is_some_and(|map| map.hash == hash) && self.map.is_some()
     }
 
-    /// For how long yet somebody may keep by a lease that was given before this incarnation began.
+    /// Time for which a lease that was granted before the start of this incarnation may still be valid.
     fn lease_uncertainty(&self, now: Micros) -> Micros {
         (self.started_at + longer(self.lease_duration)).saturating_sub(now)
     }
 
-    /// Accepts a map, or says what is wrong with it; `None` if it is not for this gateway to say.
+    /// Checks and accepts a map. `Err` holds the findings against it; `None` if this gateway cannot vote on it.
     pub(super) fn accept(
         &mut self,
         ballot: Ballot,
@@ -119,8 +119,8 @@
         resumed: bool,
         recovery: bool,
     ) -> Option<Result<(), Vec<FindingReport>>> {
-        // Who is behind, or on another history, cannot judge it against what it has. What a majority may have accepted it
-        // takes all the same if it is whole by itself: the gateways that could judge may have forgotten since.
+        // A gateway that is behind, or has a map of another history, has no base for the check. A map that a majority
+        // may have accepted is checked by itself, since the gateways that had the base may have restarted.
         let base = if recovery && map.version == 1 {
             None
         } else {
@@ -137,7 +137,7 @@
         };
         let mut findings = validate(base.filter(|_| follows), map, &cluster, &limits);
         if resumed {
-            // What has become of its owners since is for the next map.
+            // Changes of the owners' condition since the proposal are for the next map.
             findings.retain(|finding| {
                 !matches!(finding.rule(), Rule::Owner | Rule::Moved | Rule::Share)
             });
@@ -155,7 +155,7 @@
         Some(Ok(()))
     }
 
-    /// Takes a keep lease, and the map that it is of.
+    /// Takes over the map of a lease if it is new, and the lease.
     pub(super) fn accept_lease(
         &mut self,
         now: Micros,
--- a/gateway-cluster/src/shards/node/fetching.rs
+++ b/gateway-cluster/src/shards/node/fetching.rs
@@ -1,4 +1,4 @@
-//! Maps by their hash: those that a gateway keeps for others, and those that it fetches part by part.
+//! Maps by hash: a small cache that serves other gateways, and fetches of missing maps chunk by chunk.
 
 use super::sending::{DATAGRAM_OVERHEAD_BYTES, LEASE_RESERVE, RETRY_INTERVAL, SLOW_RETRY_INTERVAL};
 use super::term::Stage;
@@ -10,13 +10,13 @@
 use crate::shards::wire::{decode_map, encode_map, Datagram, Kind, CHUNK_BYTES, MAX_CHUNKS};
 use rand::seq::IndexedRandom;
 
-/// Maps that are kept for others to fetch, beside those in use, and maps that are fetched at a time.
+/// Maps in the cache beside those in use; concurrent fetches.
 const MAX_CACHED_MAPS: usize = 6;
 const MAX_FETCHES: usize = 4;
-/// Parts that are asked for at a time, and how often a map is asked for in vain before that is given up.
+/// Chunks in one request; attempts without an answer after which a fetch is given up.
 const CHUNKS_PER_REQUEST: usize = 4;
 const MAX_FETCH_ATTEMPTS: u32 = 40;
-/// Datagrams that wait for a map.
+/// Datagrams that wait for a map to be fetched.
 const MAX_WAITING_DATAGRAMS: usize = 4;
 
 /// A map that is being fetched.
@@ -30,7 +30,7 @@
 }
 
 impl ShardMapNode {
-    /// A map by its hash.
+    /// Looks a map up by its hash.
     pub(super) fn find(&self, hash: MapHash) -> Option<&ShardMap> {
         let proposal = self.local_proposal.as_ref().map(|proposal| &proposal.map);
         let mut known = self
@@ -51,7 +51,7 @@
         }
     }
 
-    /// Begins to fetch a map. What needs it is done once it is there.
+    /// Starts to fetch the map that a datagram needs; the datagram is handled once the map is here.
     pub(super) fn fetch_for(
         &mut self,
         now: Micros,
@@ -61,7 +61,8 @@
         sends: &mut Vec<Transmit>,
     ) {
         let from = datagram.from;
-        // What is in force a majority has: others are asked first, as the leader has much to send then.
+        // A majority has the map in force: another peer is tried first, since the leader has many datagrams to send
+        // then.
         let attempts = u32::from(matches!(datagram.kind, Kind::GrantLease { .. }));
         self.waiting_datagrams.retain(|waiting| {
             std::mem::discriminant(&waiting.kind) != std::mem::discriminant(&datagram.kind)
@@ -96,7 +97,7 @@
         self.continue_fetches(now, election, sends);
     }
 
-    /// Asks for parts that are due.
+    /// Requests missing chunks of the fetches that are due.
     pub(super) fn continue_fetches(
         &mut self,
         now: Micros,
@@ -109,7 +110,7 @@
             fetch.attempts += 1;
             let mut from = fetch.from;
             if fetch.attempts % 2 == 0 {
-                // Whoever has taken it over has it as well.
+                // A peer that has taken the map over has it as well.
                 let others: Vec<PeerId> = election
                     .names()
                     .into_iter()
--- a/gateway-cluster/src/shards/node/mod.rs
+++ b/gateway-cluster/src/shards/node/mod.rs
@@ -1,10 +1,13 @@
-//! One gateway's part in the shard map: as an acceptor it helps to decide maps, as an owner it keeps what it has a lease
-//! for, and as the leader it decides the next map and gives the leases.
+//! Shard map state machine of one gateway. As an acceptor it votes for maps, as an owner it acts by its lease, and as
+//! the leader it decides the next map and grants leases.
 //!
-//! A leader that begins asks what there is ([`super::decide`]), and gives no lease before it knows: what a majority may have
-//! accepted it finishes first. From then on each gateway is told the map in force with a keep lease ([`super::keep`]), again and
-//! again; by taking a map over a gateway lets go of what that map gives to others. The next map is proposed once every
-//! range of the last one is where it belongs.
+//! A new leader first runs phase one of [`super::consensus`], finishes a map that a majority may have accepted, and
+//! grants no lease before that. From then on it sends each gateway the map in force with a lease ([`super::leases`]),
+//! periodically. A gateway that acknowledges a map has released the keys that the map assigns to others. The next map
+//! is proposed once no range of the last one is blocked.
+//!
+//! No I/O and no clock: inputs are `on_timer` and `on_datagram`, outputs are datagrams and [`ShardMapEvent`]s. Times
+//! are in microseconds. Driven by the cluster node.
 
 mod acceptance;
 mod deciding;
@@ -41,32 +44,32 @@
 use std::collections::{BTreeMap, VecDeque};
 use term::{Stage, Term};
 
-/// How long a leader waits for more changes of the view.
+/// Delay before a leader plans a map after a membership change, so that several changes go into one map.
 const MEMBERSHIP_CHANGE_DELAY: Micros = 300_000;
 
-/// What a gateway's part begins with.
+/// Settings of the state machine.
 #[derive(Debug, Clone, Default)]
 pub struct ShardMapSettings {
-    /// Ranges of a first map.
+    /// Number of ranges of a first map.
     pub count: usize,
-    /// What operators propose by this gateway's file: to replace the map of this version by one of these ranges.
+    /// Operators' proposal from this gateway's configuration: the version to replace, and the new ranges.
     pub proposal: Option<(u64, Vec<ShardRange>)>,
 }
 
-/// Something that operators should know.
+/// Events for the log of operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ShardMapEvent {
-    /// A map is in force here: its version and its hash.
+    /// A map is in force at this gateway: version and hash.
     InForce(u64, MapHash),
-    /// This gateway had a map of another history: the version that it had, and the one that it takes over.
+    /// The map of this gateway belonged to another history: its version, and the version of the map that replaces it.
     OtherHistory(u64, u64),
-    /// A map that was proposed is refused, at first because of this.
+    /// A proposed map was rejected: text of the first finding.
     Refused(String),
-    /// All ranges of the map of this version are with their owners.
+    /// All ranges of the map of this version are owned by their new owners.
     Moved(u64),
 }
 
-/// One gateway's part.
+/// Shard map state machine of one gateway.
 #[derive(Debug)]
 pub struct ShardMapNode {
     me: PeerId,
@@ -86,7 +89,7 @@
     fetches: Vec<MapFetch>,
     waiting_datagrams: VecDeque<Datagram>,
     local_proposal: Option<LocalProposal>,
-    /// Lives that have kept, and said that they go, with when that came.
+    /// Incarnations that have released their leases, and when that was received.
     departed: BTreeMap<PeerId, (u64, Micros)>,
     term: Option<Term>,
     datagram_budget: TokenBucket,
@@ -94,14 +97,14 @@
     wakeup_at: Micros,
     rng: Pcg64Mcg,
     events: VecDeque<ShardMapEvent>,
-    /// Datagrams that make no sense, and those of names that no peer set here has.
+    /// Dropped datagrams: those that cannot be decoded, and those from unknown peers.
     pub dropped: (u64, u64),
-    /// Datagrams sent, and their bytes without headers.
+    /// Sent datagrams, and their bytes without headers.
     pub sent: (u64, u64),
 }
 
 impl ShardMapNode {
-    /// A new incarnation that knows nothing. `lease` is the leadership's.
+    /// Starts with empty state. `lease` is the duration of the leadership lease in microseconds.
     pub fn new(
         now: Micros,
         name: &str,
@@ -143,17 +146,17 @@
         node
     }
 
-    /// What the view holds of the peer set's names.
+    /// The membership has changed: condition of each peer of the peer set.
     pub fn on_membership_change(&mut self, now: Micros, gateways: BTreeMap<String, PeerCondition>) {
         self.cluster.gateways = gateways;
         if let Some(term) = self.term.as_mut().filter(|term| term.plan_at <= now) {
-            // Where one falls others may fall with it: they go in one map.
+            // A failure often takes several gateways at once: they go into one map.
             term.plan_at = now + MEMBERSHIP_CHANGE_DELAY;
         }
         self.wakeup_at = self.wakeup_at.min(now);
     }
 
-    /// The keys that this gateway keeps at this moment, from and up to.
+    /// The key ranges `[from, to)` that this gateway owns now.
     pub fn mine(&self, now: Micros) -> Vec<(Key, Key)> {
         let Some(map) = self.map.as_ref().filter(|_| !self.suspended) else {
             return Vec::new();
@@ -162,13 +165,12 @@
             .mine(now, &self.name, map, self.previous.as_ref())
     }
 
-    /// Whether this gateway keeps a key at this moment.
+    /// Whether this gateway owns a key now.
     pub fn keeps(&self, now: Micros, key: Key) -> bool {
         self.fence_of(now, key).is_some()
     }
 
-    /// The fencing token that goes with what this gateway does as an owner of a key at this moment; none if it does not
-    /// keep it.
+    /// The fencing token for actions of this gateway as the owner of a key; `None` if it does not own the key now.
     pub fn fence_of(&self, now: Micros, key: Key) -> Option<FencingToken> {
         let map = self
             .map
@@ -188,12 +190,12 @@
         self.map.as_ref()
     }
 
-    /// Its version and its hash.
+    /// Version and hash of the map in force.
     pub fn in_force(&self) -> Option<(u64, MapHash)> {
         self.acceptor.in_force().map(|map| (map.version, map.hash))
     }
 
-    /// The oldest thing to tell that was not taken yet.
+    /// The oldest event that was not taken yet.
     pub fn next_event(&mut self) -> Option<ShardMapEvent> {
         self.events.pop_front()
     }
@@ -203,20 +205,19 @@
         self.wakeup_at
     }
 
-    /// The epoch in which this gateway rules.
+    /// The epoch in which this gateway is the leader.
     pub fn term(&self) -> Option<u64> {
         self.term.as_ref().map(|term| term.epoch)
     }
 
-    /// This gateway lets go of all that it keeps, tells so, and takes no part any more. To be called before leadership
-    /// leaves.
+    /// Releases all leases, notifies the peers, and suspends this state machine. Call it before leadership is released.
     pub fn leave(&mut self, now: Micros, election: &LeaderElection, sends: &mut Vec<Transmit>) {
         self.incarnation = election.incarnation();
         let had_lease = self.local_shards.had_lease() && !self.suspended;
         self.suspend();
         if had_lease {
             let leader = election.status(now).leader;
-            // Whoever owns next has to know as well.
+            // Each peer may be the next leader, so all are notified.
             let mut told = election.names();
             told.extend(leader);
             told.retain(|name| *name != self.me);
@@ -233,14 +234,15 @@
         self.waiting_datagrams.clear();
     }
 
-    /// It takes part again. Another process had its name: what that one accepted is not known here.
+    /// Resumes after a suspension. Another process may have voted under this name, so that the acceptor starts without
+    /// state.
     pub fn resume(&mut self, now: Micros) {
         self.acceptor = Acceptor::default();
         (self.suspended, self.started_at, self.wakeup_at) = (false, now, now);
         (self.map, self.previous) = (None, None);
     }
 
-    /// Something is due, or past that.
+    /// Runs what is due.
     pub fn on_timer(
         &mut self,
         now: Micros,
@@ -261,7 +263,7 @@
         self.schedule_wakeup(now);
     }
 
-    /// Goes by what leadership says at this moment.
+    /// Takes over changes of the leadership: suspension, incarnation, and the start or end of an epoch.
     fn sync_with_election(&mut self, now: Micros, election: &LeaderElection) {
         match (election.is_hushed(), self.suspended) {
             (true, false) => self.suspend(),
@@ -284,7 +286,7 @@
         });
     }
 
-    /// A datagram has come.
+    /// Handles a datagram.
     pub fn on_datagram(
         &mut self,
         now: Micros,
@@ -353,7 +355,7 @@
                 return self.send_chunk((from, incarnation), *hash, *part, sends)
             }
             Kind::ReleaseLeases => {
-                // It is true of that incarnation, whoever is told.
+                // The release is valid for that incarnation, whichever incarnation of this gateway it was sent to.
                 self.departed.insert(from, (incarnation, now));
                 if let Some(term) = &mut self.term {
                     term.granted_leases.release(now, from, incarnation);
@@ -423,7 +425,7 @@
                 .filter(|at| *at > now)
                 .fold(next, Micros::min);
         }
-        // Without a budget, or where a gateway was not heard of yet, it is looked at again soon.
+        // A minimum delay, for peers that are due but wait for the budget or for their first datagram.
         self.wakeup_at = next.max(now + 10_000);
     }
 }
--- a/gateway-cluster/src/shards/node/planning.rs
+++ b/gateway-cluster/src/shards/node/planning.rs
@@ -1,4 +1,6 @@
-//! Which map the leader proposes next, once all ranges of the last one are where they belong.
+//! The leader's choice of the next map, once no range of the last one is blocked.
+//!
+//! In order: a map without the owners that are gone, a proposal of operators, a map with new owners.
 
 use super::sending::PLANNING_INTERVAL;
 use super::term::{blocked_now, finish_proposal, Progress, Term};
@@ -11,11 +13,11 @@
 use crate::shards::{plan, validate, Limits};
 use std::collections::BTreeSet;
 
-/// Most keys that move at once by the leader's own plans, in thousandths.
+/// Maximum number of keys that the leader's own plans move at once, in thousandths.
 const PLANNED_PERMILLE: u32 = 250;
 
 impl ShardMapNode {
-    /// The next map, if there is one to be decided and the last one is where it belongs.
+    /// Proposes the next map, if there is one and no range of the map in force is blocked.
     pub(super) fn maybe_propose_next(
         &mut self,
         now: Micros,
--- a/gateway-cluster/src/shards/node/proposals.rs
+++ b/gateway-cluster/src/shards/node/proposals.rs
@@ -1,4 +1,5 @@
-//! What operators propose: carried to the leader by the gateway that has it, and taken in by the leader.
+//! Proposals of operators: submitted to the leader by the gateway that has one in its configuration, received by the
+//! leader.
 
 use super::sending::SLOW_RETRY_INTERVAL;
 use super::term::{ReceivedProposal, Term};
@@ -12,10 +13,10 @@
     encode_map, FindingReport, Kind, ProposalState, CHUNK_BYTES, MAX_CHUNKS,
 };
 
-/// Proposals of operators that a leader remembers.
+/// Maximum number of proposals that a leader keeps.
 const MAX_PROPOSALS: usize = 16;
 
-/// What operators propose here.
+/// A proposal of operators at this gateway.
 #[derive(Debug)]
 pub(super) struct LocalProposal {
     pub(super) map: ShardMap,
@@ -26,8 +27,7 @@
 }
 
 impl ShardMapNode {
-    /// operators propose to replace the map of version `expect` by one of these ranges. It takes the place of an earlier
-    /// proposal.
+    /// Proposes to replace the map of version `expect` by one of these ranges, in place of an earlier proposal.
     pub fn propose(&mut self, now: Micros, expect: u64, ranges: Vec<ShardRange>) {
         let map = ShardMap {
             version: expect.saturating_add(1),
@@ -45,7 +45,7 @@
             ranges: map.ranges.len(),
             most: self.limits.ranges,
         };
-        // One that is too large for datagrams is not sent at all.
+        // A map that does not fit in the maximum number of chunks is rejected here.
         let too_large = map.ranges.len() > self.limits.ranges
             || encode_map(&map).len() > MAX_CHUNKS * CHUNK_BYTES;
         let state = if too_large {
@@ -68,7 +68,7 @@
         self.wakeup_at = self.wakeup_at.min(now);
     }
 
-    /// Carries what operators propose to the leader.
+    /// Submits the proposal to the leader, again until there is a result.
     pub(super) fn submit_proposal(
         &mut self,
         now: Micros,
@@ -117,7 +117,8 @@
         }
         (proposal.state, proposal.findings) = (state, findings);
         if state == ProposalState::Refused {
-            // An answer has room for a few: this gateway finds all itself, if it knows the same.
+            // The reply holds the first findings only. If this gateway finds the same rules violated, it shows all of
+            // its own.
             let Some(old) = &self.map else { return };
             let map = ShardMap {
                 parent: old.hash(),
@@ -136,7 +137,7 @@
         }
     }
 
-    /// What has become of a proposal at the leader, which takes it in if it is new. `None` while it cannot say.
+    /// State of a proposal at the leader, which takes it in if it is new. `None` if the state is not known yet.
     pub(super) fn on_proposal(
         now: Micros,
         term: &mut Term,
@@ -155,13 +156,13 @@
             let known = term.proposals.get(place)?;
             let answer = (known.state, known.findings.clone());
             if known.state == ProposalState::Refused {
-                // operators may propose it again once what was wrong is mended.
+                // Operators may submit it again once they have corrected it.
                 term.proposals.remove(place);
             }
             return Some(answer);
         }
         if term.proposals.len() >= MAX_PROPOSALS {
-            // One that is not decided yet is not forgotten for another.
+            // A proposal that waits for its decision is not dropped for another one.
             let over = term
                 .proposals
                 .iter()
--- a/gateway-cluster/src/shards/node/sending.rs
+++ b/gateway-cluster/src/shards/node/sending.rs
@@ -1,4 +1,4 @@
-//! The budget of datagrams and bytes, the times between them, and how one is sent.
+//! Budget of datagrams and bytes, retry intervals, and the sending of one datagram.
 
 use super::ShardMapNode;
 use crate::leadership::election::{renewal, LeaderElection};
@@ -7,21 +7,21 @@
 use crate::shards::wire::{Datagram, Kind};
 use crate::wire::HEADER_BYTES;
 
-/// What is sent in any second: the bucket's size and its rate, in datagrams and in bytes with headers. Beside the
-/// leadership's that is what a leader may send in all.
+/// Token buckets for datagrams and for bytes with headers: size, and rate per second. With the leadership's own budget
+/// this is all that a leader may send.
 pub(super) const DATAGRAM_BURST: f64 = 25.0;
 pub(super) const DATAGRAMS_PER_SECOND: f64 = 45.0;
 pub(super) const BYTE_BURST: f64 = 9_000.0;
 pub(super) const BYTES_PER_SECOND: f64 = 12_000.0;
-/// Of those, leases that are renewed in calm; and the part of the bytes that maps leave to leases.
+/// Leases per second that are renewed without faults; and the fraction of the byte budget that maps leave to leases.
 const MAX_LEASES_PER_SECOND: u64 = 30;
 pub(super) const LEASE_RESERVE: f64 = 0.2;
-/// After how long what was not answered is sent once more, and after how long from the third time on.
+/// Interval before an unanswered request is retried, and from the third retry on. In microseconds.
 pub(super) const RETRY_INTERVAL: Micros = 100_000;
 pub(super) const SLOW_RETRY_INTERVAL: Micros = 500_000;
-/// Bytes of a datagram around what is told of its size, with headers, at most.
+/// Upper limit of a datagram's bytes beside its variable content, with headers.
 pub(super) const DATAGRAM_OVERHEAD_BYTES: usize = 150;
-/// After how long a leader that found nothing to change looks again.
+/// Interval at which an idle leader looks for a map to propose, in microseconds.
 pub(super) const PLANNING_INTERVAL: Micros = 500_000;
 pub(super) const MAX_EVENTS: usize = 256;
 
@@ -31,7 +31,8 @@
         self.byte_budget.fill(now);
     }
 
-    /// Whether there is room for so many bytes, with headers, beside a part that is kept for others.
+    /// Whether the budget allows a datagram of so many bytes, headers included, and still leaves a fraction of it to
+    /// others.
     pub(super) fn has_budget(&self, bytes: usize, kept: f64) -> bool {
         self.datagram_budget.has(1.0, kept) && self.byte_budget.has(bytes as f64, kept)
     }
@@ -85,13 +86,14 @@
     }
 }
 
-/// The time from one keep lease of a gateway to the next in calm.
+/// Interval between two leases for one gateway without faults, in microseconds. `lease` is the duration of the
+/// leadership lease.
 pub fn period(lease: Micros, others: usize) -> Micros {
     (2 * renewal(lease, others)).max(others as Micros * 1_000_000 / MAX_LEASES_PER_SECOND)
 }
 
-/// The shortest lease of leadership with which a leader can renew the keep leases of so many others: one is given each
-/// period, from when the gateway was last heard, and one that is lost has no other in time.
+/// The shortest leadership lease, in microseconds, with which a leader can renew the shard leases of so many other
+/// gateways: a lease starts when its holder was last heard, and a renewal that is lost has to be replaced in time.
 pub fn min_lease(others: usize) -> Micros {
     (period(0, others) + renewal(0, others)) * 6 / 10
 }
--- a/gateway-cluster/src/shards/node/status.rs
+++ b/gateway-cluster/src/shards/node/status.rs
@@ -1,4 +1,4 @@
-//! What operators are told of the map in force, a change that is under way and a proposal of theirs.
+//! Status for operators: the map in force, a pending change, and a proposal.
 
 use super::proposals::LocalProposal;
 use super::term::Stage;
@@ -11,53 +11,53 @@
 use crate::shards::wire::{FindingReport, ProposalState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A change that is under way.
+/// A pending change of the map.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingChange {
-    /// The version that it goes to.
+    /// Version after the change.
     pub version: u64,
-    /// Whose answer or release it waits for.
+    /// Names of the gateways whose vote, acknowledgement or release is missing.
     pub waits_for: Vec<String>,
-    /// For so long at most; none while a map is being decided, which takes a majority that can be reached.
+    /// Maximum remaining time; `None` while a map is being decided, which takes as long as no majority can be reached.
     pub at_most: Option<Micros>,
 }
 
-/// A proposal of operators at this gateway.
+/// State of an operators' proposal at this gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProposalStatus {
-    /// Its state.
+    /// State of the proposal.
     pub state: ProposalState,
-    /// The version that it is to be.
+    /// The version that the proposed map would have.
     pub version: u64,
-    /// Why it was refused.
+    /// Findings, if it was rejected.
     pub findings: Vec<FindingReport>,
 }
 
-/// What operators are told.
+/// Status of the shard map.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardMapStatus {
-    /// The version of the map in force; 0 without one.
+    /// Version of the map in force; 0 without a map.
     pub version: u64,
-    /// The epoch that made it.
+    /// Epoch of the leader that made the map.
     pub epoch: u64,
-    /// Its hash.
+    /// Hash of the map.
     pub hash: MapHash,
-    /// The hash of the map before it.
+    /// Hash of the previous map.
     pub parent: MapHash,
-    /// How many ranges it has.
+    /// Number of ranges.
     pub ranges: usize,
-    /// How many of them each gateway has.
+    /// Number of ranges by owner.
     pub kept: BTreeMap<String, usize>,
-    /// The keys that this gateway keeps now, from and up to.
+    /// Key ranges `[from, to)` that this gateway owns now.
     pub mine: Vec<(Key, Key)>,
-    /// A change that is under way.
+    /// The pending change.
     pub next: Option<PendingChange>,
-    /// What operators have proposed at this gateway.
+    /// The proposal of operators at this gateway.
     pub proposal: ProposalStatus,
 }
 
 impl ShardMapNode {
-    /// What operators are told. True at this moment.
+    /// Status at this moment.
     pub fn status(&self, now: Micros) -> ShardMapStatus {
         let map = self.map.as_ref();
         let mut kept = BTreeMap::new();
@@ -123,7 +123,7 @@
                 at_most: Some(left),
             });
         }
-        // What another gateway knows is what it waits for itself.
+        // A follower knows its own blocked ranges only.
         let lease = self
             .local_shards
             .lease(now)
--- a/gateway-cluster/src/shards/plan.rs
+++ b/gateway-cluster/src/shards/plan.rs
@@ -1,18 +1,18 @@
-//! The next map, with least movement.
+//! Plans for the next map that move as few keys as possible. Pure functions.
 //!
-//! * [`without`]: the keys of owners that are gone move, each once, and no others. That is the least, as all
-//!   of them have to.
-//! * [`joined`]: newcomers get no more than they lack to their even part, and each key that moves goes to one
-//!   of them, once. No map gives them the even part with fewer keys.
-//! * [`rebalance`]: a range moves only where that is worth it, by the rule that is stated there.
+//! * [`replace_lost_owners`]: the keys of owners that are gone move, each once, and no others. That is the minimum, as
+//!   all of them have to move.
+//! * [`add_owners`]: new owners get at most what they lack to the even share, and each key that moves goes to one of
+//!   them, once. No map gives them the even share with fewer moved keys.
+//! * [`rebalance`]: a range moves only where the gain in load is worth it, by the rule stated there.
 //!
-//! Ranges stay cut as they are, since loads are told by range; they are cut further only where whole ones
-//! come out too uneven ([`SLACK_DIVISOR`]), and as far as [`Limits::ranges`] has room, for which neighbours
-//! with one owner are joined.
+//! Existing bounds are kept, since loads are reported by range. Ranges are split only where whole ranges would be too
+//! uneven ([`SLACK_DIVISOR`]), and as far as [`Limits::ranges`] allows; to stay within it, neighbours with one owner
+//! are merged.
 //!
-//! Each plan is put before [`validate`](super::validate()) before it is given out. All take the map in force,
-//! and give the one that follows it with the highest epoch known ([`ClusterState::epoch`]), which is the
-//! leader's own as it plans.
+//! Each plan passes [`validate`](super::validate()) before it is returned. Each takes the map in force and returns the
+//! one that follows it, with the highest epoch known ([`ClusterState::epoch`]), which is the leader's own when it
+//! plans.
 
 use super::cover::{self, Span};
 use super::finding::Finding;
@@ -22,65 +22,65 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use thiserror::Error;
 
-/// Whole ranges are given out, and cuts spared, as long as that leaves owners off by no more than the even
-/// part by this.
+/// Whole ranges are moved, and splits avoided, as long as no owner is off by more than the even share divided by this.
 pub const SLACK_DIVISOR: u64 = 8;
 
-/// Load is evened where an owner has more than this, in thousandths of the mean, and until none has more than
+/// Load is balanced if an owner has more than this, in thousandths of the mean, until none has more than
 /// [`REBALANCE_STOP`].
 pub const REBALANCE_START: u64 = 1250;
-/// Load is even enough. Loads that change by less than 6% after that do not reach [`REBALANCE_START`], so nothing goes
-/// back and forth.
+/// Load is balanced enough, in thousandths of the mean. Later changes below 6% do not reach [`REBALANCE_START`], so
+/// that ranges do not move back and forth.
 pub const REBALANCE_STOP: u64 = 1100;
-/// A move takes at least this much off the heavier of two owners, in thousandths of the mean load.
+/// Minimum reduction of the heavier of the two owners by one move, in thousandths of the mean load.
 pub const MIN_GAIN: u64 = 50;
-/// And at least this much for each even part of keys that it moves: a range with a tenth of the even part has
-/// to gain 25 thousandths of the mean, one with half of it 125.
+/// Minimum reduction for each even share of keys that a move takes, in thousandths of the mean load: a range with a
+/// tenth of the even share has to gain 25, one with half of it 125.
 pub const MIN_GAIN_PER_SHARE: u64 = 250;
 
 /// Why there is no plan.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PlanError {
-    /// There is nobody to plan for.
+    /// No gateway is alive.
     #[error("no door lives that could keep keys: start one that the roster names")]
     NoLiveGateway,
-    /// The map in force is not one to go on from.
+    /// The map in force does not cover each key exactly once.
     #[error(
         "the map in force does not cover each key once: propose a whole map, or restart all doors for a \
          first one"
     )]
     IncompleteMap,
-    /// Versions are used up.
+    /// The version number of the map in force is the last one.
     #[error(
         "no version comes after the one in force: restart all doors, so that a history starts anew"
     )]
     LastVersion,
-    /// There is not one load for each range.
+    /// The number of loads differs from the number of ranges.
     #[error("{loads} loads were told for {ranges} ranges: ask the doors again for the map that is in force")]
     Loads {
-        /// Loads told.
+        /// Number of loads.
         loads: usize,
-        /// Ranges of the map.
+        /// Number of ranges of the map.
         ranges: usize,
     },
-    /// What would come out may not come into force.
+    /// The planned map is not valid.
     #[error("the next map would be refused, first because {}: mend that, or propose a map by hand",
             .0.first().map_or_else(String::new, Finding::to_string))]
     Refused(Vec<Finding>),
 }
 
-/// Gives the keys of all owners that are gone (dead, leaving, not in the peer set) to the gateways that live, and
-/// moves nothing else. None if nobody is gone.
+/// Assigns the keys of all owners that are gone (dead, leaving, not in the peer set) to gateways that are alive, and
+/// moves nothing else. `None` if no owner is gone.
 ///
-/// The lightest get them: none is lifted above the level to which these keys would fill up the lightest, like
-/// water, by more than an even part by [`SLACK_DIVISOR`]; in a space without room for that, it is exactly that
-/// level. Weight is in keys, so that the limit of a share holds; load is evened later, by [`rebalance`].
+/// The owners with fewest keys get them: none is raised above the level to which these keys fill up the lowest owners
+/// by more than the even share divided by [`SLACK_DIVISOR`]; if no range can be split, exactly to that level. Weight is
+/// in keys, so that the limit of a share holds; load is balanced later by [`rebalance`].
 ///
-/// While a move of such keys is not over, it is refused ([`Rule::Moving`](super::Rule::Moving)): ask again
+/// While a move of these keys is not complete the plan is refused ([`Rule::Moving`](super::Rule::Moving)): plan again
 /// after that.
 ///
 /// # Errors
-/// Where nobody lives, the map in force is not whole or the last one, or the plan would be refused.
+/// If no gateway is alive, if the map in force is incomplete or has the last version, or if the planned map is not
+/// valid.
 pub fn replace_lost_owners(
     in_force: &ShardMap,
     cluster: &ClusterState,
@@ -102,17 +102,17 @@
     draft.finish().map(Some)
 }
 
-/// Moves keys to newcomers until each has its even part, which is that of all keys by the gateways that live. At
-/// most [`Limits::max_moved`] at once: asked again with what came into force, it goes on, and gives none
-/// when it has come to its end. Names that do not live are no newcomers.
+/// Moves keys to new owners until each has its even share, which is all keys divided by the number of gateways alive.
+/// At most [`Limits::max_moved`] keys in one map: planned again from the resulting map, it continues, and returns
+/// `None` at its end. Names of gateways that are not alive are ignored.
 ///
-/// In the end each has the even part, rounded down, or lacks at most an even part by [`SLACK_DIVISOR`], and
-/// whoever gave keeps as much. Where there is no room for cuts, whole ranges go as far as that
-/// holds. What is moving stays until it has.
+/// At the end each new owner has the even share, rounded down, or lacks at most the even share divided by
+/// [`SLACK_DIVISOR`], and so does every owner that gave keys. If no range can be split, whole ranges move as far as
+/// that holds. Keys whose last move is not complete do not move.
 ///
 /// # Errors
-/// Where nobody lives, the map in force is not whole or the last one, or the plan would be refused: so if a
-/// owner is gone ([`without`] comes first).
+/// If no gateway is alive, if the map in force is incomplete or has the last version, or if the planned map is not
+/// valid, for example because an owner is gone ([`replace_lost_owners`] comes first).
 pub fn add_owners<'a>(
     in_force: &'a ShardMap,
     newcomers: impl IntoIterator<Item = &'a str>,
@@ -127,7 +127,7 @@
     draft.merge_if_crowded();
     let mut left = limits.max_moved();
     let mut moved = false;
-    // The lightest newcomer takes from the heaviest of the others, whole ranges first.
+    // The new owner with fewest keys takes from the owner with most keys, whole ranges first.
     while let Some((index, keys, to)) = draft
         .range_for(&newcomers, left)
         .or_else(|| draft.partial_range_for(&newcomers, left))
@@ -143,20 +143,21 @@
     draft.finish().map(Some)
 }
 
-/// Evens load, which is told for each range of the map in force, in any unit. None if nothing is worth a move.
+/// Balances load, given for each range of the map in force, in any unit. `None` if no move is worth it.
 ///
-/// It begins only where the heaviest owner has more than [`REBALANCE_START`] of the mean, and goes on until it has no
-/// more than [`REBALANCE_STOP`]. A move takes a whole range from the heaviest to the lightest that may have it, the one
+/// It starts if the heaviest owner has more than [`REBALANCE_START`] of the mean, and goes on until none has more than
+/// [`REBALANCE_STOP`]. A move takes a whole range from the heaviest owner to the lightest that may have it: the range
 /// that leaves the heavier of the two lightest, then the one with fewest keys. It has to gain [`MIN_GAIN`] and
-/// its [`MIN_GAIN_PER_SHARE`], both measured by what the heavier of the two loses. What is moving stays, nothing moves
-/// twice in one plan, and no more than [`Limits::max_moved`] in all.
+/// [`MIN_GAIN_PER_SHARE`], both measured by the reduction of the heavier owner. Keys whose last move is not complete do
+/// not move, nothing moves twice in one plan, and at most [`Limits::max_moved`] keys move in all.
 ///
-/// The sum of the squares of loads falls with each move, so with loads that stay nothing comes back. A single
-/// range with too much load stays where it is: cut it by a map of operators.
+/// The sum of the squares of the loads decreases with each move, so with constant loads nothing moves back. A single
+/// range with too much load stays where it is: operators may split it by a map of theirs.
 ///
 /// # Errors
-/// Where nobody lives, the map in force is not whole or the last one, loads are not one for each range, or
-/// the plan would be refused: so if an owner is gone ([`without`] comes first).
+/// If no gateway is alive, if the map in force is incomplete or has the last version, if there is not one load for each
+/// range, or if the planned map is not valid, for example because an owner is gone ([`replace_lost_owners`] comes
+/// first).
 pub fn rebalance(
     in_force: &ShardMap,
     loads: &[u64],
@@ -172,12 +173,12 @@
     }
     let mut load_of: BTreeMap<&str, u128> = cluster.living().map(|name| (name, 0)).collect();
     for (range, load) in in_force.ranges.iter().zip(loads) {
-        // Whoever is gone has to go first, and `finish` says so.
+        // Owners that are gone have to be replaced first; `finish` reports it.
         *load_of.entry(&range.owner).or_default() += u128::from(*load);
     }
     let gateways = load_of.len() as u128;
     let all: u128 = load_of.values().sum();
-    // Loads come from other gateways and may be any number: beyond all measure they are as good as equal.
+    // Loads come from other gateways and may be any number; the arithmetic saturates.
     let parts = |load: u128, parts: u64| {
         load.saturating_mul(gateways * 1000) >= all.saturating_mul(u128::from(parts))
     };
@@ -258,7 +259,7 @@
     draft.finish().map(Some)
 }
 
-/// The height, rounded up, to which so many keys fill up the lowest of these.
+/// The level, rounded up, to which so many keys fill up the lowest of these.
 fn fill_level(owned: impl Iterator<Item = u64>, keys: u64) -> u64 {
     let mut owned: Vec<u64> = owned.collect();
     owned.sort_unstable();
@@ -274,15 +275,15 @@
     u64::try_from(fill_level).unwrap_or(u64::MAX)
 }
 
-/// A map in the making.
+/// A map under construction.
 struct MapDraft<'a> {
     in_force: &'a ShardMap,
     cluster: &'a ClusterState,
     limits: &'a Limits,
     moving: Vec<Span>,
-    /// Not in order.
+    /// In any order.
     ranges: Vec<ShardRange>,
-    /// Keys of each gateway that lives.
+    /// Number of keys of each gateway that is alive.
     owned: BTreeMap<&'a str, u64>,
 }
 
@@ -320,7 +321,7 @@
         })
     }
 
-    /// The even part, rounded down.
+    /// The even share, rounded down.
     fn even(&self) -> u64 {
         self.limits.keys / (self.owned.len() as u64).max(1)
     }
@@ -334,8 +335,8 @@
         self.moving.get(first).is_some_and(|span| span.0 < range.to)
     }
 
-    /// Joins neighbours that have one owner, if ranges are so many that each gateway could not be cut one.
-    /// Ranges have to be in order.
+    /// Merges neighbours with one owner if there are too many ranges to split one for each gateway. Ranges have to be
+    /// sorted.
     fn merge_if_crowded(&mut self) {
         if self.ranges.len().saturating_add(self.owned.len()) > self.limits.ranges {
             self.join();
@@ -345,7 +346,7 @@
     fn join(&mut self) {
         let mut joined: Vec<ShardRange> = Vec::with_capacity(self.ranges.len());
         for range in std::mem::take(&mut self.ranges) {
-            // What is moving stays as it is, so that the rest may go.
+            // Keys whose last move is not complete keep their bounds, so that the keys beside them may move.
             let moving = self.is_moving(&range);
             match joined.last_mut() {
                 Some(last) if last.owner == range.owner && !moving && !self.is_moving(last) => {
@@ -357,8 +358,8 @@
         self.ranges = joined;
     }
 
-    /// Gives ranges to the lightest, none of which gets more than this, unless there is no room for another
-    /// cut.
+    /// Assigns ranges to the owners with fewest keys, none of which gets more than `max`, unless no further split is
+    /// possible.
     fn assign_to_lightest(&mut self, ranges: Vec<ShardRange>, max: u64) {
         let mut left: BinaryHeap<(u64, Reverse<Key>)> = ranges
             .iter()
@@ -393,7 +394,7 @@
         }
     }
 
-    /// The newcomer that lacks most, and how much, if it lacks more than is let be.
+    /// The new owner that lacks most keys, and how many, if it lacks more than the slack.
     fn neediest(&self, newcomers: &BTreeSet<&'a str>) -> Option<(&'a str, u64)> {
         let owned = newcomers
             .iter()
@@ -403,7 +404,7 @@
         (missing > self.slack()).then_some((name, missing))
     }
 
-    /// Ranges that others may give, by place, with what their owners have.
+    /// Ranges that other owners may give, by index, with the number of keys of their owners.
     fn donors<'b>(
         &'b self,
         newcomers: &'b BTreeSet<&str>,
@@ -415,7 +416,7 @@
         })
     }
 
-    /// A whole range for a newcomer, of at most so many keys: its place, its keys, and whose it shall be.
+    /// A whole range for a new owner, of at most `max` keys: its index, its keys, and the new owner.
     fn range_for(&self, newcomers: &BTreeSet<&'a str>, max: u64) -> Option<(usize, u64, &'a str)> {
         let (to, missing) = self.neediest(newcomers)?;
         let min_kept = self.even() - self.slack();
@@ -428,7 +429,7 @@
         Some((index, range.keys(), to))
     }
 
-    /// A part of a range, cut off at its end, as [`MapDraft::range_for`].
+    /// The end of a range, split off for a new owner, see [`MapDraft::range_for`].
     fn partial_range_for(
         &self,
         newcomers: &BTreeSet<&'a str>,
@@ -441,7 +442,8 @@
         let ranges = self.donors(newcomers);
         let (index, range, owned) =
             ranges.max_by_key(|(_, range, owned)| (*owned, range.keys(), Reverse(range.from)))?;
-        // The even part may be a fraction: who has more than that rounded up gives before who has just that.
+        // The even share may be a fraction: owners with more than the share rounded up give before owners with exactly
+        // that.
         let more = self.limits.keys.div_ceil((self.owned.len() as u64).max(1)) - self.slack();
         let spare = owned.saturating_sub(if owned > more {
             more
@@ -452,7 +454,7 @@
         (keys > 0).then_some((index, keys, to))
     }
 
-    /// Leaves a range so many keys, at its end, and makes another one of the rest.
+    /// Leaves a range so many keys at its end, and makes another range of the rest.
     fn split_off(&mut self, index: usize, keys: u64) {
         let Some(range) = self.ranges.get_mut(index) else {
             return;
--- a/gateway-cluster/src/shards/validate.rs
+++ b/gateway-cluster/src/shards/validate.rs
@@ -1,4 +1,4 @@
-//! The check that every gateway makes for itself before it accepts a map.
+//! The check that every gateway makes before it accepts a map.
 
 use super::cover::{cover, intersect, merged, normalized_bounds, Cover};
 use super::finding::{shown, Finding, MAX_FINDINGS_PER_RULE};
@@ -6,24 +6,21 @@
 use super::{ClusterState, Limits, PeerCondition};
 use std::collections::BTreeMap;
 
-/// Everything that is wrong with a map, none if it may come into force. At most [`MAX_FINDINGS_PER_RULE`] of a rule,
-/// with one more that says how many are not told; in the order of [`Rule::ALL`](super::Rule::ALL), and of
-/// keys or of the list within a rule. It takes time in `n log n` of the ranges and memory in `n`, whatever
-/// they are.
+/// All findings against a map; empty if it may come into force. At most [`MAX_FINDINGS_PER_RULE`] for each rule,
+/// followed by one with the number of those left out; in the order of [`Rule::ALL`](super::Rule::ALL), within a rule in
+/// the order of keys or of the list. Takes time in `n log n` and memory in `n` of the number of ranges, for any input.
 ///
-/// Each fault is told once:
-/// * a reversed range is `empty`, and covers what its bounds were meant to; an empty one covers nothing;
-/// * gaps and overlaps are those of the key space, whatever the order of the list. What is past its end is
-///   `beyond` alone;
-/// * keys that are covered twice or not at all count neither as moved nor for a share, as it is open who
-///   would have them;
-/// * an owner that had more than its share, and is given no more, is on its way down, and is let be.
+/// Each fault is reported once:
+/// * a reversed range is `empty`, and counts as covering the keys between its bounds; an empty range covers nothing;
+/// * gaps and overlaps are those of the key space, whatever the order of the list. Keys past its end are reported by
+///   `beyond` only;
+/// * keys that are covered twice or not at all count neither as moved nor for a share, since their owner is undefined;
+/// * an owner that had more than its share, and gets no more keys, is accepted.
 ///
-/// Keys whose owner in force is gone (dead, leaving or not in the peer set) do not count as moved. They do
-/// count as moving: a move that is not over has another gateway at its other end, which may still act.
+/// Keys whose owner in force is gone (dead, leaving or not in the peer set) do not count as moved. They do count as
+/// moving: a move that is not complete has another gateway at its other end, which may still act as the owner.
 ///
-/// Without a map in force (a gateway that starts from nothing) the first version has no parent, each later one
-/// has.
+/// Without a map in force (a gateway after its start) version 1 has no parent, and each later version has one.
 pub fn validate(
     in_force: Option<&ShardMap>,
     new: &ShardMap,
@@ -79,7 +76,7 @@
     findings
 }
 
-/// Adds the findings of one rule.
+/// Appends the findings of one rule, up to the limit, and the number of those left out.
 fn push_findings(all: &mut Vec<Finding>, of_one_rule: impl IntoIterator<Item = Finding>) {
     let mut findings = of_one_rule.into_iter();
     all.extend(findings.by_ref().take(MAX_FINDINGS_PER_RULE));
@@ -104,8 +101,8 @@
         })
 }
 
-/// Compares each range with the one that is listed before it. A swap of two neighbours is one finding that
-/// way, and one of any two at most two. An empty range has no place.
+/// Compares each range with the one listed before it. A swap of two neighbours yields one finding, of any two ranges at
+/// most two. Empty ranges are skipped.
 fn order(new: &ShardMap) -> impl Iterator<Item = Finding> + '_ {
     let normalized_bounds = || {
         new.ranges
@@ -169,7 +166,7 @@
         return (parent != needed).then_some(Finding::Parent { parent, needed });
     }
     match (new.version, parent) {
-        // No version at all: that is told under its own rule.
+        // Version 0 is reported by its own rule.
         (0, _) | (1, MapHash::NONE) => None,
         (1, _) => Some(Finding::ParentOfFirst { parent }),
         (version, MapHash::NONE) => Some(Finding::ParentMissing { version }),
@@ -198,7 +195,7 @@
     })
 }
 
-/// Keys per owner, of those that one range alone covers.
+/// Keys of each owner, of those that exactly one range covers.
 fn owned_keys<'a>(map: &'a ShardMap, covered: &Cover) -> BTreeMap<&'a str, u64> {
     let mut owned_keys = BTreeMap::new();
     for span in &covered.covered_once {
@@ -223,7 +220,7 @@
             let had = change
                 .and_then(|change| change.owned_keys.get(owner))
                 .copied();
-            // What is given to a gateway that cannot keep it is told under `owner`.
+            // Keys assigned to a gateway that is not alive are reported by the rule `owner`.
             *keys > most && had.is_none_or(|had| *keys > had) && cluster.is_alive(owner)
         });
     over.map(|(owner, keys)| Finding::Share {
@@ -234,7 +231,7 @@
     .collect()
 }
 
-/// Keys that change their owner, from and up to, with both names.
+/// Keys `[from, to)` that change their owner, with both owners.
 struct Moves<'a> {
     from: u64,
     to: u64,
@@ -242,9 +239,9 @@
     new: &'a str,
 }
 
-/// What a new map does to the one in force.
+/// Difference between a new map and the map in force.
 struct Change<'a> {
-    /// What each owner has in force.
+    /// Keys of each owner in the map in force.
     owned_keys: BTreeMap<&'a str, u64>,
     moves: Vec<Moves<'a>>,
 }
@@ -261,7 +258,7 @@
                 continue;
             }
             match moves.last_mut() {
-                // Where bounds are other ones than before, one move is in pieces.
+                // A move that crosses a bound of either map is split there: the parts are joined again.
                 Some(last) if last.to == from && last.old == had.owner && last.new == has.owner => {
                     last.to = to
                 }
--- a/gateway-cluster/src/shards/wire.rs
+++ b/gateway-cluster/src/shards/wire.rs
@@ -1,4 +1,7 @@
-//! What gateways send each other about the shard map: datagrams by name, and maps in parts, by their hashes.
+//! Datagrams of the shard map, and the encoding of maps, which are sent in chunks and identified by their hash.
+//!
+//! Encoded with postcard: the order of fields and variants is part of the wire format. Gateways of different builds run
+//! side by side during an upgrade.
 
 use super::consensus::{AcceptorReport, Ballot, MapId};
 use super::finding::{Finding, Rule};
@@ -8,42 +11,43 @@
 use crate::wire;
 use serde::{Deserialize, Serialize};
 
-/// The first byte of each of these datagrams. A gateway that does not know them counts them and drops them.
+/// First byte of each datagram of this protocol. A gateway that does not know it counts and drops the datagram.
 pub const VERSION: u8 = 3;
 
-/// Bytes of a map in one datagram.
+/// Bytes of an encoded map in one chunk.
 pub const CHUNK_BYTES: usize = 1200;
-/// Most parts of a map: 1,024 ranges with names of 64 bytes for each of 300 gateways take 28.
+/// Maximum number of chunks of a map. 1,024 ranges with names of 64 bytes for each of 300 gateways take 28.
 pub const MAX_CHUNKS: usize = 80;
-/// Findings that an answer has room for, each text cut to so many characters.
+/// Limits of the findings in a reply: how many, and characters of each text.
 const MAX_FINDINGS_ON_WIRE: usize = 5;
 const MAX_FINDING_CHARS: usize = 180;
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Who sends it.
+    /// Sender.
     pub from: PeerId,
-    /// Which incarnation of that name.
+    /// Incarnation of the sender.
     pub incarnation: u64,
-    /// For which incarnation of the receiver it is meant; 0 where the sender knows of none.
+    /// Incarnation of the receiver that the datagram is meant for; 0 if the sender does not know it.
     pub to_incarnation: u64,
-    /// For an act of the leader: its epoch, and until when it is of use, on the receiver's clock.
+    /// Proof of leadership that goes with a request of the leader: its epoch, and the end of validity on the receiver's
+    /// clock, in microseconds.
     pub stamp: Option<(u64, u64)>,
-    /// What it is for.
+    /// Message.
     pub kind: Kind,
 }
 
-/// A finding as it is told: without its parts, which only the gateway that found it needs.
+/// A finding as it is reported to other gateways: rule, keys and text.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct FindingReport {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// The first key that it is about, if it is about keys.
+    /// First key concerned, if the finding concerns keys.
     pub from: Option<Key>,
-    /// The first key after those.
+    /// End (exclusive) of the keys concerned.
     pub to: Option<Key>,
-    /// What is wrong and what to do.
+    /// Text for operators: what is wrong and what to do.
     pub text: String,
 }
 
@@ -59,7 +63,7 @@
     }
 }
 
-/// As many findings as an answer has room for.
+/// The first findings, shortened to what fits in a reply.
 pub fn truncated_findings(findings: &[FindingReport]) -> Vec<FindingReport> {
     let truncate = |report: &FindingReport| FindingReport {
         text: report.text.chars().take(MAX_FINDING_CHARS).collect(),
@@ -72,21 +76,21 @@
         .collect()
 }
 
-/// What became of a proposal of operators.
+/// State of a proposal of operators.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
 pub enum ProposalState {
-    /// There is none.
+    /// There is no proposal.
     None,
-    /// It is not decided.
+    /// The proposal is not decided.
     Waiting,
-    /// It is, or was, in force.
+    /// The proposed map is, or was, in force.
     InForce,
-    /// It was refused.
+    /// The proposal was rejected.
     Refused,
 }
 
 impl ProposalState {
-    /// Its word.
+    /// Name of the state in replies to operators.
     pub fn name(self) -> &'static str {
         match self {
             ProposalState::None => "none",
@@ -97,100 +101,100 @@
     }
 }
 
-/// What a datagram is for. The first three are acts of the leader.
+/// Message of a datagram. The first three are requests of the leader and carry a proof of leadership.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// What do you know? Accept nothing of a lower ballot from now on.
+    /// Paxos phase one: promise to accept no lower ballot, and report the state.
     Prepare(Ballot),
-    /// Accept this map.
+    /// Paxos phase two: accept this map.
     Propose {
-        /// The ballot.
+        /// Ballot of the proposal.
         ballot: Ballot,
-        /// The map.
+        /// The proposed map.
         map: MapId,
-        /// A majority may have accepted it under an earlier leader.
+        /// A majority may have accepted the map under an earlier ballot.
         resumed: bool,
-        /// Too few remember what they accepted before: this is where a history starts, or goes on.
+        /// Too few acceptors have complete state; the decision rebuilds the history.
         recovery: bool,
-        /// Its bytes, where they have room; else it is fetched.
+        /// The encoded map if it fits; otherwise empty, and the receiver fetches it.
         map_bytes: Vec<u8>,
     },
-    /// This map is in force. Keep what it gives you, but for what waits, until then on your clock.
+    /// Grants a shard lease for the map in force.
     GrantLease {
-        /// The map.
+        /// The map in force.
         map: MapId,
-        /// Ranges that others may still keep.
+        /// Ranges of the map that previous owners may still own.
         blocked: RangeSet,
-        /// The end of the keep lease.
+        /// End of the lease on the receiver's clock, in microseconds.
         expires_at: u64,
-        /// Nothing else is being decided.
+        /// No other decision is pending.
         idle: bool,
     },
-    /// Answers [`Kind::Learn`].
+    /// Reply to [`Kind::Prepare`].
     Promise {
-        /// Of the question.
+        /// Ballot of the request.
         ballot: Ballot,
-        /// What the sender knows.
+        /// State of the acceptor.
         report: AcceptorReport,
-        /// It has had a keep lease in this incarnation.
+        /// The sender has had a shard lease in this incarnation.
         had_lease: bool,
-        /// It began so short ago that for so long yet, in milliseconds, somebody may keep by what was given before.
+        /// Milliseconds for which a lease granted before the sender's start may still be valid.
         lease_uncertainty_ms: u32,
     },
-    /// Accepted.
+    /// Reply to [`Kind::Propose`]: accepted.
     Accepted(Ballot, MapHash),
-    /// Not accepted.
+    /// Reply to [`Kind::Propose`]: the map is not valid, with the first findings.
     Rejected(Ballot, MapHash, Vec<FindingReport>),
-    /// The sender has taken over the map of this version and hash, in this epoch, and keeps by no other.
+    /// Reply to [`Kind::GrantLease`]: the sender has taken over the map of this version, and acts by no other.
     AcknowledgeLease {
-        /// The epoch.
+        /// Epoch of the leader that granted the lease.
         epoch: u64,
-        /// The map's version.
+        /// Version of the map.
         version: u64,
-        /// It has had a keep lease in this incarnation.
+        /// The sender has had a shard lease in this incarnation.
         had_lease: bool,
     },
-    /// The sender keeps nothing, and goes.
+    /// The sender has released all leases and shuts down gracefully.
     ReleaseLeases,
-    /// Transmit a part of the map with this hash.
+    /// Requests one chunk of the map with this hash.
     FetchChunk(MapHash, u8),
-    /// A part of it.
+    /// Reply to [`Kind::FetchChunk`].
     Chunk {
-        /// The map.
+        /// Hash of the map.
         hash: MapHash,
-        /// Which part.
+        /// Index of the chunk.
         index: u8,
-        /// Of how many.
+        /// Number of chunks.
         count: u8,
-        /// Its bytes.
+        /// Bytes of the chunk.
         bytes: Vec<u8>,
     },
-    /// operators propose the map with this hash.
+    /// Submits the operators' proposal with this hash to the leader.
     SubmitProposal(MapHash),
-    /// What became of it.
+    /// Reply to [`Kind::SubmitProposal`].
     ProposalResult {
-        /// The proposal.
+        /// Hash of the proposal.
         hash: MapHash,
-        /// Its state.
+        /// State of the proposal.
         state: ProposalState,
-        /// The first few findings.
+        /// The first findings, if it was rejected.
         findings: Vec<FindingReport>,
     },
 }
 
 impl Datagram {
-    /// Its bytes.
+    /// Encodes the datagram, with the version as first byte.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(VERSION, self)
     }
 
-    /// Reads one. What is too long, of another version, or followed by anything is none.
+    /// Decodes a datagram. `None` if it is too long, of another version, or followed by further bytes.
     pub fn decode(bytes: &[u8]) -> Option<Datagram> {
         wire::decode(VERSION, bytes)
     }
 }
 
-/// A map as it is sent: each name once.
+/// A map on the wire: each owner's name once, ranges refer to it by index.
 #[derive(Serialize, Deserialize)]
 struct EncodedMap {
     version: u64,
@@ -200,7 +204,7 @@
     ranges: Vec<(Key, Key, u16)>,
 }
 
-/// A map's bytes.
+/// Encodes a map.
 pub fn encode_map(map: &ShardMap) -> Vec<u8> {
     let mut names: Vec<String> = map.ranges.iter().map(|range| range.owner.clone()).collect();
     names.sort();
@@ -227,7 +231,7 @@
     .unwrap_or_default()
 }
 
-/// Puts parts together. None if they are not the bytes of the map with this hash.
+/// Decodes a map. `None` if the bytes are not the map with this hash.
 pub fn decode_map(hash: MapHash, bytes: &[u8]) -> Option<ShardMap> {
     let EncodedMap {
         version,
