--- a/gateway-cluster/src/shards/plan.rs
+++ b/gateway-cluster/src/shards/plan.rs
@@ -22,21 +22,13 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use thiserror::Error;
 
+mod rebalance;
+
+pub use rebalance::{rebalance, MIN_GAIN, MIN_GAIN_PER_SHARE, REBALANCE_START, REBALANCE_STOP};
+
 /// Whole ranges are moved, and splits avoided, as long as no owner is off by more than the even share divided by this.
 pub const SLACK_DIVISOR: u64 = 8;
 
-/// Load is balanced if an owner has more than this, in thousandths of the mean, until none has more than
-/// [`REBALANCE_STOP`].
-pub const REBALANCE_START: u64 = 1250;
-/// Load is balanced enough, in thousandths of the mean. Later changes below 6% do not reach [`REBALANCE_START`], so
-/// that ranges do not move back and forth.
-pub const REBALANCE_STOP: u64 = 1100;
-/// Minimum reduction of the heavier of the two owners by one move, in thousandths of the mean load.
-pub const MIN_GAIN: u64 = 50;
-/// Minimum reduction for each even share of keys that a move takes, in thousandths of the mean load: a range with a
-/// tenth of the even share has to gain 25, one with half of it 125.
-pub const MIN_GAIN_PER_SHARE: u64 = 250;
-
 /// Why there is no plan.
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PlanError {
@@ -143,136 +135,20 @@
     draft.finish().map(Some)
 }
 
-/// Balances load, given for each range of the map in force, in any unit. `None` if no move is worth it.
-///
-/// It starts if the heaviest owner has more than [`REBALANCE_START`] of the mean, and goes on until none has more than
-/// [`REBALANCE_STOP`]. A move takes a whole range from the heaviest owner to the lightest that may have it: the range
-/// that leaves the heavier of the two lightest, then the one with fewest keys. It has to gain [`MIN_GAIN`] and
-/// [`MIN_GAIN_PER_SHARE`], both measured by the reduction of the heavier owner. Keys whose last move is not complete do
-/// not move, nothing moves twice in one plan, and at most [`Limits::max_moved`] keys move in all.
-///
-/// The sum of the squares of the loads decreases with each move, so with constant loads nothing moves back. A single
-/// range with too much load stays where it is: operators may split it by a map of theirs.
-///
-/// # Errors
-/// If no gateway is alive, if the map in force is incomplete or has the last version, if there is not one load for each
-/// range, or if the planned map is not valid, for example because an owner is gone ([`replace_lost_owners`] comes
-/// first).
-pub fn rebalance(
-    in_force: &ShardMap,
-    loads: &[u64],
-    cluster: &ClusterState,
-    limits: &Limits,
-) -> Result<Option<ShardMap>, PlanError> {
-    let mut draft = MapDraft::new(in_force, cluster, limits)?;
-    if loads.len() != in_force.ranges.len() {
-        return Err(PlanError::Loads {
-            loads: loads.len(),
-            ranges: in_force.ranges.len(),
-        });
-    }
-    let mut load_of: BTreeMap<&str, u128> = cluster.living().map(|name| (name, 0)).collect();
-    for (range, load) in in_force.ranges.iter().zip(loads) {
-        // Owners that are gone have to be replaced first; `finish` reports it.
-        *load_of.entry(&range.owner).or_default() += u128::from(*load);
-    }
-    let gateways = load_of.len() as u128;
-    let all: u128 = load_of.values().sum();
-    // Loads come from other gateways and may be any number; the arithmetic saturates.
-    let parts = |load: u128, parts: u64| {
-        load.saturating_mul(gateways * 1000) >= all.saturating_mul(u128::from(parts))
-    };
-    let even = u128::from(draft.even());
-    let pays = |gain: u128, keys: u64| {
-        let price = all
-            .saturating_mul(u128::from(MIN_GAIN_PER_SHARE))
-            .saturating_mul(u128::from(keys));
-        gain.saturating_mul(gateways * 1000).saturating_mul(even) >= price
-    };
-    if !load_of
-        .values()
-        .any(|load| parts(*load, REBALANCE_START + 1))
-    {
-        return Ok(None);
-    }
-    let mut left = limits.max_moved();
-    let max_owned = limits.max_owned(cluster.living().count());
-    let mut unmovable: Vec<bool> = in_force
-        .ranges
-        .iter()
-        .map(|range| draft.is_moving(range))
-        .collect();
-    let mut moved = false;
-    loop {
-        let heaviest = load_of
-            .iter()
-            .max_by_key(|(name, load)| (**load, Reverse(**name)));
-        let Some((from, heavy)) = heaviest.map(|(name, load)| (*name, *load)) else {
-            break;
-        };
-        if !parts(heavy, REBALANCE_STOP + 1) {
-            break;
-        }
-        let mut by_load: Vec<(u128, &str)> =
-            load_of.iter().map(|(name, load)| (*load, *name)).collect();
-        by_load.sort_unstable();
-        let mut best: Option<(u128, u64, usize, &str, u128)> = None;
-        for (index, ((range, load), is_unmovable)) in
-            draft.ranges.iter().zip(loads).zip(&unmovable).enumerate()
-        {
-            let (load, keys) = (u128::from(*load), range.keys());
-            if *is_unmovable || range.owner != from || keys > left {
-                continue;
-            }
-            let can_take = |name: &str| {
-                name != from
-                    && draft
-                        .owned
-                        .get(name)
-                        .is_some_and(|owned| keys <= max_owned.saturating_sub(*owned))
-            };
-            let Some((light, to)) = by_load.iter().find(|(_, name)| can_take(name)) else {
-                continue;
-            };
-            let heavier = (heavy - load).max(light + load);
-            let gain = heavy.saturating_sub(heavier);
-            if gain > 0 && parts(gain, MIN_GAIN) && pays(gain, keys) {
-                let candidate = (heavier, keys, index, *to, load);
-                best = Some(best.map_or(candidate, |best| best.min(candidate)));
-            }
-        }
-        let Some((_, keys, index, to, load)) = best else {
-            break;
-        };
-        draft.change_owner(index, to);
-        if let Some(is_unmovable) = unmovable.get_mut(index) {
-            *is_unmovable = true;
-        }
-        *load_of.entry(from).or_default() -= load;
-        *load_of.entry(to).or_default() += load;
-        left = left.saturating_sub(keys);
-        moved = true;
-    }
-    if !moved {
-        return Ok(None);
-    }
-    draft.finish().map(Some)
-}
-
 /// The level, rounded up, to which so many keys fill up the lowest of these.
 fn fill_level(owned: impl Iterator<Item = u64>, keys: u64) -> u64 {
     let mut owned: Vec<u64> = owned.collect();
     owned.sort_unstable();
     let mut below = u128::from(keys);
-    let mut fill_level = u128::from(keys);
+    let mut level = u128::from(keys);
     for (index, height) in owned.iter().enumerate() {
-        if index > 0 && u128::from(*height) >= fill_level {
+        if index > 0 && u128::from(*height) >= level {
             break;
         }
         below += u128::from(*height);
-        fill_level = below.div_ceil(index as u128 + 1);
+        level = below.div_ceil(index as u128 + 1);
     }
-    u64::try_from(fill_level).unwrap_or(u64::MAX)
+    u64::try_from(level).unwrap_or(u64::MAX)
 }
 
 /// A map under construction.
