--- a/gateway-cluster/examples/sessions.rs
+++ b/gateway-cluster/examples/sessions.rs
@@ -3,7 +3,7 @@
 //! `cargo run --release -p gateway-cluster --example sessions -- [SEEDS] [MINUTES] [FIRST]`
 
 use gateway_cluster::sessions::sim::{
-    run, simulated_customers, Fault, Plan, Seen, SimulatedCustomer, FAULTS,
+    run, simulated_customers, CustomerOutcome, Fault, Plan, SimulatedCustomer, FAULTS,
 };
 use gateway_cluster::sessions::Pooling;
 
@@ -17,15 +17,15 @@
     }
 }
 
-fn plan(trouble: Fault, gateways: usize, seed: u64, minutes: u64) -> Plan {
+fn plan(fault: Fault, gateways: usize, seed: u64, minutes: u64) -> Plan {
     Plan {
         gateways,
         simulated_customers: simulated_customers(),
-        trouble,
+        fault,
         time: minutes * 60_000_000,
         lossy: true,
-        pool: true,
-        new_owner: Some(minutes * 40_000_000),
+        use_verdicts: true,
+        owner_replaced_at: Some(minutes * 40_000_000),
         seed,
     }
 }
@@ -41,15 +41,15 @@
     println!("{seeds} seeds of {minutes} minutes for each trouble and each of 2, 3, 4 doors; 20% lost, 10% doubled, 5% late;");
     println!("a keeper that knows nothing takes over at two thirds; times in seconds, `-`: not in the run\n");
     let (mut hours, mut wrong) = (0.0, 0);
-    for trouble in FAULTS {
-        let mut all: Vec<(SimulatedCustomer, Seen)> = Vec::new();
-        let mut left_out = [0; 2];
+    for fault in FAULTS {
+        let mut all: Vec<(SimulatedCustomer, CustomerOutcome)> = Vec::new();
+        let mut excluded = [0; 2];
         let mut datagrams = 0;
         for gateways in 2..=4 {
             for seed in first..first + seeds {
-                let plan = plan(trouble, gateways, seed, minutes);
+                let plan = plan(fault, gateways, seed, minutes);
                 let out = run(&plan);
-                left_out = [left_out[0] + out.left_out[0], left_out[1] + out.left_out[1]];
+                excluded = [excluded[0] + out.excluded[0], excluded[1] + out.excluded[1]];
                 datagrams += out.datagrams;
                 all.extend(plan.simulated_customers.iter().copied().zip(out.seen));
             }
@@ -65,22 +65,22 @@
             .iter()
             .filter(|(person, _)| person.truth == Pooling::Statement)
             .collect();
-        let held: u64 = free.iter().map(|(_, seen)| seen.held_for_more).sum();
+        let held: u64 = free.iter().map(|(_, seen)| seen.overclassified_time).sum();
         let ever = free
             .iter()
-            .filter(|(_, seen)| seen.held_for_more > 0)
+            .filter(|(_, seen)| seen.overclassified_time > 0)
             .count();
         let weakened: u32 = all.iter().map(|(_, seen)| seen.false_transactions).sum();
-        println!("{trouble:?}: false statements {false_statements} in {bound_hours:.0} customer-hours; session to transaction {weakened};");
+        println!("{fault:?}: false statements {false_statements} in {bound_hours:.0} customer-hours; session to transaction {weakened};");
         println!(
             "  stateless held for more: {:.3}% of their time, {ever} of {} ever; entries left out sick {}, blind {}; datagrams {:.1}/s a set",
             held as f64 / (free.len() as f64 * minutes as f64 * 60e6) * 100.0,
             free.len(),
-            left_out[0],
-            left_out[1],
+            excluded[0],
+            excluded[1],
             datagrams as f64 / (3.0 * seeds as f64 * minutes as f64 * 60.0)
         );
-        let both = |seen: &Seen| {
+        let both = |seen: &CustomerOutcome| {
             seen.everywhere
                 .zip(seen.right)
                 .map(|(all, one)| all.saturating_sub(one))
@@ -98,11 +98,11 @@
 
     for (name, simulated_customers) in worlds() {
         println!("\n{name}");
-        let mut all: Vec<(SimulatedCustomer, Seen)> = Vec::new();
+        let mut all: Vec<(SimulatedCustomer, CustomerOutcome)> = Vec::new();
         for seed in first..first + seeds {
             let plan = Plan {
                 simulated_customers: simulated_customers.clone(),
-                ..plan(Fault::Nothing, 3, seed, minutes)
+                ..plan(Fault::None, 3, seed, minutes)
             };
             all.extend(
                 plan.simulated_customers
@@ -126,7 +126,7 @@
     ] {
         for rate in [2.0 / 60.0, 1.0, 10.0] {
             turning.push(SimulatedCustomer {
-                turns: Some((600_000_000, turned)),
+                changes_at: Some((600_000_000, turned)),
                 ..SimulatedCustomer::new(truth, rate)
             });
         }
@@ -148,7 +148,7 @@
 }
 
 /// One line for each sort of customer.
-fn rows(all: &[(SimulatedCustomer, Seen)]) {
+fn rows(all: &[(SimulatedCustomer, CustomerOutcome)]) {
     let mut sorts: Vec<SimulatedCustomer> = Vec::new();
     for (person, _) in all {
         if !sorts.contains(person) {
@@ -157,7 +157,7 @@
     }
     for sort in sorts {
         let ours: Vec<_> = all.iter().filter(|(person, _)| *person == sort).collect();
-        let since = sort.turns.map_or(0, |(at, _)| at);
+        let since = sort.changes_at.map_or(0, |(at, _)| at);
         let after = |time: Option<u64>| {
             time.filter(|&at| at >= since)
                 .map_or(u64::MAX, |at| at - since)
@@ -169,16 +169,19 @@
             .collect();
         let sum = |at: usize| ours.iter().map(|(_, seen)| seen.requests[at]).sum::<u64>() as f64;
         let wrong: u32 = ours.iter().map(|(_, seen)| seen.false_statements).sum();
-        let held: u64 = ours.iter().map(|(_, seen)| seen.held_for_more).sum();
+        let held: u64 = ours.iter().map(|(_, seen)| seen.overclassified_time).sum();
         let ever = ours
             .iter()
-            .filter(|(_, seen)| seen.held_for_more > 0)
+            .filter(|(_, seen)| seen.overclassified_time > 0)
             .count();
         let mut name = format!("{:?} {:.3}/s", sort.truth, sort.rate);
-        if sort.fails < 1.0 || sort.own > 0.0 {
-            name += &format!(", breaks fail {}, others {}", sort.fails, sort.own);
+        if sort.break_failure_rate < 1.0 || sort.own_failure_rate > 0.0 {
+            name += &format!(
+                ", breaks fail {}, others {}",
+                sort.break_failure_rate, sort.own_failure_rate
+            );
         }
-        if let Some((_, kind)) = sort.turns {
+        if let Some((_, kind)) = sort.changes_at {
             name += &format!(", then {kind:?}");
         }
         println!(
--- a/gateway-cluster/src/sessions/classifier.rs
+++ b/gateway-cluster/src/sessions/classifier.rs
@@ -14,10 +14,10 @@
 
 use super::evidence::{ConnectionUse, Evidence, Outcome};
 use super::verdicts::{
-    self, ConnectionPolicy, EvidenceSummary, Input, LeaderContext, Output, Verdict,
-    VerdictAggregator, VerdictRejection, VerdictTable, LOOK_AGAIN,
+    self, ConnectionPolicy, EvidenceSummary, Input, Output, OwnerContext, Verdict,
+    VerdictAggregator, VerdictRejection, VerdictTable, PROBE_INTERVAL,
 };
-use super::wire::{size, Datagram, Kind, ReportMessage, VerdictMessage, ROOM};
+use super::wire::{size, Datagram, Kind, ReportMessage, VerdictMessage, MAX_ITEM_BYTES};
 use super::{Backend, Customer, FencingToken, Pooling};
 use crate::membership::PartitionSide;
 use crate::peers::{peer_id_of, PeerId};
@@ -33,29 +33,31 @@
 pub const BURST: f64 = 30.0;
 /// See [`BURST`].
 pub const PER_SECOND: f64 = 3.0;
-const KEPT_BACK: f64 = 0.5;
+const VERDICT_RESERVE: f64 = 0.5;
 /// Between two looks, where there is anything to look at and where there is nothing.
 const TICK: Micros = 100_000;
-const IDLE: Micros = 500_000;
+const IDLE_INTERVAL: Micros = 500_000;
 /// ReportMessage without a new break go to one owner so often at most, and a roll is called again after that.
-const GATHER: Micros = 1_000_000;
+const REPORT_INTERVAL: Micros = 1_000_000;
 /// Customers whose counts are taken up in one look.
-const AT_ONCE: usize = 256;
+const MAX_REPORTS_PER_TICK: usize = 256;
 /// Gateways of a set that are remembered.
-const MOST_GATEWAYS: usize = 8;
+const MAX_GATEWAYS: usize = 8;
 /// How often what belongs to customers that are kept no more is cleared away.
-const CLEAR: Micros = 10_000_000;
+const CLEANUP_INTERVAL: Micros = 10_000_000;
 
 /// What a part begins with.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClassifierSettings {
     /// Customers that it counts, keeps and holds verdicts of, at most, each.
-    pub most: usize,
+    pub max_customers: usize,
 }
 
 impl Default for ClassifierSettings {
     fn default() -> ClassifierSettings {
-        ClassifierSettings { most: 4096 }
+        ClassifierSettings {
+            max_customers: 4096,
+        }
     }
 }
 
@@ -105,28 +107,28 @@
 
 /// What the view held of a gateway.
 #[derive(Debug, Clone, Copy)]
-struct Seen {
+struct PeerView {
     id: PeerId,
-    alive: Micros,
-    dead: bool,
+    alive_at: Micros,
+    is_dead: bool,
 }
 
 /// What waits for one gateway.
 #[derive(Debug, Default)]
-struct Mail {
+struct PeerQueue {
     /// Its incarnation, as it last said; 0 if it never did.
     incarnation: u64,
-    says: BTreeSet<Customer>,
+    verdicts: BTreeSet<Customer>,
     reports: BTreeSet<Customer>,
     /// Among the reports is a new break.
-    soon: bool,
-    asks: BTreeSet<Customer>,
+    is_urgent: bool,
+    requests: BTreeSet<Customer>,
     /// When the roll was called last, of this gateway.
-    called: Option<Micros>,
+    collection_sent_at: Option<Micros>,
     /// Its roll that is still to be answered, and the last one that was.
-    owes: Option<(u64, u32)>,
-    answered: Option<(u64, u32)>,
-    sent: Option<Micros>,
+    pending_collection: Option<(u64, u32)>,
+    answered_collection: Option<(u64, u32)>,
+    reports_sent_at: Option<Micros>,
 }
 
 /// One incarnation's part.
@@ -135,24 +137,24 @@
     me: PeerId,
     name: String,
     incarnation: u64,
-    most: usize,
+    max_customers: usize,
     evidence: Evidence,
-    owner: VerdictAggregator,
-    held: VerdictTable,
-    sets: BTreeMap<Customer, Vec<String>>,
-    gateways: BTreeMap<String, Seen>,
+    aggregator: VerdictAggregator,
+    verdicts: VerdictTable,
+    reporting_gateways: BTreeMap<Customer, Vec<String>>,
+    gateways: BTreeMap<String, PeerView>,
     majority: bool,
-    mine: Vec<(Key, Key)>,
-    roll: u32,
-    rolled: BTreeSet<PeerId>,
-    mail: BTreeMap<PeerId, Mail>,
+    owned: Vec<(Key, Key)>,
+    collection: u32,
+    collected: BTreeSet<PeerId>,
+    queues: BTreeMap<PeerId, PeerQueue>,
     /// The gateway that something was sent to last.
-    turn: PeerId,
-    looked: BTreeMap<Customer, Micros>,
+    last_recipient: PeerId,
+    probed_at: BTreeMap<Customer, Micros>,
     budget: TokenBucket,
-    next: Micros,
-    clear: Micros,
-    chance: Pcg64Mcg,
+    wakeup_at: Micros,
+    cleanup_at: Micros,
+    rng: Pcg64Mcg,
     /// Verdicts that were refused.
     pub refused: Refusals,
     /// Datagrams that make no sense, and those of names or for lives that are not here.
@@ -161,7 +163,7 @@
     pub sent: (u64, u64),
 }
 
-fn within(ranges: &[(Key, Key)], key: Key) -> bool {
+fn owns_key(ranges: &[(Key, Key)], key: Key) -> bool {
     let place = ranges.partition_point(|(_, to)| *to <= key);
     ranges.get(place).is_some_and(|(from, _)| *from <= key)
 }
@@ -185,28 +187,28 @@
         settings: ClassifierSettings,
         seed: u64,
     ) -> SessionClassifier {
-        let most = settings.most.max(1);
+        let max_customers = settings.max_customers.max(1);
         SessionClassifier {
             me: peer_id_of(name),
             name: name.to_string(),
             incarnation,
-            most,
-            evidence: Evidence::new(name, incarnation, most, seed),
-            owner: VerdictAggregator::new(incarnation, most),
-            held: VerdictTable::new(most),
-            sets: BTreeMap::new(),
+            max_customers,
+            evidence: Evidence::new(name, incarnation, max_customers, seed),
+            aggregator: VerdictAggregator::new(incarnation, max_customers),
+            verdicts: VerdictTable::new(max_customers),
+            reporting_gateways: BTreeMap::new(),
             gateways: BTreeMap::new(),
             majority: false,
-            mine: Vec::new(),
-            roll: 0,
-            rolled: BTreeSet::new(),
-            mail: BTreeMap::new(),
-            turn: 0,
-            looked: BTreeMap::new(),
+            owned: Vec::new(),
+            collection: 0,
+            collected: BTreeSet::new(),
+            queues: BTreeMap::new(),
+            last_recipient: 0,
+            probed_at: BTreeMap::new(),
             budget: TokenBucket::full(now, BURST, PER_SECOND),
-            next: now,
-            clear: now + CLEAR,
-            chance: Pcg64Mcg::seed_from_u64(seed.rotate_left(8)),
+            wakeup_at: now,
+            cleanup_at: now + CLEANUP_INTERVAL,
+            rng: Pcg64Mcg::seed_from_u64(seed.rotate_left(8)),
             refused: Refusals::default(),
             dropped: (0, 0),
             sent: (0, 0),
@@ -224,7 +226,8 @@
     ) {
         // Beyond the keys nobody keeps it.
         if customer < KEYS {
-            self.evidence.note(now, customer, backend, conn, outcome);
+            self.evidence
+                .record_request(now, customer, backend, conn, outcome);
         }
     }
 
@@ -237,35 +240,35 @@
     ) -> ConnectionPolicy {
         let pooling = self.pooling(now, customer, shard_map);
         if pooling <= Pooling::Unknown {
-            return verdicts::hold(pooling, 0, self.chance.random());
+            return verdicts::connection_policy(pooling, 0, self.rng.random());
         }
-        if !self.looked.contains_key(&customer) && self.looked.len() >= self.most {
-            self.looked
-                .retain(|_, at| now.saturating_sub(*at) < LOOK_AGAIN);
-            if self.looked.len() >= self.most {
-                return verdicts::hold(pooling, 0, 1.0);
+        if !self.probed_at.contains_key(&customer) && self.probed_at.len() >= self.max_customers {
+            self.probed_at
+                .retain(|_, at| now.saturating_sub(*at) < PROBE_INTERVAL);
+            if self.probed_at.len() >= self.max_customers {
+                return verdicts::connection_policy(pooling, 0, 1.0);
             }
         }
-        let looked = now.saturating_sub(*self.looked.entry(customer).or_insert(now));
-        let hold = verdicts::hold(pooling, looked, 1.0);
+        let probed_at = now.saturating_sub(*self.probed_at.entry(customer).or_insert(now));
+        let hold = verdicts::connection_policy(pooling, probed_at, 1.0);
         if hold == ConnectionPolicy::Any {
-            self.looked.insert(customer, now);
+            self.probed_at.insert(customer, now);
         }
         hold
     }
 
     /// What a customer is held for here.
     pub fn pooling(&self, now: Micros, customer: Customer, shard_map: &ShardMapNode) -> Pooling {
-        if self.held.verdict(customer).is_none() {
+        if self.verdicts.verdict(customer).is_none() {
             return Pooling::Unknown;
         }
         let owner = shard_map.map().and_then(|map| map.owner_of(customer));
         let alive = match owner {
             Some(owner) if owner == self.name => now,
-            Some(owner) => self.gateways.get(owner).map_or(0, |seen| seen.alive),
+            Some(owner) => self.gateways.get(owner).map_or(0, |seen| seen.alive_at),
             None => 0,
         };
-        self.held.in_force(now, customer, alive, self.majority)
+        self.verdicts.in_force(now, customer, alive, self.majority)
     }
 
     /// What operators are told of a customer.
@@ -280,9 +283,9 @@
             .and_then(|map| map.owner_of(customer))
             .map(String::from);
         let own = shard_map.fence_of(now, customer);
-        let own = own.and_then(|fence| self.owner.verdict(now, customer, fence));
-        let told = || {
-            let (verdict, at) = self.held.verdict(customer)?;
+        let own = own.and_then(|fence| self.aggregator.verdict(now, customer, fence));
+        let known_verdict = || {
+            let (verdict, at) = self.verdicts.verdict(customer)?;
             let age = verdict.age.saturating_add(now.saturating_sub(at));
             Some(Verdict {
                 age,
@@ -290,7 +293,7 @@
                 ..verdict.clone()
             })
         };
-        match own.or_else(told) {
+        match own.or_else(known_verdict) {
             Some(Verdict {
                 pooling,
                 fence,
@@ -318,9 +321,11 @@
     }
 
     /// Whether all living gateways have told what they had as this one began to keep.
-    pub fn has_rolled(&self) -> bool {
-        let heard = |seen: &Seen| seen.dead || seen.id == self.me || self.rolled.contains(&seen.id);
-        !self.mine.is_empty() && self.gateways.values().all(heard)
+    pub fn has_collected_all(&self) -> bool {
+        let has_reported = |seen: &PeerView| {
+            seen.is_dead || seen.id == self.me || self.collected.contains(&seen.id)
+        };
+        !self.owned.is_empty() && self.gateways.values().all(has_reported)
     }
 
     /// ReportMessage that were left out, and why.
@@ -330,7 +335,7 @@
 
     /// When [`SessionClassifier::on_timer`] is wanted.
     pub fn next_wakeup(&self) -> Micros {
-        self.next
+        self.wakeup_at
     }
 
     /// Something is due, or past that.
@@ -340,22 +345,24 @@
         around: &ClusterContext<'_>,
         sends: &mut Vec<Transmit>,
     ) {
-        self.look(now, around);
-        for customer in self.evidence.next_wakeup(now, AT_ONCE) {
-            self.tell(now, customer, around);
-        }
-        self.keep(now, Input::Tick, around);
-        if now >= self.clear {
-            self.clear = now + CLEAR;
-            let (owner, mine) = (&self.owner, &self.mine);
-            self.sets
-                .retain(|&customer, _| within(mine, customer) && owner.has(customer));
+        self.sync_with_cluster(now, around);
+        for customer in self.evidence.due_reports(now, MAX_REPORTS_PER_TICK) {
+            self.queue_report(now, customer, around);
+        }
+        self.run_aggregator(now, Input::Tick, around);
+        if now >= self.cleanup_at {
+            self.cleanup_at = now + CLEANUP_INTERVAL;
+            let (aggregator, owned) = (&self.aggregator, &self.owned);
+            self.reporting_gateways
+                .retain(|&customer, _| owns_key(owned, customer) && aggregator.has(customer));
             let gateways: BTreeSet<PeerId> = self.gateways.values().map(|seen| seen.id).collect();
-            self.mail.retain(|id, _| gateways.contains(id));
+            self.queues.retain(|id, _| gateways.contains(id));
         }
         self.flush(now, around, sends);
-        let idle = self.evidence.customers() == 0 && self.sets.is_empty() && self.mail.is_empty();
-        self.next = now + if idle { IDLE } else { TICK };
+        let idle = self.evidence.customers() == 0
+            && self.reporting_gateways.is_empty()
+            && self.queues.is_empty();
+        self.wakeup_at = now + if idle { IDLE_INTERVAL } else { TICK };
     }
 
     /// A datagram has come.
@@ -386,45 +393,56 @@
         if around.silent {
             return;
         }
-        self.look(now, around);
-        let mail = self.mail.entry(from).or_default();
-        mail.incarnation = incarnation;
+        self.sync_with_cluster(now, around);
+        let queue = self.queues.entry(from).or_default();
+        queue.incarnation = incarnation;
         match kind {
-            Kind::Roll(number) if mail.answered == Some((incarnation, number)) => {
-                mail.owes = Some((incarnation, number));
+            Kind::CollectReports(number)
+                if queue.answered_collection == Some((incarnation, number)) =>
+            {
+                queue.pending_collection = Some((incarnation, number));
             }
-            Kind::Roll(number) if mail.owes != Some((incarnation, number)) => {
-                mail.owes = Some((incarnation, number));
+            Kind::CollectReports(number)
+                if queue.pending_collection != Some((incarnation, number)) =>
+            {
+                queue.pending_collection = Some((incarnation, number));
                 let map = around.shard_map.map();
                 let theirs = |customer| map.and_then(|map| map.owner_of(customer)) == Some(name);
                 // By a map that this gateway does not have yet it may keep more: that is told as it changes.
-                mail.reports.extend(self.evidence.again(theirs));
+                queue.reports.extend(self.evidence.resend(theirs));
             }
-            Kind::Roll(_) => {}
-            Kind::Ask(customers) => {
-                let room = self.most.saturating_sub(mail.reports.len());
-                mail.reports.extend(customers.into_iter().take(room));
-                mail.soon = true;
+            Kind::CollectReports(_) => {}
+            Kind::RequestReports(customers) => {
+                let remaining = self.max_customers.saturating_sub(queue.reports.len());
+                queue.reports.extend(customers.into_iter().take(remaining));
+                queue.is_urgent = true;
             }
-            Kind::Report { rolled, counts } => {
+            Kind::Report {
+                completed_collection,
+                counts,
+            } => {
                 for counts in counts {
-                    if within(&self.mine, counts.customer()) {
-                        self.join(name, counts.customer());
-                        self.keep(now, Input::Report(counts.report(name, incarnation)), around);
+                    if owns_key(&self.owned, counts.customer()) {
+                        self.add_reporting_gateway(name, counts.customer());
+                        self.run_aggregator(
+                            now,
+                            Input::Report(counts.report(name, incarnation)),
+                            around,
+                        );
                     }
                 }
-                if rolled != 0 && rolled == self.roll {
-                    self.rolled.insert(from);
+                if completed_collection != 0 && completed_collection == self.collection {
+                    self.collected.insert(from);
                 }
             }
-            Kind::Verdicts { fence, said } => {
+            Kind::Verdicts { fence, verdicts } => {
                 let name_of = |id: PeerId| {
                     let known = around.names.iter().find(|name| peer_id_of(name) == id);
                     known.cloned().unwrap_or_else(|| format!("{id:08x}"))
                 };
-                for said in said {
-                    let verdict = said.verdict(fence, incarnation, name_of);
-                    self.take(now, name, verdict, around);
+                for verdicts in verdicts {
+                    let verdict = verdicts.verdict(fence, incarnation, name_of);
+                    self.on_verdict(now, name, verdict, around);
                 }
             }
         }
@@ -432,65 +450,70 @@
     }
 
     /// Takes up what the surroundings are now.
-    fn look(&mut self, now: Micros, around: &ClusterContext<'_>) {
+    fn sync_with_cluster(&mut self, now: Micros, around: &ClusterContext<'_>) {
         self.budget.fill(now);
         self.majority = matches!(around.side, PartitionSide::Whole | PartitionSide::Majority);
         self.gateways.retain(|name, _| around.names.contains(name));
         for (name, state) in around.names.iter().zip(around.states) {
             let id = peer_id_of(name);
-            let seen = self.gateways.entry(name.clone()).or_insert(Seen {
+            let seen = self.gateways.entry(name.clone()).or_insert(PeerView {
                 id,
-                alive: 0,
-                dead: true,
+                alive_at: 0,
+                is_dead: true,
             });
-            seen.dead = *state == PeerState::Dead && id != self.me;
-            if seen.dead {
+            seen.is_dead = *state == PeerState::Dead && id != self.me;
+            if seen.is_dead {
                 // What it had counted meanwhile is asked for once it is back.
-                self.rolled.remove(&id);
+                self.collected.remove(&id);
             } else {
-                seen.alive = now;
+                seen.alive_at = now;
             }
         }
-        self.held.fence(fence_in_force(around.shard_map));
-        let mine = if around.silent {
+        self.verdicts
+            .observe_token(fence_in_force(around.shard_map));
+        let owned = if around.silent {
             Vec::new()
         } else {
             around.shard_map.mine(now)
         };
-        if mine == self.mine {
+        if owned == self.owned {
             return;
         }
-        let had = std::mem::replace(&mut self.mine, mine);
-        if self.mine.iter().any(|range| !covers(&had, *range)) {
-            self.roll = self.roll.wrapping_add(1).max(1);
-            self.rolled.clear();
-            self.mail.values_mut().for_each(|mail| mail.called = None);
-            let mine = &self.mine;
-            self.evidence.again(|customer| within(mine, customer));
+        let had = std::mem::replace(&mut self.owned, owned);
+        if self.owned.iter().any(|range| !covers(&had, *range)) {
+            self.collection = self.collection.wrapping_add(1).max(1);
+            self.collected.clear();
+            self.queues
+                .values_mut()
+                .for_each(|queue| queue.collection_sent_at = None);
+            let owned = &self.owned;
+            self.evidence.resend(|customer| owns_key(owned, customer));
         }
     }
 
     /// A gateway has reported of a customer that is kept here: it belongs to its set.
-    fn join(&mut self, gateway: &str, customer: Customer) {
-        if !self.sets.contains_key(&customer) && self.sets.len() >= self.most {
+    fn add_reporting_gateway(&mut self, gateway: &str, customer: Customer) {
+        if !self.reporting_gateways.contains_key(&customer)
+            && self.reporting_gateways.len() >= self.max_customers
+        {
             return;
         }
-        let set = self.sets.entry(customer).or_default();
+        let set = self.reporting_gateways.entry(customer).or_default();
         if set.iter().any(|known| known == gateway) {
             return;
         }
-        if set.len() >= MOST_GATEWAYS {
-            set.retain(|known| self.gateways.get(known).is_some_and(|seen| !seen.dead));
+        if set.len() >= MAX_GATEWAYS {
+            set.retain(|known| self.gateways.get(known).is_some_and(|seen| !seen.is_dead));
         }
-        if set.len() < MOST_GATEWAYS {
+        if set.len() < MAX_GATEWAYS {
             set.push(gateway.to_string());
         }
     }
 
     /// Tells a customer's owner what was counted of it.
-    fn tell(&mut self, now: Micros, customer: Customer, around: &ClusterContext<'_>) {
-        if within(&self.mine, customer) {
-            self.tell_own(now, customer, around);
+    fn queue_report(&mut self, now: Micros, customer: Customer, around: &ClusterContext<'_>) {
+        if owns_key(&self.owned, customer) {
+            self.report_to_self(now, customer, around);
             return;
         }
         // Where there is no owner, whoever will be one calls the roll.
@@ -502,55 +525,61 @@
             return;
         };
         let urgent = self.evidence.is_urgent(customer);
-        let mail = self.mail.entry(peer_id_of(owner)).or_default();
-        mail.reports.insert(customer);
-        mail.soon |= urgent;
+        let queue = self.queues.entry(peer_id_of(owner)).or_default();
+        queue.reports.insert(customer);
+        queue.is_urgent |= urgent;
     }
 
-    fn tell_own(&mut self, now: Micros, customer: Customer, around: &ClusterContext<'_>) {
+    fn report_to_self(&mut self, now: Micros, customer: Customer, around: &ClusterContext<'_>) {
         let name = self.name.clone();
-        self.join(&name, customer);
-        let held = self.pooling(now, customer, around.shard_map);
-        let report = self.evidence.report(now, customer, held);
-        self.keep(now, Input::Report(report), around);
+        self.add_reporting_gateway(&name, customer);
+        let pooling = self.pooling(now, customer, around.shard_map);
+        let report = self.evidence.report(now, customer, pooling);
+        self.run_aggregator(now, Input::Report(report), around);
     }
 
     /// As the owner.
-    fn keep(&mut self, now: Micros, input: Input, around: &ClusterContext<'_>) {
-        let (sets, gateways, mine) = (&self.sets, &self.gateways, &self.mine);
+    fn run_aggregator(&mut self, now: Micros, input: Input, around: &ClusterContext<'_>) {
+        let (reporting_gateways, gateways, owned) =
+            (&self.reporting_gateways, &self.gateways, &self.owned);
         let all = || gateways.keys().cloned().collect();
-        let scene = LeaderContext {
+        let context = OwnerContext {
             fence: fence_in_force(around.shard_map),
-            keeps: &|customer| within(mine, customer),
-            set: &|customer| sets.get(&customer).cloned().unwrap_or_else(all),
-            gone: &|gateway| gateways.get(gateway).is_none_or(|seen| seen.dead),
-            may_share: self.majority && self.has_rolled(),
+            owns: &|customer| owns_key(owned, customer),
+            gateways_of: &|customer| {
+                reporting_gateways
+                    .get(&customer)
+                    .cloned()
+                    .unwrap_or_else(all)
+            },
+            is_gone: &|gateway| gateways.get(gateway).is_none_or(|seen| seen.is_dead),
+            may_relax: self.majority && self.has_collected_all(),
         };
         let mut outputs = Vec::new();
-        self.owner.handle(now, input, &scene, &mut outputs);
+        self.aggregator.on_input(now, input, &context, &mut outputs);
         for output in outputs {
             match output {
                 // It is told of itself whatever it has: the next look is soon enough for what is new.
-                Output::Ask { gateway, customer } if gateway == self.name => {
-                    self.tell_own(now, customer, around);
+                Output::RequestReport { gateway, customer } if gateway == self.name => {
+                    self.report_to_self(now, customer, around);
                 }
-                Output::Ask { gateway, customer } => {
-                    self.mail
+                Output::RequestReport { gateway, customer } => {
+                    self.queues
                         .entry(peer_id_of(&gateway))
                         .or_default()
-                        .asks
+                        .requests
                         .insert(customer);
                 }
-                Output::Say { gateway, verdict } if gateway == self.name => {
-                    self.take(now, &gateway, verdict, around);
+                Output::SendVerdict { gateway, verdict } if gateway == self.name => {
+                    self.on_verdict(now, &gateway, verdict, around);
                 }
-                Output::Say { gateway, verdict } => {
-                    let repeats = self.owner.is_repeating(verdict.customer);
-                    if !repeats || self.budget.has(1.0, KEPT_BACK) {
-                        self.mail
+                Output::SendVerdict { gateway, verdict } => {
+                    let repeats = self.aggregator.is_repeating(verdict.customer);
+                    if !repeats || self.budget.has(1.0, VERDICT_RESERVE) {
+                        self.queues
                             .entry(peer_id_of(&gateway))
                             .or_default()
-                            .says
+                            .verdicts
                             .insert(verdict.customer);
                     }
                 }
@@ -559,7 +588,13 @@
     }
 
     /// As a gateway that goes by what an owner says.
-    fn take(&mut self, now: Micros, from: &str, verdict: Verdict, around: &ClusterContext<'_>) {
+    fn on_verdict(
+        &mut self,
+        now: Micros,
+        from: &str,
+        verdict: Verdict,
+        around: &ClusterContext<'_>,
+    ) {
         let customer = verdict.customer;
         let map = around
             .shard_map
@@ -569,13 +604,13 @@
             self.refused.old += 1;
             return;
         }
-        match self.held.take(now, verdict, self.majority) {
+        match self.verdicts.on_verdict(now, verdict, self.majority) {
             Ok(()) => {
-                let pooling = self.held.in_force(now, customer, now, self.majority);
-                self.evidence.hold(customer, pooling);
+                let pooling = self.verdicts.in_force(now, customer, now, self.majority);
+                self.evidence.set_pooling(customer, pooling);
             }
-            Err(VerdictRejection::Old { .. }) => self.refused.old += 1,
-            Err(VerdictRejection::Late) => self.refused.late += 1,
+            Err(VerdictRejection::Superseded { .. }) => self.refused.old += 1,
+            Err(VerdictRejection::Outdated) => self.refused.late += 1,
             Err(VerdictRejection::Minority) => self.refused.minority += 1,
             Err(VerdictRejection::Full(_)) => self.refused.full += 1,
         }
@@ -589,45 +624,45 @@
         let dead: BTreeSet<PeerId> = self
             .gateways
             .values()
-            .filter(|seen| seen.dead)
+            .filter(|seen| seen.is_dead)
             .map(|seen| seen.id)
             .collect();
-        if !self.mine.is_empty() {
+        if !self.owned.is_empty() {
             let living = self
                 .gateways
                 .values()
-                .filter(|seen| !seen.dead && seen.id != self.me);
-            for seen in living.filter(|seen| !self.rolled.contains(&seen.id)) {
-                self.mail.entry(seen.id).or_default();
+                .filter(|seen| !seen.is_dead && seen.id != self.me);
+            for seen in living.filter(|seen| !self.collected.contains(&seen.id)) {
+                self.queues.entry(seen.id).or_default();
             }
         }
         // Whoever came last in the round before comes first now.
         let mut gateways: Vec<PeerId> = self
-            .mail
+            .queues
             .keys()
             .copied()
             .filter(|id| !dead.contains(id))
             .collect();
-        let place = gateways.partition_point(|id| *id <= self.turn);
+        let place = gateways.partition_point(|id| *id <= self.last_recipient);
         gateways.rotate_left(place);
         for &to in &gateways {
-            self.send_says(now, to, around, sends);
+            self.send_verdicts(now, to, around, sends);
         }
         for &to in &gateways {
-            let soon = self.mail.get(&to).is_some_and(|mail| mail.soon);
+            let soon = self.queues.get(&to).is_some_and(|queue| queue.is_urgent);
             if soon && self.budget.has(1.0, 0.0) {
                 self.send_reports(now, to, around, sends);
             }
         }
         for &to in &gateways {
-            if !self.budget.has(1.0, KEPT_BACK) {
+            if !self.budget.has(1.0, VERDICT_RESERVE) {
                 return;
             }
-            self.send_rest(now, to, around, sends);
+            self.send_requests(now, to, around, sends);
         }
     }
 
-    fn send_says(
+    fn send_verdicts(
         &mut self,
         now: Micros,
         to: PeerId,
@@ -636,28 +671,28 @@
     ) {
         let fence = fence_in_force(around.shard_map);
         while self.budget.has(1.0, 0.0) {
-            let Some(mail) = self.mail.get_mut(&to) else {
+            let Some(queue) = self.queues.get_mut(&to) else {
                 return;
             };
-            let mut room = ROOM;
-            let mut said = Vec::new();
-            while let Some(&customer) = mail.says.first() {
+            let mut remaining = MAX_ITEM_BYTES;
+            let mut verdicts = Vec::new();
+            while let Some(&customer) = queue.verdicts.first() {
                 // Its right to say so is looked at now, not when it was decided.
-                let verdict = self.owner.verdict(now, customer, fence);
-                if let Some(verdict) = verdict.filter(|_| within(&self.mine, customer)) {
+                let verdict = self.aggregator.verdict(now, customer, fence);
+                if let Some(verdict) = verdict.filter(|_| owns_key(&self.owned, customer)) {
                     let one = VerdictMessage::new(&verdict, peer_id_of);
-                    let Some(left) = room.checked_sub(size(&one)) else {
+                    let Some(left) = remaining.checked_sub(size(&one)) else {
                         break;
                     };
-                    room = left;
-                    said.push(one);
+                    remaining = left;
+                    verdicts.push(one);
                 }
-                mail.says.pop_first();
+                queue.verdicts.pop_first();
             }
-            if said.is_empty() {
+            if verdicts.is_empty() {
                 return;
             }
-            self.put(to, Kind::Verdicts { fence, said }, sends);
+            self.send(to, Kind::Verdicts { fence, verdicts }, sends);
         }
     }
 
@@ -668,91 +703,104 @@
         around: &ClusterContext<'_>,
         sends: &mut Vec<Transmit>,
     ) {
-        let mut room = ROOM;
+        let mut remaining = MAX_ITEM_BYTES;
         let mut counts = Vec::new();
         loop {
             let next = self
-                .mail
+                .queues
                 .get(&to)
-                .and_then(|mail| mail.reports.first().copied());
+                .and_then(|queue| queue.reports.first().copied());
             let Some(customer) = next else { break };
-            let held = self.pooling(now, customer, around.shard_map);
-            self.evidence.hold(customer, held);
-            let one = ReportMessage::from(self.evidence.report(now, customer, held));
-            let Some(left) = room.checked_sub(size(&one)) else {
+            let pooling = self.pooling(now, customer, around.shard_map);
+            self.evidence.set_pooling(customer, pooling);
+            let one = ReportMessage::from(self.evidence.report(now, customer, pooling));
+            let Some(left) = remaining.checked_sub(size(&one)) else {
                 break;
             };
-            room = left;
+            remaining = left;
             counts.push(one);
-            if let Some(mail) = self.mail.get_mut(&to) {
-                mail.reports.pop_first();
+            if let Some(queue) = self.queues.get_mut(&to) {
+                queue.reports.pop_first();
             }
         }
-        let Some(mail) = self.mail.get_mut(&to) else {
+        let Some(queue) = self.queues.get_mut(&to) else {
             return;
         };
-        let mut rolled = 0;
-        if mail.reports.is_empty() {
-            mail.soon = false;
-            if let Some(owed) = mail.owes.take() {
-                rolled = owed.1;
-                mail.answered = Some(owed);
+        let mut completed_collection = 0;
+        if queue.reports.is_empty() {
+            queue.is_urgent = false;
+            if let Some(owed) = queue.pending_collection.take() {
+                completed_collection = owed.1;
+                queue.answered_collection = Some(owed);
             }
         }
-        if rolled != 0 || !counts.is_empty() {
-            self.put(to, Kind::Report { rolled, counts }, sends);
+        if completed_collection != 0 || !counts.is_empty() {
+            self.send(
+                to,
+                Kind::Report {
+                    completed_collection,
+                    counts,
+                },
+                sends,
+            );
         }
     }
 
     /// The roll, questions, and counts without news.
-    fn send_rest(
+    fn send_requests(
         &mut self,
         now: Micros,
         to: PeerId,
         around: &ClusterContext<'_>,
         sends: &mut Vec<Transmit>,
     ) {
-        let waits = !self.mine.is_empty() && !self.rolled.contains(&to);
-        let (roll, known) = (self.roll, self.gateways.values().any(|seen| seen.id == to));
-        let Some(mail) = self.mail.get_mut(&to).filter(|_| known) else {
+        let waits = !self.owned.is_empty() && !self.collected.contains(&to);
+        let (collection, known) = (
+            self.collection,
+            self.gateways.values().any(|seen| seen.id == to),
+        );
+        let Some(queue) = self.queues.get_mut(&to).filter(|_| known) else {
             return;
         };
         if waits
-            && mail
-                .called
-                .is_none_or(|at| now.saturating_sub(at) >= GATHER)
+            && queue
+                .collection_sent_at
+                .is_none_or(|at| now.saturating_sub(at) >= REPORT_INTERVAL)
         {
-            mail.called = Some(now);
-            self.put(to, Kind::Roll(roll), sends);
+            queue.collection_sent_at = Some(now);
+            self.send(to, Kind::CollectReports(collection), sends);
         }
-        let Some(mail) = self.mail.get_mut(&to) else {
+        let Some(queue) = self.queues.get_mut(&to) else {
             return;
         };
-        if !mail.asks.is_empty() && self.budget.has(1.0, KEPT_BACK) {
+        if !queue.requests.is_empty() && self.budget.has(1.0, VERDICT_RESERVE) {
             let mut asks = Vec::new();
-            while asks.len() * 6 < ROOM - 6 {
-                let Some(customer) = mail.asks.pop_first() else {
+            while asks.len() * 6 < MAX_ITEM_BYTES - 6 {
+                let Some(customer) = queue.requests.pop_first() else {
                     break;
                 };
                 asks.push(customer);
             }
-            self.put(to, Kind::Ask(asks), sends);
+            self.send(to, Kind::RequestReports(asks), sends);
         }
-        let Some(mail) = self.mail.get(&to) else {
+        let Some(queue) = self.queues.get(&to) else {
             return;
         };
-        let gathered = mail.sent.is_none_or(|at| now.saturating_sub(at) >= GATHER);
-        let ready = mail.owes.is_some() || (gathered && !mail.reports.is_empty());
-        if ready && self.budget.has(1.0, KEPT_BACK) {
+        let is_report_due = queue
+            .reports_sent_at
+            .is_none_or(|at| now.saturating_sub(at) >= REPORT_INTERVAL);
+        let ready =
+            queue.pending_collection.is_some() || (is_report_due && !queue.reports.is_empty());
+        if ready && self.budget.has(1.0, VERDICT_RESERVE) {
             self.send_reports(now, to, around, sends);
-            if let Some(mail) = self.mail.get_mut(&to) {
-                mail.sent = Some(now);
+            if let Some(queue) = self.queues.get_mut(&to) {
+                queue.reports_sent_at = Some(now);
             }
         }
     }
 
-    fn put(&mut self, to: PeerId, kind: Kind, sends: &mut Vec<Transmit>) {
-        let to_incarnation = self.mail.get(&to).map_or(0, |mail| mail.incarnation);
+    fn send(&mut self, to: PeerId, kind: Kind, sends: &mut Vec<Transmit>) {
+        let to_incarnation = self.queues.get(&to).map_or(0, |queue| queue.incarnation);
         let bytes = Datagram {
             from: self.me,
             incarnation: self.incarnation,
@@ -763,7 +811,7 @@
         self.budget.take(1.0);
         self.sent.0 += 1;
         self.sent.1 += bytes.len() as u64;
-        self.turn = to;
+        self.last_recipient = to;
         sends.push(Transmit { to, bytes });
     }
 }
--- a/gateway-cluster/src/sessions/evidence.rs
+++ b/gateway-cluster/src/sessions/evidence.rs
@@ -27,32 +27,32 @@
 /// Windows of each kind of change.
 pub const WINDOWS: usize = 4;
 /// Changed requests after which a window is full.
-pub const FULL: u16 = 32;
+pub const WINDOW_REQUESTS: u16 = 32;
 /// Seconds after which a window is over.
-pub const OVER_S: u32 = 1800;
+pub const WINDOW_S: u32 = 1800;
 /// Seconds on both sides of a request that its control is taken from, and how far back it reaches where they hold too
 /// few. A second is settled when the next one is over.
-const NEAR_BACK: u64 = 3;
-const NEAR_ON: u64 = 1;
-const FAR_BACK: u64 = 30;
+const CONTROL_BACK_S: u64 = 3;
+const CONTROL_AHEAD_S: u64 = 1;
+const CONTROL_MAX_BACK_S: u64 = 30;
 /// Requests that a control needs, the failed part from which a backend is sick, and the part of changed ones from which
 /// it is sick though kept ones are well, as where it takes no new connections.
-const CONTROL_LEAST: u32 = 6;
-const SICK: f64 = 0.1;
-const SICK_CHANGED: f64 = 0.8;
+const MIN_CONTROL_REQUESTS: u32 = 6;
+const MAX_CONTROL_FAILURE_RATE: f64 = 0.1;
+const MAX_CHANGED_FAILURE_RATE: f64 = 0.8;
 /// Requests of one customer in one second at one backend that count as control of others.
-const CONTROL_EACH: u32 = 4;
+const MAX_CONTROL_REQUESTS_EACH: u32 = 4;
 /// Entries that may wait for their second or stand behind as control, together.
-const MOST_WAITING: usize = 16_384;
+const MAX_BUFFERED: usize = 16_384;
 /// Customers that are drawn to find the one that goes, and changed requests and seconds that make one dear.
-const DRAWN: usize = 8;
-const DEAR_CHANGED: u32 = 4;
-const DEAR_S: u32 = 600;
+const EVICTION_SAMPLE: usize = 8;
+const PROTECTED_CHANGED_REQUESTS: u32 = 4;
+const PROTECTED_IDLE_S: u32 = 600;
 /// A report goes so often after a change; pauses while nothing is decided, after that, and where a break is new.
-const TIMES_SENT: u8 = 3;
-const PAUSE_OPEN: Micros = 5_000_000;
-const PAUSE_KNOWN: Micros = 30_000_000;
-const PAUSE_BREAK: Micros = 200_000;
+const REPORT_REPEATS: u8 = 3;
+const UNDECIDED_INTERVAL: Micros = 5_000_000;
+const DECIDED_INTERVAL: Micros = 30_000_000;
+const BREAK_INTERVAL: Micros = 200_000;
 
 /// On which connection a request went.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -132,7 +132,7 @@
     /// Requests on a changed connection.
     pub changed: Tally,
     /// Requests on a kept one.
-    pub kept: Tally,
+    pub reused: Tally,
     /// The control of both: requests of others and those that failed.
     pub control: [u32; 2],
     /// Changed requests of others that are not held for bound, and those that failed.
@@ -151,37 +151,38 @@
     /// Of whom.
     pub customer: Customer,
     /// The verdict that the gateway acts on: a new owner goes on from it.
-    pub held: Pooling,
+    pub pooling: Pooling,
     /// Windows of changes within runs, newest first, each with its age in seconds.
     pub in_run: Vec<(Window, u32)>,
     /// The same between runs.
-    pub between: Vec<(Window, u32)>,
+    pub between_runs: Vec<(Window, u32)>,
 }
 
 /// The last windows of one kind of change, newest first.
 #[derive(Debug, Clone, Copy, Default)]
-struct Ring {
+struct WindowRing {
     windows: [Window; WINDOWS],
     /// The second in which each began.
-    begun: [u32; WINDOWS],
-    used: u8,
+    started_s: [u32; WINDOWS],
+    count: u8,
 }
 
-impl Ring {
-    fn add(&mut self, second: u32, changed: Tally, kept: Tally, control: &Others) {
+impl WindowRing {
+    fn add(&mut self, second: u32, changed: Tally, reused: Tally, control: &ControlSample) {
         let [newest, ..] = &self.windows;
-        let [begun, ..] = &self.begun;
-        let over = newest.changed.requests >= FULL || second.saturating_sub(*begun) >= OVER_S;
-        if self.used == 0 || over {
+        let [started_s, ..] = &self.started_s;
+        let over = newest.changed.requests >= WINDOW_REQUESTS
+            || second.saturating_sub(*started_s) >= WINDOW_S;
+        if self.count == 0 || over {
             self.windows.rotate_right(1);
-            self.begun.rotate_right(1);
+            self.started_s.rotate_right(1);
             self.windows[0] = Window::default();
-            self.begun[0] = second;
-            self.used = (self.used + 1).min(WINDOWS as u8);
+            self.started_s[0] = second;
+            self.count = (self.count + 1).min(WINDOWS as u8);
         }
         let newest = &mut self.windows[0];
         newest.changed.add(changed);
-        newest.kept.add(kept);
+        newest.reused.add(reused);
         for (mine, more) in newest.control.iter_mut().zip(control.control) {
             *mine = mine.saturating_add(more);
         }
@@ -190,14 +191,14 @@
         }
     }
 
-    fn told(&self, second: u32) -> Vec<(Window, u32)> {
-        let oldest = OVER_S * WINDOWS as u32;
+    fn with_ages(&self, second: u32) -> Vec<(Window, u32)> {
+        let oldest = WINDOW_S * WINDOWS as u32;
         let all = self
             .windows
             .iter()
-            .zip(self.begun)
-            .take(usize::from(self.used));
-        all.map(|(window, begun)| (*window, second.saturating_sub(begun)))
+            .zip(self.started_s)
+            .take(usize::from(self.count));
+        all.map(|(window, started_s)| (*window, second.saturating_sub(started_s)))
             .filter(|&(_, age)| age < oldest)
             .collect()
     }
@@ -213,14 +214,14 @@
 /// What is held of one customer.
 #[derive(Debug, Clone, Copy)]
 struct Record {
-    in_run: Ring,
-    between: Ring,
-    seen: u32,
-    sent: Micros,
-    unsent: u8,
+    in_run: WindowRing,
+    between_runs: WindowRing,
+    last_seen_s: u32,
+    sent_at: Micros,
+    pending_sends: u8,
     /// How often a new break is still to be told.
-    urgent: u8,
-    held: Pooling,
+    urgent_sends: u8,
+    pooling: Pooling,
 }
 
 /// Bytes of one customer in the table: its number, its counts, and what the table adds (a hash, and an index at 7/8
@@ -230,44 +231,44 @@
 
 /// Requests of one customer at one backend in one second.
 #[derive(Debug, Clone, Copy, Default)]
-struct Entry {
+struct RequestCounts {
     in_run: Tally,
-    between: Tally,
-    kept: Tally,
+    between_runs: Tally,
+    reused: Tally,
     /// What it adds to the control of others: kept and changed, requests and failures.
-    adds: Cell,
+    contribution: ControlCounts,
 }
 
 #[derive(Debug, Clone, Copy, Default)]
-struct Cell {
-    kept: [u32; 2],
+struct ControlCounts {
+    reused: [u32; 2],
     changed: [u32; 2],
 }
 
-impl Cell {
-    fn plus(&mut self, other: &Cell) {
+impl ControlCounts {
+    fn add(&mut self, other: &ControlCounts) {
         for at in 0..2 {
-            self.kept[at] += other.kept[at];
+            self.reused[at] += other.reused[at];
             self.changed[at] += other.changed[at];
         }
     }
 
-    fn minus(&mut self, other: &Cell) {
+    fn subtract(&mut self, other: &ControlCounts) {
         for at in 0..2 {
-            self.kept[at] = self.kept[at].saturating_sub(other.kept[at]);
+            self.reused[at] = self.reused[at].saturating_sub(other.reused[at]);
             self.changed[at] = self.changed[at].saturating_sub(other.changed[at]);
         }
     }
 
     fn all(&self) -> [u32; 2] {
         [
-            self.kept[0] + self.changed[0],
-            self.kept[1] + self.changed[1],
+            self.reused[0] + self.changed[0],
+            self.reused[1] + self.changed[1],
         ]
     }
 }
 
-fn part(counts: [u32; 2]) -> f64 {
+fn failure_rate(counts: [u32; 2]) -> f64 {
     f64::from(counts[1]) / f64::from(counts[0].max(1))
 }
 
@@ -275,23 +276,23 @@
 #[derive(Debug, Default)]
 struct Second {
     at: u64,
-    cells: BTreeMap<Backend, Cell>,
-    entries: IndexMap<(Backend, Customer), Entry>,
+    control: BTreeMap<Backend, ControlCounts>,
+    entries: IndexMap<(Backend, Customer), RequestCounts>,
 }
 
 /// What was not counted, and why.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct LeftOut {
+pub struct ExcludedCounts {
     /// Entries of seconds in which others failed at that backend.
-    pub sick: u64,
+    pub unhealthy: u64,
     /// Entries of seconds with too few others.
-    pub blind: u64,
+    pub too_few_others: u64,
     /// Requests for which there was no room to wait for their second.
-    pub crowded: u64,
+    pub queue_full: u64,
     /// Entries of customers for whom there was no room.
-    pub not_kept: u64,
+    pub table_full: u64,
     /// Customers that had to go for others.
-    pub gone: u64,
+    pub evicted: u64,
 }
 
 /// The counts of one incarnation of one gateway.
@@ -300,40 +301,40 @@
     gateway: String,
     incarnation: u64,
     sequence: u64,
-    most: usize,
+    max_customers: usize,
     customers: IndexMap<Customer, Record>,
     seconds: VecDeque<Second>,
-    settled: u64,
-    waiting: usize,
+    evaluated_until: u64,
+    buffered: usize,
     cursor: usize,
-    chance: Pcg64Mcg,
-    left_out: LeftOut,
+    rng: Pcg64Mcg,
+    excluded: ExcludedCounts,
 }
 
 impl Evidence {
-    /// An incarnation that knows nothing. It holds `most` customers.
+    /// An incarnation that knows nothing. It holds `max_customers` customers.
     ///
     /// Where there are more, the one goes that is least dear of eight drawn by chance: first who was idle for ten minutes,
     /// then who has fewer than four changed requests counted, then who was seen longest ago. Where all eight are
     /// dear, the newcomer is not taken. A flood of newcomers so pushes out newcomers.
-    pub fn new(gateway: &str, incarnation: u64, most: usize, seed: u64) -> Self {
+    pub fn new(gateway: &str, incarnation: u64, max_customers: usize, seed: u64) -> Self {
         Evidence {
             gateway: gateway.to_string(),
             incarnation,
             sequence: 0,
-            most: most.max(1),
+            max_customers: max_customers.max(1),
             customers: IndexMap::new(),
             seconds: VecDeque::new(),
-            settled: 0,
-            waiting: 0,
+            evaluated_until: 0,
+            buffered: 0,
             cursor: 0,
-            chance: Pcg64Mcg::seed_from_u64(seed),
-            left_out: LeftOut::default(),
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            excluded: ExcludedCounts::default(),
         }
     }
 
-    /// A request has ended. Nothing is judged here: [`Evidence::settle`] and [`Evidence::next_wakeup`] are for a timer, beside requests.
-    pub fn note(
+    /// A request has ended. Nothing is judged here: [`Evidence::settle`] and [`Evidence::due`] are for a timer, beside requests.
+    pub fn record_request(
         &mut self,
         now: Micros,
         customer: Customer,
@@ -351,7 +352,7 @@
         let bound = self
             .customers
             .get(&customer)
-            .is_some_and(|record| record.held > Pooling::Unknown);
+            .is_some_and(|record| record.pooling > Pooling::Unknown);
         let at = now / 1_000_000;
         if self.seconds.back().is_none_or(|last| last.at < at) {
             self.seconds.push_back(Second {
@@ -362,8 +363,8 @@
         let Some(second) = self.seconds.back_mut() else {
             return;
         };
-        if self.waiting >= MOST_WAITING && !second.entries.contains_key(&(backend, customer)) {
-            self.left_out.crowded += 1;
+        if self.buffered >= MAX_BUFFERED && !second.entries.contains_key(&(backend, customer)) {
+            self.excluded.queue_full += 1;
             return;
         }
         let before = second.entries.len();
@@ -376,62 +377,70 @@
             *slot = 1;
         }
         match conn {
-            ConnectionUse::Kept => entry.kept.add(one),
+            ConnectionUse::Kept => entry.reused.add(one),
             ConnectionUse::ChangedInRun => entry.in_run.add(one),
-            ConnectionUse::ChangedBetween => entry.between.add(one),
+            ConnectionUse::ChangedBetween => entry.between_runs.add(one),
         }
         let counts = [1, u32::from(failure.is_some())];
-        let adds = match conn {
-            ConnectionUse::Kept => Cell {
-                kept: counts,
+        let contribution = match conn {
+            ConnectionUse::Kept => ControlCounts {
+                reused: counts,
                 changed: [0; 2],
             },
-            _ if bound => Cell::default(),
-            _ => Cell {
-                kept: [0; 2],
+            _ if bound => ControlCounts::default(),
+            _ => ControlCounts {
+                reused: [0; 2],
                 changed: counts,
             },
         };
-        if entry.adds.all()[0] < CONTROL_EACH {
-            entry.adds.plus(&adds);
-            second.cells.entry(backend).or_default().plus(&adds);
+        if entry.contribution.all()[0] < MAX_CONTROL_REQUESTS_EACH {
+            entry.contribution.add(&contribution);
+            second
+                .control
+                .entry(backend)
+                .or_default()
+                .add(&contribution);
         }
-        self.waiting += second.entries.len() - before;
+        self.buffered += second.entries.len() - before;
     }
 
     /// What a gateway has been told to hold a customer for: its breaks say nothing of backends where it is bound.
-    pub fn hold(&mut self, customer: Customer, held: Pooling) {
+    pub fn set_pooling(&mut self, customer: Customer, pooling: Pooling) {
         if let Some(record) = self.customers.get_mut(&customer) {
-            record.held = held;
+            record.pooling = pooling;
         }
     }
 
     /// Counts what seconds hold whose control is complete: to be called a few times a second. Where it is not, notes are left
     /// out once there is no room for more.
-    pub fn settle(&mut self, now: Micros) {
+    pub fn evaluate(&mut self, now: Micros) {
         let second = now / 1_000_000;
         let mut ready = Vec::new();
-        for (index, held) in self.seconds.iter().enumerate() {
-            if held.at >= self.settled && held.at + NEAR_ON < second {
+        for (index, second_counts) in self.seconds.iter().enumerate() {
+            if second_counts.at >= self.evaluated_until
+                && second_counts.at + CONTROL_AHEAD_S < second
+            {
                 ready.push(index);
             }
         }
         for index in ready {
-            self.settle_one(index);
+            self.evaluate_second(index);
         }
-        self.settled = self.settled.max(second.saturating_sub(NEAR_ON));
+        self.evaluated_until = self
+            .evaluated_until
+            .max(second.saturating_sub(CONTROL_AHEAD_S));
         while self
             .seconds
             .front()
-            .is_some_and(|first| first.at + FAR_BACK + NEAR_ON + 1 < second)
+            .is_some_and(|first| first.at + CONTROL_MAX_BACK_S + CONTROL_AHEAD_S + 1 < second)
         {
             if let Some(gone) = self.seconds.pop_front() {
-                self.waiting = self.waiting.saturating_sub(gone.entries.len());
+                self.buffered = self.buffered.saturating_sub(gone.entries.len());
             }
         }
     }
 
-    fn settle_one(&mut self, index: usize) {
+    fn evaluate_second(&mut self, index: usize) {
         let Some(second) = self.seconds.get(index) else {
             return;
         };
@@ -444,113 +453,136 @@
             else {
                 continue;
             };
-            match self.control(index, at, backend, customer) {
-                Control::Sick => self.left_out.sick += 1,
-                Control::Blind => self.left_out.blind += 1,
-                Control::Well(control) => self.count(at, customer, entry, &control),
+            match self.control_group(index, at, backend, customer) {
+                ControlGroup::Unhealthy => self.excluded.unhealthy += 1,
+                ControlGroup::TooFew => self.excluded.too_few_others += 1,
+                ControlGroup::Healthy(control) => {
+                    self.count_requests(at, customer, entry, &control)
+                }
             }
         }
     }
 
     /// How others did, near a second, or back from it where there are few.
-    fn control(&self, index: usize, at: u64, backend: Backend, customer: Customer) -> Control {
+    fn control_group(
+        &self,
+        index: usize,
+        at: u64,
+        backend: Backend,
+        customer: Customer,
+    ) -> ControlGroup {
         let others = |second: &Second| {
-            let mut cell = second.cells.get(&backend).copied().unwrap_or_default();
+            let mut counts = second.control.get(&backend).copied().unwrap_or_default();
             if let Some(own) = second.entries.get(&(backend, customer)) {
-                cell.minus(&own.adds);
+                counts.subtract(&own.contribution);
             }
-            cell
+            counts
         };
-        let mut sum = Cell::default();
+        let mut sum = ControlCounts::default();
         for second in self
             .seconds
             .iter()
             .skip(index)
-            .take_while(|second| second.at <= at + NEAR_ON)
+            .take_while(|second| second.at <= at + CONTROL_AHEAD_S)
         {
-            sum.plus(&others(second));
+            sum.add(&others(second));
         }
-        let mut far = false;
+        let mut is_far = false;
         for second in self.seconds.iter().take(index).rev() {
             let back = at - second.at;
-            if back > FAR_BACK || (back > NEAR_BACK && sum.all()[0] >= CONTROL_LEAST) {
+            if back > CONTROL_MAX_BACK_S
+                || (back > CONTROL_BACK_S && sum.all()[0] >= MIN_CONTROL_REQUESTS)
+            {
                 break;
             }
-            far |= back > NEAR_BACK;
-            sum.plus(&others(second));
+            is_far |= back > CONTROL_BACK_S;
+            sum.add(&others(second));
         }
-        if !far && sum.kept[0] >= CONTROL_LEAST {
-            let refused = sum.changed[0] >= CONTROL_LEAST && part(sum.changed) > SICK_CHANGED;
-            return if refused || part(sum.kept) > SICK {
-                Control::Sick
+        if !is_far && sum.reused[0] >= MIN_CONTROL_REQUESTS {
+            let refused = sum.changed[0] >= MIN_CONTROL_REQUESTS
+                && failure_rate(sum.changed) > MAX_CHANGED_FAILURE_RATE;
+            return if refused || failure_rate(sum.reused) > MAX_CONTROL_FAILURE_RATE {
+                ControlGroup::Unhealthy
             } else {
-                Control::Well(Others {
-                    control: sum.kept,
+                ControlGroup::Healthy(ControlSample {
+                    control: sum.reused,
                     changed: sum.changed,
                 })
             };
         }
         match sum.all() {
-            few if few[0] < CONTROL_LEAST => Control::Blind,
-            all if part(all) > SICK => Control::Sick,
-            all => Control::Well(Others {
+            few if few[0] < MIN_CONTROL_REQUESTS => ControlGroup::TooFew,
+            all if failure_rate(all) > MAX_CONTROL_FAILURE_RATE => ControlGroup::Unhealthy,
+            all => ControlGroup::Healthy(ControlSample {
                 control: all,
                 changed: sum.changed,
             }),
         }
     }
 
-    fn count(&mut self, at: u64, customer: Customer, entry: Entry, control: &Others) {
+    fn count_requests(
+        &mut self,
+        at: u64,
+        customer: Customer,
+        entry: RequestCounts,
+        control: &ControlSample,
+    ) {
         let second = u32::try_from(at).unwrap_or(u32::MAX);
-        if !self.customers.contains_key(&customer) && !self.make_room(second) {
-            self.left_out.not_kept += 1;
+        if !self.customers.contains_key(&customer) && !self.evict_for(second) {
+            self.excluded.table_full += 1;
             return;
         }
         let record = self.customers.entry(customer).or_insert(Record {
-            in_run: Ring::default(),
-            between: Ring::default(),
-            seen: second,
-            sent: 0,
-            unsent: 0,
-            urgent: 0,
-            held: Pooling::Unknown,
+            in_run: WindowRing::default(),
+            between_runs: WindowRing::default(),
+            last_seen_s: second,
+            sent_at: 0,
+            pending_sends: 0,
+            urgent_sends: 0,
+            pooling: Pooling::Unknown,
         });
         // Kept requests and the control stand beside both kinds of change: each is judged by its own windows.
-        record.in_run.add(second, entry.in_run, entry.kept, control);
         record
-            .between
-            .add(second, entry.between, entry.kept, control);
-        record.seen = second;
-        record.unsent = TIMES_SENT;
+            .in_run
+            .add(second, entry.in_run, entry.reused, control);
+        record
+            .between_runs
+            .add(second, entry.between_runs, entry.reused, control);
+        record.last_seen_s = second;
+        record.pending_sends = REPORT_REPEATS;
         // A break that the verdict allows for is no news.
-        let within = entry.in_run.failures() > 0 && record.held < Pooling::Transaction;
-        if within || (entry.between.failures() > 0 && record.held < Pooling::Session) {
-            record.urgent = TIMES_SENT;
+        let within = entry.in_run.failures() > 0 && record.pooling < Pooling::Transaction;
+        if within || (entry.between_runs.failures() > 0 && record.pooling < Pooling::Session) {
+            record.urgent_sends = REPORT_REPEATS;
         }
     }
 
-    fn make_room(&mut self, second: u32) -> bool {
-        if self.customers.len() < self.most {
+    fn evict_for(&mut self, second: u32) -> bool {
+        if self.customers.len() < self.max_customers {
             return true;
         }
-        let mut least = None;
-        for _ in 0..DRAWN {
-            let index = self.chance.random_range(0..self.customers.len());
+        let mut lowest = None;
+        for _ in 0..EVICTION_SAMPLE {
+            let index = self.rng.random_range(0..self.customers.len());
             let Some((_, record)) = self.customers.get_index(index) else {
                 continue;
             };
-            let idle = second.saturating_sub(record.seen) > DEAR_S;
-            let changed = record.in_run.changed() + record.between.changed();
-            let worth = (!idle, changed >= DEAR_CHANGED, record.seen);
-            if least.is_none_or(|(known, _)| worth < known) {
-                least = Some((worth, index));
+            let idle = second.saturating_sub(record.last_seen_s) > PROTECTED_IDLE_S;
+            let changed = record.in_run.changed() + record.between_runs.changed();
+            let rank = (
+                !idle,
+                changed >= PROTECTED_CHANGED_REQUESTS,
+                record.last_seen_s,
+            );
+            if lowest.is_none_or(|(known, _)| rank < known) {
+                lowest = Some((rank, index));
             }
         }
-        match least {
+        match lowest {
             Some(((true, true, _), _)) | None => false,
             Some((_, index)) => {
                 self.customers.swap_remove_index(index);
-                self.left_out.gone += 1;
+                self.excluded.evicted += 1;
                 true
             }
         }
@@ -558,8 +590,8 @@
 
     /// What is held of a customer, also where that is nothing: an owner that asks has to hear that, too.
     /// `held` is the verdict that this gateway acts on.
-    pub fn report(&mut self, now: Micros, customer: Customer, held: Pooling) -> Report {
-        self.settle(now);
+    pub fn report(&mut self, now: Micros, customer: Customer, pooling: Pooling) -> Report {
+        self.evaluate(now);
         self.sequence += 1;
         let second = u32::try_from(now / 1_000_000).unwrap_or(u32::MAX);
         let record = self.customers.get(&customer);
@@ -568,53 +600,60 @@
             incarnation: self.incarnation,
             sequence: self.sequence,
             customer,
-            held,
-            in_run: record.map_or_else(Vec::new, |record| record.in_run.told(second)),
-            between: record.map_or_else(Vec::new, |record| record.between.told(second)),
+            pooling,
+            in_run: record.map_or_else(Vec::new, |record| record.in_run.with_ages(second)),
+            between_runs: record
+                .map_or_else(Vec::new, |record| record.between_runs.with_ages(second)),
         }
     }
 
-    /// Customers whose owners are to be told, `most` at a time, those with new breaks first. Each change is told three times, so
+    /// Customers whose owners are to be told, `max_customers` at a time, those with new breaks first. Each change is told three times, so
     /// that one loss costs seconds, and a fifth of one for a break.
-    pub fn next_wakeup(&mut self, now: Micros, most: usize) -> Vec<Customer> {
-        self.settle(now);
-        let mut next_wakeup = Vec::new();
+    pub fn due_reports(&mut self, now: Micros, limit: usize) -> Vec<Customer> {
+        self.evaluate(now);
+        let mut due = Vec::new();
         for breaks in [true, false] {
             for _ in 0..self.customers.len() {
-                if next_wakeup.len() >= most {
-                    return next_wakeup;
+                if due.len() >= limit {
+                    return due;
                 }
                 self.cursor = (self.cursor + 1) % self.customers.len();
                 let Some((&customer, record)) = self.customers.get_index_mut(self.cursor) else {
                     continue;
                 };
-                let pause = match (breaks, record.held) {
-                    (true, _) => PAUSE_BREAK,
-                    (false, Pooling::Unknown) => PAUSE_OPEN,
-                    (false, _) => PAUSE_KNOWN,
+                let interval = match (breaks, record.pooling) {
+                    (true, _) => BREAK_INTERVAL,
+                    (false, Pooling::Unknown) => UNDECIDED_INTERVAL,
+                    (false, _) => DECIDED_INTERVAL,
+                };
+                let pending = if breaks {
+                    record.urgent_sends
+                } else {
+                    record.pending_sends
                 };
-                let wanted = if breaks { record.urgent } else { record.unsent };
-                if wanted > 0 && (record.sent == 0 || now.saturating_sub(record.sent) >= pause) {
-                    record.urgent = record.urgent.saturating_sub(1);
-                    record.unsent = record.unsent.saturating_sub(1);
-                    record.sent = now;
-                    next_wakeup.push(customer);
+                if pending > 0
+                    && (record.sent_at == 0 || now.saturating_sub(record.sent_at) >= interval)
+                {
+                    record.urgent_sends = record.urgent_sends.saturating_sub(1);
+                    record.pending_sends = record.pending_sends.saturating_sub(1);
+                    record.sent_at = now;
+                    due.push(customer);
                 }
             }
         }
-        next_wakeup
+        due
     }
 
     /// All that is held of these customers is to be told again, as for an owner that is new to them. Returns who they are.
-    pub fn again(&mut self, of: impl Fn(Customer) -> bool) -> Vec<Customer> {
+    pub fn resend(&mut self, of: impl Fn(Customer) -> bool) -> Vec<Customer> {
         let mut all = Vec::new();
         for (&customer, record) in self
             .customers
             .iter_mut()
             .filter(|(customer, _)| of(**customer))
         {
-            record.unsent = TIMES_SENT;
-            record.sent = 0;
+            record.pending_sends = REPORT_REPEATS;
+            record.sent_at = 0;
             all.push(customer);
         }
         all
@@ -624,7 +663,7 @@
     pub fn is_urgent(&self, customer: Customer) -> bool {
         self.customers
             .get(&customer)
-            .is_some_and(|record| record.urgent > 0)
+            .is_some_and(|record| record.urgent_sends > 0)
     }
 
     /// How many customers have a record.
@@ -633,27 +672,27 @@
     }
 
     /// Bytes held at most, whatever customers do: records, and entries that wait or are control.
-    pub fn most_bytes(&self) -> usize {
-        let entry = std::mem::size_of::<(Backend, Customer, Entry)>() + 24;
-        self.most * 2 * BYTES_PER_CUSTOMER + MOST_WAITING * 2 * entry
+    pub fn max_bytes(&self) -> usize {
+        let entry = std::mem::size_of::<(Backend, Customer, RequestCounts)>() + 24;
+        self.max_customers * 2 * BYTES_PER_CUSTOMER + MAX_BUFFERED * 2 * entry
     }
 
     /// What was left out.
-    pub fn left_out(&self) -> LeftOut {
-        self.left_out
+    pub fn excluded(&self) -> ExcludedCounts {
+        self.excluded
     }
 }
 
 /// How others did, in a second that counts.
-struct Others {
+struct ControlSample {
     control: [u32; 2],
     changed: [u32; 2],
 }
 
-enum Control {
-    Well(Others),
-    Sick,
-    Blind,
+enum ControlGroup {
+    Healthy(ControlSample),
+    Unhealthy,
+    TooFew,
 }
 
 #[cfg(test)]
--- a/gateway-cluster/src/sessions/judge.rs
+++ b/gateway-cluster/src/sessions/judge.rs
@@ -52,7 +52,7 @@
 //!
 //! A customer that fails everything has a high `k`: `p0` and `p1` meet, and it stays unknown.
 
-use super::evidence::{Window, FULL};
+use super::evidence::{Window, WINDOW_REQUESTS};
 use super::Pooling;
 use serde::{Deserialize, Serialize};
 
@@ -65,16 +65,16 @@
 /// Chance of `free` from one beginning, for a customer with effect.
 pub const FALSE_FREE: f64 = 1e-6;
 /// Sums looked at for each verdict.
-const LOOKS_BOUND: f64 = 20.0;
-const LOOKS_FREE: f64 = 4.0;
+const SUMS_BOUND: f64 = 20.0;
+const SUMS_FREE: f64 = 4.0;
 /// Changed requests without which nobody is free.
-pub const LEAST_TO_SHARE: u32 = 20;
+pub const MIN_REQUESTS_TO_SHARE: u32 = 20;
 /// What others' changed requests excuse at most.
-const OTHERS_MOST: f64 = 0.5;
+const MAX_OTHERS_RATE: f64 = 0.5;
 /// Nats towards bound, in any sum, with which nobody is free.
-const DOUBT: f64 = 2.0;
+const MIN_SUSPICION: f64 = 2.0;
 /// Where even the customer's kept requests fail this often, nothing is said about changes.
-const HOPELESS: f64 = 0.7;
+const MAX_BASE_RATE: f64 = 0.7;
 
 /// Sums of windows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -82,7 +82,7 @@
     /// Changed requests and those that failed.
     pub changed: [u32; 2],
     /// Kept ones.
-    pub kept: [u32; 2],
+    pub reused: [u32; 2],
     /// Others'.
     pub control: [u32; 2],
     /// Others' changed ones.
@@ -92,41 +92,44 @@
 impl Counts {
     /// Adds a window.
     pub fn add(&mut self, window: &Window) {
-        let both = |sum: &mut [u32; 2], more: [u32; 2]| {
+        let add_to = |sum: &mut [u32; 2], more: [u32; 2]| {
             for (mine, more) in sum.iter_mut().zip(more) {
                 *mine = mine.saturating_add(more);
             }
         };
-        both(
+        add_to(
             &mut self.changed,
             [
                 u32::from(window.changed.requests),
                 window.changed.failures(),
             ],
         );
-        both(
-            &mut self.kept,
-            [u32::from(window.kept.requests), window.kept.failures()],
+        add_to(
+            &mut self.reused,
+            [u32::from(window.reused.requests), window.reused.failures()],
         );
-        both(&mut self.control, window.control);
-        both(&mut self.control_changed, window.control_changed);
+        add_to(&mut self.control, window.control);
+        add_to(&mut self.control_changed, window.control_changed);
     }
 
     /// The lower and the upper of what is no fault of a change.
     fn base(&self) -> (f64, f64) {
         let [requests, failures] = self.control.map(f64::from);
         let control = ((failures + 0.5) / (requests + 50.0)).min(1.0);
-        let [requests, failures] = self.kept.map(f64::from);
-        let kept = ((failures + 8.0 * control) / (requests + 8.0)).min(1.0);
-        let margin = 2.0 * (kept * (1.0 - kept) / (requests + 8.0)).sqrt();
+        let [requests, failures] = self.reused.map(f64::from);
+        let reused = ((failures + 8.0 * control) / (requests + 8.0)).min(1.0);
+        let margin = 2.0 * (reused * (1.0 - reused) / (requests + 8.0)).sqrt();
         let [requests, failures] = self.control_changed.map(f64::from);
-        let others = (failures / (requests + 20.0)).min(OTHERS_MOST);
-        (control.min(kept), control.max(kept + margin).max(others))
+        let others = (failures / (requests + 20.0)).min(MAX_OTHERS_RATE);
+        (
+            control.min(reused),
+            control.max(reused + margin).max(others),
+        )
     }
 
     /// The log likelihood ratio of [`EFFECT`] against [`NO_EFFECT`] over a base rate, in nats.
     fn ratio(&self, base: f64) -> f64 {
-        let base = base.clamp(1e-4, HOPELESS);
+        let base = base.clamp(1e-4, MAX_BASE_RATE);
         let (p0, p1) = (
             base + NO_EFFECT * (1.0 - base),
             base + EFFECT * (1.0 - base),
@@ -139,7 +142,7 @@
     /// Nats towards bound, with the generous base.
     pub fn towards_bound(&self) -> f64 {
         let (_, high) = self.base();
-        if high >= HOPELESS {
+        if high >= MAX_BASE_RATE {
             return 0.0;
         }
         self.ratio(high)
@@ -155,7 +158,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Found {
     /// Not enough.
-    Open,
+    Undecided,
     /// It breaks the customer's requests.
     Bound,
     /// It does not.
@@ -164,7 +167,7 @@
 
 /// The test, on the windows of each gateway, newest first. Its answer rests on their order at a gateway alone, not on that of gateways.
 pub fn test(gateways: &[Vec<Window>]) -> Found {
-    let most = gateways.iter().map(Vec::len).max().unwrap_or(0);
+    let max_windows = gateways.iter().map(Vec::len).max().unwrap_or(0);
     let sum = |gateways: &[Vec<Window>], newest: usize| {
         let mut counts = Counts::default();
         for window in gateways
@@ -175,26 +178,26 @@
         }
         counts
     };
-    let bound = (LOOKS_BOUND / FALSE_BOUND).ln();
-    let free = (LOOKS_FREE / FALSE_FREE).ln();
-    let (mut acquitted, mut doubt) = (false, false);
-    for newest in 1..=most {
+    let bound = (SUMS_BOUND / FALSE_BOUND).ln();
+    let free = (SUMS_FREE / FALSE_FREE).ln();
+    let (mut acquitted, mut is_suspicious) = (false, false);
+    for newest in 1..=max_windows {
         let all = sum(gateways, newest);
         // A gateway alone is looked at as well: what another saw before a turn must not hide it.
-        let alone = gateways
+        let each_alone = gateways
             .iter()
             .map(|gateway| sum(std::slice::from_ref(gateway), newest).towards_bound());
-        let worst = alone.fold(all.towards_bound(), f64::max);
-        if worst >= bound {
+        let highest = each_alone.fold(all.towards_bound(), f64::max);
+        if highest >= bound {
             return Found::Bound;
         }
-        doubt |= worst >= DOUBT;
-        acquitted |= all.changed[0] >= LEAST_TO_SHARE && all.towards_free() >= free;
+        is_suspicious |= highest >= MIN_SUSPICION;
+        acquitted |= all.changed[0] >= MIN_REQUESTS_TO_SHARE && all.towards_free() >= free;
     }
-    if acquitted && !doubt {
+    if acquitted && !is_suspicious {
         Found::Free
     } else {
-        Found::Open
+        Found::Undecided
     }
 }
 
@@ -213,7 +216,7 @@
 /// Changed requests that all go well until a customer without failures is found free, for a control that never fails.
 pub fn requests_to_share() -> u32 {
     let step = ((1.0 - NO_EFFECT) / (1.0 - EFFECT)).ln();
-    ((LOOKS_FREE / FALSE_FREE).ln() / step).ceil() as u32
+    ((SUMS_FREE / FALSE_FREE).ln() / step).ceil() as u32
 }
 
-const _: () = assert!(LEAST_TO_SHARE <= FULL as u32);
+const _: () = assert!(MIN_REQUESTS_TO_SHARE <= WINDOW_REQUESTS as u32);
--- a/gateway-cluster/src/sessions/sim.rs
+++ b/gateway-cluster/src/sessions/sim.rs
@@ -6,8 +6,8 @@
 
 use super::evidence::{ConnectionUse, Evidence, Failure, Outcome, Report};
 use super::verdicts::{
-    grant, hold, ConnectionPolicy, Grant, Input, LeaderContext, Limits, Output, Usage, Verdict,
-    VerdictAggregator, VerdictTable,
+    connection_policy, grant, ConnectionPolicy, Grant, Input, Limits, Output, OwnerContext, Usage,
+    Verdict, VerdictAggregator, VerdictTable,
 };
 use super::{Customer, FencingToken, Pooling};
 use crate::protocol::Micros;
@@ -17,44 +17,44 @@
 
 const SECOND: Micros = 1_000_000;
 /// Between two requests of a run, and what a gateway takes for one.
-const WITHIN: Micros = 20_000;
-const GAP: Micros = 100_000;
+const REQUEST_INTERVAL: Micros = 20_000;
+const MAX_RUN_GAP: Micros = 100_000;
 /// Requests of a run in the mean.
-const RUN: f64 = 4.0;
+const MEAN_RUN_REQUESTS: f64 = 4.0;
 const BACKENDS: usize = 2;
-const SHARED: usize = 12;
+const SHARED_CONNECTIONS: usize = 12;
 const TICK: Micros = 100_000;
 
 /// What goes wrong.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// One request in 200 fails.
-    Nothing,
+    None,
     /// One backend fails 30% in every second minute.
-    Sick,
+    BackendUnhealthyAtTimes,
     /// One backend fails 30% all the time.
-    SickAlways,
+    BackendUnhealthy,
     /// One backend fails all, in every second minute.
-    Fails,
+    BackendDown,
     /// All through one gateway breaks, 20 s of every 2 minutes.
-    CutDoor,
+    GatewayPartitioned,
     /// Every minute a backend restarts: all fails for 2 s and all connections are new.
-    Restarts,
+    BackendRestarts,
     /// Of requests on a changed connection 30% fail, whoever sends them.
-    Stale,
+    StaleConnections,
     /// Every backend fails between 0 and 30%, in waves of 40 s.
     Overload,
 }
 
 /// All of them.
 pub const FAULTS: [Fault; 8] = [
-    Fault::Nothing,
-    Fault::Sick,
-    Fault::SickAlways,
-    Fault::Fails,
-    Fault::CutDoor,
-    Fault::Restarts,
-    Fault::Stale,
+    Fault::None,
+    Fault::BackendUnhealthyAtTimes,
+    Fault::BackendUnhealthy,
+    Fault::BackendDown,
+    Fault::GatewayPartitioned,
+    Fault::BackendRestarts,
+    Fault::StaleConnections,
     Fault::Overload,
 ];
 
@@ -66,11 +66,11 @@
     /// Requests a second.
     pub rate: f64,
     /// The part of broken requests that fails, and the part that fails whatever happens, by its own requests.
-    pub fails: f64,
+    pub break_failure_rate: f64,
     /// See `fails`.
-    pub own: f64,
+    pub own_failure_rate: f64,
     /// What it becomes, and when.
-    pub turns: Option<(Micros, Pooling)>,
+    pub changes_at: Option<(Micros, Pooling)>,
 }
 
 /// A run of the simulation.
@@ -81,22 +81,22 @@
     /// Customers.
     pub simulated_customers: Vec<SimulatedCustomer>,
     /// What goes wrong.
-    pub trouble: Fault,
+    pub fault: Fault,
     /// For how long.
     pub time: Micros,
     /// Whether datagrams are lost (20%), doubled (10%) and late (5%, up to 20 s).
     pub lossy: bool,
     /// Whether gateways act on verdicts.
-    pub pool: bool,
+    pub use_verdicts: bool,
     /// At this time the owner is replaced by one that knows nothing.
-    pub new_owner: Option<Micros>,
+    pub owner_replaced_at: Option<Micros>,
     /// What all follows from.
     pub seed: u64,
 }
 
 /// What became of a customer.
 #[derive(Debug, Clone, Default, PartialEq)]
-pub struct Seen {
+pub struct CustomerOutcome {
     /// When the owner first said what is true, and when that was in force at all gateways, from the start or the last turn.
     pub right: Option<Micros>,
     /// The same at all gateways.
@@ -106,7 +106,7 @@
     /// How often it came from `session` to `transaction` for one of `session`.
     pub false_transactions: u32,
     /// Time for which it was held for more than it is.
-    pub held_for_more: Micros,
+    pub overclassified_time: Micros,
     /// Requests, those that a break of its connection failed, and those that failed otherwise.
     pub requests: [u64; 3],
 }
@@ -115,11 +115,11 @@
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcomes {
     /// In the plan's order.
-    pub seen: Vec<Seen>,
+    pub seen: Vec<CustomerOutcome>,
     /// Datagrams sent to and by the owner.
     pub datagrams: u64,
     /// Requests left out as sick and as blind, at all gateways.
-    pub left_out: [u64; 2],
+    pub excluded: [u64; 2],
     /// The last verdicts.
     pub verdicts: Vec<Option<Verdict>>,
 }
@@ -130,9 +130,9 @@
         SimulatedCustomer {
             truth,
             rate,
-            fails: 1.0,
-            own: 0.0,
-            turns: None,
+            break_failure_rate: 1.0,
+            own_failure_rate: 0.0,
+            changes_at: None,
         }
     }
 }
@@ -148,13 +148,13 @@
     }
     for truth in [Pooling::Transaction, Pooling::Session] {
         simulated_customers.push(SimulatedCustomer {
-            fails: 0.6,
+            break_failure_rate: 0.6,
             ..SimulatedCustomer::new(truth, 1.0)
         });
     }
-    for own in [0.1, 0.3] {
+    for own_failure_rate in [0.1, 0.3] {
         simulated_customers.push(SimulatedCustomer {
-            own,
+            own_failure_rate,
             ..SimulatedCustomer::new(Pooling::Statement, 1.0)
         });
     }
@@ -172,17 +172,17 @@
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
 enum Event {
     Request {
-        person: usize,
+        index: usize,
         gateway: usize,
         run: u64,
         left: u32,
     },
     Report(usize),
-    Ask {
+    RequestReport {
         gateway: usize,
         customer: Customer,
     },
-    Say {
+    Verdict {
         gateway: usize,
         verdict: usize,
     },
@@ -190,29 +190,29 @@
 }
 
 /// A connection: its number, and who used it last.
-type Link = (u64, Option<usize>);
+type Connection = (u64, Option<usize>);
 
 #[derive(Debug, Clone, Copy)]
-struct Last {
-    link: u64,
+struct LastRequest {
+    connection: u64,
     at: Micros,
     run: u64,
 }
 
-struct World<'a> {
+struct Simulation<'a> {
     plan: &'a Plan,
     now: Micros,
     queue: BinaryHeap<std::cmp::Reverse<(Micros, u64, Event)>>,
     order: u64,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     gateways: Vec<(Evidence, VerdictTable)>,
-    shared: BTreeMap<(usize, usize), Vec<Link>>,
-    private: BTreeMap<(usize, usize, usize), Link>,
-    last: BTreeMap<(usize, usize, usize), Last>,
-    looked: BTreeMap<(usize, usize), Micros>,
-    links: u64,
+    shared: BTreeMap<(usize, usize), Vec<Connection>>,
+    private: BTreeMap<(usize, usize, usize), Connection>,
+    last: BTreeMap<(usize, usize, usize), LastRequest>,
+    probed_at: BTreeMap<(usize, usize), Micros>,
+    connections: u64,
     reports: Vec<Report>,
-    says: Vec<Verdict>,
+    verdicts: Vec<Verdict>,
     owner: VerdictAggregator,
     fence: FencingToken,
     before: Vec<Pooling>,
@@ -222,12 +222,12 @@
 /// Runs a plan.
 pub fn run(plan: &Plan) -> Outcomes {
     let simulated_customers = plan.simulated_customers.len();
-    let mut world = World {
+    let mut simulation = Simulation {
         plan,
         now: 0,
         queue: BinaryHeap::new(),
         order: 0,
-        chance: Pcg64Mcg::seed_from_u64(plan.seed),
+        rng: Pcg64Mcg::seed_from_u64(plan.seed),
         gateways: (0..plan.gateways)
             .map(|gateway| {
                 (
@@ -239,10 +239,10 @@
         shared: BTreeMap::new(),
         private: BTreeMap::new(),
         last: BTreeMap::new(),
-        looked: BTreeMap::new(),
-        links: 0,
+        probed_at: BTreeMap::new(),
+        connections: 0,
         reports: Vec::new(),
-        says: Vec::new(),
+        verdicts: Vec::new(),
         owner: VerdictAggregator::new(1, 4096),
         fence: FencingToken {
             epoch: 1,
@@ -250,42 +250,42 @@
         },
         before: vec![Pooling::Unknown; simulated_customers],
         out: Outcomes {
-            seen: vec![Seen::default(); simulated_customers],
+            seen: vec![CustomerOutcome::default(); simulated_customers],
             datagrams: 0,
-            left_out: [0; 2],
+            excluded: [0; 2],
             verdicts: vec![None; simulated_customers],
         },
     };
-    world.renew(None);
-    for person in 0..simulated_customers {
-        world.next_run(person);
+    simulation.renew(None);
+    for index in 0..simulated_customers {
+        simulation.next_run(index);
     }
-    world.push(TICK, Event::Tick);
-    while let Some(std::cmp::Reverse((at, _, event))) = world.queue.pop() {
+    simulation.push(TICK, Event::Tick);
+    while let Some(std::cmp::Reverse((at, _, event))) = simulation.queue.pop() {
         if at >= plan.time {
             break;
         }
-        world.now = at;
-        world.take(event);
+        simulation.now = at;
+        simulation.on_event(event);
     }
-    for (evidence, _) in &world.gateways {
-        world.out.left_out[0] += evidence.left_out().sick;
-        world.out.left_out[1] += evidence.left_out().blind;
+    for (evidence, _) in &simulation.gateways {
+        simulation.out.excluded[0] += evidence.excluded().unhealthy;
+        simulation.out.excluded[1] += evidence.excluded().too_few_others;
     }
-    for person in 0..simulated_customers {
-        world.out.verdicts[person] =
-            world
+    for index in 0..simulated_customers {
+        simulation.out.verdicts[index] =
+            simulation
                 .owner
-                .verdict(world.now, person as Customer, world.fence);
+                .verdict(simulation.now, index as Customer, simulation.fence);
     }
-    world.out
+    simulation.out
 }
 
 fn gateway_name(gateway: usize) -> String {
     format!("n{gateway}")
 }
 
-impl World<'_> {
+impl Simulation<'_> {
     fn push(&mut self, at: Micros, event: Event) {
         self.order += 1;
         self.queue.push(std::cmp::Reverse((at, self.order, event)));
@@ -295,35 +295,35 @@
     fn renew(&mut self, backend: Option<usize>) {
         for gateway in 0..self.plan.gateways {
             for at in (0..BACKENDS).filter(|&at| backend.is_none_or(|backend| at == backend)) {
-                let links = (0..SHARED as u64)
-                    .map(|link| (self.links + link, None))
+                let connections = (0..SHARED_CONNECTIONS as u64)
+                    .map(|connection| (self.connections + connection, None))
                     .collect();
-                self.links += SHARED as u64;
-                self.shared.insert((gateway, at), links);
+                self.connections += SHARED_CONNECTIONS as u64;
+                self.shared.insert((gateway, at), connections);
             }
         }
         self.private
             .retain(|&(_, at, _), _| backend.is_some_and(|backend| at != backend));
     }
 
-    fn next_run(&mut self, person: usize) {
+    fn next_run(&mut self, index: usize) {
         let Some(rate) = self
             .plan
             .simulated_customers
-            .get(person)
-            .map(|person| person.rate)
+            .get(index)
+            .map(|index| index.rate)
         else {
             return;
         };
-        let pause = -self.chance.random::<f64>().max(1e-12).ln() * RUN / rate;
-        let left = (-self.chance.random::<f64>().max(1e-12).ln() * RUN).ceil() as u32;
-        let gateway = self.chance.random_range(0..self.plan.gateways);
+        let pause = -self.rng.random::<f64>().max(1e-12).ln() * MEAN_RUN_REQUESTS / rate;
+        let left = (-self.rng.random::<f64>().max(1e-12).ln() * MEAN_RUN_REQUESTS).ceil() as u32;
+        let gateway = self.rng.random_range(0..self.plan.gateways);
         let at = self.now + (pause * SECOND as f64) as Micros;
         let run = self.order;
         self.push(
             at,
             Event::Request {
-                person,
+                index,
                 gateway,
                 run,
                 left,
@@ -331,153 +331,153 @@
         );
     }
 
-    fn take(&mut self, event: Event) {
+    fn on_event(&mut self, event: Event) {
         match event {
             Event::Request {
-                person,
+                index,
                 gateway,
                 run,
                 left,
-            } => self.request(person, gateway, run, left),
+            } => self.request(index, gateway, run, left),
             Event::Report(at) => {
                 let Some(report) = self.reports.get(at).cloned() else {
                     return;
                 };
-                self.keep(Input::Report(report));
+                self.run_owner(Input::Report(report));
             }
-            Event::Ask { gateway, customer } => self.report(gateway, customer),
-            Event::Say { gateway, verdict } => {
-                let (now, Some(verdict)) = (self.now, self.says.get(verdict).cloned()) else {
+            Event::RequestReport { gateway, customer } => self.report(gateway, customer),
+            Event::Verdict { gateway, verdict } => {
+                let (now, Some(verdict)) = (self.now, self.verdicts.get(verdict).cloned()) else {
                     return;
                 };
-                let Some((evidence, held)) = self.gateways.get_mut(gateway) else {
+                let Some((evidence, table)) = self.gateways.get_mut(gateway) else {
                     return;
                 };
                 // A refusal is part of the game: late and doubled ones are meant to be refused.
                 let customer = verdict.customer;
-                if held.take(now, verdict, true).is_ok() {
-                    evidence.hold(customer, held.in_force(now, customer, now, true));
+                if table.on_verdict(now, verdict, true).is_ok() {
+                    evidence.set_pooling(customer, table.in_force(now, customer, now, true));
                 }
             }
-            Event::Tick => self.tick(),
+            Event::Tick => self.on_tick(),
         }
     }
 
     fn send(&mut self, event: Event) {
         self.out.datagrams += 1;
-        let times = if self.plan.lossy && self.chance.random_bool(0.1) {
+        let times = if self.plan.lossy && self.rng.random_bool(0.1) {
             2
         } else {
             1
         };
         for _ in 0..times {
-            if self.plan.lossy && self.chance.random_bool(0.2) {
+            if self.plan.lossy && self.rng.random_bool(0.2) {
                 continue;
             }
-            let late = if self.plan.lossy && self.chance.random_bool(0.05) {
+            let late = if self.plan.lossy && self.rng.random_bool(0.05) {
                 20 * SECOND
             } else {
                 2_000
             };
-            let at = self.now + self.chance.random_range(1_000..=late);
+            let at = self.now + self.rng.random_range(1_000..=late);
             self.push(at, event.clone());
         }
     }
 
     fn report(&mut self, gateway: usize, customer: Customer) {
         let now = self.now;
-        let Some((evidence, held)) = self.gateways.get_mut(gateway) else {
+        let Some((evidence, table)) = self.gateways.get_mut(gateway) else {
             return;
         };
-        let report = evidence.report(now, customer, held.in_force(now, customer, now, true));
+        let report = evidence.report(now, customer, table.in_force(now, customer, now, true));
         self.reports.push(report);
         self.send(Event::Report(self.reports.len() - 1));
     }
 
-    fn keep(&mut self, input: Input) {
+    fn run_owner(&mut self, input: Input) {
         let gateways = self.plan.gateways;
-        let scene = LeaderContext {
+        let scene = OwnerContext {
             fence: self.fence,
-            keeps: &|_| true,
-            set: &|_| (0..gateways).map(gateway_name).collect(),
-            gone: &|_| false,
-            may_share: true,
+            owns: &|_| true,
+            gateways_of: &|_| (0..gateways).map(gateway_name).collect(),
+            is_gone: &|_| false,
+            may_relax: true,
         };
         let mut outputs = Vec::new();
-        self.owner.handle(self.now, input, &scene, &mut outputs);
-        let place = |name: &str| (0..gateways).find(|&gateway| gateway_name(gateway) == name);
+        self.owner.on_input(self.now, input, &scene, &mut outputs);
+        let index_of = |name: &str| (0..gateways).find(|&gateway| gateway_name(gateway) == name);
         for output in outputs {
             match output {
-                Output::Ask { gateway, customer } => {
-                    let Some(gateway) = place(&gateway) else {
+                Output::RequestReport { gateway, customer } => {
+                    let Some(gateway) = index_of(&gateway) else {
                         continue;
                     };
-                    self.send(Event::Ask { gateway, customer });
+                    self.send(Event::RequestReport { gateway, customer });
                 }
-                Output::Say { gateway, verdict } => {
-                    let Some(gateway) = place(&gateway) else {
+                Output::SendVerdict { gateway, verdict } => {
+                    let Some(gateway) = index_of(&gateway) else {
                         continue;
                     };
-                    self.says.push(verdict);
-                    self.send(Event::Say {
+                    self.verdicts.push(verdict);
+                    self.send(Event::Verdict {
                         gateway,
-                        verdict: self.says.len() - 1,
+                        verdict: self.verdicts.len() - 1,
                     });
                 }
             }
         }
     }
 
-    fn tick(&mut self) {
+    fn on_tick(&mut self) {
         let now = self.now;
-        if self.plan.trouble == Fault::Restarts && now % (60 * SECOND) < TICK {
+        if self.plan.fault == Fault::BackendRestarts && now % (60 * SECOND) < TICK {
             self.renew(Some((now / (60 * SECOND)) as usize % BACKENDS));
         }
         if self
             .plan
-            .new_owner
+            .owner_replaced_at
             .is_some_and(|at| at <= now && at + TICK > now)
         {
             self.owner = VerdictAggregator::new(2, 4096);
             self.fence.epoch += 1;
         }
         for gateway in 0..self.plan.gateways {
-            let next_wakeup = self
+            let due = self
                 .gateways
                 .get_mut(gateway)
-                .map_or_else(Vec::new, |(evidence, _)| evidence.next_wakeup(now, 64));
-            for customer in next_wakeup {
+                .map_or_else(Vec::new, |(evidence, _)| evidence.due_reports(now, 64));
+            for customer in due {
                 self.report(gateway, customer);
             }
         }
-        self.keep(Input::Tick);
-        self.watch();
+        self.run_owner(Input::Tick);
+        self.record_outcomes();
         self.push(now + TICK, Event::Tick);
     }
 
-    fn truth(&self, person: usize) -> (Pooling, Micros) {
-        match self.plan.simulated_customers.get(person) {
+    fn truth(&self, index: usize) -> (Pooling, Micros) {
+        match self.plan.simulated_customers.get(index) {
             Some(SimulatedCustomer {
-                turns: Some((at, kind)),
+                changes_at: Some((at, kind)),
                 ..
             }) if *at <= self.now => (*kind, *at),
-            Some(person) => (person.truth, 0),
+            Some(index) => (index.truth, 0),
             None => (Pooling::Unknown, 0),
         }
     }
 
-    fn watch(&mut self) {
+    fn record_outcomes(&mut self) {
         let now = self.now;
-        for person in 0..self.plan.simulated_customers.len() {
-            let customer = person as Customer;
-            let (truth, since) = self.truth(person);
-            let pooling = self.owner.verdict_of(customer);
+        for index in 0..self.plan.simulated_customers.len() {
+            let customer = index as Customer;
+            let (truth, since) = self.truth(index);
+            let pooling = self.owner.pooling_of(customer);
             let everywhere = self
                 .gateways
                 .iter()
-                .all(|(_, held)| held.in_force(now, customer, now, true) == truth);
-            let before = std::mem::replace(&mut self.before[person], pooling);
-            let Some(seen) = self.out.seen.get_mut(person) else {
+                .all(|(_, table)| table.in_force(now, customer, now, true) == truth);
+            let before = std::mem::replace(&mut self.before[index], pooling);
+            let Some(seen) = self.out.seen.get_mut(index) else {
                 continue;
             };
             if pooling == truth {
@@ -496,7 +496,7 @@
                 seen.false_transactions += 1;
             }
             if pooling > truth && pooling != Pooling::Unknown {
-                seen.held_for_more += TICK;
+                seen.overclassified_time += TICK;
             }
         }
     }
@@ -505,12 +505,16 @@
     fn failing(&self, gateway: usize, backend: usize) -> (f64, Failure) {
         let second = self.now / SECOND;
         let odd = (second / 60) % 2 == 1;
-        match self.plan.trouble {
-            Fault::Sick if odd && backend == 0 => (0.3, Failure::Http500),
-            Fault::SickAlways if backend == 0 => (0.3, Failure::Http500),
-            Fault::Fails if odd && backend == 0 => (1.0, Failure::Http500),
-            Fault::CutDoor if gateway == 0 && second % 120 >= 100 => (1.0, Failure::Reset),
-            Fault::Restarts if second % 60 < 2 && (second / 60) as usize % BACKENDS == backend => {
+        match self.plan.fault {
+            Fault::BackendUnhealthyAtTimes if odd && backend == 0 => (0.3, Failure::Http500),
+            Fault::BackendUnhealthy if backend == 0 => (0.3, Failure::Http500),
+            Fault::BackendDown if odd && backend == 0 => (1.0, Failure::Http500),
+            Fault::GatewayPartitioned if gateway == 0 && second % 120 >= 100 => {
+                (1.0, Failure::Reset)
+            }
+            Fault::BackendRestarts
+                if second % 60 < 2 && (second / 60) as usize % BACKENDS == backend =>
+            {
                 (1.0, Failure::Reset)
             }
             Fault::Overload => {
@@ -522,17 +526,17 @@
     }
 
     /// The connection that a request gets.
-    fn link(
+    fn connection(
         &mut self,
-        person: usize,
+        index: usize,
         gateway: usize,
         backend: usize,
         want: ConnectionPolicy,
-        last: Option<Last>,
-    ) -> Link {
+        last: Option<LastRequest>,
+    ) -> Connection {
         if want == ConnectionPolicy::Private {
-            if let Some(link) = self.private.get_mut(&(gateway, backend, person)) {
-                return *link;
+            if let Some(connection) = self.private.get_mut(&(gateway, backend, index)) {
+                return *connection;
             }
             let count = |at: &dyn Fn(usize, usize) -> bool| {
                 self.private
@@ -546,84 +550,92 @@
                 own: 0,
             };
             if grant(&Limits::default(), &usage) == Grant::Private {
-                self.links += 1;
-                let link = (self.links, Some(person));
-                self.private.insert((gateway, backend, person), link);
-                return link;
+                self.connections += 1;
+                let connection = (self.connections, Some(index));
+                self.private.insert((gateway, backend, index), connection);
+                return connection;
             }
         }
-        let idle = self.chance.random_bool(0.9);
-        let pick = self.chance.random_range(0..SHARED);
-        let Some(links) = self.shared.get_mut(&(gateway, backend)) else {
+        let idle = self.rng.random_bool(0.9);
+        let pick = self.rng.random_range(0..SHARED_CONNECTIONS);
+        let Some(connections) = self.shared.get_mut(&(gateway, backend)) else {
             return (0, None);
         };
-        let own = links.iter().position(|&(link, user)| {
+        let own = connections.iter().position(|&(connection, user)| {
             want != ConnectionPolicy::Any
                 && idle
-                && user == Some(person)
-                && last.is_some_and(|last| last.link == link)
+                && user == Some(index)
+                && last.is_some_and(|last| last.connection == connection)
         });
-        let Some(link) = links.get_mut(own.unwrap_or(pick)) else {
+        let Some(connection) = connections.get_mut(own.unwrap_or(pick)) else {
             return (0, None);
         };
-        let got = *link;
-        link.1 = Some(person);
+        let got = *connection;
+        connection.1 = Some(index);
         got
     }
 
-    fn request(&mut self, person: usize, gateway: usize, run: u64, left: u32) {
+    fn request(&mut self, index: usize, gateway: usize, run: u64, left: u32) {
         let now = self.now;
-        let customer = person as Customer;
-        let backend = self.chance.random_range(0..BACKENDS);
-        let last = self.last.get(&(gateway, backend, person)).copied();
-        let mut held = Pooling::Statement;
-        if self.plan.pool {
-            held = self
+        let customer = index as Customer;
+        let backend = self.rng.random_range(0..BACKENDS);
+        let last = self.last.get(&(gateway, backend, index)).copied();
+        let mut table = Pooling::Statement;
+        if self.plan.use_verdicts {
+            table = self
                 .gateways
                 .get(gateway)
-                .map_or(held, |(_, held)| held.in_force(now, customer, now, true));
+                .map_or(table, |(_, table)| table.in_force(now, customer, now, true));
         }
-        let looked = self
-            .looked
-            .get(&(person, gateway))
+        let probed_at = self
+            .probed_at
+            .get(&(index, gateway))
             .map_or(now, |&at| now - at);
-        let want = hold(held, looked, self.chance.random());
-        if held > Pooling::Unknown
-            && (want == ConnectionPolicy::Any || !self.looked.contains_key(&(person, gateway)))
+        let want = connection_policy(table, probed_at, self.rng.random());
+        if table > Pooling::Unknown
+            && (want == ConnectionPolicy::Any || !self.probed_at.contains_key(&(index, gateway)))
         {
-            self.looked.insert((person, gateway), now);
+            self.probed_at.insert((index, gateway), now);
         }
-        let (link, user) = self.link(person, gateway, backend, want, last);
-        let same = user == Some(person) && last.is_some_and(|last| last.link == link);
-        self.last
-            .insert((gateway, backend, person), Last { link, at: now, run });
-        let breaks = match (self.truth(person).0, last) {
+        let (connection, user) = self.connection(index, gateway, backend, want, last);
+        let same = user == Some(index) && last.is_some_and(|last| last.connection == connection);
+        self.last.insert(
+            (gateway, backend, index),
+            LastRequest {
+                connection,
+                at: now,
+                run,
+            },
+        );
+        let breaks = match (self.truth(index).0, last) {
             (_, None) => false,
             (Pooling::Session, Some(_)) => !same,
             (Pooling::Transaction, Some(last)) => !same && last.run == run,
             _ => false,
         };
         let (mut part, failure) = self.failing(gateway, backend);
-        if self.plan.trouble == Fault::Stale && !same {
+        if self.plan.fault == Fault::StaleConnections && !same {
             part = 0.3;
         }
         let (share, own) = self
             .plan
             .simulated_customers
-            .get(person)
-            .map_or((1.0, 0.0), |person| (person.fails, person.own));
-        let breaks = breaks && self.chance.random_bool(share);
-        let fails = self.chance.random_bool(part) || self.chance.random_bool(own);
+            .get(index)
+            .map_or((1.0, 0.0), |index| {
+                (index.break_failure_rate, index.own_failure_rate)
+            });
+        let breaks = breaks && self.rng.random_bool(share);
+        let fails = self.rng.random_bool(part) || self.rng.random_bool(own);
         let outcome = match (fails, breaks) {
             (true, _) => Outcome::Failed(failure),
             (false, true) => Outcome::Failed(Failure::Http500),
             (false, false) => Outcome::Fine,
         };
-        let conn = ConnectionUse::of(same, last.map(|last| now - last.at), GAP);
+        let conn = ConnectionUse::of(same, last.map(|last| now - last.at), MAX_RUN_GAP);
         if let Some((evidence, _)) = self.gateways.get_mut(gateway) {
-            evidence.note(now, customer, backend as u32, conn, outcome);
+            evidence.record_request(now, customer, backend as u32, conn, outcome);
         }
-        if let Some(seen) = self.out.seen.get_mut(person) {
+        if let Some(seen) = self.out.seen.get_mut(index) {
             let [requests, broken, failed] = &mut seen.requests;
             *requests += 1;
             *broken += u64::from(breaks && !fails);
@@ -631,16 +643,16 @@
         }
         if left > 1 {
             self.push(
-                now + WITHIN,
+                now + REQUEST_INTERVAL,
                 Event::Request {
-                    person,
+                    index,
                     gateway,
                     run,
                     left: left - 1,
                 },
             );
         } else {
-            self.next_run(person);
+            self.next_run(index);
         }
     }
 }
--- a/gateway-cluster/src/sessions/verdicts.rs
+++ b/gateway-cluster/src/sessions/verdicts.rs
@@ -24,26 +24,26 @@
 
 const SECOND: Micros = 1_000_000;
 /// A report no older than this speaks for its gateway in a step towards sharing. Gateways are asked for a newer one where such a step waits for them alone.
-pub const FRESH: Micros = 30 * SECOND;
+pub const REPORT_TTL: Micros = 30 * SECOND;
 /// After a change a verdict is said again so soon, so often, so that one lost costs a part of the second.
-const SAY_SOON: Micros = 100_000;
-const SAY_TIMES: u8 = 6;
+const RESEND_INTERVAL: Micros = 100_000;
+const SEND_REPEATS: u8 = 6;
 /// A verdict for which nothing new spoke so long is taken back.
-pub const CONFIRMED: Micros = 7200 * SECOND;
+pub const CONFIRMATION_TTL: Micros = 7200 * SECOND;
 /// For how long a gateway goes by a verdict after its customer's owner was last held alive.
-pub const FADE: Micros = 30 * SECOND;
+pub const VERDICT_TTL: Micros = 30 * SECOND;
 /// The same for private connections.
-pub const FADE_SESSION: Micros = 600 * SECOND;
+pub const SESSION_VERDICT_TTL: Micros = 600 * SECOND;
 /// Without a report for so long a customer is forgotten.
-pub const FORGET: Micros = 2 * CONFIRMED;
+pub const CUSTOMER_TTL: Micros = 2 * CONFIRMATION_TTL;
 /// An owner that is new to a customer waits so long for gateways to say what they act on.
-const START: Micros = 3 * SECOND;
+const WARM_UP: Micros = 3 * SECOND;
 /// Without a report a customer is judged again so often: windows age, gateways go.
-const JUDGE_AGAIN: Micros = SECOND;
+const EVALUATION_INTERVAL: Micros = SECOND;
 /// Lives of a gateway that are held: that which runs, and the one before, whose requests were others.
-const LIVES: usize = 2;
+const MAX_INCARNATIONS: usize = 2;
 /// Gateways that are held of a customer: a set has four at most, and some may have changed.
-const MOST_GATEWAYS: usize = 8;
+const MAX_GATEWAYS: usize = 8;
 
 /// The evidence behind a verdict: requests and failures.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
@@ -68,7 +68,7 @@
     /// By which right.
     pub fence: FencingToken,
     /// The owner's incarnation, and a number that grows within it: an owner that restarts may come back under the same fence.
-    pub round: (u64, u64),
+    pub sequence: (u64, u64),
     /// Time since it was last judged so.
     pub age: Micros,
     /// Gateways whose reports it rests on.
@@ -90,14 +90,14 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
     /// A question for a gateway's report.
-    Ask {
+    RequestReport {
         /// To whom.
         gateway: String,
         /// Of whom.
         customer: Customer,
     },
     /// A verdict for a gateway.
-    Say {
+    SendVerdict {
         /// To whom.
         gateway: String,
         /// What.
@@ -106,234 +106,241 @@
 }
 
 /// What an owner knows of its surroundings at the moment of an input.
-pub struct LeaderContext<'a> {
+pub struct OwnerContext<'a> {
     /// The right under which it acts.
     pub fence: FencingToken,
     /// Whether it keeps that customer now.
-    pub keeps: &'a dyn Fn(Customer) -> bool,
+    pub owns: &'a dyn Fn(Customer) -> bool,
     /// The gateways of a customer's set.
-    pub set: &'a dyn Fn(Customer) -> Vec<String>,
+    pub gateways_of: &'a dyn Fn(Customer) -> Vec<String>,
     /// Whether a gateway is held for gone: its word is not waited for.
-    pub gone: &'a dyn Fn(&str) -> bool,
+    pub is_gone: &'a dyn Fn(&str) -> bool,
     /// Whether this side may take steps towards sharing: it is the majority.
-    pub may_share: bool,
+    pub may_relax: bool,
 }
 
 /// One incarnation of a gateway, as last told.
 #[derive(Debug, Clone)]
-struct Told {
+struct ReceivedReport {
     report: Report,
     at: Micros,
 }
 
 /// What is held of one customer.
 #[derive(Debug, Clone)]
-struct File {
-    gateways: BTreeMap<String, Vec<Told>>,
-    asked: BTreeMap<String, Micros>,
+struct CustomerState {
+    gateways: BTreeMap<String, Vec<ReceivedReport>>,
+    requested_at: BTreeMap<String, Micros>,
     pooling: Pooling,
-    confirmed: Micros,
-    begun: Micros,
-    judged: Micros,
-    heard: Micros,
-    said: Option<Micros>,
-    say: u8,
-    round: (u64, u64),
+    confirmed_at: Micros,
+    started_at: Micros,
+    evaluated_at: Micros,
+    reported_at: Micros,
+    sent_at: Option<Micros>,
+    pending_sends: u8,
+    sequence: (u64, u64),
 }
 
 /// The customers of one owner.
 #[derive(Debug, Default)]
 pub struct VerdictAggregator {
-    files: BTreeMap<Customer, File>,
-    most: usize,
-    turned_away: u64,
+    customers: BTreeMap<Customer, CustomerState>,
+    max_customers: usize,
+    rejected: u64,
     /// Its incarnation, and how many verdicts it has said in it, of all customers: one whose file went and came is not behind.
-    round: (u64, u64),
+    sequence: (u64, u64),
 }
 
 impl VerdictAggregator {
     /// An incarnation that knows nothing, and holds so many customers.
-    pub fn new(incarnation: u64, most: usize) -> Self {
+    pub fn new(incarnation: u64, max_customers: usize) -> Self {
         VerdictAggregator {
-            most,
-            round: (incarnation, 0),
+            max_customers,
+            sequence: (incarnation, 0),
             ..VerdictAggregator::default()
         }
     }
 
     /// Takes an input.
-    pub fn handle(
+    pub fn on_input(
         &mut self,
         now: Micros,
         input: Input,
-        scene: &LeaderContext<'_>,
+        context: &OwnerContext<'_>,
         outputs: &mut Vec<Output>,
     ) {
         match input {
-            Input::Report(report) => self.report(now, report, scene, outputs),
-            Input::Tick => self.tick(now, scene, outputs),
+            Input::Report(report) => self.on_report(now, report, context, outputs),
+            Input::Tick => self.on_tick(now, context, outputs),
         }
     }
 
-    fn report(
+    fn on_report(
         &mut self,
         now: Micros,
         report: Report,
-        scene: &LeaderContext<'_>,
+        context: &OwnerContext<'_>,
         outputs: &mut Vec<Output>,
     ) {
         let customer = report.customer;
-        if !(scene.keeps)(customer) {
-            self.files.remove(&customer);
+        if !(context.owns)(customer) {
+            self.customers.remove(&customer);
             return;
         }
-        let set = (scene.set)(customer);
+        let set = (context.gateways_of)(customer);
         if !set.contains(&report.gateway)
             || report.in_run.len() > WINDOWS
-            || report.between.len() > WINDOWS
+            || report.between_runs.len() > WINDOWS
         {
-            self.turned_away += 1;
+            self.rejected += 1;
             return;
         }
-        if !self.files.contains_key(&customer) && self.files.len() >= self.most {
-            self.turned_away += 1;
+        if !self.customers.contains_key(&customer) && self.customers.len() >= self.max_customers {
+            self.rejected += 1;
             return;
         }
-        let file = self.files.entry(customer).or_insert_with(|| File {
-            gateways: BTreeMap::new(),
-            asked: BTreeMap::new(),
-            pooling: Pooling::Unknown,
-            confirmed: now,
-            begun: now,
-            judged: now,
-            heard: now,
-            said: None,
-            say: 0,
-            round: (0, 0),
-        });
+        let state = self
+            .customers
+            .entry(customer)
+            .or_insert_with(|| CustomerState {
+                gateways: BTreeMap::new(),
+                requested_at: BTreeMap::new(),
+                pooling: Pooling::Unknown,
+                confirmed_at: now,
+                started_at: now,
+                evaluated_at: now,
+                reported_at: now,
+                sent_at: None,
+                pending_sends: 0,
+                sequence: (0, 0),
+            });
         let gateway = report.gateway.clone();
-        let held = report.held;
-        if !file.take(now, report) {
+        let acted_on = report.pooling;
+        if !state.on_report(now, report) {
             return;
         }
-        file.asked.remove(&gateway);
+        state.requested_at.remove(&gateway);
         // An owner that starts goes on from what gateways act on: its not knowing is no evidence for sharing.
-        if now.saturating_sub(file.begun) < START && held > Pooling::Unknown && held > file.pooling
+        if now.saturating_sub(state.started_at) < WARM_UP
+            && acted_on > Pooling::Unknown
+            && acted_on > state.pooling
         {
-            file.pooling = held;
-            file.confirmed = now;
-            file.say = SAY_TIMES;
+            state.pooling = acted_on;
+            state.confirmed_at = now;
+            state.pending_sends = SEND_REPEATS;
         }
-        file.judge(now, customer, &set, scene, outputs);
-        file.say(now, customer, &set, scene, &mut self.round, outputs);
+        state.evaluate(now, customer, &set, context, outputs);
+        state.send_verdict(now, customer, &set, context, &mut self.sequence, outputs);
         // It missed what was said, or came later than that.
-        if file.say == 0 && file.round != (0, 0) && held != file.pooling {
-            outputs.push(Output::Say {
+        if state.pending_sends == 0 && state.sequence != (0, 0) && acted_on != state.pooling {
+            outputs.push(Output::SendVerdict {
                 gateway,
-                verdict: file.verdict(now, customer, scene.fence),
+                verdict: state.verdict(now, customer, context.fence),
             });
         }
     }
 
-    fn tick(&mut self, now: Micros, scene: &LeaderContext<'_>, outputs: &mut Vec<Output>) {
+    fn on_tick(&mut self, now: Micros, context: &OwnerContext<'_>, outputs: &mut Vec<Output>) {
         // Where room is short, those go first of whom nothing is said and nothing was heard for a minute.
-        let short = self.files.len() > self.most / 8 * 7;
-        self.files.retain(|&customer, file| {
-            let heard = now.saturating_sub(file.heard);
-            let spare = short && file.pooling == Pooling::Unknown && heard > 2 * FRESH;
-            (scene.keeps)(customer) && heard < FORGET && !spare
+        let is_nearly_full = self.customers.len() > self.max_customers / 8 * 7;
+        self.customers.retain(|&customer, state| {
+            let reported_at = now.saturating_sub(state.reported_at);
+            let is_evictable =
+                is_nearly_full && state.pooling == Pooling::Unknown && reported_at > 2 * REPORT_TTL;
+            (context.owns)(customer) && reported_at < CUSTOMER_TTL && !is_evictable
         });
-        for (&customer, file) in &mut self.files {
-            let set = (scene.set)(customer);
-            if now.saturating_sub(file.judged) >= JUDGE_AGAIN {
-                file.judge(now, customer, &set, scene, outputs);
+        for (&customer, state) in &mut self.customers {
+            let set = (context.gateways_of)(customer);
+            if now.saturating_sub(state.evaluated_at) >= EVALUATION_INTERVAL {
+                state.evaluate(now, customer, &set, context, outputs);
             }
-            file.say(now, customer, &set, scene, &mut self.round, outputs);
+            state.send_verdict(now, customer, &set, context, &mut self.sequence, outputs);
         }
     }
 
     /// What is held of a customer, for operators and for the owner's own gateway.
     pub fn verdict(&self, now: Micros, customer: Customer, fence: FencingToken) -> Option<Verdict> {
-        self.files
+        self.customers
             .get(&customer)
-            .map(|file| file.verdict(now, customer, fence))
+            .map(|state| state.verdict(now, customer, fence))
     }
 
     /// Whether anything is held of a customer.
     pub fn has(&self, customer: Customer) -> bool {
-        self.files.contains_key(&customer)
+        self.customers.contains_key(&customer)
     }
 
     /// Whether what was said last of a customer is one of the repetitions in between: the first two and the last one carry it
     /// through a loss of a fifth but for one time in a hundred.
     pub fn is_repeating(&self, customer: Customer) -> bool {
-        self.files
+        self.customers
             .get(&customer)
-            .is_some_and(|file| (1..SAY_TIMES - 2).contains(&file.say))
+            .is_some_and(|state| (1..SEND_REPEATS - 2).contains(&state.pending_sends))
     }
 
     /// What a customer is held for, without the counts.
-    pub fn verdict_of(&self, customer: Customer) -> Pooling {
-        self.files
+    pub fn pooling_of(&self, customer: Customer) -> Pooling {
+        self.customers
             .get(&customer)
-            .map_or(Pooling::Unknown, |file| file.pooling)
+            .map_or(Pooling::Unknown, |state| state.pooling)
     }
 
     /// Reports that there was no room for, or that came from outside the set.
-    pub fn turned_away(&self) -> u64 {
-        self.turned_away
+    pub fn rejected(&self) -> u64 {
+        self.rejected
     }
 }
 
-impl File {
+impl CustomerState {
     /// Takes a report, unless it is no news. The whole replaces the whole: nothing is added up.
-    fn take(&mut self, now: Micros, report: Report) -> bool {
-        if !self.gateways.contains_key(&report.gateway) && self.gateways.len() >= MOST_GATEWAYS {
+    fn on_report(&mut self, now: Micros, report: Report) -> bool {
+        if !self.gateways.contains_key(&report.gateway) && self.gateways.len() >= MAX_GATEWAYS {
             return false;
         }
-        let lives = self.gateways.entry(report.gateway.clone()).or_default();
-        match lives
+        let incarnations = self.gateways.entry(report.gateway.clone()).or_default();
+        match incarnations
             .iter_mut()
-            .find(|told| told.report.incarnation == report.incarnation)
+            .find(|received| received.report.incarnation == report.incarnation)
         {
-            Some(told) if told.report.sequence >= report.sequence => return false,
-            Some(told) => *told = Told { report, at: now },
-            None => lives.push(Told { report, at: now }),
+            Some(received) if received.report.sequence >= report.sequence => return false,
+            Some(received) => *received = ReceivedReport { report, at: now },
+            None => incarnations.push(ReceivedReport { report, at: now }),
         }
-        lives.sort_by_key(|told| std::cmp::Reverse(told.report.incarnation));
-        lives.truncate(LIVES);
-        self.heard = now;
+        incarnations.sort_by_key(|received| std::cmp::Reverse(received.report.incarnation));
+        incarnations.truncate(MAX_INCARNATIONS);
+        self.reported_at = now;
         true
     }
 
     /// Asks gateways of the set whose word is missing, or old where that is what a step towards sharing waits for.
-    fn ask(
+    fn request_reports(
         &mut self,
         now: Micros,
         customer: Customer,
         set: &[String],
-        scene: &LeaderContext<'_>,
-        step: bool,
+        context: &OwnerContext<'_>,
+        could_relax: bool,
     ) -> Vec<Output> {
         let mut outputs = Vec::new();
         for gateway in set {
-            let told = self
+            let received = self
                 .gateways
                 .get(gateway)
-                .and_then(|lives| lives.first())
-                .map(|told| told.at);
-            let wanted = told.is_none_or(|at| step && now.saturating_sub(at) >= FRESH);
-            let again = self
-                .asked
+                .and_then(|incarnations| incarnations.first())
+                .map(|received| received.at);
+            let is_missing =
+                received.is_none_or(|at| could_relax && now.saturating_sub(at) >= REPORT_TTL);
+            let may_request = self
+                .requested_at
                 .get(gateway)
                 .is_none_or(|&at| now.saturating_sub(at) >= SECOND);
-            if wanted
-                && again
-                && !(scene.gone)(gateway)
-                && now.saturating_sub(self.heard) < 2 * FRESH
+            if is_missing
+                && may_request
+                && !(context.is_gone)(gateway)
+                && now.saturating_sub(self.reported_at) < 2 * REPORT_TTL
             {
-                self.asked.insert(gateway.clone(), now);
-                outputs.push(Output::Ask {
+                self.requested_at.insert(gateway.clone(), now);
+                outputs.push(Output::RequestReport {
                     gateway: gateway.clone(),
                     customer,
                 });
@@ -343,88 +350,100 @@
     }
 
     fn windows(&self, now: Micros, of: impl Fn(&Report) -> &[(Window, u32)]) -> Vec<Vec<Window>> {
-        let live = |told: &Told| -> Vec<Window> {
-            let since = now.saturating_sub(told.at) / SECOND;
-            let most = CONFIRMED / SECOND;
-            let all = of(&told.report).iter();
-            all.filter(|(_, age)| u64::from(*age) + since < most)
+        let live = |received: &ReceivedReport| -> Vec<Window> {
+            let since = now.saturating_sub(received.at) / SECOND;
+            let max_age = CONFIRMATION_TTL / SECOND;
+            let all = of(&received.report).iter();
+            all.filter(|(_, age)| u64::from(*age) + since < max_age)
                 .map(|(window, _)| *window)
                 .collect()
         };
         // Windows of the incarnation before stand behind those of this one, and the oldest of both go.
         self.gateways
             .values()
-            .map(|lives| lives.iter().flat_map(live).take(WINDOWS).collect())
+            .map(|incarnations| incarnations.iter().flat_map(live).take(WINDOWS).collect())
             .collect()
     }
 
-    fn judge(
+    fn evaluate(
         &mut self,
         now: Micros,
         customer: Customer,
         set: &[String],
-        scene: &LeaderContext<'_>,
+        context: &OwnerContext<'_>,
         outputs: &mut Vec<Output>,
     ) {
-        self.judged = now;
-        let heard_all = set.iter().all(|gateway| {
-            let told = self.gateways.get(gateway).and_then(|lives| lives.first());
-            told.is_some_and(|told| now.saturating_sub(told.at) < FRESH) || (scene.gone)(gateway)
+        self.evaluated_at = now;
+        let all_reported = set.iter().all(|gateway| {
+            let received = self
+                .gateways
+                .get(gateway)
+                .and_then(|incarnations| incarnations.first());
+            received.is_some_and(|received| now.saturating_sub(received.at) < REPORT_TTL)
+                || (context.is_gone)(gateway)
         });
         let in_run = judge::test(&self.windows(now, |report| &report.in_run));
-        let between = judge::test(&self.windows(now, |report| &report.between));
-        let mut next = judge::decide(self.pooling, in_run, between, scene.may_share && heard_all);
-        let step = scene.may_share && judge::decide(self.pooling, in_run, between, true) != next;
-        outputs.extend(self.ask(now, customer, set, scene, step));
-        let speaks = match next {
+        let between_runs = judge::test(&self.windows(now, |report| &report.between_runs));
+        let mut next = judge::decide(
+            self.pooling,
+            in_run,
+            between_runs,
+            context.may_relax && all_reported,
+        );
+        let could_relax =
+            context.may_relax && judge::decide(self.pooling, in_run, between_runs, true) != next;
+        outputs.extend(self.request_reports(now, customer, set, context, could_relax));
+        let is_confirmed = match next {
             Pooling::Unknown => true,
-            Pooling::Statement => in_run == Found::Free && between == Found::Free,
+            Pooling::Statement => in_run == Found::Free && between_runs == Found::Free,
             Pooling::Transaction => in_run == Found::Bound,
-            Pooling::Session => between == Found::Bound,
+            Pooling::Session => between_runs == Found::Bound,
         };
-        if next != self.pooling || speaks {
-            self.confirmed = now;
-        } else if now.saturating_sub(self.confirmed) >= CONFIRMED && scene.may_share {
+        if next != self.pooling || is_confirmed {
+            self.confirmed_at = now;
+        } else if now.saturating_sub(self.confirmed_at) >= CONFIRMATION_TTL && context.may_relax {
             next = Pooling::Unknown;
-            self.confirmed = now;
+            self.confirmed_at = now;
         }
         if next != self.pooling {
             self.pooling = next;
-            self.say = SAY_TIMES;
-            self.said = None;
+            self.pending_sends = SEND_REPEATS;
+            self.sent_at = None;
         }
     }
 
-    fn say(
+    fn send_verdict(
         &mut self,
         now: Micros,
         customer: Customer,
         set: &[String],
-        scene: &LeaderContext<'_>,
-        rounds: &mut (u64, u64),
+        context: &OwnerContext<'_>,
+        last_sequence: &mut (u64, u64),
         outputs: &mut Vec<Output>,
     ) {
         // Nothing is said of a customer that nothing is known of, until something is. Nor, at the start, while a gateway
         // that has not answered yet may act on more caution.
-        let starts = now.saturating_sub(self.begun) < START && self.pooling != Pooling::Session;
-        let waits = starts
+        let is_warming_up =
+            now.saturating_sub(self.started_at) < WARM_UP && self.pooling != Pooling::Session;
+        let is_waiting = is_warming_up
             && set
                 .iter()
-                .any(|gateway| !self.gateways.contains_key(gateway) && !(scene.gone)(gateway));
-        let quiet = waits || (self.round == (0, 0) && self.pooling == Pooling::Unknown);
-        let soon = self
-            .said
-            .is_some_and(|at| now.saturating_sub(at) < SAY_SOON);
-        if quiet || soon || self.say == 0 {
+                .any(|gateway| !self.gateways.contains_key(gateway) && !(context.is_gone)(gateway));
+        let is_suppressed =
+            is_waiting || (self.sequence == (0, 0) && self.pooling == Pooling::Unknown);
+        let is_too_soon = self
+            .sent_at
+            .is_some_and(|at| now.saturating_sub(at) < RESEND_INTERVAL);
+        if is_suppressed || is_too_soon || self.pending_sends == 0 {
             return;
         }
-        self.said = Some(now);
-        self.say = self.say.saturating_sub(1);
-        rounds.1 += 1;
-        self.round = *rounds;
-        let verdict = self.verdict(now, customer, scene.fence);
-        for gateway in set.iter().filter(|gateway| !(scene.gone)(gateway)) {
-            outputs.push(Output::Say {
+        self.sent_at = Some(now);
+        self.pending_sends = self.pending_sends.saturating_sub(1);
+        last_sequence.1 += 1;
+        self.sequence = *last_sequence;
+        let verdict = self.verdict(now, customer, context.fence);
+        for gateway in set.iter().filter(|gateway| !(context.is_gone)(gateway)) {
+            outputs.push(Output::SendVerdict {
                 gateway: gateway.clone(),
                 verdict: verdict.clone(),
             });
@@ -438,34 +457,34 @@
             counts
         };
         let in_run = sum(self.windows(now, |report| &report.in_run));
-        let between = sum(self.windows(now, |report| &report.between));
+        let between_runs = sum(self.windows(now, |report| &report.between_runs));
         // Kept requests stand beside both kinds of change; the longer record is shown, not their sum.
-        let longer = if in_run.kept[0] >= between.kept[0] {
+        let longer = if in_run.reused[0] >= between_runs.reused[0] {
             in_run
         } else {
-            between
+            between_runs
         };
-        let told = |lives: &Vec<Told>| {
-            lives
-                .iter()
-                .any(|told| !told.report.in_run.is_empty() || !told.report.between.is_empty())
+        let received = |incarnations: &Vec<ReceivedReport>| {
+            incarnations.iter().any(|received| {
+                !received.report.in_run.is_empty() || !received.report.between_runs.is_empty()
+            })
         };
         Verdict {
             customer,
             pooling: self.pooling,
             fence,
-            round: self.round,
-            age: now.saturating_sub(self.confirmed),
+            sequence: self.sequence,
+            age: now.saturating_sub(self.confirmed_at),
             reports: self
                 .gateways
                 .iter()
-                .filter(|(_, lives)| told(lives))
+                .filter(|(_, incarnations)| received(incarnations))
                 .map(|(gateway, _)| gateway.clone())
                 .collect(),
             evidence: EvidenceSummary {
-                kept: longer.kept,
+                kept: longer.reused,
                 changed_in_run: in_run.changed,
-                changed_between: between.changed,
+                changed_between: between_runs.changed,
                 control: longer.control,
             },
         }
@@ -479,7 +498,7 @@
     #[error("a verdict under epoch {} and version {} came after one under epoch {} and version {}: its keeper was \
              replaced; if this goes on, look at `owner` and `shards` of the door that sent it", came.epoch,
              came.version, known.epoch, known.version)]
-    Old {
+    Superseded {
         /// What it came with.
         came: FencingToken,
         /// The highest known.
@@ -487,7 +506,7 @@
     },
     /// A later one is there.
     #[error("a verdict came after a later one of the same keeper: datagrams were late or doubled; nothing is to be done")]
-    Late,
+    Outdated,
     /// This side takes no step towards sharing.
     #[error("a step towards sharing came while this door reaches no majority: it waits; look at `fleet` for who is cut off")]
     Minority,
@@ -503,52 +522,52 @@
 pub struct VerdictTable {
     verdicts: BTreeMap<Customer, (Verdict, Micros)>,
     highest: FencingToken,
-    most: usize,
+    max_customers: usize,
 }
 
 impl VerdictTable {
     /// A gateway that was told nothing, with room for so many.
-    pub fn new(most: usize) -> Self {
+    pub fn new(max_customers: usize) -> Self {
         VerdictTable {
-            most,
+            max_customers,
             ..VerdictTable::default()
         }
     }
 
     /// A fence was seen in anything: lower ones are refused from now on.
-    pub fn fence(&mut self, fence: FencingToken) {
+    pub fn observe_token(&mut self, fence: FencingToken) {
         self.highest = self.highest.max(fence);
     }
 
     /// A verdict came. It is from the customer's owner, so that one is alive.
-    pub fn take(
+    pub fn on_verdict(
         &mut self,
         now: Micros,
         verdict: Verdict,
-        may_share: bool,
+        may_relax: bool,
     ) -> Result<(), VerdictRejection> {
         if verdict.fence < self.highest {
-            return Err(VerdictRejection::Old {
+            return Err(VerdictRejection::Superseded {
                 came: verdict.fence,
                 known: self.highest,
             });
         }
         self.highest = verdict.fence;
-        let in_force = self.in_force(now, verdict.customer, now, may_share);
+        let in_force = self.in_force(now, verdict.customer, now, may_relax);
         if let Some((known, _)) = self.verdicts.get(&verdict.customer) {
-            if known.fence == verdict.fence && known.round >= verdict.round {
-                return Err(VerdictRejection::Late);
+            if known.fence == verdict.fence && known.sequence >= verdict.sequence {
+                return Err(VerdictRejection::Outdated);
             }
-        } else if self.verdicts.len() >= self.most {
+        } else if self.verdicts.len() >= self.max_customers {
             // `unknown` is what holds without one; and of the rest the oldest may be of customers that are long gone.
-            let old = |at: &Micros| now.saturating_sub(*at) >= CONFIRMED;
+            let old = |at: &Micros| now.saturating_sub(*at) >= CONFIRMATION_TTL;
             self.verdicts
                 .retain(|_, (known, at)| known.pooling != Pooling::Unknown && !old(at));
-            if self.verdicts.len() >= self.most {
-                return Err(VerdictRejection::Full(self.most));
+            if self.verdicts.len() >= self.max_customers {
+                return Err(VerdictRejection::Full(self.max_customers));
             }
         }
-        if !may_share && verdict.pooling < in_force {
+        if !may_relax && verdict.pooling < in_force {
             return Err(VerdictRejection::Minority);
         }
         self.verdicts.insert(verdict.customer, (verdict, now));
@@ -568,13 +587,13 @@
         now: Micros,
         customer: Customer,
         owner: Micros,
-        may_share: bool,
+        may_relax: bool,
     ) -> Pooling {
         let Some((verdict, at)) = self.verdicts.get(&customer) else {
             return Pooling::Unknown;
         };
-        let fresh = now.saturating_sub(owner.max(*at)) < fade(verdict.pooling);
-        if fresh || (!may_share && verdict.pooling > Pooling::Unknown) {
+        let fresh = now.saturating_sub(owner.max(*at)) < ttl(verdict.pooling);
+        if fresh || (!may_relax && verdict.pooling > Pooling::Unknown) {
             verdict.pooling
         } else {
             Pooling::Unknown
@@ -582,11 +601,11 @@
     }
 }
 
-fn fade(pooling: Pooling) -> Micros {
+fn ttl(pooling: Pooling) -> Micros {
     if pooling == Pooling::Session {
-        FADE_SESSION
+        SESSION_VERDICT_TTL
     } else {
-        FADE
+        VERDICT_TTL
     }
 }
 
@@ -603,18 +622,20 @@
 
 /// Pause between two requests of a bound customer that are let go on any connection, to see whether it still is: 12 an hour
 /// at a gateway. And the part of requests within runs that are let go while nothing is known: without them it stays so.
-pub const LOOK_AGAIN: Micros = 300 * SECOND;
-/// See [`LOOK_AGAIN`].
-pub const LOOK_UNKNOWN: f64 = 0.5;
+pub const PROBE_INTERVAL: Micros = 300 * SECOND;
+/// See [`PROBE_INTERVAL`].
+pub const UNKNOWN_PROBE_RATE: f64 = 0.5;
 
-/// How a request is to get its connection. `looked` is the time since the last one that was let go, `draw` from 0 to 1. A bound
+/// How a request is to get its connection. `since_probe` is the time since the last one that was let go, `draw` from 0 to 1. A bound
 /// customer loses 12 requests an hour and gateway by it, an unknown one of the second kind some 20 until it is known.
-pub fn hold(pooling: Pooling, looked: Micros, draw: f64) -> ConnectionPolicy {
+pub fn connection_policy(pooling: Pooling, since_probe: Micros, draw: f64) -> ConnectionPolicy {
     match pooling {
         Pooling::Statement => ConnectionPolicy::Any,
-        Pooling::Unknown if draw < LOOK_UNKNOWN => ConnectionPolicy::Any,
+        Pooling::Unknown if draw < UNKNOWN_PROBE_RATE => ConnectionPolicy::Any,
         Pooling::Unknown => ConnectionPolicy::Run,
-        Pooling::Transaction | Pooling::Session if looked >= LOOK_AGAIN => ConnectionPolicy::Any,
+        Pooling::Transaction | Pooling::Session if since_probe >= PROBE_INTERVAL => {
+            ConnectionPolicy::Any
+        }
         Pooling::Transaction => ConnectionPolicy::Run,
         Pooling::Session => ConnectionPolicy::Private,
     }
@@ -671,13 +692,13 @@
 /// Whether one more private connection is within the limits. Whoever breaks requests on purpose to get one gets no
 /// more than all such customers together may have.
 pub fn grant(limits: &Limits, usage: &Usage) -> Grant {
-    let room =
+    let has_capacity =
         |part: f64, [all, private]: [u32; 2]| f64::from(private) + 1.0 <= part * f64::from(all);
     if usage.own >= limits.each {
         Grant::Each
-    } else if !room(limits.of_descriptors, usage.descriptors) {
+    } else if !has_capacity(limits.of_descriptors, usage.descriptors) {
         Grant::Descriptors
-    } else if !room(limits.of_backend, usage.backend) {
+    } else if !has_capacity(limits.of_backend, usage.backend) {
         Grant::Backend
     } else {
         Grant::Private
--- a/gateway-cluster/src/sessions/wire.rs
+++ b/gateway-cluster/src/sessions/wire.rs
@@ -11,7 +11,7 @@
 pub const VERSION: u8 = 4;
 
 /// Bytes of what is put together in one datagram: the rest is for what stands before it.
-pub const ROOM: usize = MAX_DATAGRAM_BYTES - 72;
+pub const MAX_ITEM_BYTES: usize = MAX_DATAGRAM_BYTES - 72;
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
@@ -32,20 +32,20 @@
     /// The whole of what the sender has counted of some customers.
     Report {
         /// It has now sent all that this roll of the receiver asked for; 0 for none.
-        rolled: u32,
+        completed_collection: u32,
         /// The counts.
         counts: Vec<ReportMessage>,
     },
     /// Tell what you have counted of all customers that I keep.
-    Roll(u32),
+    CollectReports(u32),
     /// Tell what you have counted of these, also where that is nothing.
-    Ask(Vec<Customer>),
+    RequestReports(Vec<Customer>),
     /// What an owner has decided.
     Verdicts {
         /// By which right.
         fence: FencingToken,
         /// What.
-        said: Vec<VerdictMessage>,
+        verdicts: Vec<VerdictMessage>,
     },
 }
 
@@ -54,9 +54,9 @@
 pub struct ReportMessage {
     customer: Customer,
     sequence: u64,
-    held: Pooling,
+    pooling: Pooling,
     in_run: Vec<(Window, u32)>,
-    between: Vec<(Window, u32)>,
+    between_runs: Vec<(Window, u32)>,
 }
 
 impl From<Report> for ReportMessage {
@@ -64,17 +64,17 @@
         let Report {
             customer,
             sequence,
-            held,
+            pooling,
             in_run,
-            between,
+            between_runs,
             ..
         } = report;
         ReportMessage {
             customer,
             sequence,
-            held,
+            pooling,
             in_run,
-            between,
+            between_runs,
         }
     }
 }
@@ -90,18 +90,18 @@
         let ReportMessage {
             customer,
             sequence,
-            held,
+            pooling,
             in_run,
-            between,
+            between_runs,
         } = self;
         Report {
             gateway: gateway.to_string(),
             incarnation,
             sequence,
             customer,
-            held,
+            pooling,
             in_run,
-            between,
+            between_runs,
         }
     }
 }
@@ -111,7 +111,7 @@
 pub struct VerdictMessage {
     customer: Customer,
     pooling: Pooling,
-    round: u64,
+    sequence: u64,
     age_ms: u64,
     reports: Vec<PeerId>,
     evidence: EvidenceSummary,
@@ -123,7 +123,7 @@
         VerdictMessage {
             customer: verdict.customer,
             pooling: verdict.pooling,
-            round: verdict.round.1,
+            sequence: verdict.sequence.1,
             age_ms: verdict.age / 1000,
             reports: verdict
                 .reports
@@ -145,7 +145,7 @@
             customer: self.customer,
             pooling: self.pooling,
             fence,
-            round: (incarnation, self.round),
+            sequence: (incarnation, self.sequence),
             age: self.age_ms.saturating_mul(1000),
             reports: self.reports.into_iter().map(name_of).collect(),
             evidence: self.evidence,
@@ -154,8 +154,8 @@
 }
 
 /// How much of a datagram's room this takes.
-pub fn size(part: &impl Serialize) -> usize {
-    postcard::to_allocvec(part).map_or(ROOM, |bytes| bytes.len())
+pub fn size(item: &impl Serialize) -> usize {
+    postcard::to_allocvec(item).map_or(MAX_ITEM_BYTES, |bytes| bytes.len())
 }
 
 impl Datagram {
--- a/gateway-cluster/tests/compatibility.rs
+++ b/gateway-cluster/tests/compatibility.rs
@@ -320,7 +320,7 @@
             requests: 10,
             failed: [1, 2, 3],
         },
-        kept: Tally {
+        reused: Tally {
             requests: 20,
             failed: [0, 1, 0],
         },
@@ -332,9 +332,9 @@
         incarnation: 6,
         sequence: 4,
         customer: 99,
-        held: Pooling::Transaction,
+        pooling: Pooling::Transaction,
         in_run: vec![(window, 2)],
-        between: vec![(window, 70)],
+        between_runs: vec![(window, 70)],
     };
     let verdict = |pooling| Verdict {
         customer: 99,
@@ -343,7 +343,7 @@
             epoch: 9,
             version: 3,
         },
-        round: (6, 2),
+        sequence: (6, 2),
         age: 5_000_000,
         reports: vec!["n0".into(), "n1".into()],
         evidence: EvidenceSummary {
@@ -360,19 +360,19 @@
         Pooling::Session,
     ];
     let peer_id_of = |name: &str| u32::from(name.as_bytes()[1]);
-    let said = poolings
+    let verdicts = poolings
         .map(|pooling| sessions::VerdictMessage::new(&verdict(pooling), peer_id_of))
         .to_vec();
     let kinds = [
         (
             "report",
             sessions::Kind::Report {
-                rolled: 3,
+                completed_collection: 3,
                 counts: vec![report.into()],
             },
         ),
-        ("roll", sessions::Kind::Roll(3)),
-        ("ask", sessions::Kind::Ask(vec![99, 100])),
+        ("roll", sessions::Kind::CollectReports(3)),
+        ("ask", sessions::Kind::RequestReports(vec![99, 100])),
         (
             "verdicts",
             sessions::Kind::Verdicts {
@@ -380,7 +380,7 @@
                     epoch: 9,
                     version: 3,
                 },
-                said,
+                verdicts,
             },
         ),
     ];
--- a/gateway-cluster/tests/session_parts.rs
+++ b/gateway-cluster/tests/session_parts.rs
@@ -397,15 +397,15 @@
             customer: customer(0),
             pooling: Pooling::Session,
             fence,
-            round: (u64::MAX, 1 << 40),
+            sequence: (u64::MAX, 1 << 40),
             age: 0,
             reports: Vec::new(),
             evidence: EvidenceSummary::default(),
         };
-        let said = vec![VerdictMessage::new(&verdict, peer_id_of)];
+        let verdicts = vec![VerdictMessage::new(&verdict, peer_id_of)];
         let (from, kind) = (
             peer_id_of(&format!("n{from:03}")),
-            Kind::Verdicts { fence, said },
+            Kind::Verdicts { fence, verdicts },
         );
         let bytes = Datagram {
             from,
--- a/gateway-cluster/tests/sessions.rs
+++ b/gateway-cluster/tests/sessions.rs
@@ -8,10 +8,10 @@
 use gateway_cluster::sessions::judge::{self, Found};
 use gateway_cluster::sessions::sim::{run, simulated_customers, Fault, Plan, SimulatedCustomer};
 use gateway_cluster::sessions::verdicts::{
-    grant, Grant, Input, LeaderContext, Limits, Output, VerdictAggregator, VerdictRejection,
+    grant, Grant, Input, Limits, Output, OwnerContext, VerdictAggregator, VerdictRejection,
     VerdictTable,
 };
-use gateway_cluster::sessions::verdicts::{Usage, Verdict, FADE, FADE_SESSION};
+use gateway_cluster::sessions::verdicts::{Usage, Verdict, SESSION_VERDICT_TTL, VERDICT_TTL};
 use gateway_cluster::sessions::{FencingToken, Pooling};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -30,7 +30,7 @@
             requests: changed[0],
             failed: [changed[1], 0, 0],
         },
-        kept: Tally {
+        reused: Tally {
             requests: 100,
             failed: [0; 3],
         },
@@ -44,44 +44,44 @@
     incarnation: u64,
     sequence: u64,
     in_run: [u16; 2],
-    between: [u16; 2],
+    between_runs: [u16; 2],
 ) -> Report {
-    let (in_run, between) = (vec![(window(in_run), 1)], vec![(window(between), 1)]);
+    let (in_run, between_runs) = (vec![(window(in_run), 1)], vec![(window(between_runs), 1)]);
     Report {
         gateway: gateway.into(),
         incarnation,
         sequence,
         customer: 7,
-        held: Pooling::Unknown,
+        pooling: Pooling::Unknown,
         in_run,
-        between,
+        between_runs,
     }
 }
 
 /// Tells an owner of two gateways, `a` and `b`.
-fn tell(
+fn input(
     owner: &mut VerdictAggregator,
     now: Micros,
     input: Input,
     gone: &[&str],
-    may_share: bool,
+    may_relax: bool,
 ) -> Vec<Output> {
-    let scene = LeaderContext {
+    let scene = OwnerContext {
         fence: ONE,
-        keeps: &|_| true,
-        set: &|_| vec!["a".to_string(), "b".to_string()],
-        gone: &|gateway| gone.contains(&gateway),
-        may_share,
+        owns: &|_| true,
+        gateways_of: &|_| vec!["a".to_string(), "b".to_string()],
+        is_gone: &|gateway| gone.contains(&gateway),
+        may_relax,
     };
     let mut outputs = Vec::new();
-    owner.handle(now, input, &scene, &mut outputs);
+    owner.on_input(now, input, &scene, &mut outputs);
     outputs
 }
 
 fn owner_of(reports: &[Report]) -> VerdictAggregator {
     let mut owner = VerdictAggregator::new(1, 100);
     for report in reports {
-        tell(&mut owner, SECOND, Input::Report(report.clone()), &[], true);
+        input(&mut owner, SECOND, Input::Report(report.clone()), &[], true);
     }
     owner
 }
@@ -91,31 +91,31 @@
 }
 
 /// Runs the three kinds and some at the edge, and holds what became of them against the bounds.
-fn told_apart(trouble: Fault, seed: u64) {
+fn told_apart(fault: Fault, seed: u64) {
     let plan = Plan {
         gateways: 2 + seed as usize % 3,
         simulated_customers: simulated_customers(),
-        trouble,
+        fault,
         time: 200 * SECOND,
         lossy: true,
-        pool: true,
-        new_owner: Some(130 * SECOND),
+        use_verdicts: true,
+        owner_replaced_at: Some(130 * SECOND),
         seed,
     };
     let out = run(&plan);
     for (person, seen) in plan.simulated_customers.iter().zip(&out.seen) {
         assert_eq!(
             seen.false_statements, 0,
-            "{trouble:?}, seed {seed}: {person:?}"
+            "{fault:?}, seed {seed}: {person:?}"
         );
         assert_eq!(
             seen.false_transactions, 0,
-            "{trouble:?}, seed {seed}: {person:?}"
+            "{fault:?}, seed {seed}: {person:?}"
         );
         if person.rate >= 10.0 {
             assert!(
                 seen.right.is_some_and(|at| at < 130 * SECOND),
-                "{trouble:?}, seed {seed}: {person:?} {seen:?}"
+                "{fault:?}, seed {seed}: {person:?} {seen:?}"
             );
         }
     }
@@ -124,50 +124,50 @@
         .iter()
         .zip(&out.seen)
         .filter(|(person, _)| person.truth == Pooling::Statement);
-    let held: Vec<Micros> = free.map(|(_, seen)| seen.held_for_more).collect();
+    let held: Vec<Micros> = free.map(|(_, seen)| seen.overclassified_time).collect();
     let part = held.iter().sum::<Micros>() as f64 / (held.len() as f64 * plan.time as f64);
     assert!(
         part <= 0.05,
-        "{trouble:?}, seed {seed}: {part} of the time of stateless customers"
+        "{fault:?}, seed {seed}: {part} of the time of stateless customers"
     );
 }
 
 #[test]
 fn customers_are_told_apart_in_calm_and_beside_a_backend_that_fails_in_part_or_for_all() {
-    told_apart(Fault::Nothing, 1);
-    told_apart(Fault::SickAlways, 2);
-    told_apart(Fault::Fails, 3);
+    told_apart(Fault::None, 1);
+    told_apart(Fault::BackendUnhealthy, 2);
+    told_apart(Fault::BackendDown, 3);
 }
 
 #[test]
 fn customers_are_told_apart_where_a_gateway_is_cut_off_and_where_backends_restart() {
-    told_apart(Fault::CutDoor, 4);
-    told_apart(Fault::Restarts, 5);
+    told_apart(Fault::GatewayPartitioned, 4);
+    told_apart(Fault::BackendRestarts, 5);
 }
 
 #[test]
 fn customers_are_told_apart_in_overload_and_where_changes_fail_for_all() {
     told_apart(Fault::Overload, 6);
-    told_apart(Fault::Stale, 7);
+    told_apart(Fault::StaleConnections, 7);
 }
 
 #[test]
 fn a_customer_that_turns_is_seen_from_new_evidence_and_everywhere_within_a_second() {
     for seed in 1..4 {
-        let turns = Some((200 * SECOND, Pooling::Session));
+        let changes_at = Some((200 * SECOND, Pooling::Session));
         let person = SimulatedCustomer {
-            turns,
+            changes_at,
             ..SimulatedCustomer::new(Pooling::Statement, 10.0)
         };
         let others = (0..20).map(|_| SimulatedCustomer::new(Pooling::Statement, 1.0));
         let plan = Plan {
             gateways: 3,
             simulated_customers: std::iter::once(person).chain(others).collect(),
-            trouble: Fault::Nothing,
+            fault: Fault::None,
             time: 300 * SECOND,
             lossy: true,
-            pool: true,
-            new_owner: None,
+            use_verdicts: true,
+            owner_replaced_at: None,
             seed,
         };
         let seen = run(&plan).seen.swap_remove(0);
@@ -187,7 +187,7 @@
     let mut gateway = Evidence::new("a", 1, 100, 1);
     for second in 0..20 {
         for other in 0..others {
-            gateway.note(
+            gateway.record_request(
                 second * SECOND,
                 100 + other,
                 0,
@@ -195,18 +195,19 @@
                 outcome,
             );
         }
-        gateway.note(second * SECOND, 7, 0, ConnectionUse::ChangedBetween, own);
+        gateway.record_request(second * SECOND, 7, 0, ConnectionUse::ChangedBetween, own);
     }
     let report = gateway.report(60 * SECOND, 7, Pooling::Unknown);
-    let (changed, failed) = report
-        .between
-        .iter()
-        .fold((0, 0), |(changed, failed), (window, _)| {
-            (
-                changed + u32::from(window.changed.requests),
-                failed + window.changed.failures(),
-            )
-        });
+    let (changed, failed) =
+        report
+            .between_runs
+            .iter()
+            .fold((0, 0), |(changed, failed), (window, _)| {
+                (
+                    changed + u32::from(window.changed.requests),
+                    failed + window.changed.failures(),
+                )
+            });
     [changed, failed]
 }
 
@@ -240,7 +241,7 @@
     let mut gateway = Evidence::new("a", 1, most, 1);
     for second in 0..20 {
         for customer in 0..100 {
-            gateway.note(
+            gateway.record_request(
                 second * SECOND,
                 customer,
                 0,
@@ -248,12 +249,12 @@
                 Outcome::Fine,
             );
         }
-        gateway.settle(second * SECOND);
+        gateway.evaluate(second * SECOND);
     }
     for round in 0..3 {
         let now = (30 + 10 * round) * SECOND;
         for customer in 0..10_000 {
-            gateway.note(
+            gateway.record_request(
                 now,
                 1000 + customer,
                 0,
@@ -261,14 +262,14 @@
                 Outcome::Fine,
             );
         }
-        gateway.settle(now + 3 * SECOND);
+        gateway.evaluate(now + 3 * SECOND);
     }
     assert_eq!(gateway.customers(), most);
     for customer in 0..100 {
         assert!(
             !gateway
                 .report(100 * SECOND, customer, Pooling::Unknown)
-                .between
+                .between_runs
                 .is_empty(),
             "customer {customer}"
         );
@@ -278,18 +279,21 @@
 
 #[test]
 fn a_flood_of_customers_stays_within_its_bound_and_pushes_out_none_with_evidence() {
-    let left_out = flooded(500).left_out();
+    let excluded = flooded(500).excluded();
+    assert!(
+        excluded.evicted > 10_000,
+        "newcomers push out newcomers: {excluded:?}"
+    );
     assert!(
-        left_out.gone > 10_000,
-        "newcomers push out newcomers: {left_out:?}"
+        excluded.queue_full > 0,
+        "what waits is bounded: {excluded:?}"
     );
-    assert!(left_out.crowded > 0, "what waits is bounded: {left_out:?}");
-    let left_out = flooded(100).left_out();
+    let excluded = flooded(100).excluded();
     assert_eq!(
-        left_out.gone, 0,
-        "where all are dear no newcomer is taken: {left_out:?}"
+        excluded.evicted, 0,
+        "where all are dear no newcomer is taken: {excluded:?}"
     );
-    assert!(Evidence::new("a", 1, 8192, 1).most_bytes() < 12 << 20);
+    assert!(Evidence::new("a", 1, 8192, 1).max_bytes() < 12 << 20);
 }
 
 #[test]
@@ -307,12 +311,12 @@
     };
     let window = Window {
         changed: most,
-        kept: most,
+        reused: most,
         control: [u32::MAX; 2],
         control_changed: [u32::MAX; 2],
     };
     full.in_run = vec![(window, u32::MAX); 4];
-    full.between = full.in_run.clone();
+    full.between_runs = full.in_run.clone();
     let bytes = postcard::to_allocvec(&full).expect("plain data");
     assert!(bytes.len() <= 1400, "{}", bytes.len());
 }
@@ -360,26 +364,26 @@
     ];
     assert_eq!(
         judge::test(&apart),
-        Found::Open,
+        Found::Undecided,
         "nor do old successes take back what fresh breaks have brought"
     );
     let test = |changed| judge::test(&[vec![window(changed)]]);
     assert_eq!(
         [test([21, 0]), test([12, 12]), test([3, 3])],
-        [Found::Free, Found::Bound, Found::Open]
+        [Found::Free, Found::Bound, Found::Undecided]
     );
 }
 
 #[test]
 fn what_fails_for_the_customer_anyway_or_for_all_who_change_is_no_sign_of_a_bond() {
     let mut own = window([32, 20]);
-    own.kept = Tally {
+    own.reused = Tally {
         requests: 100,
         failed: [60, 0, 0],
     };
     assert_eq!(
         judge::test(&[vec![own]]),
-        Found::Open,
+        Found::Undecided,
         "its kept requests fail as often"
     );
     let mut stale = window([32, 24]);
@@ -387,7 +391,7 @@
     stale.control_changed = [500, 400];
     assert_eq!(
         judge::test(&[vec![stale]]),
-        Found::Open,
+        Found::Undecided,
         "others' changed requests fail as often"
     );
 }
@@ -429,10 +433,10 @@
     let mut new = VerdictAggregator::new(2, 100);
     // By now gateways act on `session`, so what they see anew no longer speaks for it.
     reports[0] = Report {
-        held: Pooling::Session,
+        pooling: Pooling::Session,
         ..report("a", 1, 10, [0, 0], [0, 0])
     };
-    let outputs = tell(
+    let outputs = input(
         &mut new,
         SECOND,
         Input::Report(reports[0].clone()),
@@ -440,19 +444,19 @@
         true,
     );
     assert!(
-        outputs.contains(&Output::Ask {
+        outputs.contains(&Output::RequestReport {
             gateway: "b".into(),
             customer: 7
         }),
         "{outputs:?}"
     );
     assert_eq!(
-        new.verdict_of(7),
+        new.pooling_of(7),
         Pooling::Session,
         "as the door acts on it"
     );
-    reports[1].held = Pooling::Session;
-    tell(
+    reports[1].pooling = Pooling::Session;
+    input(
         &mut new,
         SECOND,
         Input::Report(reports[1].clone()),
@@ -484,28 +488,28 @@
 fn sharing_waits_for_every_gateway_of_the_set_and_for_a_majority_and_caution_for_none() {
     let free = report("a", 1, 1, [32, 0], [32, 0]);
     let mut owner = VerdictAggregator::new(1, 100);
-    tell(&mut owner, SECOND, Input::Report(free.clone()), &[], true);
-    assert_eq!(owner.verdict_of(7), Pooling::Unknown, "b has not answered");
-    let outputs = tell(&mut owner, 3 * SECOND, Input::Tick, &[], true);
+    input(&mut owner, SECOND, Input::Report(free.clone()), &[], true);
+    assert_eq!(owner.pooling_of(7), Pooling::Unknown, "b has not answered");
+    let outputs = input(&mut owner, 3 * SECOND, Input::Tick, &[], true);
     assert!(
-        outputs.contains(&Output::Ask {
+        outputs.contains(&Output::RequestReport {
             gateway: "b".into(),
             customer: 7
         }),
         "it is asked again"
     );
-    tell(&mut owner, 5 * SECOND, Input::Tick, &["b"], false);
+    input(&mut owner, 5 * SECOND, Input::Tick, &["b"], false);
     assert_eq!(
-        owner.verdict_of(7),
+        owner.pooling_of(7),
         Pooling::Unknown,
         "this side is a minority"
     );
-    tell(&mut owner, 7 * SECOND, Input::Tick, &["b"], true);
-    assert_eq!(owner.verdict_of(7), Pooling::Statement, "b is gone");
+    input(&mut owner, 7 * SECOND, Input::Tick, &["b"], true);
+    assert_eq!(owner.pooling_of(7), Pooling::Statement, "b is gone");
     let bound = report("a", 1, 2, [32, 0], [32, 32]);
-    let outputs = tell(&mut owner, 8 * SECOND, Input::Report(bound), &[], false);
-    assert_eq!(owner.verdict_of(7), Pooling::Session);
-    let said = |output: &&Output| matches!(output, Output::Say { verdict, .. } if verdict.pooling == Pooling::Session);
+    let outputs = input(&mut owner, 8 * SECOND, Input::Report(bound), &[], false);
+    assert_eq!(owner.pooling_of(7), Pooling::Session);
+    let said = |output: &&Output| matches!(output, Output::SendVerdict { verdict, .. } if verdict.pooling == Pooling::Session);
     assert_eq!(
         outputs.iter().filter(said).count(),
         2,
@@ -513,7 +517,7 @@
     );
     let mut again = 0;
     for tick in 1..12 {
-        let outputs = tell(
+        let outputs = input(
             &mut owner,
             8 * SECOND + tick * SECOND / 12,
             Input::Tick,
@@ -525,77 +529,86 @@
     assert_eq!(again, 10, "and five times more within the second");
 }
 
-fn verdict(pooling: Pooling, fence: FencingToken, round: u64) -> Verdict {
+fn verdict(pooling: Pooling, fence: FencingToken, sequence: u64) -> Verdict {
     let mut verdict = shown(&owner_of(&[report("a", 1, 1, [0, 0], [0, 0])]));
-    (verdict.pooling, verdict.fence, verdict.round) = (pooling, fence, (1, round));
+    (verdict.pooling, verdict.fence, verdict.sequence) = (pooling, fence, (1, sequence));
     verdict
 }
 
 #[test]
 fn a_gateway_refuses_verdicts_of_a_replaced_owner_late_ones_and_sharing_on_a_minority_side() {
-    let mut held = VerdictTable::new(10);
+    let mut table = VerdictTable::new(10);
     let two = FencingToken {
         epoch: 2,
         version: 1,
     };
     assert_eq!(
-        held.take(0, verdict(Pooling::Session, two, 5), true),
+        table.on_verdict(0, verdict(Pooling::Session, two, 5), true),
         Ok(())
     );
-    let old = held.take(0, verdict(Pooling::Statement, ONE, 9), true);
+    let old = table.on_verdict(0, verdict(Pooling::Statement, ONE, 9), true);
     assert_eq!(
         old,
-        Err(VerdictRejection::Old {
+        Err(VerdictRejection::Superseded {
             came: ONE,
             known: two
         })
     );
     assert_eq!(
-        held.take(0, verdict(Pooling::Statement, two, 5), true),
-        Err(VerdictRejection::Late)
+        table.on_verdict(0, verdict(Pooling::Statement, two, 5), true),
+        Err(VerdictRejection::Outdated)
     );
     assert_eq!(
-        held.take(0, verdict(Pooling::Statement, two, 6), false),
+        table.on_verdict(0, verdict(Pooling::Statement, two, 6), false),
         Err(VerdictRejection::Minority)
     );
-    assert_eq!(held.in_force(0, 7, 0, true), Pooling::Session);
+    assert_eq!(table.in_force(0, 7, 0, true), Pooling::Session);
     assert_eq!(
-        held.take(0, verdict(Pooling::Statement, two, 6), true),
+        table.on_verdict(0, verdict(Pooling::Statement, two, 6), true),
         Ok(())
     );
-    assert_eq!(held.in_force(0, 7, 0, true), Pooling::Statement);
+    assert_eq!(table.in_force(0, 7, 0, true), Pooling::Statement);
 }
 
 #[test]
 fn verdicts_stand_while_their_owner_lives_and_fade_after_it_but_not_towards_sharing_on_a_minority_side(
 ) {
-    let mut held = VerdictTable::new(10);
+    let mut table = VerdictTable::new(10);
     assert_eq!(
-        held.take(0, verdict(Pooling::Statement, ONE, 1), true),
+        table.on_verdict(0, verdict(Pooling::Statement, ONE, 1), true),
         Ok(())
     );
     assert_eq!(
-        held.in_force(9 * FADE, 7, 9 * FADE, true),
+        table.in_force(9 * VERDICT_TTL, 7, 9 * VERDICT_TTL, true),
         Pooling::Statement,
         "the keeper lives"
     );
-    assert_eq!(held.in_force(FADE - 1, 7, 0, true), Pooling::Statement);
-    assert_eq!(held.in_force(FADE, 7, 0, true), Pooling::Unknown);
     assert_eq!(
-        held.in_force(FADE, 7, 0, false),
+        table.in_force(VERDICT_TTL - 1, 7, 0, true),
+        Pooling::Statement
+    );
+    assert_eq!(table.in_force(VERDICT_TTL, 7, 0, true), Pooling::Unknown);
+    assert_eq!(
+        table.in_force(VERDICT_TTL, 7, 0, false),
         Pooling::Unknown,
         "that is a step towards caution"
     );
     assert_eq!(
-        held.take(0, verdict(Pooling::Session, ONE, 2), true),
+        table.on_verdict(0, verdict(Pooling::Session, ONE, 2), true),
         Ok(())
     );
     assert_eq!(
-        held.in_force(FADE_SESSION - 1, 7, 0, true),
+        table.in_force(SESSION_VERDICT_TTL - 1, 7, 0, true),
+        Pooling::Session
+    );
+    assert_eq!(
+        table.in_force(SESSION_VERDICT_TTL, 7, 0, true),
+        Pooling::Unknown
+    );
+    assert_eq!(
+        table.in_force(SESSION_VERDICT_TTL, 7, 0, false),
         Pooling::Session
     );
-    assert_eq!(held.in_force(FADE_SESSION, 7, 0, true), Pooling::Unknown);
-    assert_eq!(held.in_force(FADE_SESSION, 7, 0, false), Pooling::Session);
 }
 
 #[test]
