--- a/gateway-cluster/src/sessions/classifier.rs
+++ b/gateway-cluster/src/sessions/classifier.rs
@@ -1,16 +1,19 @@
-//! One gateway's part in the sessions: it counts for all owners, keeps the customers that the shard map gives it, and goes
-//! by the verdicts that it is told.
+//! State machine of one gateway: counts requests, owns the customers that the shard map assigns to it, and applies the
+//! verdicts of other owners.
 //!
-//! **Who is asked.** A gateway that gains keys calls the roll: it asks each living gateway once to send all that it has counted
-//! of the keys, and takes no step towards sharing before all of them have said that they did. Only then is a customer's set known: the gateways
-//! that have reported of it. A gateway that returns from the dead is asked as well. So a gateway that is held alive but cannot be
-//! reached keeps this owner from steps towards sharing; steps towards caution wait for nothing.
+//! **Collection of reports.** A gateway that gains keys requests all reports for them from each live gateway, once, and
+//! relaxes no verdict before each of them has answered. Only then are all gateways known that see a customer: those
+//! that have reported it. A gateway that returns after a failure is asked as well. So a gateway that is alive but
+//! cannot be reached keeps this owner from relaxing verdicts; restricting them waits for nothing.
 //!
-//! **What is sent.** In any time `t` no more than 30 and 3 a second times `t`, whatever customers do: what has no room waits, by
-//! customer and not by event, and is built at the moment it goes. First verdicts, then counts with a new break; from the upper half of
-//! the bucket alone a verdict's repetitions, and then the rest, put together to one datagram a second for each gateway.
+//! **Rate limit.** In any time `t` at most 30 datagrams and 3 a second times `t` are sent, whatever customers do: the
+//! rest waits, queued by customer and not by event, and is built when it is sent. Verdicts go first, then reports with
+//! a new break; the repetitions of a verdict, and then the rest, may use the upper half of the token bucket only,
+//! combined into one datagram a second for each gateway.
 //!
-//! **Memory.** 4,096 customers of each: counted, kept, and held by verdicts.
+//! **Memory.** 4,096 customers each: counted, owned, and with a verdict.
+//!
+//! No I/O and no clock; times are in microseconds. Driven by the cluster node.
 
 use super::evidence::{ConnectionUse, Evidence, Outcome};
 use super::verdicts::{
@@ -29,27 +32,27 @@
 use rand_pcg::Pcg64Mcg;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What is sent in any second: the bucket's size and its rate, and the part that is kept for verdicts and breaks.
+/// Token bucket for datagrams: size, rate per second, and the fraction reserved for verdicts and reports of breaks.
 pub const BURST: f64 = 30.0;
 /// See [`BURST`].
 pub const PER_SECOND: f64 = 3.0;
 const VERDICT_RESERVE: f64 = 0.5;
-/// Between two looks, where there is anything to look at and where there is nothing.
+/// Timer intervals: with customers or queued items, and without.
 const TICK: Micros = 100_000;
 const IDLE_INTERVAL: Micros = 500_000;
-/// ReportMessage without a new break go to one owner so often at most, and a roll is called again after that.
+/// Minimum interval between two reports without a new break for one owner, and between two requests for a collection.
 const REPORT_INTERVAL: Micros = 1_000_000;
-/// Customers whose counts are taken up in one look.
+/// Maximum number of reports taken up in one timer tick.
 const MAX_REPORTS_PER_TICK: usize = 256;
-/// Gateways of a set that are remembered.
+/// Maximum number of gateways kept for a customer.
 const MAX_GATEWAYS: usize = 8;
-/// How often what belongs to customers that are kept no more is cleared away.
+/// Interval at which state of customers and gateways that are gone is dropped.
 const CLEANUP_INTERVAL: Micros = 10_000_000;
 
-/// What a part begins with.
+/// Settings of the classifier.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct ClassifierSettings {
-    /// Customers that it counts, keeps and holds verdicts of, at most, each.
+    /// Maximum number of customers, each: counted, owned, and with a verdict.
     pub max_customers: usize,
 }
 
@@ -61,51 +64,51 @@
     }
 }
 
-/// What a part knows of its surroundings at the moment of an event.
+/// State of the cluster at the time of an event.
 pub struct ClusterContext<'a> {
-    /// Who keeps which customer.
+    /// The shard map: who owns which customer.
     pub shard_map: &'a ShardMapNode,
-    /// The peer set, and what the view holds of it.
+    /// Names of the peer set, and the membership's state for each.
     pub names: &'a [String],
     /// See `names`.
     pub states: &'a [PeerState],
-    /// The side that this gateway is on.
+    /// Side of the network partition that this gateway is on.
     pub side: PartitionSide,
-    /// It goes, or another process has its name.
+    /// The gateway shuts down, or another process has its name: nothing is sent.
     pub silent: bool,
 }
 
-/// What operators are told of a customer.
+/// Status of a customer for operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ClassifierStatus {
     /// Its owner, as far as this gateway knows.
     pub owner: Option<String>,
-    /// What it is held for here.
+    /// The classification that applies at this gateway.
     pub pooling: Pooling,
-    /// Under which right that was said, or else the map in force.
+    /// Fencing token of the verdict, or of the map in force if there is no verdict.
     pub fence: FencingToken,
-    /// Time since it was last judged so.
+    /// Time since the last evidence for it, in microseconds.
     pub age: Micros,
-    /// Gateways whose reports it rests on.
+    /// Gateways whose reports were used.
     pub reports: Vec<String>,
     /// Their counts.
     pub evidence: EvidenceSummary,
 }
 
-/// Verdicts that were refused, by why.
+/// Number of rejected verdicts, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Refusals {
-    /// Under a right that is over, or of a gateway that the map in force gives that customer not to.
+    /// The fencing token is outdated, or the sender does not own the customer in the map in force.
     pub old: u64,
-    /// Not the newest.
+    /// A later verdict is known.
     pub late: u64,
-    /// Towards sharing, on a minority side.
+    /// The verdict would be relaxed on a minority side.
     pub minority: u64,
-    /// There was no room.
+    /// The table of verdicts is full.
     pub full: u64,
 }
 
-/// What the view held of a gateway.
+/// A peer, as the membership sees it.
 #[derive(Debug, Clone, Copy)]
 struct PeerView {
     id: PeerId,
@@ -113,25 +116,26 @@
     is_dead: bool,
 }
 
-/// What waits for one gateway.
+/// Items queued for one peer.
 #[derive(Debug, Default)]
 struct PeerQueue {
-    /// Its incarnation, as it last said; 0 if it never did.
+    /// Incarnation of the peer as last received; 0 before that.
     incarnation: u64,
     verdicts: BTreeSet<Customer>,
     reports: BTreeSet<Customer>,
-    /// Among the reports is a new break.
+    /// One of the reports has a new break.
     is_urgent: bool,
     requests: BTreeSet<Customer>,
-    /// When the roll was called last, of this gateway.
+    /// When this gateway last requested a collection from the peer.
     collection_sent_at: Option<Micros>,
-    /// Its roll that is still to be answered, and the last one that was.
+    /// The collection that the peer requested and that is not complete, as the peer's incarnation and its number; and
+    /// the last one that was completed.
     pending_collection: Option<(u64, u32)>,
     answered_collection: Option<(u64, u32)>,
     reports_sent_at: Option<Micros>,
 }
 
-/// One incarnation's part.
+/// Classifier of one incarnation of a gateway.
 #[derive(Debug)]
 pub struct SessionClassifier {
     me: PeerId,
@@ -148,18 +152,18 @@
     collection: u32,
     collected: BTreeSet<PeerId>,
     queues: BTreeMap<PeerId, PeerQueue>,
-    /// The gateway that something was sent to last.
+    /// The peer that the last datagram went to.
     last_recipient: PeerId,
     probed_at: BTreeMap<Customer, Micros>,
     budget: TokenBucket,
     wakeup_at: Micros,
     cleanup_at: Micros,
     rng: Pcg64Mcg,
-    /// Verdicts that were refused.
+    /// Rejected verdicts.
     pub refused: Refusals,
-    /// Datagrams that make no sense, and those of names or for lives that are not here.
+    /// Dropped datagrams: those that cannot be decoded, and those from unknown peers or for other incarnations.
     pub dropped: (u64, u64),
-    /// Datagrams sent, and their bytes without headers.
+    /// Sent datagrams, and their bytes without headers.
     pub sent: (u64, u64),
 }
 
@@ -178,8 +182,8 @@
 }
 
 impl SessionClassifier {
-    /// An incarnation that knows nothing. `incarnation` is higher than that of any earlier process of this name, such as its start by the wall
-    /// clock.
+    /// Starts without state. `incarnation` is higher than that of any earlier process of this name, for example the
+    /// start time by the wall clock.
     pub fn new(
         now: Micros,
         name: &str,
@@ -215,7 +219,7 @@
         }
     }
 
-    /// A request has ended.
+    /// Records a finished request.
     pub fn note(
         &mut self,
         now: Micros,
@@ -224,14 +228,14 @@
         conn: ConnectionUse,
         outcome: Outcome,
     ) {
-        // Beyond the keys nobody keeps it.
+        // A number outside the key space has no owner.
         if customer < KEYS {
             self.evidence
                 .record_request(now, customer, backend, conn, outcome);
         }
     }
 
-    /// How a request of a customer is to get its connection.
+    /// How a request of a customer gets its connection.
     pub fn hold(
         &mut self,
         now: Micros,
@@ -257,7 +261,7 @@
         hold
     }
 
-    /// What a customer is held for here.
+    /// The classification that applies to a customer at this gateway.
     pub fn pooling(&self, now: Micros, customer: Customer, shard_map: &ShardMapNode) -> Pooling {
         if self.verdicts.verdict(customer).is_none() {
             return Pooling::Unknown;
@@ -271,7 +275,7 @@
         self.verdicts.in_force(now, customer, alive, self.majority)
     }
 
-    /// What operators are told of a customer.
+    /// Status of a customer for operators.
     pub fn status(
         &self,
         now: Micros,
@@ -320,7 +324,7 @@
         }
     }
 
-    /// Whether all living gateways have told what they had as this one began to keep.
+    /// Whether all live gateways have answered the collection of reports for the keys owned now.
     pub fn has_collected_all(&self) -> bool {
         let has_reported = |seen: &PeerView| {
             seen.is_dead || seen.id == self.me || self.collected.contains(&seen.id)
@@ -328,7 +332,7 @@
         !self.owned.is_empty() && self.gateways.values().all(has_reported)
     }
 
-    /// ReportMessage that were left out, and why.
+    /// Counts of this gateway.
     pub fn evidence(&self) -> &Evidence {
         &self.evidence
     }
@@ -338,7 +342,7 @@
         self.wakeup_at
     }
 
-    /// Something is due, or past that.
+    /// Runs what is due.
     pub fn on_timer(
         &mut self,
         now: Micros,
@@ -365,7 +369,7 @@
         self.wakeup_at = now + if idle { IDLE_INTERVAL } else { TICK };
     }
 
-    /// A datagram has come.
+    /// Handles a datagram.
     pub fn on_datagram(
         &mut self,
         now: Micros,
@@ -408,7 +412,8 @@
                 queue.pending_collection = Some((incarnation, number));
                 let map = around.shard_map.map();
                 let theirs = |customer| map.and_then(|map| map.owner_of(customer)) == Some(name);
-                // By a map that this gateway does not have yet it may keep more: that is told as it changes.
+                // The sender may own more by a map that this gateway does not have yet; those reports follow when the
+                // map arrives.
                 queue.reports.extend(self.evidence.resend(theirs));
             }
             Kind::CollectReports(_) => {}
@@ -449,7 +454,7 @@
         self.flush(now, around, sends);
     }
 
-    /// Takes up what the surroundings are now.
+    /// Takes over the state of the cluster; a gain of keys starts a collection of reports.
     fn sync_with_cluster(&mut self, now: Micros, around: &ClusterContext<'_>) {
         self.budget.fill(now);
         self.majority = matches!(around.side, PartitionSide::Whole | PartitionSide::Majority);
@@ -463,7 +468,7 @@
             });
             seen.is_dead = *state == PeerState::Dead && id != self.me;
             if seen.is_dead {
-                // What it had counted meanwhile is asked for once it is back.
+                // A peer that returns is asked for what it has counted meanwhile.
                 self.collected.remove(&id);
             } else {
                 seen.alive_at = now;
@@ -491,7 +496,7 @@
         }
     }
 
-    /// A gateway has reported of a customer that is kept here: it belongs to its set.
+    /// Records that a gateway sees a customer that is owned here.
     fn add_reporting_gateway(&mut self, gateway: &str, customer: Customer) {
         if !self.reporting_gateways.contains_key(&customer)
             && self.reporting_gateways.len() >= self.max_customers
@@ -510,13 +515,13 @@
         }
     }
 
-    /// Tells a customer's owner what was counted of it.
+    /// Queues the report of a customer for its owner.
     fn queue_report(&mut self, now: Micros, customer: Customer, around: &ClusterContext<'_>) {
         if owns_key(&self.owned, customer) {
             self.report_to_self(now, customer, around);
             return;
         }
-        // Where there is no owner, whoever will be one calls the roll.
+        // Without an owner there is nothing to send: the next owner starts a collection.
         let owner = around
             .shard_map
             .map()
@@ -538,7 +543,7 @@
         self.run_aggregator(now, Input::Report(report), around);
     }
 
-    /// As the owner.
+    /// Passes an input to the aggregator and queues its outputs.
     fn run_aggregator(&mut self, now: Micros, input: Input, around: &ClusterContext<'_>) {
         let (reporting_gateways, gateways, owned) =
             (&self.reporting_gateways, &self.gateways, &self.owned);
@@ -559,7 +564,7 @@
         self.aggregator.on_input(now, input, &context, &mut outputs);
         for output in outputs {
             match output {
-                // It is told of itself whatever it has: the next look is soon enough for what is new.
+                // The report of this gateway itself is passed on directly.
                 Output::RequestReport { gateway, customer } if gateway == self.name => {
                     self.report_to_self(now, customer, around);
                 }
@@ -587,7 +592,7 @@
         }
     }
 
-    /// As a gateway that goes by what an owner says.
+    /// Applies the verdict of an owner.
     fn on_verdict(
         &mut self,
         now: Micros,
@@ -616,7 +621,7 @@
         }
     }
 
-    /// Sends what waits, as far as it may.
+    /// Sends queued items, as far as the budget allows.
     fn flush(&mut self, now: Micros, around: &ClusterContext<'_>, sends: &mut Vec<Transmit>) {
         if around.silent {
             return;
@@ -636,7 +641,7 @@
                 self.queues.entry(seen.id).or_default();
             }
         }
-        // Whoever came last in the round before comes first now.
+        // Round robin: the peer after the last recipient comes first.
         let mut gateways: Vec<PeerId> = self
             .queues
             .keys()
@@ -677,7 +682,7 @@
             let mut remaining = MAX_ITEM_BYTES;
             let mut verdicts = Vec::new();
             while let Some(&customer) = queue.verdicts.first() {
-                // Its right to say so is looked at now, not when it was decided.
+                // Ownership is checked when the verdict is sent, not when it was decided.
                 let verdict = self.aggregator.verdict(now, customer, fence);
                 if let Some(verdict) = verdict.filter(|_| owns_key(&self.owned, customer)) {
                     let one = VerdictMessage::new(&verdict, peer_id_of);
@@ -746,7 +751,7 @@
         }
     }
 
-    /// The roll, questions, and counts without news.
+    /// Sends requests for collections and reports, and reports without a new break.
     fn send_requests(
         &mut self,
         now: Micros,
@@ -816,7 +821,7 @@
     }
 }
 
-/// Whether a range lies in one of these.
+/// Whether a range lies within one of these.
 fn covers(ranges: &[(Key, Key)], (from, to): (Key, Key)) -> bool {
     ranges.iter().any(|range| range.0 <= from && to <= range.1)
 }
--- a/gateway-cluster/src/sessions/evidence.rs
+++ b/gateway-cluster/src/sessions/evidence.rs
@@ -1,20 +1,22 @@
-//! What a gateway counts of its customers, and the control beside it.
+//! Counts of one gateway: requests and failures of each customer, on changed and on reused connections, against a
+//! control group.
 //!
-//! **The control.** A request is held against how *others* failed at the same backend, at this gateway, in the same
-//! seconds. Seconds in which others fail are left out, with their successes too; they are not weighed against the
-//! control's rate. Weighing would need the rate in that second, which is known from a handful of requests only, and
-//! an excess over a rate known badly convicts the innocent. Leaving out costs time alone, and as it looks at others
-//! only, what is left of the customer's own outcomes is not picked by them. A second in which there are too few others
-//! to tell is left out as well.
+//! **Control group.** A request is compared with the requests of *other* customers at the same backend, at this
+//! gateway, in the same seconds. Seconds in which others fail are excluded, successes as well as failures; they are not
+//! weighted by the control's failure rate. Weighting would need the rate in that second, which is known from a handful
+//! of requests only, and an excess over an inaccurate rate would convict stateless customers. Exclusion costs time
+//! only, and since it depends on others alone, it does not select among the customer's own outcomes. Seconds with too
+//! few other requests are excluded as well.
 //!
-//! What others count: kept connections of all, and, where these are few, changed ones of customers that are not held for
-//! bound, since a break of a bound customer says nothing of the backend. The changed ones go along beside: what fails for
-//! everyone that changes, such as connections that were closed while idle, is no one's state. No customer adds more than a few requests a second, so that a
-//! noisy one neither hides a backend's trouble nor makes it.
+//! The control group consists of the requests of all others on reused connections and, where these are few, of requests
+//! on changed connections of customers that are not bound, since a break of a bound customer says nothing about the
+//! backend. Requests on changed connections are also counted separately: what fails for everyone after a change, such
+//! as connections that were closed while idle, does not show a customer's state. Each customer contributes a few
+//! requests a second at most, so that a busy one neither hides nor causes an unhealthy backend.
 //!
-//! **Ageing.** Counts are kept in windows, of 32 changed requests or 30 minutes, the last four of each kind of change.
-//! A window only grows, and the last one that is full or over goes as a whole. The gateway alone decides where a window ends, so a
-//! report is one state of one writer and two gateways' windows need not agree.
+//! **Windows.** Counts are kept in windows of 32 requests on changed connections or 30 minutes, the last four for each
+//! kind of change. A window only grows, and the oldest one is dropped as a whole. The gateway alone decides where a
+//! window ends, so a report is one state of one writer, and the windows of two gateways need not agree.
 
 use super::{Backend, Customer, Pooling};
 use crate::protocol::Micros;
@@ -24,50 +26,54 @@
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, VecDeque};
 
-/// Windows of each kind of change.
+/// Number of windows of each kind of change.
 pub const WINDOWS: usize = 4;
-/// Changed requests after which a window is full.
+/// Requests on changed connections after which a window is full.
 pub const WINDOW_REQUESTS: u16 = 32;
-/// Seconds after which a window is over.
+/// Seconds after which a window ends.
 pub const WINDOW_S: u32 = 1800;
-/// Seconds on both sides of a request that its control is taken from, and how far back it reaches where they hold too
-/// few. A second is settled when the next one is over.
+/// Seconds before and after a request that its control group is taken from, and how far back it reaches if these hold
+/// too few requests. A second is evaluated when the next one is over.
 const CONTROL_BACK_S: u64 = 3;
 const CONTROL_AHEAD_S: u64 = 1;
 const CONTROL_MAX_BACK_S: u64 = 30;
-/// Requests that a control needs, the failed part from which a backend is sick, and the part of changed ones from which
-/// it is sick though kept ones are well, as where it takes no new connections.
+/// Minimum number of requests of a control group; the failure rate above which a backend is unhealthy; and the failure
+/// rate on changed connections above which it is unhealthy even if reused ones work, as a backend that takes no new
+/// connections.
 const MIN_CONTROL_REQUESTS: u32 = 6;
 const MAX_CONTROL_FAILURE_RATE: f64 = 0.1;
 const MAX_CHANGED_FAILURE_RATE: f64 = 0.8;
-/// Requests of one customer in one second at one backend that count as control of others.
+/// Maximum number of requests of one customer at one backend that count for the control group in one second.
 const MAX_CONTROL_REQUESTS_EACH: u32 = 4;
-/// Entries that may wait for their second or stand behind as control, together.
+/// Maximum number of entries that wait for their second or serve as control group, together.
 const MAX_BUFFERED: usize = 16_384;
-/// Customers that are drawn to find the one that goes, and changed requests and seconds that make one dear.
+/// Customers sampled for an eviction; requests on changed connections that protect a customer from it, and seconds
+/// without a request that end the protection.
 const EVICTION_SAMPLE: usize = 8;
 const PROTECTED_CHANGED_REQUESTS: u32 = 4;
 const PROTECTED_IDLE_S: u32 = 600;
-/// A report goes so often after a change; pauses while nothing is decided, after that, and where a break is new.
+/// How often a changed report is sent; and the interval between two reports, in microseconds: while the customer is
+/// undecided, after that, and after a new break.
 const REPORT_REPEATS: u8 = 3;
 const UNDECIDED_INTERVAL: Micros = 5_000_000;
 const DECIDED_INTERVAL: Micros = 30_000_000;
 const BREAK_INTERVAL: Micros = 200_000;
 
-/// On which connection a request went.
+/// Connection that a request used.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionUse {
-    /// On the customer's last one to that backend, which nobody else used since.
+    /// The customer's last connection to that backend, which nobody else has used since.
     Kept,
-    /// On another, or on one that another used since, within a run.
+    /// Another connection, or one that another customer has used since, within a run.
     ChangedInRun,
     /// The same between two runs.
     ChangedBetween,
 }
 
 impl ConnectionUse {
-    /// `same`: the customer's last connection to that backend, and nobody's since. `since`: the time since the end of its
-    /// last request there, if any is known: a first one leaves nothing behind. `gap`: the longest pause within a run.
+    /// `same`: it is the customer's last connection to that backend, and nobody else has used it since. `since`: the
+    /// time since the end of the customer's last request there, if there was one: a first request leaves no state
+    /// behind. `gap`: the longest pause within a run. Times in microseconds.
     pub fn of(same: bool, since: Option<Micros>, gap: Micros) -> ConnectionUse {
         match (same, since) {
             (true, _) | (_, None) => ConnectionUse::Kept,
@@ -84,37 +90,37 @@
     Http500,
     /// The connection broke.
     Reset,
-    /// No answer in time.
+    /// The request timed out.
     Timeout,
 }
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// Well.
+    /// Success.
     Fine,
-    /// Not well.
+    /// Failure.
     Failed(Failure),
-    /// The customer closed or went away: that says nothing, and is not counted at all.
+    /// The customer closed its connection: not counted.
     CustomersOwn,
 }
 
-/// Requests, and those that failed: 500, resets, timeouts.
+/// Number of requests and of failed ones.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Tally {
-    /// All.
+    /// All requests.
     pub requests: u16,
-    /// Failed, by kind.
+    /// Failed requests: status 500, resets, timeouts.
     pub failed: [u16; 3],
 }
 
 impl Tally {
-    /// Those that failed.
+    /// Number of failed requests.
     pub fn failures(&self) -> u32 {
         self.failed.iter().map(|&count| u32::from(count)).sum()
     }
 
-    /// A full tally takes no more of either, so that its rate stays true.
+    /// A counter at its maximum takes no more of either, so that the rate stays correct.
     fn add(&mut self, other: Tally) {
         if self.requests.checked_add(other.requests).is_none() {
             return;
@@ -126,35 +132,35 @@
     }
 }
 
-/// Counts from one stretch of time.
+/// Counts of one window.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Window {
     /// Requests on a changed connection.
     pub changed: Tally,
-    /// Requests on a kept one.
+    /// Requests on the reused connection.
     pub reused: Tally,
-    /// The control of both: requests of others and those that failed.
+    /// Control group of both: requests of others and those that failed.
     pub control: [u32; 2],
-    /// Changed requests of others that are not held for bound, and those that failed.
+    /// Requests of others on changed connections, of customers that are not bound, and those that failed.
     pub control_changed: [u32; 2],
 }
 
-/// What a gateway holds of a customer, whole.
+/// All that a gateway has counted for a customer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
-    /// The gateway.
+    /// Name of the gateway.
     pub gateway: String,
-    /// Its incarnation.
+    /// Incarnation of the gateway.
     pub incarnation: u64,
-    /// Grows within an incarnation.
+    /// Sequence number; it grows within an incarnation.
     pub sequence: u64,
-    /// Of whom.
+    /// The customer.
     pub customer: Customer,
-    /// The verdict that the gateway acts on: a new owner goes on from it.
+    /// The verdict that the gateway applies: a new owner continues from it.
     pub pooling: Pooling,
     /// Windows of changes within runs, newest first, each with its age in seconds.
     pub in_run: Vec<(Window, u32)>,
-    /// The same between runs.
+    /// Windows of changes between runs, newest first, each with its age in seconds.
     pub between_runs: Vec<(Window, u32)>,
 }
 
@@ -162,7 +168,7 @@
 #[derive(Debug, Clone, Copy, Default)]
 struct WindowRing {
     windows: [Window; WINDOWS],
-    /// The second in which each began.
+    /// The second in which each window started.
     started_s: [u32; WINDOWS],
     count: u8,
 }
@@ -211,7 +217,7 @@
     }
 }
 
-/// What is held of one customer.
+/// Counts of one customer.
 #[derive(Debug, Clone, Copy)]
 struct Record {
     in_run: WindowRing,
@@ -219,13 +225,14 @@
     last_seen_s: u32,
     sent_at: Micros,
     pending_sends: u8,
-    /// How often a new break is still to be told.
+    /// How often a new break still has to be reported.
     urgent_sends: u8,
     pooling: Pooling,
 }
 
-/// Bytes of one customer in the table: its number, its counts, and what the table adds (a hash, and an index at 7/8
-/// full at the least after growth by two). `state_of_a_customer_is_as_small_as_stated` holds it against the compiler's.
+/// Bytes of one customer in the table: number, counts, and the overhead of the table (a hash, and an index that is at
+/// most 7/8 full and doubles when it grows). The test `state_of_a_customer_is_as_small_as_stated` compares it with the
+/// compiler's sizes.
 pub const BYTES_PER_CUSTOMER: usize = 8 + RECORD_BYTES + 8 + 16;
 const RECORD_BYTES: usize = std::mem::size_of::<Record>();
 
@@ -235,7 +242,7 @@
     in_run: Tally,
     between_runs: Tally,
     reused: Tally,
-    /// What it adds to the control of others: kept and changed, requests and failures.
+    /// Its contribution to the control group of others.
     contribution: ControlCounts,
 }
 
@@ -272,7 +279,7 @@
     f64::from(counts[1]) / f64::from(counts[0].max(1))
 }
 
-/// One second at this gateway.
+/// Requests of one second at this gateway.
 #[derive(Debug, Default)]
 struct Second {
     at: u64,
@@ -280,22 +287,22 @@
     entries: IndexMap<(Backend, Customer), RequestCounts>,
 }
 
-/// What was not counted, and why.
+/// Number of entries that were not counted, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ExcludedCounts {
     /// Entries of seconds in which others failed at that backend.
     pub unhealthy: u64,
-    /// Entries of seconds with too few others.
+    /// Entries of seconds with too few requests of others.
     pub too_few_others: u64,
-    /// Requests for which there was no room to wait for their second.
+    /// Requests that exceeded the limit of waiting entries.
     pub queue_full: u64,
-    /// Entries of customers for whom there was no room.
+    /// Entries of customers that did not fit in the table.
     pub table_full: u64,
-    /// Customers that had to go for others.
+    /// Customers evicted for others.
     pub evicted: u64,
 }
 
-/// The counts of one incarnation of one gateway.
+/// Counts of one incarnation of one gateway.
 #[derive(Debug)]
 pub struct Evidence {
     gateway: String,
@@ -312,11 +319,11 @@
 }
 
 impl Evidence {
-    /// An incarnation that knows nothing. It holds `max_customers` customers.
+    /// Starts without counts, with a limit of `max_customers` customers.
     ///
-    /// Where there are more, the one goes that is least dear of eight drawn by chance: first who was idle for ten minutes,
-    /// then who has fewer than four changed requests counted, then who was seen longest ago. Where all eight are
-    /// dear, the newcomer is not taken. A flood of newcomers so pushes out newcomers.
+    /// If the table is full, one of eight sampled customers is evicted: first a customer without a request for ten
+    /// minutes, then one with fewer than four counted requests on changed connections, then the one seen longest ago.
+    /// If all eight are protected, the new customer is not taken. So a flood of new customers evicts new customers.
     pub fn new(gateway: &str, incarnation: u64, max_customers: usize, seed: u64) -> Self {
         Evidence {
             gateway: gateway.to_string(),
@@ -333,7 +340,8 @@
         }
     }
 
-    /// A request has ended. Nothing is judged here: [`Evidence::settle`] and [`Evidence::due`] are for a timer, beside requests.
+    /// Records a finished request. It is evaluated later, by [`Evidence::evaluate`] and [`Evidence::due_reports`],
+    /// which a timer calls.
     pub fn record_request(
         &mut self,
         now: Micros,
@@ -404,15 +412,16 @@
         self.buffered += second.entries.len() - before;
     }
 
-    /// What a gateway has been told to hold a customer for: its breaks say nothing of backends where it is bound.
+    /// Sets the verdict that this gateway applies to a customer: breaks of a bound customer say nothing about a
+    /// backend.
     pub fn set_pooling(&mut self, customer: Customer, pooling: Pooling) {
         if let Some(record) = self.customers.get_mut(&customer) {
             record.pooling = pooling;
         }
     }
 
-    /// Counts what seconds hold whose control is complete: to be called a few times a second. Where it is not, notes are left
-    /// out once there is no room for more.
+    /// Counts the entries of seconds whose control group is complete. Call it a few times a second; otherwise new
+    /// entries are dropped at the limit of waiting ones.
     pub fn evaluate(&mut self, now: Micros) {
         let second = now / 1_000_000;
         let mut ready = Vec::new();
@@ -463,7 +472,7 @@
         }
     }
 
-    /// How others did, near a second, or back from it where there are few.
+    /// The control group for a customer at a backend in a second, taken from further back if there are few requests.
     fn control_group(
         &self,
         index: usize,
@@ -541,7 +550,8 @@
             urgent_sends: 0,
             pooling: Pooling::Unknown,
         });
-        // Kept requests and the control stand beside both kinds of change: each is judged by its own windows.
+        // Requests on reused connections and the control group count for both kinds of change, as each is tested by its
+        // own windows.
         record
             .in_run
             .add(second, entry.in_run, entry.reused, control);
@@ -550,7 +560,7 @@
             .add(second, entry.between_runs, entry.reused, control);
         record.last_seen_s = second;
         record.pending_sends = REPORT_REPEATS;
-        // A break that the verdict allows for is no news.
+        // A break that the verdict already expects is not urgent.
         let within = entry.in_run.failures() > 0 && record.pooling < Pooling::Transaction;
         if within || (entry.between_runs.failures() > 0 && record.pooling < Pooling::Session) {
             record.urgent_sends = REPORT_REPEATS;
@@ -588,8 +598,8 @@
         }
     }
 
-    /// What is held of a customer, also where that is nothing: an owner that asks has to hear that, too.
-    /// `held` is the verdict that this gateway acts on.
+    /// The report of a customer, also where nothing was counted, since an owner that requests it waits for it.
+    /// `pooling` is the verdict that this gateway applies.
     pub fn report(&mut self, now: Micros, customer: Customer, pooling: Pooling) -> Report {
         self.evaluate(now);
         self.sequence += 1;
@@ -607,8 +617,8 @@
         }
     }
 
-    /// Customers whose owners are to be told, `max_customers` at a time, those with new breaks first. Each change is told three times, so
-    /// that one loss costs seconds, and a fifth of one for a break.
+    /// Customers whose reports are due, `limit` at most, those with new breaks first. Each change is reported three
+    /// times, so that a loss delays it by seconds, and a break by a fifth of a second.
     pub fn due_reports(&mut self, now: Micros, limit: usize) -> Vec<Customer> {
         self.evaluate(now);
         let mut due = Vec::new();
@@ -644,7 +654,7 @@
         due
     }
 
-    /// All that is held of these customers is to be told again, as for an owner that is new to them. Returns who they are.
+    /// Marks the reports of these customers as due, for an owner that does not have them. Returns the customers.
     pub fn resend(&mut self, of: impl Fn(Customer) -> bool) -> Vec<Customer> {
         let mut all = Vec::new();
         for (&customer, record) in self
@@ -659,31 +669,31 @@
         all
     }
 
-    /// Whether a new break of this customer is still to be told.
+    /// Whether a new break of this customer has not been reported as often as required.
     pub fn is_urgent(&self, customer: Customer) -> bool {
         self.customers
             .get(&customer)
             .is_some_and(|record| record.urgent_sends > 0)
     }
 
-    /// How many customers have a record.
+    /// Number of customers with counts.
     pub fn customers(&self) -> usize {
         self.customers.len()
     }
 
-    /// Bytes held at most, whatever customers do: records, and entries that wait or are control.
+    /// Upper limit of the bytes used for customers, waiting entries and control groups.
     pub fn max_bytes(&self) -> usize {
         let entry = std::mem::size_of::<(Backend, Customer, RequestCounts)>() + 24;
         self.max_customers * 2 * BYTES_PER_CUSTOMER + MAX_BUFFERED * 2 * entry
     }
 
-    /// What was left out.
+    /// What was not counted.
     pub fn excluded(&self) -> ExcludedCounts {
         self.excluded
     }
 }
 
-/// How others did, in a second that counts.
+/// Counts of a control group.
 struct ControlSample {
     control: [u32; 2],
     changed: [u32; 2],
--- a/gateway-cluster/src/sessions/judge.rs
+++ b/gateway-cluster/src/sessions/judge.rs
@@ -1,91 +1,98 @@
-//! The decision, as a function of counts.
+//! The decision about a customer, as a function of counts alone: a sequential test for each kind of change, and the
+//! order in which verdicts may follow each other. Pure functions; used by [`super::verdicts`].
 //!
 //! # Rule
 //!
-//! Two questions are asked of a customer, each with its own windows: do requests fail that changed the connection
-//! *within a run*, and do those that changed it *between runs*? Each is Wald's sequential probability ratio test (A. Wald,
-//! "Sequential Tests of Statistical Hypotheses", 1945) between two failure rates of changed requests, as parts of 1:
+//! Two questions are tested for each customer, each with its own windows: do requests fail that changed the connection
+//! *within a run*, and do those that changed it *between runs*? Each test is Wald's sequential probability ratio test
+//! (A. Wald, "Sequential Tests of Statistical Hypotheses", 1945) between two failure rates of requests on changed
+//! connections, as fractions of 1:
 //!
 //! ```text
 //!     c  = (control failures + 1/2) / (control requests + 50)
-//!     k  = (kept failures + 8 c) / (kept requests + 8)               the customer's own rate, drawn towards the control's
+//!     k  = (reused failures + 8 c) / (reused requests + 8)           the customer's own rate, shrunk towards the control's
 //!     o  = others' changed failures / (others' changed requests + 20), at most 1/2
-//!     hi = max(c, o, k + 2 sqrt(k (1 - k) / (kept requests + 8)))    what is no fault of the change, generously
-//!     lo = min(c, k)                                                 the same, meanly
+//!     hi = max(c, o, k + 2 sqrt(k (1 - k) / (reused requests + 8)))  base rate without a change, upper estimate
+//!     lo = min(c, k)                                                 base rate without a change, lower estimate
 //!     p0 = b + 0.15 (1 - b),  p1 = b + 0.60 (1 - b)                  b = hi to convict, b = lo to acquit
-//!     L  = f ln(p1 / p0) + (n - f) ln((1 - p1) / (1 - p0))           f failures in n changed requests
+//!     L  = f ln(p1 / p0) + (n - f) ln((1 - p1) / (1 - p0))           f failures in n requests on changed connections
 //!
-//!     bound   when L(hi) >= ln(20 / 1e-4)  = 12.2                    in the newest 1 to 4 windows, of all gateways or of one
-//!     doubt   when L(hi) >= 2                                        in any of the same sums
-//!     free    when L(lo) <= -ln(4 / 1e-6) = -15.2 and n >= 20        in the newest 1 to 4 windows of all gateways, without doubt
+//!     bound       when L(hi) >= ln(20 / 1e-4)  = 12.2                in the newest 1 to 4 windows, of all gateways or of one
+//!     suspicious  when L(hi) >= 2                                    in any of the same sums
+//!     free        when L(lo) <= -ln(4 / 1e-6) = -15.2 and n >= 20    in the newest 1 to 4 windows of all gateways, if not suspicious
 //! ```
 //!
-//! The likelihood ratio is a martingale with mean 1 under the hypothesis in its denominator, so it ever exceeds `1/e` with
-//! probability `e` at most, however often one looks (Wald 1945; Ville 1939); 20 and 4 are the sums that are looked at.
-//! So, from any one beginning of a window:
+//! The likelihood ratio is a martingale with mean 1 under the hypothesis in its denominator, so it ever exceeds `1/e`
+//! with probability `e` at most, however often it is tested (Wald 1945; Ville 1939); 20 and 4 are the numbers of sums
+//! that are tested. So, for any one start of a window:
 //!
-//! * a customer whose changed requests fail at `p1` or more is found free with probability 1e-6 at most;
-//! * one whose changed requests fail at `p0` or less is found bound with probability 1e-4 at most; at `b` itself, which
-//!   is what a stateless customer's do, the bound falls as `exp(-12.2 h)` with `b exp(h u) + (1 - b) exp(-h d) = 1`
-//!   for the steps `u` and `d` of one failure and one success: at `b` = 0.01 (with `hi` = 0.08) below 1e-9.
+//! * a customer whose requests on changed connections fail at rate `p1` or more is found free with probability 1e-6 at
+//!   most;
+//! * one whose requests on changed connections fail at rate `p0` or less is found bound with probability 1e-4 at most;
+//!   at `b` itself, the rate of a stateless customer, the bound falls as `exp(-12.2 h)` with
+//!   `b exp(h u) + (1 - b) exp(-h d) = 1` for the steps `u` and `d` of one failure and one success: at `b` = 0.01 (with
+//!   `hi` = 0.08) below 1e-9.
 //!
-//! Wald's bounds are for rates that are known; `c` and `k` are estimates. For the control that is little, for `k` it is not: a
-//! customer that fails 30% by its own requests, and has a dozen kept ones, may show a `k` far below. Such ones are held for bound
-//! wrongly for a while in one case of seven (see [`super`]).
+//! Wald's bounds are for known rates; `c` and `k` are estimates. For the control group that matters little, for `k` it
+//! does: a customer of which 30% of requests fail for reasons of its own, and that has a dozen requests on reused
+//! connections, may show a `k` far below. Such customers are found bound wrongly for a while in one case of seven (see
+//! [`super`]).
 //!
-//! Both are per beginning. Windows begin after 32 changed requests or 30 minutes. A customer held for bound changes its
-//! connection 12 times an hour and gateway on purpose (see [`super::verdicts::hold`]), and where others take its connection within a
-//! run: some 7% of requests in the simulation. Four gateways so begin 320 windows an hour for 10 requests a second, and the test
-//! allows 3e-4 false verdicts an hour to a customer of which just 60% of breaks fail; the bound of 1 in 1,000 customer-hours
-//! holds up to some 30 requests a second there. Where breaks fail more often it holds with room, as `L` has to fall by 15.2
-//! in steps of 0.75 without a failure between. What may break that is the assumption under it: outcomes of the
-//! seconds counted are independent given `c` and `k`.
+//! Both probabilities are per start of a window. Windows start after 32 requests on changed connections or 30 minutes. A
+//! bound customer changes its connection 12 times an hour at each gateway on purpose (see
+//! [`super::verdicts::connection_policy`]), and where others take its connection within a run: some 7% of requests in
+//! the simulation. So at 10 requests a second four gateways start 320 windows an hour, and the test allows 3e-4 false
+//! verdicts an hour for a customer of which just 60% of breaks fail; the bound of 1 in 1,000 customer-hours holds up to
+//! some 30 requests a second there. Where breaks fail more often it holds with a margin, as `L` has to fall by 15.2 in
+//! steps of 0.75 without a failure between. The assumption behind it may fail: that outcomes of the seconds counted are
+//! independent given `c` and `k`.
 //!
-//! As the newest windows are looked at alone as well, this is Page's cumulative sum (1954) in steps of a window: a customer
-//! that turns is seen from its newest windows, and what was before weighs at most 32 requests against it. Gateways' windows
-//! begin at different times, so fresh breaks at one can be added to old successes at another; doubt keeps such a sum from
-//! taking back a verdict that the breaks have just brought.
+//! As the newest windows are tested alone as well, this is Page's cumulative sum (1954) in steps of a window: a change
+//! of a customer shows in its newest windows, and older ones contribute at most 32 requests against it. The windows of
+//! several gateways start at different times, so that new breaks at one may be added to old successes at another; the
+//! suspicion threshold keeps such a sum from taking back a verdict that the breaks have just caused.
 //!
-//! `o` is there for what fails whoever changes a connection. It has the breaks of bound customers in it that are not
-//! found yet, so the first ones to be found take some 25 breaks in a cluster of which a third is bound, and later ones 8; the half
-//! keeps a cluster of bound customers from hiding each other.
+//! `o` accounts for what fails after any change of connection. It includes the breaks of bound customers that are not
+//! found yet, so the first ones take some 25 breaks to be found in a cluster of which a third is bound, and later ones
+//! 8; the maximum of 1/2 keeps the customers of a cluster in which all are bound from hiding each other.
 //!
-//! A customer that fails everything has a high `k`: `p0` and `p1` meet, and it stays unknown.
+//! A customer of which all requests fail has a high `k`: `p0` and `p1` converge, and it stays unknown.
 
 use super::evidence::{Window, WINDOW_REQUESTS};
 use super::Pooling;
 use serde::{Deserialize, Serialize};
 
-/// Excess, of what would not have failed anyway, that convicts nobody, and that which a bound customer shows.
+/// Failure rate caused by a change of connection, among requests that would not have failed anyway: at most this for a
+/// stateless customer, and at least [`EFFECT`] for a bound one.
 pub const NO_EFFECT: f64 = 0.15;
 /// See [`NO_EFFECT`].
 pub const EFFECT: f64 = 0.60;
-/// Chance of `bound` from one beginning, for a customer without effect.
+/// Probability of `Bound` from one start of a window, for a customer without effect.
 pub const FALSE_BOUND: f64 = 1e-4;
-/// Chance of `free` from one beginning, for a customer with effect.
+/// Probability of `Free` from one start of a window, for a customer with effect.
 pub const FALSE_FREE: f64 = 1e-6;
-/// Sums looked at for each verdict.
+/// Number of sums that are tested for each verdict.
 const SUMS_BOUND: f64 = 20.0;
 const SUMS_FREE: f64 = 4.0;
-/// Changed requests without which nobody is free.
+/// Minimum number of requests on changed connections for `Free`.
 pub const MIN_REQUESTS_TO_SHARE: u32 = 20;
-/// What others' changed requests excuse at most.
+/// Maximum base rate that the failures of others on changed connections can give.
 const MAX_OTHERS_RATE: f64 = 0.5;
-/// Nats towards bound, in any sum, with which nobody is free.
+/// Log likelihood ratio towards bound, in nats, that in any sum prevents `Free`.
 const MIN_SUSPICION: f64 = 2.0;
-/// Where even the customer's kept requests fail this often, nothing is said about changes.
+/// Failure rate on reused connections above which nothing is decided about changes.
 const MAX_BASE_RATE: f64 = 0.7;
 
-/// Sums of windows.
+/// Sums over windows.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Counts {
-    /// Changed requests and those that failed.
+    /// Requests on changed connections, and those that failed.
     pub changed: [u32; 2],
-    /// Kept ones.
+    /// Requests on reused connections, and those that failed.
     pub reused: [u32; 2],
-    /// Others'.
+    /// Requests of others, and those that failed.
     pub control: [u32; 2],
-    /// Others' changed ones.
+    /// Requests of others on changed connections, and those that failed.
     pub control_changed: [u32; 2],
 }
 
@@ -112,7 +119,7 @@
         add_to(&mut self.control_changed, window.control_changed);
     }
 
-    /// The lower and the upper of what is no fault of a change.
+    /// Lower and upper estimate of the failure rate without a change of connection.
     fn base(&self) -> (f64, f64) {
         let [requests, failures] = self.control.map(f64::from);
         let control = ((failures + 0.5) / (requests + 50.0)).min(1.0);
@@ -127,7 +134,7 @@
         )
     }
 
-    /// The log likelihood ratio of [`EFFECT`] against [`NO_EFFECT`] over a base rate, in nats.
+    /// Log likelihood ratio of [`EFFECT`] against [`NO_EFFECT`] over a base rate, in nats.
     fn ratio(&self, base: f64) -> f64 {
         let base = base.clamp(1e-4, MAX_BASE_RATE);
         let (p0, p1) = (
@@ -139,7 +146,7 @@
         failed * (p1 / p0).ln() + fine * ((1.0 - p1) / (1.0 - p0)).ln()
     }
 
-    /// Nats towards bound, with the generous base.
+    /// Log likelihood ratio towards bound, in nats, with the upper base rate.
     pub fn towards_bound(&self) -> f64 {
         let (_, high) = self.base();
         if high >= MAX_BASE_RATE {
@@ -148,24 +155,24 @@
         self.ratio(high)
     }
 
-    /// Nats towards free, with the mean base.
+    /// Log likelihood ratio towards free, in nats, with the lower base rate.
     pub fn towards_free(&self) -> f64 {
         -self.ratio(self.base().0)
     }
 }
 
-/// What is known of one kind of change.
+/// Result of the test for one kind of change.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Found {
-    /// Not enough.
+    /// Not enough evidence.
     Undecided,
-    /// It breaks the customer's requests.
+    /// A change of connection breaks the customer's requests.
     Bound,
-    /// It does not.
+    /// A change of connection does not matter.
     Free,
 }
 
-/// The test, on the windows of each gateway, newest first. Its answer rests on their order at a gateway alone, not on that of gateways.
+/// The test, on the windows of each gateway, newest first. The result does not depend on the order of the gateways.
 pub fn test(gateways: &[Vec<Window>]) -> Found {
     let max_windows = gateways.iter().map(Vec::len).max().unwrap_or(0);
     let sum = |gateways: &[Vec<Window>], newest: usize| {
@@ -183,7 +190,7 @@
     let (mut acquitted, mut is_suspicious) = (false, false);
     for newest in 1..=max_windows {
         let all = sum(gateways, newest);
-        // A gateway alone is looked at as well: what another saw before a turn must not hide it.
+        // Each gateway is also tested alone, so that older windows of another gateway cannot hide a change.
         let each_alone = gateways
             .iter()
             .map(|gateway| sum(std::slice::from_ref(gateway), newest).towards_bound());
@@ -201,7 +208,7 @@
     }
 }
 
-/// The next verdict. Towards caution at once; towards sharing one step at a time, and only where `may_share`.
+/// The next verdict. It is restricted at once, and relaxed one step at a time, only if `may_share`.
 pub fn decide(before: Pooling, in_run: Found, between: Found, may_share: bool) -> Pooling {
     match (before, between, in_run) {
         (_, Found::Bound, _) => Pooling::Session,
@@ -213,7 +220,8 @@
     }
 }
 
-/// Changed requests that all go well until a customer without failures is found free, for a control that never fails.
+/// Number of successful requests on changed connections until a customer without failures is found free, with a control
+/// group without failures.
 pub fn requests_to_share() -> u32 {
     let step = ((1.0 - NO_EFFECT) / (1.0 - EFFECT)).ln();
     ((SUMS_FREE / FALSE_FREE).ln() / step).ceil() as u32
--- a/gateway-cluster/src/sessions/sim.rs
+++ b/gateway-cluster/src/sessions/sim.rs
@@ -1,8 +1,9 @@
-//! Drawn traffic with a known truth, through the gateways of one set and their owner. All of it follows from a seed.
+//! Simulation of traffic with known truth, through the gateways of some customers and their owner. Everything follows
+//! from the seed.
 //!
-//! What bound customers lose is up to the backend: it breaks the request by its own notion of a run, which the gateway only
-//! guesses from pauses. Everything else is what a gateway has: a pool of shared connections, private ones within limits, and the
-//! verdict it was told last.
+//! What a bound customer loses depends on the backend: it breaks a request by its own notion of a run, which the
+//! gateway only infers from pauses. Everything else is what a gateway has: a pool of shared connections, private ones
+//! within limits, and the last verdict.
 
 use super::evidence::{ConnectionUse, Evidence, Failure, Outcome, Report};
 use super::verdicts::{
@@ -16,37 +17,37 @@
 use std::collections::{BTreeMap, BinaryHeap};
 
 const SECOND: Micros = 1_000_000;
-/// Between two requests of a run, and what a gateway takes for one.
+/// Time between two requests of a run, and the longest pause that a gateway takes for one, in microseconds.
 const REQUEST_INTERVAL: Micros = 20_000;
 const MAX_RUN_GAP: Micros = 100_000;
-/// Requests of a run in the mean.
+/// Mean number of requests of a run.
 const MEAN_RUN_REQUESTS: f64 = 4.0;
 const BACKENDS: usize = 2;
 const SHARED_CONNECTIONS: usize = 12;
 const TICK: Micros = 100_000;
 
-/// What goes wrong.
+/// Fault during a run of the simulation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Fault {
     /// One request in 200 fails.
     None,
-    /// One backend fails 30% in every second minute.
+    /// One backend fails 30% of requests in every second minute.
     BackendUnhealthyAtTimes,
-    /// One backend fails 30% all the time.
+    /// One backend fails 30% of requests all the time.
     BackendUnhealthy,
-    /// One backend fails all, in every second minute.
+    /// One backend fails all requests in every second minute.
     BackendDown,
-    /// All through one gateway breaks, 20 s of every 2 minutes.
+    /// All connections through one gateway break, 20 s of every 2 minutes.
     GatewayPartitioned,
-    /// Every minute a backend restarts: all fails for 2 s and all connections are new.
+    /// Every minute a backend restarts: all requests fail for 2 s and all connections are new.
     BackendRestarts,
-    /// Of requests on a changed connection 30% fail, whoever sends them.
+    /// 30% of requests on a changed connection fail, whoever sends them.
     StaleConnections,
-    /// Every backend fails between 0 and 30%, in waves of 40 s.
+    /// Every backend fails between 0 and 30% of requests, in waves of 40 s.
     Overload,
 }
 
-/// All of them.
+/// All faults.
 pub const FAULTS: [Fault; 8] = [
     Fault::None,
     Fault::BackendUnhealthyAtTimes,
@@ -61,71 +62,72 @@
 /// A customer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct SimulatedCustomer {
-    /// What it is.
+    /// Its true classification.
     pub truth: Pooling,
-    /// Requests a second.
+    /// Requests per second.
     pub rate: f64,
-    /// The part of broken requests that fails, and the part that fails whatever happens, by its own requests.
+    /// Fraction of requests that fail after their connection state was lost, and fraction that fails for the customer's
+    /// own reasons.
     pub break_failure_rate: f64,
-    /// See `fails`.
+    /// See `break_failure_rate`.
     pub own_failure_rate: f64,
-    /// What it becomes, and when.
+    /// When its true classification changes, and to what.
     pub changes_at: Option<(Micros, Pooling)>,
 }
 
-/// A run of the simulation.
+/// Parameters of a simulation.
 #[derive(Debug, Clone)]
 pub struct Plan {
-    /// Gateways of the set.
+    /// Number of gateways.
     pub gateways: usize,
     /// Customers.
     pub simulated_customers: Vec<SimulatedCustomer>,
-    /// What goes wrong.
+    /// The fault.
     pub fault: Fault,
-    /// For how long.
+    /// Duration in microseconds.
     pub time: Micros,
-    /// Whether datagrams are lost (20%), doubled (10%) and late (5%, up to 20 s).
+    /// Whether datagrams are lost (20%), duplicated (10%) and late (5%, up to 20 s).
     pub lossy: bool,
-    /// Whether gateways act on verdicts.
+    /// Whether gateways apply verdicts.
     pub use_verdicts: bool,
-    /// At this time the owner is replaced by one that knows nothing.
+    /// Time at which the owner is replaced by one without state.
     pub owner_replaced_at: Option<Micros>,
-    /// What all follows from.
+    /// Seed of all random draws.
     pub seed: u64,
 }
 
-/// What became of a customer.
+/// Outcome for a customer.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct CustomerOutcome {
-    /// When the owner first said what is true, and when that was in force at all gateways, from the start or the last turn.
+    /// When the owner first decided correctly, since the start or the last change of the truth.
     pub right: Option<Micros>,
-    /// The same at all gateways.
+    /// When the correct verdict was applied by all gateways.
     pub everywhere: Option<Micros>,
-    /// How often the owner came to `statement` for one of the other kinds; turns do not count.
+    /// How often the owner decided `statement` for a bound customer, changes of the truth excluded.
     pub false_statements: u32,
-    /// How often it came from `session` to `transaction` for one of `session`.
+    /// How often the owner changed from `session` to `transaction` for a `session` customer.
     pub false_transactions: u32,
-    /// Time for which it was held for more than it is.
+    /// Time with a more restrictive verdict than the truth, in microseconds.
     pub overclassified_time: Micros,
-    /// Requests, those that a break of its connection failed, and those that failed otherwise.
+    /// Requests, those that failed by a break of the connection, and those that failed otherwise.
     pub requests: [u64; 3],
 }
 
-/// The customers of one run, with what became of them.
+/// Outcome of a simulation.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Outcomes {
-    /// In the plan's order.
+    /// Outcome of each customer, in the order of the plan.
     pub seen: Vec<CustomerOutcome>,
     /// Datagrams sent to and by the owner.
     pub datagrams: u64,
-    /// Requests left out as sick and as blind, at all gateways.
+    /// Entries excluded at all gateways: unhealthy backends, and too few others.
     pub excluded: [u64; 2],
     /// The last verdicts.
     pub verdicts: Vec<Option<Verdict>>,
 }
 
 impl SimulatedCustomer {
-    /// One whose every break fails and who fails nothing by itself.
+    /// A customer of which every break fails, and no request for reasons of its own.
     pub fn new(truth: Pooling, rate: f64) -> SimulatedCustomer {
         SimulatedCustomer {
             truth,
@@ -137,8 +139,8 @@
     }
 }
 
-/// The three kinds at 2 a minute, 1 and 10 a second; some at the edge of what is told apart; and thirty others, of which two
-/// thirds are stateless.
+/// The three kinds at 2 requests a minute, 1 and 10 a second; some at the edge of what is distinguished; and thirty
+/// others, of which two thirds are stateless.
 pub fn simulated_customers() -> Vec<SimulatedCustomer> {
     let mut simulated_customers = Vec::new();
     for truth in [Pooling::Statement, Pooling::Transaction, Pooling::Session] {
@@ -219,7 +221,7 @@
     out: Outcomes,
 }
 
-/// Runs a plan.
+/// Runs a simulation.
 pub fn run(plan: &Plan) -> Outcomes {
     let simulated_customers = plan.simulated_customers.len();
     let mut simulation = Simulation {
@@ -291,7 +293,7 @@
         self.queue.push(std::cmp::Reverse((at, self.order, event)));
     }
 
-    /// New connections at a backend, or at all.
+    /// Replaces the connections at one backend, or at all.
     fn renew(&mut self, backend: Option<usize>) {
         for gateway in 0..self.plan.gateways {
             for at in (0..BACKENDS).filter(|&at| backend.is_none_or(|backend| at == backend)) {
@@ -353,7 +355,7 @@
                 let Some((evidence, table)) = self.gateways.get_mut(gateway) else {
                     return;
                 };
-                // A refusal is part of the game: late and doubled ones are meant to be refused.
+                // Late and duplicated verdicts are rejected, as intended.
                 let customer = verdict.customer;
                 if table.on_verdict(now, verdict, true).is_ok() {
                     evidence.set_pooling(customer, table.in_force(now, customer, now, true));
@@ -501,7 +503,7 @@
         }
     }
 
-    /// The chance that a backend fails a request whatever its connection.
+    /// The failure rate of a backend that does not depend on the connection.
     fn failing(&self, gateway: usize, backend: usize) -> (f64, Failure) {
         let second = self.now / SECOND;
         let odd = (second / 60) % 2 == 1;
--- a/gateway-cluster/src/sessions/verdicts.rs
+++ b/gateway-cluster/src/sessions/verdicts.rs
@@ -1,18 +1,25 @@
-//! The owner of customers, and what a gateway does with verdicts.
+//! Verdicts: what an owner decides about a customer, how gateways apply it, and the limits of private connections.
 //!
-//! **Default.** What no fresh verdict speaks for is `unknown`: a run gets its own idle connection again if it is there. That
-//! holds nothing back from others, opens no connection, and saves customers of the second kind from nearly all
-//! breaks. `statement` would break them as long as the owner is away; `session` would take connections for everybody, which
-//! is what a cluster in trouble has least of. `statement` fades to it 30 s after its customer's
-//! owner was last held alive, `transaction` too (it is handled alike), and `session` after 10 minutes: it costs a connection, and giving it up breaks a request, so it lasts longer
-//! than any takeover of keys and shorter than a night. A minority side takes no step towards sharing: there
-//! `session` stays, within the bounds on private connections ([`grant`]).
+//! * [`VerdictAggregator`] is the owner's side: it takes reports and decides.
+//! * [`VerdictTable`] holds the verdicts that a gateway applies.
+//! * [`connection_policy`] and [`grant`] say how a request gets its connection.
 //!
-//! A verdict is said when it changes, six times in half a second, and again to a gateway whose report shows that it acts on another.
-//! It is not said again to keep it: whether the owner lives is for the view to tell, which costs nothing by the customer.
+//! **Default.** Without a fresh verdict a customer is `unknown`: a run gets its own idle connection again if there is
+//! one. That takes nothing from others, opens no connection, and saves customers of the kind `transaction` from nearly
+//! all breaks. `statement` would break them as long as the owner is away; `session` would take connections for
+//! everybody, which a cluster with faults has least of. A verdict `statement` expires 30 s after the customer's owner
+//! was last seen alive, `transaction` too (it is handled alike), and `session` after 10 minutes: it costs a connection,
+//! and giving that up breaks a request, so it lasts longer than any takeover of keys and shorter than a night. On a
+//! minority side of a partition no verdict is relaxed: there `session` stays, within the limits of private connections
+//! ([`grant`]).
 //!
-//! **Evidence twice.** The owner holds each gateway's newest report per incarnation and replaces it by a higher number; sums are made
-//! when it judges and are never stored nor sent. A new owner starts with nothing and asks all gateways of the set.
+//! A verdict is sent when it changes, six times in half a second, and again to a gateway whose report shows that it
+//! applies another one. It is not refreshed: whether the owner is alive is known from the membership, at no cost per
+//! customer.
+//!
+//! **No double counting.** The owner keeps the newest report of each gateway and incarnation, and replaces it by one
+//! with a higher sequence number; sums are computed for each decision and never stored or sent. A new owner starts
+//! without reports and requests them from all gateways.
 
 use super::evidence::{Report, Window, WINDOWS};
 use super::judge::{self, Counts, Found};
@@ -23,110 +30,111 @@
 use thiserror::Error;
 
 const SECOND: Micros = 1_000_000;
-/// A report no older than this speaks for its gateway in a step towards sharing. Gateways are asked for a newer one where such a step waits for them alone.
+/// Maximum age of a report that counts for relaxing a verdict. A newer one is requested if relaxing waits for it only.
 pub const REPORT_TTL: Micros = 30 * SECOND;
-/// After a change a verdict is said again so soon, so often, so that one lost costs a part of the second.
+/// Interval and number of repetitions of a changed verdict, so that a loss delays it by a fraction of a second.
 const RESEND_INTERVAL: Micros = 100_000;
 const SEND_REPEATS: u8 = 6;
-/// A verdict for which nothing new spoke so long is taken back.
+/// Time without new evidence after which a verdict is taken back.
 pub const CONFIRMATION_TTL: Micros = 7200 * SECOND;
-/// For how long a gateway goes by a verdict after its customer's owner was last held alive.
+/// Time for which a gateway applies a verdict after the customer's owner was last seen alive.
 pub const VERDICT_TTL: Micros = 30 * SECOND;
-/// The same for private connections.
+/// The same for `session`, which has private connections.
 pub const SESSION_VERDICT_TTL: Micros = 600 * SECOND;
-/// Without a report for so long a customer is forgotten.
+/// Time without a report after which a customer is dropped.
 pub const CUSTOMER_TTL: Micros = 2 * CONFIRMATION_TTL;
-/// An owner that is new to a customer waits so long for gateways to say what they act on.
+/// Time that an owner waits for the gateways' reports of a customer that is new to it.
 const WARM_UP: Micros = 3 * SECOND;
-/// Without a report a customer is judged again so often: windows age, gateways go.
+/// Interval of evaluation without a new report: windows age, and gateways leave.
 const EVALUATION_INTERVAL: Micros = SECOND;
-/// Lives of a gateway that are held: that which runs, and the one before, whose requests were others.
+/// Incarnations of a gateway whose reports are kept: the current one and the one before, which counted other requests.
 const MAX_INCARNATIONS: usize = 2;
-/// Gateways that are held of a customer: a set has four at most, and some may have changed.
+/// Gateways of a customer whose reports are kept: usually four at most, and some may have changed.
 const MAX_GATEWAYS: usize = 8;
 
-/// The evidence behind a verdict: requests and failures.
+/// Evidence for a verdict: requests and failures of each kind.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
 pub struct EvidenceSummary {
-    /// On the customer's own connection.
+    /// On the customer's reused connection.
     pub kept: [u32; 2],
-    /// Changed within a run.
+    /// On changed connections within a run.
     pub changed_in_run: [u32; 2],
-    /// Changed between runs.
+    /// On changed connections between runs.
     pub changed_between: [u32; 2],
-    /// Of others, at the same backends in the same seconds.
+    /// Control group: others, at the same backends in the same seconds.
     pub control: [u32; 2],
 }
 
-/// What an owner says of a customer.
+/// Verdict of an owner about a customer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
-    /// Of whom.
+    /// The customer.
     pub customer: Customer,
-    /// What it is held for.
+    /// The classification.
     pub pooling: Pooling,
-    /// By which right.
+    /// Fencing token of the owner.
     pub fence: FencingToken,
-    /// The owner's incarnation, and a number that grows within it: an owner that restarts may come back under the same fence.
+    /// Incarnation of the owner, and a number that grows within it: an owner that restarts may return with the same
+    /// fencing token.
     pub sequence: (u64, u64),
-    /// Time since it was last judged so.
+    /// Time since the last evidence for it, in microseconds.
     pub age: Micros,
-    /// Gateways whose reports it rests on.
+    /// Gateways whose reports were used.
     pub reports: Vec<String>,
     /// Their counts.
     pub evidence: EvidenceSummary,
 }
 
-/// What an owner is told.
+/// Input of the aggregator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Input {
-    /// A gateway's report.
+    /// Report of a gateway.
     Report(Report),
-    /// Time has passed: a few times a second.
+    /// Time has passed; expected a few times a second.
     Tick,
 }
 
-/// What an owner wants sent.
+/// Output of the aggregator.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Output {
-    /// A question for a gateway's report.
+    /// Request the report of a customer.
     RequestReport {
-        /// To whom.
+        /// From this gateway.
         gateway: String,
-        /// Of whom.
+        /// For this customer.
         customer: Customer,
     },
-    /// A verdict for a gateway.
+    /// Send a verdict.
     SendVerdict {
-        /// To whom.
+        /// To this gateway.
         gateway: String,
-        /// What.
+        /// The verdict.
         verdict: Verdict,
     },
 }
 
-/// What an owner knows of its surroundings at the moment of an input.
+/// Context of an owner at the time of an input.
 pub struct OwnerContext<'a> {
-    /// The right under which it acts.
+    /// Fencing token of the owner.
     pub fence: FencingToken,
-    /// Whether it keeps that customer now.
+    /// Whether this gateway owns a customer now.
     pub owns: &'a dyn Fn(Customer) -> bool,
-    /// The gateways of a customer's set.
+    /// The gateways that see a customer.
     pub gateways_of: &'a dyn Fn(Customer) -> Vec<String>,
-    /// Whether a gateway is held for gone: its word is not waited for.
+    /// Whether a gateway is considered dead, so that its report is not waited for.
     pub is_gone: &'a dyn Fn(&str) -> bool,
-    /// Whether this side may take steps towards sharing: it is the majority.
+    /// Whether verdicts may be relaxed: this side of a partition is the majority, and all reports have been collected.
     pub may_relax: bool,
 }
 
-/// One incarnation of a gateway, as last told.
+/// The last report of one incarnation of a gateway.
 #[derive(Debug, Clone)]
 struct ReceivedReport {
     report: Report,
     at: Micros,
 }
 
-/// What is held of one customer.
+/// Reports and verdict of one customer.
 #[derive(Debug, Clone)]
 struct CustomerState {
     gateways: BTreeMap<String, Vec<ReceivedReport>>,
@@ -141,18 +149,19 @@
     sequence: (u64, u64),
 }
 
-/// The customers of one owner.
+/// Aggregates the reports of the customers of one owner, and decides.
 #[derive(Debug, Default)]
 pub struct VerdictAggregator {
     customers: BTreeMap<Customer, CustomerState>,
     max_customers: usize,
     rejected: u64,
-    /// Its incarnation, and how many verdicts it has said in it, of all customers: one whose file went and came is not behind.
+    /// Incarnation of this owner, and the number of verdicts sent in it, over all customers: a customer that was
+    /// dropped and returns gets higher numbers.
     sequence: (u64, u64),
 }
 
 impl VerdictAggregator {
-    /// An incarnation that knows nothing, and holds so many customers.
+    /// Starts without reports, with a limit of customers.
     pub fn new(incarnation: u64, max_customers: usize) -> Self {
         VerdictAggregator {
             max_customers,
@@ -161,7 +170,7 @@
         }
     }
 
-    /// Takes an input.
+    /// Handles an input.
     pub fn on_input(
         &mut self,
         now: Micros,
@@ -220,7 +229,7 @@
             return;
         }
         state.requested_at.remove(&gateway);
-        // An owner that starts goes on from what gateways act on: its not knowing is no evidence for sharing.
+        // A new owner continues from the verdict that gateways apply: its lack of reports is no evidence for relaxing.
         if now.saturating_sub(state.started_at) < WARM_UP
             && acted_on > Pooling::Unknown
             && acted_on > state.pooling
@@ -231,7 +240,7 @@
         }
         state.evaluate(now, customer, &set, context, outputs);
         state.send_verdict(now, customer, &set, context, &mut self.sequence, outputs);
-        // It missed what was said, or came later than that.
+        // The gateway has missed the verdict, or was added after it was sent.
         if state.pending_sends == 0 && state.sequence != (0, 0) && acted_on != state.pooling {
             outputs.push(Output::SendVerdict {
                 gateway,
@@ -241,7 +250,7 @@
     }
 
     fn on_tick(&mut self, now: Micros, context: &OwnerContext<'_>, outputs: &mut Vec<Output>) {
-        // Where room is short, those go first of whom nothing is said and nothing was heard for a minute.
+        // If the table is nearly full, customers without a verdict and without a report for a minute are dropped first.
         let is_nearly_full = self.customers.len() > self.max_customers / 8 * 7;
         self.customers.retain(|&customer, state| {
             let reported_at = now.saturating_sub(state.reported_at);
@@ -258,41 +267,41 @@
         }
     }
 
-    /// What is held of a customer, for operators and for the owner's own gateway.
+    /// The verdict for a customer, for operators and for the owner's own gateway.
     pub fn verdict(&self, now: Micros, customer: Customer, fence: FencingToken) -> Option<Verdict> {
         self.customers
             .get(&customer)
             .map(|state| state.verdict(now, customer, fence))
     }
 
-    /// Whether anything is held of a customer.
+    /// Whether there is a report for a customer.
     pub fn has(&self, customer: Customer) -> bool {
         self.customers.contains_key(&customer)
     }
 
-    /// Whether what was said last of a customer is one of the repetitions in between: the first two and the last one carry it
-    /// through a loss of a fifth but for one time in a hundred.
+    /// Whether the last verdict sent is one of the optional repetitions: the first two and the last one suffice in 99
+    /// of 100 cases, with a fifth of datagrams lost.
     pub fn is_repeating(&self, customer: Customer) -> bool {
         self.customers
             .get(&customer)
             .is_some_and(|state| (1..SEND_REPEATS - 2).contains(&state.pending_sends))
     }
 
-    /// What a customer is held for, without the counts.
+    /// The classification of a customer, without the counts.
     pub fn pooling_of(&self, customer: Customer) -> Pooling {
         self.customers
             .get(&customer)
             .map_or(Pooling::Unknown, |state| state.pooling)
     }
 
-    /// Reports that there was no room for, or that came from outside the set.
+    /// Number of reports rejected at the limit of customers, or from an unexpected gateway.
     pub fn rejected(&self) -> u64 {
         self.rejected
     }
 }
 
 impl CustomerState {
-    /// Takes a report, unless it is no news. The whole replaces the whole: nothing is added up.
+    /// Replaces the stored report by a newer one of the same incarnation. Returns false if it is not newer.
     fn on_report(&mut self, now: Micros, report: Report) -> bool {
         if !self.gateways.contains_key(&report.gateway) && self.gateways.len() >= MAX_GATEWAYS {
             return false;
@@ -312,7 +321,7 @@
         true
     }
 
-    /// Asks gateways of the set whose word is missing, or old where that is what a step towards sharing waits for.
+    /// Requests reports that are missing, or too old if relaxing the verdict waits for them.
     fn request_reports(
         &mut self,
         now: Micros,
@@ -358,7 +367,7 @@
                 .map(|(window, _)| *window)
                 .collect()
         };
-        // Windows of the incarnation before stand behind those of this one, and the oldest of both go.
+        // Windows of the previous incarnation follow those of the current one; the oldest are left out.
         self.gateways
             .values()
             .map(|incarnations| incarnations.iter().flat_map(live).take(WINDOWS).collect())
@@ -421,8 +430,8 @@
         last_sequence: &mut (u64, u64),
         outputs: &mut Vec<Output>,
     ) {
-        // Nothing is said of a customer that nothing is known of, until something is. Nor, at the start, while a gateway
-        // that has not answered yet may act on more caution.
+        // Nothing is sent for a customer that has been `unknown` from the start; nor, during the warm-up, while a
+        // gateway that has not reported may apply a more restrictive verdict.
         let is_warming_up =
             now.saturating_sub(self.started_at) < WARM_UP && self.pooling != Pooling::Session;
         let is_waiting = is_warming_up
@@ -458,7 +467,7 @@
         };
         let in_run = sum(self.windows(now, |report| &report.in_run));
         let between_runs = sum(self.windows(now, |report| &report.between_runs));
-        // Kept requests stand beside both kinds of change; the longer record is shown, not their sum.
+        // Requests on reused connections count for both kinds of change; the longer record is shown, not their sum.
         let longer = if in_run.reused[0] >= between_runs.reused[0] {
             in_run
         } else {
@@ -491,33 +500,33 @@
     }
 }
 
-/// Why a verdict was not taken.
+/// Why a gateway rejected a verdict.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum VerdictRejection {
-    /// Its right is over.
+    /// The fencing token is outdated.
     #[error("a verdict under epoch {} and version {} came after one under epoch {} and version {}: its keeper was \
              replaced; if this goes on, look at `owner` and `shards` of the door that sent it", came.epoch,
              came.version, known.epoch, known.version)]
     Superseded {
-        /// What it came with.
+        /// Token of the verdict.
         came: FencingToken,
-        /// The highest known.
+        /// The highest token known.
         known: FencingToken,
     },
-    /// A later one is there.
+    /// A later verdict is known.
     #[error("a verdict came after a later one of the same keeper: datagrams were late or doubled; nothing is to be done")]
     Outdated,
-    /// This side takes no step towards sharing.
+    /// The verdict would be relaxed on a minority side.
     #[error("a step towards sharing came while this door reaches no majority: it waits; look at `fleet` for who is cut off")]
     Minority,
-    /// There is no room.
+    /// The table is full.
     #[error(
         "no room for another verdict: {0} are held; customers without one are handled as `unknown`"
     )]
     Full(usize),
 }
 
-/// What one gateway was told of customers.
+/// Verdicts that a gateway applies.
 #[derive(Debug, Default)]
 pub struct VerdictTable {
     verdicts: BTreeMap<Customer, (Verdict, Micros)>,
@@ -526,7 +535,7 @@
 }
 
 impl VerdictTable {
-    /// A gateway that was told nothing, with room for so many.
+    /// An empty table with a limit of verdicts.
     pub fn new(max_customers: usize) -> Self {
         VerdictTable {
             max_customers,
@@ -534,12 +543,15 @@
         }
     }
 
-    /// A fence was seen in anything: lower ones are refused from now on.
+    /// Records a fencing token from any source: verdicts with a lower one are rejected.
     pub fn observe_token(&mut self, fence: FencingToken) {
         self.highest = self.highest.max(fence);
     }
 
-    /// A verdict came. It is from the customer's owner, so that one is alive.
+    /// Takes a verdict from the customer's owner.
+    ///
+    /// # Errors
+    /// If the verdict is outdated, would be relaxed on a minority side, or exceeds the limit.
     pub fn on_verdict(
         &mut self,
         now: Micros,
@@ -559,7 +571,7 @@
                 return Err(VerdictRejection::Outdated);
             }
         } else if self.verdicts.len() >= self.max_customers {
-            // `unknown` is what holds without one; and of the rest the oldest may be of customers that are long gone.
+            // `unknown` is the default without a verdict; of the others, old ones may be of customers that have left.
             let old = |at: &Micros| now.saturating_sub(*at) >= CONFIRMATION_TTL;
             self.verdicts
                 .retain(|_, (known, at)| known.pooling != Pooling::Unknown && !old(at));
@@ -574,14 +586,14 @@
         Ok(())
     }
 
-    /// The last verdict that was taken, and when.
+    /// The last verdict for a customer, and when it was received.
     pub fn verdict(&self, customer: Customer) -> Option<(&Verdict, Micros)> {
         self.verdicts
             .get(&customer)
             .map(|(verdict, at)| (verdict, *at))
     }
 
-    /// What a customer is held for now. `owner` is when the one that keeps it was last held alive.
+    /// The classification that applies now. `owner` is the time at which the customer's owner was last seen alive.
     pub fn in_force(
         &self,
         now: Micros,
@@ -609,25 +621,27 @@
     }
 }
 
-/// How a request is to get its connection.
+/// How a request gets its connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum ConnectionPolicy {
-    /// Any.
+    /// Any connection.
     Any,
-    /// The customer's last one, if it is idle and within a run.
+    /// The customer's last connection, if it is idle and within a run.
     Run,
-    /// One of its own.
+    /// A private connection.
     Private,
 }
 
-/// Pause between two requests of a bound customer that are let go on any connection, to see whether it still is: 12 an hour
-/// at a gateway. And the part of requests within runs that are let go while nothing is known: without them it stays so.
+/// Interval between two probes of a bound customer, which use any connection to test whether it is still bound: 12 an
+/// hour at each gateway. And the rate of probes within runs of an `unknown` customer: without them it would stay
+/// `unknown`.
 pub const PROBE_INTERVAL: Micros = 300 * SECOND;
 /// See [`PROBE_INTERVAL`].
 pub const UNKNOWN_PROBE_RATE: f64 = 0.5;
 
-/// How a request is to get its connection. `since_probe` is the time since the last one that was let go, `draw` from 0 to 1. A bound
-/// customer loses 12 requests an hour and gateway by it, an unknown one of the second kind some 20 until it is known.
+/// How a request gets its connection. `since_probe` is the time since the last probe, `draw` a random number from 0 to
+/// 1. Probes cost a bound customer 12 requests an hour at each gateway, and an `unknown` one of the kind `transaction`
+/// some 20 until it is classified.
 pub fn connection_policy(pooling: Pooling, since_probe: Micros, draw: f64) -> ConnectionPolicy {
     match pooling {
         Pooling::Statement => ConnectionPolicy::Any,
@@ -641,16 +655,16 @@
     }
 }
 
-/// What private connections may take.
+/// Limits of private connections.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct Limits {
-    /// SessionClassifier of the descriptors of a gateway.
+    /// Maximum fraction of the descriptors of a gateway.
     pub of_descriptors: f64,
-    /// SessionClassifier of the connections to a backend.
+    /// Maximum fraction of the connections to a backend.
     pub of_backend: f64,
-    /// Of one customer at one backend.
+    /// Maximum number for one customer at one backend.
     pub each: u32,
-    /// The longest a private connection may stay unused.
+    /// Maximum time that a private connection may stay unused, in microseconds.
     pub unused: Micros,
 }
 
@@ -665,32 +679,32 @@
     }
 }
 
-/// What private connections take now.
+/// Private connections in use.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct Usage {
-    /// Descriptors of this gateway, and those that are private connections.
+    /// Descriptors of this gateway, and those of private connections.
     pub descriptors: [u32; 2],
-    /// Connections that the backend may have from this gateway, and those that are private.
+    /// Connections that the backend accepts from this gateway, and those that are private.
     pub backend: [u32; 2],
-    /// Private ones of this customer at that backend.
+    /// Private connections of this customer at that backend.
     pub own: u32,
 }
 
 /// Whether a customer gets a private connection.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Grant {
-    /// It does.
+    /// It gets one.
     Private,
-    /// It shares, and that is counted: the descriptors' part is used up.
+    /// It shares: the fraction of descriptors is in use.
     Descriptors,
-    /// It shares: the backend's part is.
+    /// It shares: the fraction of the backend's connections is in use.
     Backend,
-    /// It shares: it has as many as one may.
+    /// It shares: it has its maximum.
     Each,
 }
 
-/// Whether one more private connection is within the limits. Whoever breaks requests on purpose to get one gets no
-/// more than all such customers together may have.
+/// Whether one more private connection is within the limits. A customer that breaks requests on purpose to get one gets
+/// no more than the limits of all such customers together.
 pub fn grant(limits: &Limits, usage: &Usage) -> Grant {
     let has_capacity =
         |part: f64, [all, private]: [u32; 2]| f64::from(private) + 1.0 <= part * f64::from(all);
--- a/gateway-cluster/src/sessions/wire.rs
+++ b/gateway-cluster/src/sessions/wire.rs
@@ -1,4 +1,7 @@
-//! What gateways send each other about customers: counts to an owner, its questions, and its verdicts.
+//! Datagrams of the classification: reports to an owner, its requests for reports, and its verdicts.
+//!
+//! Encoded with postcard: the order of fields and variants is part of the wire format. Gateways of different builds run
+//! side by side during an upgrade.
 
 use super::evidence::{Report, Window};
 use super::verdicts::{EvidenceSummary, Verdict};
@@ -7,49 +10,49 @@
 use crate::wire::{self, MAX_DATAGRAM_BYTES};
 use serde::{Deserialize, Serialize};
 
-/// The first byte of each of these datagrams. A gateway that does not know them counts them and drops them.
+/// First byte of each datagram of this protocol. A gateway that does not know it counts and drops the datagram.
 pub const VERSION: u8 = 4;
 
-/// Bytes of what is put together in one datagram: the rest is for what stands before it.
+/// Maximum bytes of the items in one datagram; the rest is for the fields around them.
 pub const MAX_ITEM_BYTES: usize = MAX_DATAGRAM_BYTES - 72;
 
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
-    /// Who sends it.
+    /// Sender.
     pub from: PeerId,
-    /// Which incarnation of that name: a later process has a higher one.
+    /// Incarnation of the sender; a later process has a higher one.
     pub incarnation: u64,
-    /// For which incarnation of the receiver it is meant; 0 where the sender knows of none.
+    /// Incarnation of the receiver that the datagram is meant for; 0 if the sender does not know it.
     pub to_incarnation: u64,
-    /// What it is for.
+    /// Message.
     pub kind: Kind,
 }
 
-/// What a datagram is for.
+/// Message of a datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub enum Kind {
-    /// The whole of what the sender has counted of some customers.
+    /// Reports of some customers.
     Report {
-        /// It has now sent all that this roll of the receiver asked for; 0 for none.
+        /// Number of the receiver's collection that is complete with this datagram; 0 for none.
         completed_collection: u32,
-        /// The counts.
+        /// The reports.
         counts: Vec<ReportMessage>,
     },
-    /// Tell what you have counted of all customers that I keep.
+    /// Requests the reports of all customers that the sender owns; the number identifies the collection.
     CollectReports(u32),
-    /// Tell what you have counted of these, also where that is nothing.
+    /// Requests the reports of these customers, also where nothing was counted.
     RequestReports(Vec<Customer>),
-    /// What an owner has decided.
+    /// Verdicts of an owner.
     Verdicts {
-        /// By which right.
+        /// The owner's fencing token.
         fence: FencingToken,
-        /// What.
+        /// The verdicts.
         verdicts: Vec<VerdictMessage>,
     },
 }
 
-/// A report on the way: its gateway and incarnation are the datagram's.
+/// A report on the wire: gateway and incarnation are those of the datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct ReportMessage {
     customer: Customer,
@@ -80,12 +83,12 @@
 }
 
 impl ReportMessage {
-    /// Of whom.
+    /// The customer that the report is about.
     pub fn customer(&self) -> Customer {
         self.customer
     }
 
-    /// The report of this gateway and incarnation.
+    /// The report, of the sender of the datagram.
     pub fn report(self, gateway: &str, incarnation: u64) -> Report {
         let ReportMessage {
             customer,
@@ -106,7 +109,7 @@
     }
 }
 
-/// A verdict on the way: its fence and its owner's incarnation are the datagram's.
+/// A verdict on the wire: its fencing token and its owner's incarnation are those of the datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct VerdictMessage {
     customer: Customer,
@@ -118,7 +121,7 @@
 }
 
 impl VerdictMessage {
-    /// A verdict, with its gateways by their ids.
+    /// Converts a verdict, with gateways by their peer ids.
     pub fn new(verdict: &Verdict, peer_id_of: impl Fn(&str) -> PeerId) -> VerdictMessage {
         VerdictMessage {
             customer: verdict.customer,
@@ -134,7 +137,7 @@
         }
     }
 
-    /// The verdict of an owner's incarnation, under its fence.
+    /// The verdict, with the fencing token and incarnation of the datagram.
     pub fn verdict(
         self,
         fence: FencingToken,
@@ -153,18 +156,18 @@
     }
 }
 
-/// How much of a datagram's room this takes.
+/// Bytes that an item takes in a datagram.
 pub fn size(item: &impl Serialize) -> usize {
     postcard::to_allocvec(item).map_or(MAX_ITEM_BYTES, |bytes| bytes.len())
 }
 
 impl Datagram {
-    /// Its bytes.
+    /// Encodes the datagram, with the version as first byte.
     pub fn encode(&self) -> Vec<u8> {
         wire::encode(VERSION, self)
     }
 
-    /// Reads one. What is too long, of another version, or followed by anything is none.
+    /// Decodes a datagram. `None` if it is too long, of another version, or followed by further bytes.
     pub fn decode(bytes: &[u8]) -> Option<Datagram> {
         wire::decode(VERSION, bytes)
     }
--- a/gateway-cluster/src/shards/plan/rebalance.rs
+++ b/gateway-cluster/src/shards/plan/rebalance.rs
@@ -31,7 +31,7 @@
 ///
 /// # Errors
 /// If no gateway is alive, if the map in force is incomplete or has the last version, if there is not one load for each
-/// range, or if the planned map is not valid, for example because an owner is gone ([`replace_lost_owners`] comes
+/// range, or if the planned map is not valid, for example because an owner is gone ([`replace_lost_owners`](super::replace_lost_owners) comes
 /// first).
 pub fn rebalance(
     in_force: &ShardMap,
