--- a/gateway-cluster/src/sessions/classifier.rs
+++ b/gateway-cluster/src/sessions/classifier.rs
@@ -15,12 +15,15 @@
 //!
 //! No I/O and no clock; times are in microseconds. Driven by the cluster node.
 
+mod ownership;
+mod sending;
+
 use super::evidence::{ConnectionUse, Evidence, Outcome};
 use super::verdicts::{
-    self, ConnectionPolicy, EvidenceSummary, Input, Output, OwnerContext, Verdict,
-    VerdictAggregator, VerdictRejection, VerdictTable, PROBE_INTERVAL,
+    self, ConnectionPolicy, EvidenceSummary, Input, Verdict, VerdictAggregator, VerdictTable,
+    PROBE_INTERVAL,
 };
-use super::wire::{size, Datagram, Kind, ReportMessage, VerdictMessage, MAX_ITEM_BYTES};
+use super::wire::{Datagram, Kind};
 use super::{Backend, Customer, FencingToken, Pooling};
 use crate::membership::PartitionSide;
 use crate::peers::{peer_id_of, PeerId};
@@ -28,24 +31,21 @@
 use crate::shards::node::ShardMapNode;
 use crate::shards::{Key, KEYS};
 use crate::token_bucket::TokenBucket;
+use ownership::PeerView;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
+use sending::PeerQueue;
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Token bucket for datagrams: size, rate per second, and the fraction reserved for verdicts and reports of breaks.
 pub const BURST: f64 = 30.0;
 /// See [`BURST`].
 pub const PER_SECOND: f64 = 3.0;
-const VERDICT_RESERVE: f64 = 0.5;
 /// Timer intervals: with customers or queued items, and without.
 const TICK: Micros = 100_000;
 const IDLE_INTERVAL: Micros = 500_000;
-/// Minimum interval between two reports without a new break for one owner, and between two requests for a collection.
-const REPORT_INTERVAL: Micros = 1_000_000;
 /// Maximum number of reports taken up in one timer tick.
 const MAX_REPORTS_PER_TICK: usize = 256;
-/// Maximum number of gateways kept for a customer.
-const MAX_GATEWAYS: usize = 8;
 /// Interval at which state of customers and gateways that are gone is dropped.
 const CLEANUP_INTERVAL: Micros = 10_000_000;
 
@@ -108,33 +108,6 @@
     pub full: u64,
 }
 
-/// A peer, as the membership sees it.
-#[derive(Debug, Clone, Copy)]
-struct PeerView {
-    id: PeerId,
-    alive_at: Micros,
-    is_dead: bool,
-}
-
-/// Items queued for one peer.
-#[derive(Debug, Default)]
-struct PeerQueue {
-    /// Incarnation of the peer as last received; 0 before that.
-    incarnation: u64,
-    verdicts: BTreeSet<Customer>,
-    reports: BTreeSet<Customer>,
-    /// One of the reports has a new break.
-    is_urgent: bool,
-    requests: BTreeSet<Customer>,
-    /// When this gateway last requested a collection from the peer.
-    collection_sent_at: Option<Micros>,
-    /// The collection that the peer requested and that is not complete, as the peer's incarnation and its number; and
-    /// the last one that was completed.
-    pending_collection: Option<(u64, u32)>,
-    answered_collection: Option<(u64, u32)>,
-    reports_sent_at: Option<Micros>,
-}
-
 /// Classifier of one incarnation of a gateway.
 #[derive(Debug)]
 pub struct SessionClassifier {
@@ -453,375 +426,4 @@
         }
         self.flush(now, around, sends);
     }
-
-    /// Takes over the state of the cluster; a gain of keys starts a collection of reports.
-    fn sync_with_cluster(&mut self, now: Micros, around: &ClusterContext<'_>) {
-        self.budget.fill(now);
-        self.majority = matches!(around.side, PartitionSide::Whole | PartitionSide::Majority);
-        self.gateways.retain(|name, _| around.names.contains(name));
-        for (name, state) in around.names.iter().zip(around.states) {
-            let id = peer_id_of(name);
-            let seen = self.gateways.entry(name.clone()).or_insert(PeerView {
-                id,
-                alive_at: 0,
-                is_dead: true,
-            });
-            seen.is_dead = *state == PeerState::Dead && id != self.me;
-            if seen.is_dead {
-                // A peer that returns is asked for what it has counted meanwhile.
-                self.collected.remove(&id);
-            } else {
-                seen.alive_at = now;
-            }
-        }
-        self.verdicts
-            .observe_token(fence_in_force(around.shard_map));
-        let owned = if around.silent {
-            Vec::new()
-        } else {
-            around.shard_map.mine(now)
-        };
-        if owned == self.owned {
-            return;
-        }
-        let had = std::mem::replace(&mut self.owned, owned);
-        if self.owned.iter().any(|range| !covers(&had, *range)) {
-            self.collection = self.collection.wrapping_add(1).max(1);
-            self.collected.clear();
-            self.queues
-                .values_mut()
-                .for_each(|queue| queue.collection_sent_at = None);
-            let owned = &self.owned;
-            self.evidence.resend(|customer| owns_key(owned, customer));
-        }
-    }
-
-    /// Records that a gateway sees a customer that is owned here.
-    fn add_reporting_gateway(&mut self, gateway: &str, customer: Customer) {
-        if !self.reporting_gateways.contains_key(&customer)
-            && self.reporting_gateways.len() >= self.max_customers
-        {
-            return;
-        }
-        let set = self.reporting_gateways.entry(customer).or_default();
-        if set.iter().any(|known| known == gateway) {
-            return;
-        }
-        if set.len() >= MAX_GATEWAYS {
-            set.retain(|known| self.gateways.get(known).is_some_and(|seen| !seen.is_dead));
-        }
-        if set.len() < MAX_GATEWAYS {
-            set.push(gateway.to_string());
-        }
-    }
-
-    /// Queues the report of a customer for its owner.
-    fn queue_report(&mut self, now: Micros, customer: Customer, around: &ClusterContext<'_>) {
-        if owns_key(&self.owned, customer) {
-            self.report_to_self(now, customer, around);
-            return;
-        }
-        // Without an owner there is nothing to send: the next owner starts a collection.
-        let owner = around
-            .shard_map
-            .map()
-            .and_then(|map| map.owner_of(customer));
-        let Some(owner) = owner.filter(|owner| *owner != self.name) else {
-            return;
-        };
-        let urgent = self.evidence.is_urgent(customer);
-        let queue = self.queues.entry(peer_id_of(owner)).or_default();
-        queue.reports.insert(customer);
-        queue.is_urgent |= urgent;
-    }
-
-    fn report_to_self(&mut self, now: Micros, customer: Customer, around: &ClusterContext<'_>) {
-        let name = self.name.clone();
-        self.add_reporting_gateway(&name, customer);
-        let pooling = self.pooling(now, customer, around.shard_map);
-        let report = self.evidence.report(now, customer, pooling);
-        self.run_aggregator(now, Input::Report(report), around);
-    }
-
-    /// Passes an input to the aggregator and queues its outputs.
-    fn run_aggregator(&mut self, now: Micros, input: Input, around: &ClusterContext<'_>) {
-        let (reporting_gateways, gateways, owned) =
-            (&self.reporting_gateways, &self.gateways, &self.owned);
-        let all = || gateways.keys().cloned().collect();
-        let context = OwnerContext {
-            fence: fence_in_force(around.shard_map),
-            owns: &|customer| owns_key(owned, customer),
-            gateways_of: &|customer| {
-                reporting_gateways
-                    .get(&customer)
-                    .cloned()
-                    .unwrap_or_else(all)
-            },
-            is_gone: &|gateway| gateways.get(gateway).is_none_or(|seen| seen.is_dead),
-            may_relax: self.majority && self.has_collected_all(),
-        };
-        let mut outputs = Vec::new();
-        self.aggregator.on_input(now, input, &context, &mut outputs);
-        for output in outputs {
-            match output {
-                // The report of this gateway itself is passed on directly.
-                Output::RequestReport { gateway, customer } if gateway == self.name => {
-                    self.report_to_self(now, customer, around);
-                }
-                Output::RequestReport { gateway, customer } => {
-                    self.queues
-                        .entry(peer_id_of(&gateway))
-                        .or_default()
-                        .requests
-                        .insert(customer);
-                }
-                Output::SendVerdict { gateway, verdict } if gateway == self.name => {
-                    self.on_verdict(now, &gateway, verdict, around);
-                }
-                Output::SendVerdict { gateway, verdict } => {
-                    let repeats = self.aggregator.is_repeating(verdict.customer);
-                    if !repeats || self.budget.has(1.0, VERDICT_RESERVE) {
-                        self.queues
-                            .entry(peer_id_of(&gateway))
-                            .or_default()
-                            .verdicts
-                            .insert(verdict.customer);
-                    }
-                }
-            }
-        }
-    }
-
-    /// Applies the verdict of an owner.
-    fn on_verdict(
-        &mut self,
-        now: Micros,
-        from: &str,
-        verdict: Verdict,
-        around: &ClusterContext<'_>,
-    ) {
-        let customer = verdict.customer;
-        let map = around
-            .shard_map
-            .map()
-            .filter(|_| verdict.fence == fence_in_force(around.shard_map));
-        if map.is_some_and(|map| map.owner_of(customer) != Some(from)) {
-            self.refused.old += 1;
-            return;
-        }
-        match self.verdicts.on_verdict(now, verdict, self.majority) {
-            Ok(()) => {
-                let pooling = self.verdicts.in_force(now, customer, now, self.majority);
-                self.evidence.set_pooling(customer, pooling);
-            }
-            Err(VerdictRejection::Superseded { .. }) => self.refused.old += 1,
-            Err(VerdictRejection::Outdated) => self.refused.late += 1,
-            Err(VerdictRejection::Minority) => self.refused.minority += 1,
-            Err(VerdictRejection::Full(_)) => self.refused.full += 1,
-        }
-    }
-
-    /// Sends queued items, as far as the budget allows.
-    fn flush(&mut self, now: Micros, around: &ClusterContext<'_>, sends: &mut Vec<Transmit>) {
-        if around.silent {
-            return;
-        }
-        let dead: BTreeSet<PeerId> = self
-            .gateways
-            .values()
-            .filter(|seen| seen.is_dead)
-            .map(|seen| seen.id)
-            .collect();
-        if !self.owned.is_empty() {
-            let living = self
-                .gateways
-                .values()
-                .filter(|seen| !seen.is_dead && seen.id != self.me);
-            for seen in living.filter(|seen| !self.collected.contains(&seen.id)) {
-                self.queues.entry(seen.id).or_default();
-            }
-        }
-        // Round robin: the peer after the last recipient comes first.
-        let mut gateways: Vec<PeerId> = self
-            .queues
-            .keys()
-            .copied()
-            .filter(|id| !dead.contains(id))
-            .collect();
-        let place = gateways.partition_point(|id| *id <= self.last_recipient);
-        gateways.rotate_left(place);
-        for &to in &gateways {
-            self.send_verdicts(now, to, around, sends);
-        }
-        for &to in &gateways {
-            let soon = self.queues.get(&to).is_some_and(|queue| queue.is_urgent);
-            if soon && self.budget.has(1.0, 0.0) {
-                self.send_reports(now, to, around, sends);
-            }
-        }
-        for &to in &gateways {
-            if !self.budget.has(1.0, VERDICT_RESERVE) {
-                return;
-            }
-            self.send_requests(now, to, around, sends);
-        }
-    }
-
-    fn send_verdicts(
-        &mut self,
-        now: Micros,
-        to: PeerId,
-        around: &ClusterContext<'_>,
-        sends: &mut Vec<Transmit>,
-    ) {
-        let fence = fence_in_force(around.shard_map);
-        while self.budget.has(1.0, 0.0) {
-            let Some(queue) = self.queues.get_mut(&to) else {
-                return;
-            };
-            let mut remaining = MAX_ITEM_BYTES;
-            let mut verdicts = Vec::new();
-            while let Some(&customer) = queue.verdicts.first() {
-                // Ownership is checked when the verdict is sent, not when it was decided.
-                let verdict = self.aggregator.verdict(now, customer, fence);
-                if let Some(verdict) = verdict.filter(|_| owns_key(&self.owned, customer)) {
-                    let one = VerdictMessage::new(&verdict, peer_id_of);
-                    let Some(left) = remaining.checked_sub(size(&one)) else {
-                        break;
-                    };
-                    remaining = left;
-                    verdicts.push(one);
-                }
-                queue.verdicts.pop_first();
-            }
-            if verdicts.is_empty() {
-                return;
-            }
-            self.send(to, Kind::Verdicts { fence, verdicts }, sends);
-        }
-    }
-
-    fn send_reports(
-        &mut self,
-        now: Micros,
-        to: PeerId,
-        around: &ClusterContext<'_>,
-        sends: &mut Vec<Transmit>,
-    ) {
-        let mut remaining = MAX_ITEM_BYTES;
-        let mut counts = Vec::new();
-        loop {
-            let next = self
-                .queues
-                .get(&to)
-                .and_then(|queue| queue.reports.first().copied());
-            let Some(customer) = next else { break };
-            let pooling = self.pooling(now, customer, around.shard_map);
-            self.evidence.set_pooling(customer, pooling);
-            let one = ReportMessage::from(self.evidence.report(now, customer, pooling));
-            let Some(left) = remaining.checked_sub(size(&one)) else {
-                break;
-            };
-            remaining = left;
-            counts.push(one);
-            if let Some(queue) = self.queues.get_mut(&to) {
-                queue.reports.pop_first();
-            }
-        }
-        let Some(queue) = self.queues.get_mut(&to) else {
-            return;
-        };
-        let mut completed_collection = 0;
-        if queue.reports.is_empty() {
-            queue.is_urgent = false;
-            if let Some(owed) = queue.pending_collection.take() {
-                completed_collection = owed.1;
-                queue.answered_collection = Some(owed);
-            }
-        }
-        if completed_collection != 0 || !counts.is_empty() {
-            self.send(
-                to,
-                Kind::Report {
-                    completed_collection,
-                    counts,
-                },
-                sends,
-            );
-        }
-    }
-
-    /// Sends requests for collections and reports, and reports without a new break.
-    fn send_requests(
-        &mut self,
-        now: Micros,
-        to: PeerId,
-        around: &ClusterContext<'_>,
-        sends: &mut Vec<Transmit>,
-    ) {
-        let waits = !self.owned.is_empty() && !self.collected.contains(&to);
-        let (collection, known) = (
-            self.collection,
-            self.gateways.values().any(|seen| seen.id == to),
-        );
-        let Some(queue) = self.queues.get_mut(&to).filter(|_| known) else {
-            return;
-        };
-        if waits
-            && queue
-                .collection_sent_at
-                .is_none_or(|at| now.saturating_sub(at) >= REPORT_INTERVAL)
-        {
-            queue.collection_sent_at = Some(now);
-            self.send(to, Kind::CollectReports(collection), sends);
-        }
-        let Some(queue) = self.queues.get_mut(&to) else {
-            return;
-        };
-        if !queue.requests.is_empty() && self.budget.has(1.0, VERDICT_RESERVE) {
-            let mut asks = Vec::new();
-            while asks.len() * 6 < MAX_ITEM_BYTES - 6 {
-                let Some(customer) = queue.requests.pop_first() else {
-                    break;
-                };
-                asks.push(customer);
-            }
-            self.send(to, Kind::RequestReports(asks), sends);
-        }
-        let Some(queue) = self.queues.get(&to) else {
-            return;
-        };
-        let is_report_due = queue
-            .reports_sent_at
-            .is_none_or(|at| now.saturating_sub(at) >= REPORT_INTERVAL);
-        let ready =
-            queue.pending_collection.is_some() || (is_report_due && !queue.reports.is_empty());
-        if ready && self.budget.has(1.0, VERDICT_RESERVE) {
-            self.send_reports(now, to, around, sends);
-            if let Some(queue) = self.queues.get_mut(&to) {
-                queue.reports_sent_at = Some(now);
-            }
-        }
-    }
-
-    fn send(&mut self, to: PeerId, kind: Kind, sends: &mut Vec<Transmit>) {
-        let to_incarnation = self.queues.get(&to).map_or(0, |queue| queue.incarnation);
-        let bytes = Datagram {
-            from: self.me,
-            incarnation: self.incarnation,
-            to_incarnation,
-            kind,
-        }
-        .encode();
-        self.budget.take(1.0);
-        self.sent.0 += 1;
-        self.sent.1 += bytes.len() as u64;
-        self.last_recipient = to;
-        sends.push(Transmit { to, bytes });
-    }
-}
-
-/// Whether a range lies within one of these.
-fn covers(ranges: &[(Key, Key)], (from, to): (Key, Key)) -> bool {
-    ranges.iter().any(|range| range.0 <= from && to <= range.1)
 }
--- a/gateway-cluster/src/sessions/evidence.rs
+++ b/gateway-cluster/src/sessions/evidence.rs
@@ -18,31 +18,23 @@
 //! kind of change. A window only grows, and the oldest one is dropped as a whole. The gateway alone decides where a
 //! window ends, so a report is one state of one writer, and the windows of two gateways need not agree.
 
+mod control;
+mod requests;
+mod windows;
+
+pub use requests::{ConnectionUse, Failure, Outcome, Tally};
+pub use windows::{Window, WINDOWS, WINDOW_REQUESTS, WINDOW_S};
+
 use super::{Backend, Customer, Pooling};
 use crate::protocol::Micros;
+use control::{control_group, ControlCounts, ControlGroup, RequestCounts, Second};
+use control::{CONTROL_AHEAD_S, CONTROL_MAX_BACK_S};
 use indexmap::IndexMap;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
 use serde::{Deserialize, Serialize};
-use std::collections::{BTreeMap, VecDeque};
-
-/// Number of windows of each kind of change.
-pub const WINDOWS: usize = 4;
-/// Requests on changed connections after which a window is full.
-pub const WINDOW_REQUESTS: u16 = 32;
-/// Seconds after which a window ends.
-pub const WINDOW_S: u32 = 1800;
-/// Seconds before and after a request that its control group is taken from, and how far back it reaches if these hold
-/// too few requests. A second is evaluated when the next one is over.
-const CONTROL_BACK_S: u64 = 3;
-const CONTROL_AHEAD_S: u64 = 1;
-const CONTROL_MAX_BACK_S: u64 = 30;
-/// Minimum number of requests of a control group; the failure rate above which a backend is unhealthy; and the failure
-/// rate on changed connections above which it is unhealthy even if reused ones work, as a backend that takes no new
-/// connections.
-const MIN_CONTROL_REQUESTS: u32 = 6;
-const MAX_CONTROL_FAILURE_RATE: f64 = 0.1;
-const MAX_CHANGED_FAILURE_RATE: f64 = 0.8;
+use std::collections::VecDeque;
+use windows::{ControlSample, WindowRing};
 /// Maximum number of requests of one customer at one backend that count for the control group in one second.
 const MAX_CONTROL_REQUESTS_EACH: u32 = 4;
 /// Maximum number of entries that wait for their second or serve as control group, together.
@@ -59,92 +51,6 @@
 const DECIDED_INTERVAL: Micros = 30_000_000;
 const BREAK_INTERVAL: Micros = 200_000;
 
-/// Connection that a request used.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum ConnectionUse {
-    /// The customer's last connection to that backend, which nobody else has used since.
-    Kept,
-    /// Another connection, or one that another customer has used since, within a run.
-    ChangedInRun,
-    /// The same between two runs.
-    ChangedBetween,
-}
-
-impl ConnectionUse {
-    /// `same`: it is the customer's last connection to that backend, and nobody else has used it since. `since`: the
-    /// time since the end of the customer's last request there, if there was one: a first request leaves no state
-    /// behind. `gap`: the longest pause within a run. Times in microseconds.
-    pub fn of(same: bool, since: Option<Micros>, gap: Micros) -> ConnectionUse {
-        match (same, since) {
-            (true, _) | (_, None) => ConnectionUse::Kept,
-            (false, Some(since)) if since <= gap => ConnectionUse::ChangedInRun,
-            (false, Some(_)) => ConnectionUse::ChangedBetween,
-        }
-    }
-}
-
-/// How a request failed.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Failure {
-    /// The backend answered 500.
-    Http500,
-    /// The connection broke.
-    Reset,
-    /// The request timed out.
-    Timeout,
-}
-
-/// Outcome of a request.
-#[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Outcome {
-    /// Success.
-    Fine,
-    /// Failure.
-    Failed(Failure),
-    /// The customer closed its connection: not counted.
-    CustomersOwn,
-}
-
-/// Number of requests and of failed ones.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Tally {
-    /// All requests.
-    pub requests: u16,
-    /// Failed requests: status 500, resets, timeouts.
-    pub failed: [u16; 3],
-}
-
-impl Tally {
-    /// Number of failed requests.
-    pub fn failures(&self) -> u32 {
-        self.failed.iter().map(|&count| u32::from(count)).sum()
-    }
-
-    /// A counter at its maximum takes no more of either, so that the rate stays correct.
-    fn add(&mut self, other: Tally) {
-        if self.requests.checked_add(other.requests).is_none() {
-            return;
-        }
-        self.requests += other.requests;
-        for (mine, more) in self.failed.iter_mut().zip(other.failed) {
-            *mine = mine.saturating_add(more);
-        }
-    }
-}
-
-/// Counts of one window.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, Serialize, Deserialize)]
-pub struct Window {
-    /// Requests on a changed connection.
-    pub changed: Tally,
-    /// Requests on the reused connection.
-    pub reused: Tally,
-    /// Control group of both: requests of others and those that failed.
-    pub control: [u32; 2],
-    /// Requests of others on changed connections, of customers that are not bound, and those that failed.
-    pub control_changed: [u32; 2],
-}
-
 /// All that a gateway has counted for a customer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Report {
@@ -164,59 +70,6 @@
     pub between_runs: Vec<(Window, u32)>,
 }
 
-/// The last windows of one kind of change, newest first.
-#[derive(Debug, Clone, Copy, Default)]
-struct WindowRing {
-    windows: [Window; WINDOWS],
-    /// The second in which each window started.
-    started_s: [u32; WINDOWS],
-    count: u8,
-}
-
-impl WindowRing {
-    fn add(&mut self, second: u32, changed: Tally, reused: Tally, control: &ControlSample) {
-        let [newest, ..] = &self.windows;
-        let [started_s, ..] = &self.started_s;
-        let over = newest.changed.requests >= WINDOW_REQUESTS
-            || second.saturating_sub(*started_s) >= WINDOW_S;
-        if self.count == 0 || over {
-            self.windows.rotate_right(1);
-            self.started_s.rotate_right(1);
-            self.windows[0] = Window::default();
-            self.started_s[0] = second;
-            self.count = (self.count + 1).min(WINDOWS as u8);
-        }
-        let newest = &mut self.windows[0];
-        newest.changed.add(changed);
-        newest.reused.add(reused);
-        for (mine, more) in newest.control.iter_mut().zip(control.control) {
-            *mine = mine.saturating_add(more);
-        }
-        for (mine, more) in newest.control_changed.iter_mut().zip(control.changed) {
-            *mine = mine.saturating_add(more);
-        }
-    }
-
-    fn with_ages(&self, second: u32) -> Vec<(Window, u32)> {
-        let oldest = WINDOW_S * WINDOWS as u32;
-        let all = self
-            .windows
-            .iter()
-            .zip(self.started_s)
-            .take(usize::from(self.count));
-        all.map(|(window, started_s)| (*window, second.saturating_sub(started_s)))
-            .filter(|&(_, age)| age < oldest)
-            .collect()
-    }
-
-    fn changed(&self) -> u32 {
-        self.windows
-            .iter()
-            .map(|window| u32::from(window.changed.requests))
-            .sum()
-    }
-}
-
 /// Counts of one customer.
 #[derive(Debug, Clone, Copy)]
 struct Record {
@@ -236,57 +89,6 @@
 pub const BYTES_PER_CUSTOMER: usize = 8 + RECORD_BYTES + 8 + 16;
 const RECORD_BYTES: usize = std::mem::size_of::<Record>();
 
-/// Requests of one customer at one backend in one second.
-#[derive(Debug, Clone, Copy, Default)]
-struct RequestCounts {
-    in_run: Tally,
-    between_runs: Tally,
-    reused: Tally,
-    /// Its contribution to the control group of others.
-    contribution: ControlCounts,
-}
-
-#[derive(Debug, Clone, Copy, Default)]
-struct ControlCounts {
-    reused: [u32; 2],
-    changed: [u32; 2],
-}
-
-impl ControlCounts {
-    fn add(&mut self, other: &ControlCounts) {
-        for at in 0..2 {
-            self.reused[at] += other.reused[at];
-            self.changed[at] += other.changed[at];
-        }
-    }
-
-    fn subtract(&mut self, other: &ControlCounts) {
-        for at in 0..2 {
-            self.reused[at] = self.reused[at].saturating_sub(other.reused[at]);
-            self.changed[at] = self.changed[at].saturating_sub(other.changed[at]);
-        }
-    }
-
-    fn all(&self) -> [u32; 2] {
-        [
-            self.reused[0] + self.changed[0],
-            self.reused[1] + self.changed[1],
-        ]
-    }
-}
-
-fn failure_rate(counts: [u32; 2]) -> f64 {
-    f64::from(counts[1]) / f64::from(counts[0].max(1))
-}
-
-/// Requests of one second at this gateway.
-#[derive(Debug, Default)]
-struct Second {
-    at: u64,
-    control: BTreeMap<Backend, ControlCounts>,
-    entries: IndexMap<(Backend, Customer), RequestCounts>,
-}
-
 /// Number of entries that were not counted, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ExcludedCounts {
@@ -462,7 +264,7 @@
             else {
                 continue;
             };
-            match self.control_group(index, at, backend, customer) {
+            match control_group(&self.seconds, index, at, backend, customer) {
                 ControlGroup::Unhealthy => self.excluded.unhealthy += 1,
                 ControlGroup::TooFew => self.excluded.too_few_others += 1,
                 ControlGroup::Healthy(control) => {
@@ -472,63 +274,6 @@
         }
     }
 
-    /// The control group for a customer at a backend in a second, taken from further back if there are few requests.
-    fn control_group(
-        &self,
-        index: usize,
-        at: u64,
-        backend: Backend,
-        customer: Customer,
-    ) -> ControlGroup {
-        let others = |second: &Second| {
-            let mut counts = second.control.get(&backend).copied().unwrap_or_default();
-            if let Some(own) = second.entries.get(&(backend, customer)) {
-                counts.subtract(&own.contribution);
-            }
-            counts
-        };
-        let mut sum = ControlCounts::default();
-        for second in self
-            .seconds
-            .iter()
-            .skip(index)
-            .take_while(|second| second.at <= at + CONTROL_AHEAD_S)
-        {
-            sum.add(&others(second));
-        }
-        let mut is_far = false;
-        for second in self.seconds.iter().take(index).rev() {
-            let back = at - second.at;
-            if back > CONTROL_MAX_BACK_S
-                || (back > CONTROL_BACK_S && sum.all()[0] >= MIN_CONTROL_REQUESTS)
-            {
-                break;
-            }
-            is_far |= back > CONTROL_BACK_S;
-            sum.add(&others(second));
-        }
-        if !is_far && sum.reused[0] >= MIN_CONTROL_REQUESTS {
-            let refused = sum.changed[0] >= MIN_CONTROL_REQUESTS
-                && failure_rate(sum.changed) > MAX_CHANGED_FAILURE_RATE;
-            return if refused || failure_rate(sum.reused) > MAX_CONTROL_FAILURE_RATE {
-                ControlGroup::Unhealthy
-            } else {
-                ControlGroup::Healthy(ControlSample {
-                    control: sum.reused,
-                    changed: sum.changed,
-                })
-            };
-        }
-        match sum.all() {
-            few if few[0] < MIN_CONTROL_REQUESTS => ControlGroup::TooFew,
-            all if failure_rate(all) > MAX_CONTROL_FAILURE_RATE => ControlGroup::Unhealthy,
-            all => ControlGroup::Healthy(ControlSample {
-                control: all,
-                changed: sum.changed,
-            }),
-        }
-    }
-
     fn count_requests(
         &mut self,
         at: u64,
@@ -693,17 +438,5 @@
     }
 }
 
-/// Counts of a control group.
-struct ControlSample {
-    control: [u32; 2],
-    changed: [u32; 2],
-}
-
-enum ControlGroup {
-    Healthy(ControlSample),
-    Unhealthy,
-    TooFew,
-}
-
 #[cfg(test)]
 mod tests;
--- a/gateway-cluster/src/sessions/verdicts/customer.rs
+++ b/gateway-cluster/src/sessions/verdicts/customer.rs
@@ -7,18 +7,16 @@
 use crate::sessions::judge::{self, Counts, Found};
 use crate::sessions::{Customer, FencingToken, Pooling};
 use std::collections::BTreeMap;
-
-/// Interval and number of repetitions of a changed verdict, so that a loss delays it by a fraction of a second.
+/// Interval between two repetitions of a changed verdict, so that a loss delays it by a fraction of a second.
 const RESEND_INTERVAL: Micros = 100_000;
+/// How often a changed verdict is sent.
 pub(super) const SEND_REPEATS: u8 = 6;
 /// Maximum age of a report that counts for relaxing a verdict. A newer one is requested if relaxing waits for it only.
 pub const REPORT_TTL: Micros = 30 * SECOND;
 /// Time that an owner waits for the gateways' reports of a customer that is new to it.
 pub(super) const WARM_UP: Micros = 3 * SECOND;
-
 /// Incarnations of a gateway whose reports are kept: the current one and the one before, which counted other requests.
 const MAX_INCARNATIONS: usize = 2;
-
 /// Gateways of a customer whose reports are kept: usually four at most, and some may have changed.
 const MAX_GATEWAYS: usize = 8;
 
