--- a/gateway-cluster/src/sessions/classifier.rs
+++ b/gateway-cluster/src/sessions/classifier.rs
@@ -23,7 +23,7 @@
     self, ConnectionPolicy, EvidenceSummary, Input, Verdict, VerdictAggregator, VerdictTable,
     PROBE_INTERVAL,
 };
-use super::wire::{Datagram, Kind};
+use super::wire::{Datagram, Kind, ReportMessage};
 use super::{Backend, Customer, FencingToken, Pooling};
 use crate::membership::PartitionSide;
 use crate::peers::{peer_id_of, PeerId};
@@ -140,6 +140,14 @@
     pub sent: (u64, u64),
 }
 
+/// Sender of a datagram.
+struct Sender<'a> {
+    peer: PeerId,
+    name: &'a str,
+    incarnation: u64,
+}
+
+/// Whether a key lies in one of these sorted ranges.
 fn owns_key(ranges: &[(Key, Key)], key: Key) -> bool {
     let place = ranges.partition_point(|(_, to)| *to <= key);
     ranges.get(place).is_some_and(|(from, _)| *from <= key)
@@ -371,43 +379,21 @@
             return;
         }
         self.sync_with_cluster(now, around);
-        let queue = self.queues.entry(from).or_default();
-        queue.incarnation = incarnation;
+        self.queues.entry(from).or_default().incarnation = incarnation;
+        let sender = Sender {
+            peer: from,
+            name,
+            incarnation,
+        };
         match kind {
-            Kind::CollectReports(number)
-                if queue.answered_collection == Some((incarnation, number)) =>
-            {
-                queue.pending_collection = Some((incarnation, number));
-            }
-            Kind::CollectReports(number)
-                if queue.pending_collection != Some((incarnation, number)) =>
-            {
-                queue.pending_collection = Some((incarnation, number));
-                let map = around.shard_map.map();
-                let theirs = |customer| map.and_then(|map| map.owner_of(customer)) == Some(name);
-                // The sender may own more by a map that this gateway does not have yet; those reports follow when the
-                // map arrives.
-                queue.reports.extend(self.evidence.resend(theirs));
-            }
-            Kind::CollectReports(_) => {}
-            Kind::RequestReports(customers) => {
-                let remaining = self.max_customers.saturating_sub(queue.reports.len());
-                queue.reports.extend(customers.into_iter().take(remaining));
-                queue.is_urgent = true;
-            }
+            Kind::CollectReports(number) => self.on_collection_request(&sender, number, around),
+            Kind::RequestReports(customers) => self.on_report_request(&sender, customers),
             Kind::Report {
                 completed_collection,
                 counts,
             } => {
-                for counts in counts {
-                    if owns_key(&self.owned, counts.customer()) {
-                        self.add_reporting_gateway(name, counts.customer());
-                        self.run_aggregator(
-                            now,
-                            Input::Report(counts.report(name, incarnation)),
-                            around,
-                        );
-                    }
+                for report in counts {
+                    self.on_report(now, &sender, report, around);
                 }
                 if completed_collection != 0 && completed_collection == self.collection {
                     self.collected.insert(from);
@@ -418,12 +404,60 @@
                     let known = around.names.iter().find(|name| peer_id_of(name) == id);
                     known.cloned().unwrap_or_else(|| format!("{id:08x}"))
                 };
-                for verdicts in verdicts {
-                    let verdict = verdicts.verdict(fence, incarnation, name_of);
+                for verdict in verdicts {
+                    let verdict = verdict.verdict(fence, incarnation, name_of);
                     self.on_verdict(now, name, verdict, around);
                 }
             }
         }
         self.flush(now, around, sends);
     }
+
+    /// A peer requests all reports of the customers that it owns.
+    fn on_collection_request(
+        &mut self,
+        sender: &Sender<'_>,
+        number: u32,
+        around: &ClusterContext<'_>,
+    ) {
+        let collection = Some((sender.incarnation, number));
+        let queue = self.queues.entry(sender.peer).or_default();
+        if queue.answered_collection == collection {
+            // All reports have been sent: the completion is repeated.
+            queue.pending_collection = collection;
+        } else if queue.pending_collection != collection {
+            queue.pending_collection = collection;
+            let map = around.shard_map.map();
+            let is_owned_by_sender =
+                |customer| map.and_then(|map| map.owner_of(customer)) == Some(sender.name);
+            // The sender may own more by a map that this gateway does not have yet; those reports follow when the map
+            // arrives.
+            queue
+                .reports
+                .extend(self.evidence.resend(is_owned_by_sender));
+        }
+    }
+
+    /// A peer requests the reports of some customers.
+    fn on_report_request(&mut self, sender: &Sender<'_>, customers: Vec<Customer>) {
+        let queue = self.queues.entry(sender.peer).or_default();
+        let capacity = self.max_customers.saturating_sub(queue.reports.len());
+        queue.reports.extend(customers.into_iter().take(capacity));
+        queue.is_urgent = true;
+    }
+
+    /// Passes a report on to the aggregator if this gateway owns the customer.
+    fn on_report(
+        &mut self,
+        now: Micros,
+        sender: &Sender<'_>,
+        report: ReportMessage,
+        around: &ClusterContext<'_>,
+    ) {
+        if owns_key(&self.owned, report.customer()) {
+            self.add_reporting_gateway(sender.name, report.customer());
+            let report = report.report(sender.name, sender.incarnation);
+            self.run_aggregator(now, Input::Report(report), around);
+        }
+    }
 }
--- a/gateway-cluster/src/sessions/evidence.rs
+++ b/gateway-cluster/src/sessions/evidence.rs
@@ -268,7 +268,7 @@
                 ControlGroup::Unhealthy => self.excluded.unhealthy += 1,
                 ControlGroup::TooFew => self.excluded.too_few_others += 1,
                 ControlGroup::Healthy(control) => {
-                    self.count_requests(at, customer, entry, &control)
+                    self.count_requests(at, customer, entry, &control);
                 }
             }
         }
--- a/gateway-cluster/src/sessions/sim.rs
+++ b/gateway-cluster/src/sessions/sim.rs
@@ -268,7 +268,7 @@
             break;
         }
         simulation.now = at;
-        simulation.on_event(event);
+        simulation.on_event(&event);
     }
     for (evidence, _) in &simulation.gateways {
         simulation.out.excluded[0] += evidence.excluded().unhealthy;
@@ -333,8 +333,8 @@
         );
     }
 
-    fn on_event(&mut self, event: Event) {
-        match event {
+    fn on_event(&mut self, event: &Event) {
+        match *event {
             Event::Request {
                 index,
                 gateway,
@@ -365,7 +365,7 @@
         }
     }
 
-    fn send(&mut self, event: Event) {
+    fn send(&mut self, event: &Event) {
         self.out.datagrams += 1;
         let times = if self.plan.lossy && self.rng.random_bool(0.1) {
             2
@@ -393,7 +393,7 @@
         };
         let report = evidence.report(now, customer, table.in_force(now, customer, now, true));
         self.reports.push(report);
-        self.send(Event::Report(self.reports.len() - 1));
+        self.send(&Event::Report(self.reports.len() - 1));
     }
 
     fn run_owner(&mut self, input: Input) {
@@ -414,14 +414,14 @@
                     let Some(gateway) = index_of(&gateway) else {
                         continue;
                     };
-                    self.send(Event::RequestReport { gateway, customer });
+                    self.send(&Event::RequestReport { gateway, customer });
                 }
                 Output::SendVerdict { gateway, verdict } => {
                     let Some(gateway) = index_of(&gateway) else {
                         continue;
                     };
                     self.verdicts.push(verdict);
-                    self.send(Event::Verdict {
+                    self.send(&Event::Verdict {
                         gateway,
                         verdict: self.verdicts.len() - 1,
                     });
--- a/gateway-cluster/src/sessions/verdicts/connections.rs
+++ b/gateway-cluster/src/sessions/verdicts/connections.rs
@@ -23,9 +23,9 @@
     Private,
 }
 
-/// How a request gets its connection. `since_probe` is the time since the last probe, `draw` a random number from 0 to
-/// 1. Probes cost a bound customer 12 requests an hour at each gateway, and an `unknown` one of the kind `transaction`
-/// some 20 until it is classified.
+/// How a request gets its connection. `since_probe` is the time since the last probe in microseconds, `draw` a random
+/// number between zero and one. Probes cost a bound customer 12 requests an hour at each gateway, and an `unknown`
+/// customer of the kind `transaction` about 20 requests before its classification.
 pub fn connection_policy(pooling: Pooling, since_probe: Micros, draw: f64) -> ConnectionPolicy {
     match pooling {
         Pooling::Statement => ConnectionPolicy::Any,
--- a/gateway-cluster/src/shards/node/acceptance.rs
+++ b/gateway-cluster/src/shards/node/acceptance.rs
@@ -3,6 +3,7 @@
 use super::{map_id, ShardMapEvent, ShardMapNode};
 use crate::leadership::election::LeaderElection;
 use crate::leadership::{longer, FencingToken};
+use crate::peers::PeerId;
 use crate::protocol::{Micros, Transmit};
 use crate::shards::consensus::{Ballot, MapId};
 use crate::shards::leases::RangeSet;
@@ -22,85 +23,113 @@
         election: &mut LeaderElection,
         sends: &mut Vec<Transmit>,
     ) {
-        let from = datagram.from;
-        match &datagram.kind {
+        match datagram.kind {
             Kind::Prepare(ballot) if ballot.epoch == epoch => {
-                let Some(report) = self.acceptor.promise(*ballot) else {
-                    return;
-                };
-                let (ballot, had_lease) = (*ballot, self.local_shards.had_lease());
-                let lease_uncertainty_ms = self.lease_uncertainty(now).div_ceil(1000) as u32;
-                self.send(
-                    election,
-                    from,
-                    None,
-                    Kind::Promise {
-                        ballot,
-                        report,
-                        had_lease,
-                        lease_uncertainty_ms,
-                    },
-                    sends,
-                );
+                self.on_prepare(now, datagram.from, ballot, election, sends);
             }
-            Kind::Propose {
-                ballot,
-                map,
-                resumed,
-                recovery,
-                map_bytes,
-            } if ballot.epoch == epoch => {
-                if let Some(found) =
-                    decode_map(map.hash, map_bytes).filter(|_| self.find(map.hash).is_none())
-                {
-                    self.cache_map(found);
-                }
-                let Some(found) = self.find(map.hash).cloned() else {
-                    return self.fetch_for(now, map.hash, datagram, election, sends);
-                };
-                let kind = match self.accept(*ballot, *map, &found, *resumed, *recovery) {
-                    Some(Ok(())) => Kind::Accepted(*ballot, map.hash),
-                    Some(Err(findings)) => {
-                        Kind::Rejected(*ballot, map.hash, truncated_findings(&findings))
-                    }
-                    None => return,
-                };
-                self.send(election, from, None, kind, sends);
-            }
-            Kind::GrantLease {
-                map,
-                blocked,
-                expires_at,
-                idle,
-            } => {
-                if !self.local_shards.is_current(FencingToken {
-                    epoch,
-                    version: map.version,
-                }) {
-                    return;
-                }
-                if !self.has_in_force(map.hash) && self.find(map.hash).is_none() {
-                    return self.fetch_for(now, map.hash, datagram, election, sends);
-                }
-                if self.accept_lease(now, epoch, *map, blocked.clone(), *expires_at, *idle) {
-                    let (version, had_lease) = (map.version, self.local_shards.had_lease());
-                    self.send(
-                        election,
-                        from,
-                        None,
-                        Kind::AcknowledgeLease {
-                            epoch,
-                            version,
-                            had_lease,
-                        },
-                        sends,
-                    );
-                }
+            Kind::Propose { ballot, .. } if ballot.epoch == epoch => {
+                self.on_propose(now, datagram, election, sends);
             }
+            Kind::GrantLease { .. } => self.on_grant_lease(now, epoch, datagram, election, sends),
             _ => self.dropped.0 += 1,
         }
     }
 
+    /// Paxos phase one.
+    fn on_prepare(
+        &mut self,
+        now: Micros,
+        from: PeerId,
+        ballot: Ballot,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
+    ) {
+        let Some(report) = self.acceptor.promise(ballot) else {
+            return;
+        };
+        let promise = Kind::Promise {
+            ballot,
+            report,
+            had_lease: self.local_shards.had_lease(),
+            lease_uncertainty_ms: self.lease_uncertainty(now).div_ceil(1000) as u32,
+        };
+        self.send(election, from, None, promise, sends);
+    }
+
+    /// Paxos phase two.
+    fn on_propose(
+        &mut self,
+        now: Micros,
+        datagram: Datagram,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
+    ) {
+        let Kind::Propose {
+            ballot,
+            map,
+            resumed,
+            recovery,
+            ref map_bytes,
+        } = datagram.kind
+        else {
+            return;
+        };
+        if let Some(decoded) =
+            decode_map(map.hash, map_bytes).filter(|_| self.find(map.hash).is_none())
+        {
+            self.cache_map(decoded);
+        }
+        let Some(proposed) = self.find(map.hash).cloned() else {
+            self.fetch_for(now, map.hash, datagram, election, sends);
+            return;
+        };
+        let vote = match self.accept(ballot, map, &proposed, resumed, recovery) {
+            Some(Ok(())) => Kind::Accepted(ballot, map.hash),
+            Some(Err(findings)) => Kind::Rejected(ballot, map.hash, truncated_findings(&findings)),
+            None => return,
+        };
+        self.send(election, datagram.from, None, vote, sends);
+    }
+
+    fn on_grant_lease(
+        &mut self,
+        now: Micros,
+        epoch: u64,
+        datagram: Datagram,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
+    ) {
+        let Kind::GrantLease {
+            map,
+            ref blocked,
+            expires_at,
+            idle,
+        } = datagram.kind
+        else {
+            return;
+        };
+        let token = FencingToken {
+            epoch,
+            version: map.version,
+        };
+        if !self.local_shards.is_current(token) {
+            return;
+        }
+        if !self.has_in_force(map.hash) && self.find(map.hash).is_none() {
+            self.fetch_for(now, map.hash, datagram, election, sends);
+            return;
+        }
+        if self.accept_lease(now, epoch, map, blocked.clone(), expires_at, idle) {
+            let acknowledgement = Kind::AcknowledgeLease {
+                epoch,
+                version: map.version,
+                had_lease: self.local_shards.had_lease(),
+            };
+            self.send(election, datagram.from, None, acknowledgement, sends);
+        }
+    }
+
+    /// Whether this gateway has taken over the map with this hash.
     fn has_in_force(&self, hash: MapHash) -> bool {
         self.acceptor.in_force().is_some_and(|map| map.hash == hash) && self.map.is_some()
     }
--- a/gateway-cluster/src/shards/plan.rs
+++ b/gateway-cluster/src/shards/plan.rs
@@ -90,7 +90,7 @@
     }
     let keys = gone.iter().map(ShardRange::keys).sum();
     let max = fill_level(draft.owned.values().copied(), keys).saturating_add(draft.slack());
-    draft.assign_to_lightest(gone, max);
+    draft.assign_to_lightest(&gone, max);
     draft.finish().map(Some)
 }
 
@@ -226,7 +226,7 @@
             let moving = self.is_moving(&range);
             match joined.last_mut() {
                 Some(last) if last.owner == range.owner && !moving && !self.is_moving(last) => {
-                    last.to = range.to
+                    last.to = range.to;
                 }
                 _ => joined.push(range),
             }
@@ -236,7 +236,7 @@
 
     /// Assigns ranges to the owners with fewest keys, none of which gets more than `max`, unless no further split is
     /// possible.
-    fn assign_to_lightest(&mut self, ranges: Vec<ShardRange>, max: u64) {
+    fn assign_to_lightest(&mut self, ranges: &[ShardRange], max: u64) {
         let mut left: BinaryHeap<(u64, Reverse<Key>)> = ranges
             .iter()
             .map(|range| (range.keys(), Reverse(range.from)))
--- a/gateway-cluster/src/shards/validate.rs
+++ b/gateway-cluster/src/shards/validate.rs
@@ -260,7 +260,7 @@
             match moves.last_mut() {
                 // A move that crosses a bound of either map is split there: the parts are joined again.
                 Some(last) if last.to == from && last.old == had.owner && last.new == has.owner => {
-                    last.to = to
+                    last.to = to;
                 }
                 _ => moves.push(Moves {
                     from,
