--- a/gateway-cluster/src/sessions/classifier.rs
+++ b/gateway-cluster/src/sessions/classifier.rs
@@ -97,15 +97,15 @@
 
 /// Number of rejected verdicts, by cause.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct Refusals {
+pub struct VerdictRejections {
     /// The fencing token is outdated, or the sender does not own the customer in the map in force.
-    pub old: u64,
+    pub superseded: u64,
     /// A later verdict is known.
-    pub late: u64,
+    pub outdated: u64,
     /// The verdict would be relaxed on a minority side.
     pub minority: u64,
     /// The table of verdicts is full.
-    pub full: u64,
+    pub table_full: u64,
 }
 
 /// Classifier of one incarnation of a gateway.
@@ -133,7 +133,7 @@
     cleanup_at: Micros,
     rng: Pcg64Mcg,
     /// Rejected verdicts.
-    pub refused: Refusals,
+    pub rejected: VerdictRejections,
     /// Dropped datagrams: those that cannot be decoded, and those from unknown peers or for other incarnations.
     pub dropped: (u64, u64),
     /// Sent datagrams, and their bytes without headers.
@@ -194,7 +194,7 @@
             wakeup_at: now,
             cleanup_at: now + CLEANUP_INTERVAL,
             rng: Pcg64Mcg::seed_from_u64(seed.rotate_left(8)),
-            refused: Refusals::default(),
+            rejected: VerdictRejections::default(),
             dropped: (0, 0),
             sent: (0, 0),
         }
--- a/gateway-cluster/src/sessions/classifier/ownership.rs
+++ b/gateway-cluster/src/sessions/classifier/ownership.rs
@@ -184,7 +184,7 @@
             .map()
             .filter(|_| verdict.fence == fence_in_force(around.shard_map));
         if map.is_some_and(|map| map.owner_of(customer) != Some(from)) {
-            self.refused.old += 1;
+            self.rejected.superseded += 1;
             return;
         }
         match self.verdicts.on_verdict(now, verdict, self.majority) {
@@ -192,10 +192,10 @@
                 let pooling = self.verdicts.in_force(now, customer, now, self.majority);
                 self.evidence.set_pooling(customer, pooling);
             }
-            Err(VerdictRejection::Superseded { .. }) => self.refused.old += 1,
-            Err(VerdictRejection::Outdated) => self.refused.late += 1,
-            Err(VerdictRejection::Minority) => self.refused.minority += 1,
-            Err(VerdictRejection::Full(_)) => self.refused.full += 1,
+            Err(VerdictRejection::Superseded { .. }) => self.rejected.superseded += 1,
+            Err(VerdictRejection::Outdated) => self.rejected.outdated += 1,
+            Err(VerdictRejection::Minority) => self.rejected.minority += 1,
+            Err(VerdictRejection::Full(_)) => self.rejected.table_full += 1,
         }
     }
 }
--- a/gateway-cluster/src/sessions/evidence.rs
+++ b/gateway-cluster/src/sessions/evidence.rs
@@ -84,7 +84,7 @@
 }
 
 /// Bytes of one customer in the table: number, counts, and the overhead of the table (a hash, and an index that is at
-/// most 7/8 full and doubles when it grows). The test `state_of_a_customer_is_as_small_as_stated` compares it with the
+/// most 7/8 full and doubles when it grows). The test `customer_record_size_stays_within_the_documented_bytes` compares it with the
 /// compiler's sizes.
 pub const BYTES_PER_CUSTOMER: usize = 8 + RECORD_BYTES + 8 + 16;
 const RECORD_BYTES: usize = std::mem::size_of::<Record>();
--- a/gateway-cluster/src/sessions/verdicts/table.rs
+++ b/gateway-cluster/src/sessions/verdicts/table.rs
@@ -17,11 +17,11 @@
 pub enum VerdictRejection {
     /// The fencing token is outdated.
     #[error("a verdict under epoch {} and version {} came after one under epoch {} and version {}: its keeper was \
-             replaced; if this goes on, look at `owner` and `shards` of the door that sent it", came.epoch,
-             came.version, known.epoch, known.version)]
+             replaced; if this goes on, look at `owner` and `shards` of the door that sent it", received.epoch,
+             received.version, known.epoch, known.version)]
     Superseded {
         /// Token of the verdict.
-        came: FencingToken,
+        received: FencingToken,
         /// The highest token known.
         known: FencingToken,
     },
@@ -72,7 +72,7 @@
     ) -> Result<(), VerdictRejection> {
         if verdict.fence < self.highest {
             return Err(VerdictRejection::Superseded {
-                came: verdict.fence,
+                received: verdict.fence,
                 known: self.highest,
             });
         }
--- a/gateway-cluster/src/shards/consensus/tests.rs
+++ b/gateway-cluster/src/shards/consensus/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 
 #[test]
-fn a_gateway_that_started_from_nothing_accepts_once_it_was_told_what_is_settled() {
+fn a_restarted_acceptor_accepts_once_it_knows_the_decided_map() {
     let (one, two) = (
         Ballot {
             epoch: 1,
--- a/gateway-cluster/src/shards/leases/tests.rs
+++ b/gateway-cluster/src/shards/leases/tests.rs
@@ -1,8 +1,7 @@
 use super::*;
 
 #[test]
-fn of_two_processes_of_one_name_the_second_keeps_once_the_lease_of_the_first_is_over_or_given_back()
-{
+fn a_second_incarnation_gets_a_lease_once_the_first_one_expired_or_was_released() {
     let mut leases = GrantedLeases::new(0, 100);
     assert!(
         !leases.may_grant(50, 7, 1),
@@ -24,7 +23,7 @@
 }
 
 #[test]
-fn a_lease_of_an_older_term_or_version_is_refused_and_what_was_free_stays_so() {
+fn an_outdated_lease_is_rejected_and_free_ranges_stay_free() {
     let (mut local, token) = (LocalShards::default(), |epoch, version| FencingToken {
         epoch,
         version,
--- a/gateway-cluster/tests/session_parts.rs
+++ b/gateway-cluster/tests/session_classifier.rs
@@ -3,7 +3,9 @@
 
 use gateway_cluster::peers::peer_id_of;
 use gateway_cluster::protocol::{Micros, PeerIndex};
-use gateway_cluster::sessions::classifier::{ClassifierStatus, Refusals, BURST, PER_SECOND};
+use gateway_cluster::sessions::classifier::{
+    ClassifierStatus, VerdictRejections, BURST, PER_SECOND,
+};
 use gateway_cluster::sessions::evidence::{ConnectionUse, Failure, Outcome};
 use gateway_cluster::sessions::verdicts::{EvidenceSummary, Verdict};
 use gateway_cluster::sessions::wire::{Datagram, Kind, VerdictMessage};
@@ -20,48 +22,48 @@
 const SEEDS: std::ops::Range<u64> = 0..2;
 const KINDS: [Pooling; 3] = [Pooling::Statement, Pooling::Transaction, Pooling::Session];
 /// Most of them are of no state, as without such nothing stands against what fails for all.
-const PEOPLE: [Pooling; 12] = {
-    let mut simulated_customers = [Pooling::Statement; 12];
-    (simulated_customers[3], simulated_customers[7]) = (Pooling::Transaction, Pooling::Transaction);
-    (simulated_customers[1], simulated_customers[10]) = (Pooling::Session, Pooling::Session);
-    simulated_customers
+const CUSTOMERS: [Pooling; 12] = {
+    let mut active_customers = [Pooling::Statement; 12];
+    (active_customers[3], active_customers[7]) = (Pooling::Transaction, Pooling::Transaction);
+    (active_customers[1], active_customers[10]) = (Pooling::Session, Pooling::Session);
+    active_customers
 };
 
-fn customer(person: usize) -> Customer {
-    person as u64 * (KEYS / PEOPLE.len() as u64) + 5
+fn customer(index: usize) -> Customer {
+    index as u64 * (KEYS / CUSTOMERS.len() as u64) + 5
 }
 
-struct Fleet {
+struct SessionCluster {
     sim: Sim<SimulatedNode<2000, 64, true>>,
     seed: u64,
-    chance: Pcg64Mcg,
+    rng: Pcg64Mcg,
     /// Who sends requests.
-    simulated_customers: Vec<usize>,
+    active_customers: Vec<usize>,
     /// What each owner says, and since when; and the longest until all gateways that run went by it.
-    said: [(Pooling, Micros); PEOPLE.len()],
-    slowest: Micros,
+    owner_verdicts: [(Pooling, Micros); CUSTOMERS.len()],
+    slowest_propagation: Micros,
 }
 
-impl Fleet {
-    fn new(gateways: usize, seed: u64, weather: NetworkConditions) -> Fleet {
+impl SessionCluster {
+    fn new(gateways: usize, seed: u64, network: NetworkConditions) -> SessionCluster {
         let mut sim = Sim::new(gateways, 500_000, seed);
-        sim.network = weather;
+        sim.network = network;
         (0..gateways).for_each(|gateway| sim.start(gateway, UNIX));
         sim.run_until(15 * SECOND);
-        Fleet {
+        SessionCluster {
             sim,
             seed,
-            chance: Pcg64Mcg::seed_from_u64(seed),
-            simulated_customers: (0..PEOPLE.len()).collect(),
-            said: [(Pooling::Unknown, 0); PEOPLE.len()],
-            slowest: 0,
+            rng: Pcg64Mcg::seed_from_u64(seed),
+            active_customers: (0..CUSTOMERS.len()).collect(),
+            owner_verdicts: [(Pooling::Unknown, 0); CUSTOMERS.len()],
+            slowest_propagation: 0,
         }
     }
 
     /// One where all is known.
-    fn known(gateways: usize, seed: u64) -> Fleet {
-        let mut cluster = Fleet::new(gateways, seed, NetworkConditions::default());
-        cluster.until(90 * SECOND, "all is found", Fleet::is_right);
+    fn classified(gateways: usize, seed: u64) -> SessionCluster {
+        let mut cluster = SessionCluster::new(gateways, seed, NetworkConditions::default());
+        cluster.until(90 * SECOND, "all is found", SessionCluster::all_classified);
         cluster
     }
 
@@ -71,47 +73,47 @@
             .collect()
     }
 
-    fn told(&mut self, gateway: PeerIndex, person: usize) -> ClassifierStatus {
+    fn status(&mut self, gateway: PeerIndex, index: usize) -> ClassifierStatus {
         let now = self.sim.now();
         let owned = self.sim.engine(gateway).expect("it runs");
         owned
             .stack
-            .session(now, customer(person))
+            .session(now, customer(index))
             .expect("sessions are on")
     }
 
-    fn pooling(&mut self, gateway: PeerIndex, person: usize) -> Pooling {
-        self.told(gateway, person).pooling
+    fn pooling(&mut self, gateway: PeerIndex, index: usize) -> Pooling {
+        self.status(gateway, index).pooling
     }
 
-    fn refused(&mut self, gateway: PeerIndex) -> Refusals {
+    fn rejections(&mut self, gateway: PeerIndex) -> VerdictRejections {
         let owned = self.sim.engine(gateway).expect("it runs");
-        owned.stack.sessions().expect("sessions are on").refused
+        owned.stack.sessions().expect("sessions are on").rejected
     }
 
     /// The gateway that keeps this person now.
-    fn owner(&mut self, person: usize) -> Option<PeerIndex> {
+    fn owner(&mut self, index: usize) -> Option<PeerIndex> {
         let now = self.sim.now();
         self.gateways().into_iter().find(|gateway| {
             let owned = self.sim.engine(*gateway);
             owned
                 .and_then(|owned| owned.stack.shard_map())
-                .is_some_and(|own| own.keeps(now, customer(person)))
+                .is_some_and(|own| own.keeps(now, customer(index)))
         })
     }
 
-    fn is_right(&mut self) -> bool {
+    fn all_classified(&mut self) -> bool {
         let gateways = self.gateways();
-        let simulated_customers = self.simulated_customers.clone();
-        simulated_customers.iter().all(|&person| {
+        let active_customers = self.active_customers.clone();
+        active_customers.iter().all(|&index| {
             gateways
                 .iter()
-                .all(|&gateway| self.pooling(gateway, person) == PEOPLE[person])
+                .all(|&gateway| self.pooling(gateway, index) == CUSTOMERS[index])
         })
     }
 
     fn request(&mut self, gateway: PeerIndex, customer: Customer, truth: Pooling) {
-        let conn = match self.chance.random_range(0..3) {
+        let conn = match self.rng.random_range(0..3) {
             0 => ConnectionUse::Kept,
             1 => ConnectionUse::ChangedInRun,
             _ => ConnectionUse::ChangedBetween,
@@ -133,35 +135,37 @@
 
     fn step(&mut self) {
         let gateways = self.gateways();
-        for person in self.simulated_customers.clone() {
-            if self.chance.random_bool(0.5) {
-                let gateway = gateways[self.chance.random_range(0..gateways.len())];
-                self.request(gateway, customer(person), PEOPLE[person]);
+        for index in self.active_customers.clone() {
+            if self.rng.random_bool(0.5) {
+                let gateway = gateways[self.rng.random_range(0..gateways.len())];
+                self.request(gateway, customer(index), CUSTOMERS[index]);
             }
         }
         self.sim.run_until(self.sim.now() + STEP);
         let now = self.sim.now();
-        for person in self.simulated_customers.clone() {
+        for index in self.active_customers.clone() {
             for &gateway in &gateways {
-                let wrong = self.pooling(gateway, person) == Pooling::Statement;
+                let wrong = self.pooling(gateway, index) == Pooling::Statement;
                 assert!(
-                    !wrong || PEOPLE[person] == Pooling::Statement,
-                    "seed {}: {person} at n{gateway}",
+                    !wrong || CUSTOMERS[index] == Pooling::Statement,
+                    "seed {}: {index} at n{gateway}",
                     self.seed
                 );
             }
-            let Some(owner) = self.owner(person) else {
+            let Some(owner) = self.owner(index) else {
                 continue;
             };
-            let says = self.pooling(owner, person);
-            if self.said[person].0 != says {
-                self.said[person] = (says, now);
+            let verdict_pooling = self.pooling(owner, index);
+            if self.owner_verdicts[index].0 != verdict_pooling {
+                self.owner_verdicts[index] = (verdict_pooling, now);
             }
             if !gateways
                 .iter()
-                .all(|&gateway| self.pooling(gateway, person) == says)
+                .all(|&gateway| self.pooling(gateway, index) == verdict_pooling)
             {
-                self.slowest = self.slowest.max(now - self.said[person].1);
+                self.slowest_propagation = self
+                    .slowest_propagation
+                    .max(now - self.owner_verdicts[index].1);
             }
         }
     }
@@ -170,72 +174,81 @@
         (0..time / STEP).for_each(|_| self.step());
     }
 
-    fn until(&mut self, most: Micros, what: &str, done: impl Fn(&mut Fleet) -> bool) -> Micros {
+    fn until(
+        &mut self,
+        timeout: Micros,
+        what: &str,
+        done: impl Fn(&mut SessionCluster) -> bool,
+    ) -> Micros {
         let began = self.sim.now();
-        while self.sim.now() < began + most {
+        while self.sim.now() < began + timeout {
             self.step();
             if done(self) {
                 return self.sim.now() - began;
             }
         }
         let gateways = self.gateways();
-        let told: Vec<Vec<Pooling>> = gateways
+        let status: Vec<Vec<Pooling>> = gateways
             .iter()
             .map(|&gateway| {
-                (0..PEOPLE.len())
-                    .map(|person| self.pooling(gateway, person))
+                (0..CUSTOMERS.len())
+                    .map(|index| self.pooling(gateway, index))
                     .collect()
             })
             .collect();
-        panic!("seed {}: {what}: not within {most} us: {told:?}", self.seed)
+        panic!(
+            "seed {}: {what}: not within {timeout} us: {status:?}",
+            self.seed
+        )
     }
 }
 
 #[test]
-fn owners_find_out_each_kind_and_all_gateways_go_by_it_within_a_second() {
+fn each_kind_is_classified_and_all_gateways_apply_it_within_a_second() {
     let lossy = NetworkConditions {
         loss: 0.1,
         jitter: 50_000,
         double: 0.1,
         ..NetworkConditions::default()
     };
-    for (gateways, weather) in [
+    for (gateways, network) in [
         (3, NetworkConditions::default()),
         (5, NetworkConditions::default()),
         (4, lossy),
     ] {
         for seed in SEEDS {
-            let mut cluster = Fleet::new(gateways, seed, weather);
-            let took = cluster.until(90 * SECOND, "all is found", Fleet::is_right);
+            let mut cluster = SessionCluster::new(gateways, seed, network);
+            let elapsed =
+                cluster.until(90 * SECOND, "all is found", SessionCluster::all_classified);
             println!(
-                "{gateways} doors, seed {seed}: {took} us, and {} us to all",
-                cluster.slowest
+                "{gateways} doors, seed {seed}: {elapsed} us, and {} us to all",
+                cluster.slowest_propagation
             );
             assert!(
-                cluster.slowest <= SECOND,
+                cluster.slowest_propagation <= SECOND,
                 "seed {seed}: {} us until all doors had it",
-                cluster.slowest
+                cluster.slowest_propagation
             );
-            let told = cluster.told(0, 1);
-            let counted = told.evidence.changed_between;
+            let status = cluster.status(0, 1);
+            let counted = status.evidence.changed_between;
             assert!(
                 counted[0] > 0 && counted[0] == counted[1],
-                "seed {seed}: {told:?}"
+                "seed {seed}: {status:?}"
             );
             assert!(
-                told.reports.len() > 1 && told.evidence.control[0] > 0,
-                "seed {seed}: {told:?}"
+                status.reports.len() > 1 && status.evidence.control[0] > 0,
+                "seed {seed}: {status:?}"
             );
-            assert!(KINDS.iter().all(|kind| PEOPLE.contains(kind)));
+            assert!(KINDS.iter().all(|kind| CUSTOMERS.contains(kind)));
         }
     }
 }
 
 #[test]
-fn a_verdict_outlives_its_owner_and_the_next_one_goes_on_from_it() {
+fn a_verdict_outlives_its_owner_and_the_next_owner_continues_from_it() {
     for seed in SEEDS {
-        let mut cluster = Fleet::known(4, seed);
-        let before = cluster.told(0, 1);
+        let mut cluster = SessionCluster::classified(4, seed);
+        let before = cluster.status(0, 1);
         let owner = cluster.owner(1).expect("it has one");
         cluster.sim.kill(owner);
         let began = cluster.sim.now();
@@ -250,38 +263,46 @@
             }
         }
         let next = cluster.owner(1).expect("it is kept again");
-        let after = cluster.told(next, 1);
+        let after = cluster.status(next, 1);
         assert!(
             next != owner && after.fence > before.fence,
             "seed {seed}: {after:?}"
         );
-        cluster.until(60 * SECOND, "all is found again", Fleet::is_right);
+        cluster.until(
+            60 * SECOND,
+            "all is found again",
+            SessionCluster::all_classified,
+        );
     }
 }
 
 #[test]
-fn a_new_owner_shares_nothing_before_a_gateway_has_told_that_sees_the_customer_no_more() {
+fn a_new_owner_relaxes_nothing_before_a_gateway_with_old_evidence_has_reported() {
     for seed in SEEDS {
-        let mut cluster = Fleet::new(4, seed, NetworkConditions::default());
+        let mut cluster = SessionCluster::new(4, seed, NetworkConditions::default());
         let owner = cluster.owner(1).expect("it has one");
-        let (saw, sees) = ((owner + 1) % 4, (owner + 2) % 4);
+        let (old_gateway, new_gateway) = ((owner + 1) % 4, (owner + 2) % 4);
         cluster
-            .simulated_customers
-            .retain(|person| PEOPLE[*person] == Pooling::Statement);
+            .active_customers
+            .retain(|index| CUSTOMERS[*index] == Pooling::Statement);
         for _ in 0..600 {
-            cluster.request(saw, customer(1), Pooling::Session);
+            cluster.request(old_gateway, customer(1), Pooling::Session);
             cluster.step();
         }
-        assert_eq!(cluster.pooling(saw, 1), Pooling::Session, "seed {seed}");
+        assert_eq!(
+            cluster.pooling(old_gateway, 1),
+            Pooling::Session,
+            "seed {seed}"
+        );
         // All that is told again by itself has been told.
         cluster.run(100 * SECOND);
         cluster.sim.kill(owner);
         for _ in 0..800 {
-            cluster.request(sees, customer(1), Pooling::Statement);
+            cluster.request(new_gateway, customer(1), Pooling::Statement);
             cluster.step();
-            let told = cluster.pooling(sees, 1);
+            let status = cluster.pooling(new_gateway, 1);
             assert_ne!(
-                told,
+                status,
                 Pooling::Statement,
                 "seed {seed}: half of the set said so"
             );
@@ -291,54 +312,62 @@
 }
 
 #[test]
-fn a_new_owner_shares_nothing_while_a_living_gateway_cannot_be_asked() {
-    let mut met = 0;
+fn a_new_owner_relaxes_nothing_while_a_live_gateway_is_unreachable() {
+    let mut met_cases = 0;
     for seed in 0..4 {
-        let mut cluster = Fleet::new(5, seed, NetworkConditions::default());
+        let mut cluster = SessionCluster::new(5, seed, NetworkConditions::default());
         let owner = cluster.owner(1).expect("it has one");
-        let [saw, sees] = [0, 1].map(|more| (owner + 1 + (seed as usize + more) % 4) % 5);
+        let [old_gateway, new_gateway] =
+            [0, 1].map(|more| (owner + 1 + (seed as usize + more) % 4) % 5);
         cluster
-            .simulated_customers
-            .retain(|person| PEOPLE[*person] == Pooling::Statement);
+            .active_customers
+            .retain(|index| CUSTOMERS[*index] == Pooling::Statement);
         for _ in 0..400 {
-            cluster.request(saw, customer(1), Pooling::Session);
+            cluster.request(old_gateway, customer(1), Pooling::Session);
             cluster.step();
         }
-        assert_eq!(cluster.pooling(saw, 1), Pooling::Session, "seed {seed}");
+        assert_eq!(
+            cluster.pooling(old_gateway, 1),
+            Pooling::Session,
+            "seed {seed}"
+        );
         cluster.sim.kill(owner);
         // It is held alive by way of one other.
-        for other in (0..5).filter(|other| ![saw, sees].contains(other)) {
-            cluster.sim.cut(saw, other, true);
-            cluster.sim.cut(other, saw, true);
+        for other in (0..5).filter(|other| ![old_gateway, new_gateway].contains(other)) {
+            cluster.sim.cut(old_gateway, other, true);
+            cluster.sim.cut(other, old_gateway, true);
         }
         cluster.until(15 * SECOND, "it is kept again", |cluster| {
             cluster.owner(1).is_some()
         });
-        if cluster.owner(1) == Some(sees) || cluster.owner(1) == Some(saw) {
+        if cluster.owner(1) == Some(new_gateway) || cluster.owner(1) == Some(old_gateway) {
             continue;
         }
-        met += 1;
+        met_cases += 1;
         for _ in 0..500 {
-            cluster.request(sees, customer(1), Pooling::Statement);
+            cluster.request(new_gateway, customer(1), Pooling::Statement);
             cluster.step();
             assert_ne!(
-                cluster.pooling(sees, 1),
+                cluster.pooling(new_gateway, 1),
                 Pooling::Statement,
                 "seed {seed}: half of the set said so"
             );
         }
         cluster.sim.partition(|_| 0);
         cluster.until(15 * SECOND, "it is told", |cluster| {
-            cluster.pooling(sees, 1) == Pooling::Session
+            cluster.pooling(new_gateway, 1) == Pooling::Session
         });
     }
-    assert!(met > 0, "in no seed was it kept by a door that cannot ask");
+    assert!(
+        met_cases > 0,
+        "in no seed was it kept by a door that cannot ask"
+    );
 }
 
 #[test]
-fn a_gateway_that_starts_anew_is_told_what_its_customers_are_held_for() {
+fn a_restarted_gateway_receives_the_verdicts_of_its_customers() {
     for seed in SEEDS {
-        let mut cluster = Fleet::known(3, seed);
+        let mut cluster = SessionCluster::classified(3, seed);
         // First one that keeps others, then the owner of this one: it has forgotten all that it counted and said.
         let owner = cluster.owner(1).expect("it has one");
         for (gateway, later) in [((owner + 1) % 3, 1), (owner, 2)] {
@@ -346,7 +375,7 @@
             cluster.sim.start(gateway, UNIX + later * SECOND);
             assert_eq!(cluster.pooling(gateway, 1), Pooling::Unknown);
             let others: Vec<PeerIndex> = (0..3).filter(|other| *other != gateway).collect();
-            let took = cluster.until(40 * SECOND, "it is told", |cluster| {
+            let elapsed = cluster.until(40 * SECOND, "it is told", |cluster| {
                 let kept = others
                     .iter()
                     .all(|&other| cluster.pooling(other, 1) == Pooling::Session);
@@ -354,26 +383,26 @@
                 cluster.pooling(gateway, 1) == Pooling::Session
                     && cluster.pooling(gateway, 10) == Pooling::Session
             });
-            println!("seed {seed}: told after {took} us");
+            println!("seed {seed}: told after {elapsed} us");
         }
     }
 }
 
 #[test]
-fn a_gateway_without_a_lease_decides_nothing() {
+fn a_gateway_without_a_shard_lease_decides_nothing() {
     for seed in SEEDS {
-        let mut cluster = Fleet::new(3, seed, NetworkConditions::default());
+        let mut cluster = SessionCluster::new(3, seed, NetworkConditions::default());
         cluster.sim.partition(|gateway| gateway);
         // The keep lease is over.
         cluster.sim.run_until(cluster.sim.now() + 20 * SECOND);
         assert_eq!(cluster.owner(1), None);
         cluster.run(30 * SECOND);
-        for person in 0..PEOPLE.len() {
+        for index in 0..CUSTOMERS.len() {
             for gateway in 0..3 {
                 assert_eq!(
-                    cluster.pooling(gateway, person),
+                    cluster.pooling(gateway, index),
                     Pooling::Unknown,
-                    "seed {seed}: {person} at n{gateway}"
+                    "seed {seed}: {index} at n{gateway}"
                 );
             }
         }
@@ -381,18 +410,18 @@
         cluster.until(
             90 * SECOND,
             "all is found once they are together",
-            Fleet::is_right,
+            SessionCluster::all_classified,
         );
     }
 }
 
 #[test]
-fn what_an_old_owner_says_and_one_that_is_none_is_refused() {
-    let mut cluster = Fleet::known(3, 0);
+fn verdicts_of_a_former_owner_and_of_a_gateway_that_is_not_the_owner_are_rejected() {
+    let mut cluster = SessionCluster::classified(3, 0);
     let owner = cluster.owner(0).expect("it has one");
     let (old, gateway) = ((owner + 1) % 3, (owner + 2) % 3);
-    let right = cluster.told(owner, 0).fence;
-    let say = |cluster: &mut Fleet, from: PeerIndex, fence: FencingToken| {
+    let right = cluster.status(owner, 0).fence;
+    let say = |cluster: &mut SessionCluster, from: PeerIndex, fence: FencingToken| {
         let verdict = Verdict {
             customer: customer(0),
             pooling: Pooling::Session,
@@ -417,9 +446,12 @@
         cluster.sim.act(gateway, |owned, now, _| {
             owned.stack.on_datagram(now, &bytes, &mut Vec::new())
         });
-        (cluster.refused(gateway).old, cluster.pooling(gateway, 0))
+        (
+            cluster.rejections(gateway).superseded,
+            cluster.pooling(gateway, 0),
+        )
     };
-    let before = cluster.refused(gateway).old;
+    let before = cluster.rejections(gateway).superseded;
     let lower = FencingToken {
         epoch: right.epoch - 1,
         version: right.version + 7,
@@ -442,9 +474,9 @@
 }
 
 #[test]
-fn a_flood_of_customers_costs_no_more_than_the_bucket_holds_and_no_more_memory_than_stated() {
-    let mut cluster = Fleet::new(3, 0, NetworkConditions::default());
-    let sent = |cluster: &mut Fleet| -> Vec<u64> {
+fn a_flood_of_customers_stays_within_the_rate_and_memory_limits() {
+    let mut cluster = SessionCluster::new(3, 0, NetworkConditions::default());
+    let sent = |cluster: &mut SessionCluster| -> Vec<u64> {
         (0..3)
             .map(|gateway| {
                 cluster
@@ -470,20 +502,20 @@
     );
     for round in 0..10 {
         let before = sent(&mut cluster);
-        for stranger in 0..10_000 {
-            let gateway = cluster.chance.random_range(0..3);
+        for new_customer in 0..10_000 {
+            let gateway = cluster.rng.random_range(0..3);
             cluster.request(
                 gateway,
-                stranger * 800_000 + 77,
-                KINDS[stranger as usize % 3],
+                new_customer * 800_000 + 77,
+                KINDS[new_customer as usize % 3],
             );
         }
         cluster.run(3 * SECOND);
         let after = sent(&mut cluster);
-        let most = (BURST + 3.0 * PER_SECOND).ceil() as u64;
+        let timeout = (BURST + 3.0 * PER_SECOND).ceil() as u64;
         for (after, before) in after.iter().zip(before) {
             assert!(
-                after - before <= most,
+                after - before <= timeout,
                 "round {round}: {} in 3 s",
                 after - before
             );
--- a/gateway-cluster/tests/sessions.rs
+++ b/gateway-cluster/tests/sessions.rs
@@ -19,7 +19,7 @@
 
 const SECOND: Micros = 1_000_000;
 const FAILED: Outcome = Outcome::Failed(Failure::Http500);
-const ONE: FencingToken = FencingToken {
+const TOKEN: FencingToken = FencingToken {
     epoch: 1,
     version: 1,
 };
@@ -67,7 +67,7 @@
     may_relax: bool,
 ) -> Vec<Output> {
     let scene = OwnerContext {
-        fence: ONE,
+        fence: TOKEN,
         owns: &|_| true,
         gateways_of: &|_| vec!["a".to_string(), "b".to_string()],
         is_gone: &|gateway| gone.contains(&gateway),
@@ -86,12 +86,12 @@
     owner
 }
 
-fn shown(owner: &VerdictAggregator) -> Verdict {
-    owner.verdict(SECOND, 7, ONE).expect("a report was taken")
+fn current_verdict(owner: &VerdictAggregator) -> Verdict {
+    owner.verdict(SECOND, 7, TOKEN).expect("a report was taken")
 }
 
 /// Runs the three kinds and some at the edge, and holds what became of them against the bounds.
-fn told_apart(fault: Fault, seed: u64) {
+fn assert_classified(fault: Fault, seed: u64) {
     let plan = Plan {
         gateways: 2 + seed as usize % 3,
         simulated_customers: simulated_customers(),
@@ -103,19 +103,19 @@
         seed,
     };
     let out = run(&plan);
-    for (person, seen) in plan.simulated_customers.iter().zip(&out.seen) {
+    for (customer, seen) in plan.simulated_customers.iter().zip(&out.seen) {
         assert_eq!(
             seen.false_statements, 0,
-            "{fault:?}, seed {seed}: {person:?}"
+            "{fault:?}, seed {seed}: {customer:?}"
         );
         assert_eq!(
             seen.false_transactions, 0,
-            "{fault:?}, seed {seed}: {person:?}"
+            "{fault:?}, seed {seed}: {customer:?}"
         );
-        if person.rate >= 10.0 {
+        if customer.rate >= 10.0 {
             assert!(
                 seen.right.is_some_and(|at| at < 130 * SECOND),
-                "{fault:?}, seed {seed}: {person:?} {seen:?}"
+                "{fault:?}, seed {seed}: {customer:?} {seen:?}"
             );
         }
     }
@@ -123,7 +123,7 @@
         .simulated_customers
         .iter()
         .zip(&out.seen)
-        .filter(|(person, _)| person.truth == Pooling::Statement);
+        .filter(|(customer, _)| customer.truth == Pooling::Statement);
     let held: Vec<Micros> = free.map(|(_, seen)| seen.overclassified_time).collect();
     let part = held.iter().sum::<Micros>() as f64 / (held.len() as f64 * plan.time as f64);
     assert!(
@@ -133,36 +133,36 @@
 }
 
 #[test]
-fn customers_are_told_apart_in_calm_and_beside_a_backend_that_fails_in_part_or_for_all() {
-    told_apart(Fault::None, 1);
-    told_apart(Fault::BackendUnhealthy, 2);
-    told_apart(Fault::BackendDown, 3);
+fn customers_are_classified_without_faults_and_with_a_failing_backend() {
+    assert_classified(Fault::None, 1);
+    assert_classified(Fault::BackendUnhealthy, 2);
+    assert_classified(Fault::BackendDown, 3);
 }
 
 #[test]
-fn customers_are_told_apart_where_a_gateway_is_cut_off_and_where_backends_restart() {
-    told_apart(Fault::GatewayPartitioned, 4);
-    told_apart(Fault::BackendRestarts, 5);
+fn customers_are_classified_with_a_partitioned_gateway_and_restarting_backends() {
+    assert_classified(Fault::GatewayPartitioned, 4);
+    assert_classified(Fault::BackendRestarts, 5);
 }
 
 #[test]
-fn customers_are_told_apart_in_overload_and_where_changes_fail_for_all() {
-    told_apart(Fault::Overload, 6);
-    told_apart(Fault::StaleConnections, 7);
+fn customers_are_classified_in_overload_and_with_stale_connections() {
+    assert_classified(Fault::Overload, 6);
+    assert_classified(Fault::StaleConnections, 7);
 }
 
 #[test]
-fn a_customer_that_turns_is_seen_from_new_evidence_and_everywhere_within_a_second() {
+fn a_changed_customer_is_reclassified_and_all_gateways_apply_it_within_a_second() {
     for seed in 1..4 {
         let changes_at = Some((200 * SECOND, Pooling::Session));
-        let person = SimulatedCustomer {
+        let customer = SimulatedCustomer {
             changes_at,
             ..SimulatedCustomer::new(Pooling::Statement, 10.0)
         };
         let others = (0..20).map(|_| SimulatedCustomer::new(Pooling::Statement, 1.0));
         let plan = Plan {
             gateways: 3,
-            simulated_customers: std::iter::once(person).chain(others).collect(),
+            simulated_customers: std::iter::once(customer).chain(others).collect(),
             fault: Fault::None,
             time: 300 * SECOND,
             lossy: true,
@@ -183,7 +183,7 @@
 }
 
 /// A gateway whose backend serves ten others well or badly, and a customer whose changed requests fail there; what is counted of it.
-fn counted(others: u64, outcome: Outcome, own: Outcome) -> [u32; 2] {
+fn counted_requests(others: u64, outcome: Outcome, own: Outcome) -> [u32; 2] {
     let mut gateway = Evidence::new("a", 1, 100, 1);
     for second in 0..20 {
         for other in 0..others {
@@ -212,33 +212,37 @@
 }
 
 #[test]
-fn seconds_in_which_others_fail_or_there_are_no_others_convict_nobody() {
+fn seconds_with_failing_or_missing_other_customers_are_not_counted() {
     assert_eq!(
-        counted(10, Outcome::Fine, FAILED),
+        counted_requests(10, Outcome::Fine, FAILED),
         [20, 20],
         "it fails beside others that do not"
     );
-    assert_eq!(counted(10, FAILED, FAILED), [0, 0], "the backend is sick");
     assert_eq!(
-        counted(10, FAILED, Outcome::Fine),
+        counted_requests(10, FAILED, FAILED),
+        [0, 0],
+        "the backend is sick"
+    );
+    assert_eq!(
+        counted_requests(10, FAILED, Outcome::Fine),
         [0, 0],
         "nor does luck beside a sick one count"
     );
     assert_eq!(
-        counted(0, Outcome::Fine, FAILED),
+        counted_requests(0, Outcome::Fine, FAILED),
         [0, 0],
         "there is nobody to compare with"
     );
     assert_eq!(
-        counted(10, Outcome::Fine, Outcome::CustomersOwn),
+        counted_requests(10, Outcome::Fine, Outcome::CustomersOwn),
         [0, 0],
         "the customer went away"
     );
 }
 
 /// A gateway with room for so many, a hundred customers with evidence, and then three floods of ten thousand.
-fn flooded(most: usize) -> Evidence {
-    let mut gateway = Evidence::new("a", 1, most, 1);
+fn flooded_evidence(limit: usize) -> Evidence {
+    let mut gateway = Evidence::new("a", 1, limit, 1);
     for second in 0..20 {
         for customer in 0..100 {
             gateway.record_request(
@@ -264,7 +268,7 @@
         }
         gateway.evaluate(now + 3 * SECOND);
     }
-    assert_eq!(gateway.customers(), most);
+    assert_eq!(gateway.customers(), limit);
     for customer in 0..100 {
         assert!(
             !gateway
@@ -278,8 +282,8 @@
 }
 
 #[test]
-fn a_flood_of_customers_stays_within_its_bound_and_pushes_out_none_with_evidence() {
-    let excluded = flooded(500).excluded();
+fn a_flood_of_customers_stays_within_the_limit_and_evicts_none_with_evidence() {
+    let excluded = flooded_evidence(500).excluded();
     assert!(
         excluded.evicted > 10_000,
         "newcomers push out newcomers: {excluded:?}"
@@ -288,7 +292,7 @@
         excluded.queue_full > 0,
         "what waits is bounded: {excluded:?}"
     );
-    let excluded = flooded(100).excluded();
+    let excluded = flooded_evidence(100).excluded();
     assert_eq!(
         excluded.evicted, 0,
         "where all are dear no newcomer is taken: {excluded:?}"
@@ -297,7 +301,7 @@
 }
 
 #[test]
-fn the_longest_report_fits_a_datagram() {
+fn the_longest_report_fits_in_a_datagram() {
     let mut full = report(
         "a-door-with-a-long-name.example",
         u64::MAX,
@@ -305,13 +309,13 @@
         [0, 0],
         [0, 0],
     );
-    let most = Tally {
+    let limit = Tally {
         requests: u16::MAX,
         failed: [u16::MAX; 3],
     };
     let window = Window {
-        changed: most,
-        reused: most,
+        changed: limit,
+        reused: limit,
         control: [u32::MAX; 2],
         control_changed: [u32::MAX; 2],
     };
@@ -322,7 +326,7 @@
 }
 
 #[test]
-fn the_test_keeps_the_error_rates_it_states() {
+fn the_statistical_test_keeps_its_documented_error_rates() {
     let mut chance = Pcg64Mcg::seed_from_u64(1);
     let (mut bound, mut free) = (0, 0);
     // Failure rates at the edge of what is called no effect and an effect, over a control of 1 in 200.
@@ -375,7 +379,7 @@
 }
 
 #[test]
-fn what_fails_for_the_customer_anyway_or_for_all_who_change_is_no_sign_of_a_bond() {
+fn failures_without_a_change_or_of_all_changed_connections_do_not_make_a_customer_bound() {
     let mut own = window([32, 20]);
     own.reused = Tally {
         requests: 100,
@@ -399,7 +403,7 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
     #[test]
-    fn reports_lost_doubled_and_late_change_nothing(
+    fn lost_duplicated_and_late_reports_do_not_change_the_evidence(
         order in prop::collection::vec((0usize..2, 1u64..3, 1u64..9), 1..60),
     ) {
         let gateways = ["a", "b"];
@@ -408,7 +412,7 @@
             let count = (10 * incarnation + sequence) as u16;
             report(gateways[gateway], incarnation, sequence, [count, 0], [count, 0])
         };
-        let came: Vec<Report> = order.iter().map(|&(gateway, incarnation, sequence)| nth(gateway, incarnation, sequence)).collect();
+        let received: Vec<Report> = order.iter().map(|&(gateway, incarnation, sequence)| nth(gateway, incarnation, sequence)).collect();
         let mut last: Vec<(usize, u64, u64)> = Vec::new();
         for &(gateway, incarnation, sequence) in &order {
             match last.iter_mut().find(|known| (known.0, known.1) == (gateway, incarnation)) {
@@ -418,18 +422,18 @@
         }
         let highest: Vec<Report> =
             last.iter().map(|&(gateway, incarnation, sequence)| nth(gateway, incarnation, sequence)).collect();
-        prop_assert_eq!(shown(&owner_of(&came)).evidence, shown(&owner_of(&highest)).evidence);
+        prop_assert_eq!(current_verdict(&owner_of(&received)).evidence, current_verdict(&owner_of(&highest)).evidence);
     }
 }
 
 #[test]
-fn a_new_owner_asks_anew_counts_nothing_twice_and_does_not_forget_caution() {
+fn a_new_owner_requests_reports_counts_nothing_twice_and_keeps_restrictions() {
     let mut reports = [
         report("a", 1, 9, [20, 0], [12, 12]),
         report("b", 1, 4, [20, 0], [12, 12]),
     ];
     let old = owner_of(&reports);
-    assert_eq!(shown(&old).pooling, Pooling::Session);
+    assert_eq!(current_verdict(&old).pooling, Pooling::Session);
     let mut new = VerdictAggregator::new(2, 100);
     // By now gateways act on `session`, so what they see anew no longer speaks for it.
     reports[0] = Report {
@@ -464,20 +468,19 @@
         true,
     );
     assert_eq!(
-        shown(&new).evidence.changed_between,
+        current_verdict(&new).evidence.changed_between,
         [12, 12],
         "each door's counts once"
     );
 }
 
 #[test]
-fn a_gateway_that_restarts_is_counted_for_each_incarnation_and_a_late_word_of_the_first_is_no_news()
-{
+fn a_restarted_gateway_is_counted_per_incarnation_and_late_reports_are_ignored() {
     let first = report("a", 1, 9, [20, 0], [20, 0]);
     let second = report("a", 2, 1, [3, 0], [3, 0]);
     let late = report("a", 1, 8, [19, 0], [19, 0]);
     assert_eq!(
-        shown(&owner_of(&[first, second, late]))
+        current_verdict(&owner_of(&[first, second, late]))
             .evidence
             .changed_in_run,
         [23, 0]
@@ -485,7 +488,7 @@
 }
 
 #[test]
-fn sharing_waits_for_every_gateway_of_the_set_and_for_a_majority_and_caution_for_none() {
+fn relaxing_waits_for_all_reports_and_a_majority_and_restricting_for_none() {
     let free = report("a", 1, 1, [32, 0], [32, 0]);
     let mut owner = VerdictAggregator::new(1, 100);
     input(&mut owner, SECOND, Input::Report(free.clone()), &[], true);
@@ -530,13 +533,13 @@
 }
 
 fn verdict(pooling: Pooling, fence: FencingToken, sequence: u64) -> Verdict {
-    let mut verdict = shown(&owner_of(&[report("a", 1, 1, [0, 0], [0, 0])]));
+    let mut verdict = current_verdict(&owner_of(&[report("a", 1, 1, [0, 0], [0, 0])]));
     (verdict.pooling, verdict.fence, verdict.sequence) = (pooling, fence, (1, sequence));
     verdict
 }
 
 #[test]
-fn a_gateway_refuses_verdicts_of_a_replaced_owner_late_ones_and_sharing_on_a_minority_side() {
+fn a_gateway_rejects_superseded_and_outdated_verdicts_and_relaxing_on_a_minority_side() {
     let mut table = VerdictTable::new(10);
     let two = FencingToken {
         epoch: 2,
@@ -546,11 +549,11 @@
         table.on_verdict(0, verdict(Pooling::Session, two, 5), true),
         Ok(())
     );
-    let old = table.on_verdict(0, verdict(Pooling::Statement, ONE, 9), true);
+    let old = table.on_verdict(0, verdict(Pooling::Statement, TOKEN, 9), true);
     assert_eq!(
         old,
         Err(VerdictRejection::Superseded {
-            came: ONE,
+            received: TOKEN,
             known: two
         })
     );
@@ -571,11 +574,10 @@
 }
 
 #[test]
-fn verdicts_stand_while_their_owner_lives_and_fade_after_it_but_not_towards_sharing_on_a_minority_side(
-) {
+fn verdicts_expire_after_their_owner_failed_but_are_not_relaxed_on_a_minority_side() {
     let mut table = VerdictTable::new(10);
     assert_eq!(
-        table.on_verdict(0, verdict(Pooling::Statement, ONE, 1), true),
+        table.on_verdict(0, verdict(Pooling::Statement, TOKEN, 1), true),
         Ok(())
     );
     assert_eq!(
@@ -594,7 +596,7 @@
         "that is a step towards caution"
     );
     assert_eq!(
-        table.on_verdict(0, verdict(Pooling::Session, ONE, 2), true),
+        table.on_verdict(0, verdict(Pooling::Session, TOKEN, 2), true),
         Ok(())
     );
     assert_eq!(
@@ -612,7 +614,7 @@
 }
 
 #[test]
-fn private_connections_take_no_more_than_their_part_whoever_asks() {
+fn private_connections_stay_within_their_limits() {
     let limits = Limits::default();
     let mut usage = Usage {
         descriptors: [400, 0],
--- a/gateway-cluster/tests/keeping.rs
+++ b/gateway-cluster/tests/shard_leases.rs
@@ -14,12 +14,12 @@
 use std::collections::BTreeMap;
 use steps::Watched;
 
-const LEASE: Micros = 2_000_000;
-const KEEP: Micros = SHARD_LEASE_FACTOR * LEASE;
+const LEADER_LEASE: Micros = 2_000_000;
+const LEASE_DURATION: Micros = SHARD_LEASE_FACTOR * LEADER_LEASE;
 const SECOND: Micros = 1_000_000;
-const PROBE: Micros = 500_000;
+const PROBE_PERIOD: Micros = 500_000;
 /// The view's.
-const VERDICT: Micros = 8 * PROBE;
+const FAILURE_DETECTION: Micros = 8 * PROBE_PERIOD;
 /// Seeds for a cluster of so many gateways.
 fn seeds(gateways: usize) -> std::ops::Range<u64> {
     if gateways > 10 {
@@ -32,7 +32,7 @@
 const UNIX: Micros = 1_700_000_000 * SECOND;
 
 /// A cluster with what was seen of it at each step.
-struct Fleet<const RANGES: usize = 64> {
+struct ShardCluster<const RANGES: usize = 64> {
     sim: Sim<SimulatedNode<2000, RANGES>>,
     seed: u64,
     /// Which map each version is.
@@ -45,7 +45,7 @@
     format!("n{gateway:03}")
 }
 
-impl<const RANGES: usize> Watched for Fleet<RANGES> {
+impl<const RANGES: usize> Watched for ShardCluster<RANGES> {
     type Door = SimulatedNode<2000, RANGES>;
 
     fn sim(&mut self) -> &mut Sim<SimulatedNode<2000, RANGES>> {
@@ -94,12 +94,12 @@
     }
 }
 
-impl<const RANGES: usize> Fleet<RANGES> {
-    fn new(gateways: usize, seed: u64, weather: NetworkConditions) -> Self {
-        let mut sim = Sim::new(gateways, PROBE, seed);
-        sim.network = weather;
+impl<const RANGES: usize> ShardCluster<RANGES> {
+    fn new(gateways: usize, seed: u64, network: NetworkConditions) -> Self {
+        let mut sim = Sim::new(gateways, PROBE_PERIOD, seed);
+        sim.network = network;
         (0..gateways).for_each(|gateway| sim.start(gateway, UNIX));
-        Fleet {
+        ShardCluster {
             sim,
             seed,
             decided: BTreeMap::new(),
@@ -108,9 +108,9 @@
     }
 
     /// A cluster whose keys are all kept.
-    fn kept(gateways: usize, seed: u64, weather: NetworkConditions) -> Self {
-        let mut cluster = Self::new(gateways, seed, weather);
-        cluster.all_kept(KEEP + 3 * LEASE, "the start");
+    fn kept(gateways: usize, seed: u64, network: NetworkConditions) -> Self {
+        let mut cluster = Self::new(gateways, seed, network);
+        cluster.wait_until_all_owned(LEASE_DURATION + 3 * LEADER_LEASE, "the start");
         cluster.run(SECOND);
         cluster
     }
@@ -139,7 +139,7 @@
     }
 
     /// Keys that somebody keeps who runs and is not stopped.
-    fn keys_kept(&mut self) -> u64 {
+    fn owned_key_count(&mut self) -> u64 {
         let gateways = (0..self.sim.peers()).filter(|gateway| !self.sim.is_stopped(*gateway));
         let gateways: Vec<PeerIndex> = gateways.collect();
         gateways
@@ -150,19 +150,19 @@
     }
 
     /// How long until each key is kept, at most this long.
-    fn all_kept(&mut self, most: Micros, what: &str) -> Micros {
-        let took = self.until(most, |cluster| cluster.keys_kept() == KEYS);
-        took.unwrap_or_else(|| {
-            let kept = self.keys_kept();
-            let told: Vec<_> = (0..self.sim.peers())
+    fn wait_until_all_owned(&mut self, timeout: Micros, what: &str) -> Micros {
+        let elapsed = self.until(timeout, |cluster| cluster.owned_key_count() == KEYS);
+        elapsed.unwrap_or_else(|| {
+            let kept = self.owned_key_count();
+            let status: Vec<_> = (0..self.sim.peers())
                 .filter_map(|gateway| self.status(gateway))
                 .collect();
-            let told: Vec<_> = told
+            let status: Vec<_> = status
                 .iter()
-                .map(|told| (told.version, told.mine.len(), &told.next))
+                .map(|status| (status.version, status.mine.len(), &status.next))
                 .collect();
             panic!(
-                "seed {}: {what}: {} of 1000 kept after {most} us: {told:?}",
+                "seed {}: {what}: {} of 1000 kept after {timeout} us: {status:?}",
                 self.seed,
                 kept * 1000 / KEYS
             )
@@ -170,7 +170,7 @@
     }
 
     /// How long until all gateways that run have this version.
-    fn all_at(&mut self, version: u64, most: Micros, what: &str) -> Micros {
+    fn wait_for_version(&mut self, version: u64, timeout: Micros, what: &str) -> Micros {
         let running: Vec<PeerIndex> = (0..self.sim.peers())
             .filter(|gateway| self.sim.runs(*gateway))
             .collect();
@@ -186,12 +186,13 @@
             };
             running.iter().all(has)
         };
-        let took = self.until(most, at);
+        let elapsed = self.until(timeout, at);
         let versions: Vec<_> = running
             .iter()
-            .map(|gateway| self.status(*gateway).map(|told| told.version))
+            .map(|gateway| self.status(*gateway).map(|status| status.version))
             .collect();
-        took.unwrap_or_else(|| panic!("seed {}: {what}: not at {version}: {versions:?}", self.seed))
+        elapsed
+            .unwrap_or_else(|| panic!("seed {}: {what}: not at {version}: {versions:?}", self.seed))
     }
 
     fn propose(&mut self, gateway: PeerIndex, expect: u64, ranges: Vec<ShardRange>) {
@@ -201,7 +202,7 @@
     }
 
     /// What is in force, with the keys of the first owner's first range given to another.
-    fn one_moved(&mut self, gateway: PeerIndex, by: usize) -> (u64, Vec<ShardRange>) {
+    fn with_first_range_moved(&mut self, gateway: PeerIndex, by: usize) -> (u64, Vec<ShardRange>) {
         let map = self
             .sim
             .engine(gateway)
@@ -227,148 +228,156 @@
 }
 
 #[test]
-fn a_cluster_that_starts_keeps_each_key_once_what_was_given_before_is_over() {
-    for (gateways, weather) in [
+fn a_starting_cluster_owns_all_keys_after_old_leases_expire() {
+    for (gateways, network) in [
         (3, NetworkConditions::default()),
         (7, lossy()),
         (24, NetworkConditions::default()),
         (24, lossy()),
     ] {
-        let mut took = Vec::new();
+        let mut elapsed = Vec::new();
         for seed in seeds(gateways) {
-            let mut cluster = Fleet::<64>::new(gateways, seed, weather);
-            cluster.run(KEEP);
+            let mut cluster = ShardCluster::<64>::new(gateways, seed, network);
+            cluster.run(LEASE_DURATION);
             assert_eq!(
-                cluster.keys_kept(),
+                cluster.owned_key_count(),
                 0,
                 "seed {seed}: an earlier process may keep yet"
             );
-            let most = if weather.loss > 0.0 {
+            let timeout = if network.loss > 0.0 {
                 3 * SECOND
             } else {
                 2 * SECOND
             };
-            took.push(KEEP + cluster.all_kept(most, "the start"));
+            elapsed.push(LEASE_DURATION + cluster.wait_until_all_owned(timeout, "the start"));
             cluster.run(10 * SECOND);
             assert_eq!(
-                (cluster.keys_kept(), cluster.decided.len()),
+                (cluster.owned_key_count(), cluster.decided.len()),
                 (KEYS, 1),
                 "seed {seed}: it stays so"
             );
-            let told = cluster.status(0).expect("it runs");
+            let status = cluster.status(0).expect("it runs");
             assert_eq!(
-                (told.kept.len(), told.ranges, told.next),
+                (status.kept.len(), status.ranges, status.next),
                 (gateways, 64, None)
             );
         }
         println!(
-            "{gateways} doors, loss {}: started after {took:?} us",
-            weather.loss
+            "{gateways} doors, loss {}: started after {elapsed:?} us",
+            network.loss
         );
     }
 }
 
 #[test]
-fn the_keys_of_a_owner_that_is_killed_are_kept_again_in_time() {
-    for (gateways, weather) in [
+fn keys_of_a_killed_owner_get_a_new_owner_in_time() {
+    for (gateways, network) in [
         (3, NetworkConditions::default()),
         (7, NetworkConditions::default()),
         (24, NetworkConditions::default()),
         (24, lossy()),
     ] {
-        let mut took = Vec::new();
+        let mut elapsed = Vec::new();
         for seed in seeds(gateways) {
-            let mut cluster = Fleet::<64>::kept(gateways, seed, weather);
+            let mut cluster = ShardCluster::<64>::kept(gateways, seed, network);
             let leader = cluster.leader().expect("there is one");
             cluster.sim.kill((leader + 1) % gateways);
-            assert!(cluster.keys_kept() < KEYS);
-            took.push(cluster.all_kept(VERDICT + LEASE + 2 * SECOND, "a keeper is killed"));
+            assert!(cluster.owned_key_count() < KEYS);
+            elapsed.push(cluster.wait_until_all_owned(
+                FAILURE_DETECTION + LEADER_LEASE + 2 * SECOND,
+                "a keeper is killed",
+            ));
             cluster.run(5 * SECOND);
             // One that comes back gets its part, and takes it from the others one step after the other.
             cluster
                 .sim
                 .start((leader + 1) % gateways, UNIX + 60 * SECOND);
-            let has = |cluster: &mut Fleet| !cluster.mine((leader + 1) % gateways).is_empty();
+            let has =
+                |cluster: &mut ShardCluster| !cluster.mine((leader + 1) % gateways).is_empty();
             assert!(
                 cluster.until(20 * SECOND, has).is_some(),
                 "{gateways} doors, seed {seed}: it gets nothing"
             );
             cluster.run(10 * SECOND);
-            assert_eq!(cluster.keys_kept(), KEYS, "{gateways} doors, seed {seed}");
+            assert_eq!(
+                cluster.owned_key_count(),
+                KEYS,
+                "{gateways} doors, seed {seed}"
+            );
         }
         println!(
-            "{gateways} doors, loss {}: kept again after {took:?} us",
-            weather.loss
+            "{gateways} doors, loss {}: kept again after {elapsed:?} us",
+            network.loss
         );
     }
 }
 
 #[test]
-fn the_keys_of_an_leader_that_is_killed_are_kept_again_and_the_others_stay() {
-    for (gateways, weather) in [
+fn keys_of_a_killed_leader_get_a_new_owner_in_time() {
+    for (gateways, network) in [
         (3, NetworkConditions::default()),
         (7, NetworkConditions::default()),
         (24, lossy()),
     ] {
-        let mut took = Vec::new();
+        let mut elapsed = Vec::new();
         for seed in seeds(gateways) {
-            let mut cluster = Fleet::<64>::kept(gateways, seed, weather);
+            let mut cluster = ShardCluster::<64>::kept(gateways, seed, network);
             let leader = cluster.leader().expect("there is one");
             cluster.sim.kill(leader);
             // The next leader waits for what this one may have given.
-            took.push(cluster.all_kept(
-                LEASE + 3 * SECOND + KEEP + 2 * SECOND,
+            elapsed.push(cluster.wait_until_all_owned(
+                LEADER_LEASE + 3 * SECOND + LEASE_DURATION + 2 * SECOND,
                 "the owner is killed",
             ));
         }
         println!(
-            "{gateways} doors, loss {}: kept again after {took:?} us",
-            weather.loss
+            "{gateways} doors, loss {}: kept again after {elapsed:?} us",
+            network.loss
         );
     }
 }
 
 #[test]
-fn a_owner_that_is_stopped_over_a_move_keeps_nothing_of_it_when_it_wakes() {
+fn an_owner_stopped_during_a_move_owns_none_of_the_moved_keys_when_it_resumes() {
     for seed in seeds(7) {
-        let mut cluster = Fleet::<64>::kept(7, seed, NetworkConditions::default());
+        let mut cluster = ShardCluster::<64>::kept(7, seed, NetworkConditions::default());
         let leader = cluster.leader().expect("there is one");
-        let (expect, ranges) = cluster.one_moved(leader, 0);
-        let loser = (0..7)
+        let (expect, ranges) = cluster.with_first_range_moved(leader, 0);
+        let previous_owner = (0..7)
             .find(|gateway| name(*gateway) == ranges[0].owner)
             .expect("it has a keeper");
-        if loser == leader {
+        if previous_owner == leader {
             continue;
         }
-        let (_, ranges) = cluster.one_moved(leader, 1);
-        cluster.sim.stop(loser, true);
+        let (_, ranges) = cluster.with_first_range_moved(leader, 1);
+        cluster.sim.stop(previous_owner, true);
         cluster.propose(leader, expect, ranges);
         // The next owner waits until the lease of the one that is stopped is over.
-        let end = ranges_end(&mut cluster, leader);
-        let kept = |cluster: &mut Fleet| {
+        let end = end_of_first_range(&mut cluster, leader);
+        let kept = |cluster: &mut ShardCluster| {
             (0..7).any(|gateway| {
-                gateway != loser
+                gateway != previous_owner
                     && cluster
                         .mine(gateway)
                         .iter()
                         .any(|(from, to)| *from < end && *to > 0)
             })
         };
-        let took = cluster.until(KEEP + SECOND, kept);
+        let elapsed = cluster.until(LEASE_DURATION + SECOND, kept);
         assert!(
-            took.is_some_and(|took| took > SECOND),
-            "seed {seed}: {took:?}"
+            elapsed.is_some_and(|elapsed| elapsed > SECOND),
+            "seed {seed}: {elapsed:?}"
         );
         cluster.run(10 * SECOND);
-        cluster.sim.stop(loser, false);
+        cluster.sim.stop(previous_owner, false);
         cluster.look();
         cluster.run(5 * SECOND);
-        cluster.all_kept(5 * SECOND, "it goes on");
+        cluster.wait_until_all_owned(5 * SECOND, "it goes on");
     }
 }
 
 /// The end of the first range.
-fn ranges_end(cluster: &mut Fleet, gateway: PeerIndex) -> Key {
+fn end_of_first_range(cluster: &mut ShardCluster, gateway: PeerIndex) -> Key {
     let map = cluster
         .sim
         .engine(gateway)
@@ -377,25 +386,25 @@
 }
 
 #[test]
-fn a_good_map_of_operators_is_in_force_everywhere_within_a_second_and_a_bad_one_is_refused() {
-    for (gateways, weather, most) in [
+fn a_valid_proposal_is_in_force_within_a_second_and_an_invalid_one_is_rejected() {
+    for (gateways, network, timeout) in [
         (3, NetworkConditions::default(), SECOND),
         (7, NetworkConditions::default(), SECOND),
         (24, NetworkConditions::default(), SECOND),
         (24, lossy(), 3 * SECOND),
     ] {
-        let mut took = Vec::new();
+        let mut elapsed = Vec::new();
         for seed in seeds(gateways) {
-            let mut cluster = Fleet::<64>::kept(gateways, seed, weather);
+            let mut cluster = ShardCluster::<64>::kept(gateways, seed, network);
             let leader = cluster.leader().expect("there is one");
             let at = (leader + 1) % gateways;
-            let (expect, ranges) = cluster.one_moved(at, 1);
+            let (expect, ranges) = cluster.with_first_range_moved(at, 1);
             cluster.propose(at, expect, ranges.clone());
-            took.push(cluster.all_at(expect + 1, most, "a good map"));
-            took.push(cluster.all_kept(most, "a good map"));
+            elapsed.push(cluster.wait_for_version(expect + 1, timeout, "a good map"));
+            elapsed.push(cluster.wait_until_all_owned(timeout, "a good map"));
             cluster.run(SECOND);
             assert_eq!(
-                cluster.status(at).map(|told| told.proposal.state),
+                cluster.status(at).map(|status| status.proposal.state),
                 Some(ProposalState::InForce)
             );
             // The same once more, at another gateway: it is there.
@@ -403,7 +412,7 @@
             cluster.propose(other, expect, ranges.clone());
             cluster.run(2 * SECOND);
             assert_eq!(
-                cluster.status(other).map(|told| told.proposal.state),
+                cluster.status(other).map(|status| status.proposal.state),
                 Some(ProposalState::InForce)
             );
             let mut bad = ranges;
@@ -411,108 +420,112 @@
                 (bad[3].from + 1, bad[9].to + 7, "nobody".to_string());
             cluster.propose(at, expect + 1, bad);
             cluster.run(3 * SECOND);
-            let told = cluster.status(at).expect("it runs").proposal;
-            let rules: Vec<&str> = told
+            let status = cluster.status(at).expect("it runs").proposal;
+            let rules: Vec<&str> = status
                 .findings
                 .iter()
                 .map(|finding| finding.rule.name())
                 .collect();
             assert_eq!(
-                (told.state, rules),
+                (status.state, rules),
                 (ProposalState::Refused, vec!["gap", "overlap", "keeper"]),
                 "seed {seed}"
             );
         }
         println!(
-            "{gateways} doors, loss {}: everywhere, and kept, after {took:?} us",
-            weather.loss
+            "{gateways} doors, loss {}: everywhere, and kept, after {elapsed:?} us",
+            network.loss
         );
     }
 }
 
 #[test]
-fn of_two_maps_at_once_one_is_decided_and_the_other_is_told_why_not() {
+fn of_two_concurrent_proposals_one_is_decided_and_the_other_is_rejected_with_findings() {
     for seed in seeds(7) {
-        let mut cluster = Fleet::<64>::kept(7, seed, lossy());
-        let (expect, one) = cluster.one_moved(1, 1);
-        let (_, other) = cluster.one_moved(2, 2);
+        let mut cluster = ShardCluster::<64>::kept(7, seed, lossy());
+        let (expect, one) = cluster.with_first_range_moved(1, 1);
+        let (_, other) = cluster.with_first_range_moved(2, 2);
         cluster.propose(1, expect, one);
         cluster.propose(2, expect, other);
         cluster.run(6 * SECOND);
-        let told: Vec<_> = [1, 2]
+        let status: Vec<_> = [1, 2]
             .into_iter()
             .filter_map(|gateway| cluster.status(gateway))
             .collect();
-        let states: Vec<ProposalState> = told.iter().map(|told| told.proposal.state).collect();
+        let states: Vec<ProposalState> =
+            status.iter().map(|status| status.proposal.state).collect();
         assert!(
             states == [ProposalState::InForce, ProposalState::Refused]
                 || states == [ProposalState::Refused, ProposalState::InForce],
             "seed {seed}: {states:?}"
         );
-        let refused = told
+        let refused = status
             .iter()
-            .find(|told| told.proposal.state == ProposalState::Refused)
+            .find(|status| status.proposal.state == ProposalState::Refused)
             .expect("one is");
         assert!(refused
             .proposal
             .findings
             .iter()
-            .any(|told| told.rule.name() == "version"));
+            .any(|status| status.rule.name() == "version"));
     }
 }
 
 #[test]
-fn a_map_at_a_gateway_of_a_minority_waits_until_it_is_healed_and_the_minority_keeps_nothing() {
+fn a_proposal_in_a_minority_waits_for_the_partition_to_heal_and_the_minority_owns_nothing() {
     for seed in seeds(7) {
-        let mut cluster = Fleet::<64>::kept(5, seed, NetworkConditions::default());
+        let mut cluster = ShardCluster::<64>::kept(5, seed, NetworkConditions::default());
         let leader = cluster.leader().expect("there is one");
         let (one, other) = ((leader + 1) % 5, (leader + 2) % 5);
         cluster
             .sim
             .partition(|gateway| usize::from(gateway == one || gateway == other));
-        let (expect, ranges) = cluster.one_moved(one, 1);
+        let (expect, ranges) = cluster.with_first_range_moved(one, 1);
         cluster.propose(one, expect, ranges);
-        cluster.run(KEEP);
+        cluster.run(LEASE_DURATION);
         assert_eq!(
             (cluster.mine(one), cluster.mine(other)),
             (vec![], vec![]),
             "seed {seed}"
         );
-        cluster.all_kept(VERDICT + LEASE + 2 * SECOND - KEEP, "the rest keeps it all");
+        cluster.wait_until_all_owned(
+            FAILURE_DETECTION + LEADER_LEASE + 2 * SECOND - LEASE_DURATION,
+            "the rest keeps it all",
+        );
         assert_eq!(
-            cluster.status(one).map(|told| told.proposal.state),
+            cluster.status(one).map(|status| status.proposal.state),
             Some(ProposalState::Waiting)
         );
         cluster.sim.partition(|_| 0);
         cluster.run(10 * SECOND);
         // It was made from a map that was replaced meanwhile.
         assert_eq!(
-            cluster.status(one).map(|told| told.proposal.state),
+            cluster.status(one).map(|status| status.proposal.state),
             Some(ProposalState::Refused),
             "seed {seed}"
         );
         assert!(
             cluster
                 .status(one)
-                .is_some_and(|told| told.version > expect),
+                .is_some_and(|status| status.version > expect),
             "seed {seed}: it caught up"
         );
-        cluster.all_kept(SECOND, "it is healed");
+        cluster.wait_until_all_owned(SECOND, "it is healed");
     }
 }
 
 #[test]
-fn a_new_leader_finishes_what_a_majority_may_have_accepted() {
+fn a_new_leader_decides_a_map_that_a_majority_may_have_accepted() {
     for seed in 0..24 {
-        let mut cluster = Fleet::<64>::kept(5, seed, NetworkConditions::default());
+        let mut cluster = ShardCluster::<64>::kept(5, seed, NetworkConditions::default());
         let leader = cluster.leader().expect("there is one");
-        let (expect, ranges) = cluster.one_moved(leader, 1);
-        let told = cluster.status(leader).expect("it runs");
+        let (expect, ranges) = cluster.with_first_range_moved(leader, 1);
+        let status = cluster.status(leader).expect("it runs");
         // In the epoch that made the map in force.
         let map = ShardMap {
             version: expect + 1,
-            parent: told.hash,
-            epoch: told.epoch,
+            parent: status.hash,
+            epoch: status.epoch,
             ranges: ranges.clone(),
         };
         // Everybody hears what it proposes; of half of the seeds it hears nobody, so that nobody is told that it is
@@ -525,9 +538,9 @@
         cluster.run(1_500 + 250 * (seed / 2));
         cluster.sim.kill(leader);
         cluster.sim.partition(|_| 0);
-        cluster.all_at(
+        cluster.wait_for_version(
             expect + 1,
-            LEASE + 3 * SECOND + VERDICT + KEEP,
+            LEADER_LEASE + 3 * SECOND + FAILURE_DETECTION + LEASE_DURATION,
             "the next owner",
         );
         assert_eq!(
@@ -535,16 +548,19 @@
             Some(&map.hash()),
             "seed {seed}: another was decided"
         );
-        cluster.all_kept(KEEP + VERDICT + LEASE, "the next owner");
+        cluster.wait_until_all_owned(
+            LEASE_DURATION + FAILURE_DETECTION + LEADER_LEASE,
+            "the next owner",
+        );
     }
 }
 
 #[test]
-fn a_gateway_refuses_a_bad_map_by_itself_whatever_the_leader_says() {
-    let mut cluster = Fleet::<64>::kept(3, 1, NetworkConditions::default());
+fn an_acceptor_rejects_an_invalid_map_of_the_leader() {
+    let mut cluster = ShardCluster::<64>::kept(3, 1, NetworkConditions::default());
     let leader = cluster.leader().expect("there is one");
     let gateway = (leader + 1) % 3;
-    let (expect, mut ranges) = cluster.one_moved(gateway, 1);
+    let (expect, mut ranges) = cluster.with_first_range_moved(gateway, 1);
     ranges[5].from += 1;
     let (now, to) = (cluster.sim.now(), peer_id_of(&name(gateway)));
     let election = cluster
@@ -590,10 +606,10 @@
         sends
             .iter()
             .filter_map(|send| Datagram::decode(&send.bytes))
-            .map(|told| told.kind)
+            .map(|status| status.kind)
             .collect::<Vec<_>>()
     });
-    let refused = |kind: &Kind| matches!(kind, Kind::Rejected(of, _, told) if *of == ballot && told.len() == 1);
+    let refused = |kind: &Kind| matches!(kind, Kind::Rejected(of, _, status) if *of == ballot && status.len() == 1);
     assert!(
         answers
             .as_ref()
@@ -603,24 +619,24 @@
 }
 
 #[test]
-fn after_all_restart_at_once_the_map_starts_anew_and_a_gateway_that_returns_catches_up() {
-    for (gateways, weather) in [
+fn after_a_restart_of_all_gateways_a_new_history_starts_and_a_returning_gateway_catches_up() {
+    for (gateways, network) in [
         (3, NetworkConditions::default()),
         (7, lossy()),
         (24, NetworkConditions::default()),
     ] {
         for seed in seeds(gateways) {
-            let mut cluster = Fleet::<64>::kept(gateways, seed, weather);
-            let (expect, ranges) = cluster.one_moved(1, 1);
+            let mut cluster = ShardCluster::<64>::kept(gateways, seed, network);
+            let (expect, ranges) = cluster.with_first_range_moved(1, 1);
             cluster.propose(1, expect, ranges);
-            cluster.all_at(expect + 1, 3 * SECOND, "a map");
+            cluster.wait_for_version(expect + 1, 3 * SECOND, "a map");
             (0..gateways).for_each(|gateway| cluster.sim.kill(gateway));
             cluster.look();
             cluster.decided.clear();
             (0..gateways).for_each(|gateway| cluster.sim.start(gateway, UNIX + 100 * SECOND));
-            cluster.all_kept(KEEP + 2 * SECOND, "all restarted");
+            cluster.wait_until_all_owned(LEASE_DURATION + 2 * SECOND, "all restarted");
             assert_eq!(
-                cluster.status(0).map(|told| told.version),
+                cluster.status(0).map(|status| status.version),
                 Some(1),
                 "seed {seed}"
             );
@@ -630,28 +646,29 @@
             cluster.sim.kill(gateway);
             cluster.run(SECOND);
             cluster.sim.start(gateway, UNIX + 200 * SECOND);
-            cluster.all_at(1, 3 * SECOND, "it returns");
+            cluster.wait_for_version(1, 3 * SECOND, "it returns");
             // Its name keeps again once the lease of the process before it is over.
-            cluster.all_kept(VERDICT + LEASE + 2 * SECOND, "it returns");
+            cluster
+                .wait_until_all_owned(FAILURE_DETECTION + LEADER_LEASE + 2 * SECOND, "it returns");
         }
     }
 }
 
 #[test]
-fn datagrams_that_are_late_by_a_lease_lost_and_doubled_make_no_two_owners() {
+fn late_lost_and_duplicated_datagrams_never_give_a_key_two_owners() {
     for seed in 0..6 {
         let late = NetworkConditions {
-            jitter: LEASE,
+            jitter: LEADER_LEASE,
             loss: 0.1,
             double: 0.1,
             ..NetworkConditions::default()
         };
-        let mut cluster = Fleet::<64>::kept(5, seed, lossy());
+        let mut cluster = ShardCluster::<64>::kept(5, seed, lossy());
         for round in 0..6 {
             cluster.sim.network = if round % 2 == 0 { late } else { lossy() };
             let gateway = (round + seed as usize) % 5;
             if cluster.sim.runs(gateway) {
-                let (expect, ranges) = cluster.one_moved(gateway, 1 + round % 3);
+                let (expect, ranges) = cluster.with_first_range_moved(gateway, 1 + round % 3);
                 cluster.propose(gateway, expect, ranges);
             }
             cluster.run(3 * SECOND);
@@ -667,47 +684,50 @@
         cluster.sim.network = NetworkConditions::default();
         cluster.sim.partition(|_| 0);
         (0..5).for_each(|gateway| cluster.sim.stop(gateway, false));
-        cluster.run(2 * KEEP);
-        cluster.all_kept(VERDICT + 2 * KEEP, "all is well again");
+        cluster.run(2 * LEASE_DURATION);
+        cluster.wait_until_all_owned(FAILURE_DETECTION + 2 * LEASE_DURATION, "all is well again");
     }
 }
 
 #[test]
-fn an_leader_and_owners_at_random_stopped_cut_and_killed_make_no_two_owners() {
+fn random_stops_partitions_and_kills_never_give_a_key_two_owners() {
     for seed in 0..10 {
-        let mut cluster = Fleet::<64>::kept(5, seed, lossy());
-        let mut dice = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
-        let mut roll = |most: u64| {
-            dice ^= dice << 13;
-            dice ^= dice >> 7;
-            dice ^= dice << 17;
-            dice % most
+        let mut cluster = ShardCluster::<64>::kept(5, seed, lossy());
+        let mut random_state = seed.wrapping_mul(0x9e37_79b9_7f4a_7c15) | 1;
+        let mut random_below = |timeout: u64| {
+            random_state ^= random_state << 13;
+            random_state ^= random_state >> 7;
+            random_state ^= random_state << 17;
+            random_state % timeout
         };
         for round in 0..14 {
-            let gateway = roll(5) as usize;
+            let gateway = random_below(5) as usize;
             // One at a time is dead, so that a majority remembers.
             for other in 0..5 {
                 if !cluster.sim.runs(other) {
                     cluster.sim.start(other, UNIX + (100 + round) * SECOND);
                 }
             }
-            match roll(6) {
+            match random_below(6) {
                 0 => cluster.sim.stop(gateway, true),
                 1 => (0..5).for_each(|gateway| cluster.sim.stop(gateway, false)),
                 2 => cluster
                     .sim
-                    .cut(gateway, (gateway + 1 + roll(4) as usize) % 5, true),
+                    .cut(gateway, (gateway + 1 + random_below(4) as usize) % 5, true),
                 3 => cluster.sim.partition(|_| 0),
                 4 => cluster.sim.kill(gateway),
-                _ if cluster.status(gateway).is_some_and(|told| told.version > 0)
+                _ if cluster
+                    .status(gateway)
+                    .is_some_and(|status| status.version > 0)
                     && !cluster.sim.is_stopped(gateway) =>
                 {
-                    let (expect, ranges) = cluster.one_moved(gateway, 1 + roll(4) as usize);
+                    let (expect, ranges) =
+                        cluster.with_first_range_moved(gateway, 1 + random_below(4) as usize);
                     cluster.propose(gateway, expect, ranges);
                 }
                 _ => {}
             }
-            cluster.run(500_000 + roll(3 * SECOND));
+            cluster.run(500_000 + random_below(3 * SECOND));
         }
         cluster.sim.network = NetworkConditions::default();
         cluster.sim.partition(|_| 0);
@@ -719,15 +739,15 @@
             .for_each(|gateway| {
                 cluster.sim.start(gateway, UNIX + 1000 * SECOND);
             });
-        cluster.run(2 * KEEP);
-        cluster.all_kept(VERDICT + 3 * KEEP, "all is well again");
+        cluster.run(2 * LEASE_DURATION);
+        cluster.wait_until_all_owned(FAILURE_DETECTION + 3 * LEASE_DURATION, "all is well again");
     }
 }
 
 #[test]
-fn a_gateway_that_the_peers_does_not_name_any_more_keeps_nothing() {
+fn a_gateway_removed_from_the_peer_set_owns_nothing() {
     for seed in seeds(7) {
-        let mut cluster = Fleet::<64>::kept(7, seed, NetworkConditions::default());
+        let mut cluster = ShardCluster::<64>::kept(7, seed, NetworkConditions::default());
         for gateway in 0..7 {
             cluster.sim.act(gateway, |owned, now, sends| {
                 owned.set_peers(now, 0..7_usize, sends)
@@ -739,47 +759,47 @@
                 cluster.run(200_000);
             }
         }
-        cluster.run(KEEP + LEASE + 2 * SECOND);
+        cluster.run(LEASE_DURATION + LEADER_LEASE + 2 * SECOND);
         assert_eq!(
             (cluster.mine(5), cluster.mine(6)),
             (vec![], vec![]),
             "seed {seed}"
         );
-        cluster.all_kept(KEEP + SECOND, "the roster has shrunk");
-        let told = cluster.status(0).expect("it runs");
+        cluster.wait_until_all_owned(LEASE_DURATION + SECOND, "the roster has shrunk");
+        let status = cluster.status(0).expect("it runs");
         assert!(
-            told.kept.keys().all(|name| *name < self::name(5)),
+            status.kept.keys().all(|name| *name < self::name(5)),
             "seed {seed}: {:?}",
-            told.kept
+            status.kept
         );
     }
 }
 
 #[test]
-fn a_planned_end_lets_go_at_once() {
+fn a_graceful_shutdown_releases_leases_at_once() {
     for seed in seeds(7) {
-        let mut cluster = Fleet::<64>::kept(7, seed, NetworkConditions::default());
+        let mut cluster = ShardCluster::<64>::kept(7, seed, NetworkConditions::default());
         let leader = cluster.leader().expect("there is one");
         cluster.sim.leave((leader + 1) % 7);
-        let owner = cluster.all_kept(SECOND, "a keeper leaves");
+        let owner = cluster.wait_until_all_owned(SECOND, "a keeper leaves");
         cluster.run(SECOND);
         cluster.sim.leave(leader);
-        let took = cluster.all_kept(2 * SECOND, "the owner leaves");
-        println!("seed {seed}: a keeper left {owner} us, the owner {took} us");
+        let elapsed = cluster.wait_until_all_owned(2 * SECOND, "the owner leaves");
+        println!("seed {seed}: a keeper left {owner} us, the owner {elapsed} us");
     }
 }
 
 #[test]
-fn a_thousand_ranges_go_in_parts() {
-    for weather in [NetworkConditions::default(), lossy()] {
-        let mut cluster = Fleet::<1024>::kept(5, 1, weather);
-        let (expect, ranges) = cluster.one_moved(1, 1);
+fn a_map_of_1024_ranges_is_fetched_in_chunks() {
+    for network in [NetworkConditions::default(), lossy()] {
+        let mut cluster = ShardCluster::<1024>::kept(5, 1, network);
+        let (expect, ranges) = cluster.with_first_range_moved(1, 1);
         assert_eq!(ranges.len(), 1024);
         cluster.propose(1, expect, ranges);
-        let took = cluster.all_at(expect + 1, 8 * SECOND, "1,024 ranges");
+        let elapsed = cluster.wait_for_version(expect + 1, 8 * SECOND, "1,024 ranges");
         println!(
-            "loss {}: 1,024 ranges everywhere after {took} us",
-            weather.loss
+            "loss {}: 1,024 ranges everywhere after {elapsed} us",
+            network.loss
         );
         let largest = (0..5)
             .filter_map(|gateway| cluster.sim.engine(gateway).map(|owned| owned.kept.largest))
@@ -792,13 +812,13 @@
 }
 
 #[test]
-fn what_is_sent_is_bounded() {
+fn the_rate_of_datagrams_and_bytes_is_bounded() {
     for gateways in [3, 7, 24] {
-        let mut cluster = Fleet::<64>::kept(gateways, 1, NetworkConditions::default());
+        let mut cluster = ShardCluster::<64>::kept(gateways, 1, NetworkConditions::default());
         cluster.run(5 * SECOND);
-        let mut told = Vec::new();
-        for storm in [false, true] {
-            if storm {
+        let mut status = Vec::new();
+        for failover in [false, true] {
+            if failover {
                 let leader = cluster.leader().expect("there is one");
                 (0..gateways)
                     .filter(|gateway| *gateway != leader)
@@ -822,31 +842,31 @@
                         )
                     });
                     let Some(sent) = sent else { continue };
-                    let most = if owns == Some(gateway) {
+                    let timeout = if owns == Some(gateway) {
                         &mut leader
                     } else {
                         &mut others
                     };
-                    *most = (most.0.max(sent.0), most.1.max(sent.1));
+                    *timeout = (timeout.0.max(sent.0), timeout.1.max(sent.1));
                 }
             }
             assert!(
                 leader.0 <= 150 && leader.1 <= 30_000,
-                "{gateways} doors, storm {storm}: owner {leader:?}"
+                "{gateways} doors, storm {failover}: owner {leader:?}"
             );
             assert!(
                 others.0 <= 50,
-                "{gateways} doors, storm {storm}: others {others:?}"
+                "{gateways} doors, storm {failover}: others {others:?}"
             );
-            told.push((storm, leader, others));
+            status.push((failover, leader, others));
         }
-        println!("{gateways} doors: (storm, owner, others), with the office's: {told:?}");
+        println!("{gateways} doors: (storm, owner, others), with the office's: {status:?}");
     }
 }
 
 #[test]
-fn junk_is_counted_and_dropped() {
-    let mut cluster = Fleet::<64>::kept(3, 1, NetworkConditions::default());
+fn undecodable_datagrams_and_unknown_peers_are_counted_and_dropped() {
+    let mut cluster = ShardCluster::<64>::kept(3, 1, NetworkConditions::default());
     let mut bytes = Datagram {
         from: 1,
         incarnation: 1,
--- a/gateway-cluster/tests/keeping_model.rs
+++ b/gateway-cluster/tests/shard_leases_model.rs
@@ -455,7 +455,7 @@
 }
 
 #[test]
-fn no_key_has_two_owners_and_no_version_two_maps_over_a_change_of_leader() {
+fn no_key_has_two_owners_and_no_version_two_maps_over_a_leader_change() {
     for (restarts, depth) in [(false, 12), (true, 10)] {
         let checker = check(
             ShardModel {
@@ -498,7 +498,7 @@
 };
 
 #[test]
-fn the_check_reaches_a_second_map_and_one_that_a_new_leader_finishes() {
+fn the_model_reaches_a_second_map_and_one_completed_by_a_new_leader() {
     assert!(violates(NO_RESTARTS, 12, "a second map is kept"));
     assert!(violates(
         NO_RESTARTS,
@@ -508,7 +508,7 @@
 }
 
 #[test]
-fn the_check_finds_a_owner_that_starts_before_the_release() {
+fn the_model_detects_an_owner_that_starts_before_the_release() {
     assert!(violates(
         ShardModel {
             owner_starts_before_release: true,
@@ -520,7 +520,7 @@
 }
 
 #[test]
-fn the_check_finds_a_new_leader_that_does_not_wait_for_the_leases_of_the_old_one() {
+fn the_model_detects_a_new_leader_that_ignores_old_leases() {
     assert!(violates(
         ShardModel {
             leader_ignores_old_leases: true,
@@ -532,7 +532,7 @@
 }
 
 #[test]
-fn the_check_finds_a_new_leader_that_starts_afresh_though_a_majority_had_accepted_a_map() {
+fn the_model_detects_a_new_leader_that_ignores_an_accepted_map() {
     assert!(violates(
         ShardModel {
             leader_ignores_accepted_map: true,
@@ -544,7 +544,7 @@
 }
 
 #[test]
-fn the_check_finds_a_gateway_that_started_from_nothing_and_counts_at_once() {
+fn the_model_detects_a_restarted_acceptor_that_counts_at_once() {
     assert!(violates(
         ShardModel {
             restarted_acceptor_counts: true,
--- a/gateway-cluster/tests/shards.rs
+++ b/gateway-cluster/tests/shards.rs
@@ -76,7 +76,7 @@
 }
 
 /// The runs of keys that are set in a set of keys, a bit for each.
-fn runs(keys: u32) -> Vec<(Key, Key)> {
+fn all_spans(keys: u32) -> Vec<(Key, Key)> {
     let (mut found, mut begun) = (Vec::new(), None);
     let mut key = 0;
     while key <= SMALL {
@@ -96,7 +96,7 @@
 
 /// What the validator has to find of these ranges, by marking each key that one covers, and each that one
 /// more does. A reversed range covers what it was meant to.
-fn counted(ranges: &[ShardRange]) -> Vec<Finding> {
+fn findings_by_counting(ranges: &[ShardRange]) -> Vec<Finding> {
     let (mut covered, mut again) = (0_u32, 0_u32);
     let (mut listed, mut before) = (Vec::new(), 0);
     for range in ranges {
@@ -114,12 +114,12 @@
             before = from;
         }
     }
-    let mut found: Vec<Finding> = runs(!covered)
+    let mut found: Vec<Finding> = all_spans(!covered)
         .into_iter()
         .map(|(from, to)| Finding::Gap { from, to })
         .collect();
     found.extend(
-        runs(again)
+        all_spans(again)
             .into_iter()
             .map(|(from, to)| Finding::Overlap { from, to }),
     );
@@ -145,7 +145,7 @@
 }
 
 /// Whether each key is covered once, and in order.
-fn is_whole(ranges: &[ShardRange]) -> bool {
+fn covers_each_key_once(ranges: &[ShardRange]) -> bool {
     let mut at = 0;
     let follows = |range: &ShardRange| {
         range.from == std::mem::replace(&mut at, range.to) && range.from < range.to
@@ -155,46 +155,60 @@
 
 /// How many maps were looked at, and how many of them were whole.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-struct Looked {
+struct ValidationCounts {
     maps: usize,
-    whole: usize,
+    complete_map: usize,
 }
 
 /// Puts each of these bounds into the places of a map from one on, and holds the validator against the count.
-/// `sets` leaves out lists that differ by their order alone, and takes each in an order that its number
+/// `with_owners` leaves out lists that differ by their order alone, and takes each in an order that its number
 /// gives.
-fn look(list: &mut ShardMap, place: usize, bounds: &[(Key, Key)], sets: bool, looked: &mut Looked) {
+fn check_variants(
+    list: &mut ShardMap,
+    place: usize,
+    bounds: &[(Key, Key)],
+    with_owners: bool,
+    counts: &mut ValidationCounts,
+) {
     if place < list.ranges.len() {
         for (number, (from, to)) in bounds.iter().enumerate() {
             (list.ranges[place].from, list.ranges[place].to) = (*from, *to);
-            let rest = if sets { &bounds[number..] } else { bounds };
-            look(list, place + 1, rest, sets, looked);
+            let rest = if with_owners {
+                &bounds[number..]
+            } else {
+                bounds
+            };
+            check_variants(list, place + 1, rest, with_owners, counts);
         }
         return;
     }
     let mut turned = None;
-    if sets {
+    if with_owners {
         let ranges = &mut turned.insert(list.clone()).ranges;
-        ranges.rotate_left(looked.maps % 4);
-        ranges.swap(1, 1 + looked.maps / 4 % 3);
+        ranges.rotate_left(counts.maps % 4);
+        ranges.swap(1, 1 + counts.maps / 4 % 3);
     }
     let list = turned.as_ref().unwrap_or(list);
     let gateways = GATEWAYS
         .get_or_init(|| cluster(&[("a", PeerCondition::Alive), ("b", PeerCondition::Alive)]));
     let found = validate(None, list, gateways, &small());
-    assert_eq!(found, counted(&list.ranges), "{list:?}");
-    assert_eq!(found.is_empty(), is_whole(&list.ranges), "{list:?}");
-    looked.maps += 1;
-    looked.whole += usize::from(found.is_empty());
+    assert_eq!(found, findings_by_counting(&list.ranges), "{list:?}");
+    assert_eq!(
+        found.is_empty(),
+        covers_each_key_once(&list.ranges),
+        "{list:?}"
+    );
+    counts.maps += 1;
+    counts.complete_map += usize::from(found.is_empty());
 }
 
 static GATEWAYS: OnceLock<ClusterState> = OnceLock::new();
 
 /// All maps of so many ranges with these bounds, on several threads.
-fn look_at_all(ranges: usize, bounds: &[(Key, Key)], sets: bool) -> Looked {
+fn check_all_variants(ranges: usize, bounds: &[(Key, Key)], with_owners: bool) -> ValidationCounts {
     let next = AtomicUsize::new(0);
     let work = || {
-        let mut looked = Looked::default();
+        let mut counts = ValidationCounts::default();
         // Both owners, in turn: who it is plays no part in coverage.
         let listed = ["a", "b", "a", "b"][..ranges]
             .iter()
@@ -210,15 +224,19 @@
             Some(next.fetch_add(1, Ordering::Relaxed)).filter(|first| *first < bounds.len())
         {
             (list.ranges[0].from, list.ranges[0].to) = bounds[first];
-            look(
+            check_variants(
                 &mut list,
                 1,
-                if sets { &bounds[first..] } else { bounds },
-                sets,
-                &mut looked,
+                if with_owners {
+                    &bounds[first..]
+                } else {
+                    bounds
+                },
+                with_owners,
+                &mut counts,
             );
         }
-        looked
+        counts
     };
     let threads = std::thread::available_parallelism().map_or(1, usize::from);
     std::thread::scope(|scope| {
@@ -226,9 +244,9 @@
         let all = running
             .into_iter()
             .map(|thread| thread.join().expect("each map is as counted"));
-        all.fold(Looked::default(), |sum, part| Looked {
+        all.fold(ValidationCounts::default(), |sum, part| ValidationCounts {
             maps: sum.maps + part.maps,
-            whole: sum.whole + part.whole,
+            complete_map: sum.complete_map + part.complete_map,
         })
     })
 }
@@ -241,29 +259,29 @@
 }
 
 #[test]
-fn all_small_maps_are_found_as_a_count_per_key_finds_them() {
+fn validation_agrees_with_a_count_per_key_for_all_small_maps() {
     let far_beyond = bounds(11, |_| true);
     let beyond_and_reversed = bounds(9, |_| true);
     let beyond = bounds(9, |(from, to)| from <= to);
     let forward = bounds(8, |(from, to)| from < to);
-    let mut all = Looked::default();
-    for (ranges, bounds, sets) in [
+    let mut all = ValidationCounts::default();
+    for (ranges, bounds, with_owners) in [
         (1, &far_beyond, false),
         (2, &far_beyond, false),
         (3, &beyond_and_reversed, false),
         (4, &forward, false),
         (4, &beyond, true),
     ] {
-        let looked = look_at_all(ranges, bounds, sets);
+        let counts = check_all_variants(ranges, bounds, with_owners);
         println!(
-            "{ranges} ranges, {} bounds, by sets {sets}: {looked:?}",
+            "{ranges} ranges, {} bounds, by sets {with_owners}: {counts:?}",
             bounds.len()
         );
         // A space of 8 keys is cut into so many ranges in so many ways; of a set, not each order is looked at.
         let ways = [0, 1, 7, 21, 35][ranges];
-        assert!(looked.whole == ways || sets, "{looked:?}");
-        all.maps += looked.maps;
-        all.whole += looked.whole;
+        assert!(counts.complete_map == ways || with_owners, "{counts:?}");
+        all.maps += counts.maps;
+        all.complete_map += counts.complete_map;
     }
     println!("{all:?}");
     // No range at all is a map too.
@@ -276,20 +294,20 @@
 /// Takes minutes in a debug build.
 #[test]
 #[ignore = "43 million maps"]
-fn all_maps_of_four_ranges_in_any_order_are_found_as_a_count_per_key_finds_them() {
-    let looked = look_at_all(4, &bounds(8, |_| true), false);
-    println!("{looked:?}");
+fn validation_agrees_with_a_count_per_key_for_all_maps_of_four_ranges() {
+    let counts = check_all_variants(4, &bounds(8, |_| true), false);
+    println!("{counts:?}");
     assert_eq!(
-        looked,
-        Looked {
+        counts,
+        ValidationCounts {
             maps: 81_usize.pow(4),
-            whole: 35
+            complete_map: 35
         }
     );
 }
 
 /// A map of the whole space with these cuts, its owners in turn.
-fn whole(cuts: &BTreeSet<Key>, gateways: usize) -> ShardMap {
+fn complete_map(cuts: &BTreeSet<Key>, gateways: usize) -> ShardMap {
     let mut ranges = Vec::new();
     let mut from = 0;
     for (number, to) in cuts.iter().copied().chain([KEYS]).enumerate() {
@@ -309,12 +327,12 @@
 }
 
 /// What each single fault has to yield, at each range of the map.
-fn faults(good: &ShardMap, at: usize) -> Vec<(ShardMap, Vec<Finding>)> {
-    let mut faults = Vec::new();
+fn single_faults(good: &ShardMap, at: usize) -> Vec<(ShardMap, Vec<Finding>)> {
+    let mut single_faults = Vec::new();
     let mut fault = |change: &dyn Fn(&mut Vec<ShardRange>), finding: Finding| {
         let mut bad = good.clone();
         change(&mut bad.ranges);
-        faults.push((bad, vec![finding]));
+        single_faults.push((bad, vec![finding]));
     };
     let ShardRange { from, to, .. } = good.ranges[at];
     let last = at + 1 == good.ranges.len();
@@ -408,7 +426,7 @@
             owner: leaving,
         },
     );
-    faults
+    single_faults
 }
 
 proptest! {
@@ -420,18 +438,18 @@
     })]
 
     #[test]
-    fn a_single_fault_is_found_with_its_bounds_and_nothing_else(
+    fn a_single_fault_yields_one_finding_with_its_bounds(
         cuts in proptest::collection::btree_set(prop_oneof![1..KEYS, 1..4_u64, KEYS - 4..KEYS], 1..24),
         gateways in 1..6_usize,
     ) {
         let mut known = alive(gateways);
         known.gateways.extend([("dead".to_string(), PeerCondition::Dead), ("leaving".to_string(), PeerCondition::Leaving)]);
         let limits = Limits { moved_permille: 1000, ..Limits::default() };
-        let old = whole(&cuts, gateways);
+        let old = complete_map(&cuts, gateways);
         let good = next(&old, old.ranges.clone());
         prop_assert_eq!(validate(Some(&old), &good, &known, &limits), vec![]);
         for at in 0..good.ranges.len() {
-            for (bad, findings) in faults(&good, at) {
+            for (bad, findings) in single_faults(&good, at) {
                 prop_assert_eq!(validate(Some(&old), &bad, &known, &limits), findings);
             }
         }
@@ -454,7 +472,7 @@
     }
 
     #[test]
-    fn each_planned_map_is_valid_and_newcomers_come_near_the_even_part(
+    fn planned_maps_are_valid_and_new_owners_get_nearly_the_even_share(
         first in 1..9_usize,
         more in 0..6_usize,
         count in 1..80_usize,
@@ -485,10 +503,10 @@
         prop_assert!(moved <= even * more as u64);
         let least = even - even / SLACK_DIVISOR;
         for name in &names[first..] {
-            prop_assert!((least..=even).contains(&kept(&now, name)), "{} of {}", kept(&now, name), even);
+            prop_assert!((least..=even).contains(&owned_keys(&now, name)), "{} of {}", owned_keys(&now, name), even);
         }
         for gateway in if more > 0 { &names[..first] } else { &[] } {
-            prop_assert!(kept(&now, gateway) >= least);
+            prop_assert!(owned_keys(&now, gateway) >= least);
         }
 
         let mut fewer = all.clone();
@@ -529,7 +547,7 @@
     moves
 }
 
-fn kept(map: &ShardMap, name: &str) -> u64 {
+fn owned_keys(map: &ShardMap, name: &str) -> u64 {
     map.ranges
         .iter()
         .filter(|range| range.owner == name)
@@ -547,7 +565,7 @@
 }
 
 #[test]
-fn keys_that_move_at_once_are_limited_unless_their_owner_is_gone() {
+fn the_number_of_moved_keys_is_limited_unless_their_owner_is_gone() {
     let limits = Limits {
         moved_permille: 250,
         ..small()
@@ -602,7 +620,7 @@
 }
 
 #[test]
-fn a_owner_over_its_share_is_found_unless_it_is_given_no_more() {
+fn an_owner_over_its_share_is_a_finding_only_if_it_gets_more_keys() {
     let limits = Limits {
         share_permille: 1500,
         ..small()
@@ -636,7 +654,7 @@
 }
 
 #[test]
-fn keys_whose_last_move_is_not_over_stay() {
+fn keys_whose_last_move_is_incomplete_do_not_move() {
     let mut both = cluster(&[("a", PeerCondition::Alive), ("b", PeerCondition::Alive)]);
     // FindingReport in any order, and twice.
     both.moving = vec![(5, 7), (1, 3), (2, 3), (7, 7)];
@@ -655,7 +673,7 @@
 }
 
 #[test]
-fn a_thousand_and_twenty_four_ranges_are_allowed_and_no_more() {
+fn at_most_1024_ranges_are_valid() {
     let limits = Limits::default();
     let most = ShardMap::first(["a", "b"], 5000, 0, &limits).expect("there are names");
     assert_eq!(most.ranges.len(), 1024);
@@ -681,7 +699,7 @@
 }
 
 #[test]
-fn without_a_map_in_force_the_first_version_alone_has_no_parent() {
+fn without_a_map_in_force_only_version_one_has_no_parent() {
     let both = cluster(&[("a", PeerCondition::Alive)]);
     let found = |version, parent| {
         validate(
@@ -728,7 +746,7 @@
 }
 
 #[test]
-fn everything_wrong_is_found_at_once_and_each_text_says_what_to_do() {
+fn all_findings_are_reported_together_with_instructions() {
     let limits = Limits {
         moved_permille: 0,
         share_permille: 100,
@@ -772,7 +790,7 @@
 }
 
 #[test]
-fn hostile_maps_of_any_size_yield_few_findings_and_say_how_many_are_left_out() {
+fn invalid_maps_of_any_size_yield_a_limited_number_of_findings() {
     let name = "x".repeat(10_000);
     let mut ranges: Vec<ShardRange> = (0..20_000)
         .map(|at| ShardRange::new(KEYS - at, u64::MAX - at, "n000"))
@@ -785,7 +803,7 @@
         epoch: 0,
         ranges,
     };
-    let old = whole(&BTreeSet::from([5, 9]), 2);
+    let old = complete_map(&BTreeSet::from([5, 9]), 2);
     let found = validate(Some(&old), &bad, &alive(2), &Limits::default());
     assert!(
         found.len() <= Rule::ALL.len() * (MAX_FINDINGS_PER_RULE + 1),
@@ -820,7 +838,7 @@
 }
 
 #[test]
-fn the_first_map_follows_from_the_names_alone_and_is_even() {
+fn the_first_map_is_even_and_determined_by_the_names() {
     let limits = Limits::default();
     let first = |names: &[&'static str], count| {
         ShardMap::first(names.iter().copied(), count, 3, &limits).expect("names")
@@ -869,7 +887,7 @@
 }
 
 #[test]
-fn a_hash_is_fixed_and_depends_on_all_of_a_map() {
+fn the_map_hash_is_stable_and_depends_on_every_field() {
     let one = ShardMap {
         version: 2,
         parent: MapHash(1),
@@ -922,7 +940,7 @@
 }
 
 #[test]
-fn a_map_goes_as_json_and_as_postcard_within_the_stated_bytes() {
+fn a_map_round_trips_in_json_and_postcard_within_the_documented_bytes() {
     let text = r#"{"from":0,"to":4294967296,"keeper":"n0"}"#;
     let range: ShardRange = serde_json::from_str(text).expect("the form of the configuration");
     assert_eq!(range, ShardRange::new(0, 1 << 32, "n0"));
@@ -952,7 +970,7 @@
 }
 
 /// All ways to give so many keys to these, as maps with a range for each run.
-fn given(keys: u32, names: &[&str]) -> Vec<Vec<usize>> {
+fn all_assignments(keys: u32, names: &[&str]) -> Vec<Vec<usize>> {
     let all = 0..names.len().pow(keys);
     all.map(|number| {
         (0..keys)
@@ -962,9 +980,9 @@
     .collect()
 }
 
-fn as_map(given: &[usize], names: &[&str]) -> ShardMap {
+fn map_of_assignment(all_assignments: &[usize], names: &[&str]) -> ShardMap {
     let mut ranges: Vec<ShardRange> = Vec::new();
-    for (key, name) in (0..).zip(given) {
+    for (key, name) in (0..).zip(all_assignments) {
         match ranges.last_mut() {
             Some(last) if last.owner == names[*name] => last.to += 1,
             _ => ranges.push(ShardRange::new(key, key + 1, names[*name])),
@@ -979,7 +997,7 @@
 }
 
 /// Keys that differ, and what the one with most has.
-fn price(old: &[usize], new: &[usize], names: usize) -> (usize, usize) {
+fn movement_cost(old: &[usize], new: &[usize], names: usize) -> (usize, usize) {
     let moved = old.iter().zip(new).filter(|(old, new)| old != new).count();
     (
         moved,
@@ -990,7 +1008,7 @@
     )
 }
 
-fn read(map: &ShardMap, keys: u32, names: &[&str]) -> Vec<usize> {
+fn assignment_of(map: &ShardMap, keys: u32, names: &[&str]) -> Vec<usize> {
     let owner = |key| map.owner_of(key).expect("a whole map");
     (0..Key::from(keys))
         .map(|key| {
@@ -1003,7 +1021,7 @@
 }
 
 #[test]
-fn what_is_planned_without_a_owner_moves_least_and_is_as_even_as_any_that_does() {
+fn replacing_a_lost_owner_moves_the_fewest_keys_and_is_as_even_as_possible() {
     let names = ["a", "b", "d", "gone"];
     let known = cluster(&[
         ("a", PeerCondition::Alive),
@@ -1016,14 +1034,15 @@
         ranges: 6,
         ..small()
     };
-    let others = given(6, &names[..3]);
-    for old in given(6, &names) {
-        let planned = replace_lost_owners(&as_map(&old, &names), &known, &limits).expect("a plan");
-        let planned = planned.map_or(old.clone(), |map| read(&map, 6, &names));
+    let others = all_assignments(6, &names[..3]);
+    for old in all_assignments(6, &names) {
+        let planned =
+            replace_lost_owners(&map_of_assignment(&old, &names), &known, &limits).expect("a plan");
+        let planned = planned.map_or(old.clone(), |map| assignment_of(&map, 6, &names));
         // Of all maps there are.
-        let least = others.iter().map(|new| price(&old, new, 4)).min();
+        let least = others.iter().map(|new| movement_cost(&old, new, 4)).min();
         assert_eq!(
-            Some(price(&old, &planned, 4)),
+            Some(movement_cost(&old, &planned, 4)),
             least,
             "{old:?} became {planned:?}"
         );
@@ -1031,21 +1050,23 @@
 }
 
 #[test]
-fn newcomers_get_their_even_part_by_the_fewest_keys_in_any_number_of_steps() {
+fn new_owners_get_their_even_share_by_the_fewest_moved_keys() {
     let names = ["a", "b", "d"];
     let known = cluster(&[
         ("a", PeerCondition::Alive),
         ("b", PeerCondition::Alive),
         ("d", PeerCondition::Alive),
     ]);
-    let all = given(6, &names);
-    let count = |given: &[usize], name| given.iter().filter(|has| **has == name).count();
+    let all = all_assignments(6, &names);
+    let count = |all_assignments: &[usize], name| {
+        all_assignments.iter().filter(|has| **has == name).count()
+    };
     for old in &all {
         // Of all maps in which the newcomer has its even part.
         let least = all
             .iter()
             .filter(|new| count(new, 2) >= 2)
-            .map(|new| price(old, new, 3).0)
+            .map(|new| movement_cost(old, new, 3).0)
             .min();
         for at_once in [1000, 167] {
             let limits = Limits {
@@ -1054,7 +1075,7 @@
                 moved_permille: at_once,
                 ..small()
             };
-            let (mut now, mut moved, mut steps) = (as_map(old, &names), 0, 0);
+            let (mut now, mut moved, mut steps) = (map_of_assignment(old, &names), 0, 0);
             while let Some(new) = add_owners(&now, ["d"], &known, &limits).expect("a plan") {
                 assert_eq!(validate(Some(&now), &new, &known, &limits), []);
                 moved += moves(&now, &new)
@@ -1066,7 +1087,7 @@
                 assert!(steps <= 2, "{old:?}");
             }
             assert_eq!(Some(moved), least, "{old:?} became {:?}", now.ranges);
-            let new = read(&now, 6, &names);
+            let new = assignment_of(&now, 6, &names);
             assert!(
                 (0..2).all(|name| count(&new, name) >= 2.min(count(old, name))),
                 "{old:?} {new:?}"
@@ -1076,7 +1097,7 @@
 }
 
 #[test]
-fn one_gateway_in_a_big_cluster_comes_and_goes_with_few_cuts() {
+fn adding_and_removing_one_gateway_of_a_large_cluster_splits_few_ranges() {
     let limits = Limits::default();
     let (all, before) = (alive(300), alive(299));
     let old = ShardMap::first(before.living(), 900, 5, &limits).expect("names");
@@ -1084,7 +1105,7 @@
         .expect("a plan")
         .expect("a move");
     let even = KEYS / 300;
-    assert!(kept(&new, "n299") >= even - even / SLACK_DIVISOR);
+    assert!(owned_keys(&new, "n299") >= even - even / SLACK_DIVISOR);
     println!("joined: {} ranges", new.ranges.len());
     assert!(new.ranges.len() <= 910, "{}", new.ranges.len());
     let mut fewer = all.clone();
@@ -1100,7 +1121,7 @@
 }
 
 #[test]
-fn the_move_for_load_is_the_best_there_is_and_none_that_is_not_worth_it() {
+fn rebalancing_makes_the_best_move_that_is_worth_it() {
     let names = ["a", "b", "d"];
     let known = cluster(&[
         ("a", PeerCondition::Alive),
@@ -1114,8 +1135,8 @@
         ..small()
     };
     let mut planned = (0, 0);
-    for (owners, loads) in given(4, &names).iter().flat_map(|owners| {
-        given(4, &["0", "1", "3", "9"])
+    for (owners, loads) in all_assignments(4, &names).iter().flat_map(|owners| {
+        all_assignments(4, &["0", "1", "3", "9"])
             .into_iter()
             .map(move |loads| (owners, loads))
     }) {
@@ -1157,7 +1178,7 @@
         let plan = rebalance(&old, &loads, &known, &limits).expect("a plan");
         let gained = plan.as_ref().map(|new| {
             let after = carried(
-                &read(new, 8, &names)
+                &assignment_of(new, 8, &names)
                     .into_iter()
                     .step_by(2)
                     .collect::<Vec<_>>(),
@@ -1175,7 +1196,7 @@
 }
 
 #[test]
-fn load_that_wavers_moves_nothing_back() {
+fn fluctuating_load_moves_nothing_back() {
     let limits = Limits {
         moved_permille: 1000,
         ..Limits::default()
@@ -1224,10 +1245,10 @@
 }
 
 #[test]
-fn a_move_that_gains_little_is_none_however_few_keys_it_takes() {
+fn a_move_with_little_gain_is_not_made_however_few_keys_it_takes() {
     let (limits, two) = (Limits::default(), alive(2));
     let cuts = BTreeSet::from([1, KEYS / 2]);
-    let mut old = whole(&cuts, 2);
+    let mut old = complete_map(&cuts, 2);
     (
         old.ranges[0].owner,
         old.ranges[1].owner,
@@ -1244,13 +1265,13 @@
 }
 
 #[test]
-fn neighbours_with_one_owner_are_joined_where_a_cut_has_no_room() {
+fn neighbours_with_one_owner_are_merged_at_the_limit_of_ranges() {
     let limits = Limits {
         ranges: 3,
         ..Limits::default()
     };
     let three = alive(3);
-    let mut now = whole(&BTreeSet::from([KEYS / 4, KEYS / 2]), 2);
+    let mut now = complete_map(&BTreeSet::from([KEYS / 4, KEYS / 2]), 2);
     (now.ranges[1].owner, now.ranges[2].owner) = ("n000".into(), "n001".into());
     // A quarter is too much to give whole.
     while let Some(new) = add_owners(&now, ["n002"], &three, &limits).expect("a plan") {
@@ -1258,13 +1279,13 @@
     }
     let even = KEYS / 3;
     assert!(
-        kept(&now, "n002") > 0 && kept(&now, "n000") >= even - even / SLACK_DIVISOR,
+        owned_keys(&now, "n002") > 0 && owned_keys(&now, "n000") >= even - even / SLACK_DIVISOR,
         "{now:?}"
     );
 }
 
 #[test]
-fn what_is_moving_stays_in_each_plan() {
+fn plans_do_not_move_keys_whose_last_move_is_incomplete() {
     let limits = Limits {
         moved_permille: 1000,
         ..Limits::default()
@@ -1300,7 +1321,7 @@
 }
 
 #[test]
-fn there_is_no_plan_for_nobody_or_from_a_map_that_is_not_whole() {
+fn planning_fails_without_a_live_gateway_or_from_an_incomplete_map() {
     let limits = small();
     let one = cluster(&[("a", PeerCondition::Alive)]);
     let good = map(&[(0, 8, "a")]);
