--- a/gateway-cluster/examples/sessions.rs
+++ b/gateway-cluster/examples/sessions.rs
@@ -1,4 +1,5 @@
-//! Error rates and times of the classification of sessions, over many seeds of drawn traffic whose truth is known.
+//! Error rates and delays of the classification of customers, over many seeds of simulated traffic whose truth is
+//! known.
 //!
 //! `cargo run --release -p gateway-cluster --example sessions -- [SEEDS] [MINUTES] [FIRST]`
 
@@ -38,8 +39,10 @@
     let seeds = numbers.first().copied().unwrap_or(6);
     let minutes = numbers.get(1).copied().unwrap_or(60);
     let first = numbers.get(2).copied().unwrap_or(1);
-    println!("{seeds} seeds of {minutes} minutes for each trouble and each of 2, 3, 4 doors; 20% lost, 10% doubled, 5% late;");
-    println!("a keeper that knows nothing takes over at two thirds; times in seconds, `-`: not in the run\n");
+    println!("{seeds} seeds of {minutes} minutes for each fault and each of 2, 3, 4 gateways; 20% lost, 10% duplicated, 5% late;");
+    println!(
+        "an owner without state takes over at two thirds; times in seconds, `-`: not in the run\n"
+    );
     let (mut hours, mut wrong) = (0.0, 0);
     for fault in FAULTS {
         let mut all: Vec<(SimulatedCustomer, CustomerOutcome)> = Vec::new();
@@ -73,7 +76,7 @@
         let weakened: u32 = all.iter().map(|(_, seen)| seen.false_transactions).sum();
         println!("{fault:?}: false statements {false_statements} in {bound_hours:.0} customer-hours; session to transaction {weakened};");
         println!(
-            "  stateless held for more: {:.3}% of their time, {ever} of {} ever; entries left out sick {}, blind {}; datagrams {:.1}/s a set",
+            "  stateless restricted too far: {:.3}% of their time, {ever} of {} ever; entries excluded: unhealthy {}, too few others {}; datagrams {:.1}/s a set",
             held as f64 / (free.len() as f64 * minutes as f64 * 60e6) * 100.0,
             free.len(),
             excluded[0],
@@ -89,7 +92,7 @@
         let late = delays.iter().filter(|&&delay| delay > 1_000_000).count();
         let [half, most] = [0.5, 0.99].map(|part| at(&mut delays, part));
         println!(
-            "  from the keeper to all doors: median {half} s, 99th {most} s, {late} of {} over 1 s",
+            "  from the owner to all gateways: median {half} s, 99th {most} s, {late} of {} over 1 s",
             delays.len()
         );
         rows(&all);
@@ -147,7 +150,7 @@
     ]
 }
 
-/// One line for each sort of customer.
+/// Prints one line for each kind of customer.
 fn rows(all: &[(SimulatedCustomer, CustomerOutcome)]) {
     let mut sorts: Vec<SimulatedCustomer> = Vec::new();
     for (person, _) in all {
--- a/gateway-cluster/tests/session_classifier.rs
+++ b/gateway-cluster/tests/session_classifier.rs
@@ -1,5 +1,5 @@
-//! The sessions on the whole stack, in the simulation: drawn traffic of known kinds is noted at the gateways, its owners
-//! find out, and all gateways go by it. Each failure names its seed.
+//! Classification of customers on the complete node, in the simulation: generated requests of known kinds are recorded
+//! at the gateways, owners classify the customers, and all gateways apply the verdicts. Each failure names its seed.
 
 use gateway_cluster::peers::peer_id_of;
 use gateway_cluster::protocol::{Micros, PeerIndex};
@@ -21,7 +21,7 @@
 const UNIX: Micros = 1_700_000_000 * SECOND;
 const SEEDS: std::ops::Range<u64> = 0..2;
 const KINDS: [Pooling; 3] = [Pooling::Statement, Pooling::Transaction, Pooling::Session];
-/// Most of them are of no state, as without such nothing stands against what fails for all.
+/// Most customers are stateless: without them there is no control group for faults that affect all.
 const CUSTOMERS: [Pooling; 12] = {
     let mut active_customers = [Pooling::Statement; 12];
     (active_customers[3], active_customers[7]) = (Pooling::Transaction, Pooling::Transaction);
@@ -37,9 +37,9 @@
     sim: Sim<SimulatedNode<2000, 64, true>>,
     seed: u64,
     rng: Pcg64Mcg,
-    /// Who sends requests.
+    /// Customers that send requests.
     active_customers: Vec<usize>,
-    /// What each owner says, and since when; and the longest until all gateways that run went by it.
+    /// The verdict of each owner and when it was made; and the longest time until all running gateways applied it.
     owner_verdicts: [(Pooling, Micros); CUSTOMERS.len()],
     slowest_propagation: Micros,
 }
@@ -60,10 +60,14 @@
         }
     }
 
-    /// One where all is known.
+    /// A cluster in which all customers are classified.
     fn classified(gateways: usize, seed: u64) -> SessionCluster {
         let mut cluster = SessionCluster::new(gateways, seed, NetworkConditions::default());
-        cluster.until(90 * SECOND, "all is found", SessionCluster::all_classified);
+        cluster.until(
+            90 * SECOND,
+            "all are classified",
+            SessionCluster::all_classified,
+        );
         cluster
     }
 
@@ -91,7 +95,7 @@
         owned.stack.sessions().expect("sessions are on").rejected
     }
 
-    /// The gateway that keeps this person now.
+    /// The gateway that owns this customer now.
     fn owner(&mut self, index: usize) -> Option<PeerIndex> {
         let now = self.sim.now();
         self.gateways().into_iter().find(|gateway| {
@@ -218,15 +222,18 @@
     ] {
         for seed in SEEDS {
             let mut cluster = SessionCluster::new(gateways, seed, network);
-            let elapsed =
-                cluster.until(90 * SECOND, "all is found", SessionCluster::all_classified);
+            let elapsed = cluster.until(
+                90 * SECOND,
+                "all are classified",
+                SessionCluster::all_classified,
+            );
             println!(
-                "{gateways} doors, seed {seed}: {elapsed} us, and {} us to all",
+                "{gateways} gateways, seed {seed}: {elapsed} us, and {} us to all",
                 cluster.slowest_propagation
             );
             assert!(
                 cluster.slowest_propagation <= SECOND,
-                "seed {seed}: {} us until all doors had it",
+                "seed {seed}: {} us until all gateways applied it",
                 cluster.slowest_propagation
             );
             let status = cluster.status(0, 1);
@@ -262,7 +269,7 @@
                 );
             }
         }
-        let next = cluster.owner(1).expect("it is kept again");
+        let next = cluster.owner(1).expect("it has an owner again");
         let after = cluster.status(next, 1);
         assert!(
             next != owner && after.fence > before.fence,
@@ -270,7 +277,7 @@
         );
         cluster.until(
             60 * SECOND,
-            "all is found again",
+            "all are classified again",
             SessionCluster::all_classified,
         );
     }
@@ -294,7 +301,7 @@
             Pooling::Session,
             "seed {seed}"
         );
-        // All that is told again by itself has been told.
+        // All repetitions of reports have been sent.
         cluster.run(100 * SECOND);
         cluster.sim.kill(owner);
         for _ in 0..800 {
@@ -304,7 +311,7 @@
             assert_ne!(
                 status,
                 Pooling::Statement,
-                "seed {seed}: half of the set said so"
+                "seed {seed}: only half of the gateways have reported"
             );
         }
         assert_ne!(cluster.owner(1), Some(owner));
@@ -332,12 +339,12 @@
             "seed {seed}"
         );
         cluster.sim.kill(owner);
-        // It is held alive by way of one other.
+        // One other gateway still sees it alive.
         for other in (0..5).filter(|other| ![old_gateway, new_gateway].contains(other)) {
             cluster.sim.cut(old_gateway, other, true);
             cluster.sim.cut(other, old_gateway, true);
         }
-        cluster.until(15 * SECOND, "it is kept again", |cluster| {
+        cluster.until(15 * SECOND, "it has an owner again", |cluster| {
             cluster.owner(1).is_some()
         });
         if cluster.owner(1) == Some(new_gateway) || cluster.owner(1) == Some(old_gateway) {
@@ -350,17 +357,17 @@
             assert_ne!(
                 cluster.pooling(new_gateway, 1),
                 Pooling::Statement,
-                "seed {seed}: half of the set said so"
+                "seed {seed}: only half of the gateways have reported"
             );
         }
         cluster.sim.partition(|_| 0);
-        cluster.until(15 * SECOND, "it is told", |cluster| {
+        cluster.until(15 * SECOND, "it has the verdict", |cluster| {
             cluster.pooling(new_gateway, 1) == Pooling::Session
         });
     }
     assert!(
         met_cases > 0,
-        "in no seed was it kept by a door that cannot ask"
+        "in no seed was the owner unable to reach the gateway"
     );
 }
 
@@ -368,22 +375,22 @@
 fn a_restarted_gateway_receives_the_verdicts_of_its_customers() {
     for seed in SEEDS {
         let mut cluster = SessionCluster::classified(3, seed);
-        // First one that keeps others, then the owner of this one: it has forgotten all that it counted and said.
+        // First a gateway that owns other customers, then the owner of this one: it has lost its counts and verdicts.
         let owner = cluster.owner(1).expect("it has one");
         for (gateway, later) in [((owner + 1) % 3, 1), (owner, 2)] {
             cluster.sim.kill(gateway);
             cluster.sim.start(gateway, UNIX + later * SECOND);
             assert_eq!(cluster.pooling(gateway, 1), Pooling::Unknown);
             let others: Vec<PeerIndex> = (0..3).filter(|other| *other != gateway).collect();
-            let elapsed = cluster.until(40 * SECOND, "it is told", |cluster| {
+            let elapsed = cluster.until(40 * SECOND, "it has the verdict", |cluster| {
                 let kept = others
                     .iter()
                     .all(|&other| cluster.pooling(other, 1) == Pooling::Session);
-                assert!(kept, "seed {seed}: the others still know");
+                assert!(kept, "seed {seed}: the others still apply it");
                 cluster.pooling(gateway, 1) == Pooling::Session
                     && cluster.pooling(gateway, 10) == Pooling::Session
             });
-            println!("seed {seed}: told after {elapsed} us");
+            println!("seed {seed}: verdict after {elapsed} us");
         }
     }
 }
@@ -393,7 +400,7 @@
     for seed in SEEDS {
         let mut cluster = SessionCluster::new(3, seed, NetworkConditions::default());
         cluster.sim.partition(|gateway| gateway);
-        // The keep lease is over.
+        // The shard lease has expired.
         cluster.sim.run_until(cluster.sim.now() + 20 * SECOND);
         assert_eq!(cluster.owner(1), None);
         cluster.run(30 * SECOND);
@@ -409,7 +416,7 @@
         cluster.sim.partition(|_| 0);
         cluster.until(
             90 * SECOND,
-            "all is found once they are together",
+            "all are classified after the partition",
             SessionCluster::all_classified,
         );
     }
@@ -459,17 +466,17 @@
     assert_eq!(
         say(&mut cluster, owner, lower),
         (before + 1, Pooling::Statement),
-        "its term is over"
+        "its epoch is over"
     );
     assert_eq!(
         say(&mut cluster, old, right),
         (before + 2, Pooling::Statement),
-        "it is not its keeper"
+        "it is not the owner"
     );
     assert_eq!(
         say(&mut cluster, owner, right),
         (before + 2, Pooling::Session),
-        "its keeper may say so"
+        "the owner may decide it"
     );
 }
 
@@ -494,11 +501,11 @@
         .zip(&calm)
         .map(|(after, before)| after - before)
         .collect();
-    println!("in calm, in 60 s: {more:?}");
+    println!("without faults, in 60 s: {more:?}");
     assert!(
         more.iter()
             .all(|messages| *messages as f64 <= 60.0 * PER_SECOND),
-        "{more:?} in a minute of calm"
+        "{more:?} in a minute without faults"
     );
     for round in 0..10 {
         let before = sent(&mut cluster);
--- a/gateway-cluster/tests/sessions.rs
+++ b/gateway-cluster/tests/sessions.rs
@@ -1,5 +1,5 @@
-//! Classification of sessions: the counts, the test, the owner, and all of it in drawn traffic whose truth is known. Each
-//! failure names its seed.
+//! Classification of customers: counts, the statistical test, the owner's decisions, and all of it with simulated
+//! traffic of known truth. Each failure names its seed.
 
 use gateway_cluster::protocol::Micros;
 use gateway_cluster::sessions::evidence::{
@@ -58,7 +58,7 @@
     }
 }
 
-/// Tells an owner of two gateways, `a` and `b`.
+/// Passes an input to an owner of two gateways, `a` and `b`.
 fn input(
     owner: &mut VerdictAggregator,
     now: Micros,
@@ -90,7 +90,7 @@
     owner.verdict(SECOND, 7, TOKEN).expect("a report was taken")
 }
 
-/// Runs the three kinds and some at the edge, and holds what became of them against the bounds.
+/// Simulates the three kinds and some customers at the edge, and checks the error rates.
 fn assert_classified(fault: Fault, seed: u64) {
     let plan = Plan {
         gateways: 2 + seed as usize % 3,
@@ -182,7 +182,8 @@
     }
 }
 
-/// A gateway whose backend serves ten others well or badly, and a customer whose changed requests fail there; what is counted of it.
+/// The counts of a customer whose requests on changed connections have one outcome, at a gateway whose backend serves
+/// some others with another outcome.
 fn counted_requests(others: u64, outcome: Outcome, own: Outcome) -> [u32; 2] {
     let mut gateway = Evidence::new("a", 1, 100, 1);
     for second in 0..20 {
@@ -216,31 +217,31 @@
     assert_eq!(
         counted_requests(10, Outcome::Fine, FAILED),
         [20, 20],
-        "it fails beside others that do not"
+        "it fails and others do not"
     );
     assert_eq!(
         counted_requests(10, FAILED, FAILED),
         [0, 0],
-        "the backend is sick"
+        "the backend is unhealthy"
     );
     assert_eq!(
         counted_requests(10, FAILED, Outcome::Fine),
         [0, 0],
-        "nor does luck beside a sick one count"
+        "successes at an unhealthy backend do not count either"
     );
     assert_eq!(
         counted_requests(0, Outcome::Fine, FAILED),
         [0, 0],
-        "there is nobody to compare with"
+        "there is no control group"
     );
     assert_eq!(
         counted_requests(10, Outcome::Fine, Outcome::CustomersOwn),
         [0, 0],
-        "the customer went away"
+        "the customer closed its connection"
     );
 }
 
-/// A gateway with room for so many, a hundred customers with evidence, and then three floods of ten thousand.
+/// Evidence with a limit of customers: a hundred customers with counts, then three floods of ten thousand.
 fn flooded_evidence(limit: usize) -> Evidence {
     let mut gateway = Evidence::new("a", 1, limit, 1);
     for second in 0..20 {
@@ -286,16 +287,16 @@
     let excluded = flooded_evidence(500).excluded();
     assert!(
         excluded.evicted > 10_000,
-        "newcomers push out newcomers: {excluded:?}"
+        "new customers evict new customers: {excluded:?}"
     );
     assert!(
         excluded.queue_full > 0,
-        "what waits is bounded: {excluded:?}"
+        "the number of waiting entries is bounded: {excluded:?}"
     );
     let excluded = flooded_evidence(100).excluded();
     assert_eq!(
         excluded.evicted, 0,
-        "where all are dear no newcomer is taken: {excluded:?}"
+        "if all are protected no new customer is taken: {excluded:?}"
     );
     assert!(Evidence::new("a", 1, 8192, 1).max_bytes() < 12 << 20);
 }
@@ -329,7 +330,7 @@
 fn the_statistical_test_keeps_its_documented_error_rates() {
     let mut chance = Pcg64Mcg::seed_from_u64(1);
     let (mut bound, mut free) = (0, 0);
-    // Failure rates at the edge of what is called no effect and an effect, over a control of 1 in 200.
+    // Failure rates at the edge of no effect and of an effect, with a control group that fails 1 in 200 requests.
     for (rate, wrong, count) in [
         (0.15, Found::Bound, &mut bound),
         (0.60, Found::Free, &mut free),
@@ -359,7 +360,7 @@
     assert_eq!(
         judge::test(&gateways),
         Found::Bound,
-        "what one door saw before a turn hides nothing of another's"
+        "old windows of one gateway do not hide a change seen by another"
     );
     let [clean, some] = [window([32, 0]), window([4, 4])];
     let apart = [
@@ -369,7 +370,7 @@
     assert_eq!(
         judge::test(&apart),
         Found::Undecided,
-        "nor do old successes take back what fresh breaks have brought"
+        "old successes do not take back a verdict caused by new breaks"
     );
     let test = |changed| judge::test(&[vec![window(changed)]]);
     assert_eq!(
@@ -388,7 +389,7 @@
     assert_eq!(
         judge::test(&[vec![own]]),
         Found::Undecided,
-        "its kept requests fail as often"
+        "its requests on reused connections fail as often"
     );
     let mut stale = window([32, 24]);
     assert_eq!(judge::test(&[vec![stale]]), Found::Bound);
@@ -407,7 +408,7 @@
         order in prop::collection::vec((0usize..2, 1u64..3, 1u64..9), 1..60),
     ) {
         let gateways = ["a", "b"];
-        // What a gateway has counted grows with the number of its report.
+        // The counts of a gateway grow with the sequence number of its report.
         let nth = |gateway: usize, incarnation: u64, sequence: u64| {
             let count = (10 * incarnation + sequence) as u16;
             report(gateways[gateway], incarnation, sequence, [count, 0], [count, 0])
@@ -435,7 +436,7 @@
     let old = owner_of(&reports);
     assert_eq!(current_verdict(&old).pooling, Pooling::Session);
     let mut new = VerdictAggregator::new(2, 100);
-    // By now gateways act on `session`, so what they see anew no longer speaks for it.
+    // Gateways now apply `session`, so new counts do not show breaks any more.
     reports[0] = Report {
         pooling: Pooling::Session,
         ..report("a", 1, 10, [0, 0], [0, 0])
@@ -457,7 +458,7 @@
     assert_eq!(
         new.pooling_of(7),
         Pooling::Session,
-        "as the door acts on it"
+        "as the gateway applies it"
     );
     reports[1].pooling = Pooling::Session;
     input(
@@ -470,7 +471,7 @@
     assert_eq!(
         current_verdict(&new).evidence.changed_between,
         [12, 12],
-        "each door's counts once"
+        "the counts of each gateway once"
     );
 }
 
@@ -516,7 +517,7 @@
     assert_eq!(
         outputs.iter().filter(said).count(),
         2,
-        "both doors are told at once: {outputs:?}"
+        "both gateways get it at once: {outputs:?}"
     );
     let mut again = 0;
     for tick in 1..12 {
@@ -583,7 +584,7 @@
     assert_eq!(
         table.in_force(9 * VERDICT_TTL, 7, 9 * VERDICT_TTL, true),
         Pooling::Statement,
-        "the keeper lives"
+        "the owner is alive"
     );
     assert_eq!(
         table.in_force(VERDICT_TTL - 1, 7, 0, true),
--- a/gateway-cluster/tests/shard_leases.rs
+++ b/gateway-cluster/tests/shard_leases.rs
@@ -1,5 +1,5 @@
-//! The shard map in the simulation: never two owners of a key at one instant, never two maps of one version, whatever
-//! happens; and each key kept again in time. Each failure names its seed.
+//! The shard map in the simulation: a key never has two owners at one instant, and a version never has two maps, under
+//! any faults; and each key gets an owner again in time. Each failure names its seed.
 
 mod steps;
 
@@ -18,7 +18,7 @@
 const LEASE_DURATION: Micros = SHARD_LEASE_FACTOR * LEADER_LEASE;
 const SECOND: Micros = 1_000_000;
 const PROBE_PERIOD: Micros = 500_000;
-/// The view's.
+/// Time in which the membership detects a failed gateway.
 const FAILURE_DETECTION: Micros = 8 * PROBE_PERIOD;
 /// Seeds for a cluster of so many gateways.
 fn seeds(gateways: usize) -> std::ops::Range<u64> {
@@ -31,13 +31,13 @@
 
 const UNIX: Micros = 1_700_000_000 * SECOND;
 
-/// A cluster with what was seen of it at each step.
+/// A cluster, and what was observed at each step.
 struct ShardCluster<const RANGES: usize = 64> {
     sim: Sim<SimulatedNode<2000, RANGES>>,
     seed: u64,
-    /// Which map each version is.
+    /// The map of each version.
     decided: BTreeMap<u64, MapHash>,
-    /// The version that each gateway had last in this incarnation.
+    /// The last version of each gateway in its current incarnation.
     versions: BTreeMap<PeerIndex, u64>,
 }
 
@@ -52,7 +52,7 @@
         &mut self.sim
     }
 
-    /// Looks at all invariants. One that is stopped is asked what it would say if it went on now.
+    /// Checks all invariants. A stopped gateway is asked what it would do if it resumed now.
     fn look(&mut self) {
         let (now, seed) = (self.sim.now() / 1000, self.seed);
         let mut spans: Vec<(Key, Key, PeerIndex)> = Vec::new();
@@ -88,7 +88,7 @@
         for pair in spans.windows(2) {
             assert!(
                 pair[0].1 <= pair[1].0,
-                "seed {seed} at {now} ms: two keepers: {pair:?}"
+                "seed {seed} at {now} ms: two owners: {pair:?}"
             );
         }
     }
@@ -107,7 +107,7 @@
         }
     }
 
-    /// A cluster whose keys are all kept.
+    /// A cluster in which all keys have an owner.
     fn kept(gateways: usize, seed: u64, network: NetworkConditions) -> Self {
         let mut cluster = Self::new(gateways, seed, network);
         cluster.wait_until_all_owned(LEASE_DURATION + 3 * LEADER_LEASE, "the start");
@@ -138,7 +138,7 @@
         })
     }
 
-    /// Keys that somebody keeps who runs and is not stopped.
+    /// Number of keys owned by gateways that run and are not stopped.
     fn owned_key_count(&mut self) -> u64 {
         let gateways = (0..self.sim.peers()).filter(|gateway| !self.sim.is_stopped(*gateway));
         let gateways: Vec<PeerIndex> = gateways.collect();
@@ -149,7 +149,7 @@
             .sum()
     }
 
-    /// How long until each key is kept, at most this long.
+    /// Time until each key has an owner; fails after the time-out.
     fn wait_until_all_owned(&mut self, timeout: Micros, what: &str) -> Micros {
         let elapsed = self.until(timeout, |cluster| cluster.owned_key_count() == KEYS);
         elapsed.unwrap_or_else(|| {
@@ -162,14 +162,14 @@
                 .map(|status| (status.version, status.mine.len(), &status.next))
                 .collect();
             panic!(
-                "seed {}: {what}: {} of 1000 kept after {timeout} us: {status:?}",
+                "seed {}: {what}: {} of 1000 owned after {timeout} us: {status:?}",
                 self.seed,
                 kept * 1000 / KEYS
             )
         })
     }
 
-    /// How long until all gateways that run have this version.
+    /// Time until all running gateways have this version; fails after the time-out.
     fn wait_for_version(&mut self, version: u64, timeout: Micros, what: &str) -> Micros {
         let running: Vec<PeerIndex> = (0..self.sim.peers())
             .filter(|gateway| self.sim.runs(*gateway))
@@ -201,7 +201,7 @@
         });
     }
 
-    /// What is in force, with the keys of the first owner's first range given to another.
+    /// Version and ranges of the map in force, with the first range assigned to another owner.
     fn with_first_range_moved(&mut self, gateway: PeerIndex, by: usize) -> (u64, Vec<ShardRange>) {
         let map = self
             .sim
@@ -212,7 +212,7 @@
         let at = names
             .iter()
             .position(|name| *name == map.ranges[0].owner)
-            .expect("it is in the roster");
+            .expect("it is in the peer set");
         map.ranges[0].owner = names[(at + by) % names.len()].clone();
         (map.version, map.ranges)
     }
@@ -242,7 +242,7 @@
             assert_eq!(
                 cluster.owned_key_count(),
                 0,
-                "seed {seed}: an earlier process may keep yet"
+                "seed {seed}: a lease of an earlier process may be valid"
             );
             let timeout = if network.loss > 0.0 {
                 3 * SECOND
@@ -254,7 +254,7 @@
             assert_eq!(
                 (cluster.owned_key_count(), cluster.decided.len()),
                 (KEYS, 1),
-                "seed {seed}: it stays so"
+                "seed {seed}: it does not change"
             );
             let status = cluster.status(0).expect("it runs");
             assert_eq!(
@@ -263,7 +263,7 @@
             );
         }
         println!(
-            "{gateways} doors, loss {}: started after {elapsed:?} us",
+            "{gateways} gateways, loss {}: started after {elapsed:?} us",
             network.loss
         );
     }
@@ -285,10 +285,10 @@
             assert!(cluster.owned_key_count() < KEYS);
             elapsed.push(cluster.wait_until_all_owned(
                 FAILURE_DETECTION + LEADER_LEASE + 2 * SECOND,
-                "a keeper is killed",
+                "an owner is killed",
             ));
             cluster.run(5 * SECOND);
-            // One that comes back gets its part, and takes it from the others one step after the other.
+            // A gateway that returns gets its share, taken from the others in several steps.
             cluster
                 .sim
                 .start((leader + 1) % gateways, UNIX + 60 * SECOND);
@@ -296,17 +296,17 @@
                 |cluster: &mut ShardCluster| !cluster.mine((leader + 1) % gateways).is_empty();
             assert!(
                 cluster.until(20 * SECOND, has).is_some(),
-                "{gateways} doors, seed {seed}: it gets nothing"
+                "{gateways} gateways, seed {seed}: it gets no keys"
             );
             cluster.run(10 * SECOND);
             assert_eq!(
                 cluster.owned_key_count(),
                 KEYS,
-                "{gateways} doors, seed {seed}"
+                "{gateways} gateways, seed {seed}"
             );
         }
         println!(
-            "{gateways} doors, loss {}: kept again after {elapsed:?} us",
+            "{gateways} gateways, loss {}: all keys owned after {elapsed:?} us",
             network.loss
         );
     }
@@ -324,14 +324,14 @@
             let mut cluster = ShardCluster::<64>::kept(gateways, seed, network);
             let leader = cluster.leader().expect("there is one");
             cluster.sim.kill(leader);
-            // The next leader waits for what this one may have given.
+            // The next leader waits for the leases that this one may have granted.
             elapsed.push(cluster.wait_until_all_owned(
                 LEADER_LEASE + 3 * SECOND + LEASE_DURATION + 2 * SECOND,
-                "the owner is killed",
+                "the leader is killed",
             ));
         }
         println!(
-            "{gateways} doors, loss {}: kept again after {elapsed:?} us",
+            "{gateways} gateways, loss {}: all keys owned after {elapsed:?} us",
             network.loss
         );
     }
@@ -345,14 +345,14 @@
         let (expect, ranges) = cluster.with_first_range_moved(leader, 0);
         let previous_owner = (0..7)
             .find(|gateway| name(*gateway) == ranges[0].owner)
-            .expect("it has a keeper");
+            .expect("it has an owner");
         if previous_owner == leader {
             continue;
         }
         let (_, ranges) = cluster.with_first_range_moved(leader, 1);
         cluster.sim.stop(previous_owner, true);
         cluster.propose(leader, expect, ranges);
-        // The next owner waits until the lease of the one that is stopped is over.
+        // The next owner waits until the lease of the stopped one has expired.
         let end = end_of_first_range(&mut cluster, leader);
         let kept = |cluster: &mut ShardCluster| {
             (0..7).any(|gateway| {
@@ -372,11 +372,11 @@
         cluster.sim.stop(previous_owner, false);
         cluster.look();
         cluster.run(5 * SECOND);
-        cluster.wait_until_all_owned(5 * SECOND, "it goes on");
+        cluster.wait_until_all_owned(5 * SECOND, "it resumes");
     }
 }
 
-/// The end of the first range.
+/// End of the first range.
 fn end_of_first_range(cluster: &mut ShardCluster, gateway: PeerIndex) -> Key {
     let map = cluster
         .sim
@@ -400,14 +400,14 @@
             let at = (leader + 1) % gateways;
             let (expect, ranges) = cluster.with_first_range_moved(at, 1);
             cluster.propose(at, expect, ranges.clone());
-            elapsed.push(cluster.wait_for_version(expect + 1, timeout, "a good map"));
-            elapsed.push(cluster.wait_until_all_owned(timeout, "a good map"));
+            elapsed.push(cluster.wait_for_version(expect + 1, timeout, "a valid map"));
+            elapsed.push(cluster.wait_until_all_owned(timeout, "a valid map"));
             cluster.run(SECOND);
             assert_eq!(
                 cluster.status(at).map(|status| status.proposal.state),
                 Some(ProposalState::InForce)
             );
-            // The same once more, at another gateway: it is there.
+            // The same proposal at another gateway: the map is in force already.
             let other = (leader + 2) % gateways;
             cluster.propose(other, expect, ranges.clone());
             cluster.run(2 * SECOND);
@@ -433,7 +433,7 @@
             );
         }
         println!(
-            "{gateways} doors, loss {}: everywhere, and kept, after {elapsed:?} us",
+            "{gateways} gateways, loss {}: in force everywhere, and all keys owned, after {elapsed:?} us",
             network.loss
         );
     }
@@ -490,7 +490,7 @@
         );
         cluster.wait_until_all_owned(
             FAILURE_DETECTION + LEADER_LEASE + 2 * SECOND - LEASE_DURATION,
-            "the rest keeps it all",
+            "the majority owns all keys",
         );
         assert_eq!(
             cluster.status(one).map(|status| status.proposal.state),
@@ -498,7 +498,7 @@
         );
         cluster.sim.partition(|_| 0);
         cluster.run(10 * SECOND);
-        // It was made from a map that was replaced meanwhile.
+        // The proposal was made for a map that has been replaced meanwhile.
         assert_eq!(
             cluster.status(one).map(|status| status.proposal.state),
             Some(ProposalState::Refused),
@@ -510,7 +510,7 @@
                 .is_some_and(|status| status.version > expect),
             "seed {seed}: it caught up"
         );
-        cluster.wait_until_all_owned(SECOND, "it is healed");
+        cluster.wait_until_all_owned(SECOND, "the partition has healed");
     }
 }
 
@@ -521,36 +521,36 @@
         let leader = cluster.leader().expect("there is one");
         let (expect, ranges) = cluster.with_first_range_moved(leader, 1);
         let status = cluster.status(leader).expect("it runs");
-        // In the epoch that made the map in force.
+        // The map that the leader proposes, in the epoch of the map in force.
         let map = ShardMap {
             version: expect + 1,
             parent: status.hash,
             epoch: status.epoch,
             ranges: ranges.clone(),
         };
-        // Everybody hears what it proposes; of half of the seeds it hears nobody, so that nobody is told that it is
-        // decided.
+        // All gateways receive the proposal; in half of the seeds the leader receives no votes, so that no gateway
+        // learns of a decision.
         for gateway in (0..5).filter(|gateway| *gateway != leader) {
             cluster.sim.cut(gateway, leader, seed % 2 == 0);
         }
         cluster.propose(leader, expect, ranges);
-        // The acceptances are on their way back, or have just come.
+        // The votes are in flight, or have just arrived.
         cluster.run(1_500 + 250 * (seed / 2));
         cluster.sim.kill(leader);
         cluster.sim.partition(|_| 0);
         cluster.wait_for_version(
             expect + 1,
             LEADER_LEASE + 3 * SECOND + FAILURE_DETECTION + LEASE_DURATION,
-            "the next owner",
+            "the next leader",
         );
         assert_eq!(
             cluster.decided.get(&(expect + 1)),
             Some(&map.hash()),
-            "seed {seed}: another was decided"
+            "seed {seed}: another map was decided"
         );
         cluster.wait_until_all_owned(
             LEASE_DURATION + FAILURE_DETECTION + LEADER_LEASE,
-            "the next owner",
+            "the next leader",
         );
     }
 }
@@ -570,7 +570,7 @@
         .expect("it runs");
     let (incarnation, stamp) = (
         election.incarnation(),
-        election.stamp(now, to).expect("it owns"),
+        election.stamp(now, to).expect("it is the leader"),
     );
     let parent = cluster.status(gateway).expect("it runs").hash;
     let map = ShardMap {
@@ -647,7 +647,7 @@
             cluster.run(SECOND);
             cluster.sim.start(gateway, UNIX + 200 * SECOND);
             cluster.wait_for_version(1, 3 * SECOND, "it returns");
-            // Its name keeps again once the lease of the process before it is over.
+            // Its keys have an owner again once the lease of the former process has expired.
             cluster
                 .wait_until_all_owned(FAILURE_DETECTION + LEADER_LEASE + 2 * SECOND, "it returns");
         }
@@ -685,7 +685,10 @@
         cluster.sim.partition(|_| 0);
         (0..5).for_each(|gateway| cluster.sim.stop(gateway, false));
         cluster.run(2 * LEASE_DURATION);
-        cluster.wait_until_all_owned(FAILURE_DETECTION + 2 * LEASE_DURATION, "all is well again");
+        cluster.wait_until_all_owned(
+            FAILURE_DETECTION + 2 * LEASE_DURATION,
+            "all faults are over",
+        );
     }
 }
 
@@ -702,7 +705,7 @@
         };
         for round in 0..14 {
             let gateway = random_below(5) as usize;
-            // One at a time is dead, so that a majority remembers.
+            // At most one gateway is down at a time, so that a majority of acceptors has its state.
             for other in 0..5 {
                 if !cluster.sim.runs(other) {
                     cluster.sim.start(other, UNIX + (100 + round) * SECOND);
@@ -740,7 +743,10 @@
                 cluster.sim.start(gateway, UNIX + 1000 * SECOND);
             });
         cluster.run(2 * LEASE_DURATION);
-        cluster.wait_until_all_owned(FAILURE_DETECTION + 3 * LEASE_DURATION, "all is well again");
+        cluster.wait_until_all_owned(
+            FAILURE_DETECTION + 3 * LEASE_DURATION,
+            "all faults are over",
+        );
     }
 }
 
@@ -765,7 +771,7 @@
             (vec![], vec![]),
             "seed {seed}"
         );
-        cluster.wait_until_all_owned(LEASE_DURATION + SECOND, "the roster has shrunk");
+        cluster.wait_until_all_owned(LEASE_DURATION + SECOND, "the peer set has shrunk");
         let status = cluster.status(0).expect("it runs");
         assert!(
             status.kept.keys().all(|name| *name < self::name(5)),
@@ -781,11 +787,11 @@
         let mut cluster = ShardCluster::<64>::kept(7, seed, NetworkConditions::default());
         let leader = cluster.leader().expect("there is one");
         cluster.sim.leave((leader + 1) % 7);
-        let owner = cluster.wait_until_all_owned(SECOND, "a keeper leaves");
+        let owner = cluster.wait_until_all_owned(SECOND, "an owner shuts down");
         cluster.run(SECOND);
         cluster.sim.leave(leader);
-        let elapsed = cluster.wait_until_all_owned(2 * SECOND, "the owner leaves");
-        println!("seed {seed}: a keeper left {owner} us, the owner {elapsed} us");
+        let elapsed = cluster.wait_until_all_owned(2 * SECOND, "the leader shuts down");
+        println!("seed {seed}: an owner left after {owner} us, the leader after {elapsed} us");
     }
 }
 
@@ -852,15 +858,17 @@
             }
             assert!(
                 leader.0 <= 150 && leader.1 <= 30_000,
-                "{gateways} doors, storm {failover}: owner {leader:?}"
+                "{gateways} gateways, failover {failover}: leader {leader:?}"
             );
             assert!(
                 others.0 <= 50,
-                "{gateways} doors, storm {failover}: others {others:?}"
+                "{gateways} gateways, failover {failover}: others {others:?}"
             );
             status.push((failover, leader, others));
         }
-        println!("{gateways} doors: (storm, owner, others), with the office's: {status:?}");
+        println!(
+            "{gateways} gateways: (failover, leader, others), with leader election: {status:?}"
+        );
     }
 }
 
--- a/gateway-cluster/tests/shard_leases_model.rs
+++ b/gateway-cluster/tests/shard_leases_model.rs
@@ -1,7 +1,7 @@
-//! A model check of how a map is decided, staged and released over a change of the leader: three gateways that accept and
-//! keep, two epochs, one key, leases and their answers that are lost, late and sent again, and votes whose answers are
-//! lost. It runs the very rules that the gateways go by (`shards::decide`, `shards::keep`); the leadership's part is taken for
-//! granted: of a epoch that another followed no act is of use.
+//! Model check of deciding a map, blocking its ranges and releasing them, over a change of the leader: three gateways
+//! that are acceptors and owners, two epochs, one key; leases and acknowledgements that are lost, late and repeated,
+//! and votes whose replies are lost. It runs the rules of the product (`shards::consensus`, `shards::leases`). Leader
+//! election is assumed to be correct: no request of an epoch is accepted after a later epoch has started.
 
 use gateway_cluster::leadership::FencingToken;
 use gateway_cluster::peers::{peer_id_of, PeerId};
@@ -13,13 +13,14 @@
 
 const GATEWAYS: usize = 3;
 const NAMES: [&str; GATEWAYS] = ["n0", "n1", "n2"];
-/// The length of a keep lease in ticks; on another's clock it is one longer.
+/// Duration of a shard lease in ticks; on another gateway's clock it is one tick longer.
 const LEASE_DURATION: u64 = 2;
 const LAST_TICK: u64 = 6;
-/// Datagrams under way at a time.
+/// Maximum number of datagrams in flight.
 const MAX_IN_FLIGHT: usize = 2;
 
-/// The maps by their hashes: the first, what the first leader proposes, and what the second does where it finds nothing.
+/// The maps, by hash: the first one, the proposal of the first leader, and the proposal of the second one if it learns
+/// of no other.
 fn map(hash: u64) -> ShardMap {
     let (version, epoch, owner) = [(1, 0, 0), (2, 1, 1), (2, 2, 2)][hash as usize - 1];
     ShardMap {
@@ -61,7 +62,7 @@
     AcknowledgeLease(u64),
 }
 
-/// Between the leader and a gateway, in the epoch that it is of.
+/// A datagram between the leader and a gateway, in one epoch.
 #[derive(Debug, Clone, PartialEq, Eq, Hash, PartialOrd, Ord)]
 struct Message {
     epoch: u64,
@@ -94,15 +95,15 @@
 #[derive(Debug, Clone, PartialEq, Eq, Hash)]
 enum Action {
     Tick,
-    /// Another owns.
+    /// Another leader is elected.
     Elect,
-    /// A gateway starts from nothing.
+    /// A gateway restarts without state.
     Restart(usize),
     /// The leader proposes a map.
     Propose,
-    /// A gateway answers what the leader asks as it begins.
+    /// A gateway answers phase one.
     Prepare(usize),
-    /// A gateway is asked to accept what is proposed, and whether its answer comes.
+    /// A gateway votes for the proposal; whether its reply arrives.
     Vote(usize, bool),
     /// The leader sends a lease.
     GrantLease(usize),
@@ -155,13 +156,13 @@
             .filter(|_| !self.leader_ignores_accepted_map);
         state.stage = match finish {
             Some(map) => Stage::Deciding(map.hash.0, BTreeSet::new()),
-            // What it would decide for itself, if nobody did before.
+            // Its own proposal, if no other may have been decided.
             None if state.current == 1 => Stage::Deciding(3, BTreeSet::new()),
             None => Stage::Idle,
         };
     }
 
-    /// Whether leases may be given: not before it is known what is in force, and what has to be finished.
+    /// Whether leases may be granted: not before the map in force is known and an unfinished map is decided.
     fn may_grant_leases(&self, state: &ModelState) -> bool {
         match &state.stage {
             Stage::Preparing(_) => false,
@@ -179,7 +180,7 @@
         } = message;
         let for_gateway = matches!(kind, Kind::GrantLease { .. });
         if epoch != state.epoch || for_gateway && incarnation != state.incarnations[gateway] {
-            // The stamp is of no use here.
+            // The proof of leadership is not valid here.
             return;
         }
         let name = peer_id_of(NAMES[gateway]);
@@ -221,7 +222,7 @@
 }
 
 impl ShardModel {
-    /// A gateway answers as the leader begins, who hears it.
+    /// A gateway answers phase one of the leader.
     fn on_promise(&self, state: &mut ModelState, gateway: usize) {
         let (name, ballot) = (
             peer_id_of(NAMES[gateway]),
@@ -244,7 +245,7 @@
         self.maybe_finish_prepare(state);
     }
 
-    /// A gateway is asked to accept what is proposed.
+    /// A gateway votes for the proposal.
     fn vote(&self, state: &mut ModelState, gateway: usize, reply_arrives: bool) {
         let ballot = Ballot {
             epoch: state.epoch,
@@ -254,7 +255,7 @@
             return;
         };
         let map = *map;
-        // Who lacks the map before it cannot judge it.
+        // A gateway without the previous map cannot check the proposal.
         let follows = state.acceptors[gateway]
             .in_force()
             .map(|known| known.hash.0)
@@ -273,7 +274,7 @@
     }
 }
 
-/// Which gateways keep the key.
+/// The gateways that own the key.
 fn owners(state: &ModelState) -> Vec<usize> {
     let is_owner = |gateway: &usize| {
         let local = &state.locals[*gateway];
@@ -297,7 +298,7 @@
     type State = ModelState;
     type Action = Action;
 
-    /// All have the first map, and have kept by it; the first leader knows that.
+    /// All gateways have the first map and a lease for it; the first leader knows that.
     fn init_states(&self) -> Vec<ModelState> {
         let mut acceptor = Acceptor::default();
         acceptor.on_decided(1, map_id(1), true);
@@ -419,19 +420,23 @@
 
     fn properties(&self) -> Vec<Property<Self>> {
         vec![
-            Property::always("never two keepers", |_, state: &ModelState| {
+            Property::always("a key has at most one owner", |_, state: &ModelState| {
                 owners(state).len() <= 1
             }),
-            Property::always("a version is decided once", |_, state: &ModelState| {
-                let versions: BTreeSet<u64> =
-                    state.decided.iter().map(|(version, _)| *version).collect();
-                versions.len() == state.decided.len()
-            }),
-            Property::sometimes("a second map is kept", |_, state: &ModelState| {
-                state.current == 2 && owners(state) == [1]
-            }),
+            Property::always(
+                "a version has at most one decided map",
+                |_, state: &ModelState| {
+                    let versions: BTreeSet<u64> =
+                        state.decided.iter().map(|(version, _)| *version).collect();
+                    versions.len() == state.decided.len()
+                },
+            ),
+            Property::sometimes(
+                "an owner acts by the second map",
+                |_, state: &ModelState| state.current == 2 && owners(state) == [1],
+            ),
             Property::sometimes(
-                "a new owner finishes what was accepted",
+                "a new leader decides an accepted map",
                 |_, state: &ModelState| {
                     state.epoch == 2
                         && state.decided.contains(&(2, 2))
@@ -469,13 +474,15 @@
             "restarts {restarts}: {states} states, {} steps deep",
             checker.max_depth()
         );
-        assert!(checker.discovery("never two keepers").is_none());
-        assert!(checker.discovery("a version is decided once").is_none());
+        assert!(checker.discovery("a key has at most one owner").is_none());
+        assert!(checker
+            .discovery("a version has at most one decided map")
+            .is_none());
         assert!(states > 50_000, "{states} states");
     }
 }
 
-/// Whether this comes up, at most so deep.
+/// Whether the model finds a violation (or reaches the state) within a depth.
 fn violates(cluster: ShardModel, depth: usize, what: &'static str) -> bool {
     let threads = std::thread::available_parallelism()
         .map_or(2, usize::from)
@@ -499,11 +506,11 @@
 
 #[test]
 fn the_model_reaches_a_second_map_and_one_completed_by_a_new_leader() {
-    assert!(violates(NO_RESTARTS, 12, "a second map is kept"));
+    assert!(violates(NO_RESTARTS, 12, "an owner acts by the second map"));
     assert!(violates(
         NO_RESTARTS,
         12,
-        "a new owner finishes what was accepted"
+        "a new leader decides an accepted map"
     ));
 }
 
@@ -515,7 +522,7 @@
             ..NO_RESTARTS
         },
         12,
-        "never two keepers"
+        "a key has at most one owner"
     ));
 }
 
@@ -527,7 +534,7 @@
             ..NO_RESTARTS
         },
         12,
-        "never two keepers"
+        "a key has at most one owner"
     ));
 }
 
@@ -539,7 +546,7 @@
             ..NO_RESTARTS
         },
         12,
-        "a version is decided once"
+        "a version has at most one decided map"
     ));
 }
 
@@ -551,6 +558,6 @@
             ..CORRECT
         },
         12,
-        "a version is decided once"
+        "a version has at most one decided map"
     ));
 }
--- a/gateway-cluster/tests/shards.rs
+++ b/gateway-cluster/tests/shards.rs
@@ -1,5 +1,5 @@
-//! The shard map: its validator against a count per key, and the plans against all maps there are, in small
-//! spaces; single faults in the whole one.
+//! Shard maps: the validation against a count per key, and the plans against all possible maps, in small key spaces;
+//! single faults in the whole key space.
 
 use gateway_cluster::shards::plan::{
     add_owners, rebalance, replace_lost_owners, PlanError, MIN_GAIN, MIN_GAIN_PER_SHARE,
@@ -39,7 +39,7 @@
     }
 }
 
-/// Limits that leave coverage alone to be wrong.
+/// Limits under which only coverage can be wrong.
 fn small() -> Limits {
     Limits {
         keys: SMALL,
@@ -75,7 +75,7 @@
     findings.iter().map(Finding::rule).collect()
 }
 
-/// The runs of keys that are set in a set of keys, a bit for each.
+/// The spans of the keys that are set in a bit set of keys.
 fn all_spans(keys: u32) -> Vec<(Key, Key)> {
     let (mut found, mut begun) = (Vec::new(), None);
     let mut key = 0;
@@ -94,14 +94,14 @@
     found
 }
 
-/// What the validator has to find of these ranges, by marking each key that one covers, and each that one
-/// more does. A reversed range covers what it was meant to.
+/// The findings expected for these ranges, by marking each key that one range covers, and each that more than one
+/// covers. A reversed range counts as covering the keys between its bounds.
 fn findings_by_counting(ranges: &[ShardRange]) -> Vec<Finding> {
     let (mut covered, mut again) = (0_u32, 0_u32);
     let (mut listed, mut before) = (Vec::new(), 0);
     for range in ranges {
         let (from, to) = (range.from.min(range.to), range.from.max(range.to));
-        // A bit for each key.
+        // One bit for each key.
         let keys = (1 << to) - (1 << from);
         again |= covered & keys;
         covered |= keys;
@@ -144,7 +144,7 @@
     found
 }
 
-/// Whether each key is covered once, and in order.
+/// Whether each key is covered once, and the ranges are in order.
 fn covers_each_key_once(ranges: &[ShardRange]) -> bool {
     let mut at = 0;
     let follows = |range: &ShardRange| {
@@ -153,16 +153,15 @@
     ranges.iter().all(follows) && at == SMALL
 }
 
-/// How many maps were looked at, and how many of them were whole.
+/// Number of maps checked, and of those that cover each key once.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
 struct ValidationCounts {
     maps: usize,
     complete_map: usize,
 }
 
-/// Puts each of these bounds into the places of a map from one on, and holds the validator against the count.
-/// `with_owners` leaves out lists that differ by their order alone, and takes each in an order that its number
-/// gives.
+/// Tries each of these bounds for the ranges of a map from an index on, and compares the validation with the count.
+/// `with_owners` leaves out lists that differ in their order only, and checks each in an order derived from its number.
 fn check_variants(
     list: &mut ShardMap,
     place: usize,
@@ -209,7 +208,7 @@
     let next = AtomicUsize::new(0);
     let work = || {
         let mut counts = ValidationCounts::default();
-        // Both owners, in turn: who it is plays no part in coverage.
+        // Both owners in turn: the owner does not matter for coverage.
         let listed = ["a", "b", "a", "b"][..ranges]
             .iter()
             .map(|owner| ShardRange::new(0, 0, *owner))
@@ -277,14 +276,14 @@
             "{ranges} ranges, {} bounds, by sets {with_owners}: {counts:?}",
             bounds.len()
         );
-        // A space of 8 keys is cut into so many ranges in so many ways; of a set, not each order is looked at.
+        // The number of ways to split a space of 8 keys into so many ranges; of each set only one order is checked.
         let ways = [0, 1, 7, 21, 35][ranges];
         assert!(counts.complete_map == ways || with_owners, "{counts:?}");
         all.maps += counts.maps;
         all.complete_map += counts.complete_map;
     }
     println!("{all:?}");
-    // No range at all is a map too.
+    // A map without ranges.
     assert_eq!(
         validate(None, &map(&[]), &alive(1), &small())[0],
         Finding::Gap { from: 0, to: SMALL }
@@ -306,7 +305,7 @@
     );
 }
 
-/// A map of the whole space with these cuts, its owners in turn.
+/// A map of the whole key space, split at these keys, with its owners in turn.
 fn complete_map(cuts: &BTreeSet<Key>, gateways: usize) -> ShardMap {
     let mut ranges = Vec::new();
     let mut from = 0;
@@ -326,7 +325,7 @@
     }
 }
 
-/// What each single fault has to yield, at each range of the map.
+/// The findings expected for each single fault, at each range of the map.
 fn single_faults(good: &ShardMap, at: usize) -> Vec<(ShardMap, Vec<Finding>)> {
     let mut single_faults = Vec::new();
     let mut fault = |change: &dyn Fn(&mut Vec<ShardRange>), finding: Finding| {
@@ -466,7 +465,7 @@
         }
         let bad = ShardMap { epoch: 4, ..good.clone() };
         prop_assert_eq!(validate(Some(&old), &bad, &known, &limits), vec![Finding::Epoch { epoch: 4, needed: 5 }]);
-        // A gateway that has heard of a newer leader knows better than the map in force.
+        // The epoch known to the gateway is newer than that of the map in force.
         known.epoch = 6;
         prop_assert_eq!(validate(Some(&old), &good, &known, &limits), vec![Finding::Epoch { epoch: 5, needed: 6 }]);
     }
@@ -511,7 +510,7 @@
 
         let mut fewer = all.clone();
         let dead = gone.min(names.len() - 1);
-        names[..dead].iter().for_each(|name| *fewer.gateways.get_mut(*name).expect("its door") = PeerCondition::Dead);
+        names[..dead].iter().for_each(|name| *fewer.gateways.get_mut(*name).expect("it is in the peer set") = PeerCondition::Dead);
         if let Some(new) = replace_lost_owners(&now, &fewer, &limits).expect("a plan") {
             prop_assert!(step(&now, &new, &fewer).iter().all(|(_, from, _)| !fewer.is_alive(from)));
             now = new;
@@ -527,7 +526,7 @@
     }
 }
 
-/// What changes its owner from one whole map to another: keys, who had them, who has them.
+/// Changes of the owner between two complete maps: keys, previous owner, new owner.
 fn moves(old: &ShardMap, new: &ShardMap) -> Vec<(u64, String, String)> {
     let bounds: BTreeSet<Key> = old
         .ranges
@@ -600,7 +599,7 @@
         ),
         []
     );
-    // Cut otherwise and moved nowhere.
+    // Split differently, but with the same owners.
     let cut = next(
         &old,
         map(&[(0, 1, "a"), (1, 4, "a"), (4, 6, "b"), (6, 8, "b")]).ranges,
@@ -656,7 +655,7 @@
 #[test]
 fn keys_whose_last_move_is_incomplete_do_not_move() {
     let mut both = cluster(&[("a", PeerCondition::Alive), ("b", PeerCondition::Alive)]);
-    // FindingReport in any order, and twice.
+    // Keys in any order, and twice.
     both.moving = vec![(5, 7), (1, 3), (2, 3), (7, 7)];
     let old = map(&[(0, 4, "a"), (4, 8, "b")]);
     let new = next(&old, map(&[(0, 2, "a"), (2, 6, "b"), (6, 8, "a")]).ranges);
@@ -773,7 +772,7 @@
     assert_eq!(all, BTreeSet::from(Rule::ALL), "{found:#?}");
     for finding in &found {
         let text = finding.to_string();
-        // What is wrong, and after a colon what to do.
+        // The text says what is wrong and, after a colon, what to do.
         assert!(
             text.split_once(": ")
                 .is_some_and(|(wrong, act)| wrong.len() > 10 && act.len() > 10),
@@ -872,7 +871,7 @@
         ),
         (Some("n2"), None, None)
     );
-    // Remainders are spread; there are as many ranges as names at least, and as keys at most.
+    // Remainders are distributed; there are at least as many ranges as names, and at most as many as keys.
     let sizes = |count, keys| {
         let map = ShardMap::first(["a", "b", "c"], count, 0, &Limits { keys, ..small() });
         map.map(|map| map.ranges.iter().map(ShardRange::keys).collect::<Vec<_>>())
@@ -894,7 +893,7 @@
         epoch: 3,
         ..map(&[(0, 4, "a"), (4, 8, "b")])
     };
-    // Gateways of other builds have to come to the same: this never changes.
+    // Gateways of other builds compute the same hash: this value never changes.
     assert_eq!(one.hash().to_string(), "b03f744556b56194");
     let mut others = vec![
         ShardMap {
@@ -969,7 +968,7 @@
     );
 }
 
-/// All ways to give so many keys to these, as maps with a range for each run.
+/// All assignments of so many keys to these names, as maps with a range for each span.
 fn all_assignments(keys: u32, names: &[&str]) -> Vec<Vec<usize>> {
     let all = 0..names.len().pow(keys);
     all.map(|number| {
@@ -996,7 +995,7 @@
     }
 }
 
-/// Keys that differ, and what the one with most has.
+/// Number of keys with another owner, and the number of keys of the largest owner.
 fn movement_cost(old: &[usize], new: &[usize], names: usize) -> (usize, usize) {
     let moved = old.iter().zip(new).filter(|(old, new)| old != new).count();
     (
@@ -1039,7 +1038,7 @@
         let planned =
             replace_lost_owners(&map_of_assignment(&old, &names), &known, &limits).expect("a plan");
         let planned = planned.map_or(old.clone(), |map| assignment_of(&map, 6, &names));
-        // Of all maps there are.
+        // The minimum over all maps.
         let least = others.iter().map(|new| movement_cost(&old, new, 4)).min();
         assert_eq!(
             Some(movement_cost(&old, &planned, 4)),
@@ -1062,7 +1061,7 @@
         all_assignments.iter().filter(|has| **has == name).count()
     };
     for old in &all {
-        // Of all maps in which the newcomer has its even part.
+        // The minimum over all maps in which the new owner has its even share.
         let least = all
             .iter()
             .filter(|new| count(new, 2) >= 2)
@@ -1128,7 +1127,7 @@
         ("b", PeerCondition::Alive),
         ("d", PeerCondition::Alive),
     ]);
-    // Room for one move, of whichever range.
+    // Capacity for one move, of any range.
     let limits = Limits {
         keys: 8,
         moved_permille: 250,
@@ -1167,7 +1166,7 @@
             let mut after = owners.clone();
             after[at] = to;
             let gain = heavy.saturating_sub(carried(&after)[from].max(carried(&after)[to]));
-            // Two keys of an even part of 2: the whole price.
+            // Two keys of an even share of 2: the full minimum gain applies.
             let worth = gain > 0
                 && gain * 3 * 1000 >= all * MIN_GAIN.max(MIN_GAIN_PER_SHARE)
                 && heavy * 3 * 1000 > all * REBALANCE_START;
@@ -1215,7 +1214,7 @@
     );
     println!("{} ranges moved", moves(&old, &new).len());
     assert_eq!(rebalance(&new, &loads, &four, &limits), Ok(None));
-    // By nearly 6% up at the heaviest and down at the others, whichever that is.
+    // Nearly 6% more at one gateway and less at the others, for each gateway in turn.
     for gateway in four.living() {
         let wavers = |(range, load): (&ShardRange, &u64)| {
             if range.owner == gateway {
@@ -1231,7 +1230,7 @@
             "{gateway}"
         );
     }
-    // Whatever loads others tell.
+    // Loads reported by others may be any number.
     for load in [0, u64::MAX] {
         assert!(rebalance(&old, &[load; 64], &four, &limits).is_ok());
     }
@@ -1273,7 +1272,7 @@
     let three = alive(3);
     let mut now = complete_map(&BTreeSet::from([KEYS / 4, KEYS / 2]), 2);
     (now.ranges[1].owner, now.ranges[2].owner) = ("n000".into(), "n001".into());
-    // A quarter is too much to give whole.
+    // A quarter is too large to move as a whole range.
     while let Some(new) = add_owners(&now, ["n002"], &three, &limits).expect("a plan") {
         now = new;
     }
@@ -1316,7 +1315,7 @@
     let Err(PlanError::Refused(findings)) = replace_lost_owners(&old, &three, &limits) else {
         panic!("it has to wait")
     };
-    // Its two that move are neighbours.
+    // The two ranges that move are neighbours.
     assert_eq!(rules(&findings), [Rule::Moving]);
 }
 
