--- a/gateway-cluster/src/sessions/verdicts/table.rs
+++ b/gateway-cluster/src/sessions/verdicts/table.rs
@@ -16,8 +16,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum VerdictRejection {
     /// The fencing token is outdated.
-    #[error("a verdict under epoch {} and version {} came after one under epoch {} and version {}: its keeper was \
-             replaced; if this goes on, look at `owner` and `shards` of the door that sent it", received.epoch,
+    #[error("a verdict of epoch {} and version {} was received after one of epoch {} and version {}: its owner was \
+             replaced; if this continues, look at `owner` and `shards` of the gateway that sent it", received.epoch,
              received.version, known.epoch, known.version)]
     Superseded {
         /// Token of the verdict.
@@ -26,14 +26,14 @@
         known: FencingToken,
     },
     /// A later verdict is known.
-    #[error("a verdict came after a later one of the same keeper: datagrams were late or doubled; nothing is to be done")]
+    #[error("a verdict was received after a later one of the same owner: datagrams were late or duplicated; no action is needed")]
     Outdated,
     /// The verdict would be relaxed on a minority side.
-    #[error("a step towards sharing came while this door reaches no majority: it waits; look at `fleet` for who is cut off")]
+    #[error("a relaxed verdict was received while this gateway reaches no majority: it waits; look at `fleet` for unreachable gateways")]
     Minority,
     /// The table is full.
     #[error(
-        "no room for another verdict: {0} are held; customers without one are handled as `unknown`"
+        "the table of {0} verdicts is full: customers without a verdict are handled as `unknown`"
     )]
     Full(usize),
 }
--- a/gateway-cluster/src/shards/finding.rs
+++ b/gateway-cluster/src/shards/finding.rs
@@ -10,7 +10,7 @@
 pub const MAX_FINDINGS_PER_RULE: usize = 32;
 
 /// Maximum number of characters of a name from a map in a text.
-const SHOWN: usize = 64;
+const MAX_NAME_CHARS: usize = 64;
 
 /// Rules of a valid map. Serialized in lower case.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -94,38 +94,38 @@
 #[allow(missing_docs)]
 pub enum Finding {
     #[error(
-        "no range covers the keys {from} up to {to}: give them to a keeper, or move a neighbour's bound"
+        "no range covers the keys {from} up to {to}: assign them to an owner, or move a neighbour's bound"
     )]
     Gap { from: Key, to: Key },
     #[error(
-        "more than one range covers the keys {from} up to {to}: leave them to one of these ranges"
+        "more than one range covers the keys {from} up to {to}: keep them in one of these ranges"
     )]
     Overlap { from: Key, to: Key },
     #[error(
-        "the range from {from} to {to} has no keys: take it out, or set `to`, which is the first key \
+        "the range from {from} to {to} has no keys: remove it, or set `to`, which is the first key \
          after it"
     )]
     Empty { from: Key, to: Key },
-    #[error("the range from {from} to {to} ends before it begins: exchange its bounds")]
+    #[error("the range from {from} to {to} ends before it begins: swap its bounds")]
     Reversed { from: Key, to: Key },
     #[error(
-        "the range {from} up to {to} is listed after one from {after}: list ranges by their keys"
+        "the range {from} up to {to} is listed after one from {after}: list ranges in the order of keys"
     )]
     Order { from: Key, to: Key, after: Key },
-    #[error("there are no keys {from} up to {to}, the last one is {}: end the range at {end}, or take it out",
+    #[error("there are no keys {from} up to {to}, the last one is {}: end the range at {end}, or remove it",
             end.saturating_sub(1))]
     Beyond { from: Key, to: Key, end: Key },
     #[error(
-        "the keys {from} up to {to} go to {owner:?}, which the roster does not name: mend the name, or \
-         take the door into `peers` everywhere first"
+        "the keys {from} up to {to} go to {owner:?}, which is not in the peer set: correct the name, or \
+         add the gateway to `peers` everywhere first"
     )]
     OwnerUnknown { from: Key, to: Key, owner: String },
     #[error(
-        "the keys {from} up to {to} go to {owner:?}, which is dead: start it, or give them to a door \
-         that lives"
+        "the keys {from} up to {to} go to {owner:?}, which is dead: start it, or assign them to a \
+         gateway that is alive"
     )]
     OwnerDead { from: Key, to: Key, owner: String },
-    #[error("the keys {from} up to {to} go to {owner:?}, which is leaving: give them to a door that stays")]
+    #[error("the keys {from} up to {to} go to {owner:?}, which is leaving: assign them to another gateway")]
     OwnerLeaving { from: Key, to: Key, owner: String },
     #[error(
         "its parent is {parent}, but the map in force is {needed}: it was made from another map; look at \
@@ -136,8 +136,8 @@
              again without a parent", none = MapHash::NONE)]
     ParentOfFirst { parent: MapHash },
     #[error(
-        "it has the version {version} and no parent: only version 1 has none; fetch the map from a door \
-         that has one in force"
+        "it has the version {version} and no parent: only version 1 has none; fetch the map from a \
+         gateway that has one in force"
     )]
     ParentMissing { version: u64 },
     #[error(
@@ -145,23 +145,25 @@
          for the version in force"
     )]
     Version { version: u64, needed: u64 },
-    #[error("no version comes after {version}: restart all doors, so that a history starts anew")]
+    #[error(
+        "no version comes after {version}: restart all gateways, so that a new history starts"
+    )]
     VersionLast { version: u64 },
     #[error(
-        "it was decided in the epoch {epoch}, and {needed} has begun: its owner has been replaced; \
-         propose it to the owner that `owner` tells"
+        "it was decided in the epoch {epoch}, and {needed} has started: its leader has been replaced; \
+         propose it to the leader that the call `owner` names"
     )]
     Epoch { epoch: u64, needed: u64 },
     #[error(
-        "{keys} keys change their keeper at once, {most} may: go there in several maps, each once the one \
-         before it is in force"
+        "{keys} keys change their owner at once, the limit is {max}: use several maps, each after the \
+         one before it is in force"
     )]
-    Moved { keys: u64, most: u64 },
-    #[error("{owner:?} would keep {keys} keys and may keep {most}: give some of them to others")]
-    Share { owner: String, keys: u64, most: u64 },
+    Moved { keys: u64, max: u64 },
+    #[error("{owner:?} would own {keys} keys, the limit is {max}: assign some of them to others")]
+    Share { owner: String, keys: u64, max: u64 },
     #[error(
-        "the keys {from} up to {to} go from {old:?} to {new:?} while their last move is not over: wait \
-         until `shards` tells of no `next`, then propose it again"
+        "the keys {from} up to {to} go from {old:?} to {new:?} while their last move is not complete: wait \
+         until `shards` shows no `next`, then propose it again"
     )]
     Moving {
         from: Key,
@@ -169,9 +171,11 @@
         old: String,
         new: String,
     },
-    #[error("it has {ranges} ranges, {most} are allowed: join neighbours that have one keeper")]
-    Size { ranges: usize, most: usize },
-    #[error("{more} more findings of `{rule}` are not told: mend those that are, and look again")]
+    #[error("it has {ranges} ranges, the limit is {max}: merge neighbours that have one owner")]
+    Size { ranges: usize, max: usize },
+    #[error(
+        "{more} more findings of `{rule}` are not shown: correct those shown, and check again"
+    )]
     More { rule: Rule, more: usize },
 }
 
@@ -220,7 +224,7 @@
 
 /// A name from a map, which may be any text, shortened for a message.
 pub(super) fn shown(name: &str) -> String {
-    match name.char_indices().nth(SHOWN) {
+    match name.char_indices().nth(MAX_NAME_CHARS) {
         Some((end, _)) => name.get(..end).unwrap_or_default().to_string() + "...",
         None => name.to_string(),
     }
--- a/gateway-cluster/src/shards/node/proposals.rs
+++ b/gateway-cluster/src/shards/node/proposals.rs
@@ -43,7 +43,7 @@
         }
         let size = Finding::Size {
             ranges: map.ranges.len(),
-            most: self.limits.ranges,
+            max: self.limits.ranges,
         };
         // A map that does not fit in the maximum number of chunks is rejected here.
         let too_large = map.ranges.len() > self.limits.ranges
--- a/gateway-cluster/src/shards/plan.rs
+++ b/gateway-cluster/src/shards/plan.rs
@@ -33,21 +33,23 @@
 #[derive(Debug, Clone, PartialEq, Eq, Error)]
 pub enum PlanError {
     /// No gateway is alive.
-    #[error("no door lives that could keep keys: start one that the roster names")]
+    #[error("no gateway is alive that could own keys: start one of the peer set")]
     NoLiveGateway,
     /// The map in force does not cover each key exactly once.
     #[error(
-        "the map in force does not cover each key once: propose a whole map, or restart all doors for a \
-         first one"
+        "the map in force does not cover each key once: propose a complete map, or restart all gateways for \
+         a first one"
     )]
     IncompleteMap,
     /// The version number of the map in force is the last one.
     #[error(
-        "no version comes after the one in force: restart all doors, so that a history starts anew"
+        "no version comes after the one in force: restart all gateways, so that a new history starts"
     )]
     LastVersion,
     /// The number of loads differs from the number of ranges.
-    #[error("{loads} loads were told for {ranges} ranges: ask the doors again for the map that is in force")]
+    #[error(
+        "{loads} loads were reported for {ranges} ranges: request them again for the map in force"
+    )]
     Loads {
         /// Number of loads.
         loads: usize,
@@ -55,7 +57,7 @@
         ranges: usize,
     },
     /// The planned map is not valid.
-    #[error("the next map would be refused, first because {}: mend that, or propose a map by hand",
+    #[error("the next map would be rejected, first finding: {}; correct it, or propose a map",
             .0.first().map_or_else(String::new, Finding::to_string))]
     Refused(Vec<Finding>),
 }
--- a/gateway-cluster/src/shards/validate.rs
+++ b/gateway-cluster/src/shards/validate.rs
@@ -67,7 +67,7 @@
     );
     let size = Finding::Size {
         ranges: new.ranges.len(),
-        most: limits.ranges,
+        max: limits.ranges,
     };
     push_findings(
         &mut findings,
@@ -213,7 +213,7 @@
     cluster: &ClusterState,
     limits: &Limits,
 ) -> Vec<Finding> {
-    let most = limits.max_owned(cluster.living().count());
+    let max = limits.max_owned(cluster.living().count());
     let over = owned_keys(new, covered)
         .into_iter()
         .filter(|(owner, keys)| {
@@ -221,12 +221,12 @@
                 .and_then(|change| change.owned_keys.get(owner))
                 .copied();
             // Keys assigned to a gateway that is not alive are reported by the rule `owner`.
-            *keys > most && had.is_none_or(|had| *keys > had) && cluster.is_alive(owner)
+            *keys > max && had.is_none_or(|had| *keys > had) && cluster.is_alive(owner)
         });
     over.map(|(owner, keys)| Finding::Share {
         owner: shown(owner),
         keys,
-        most,
+        max,
     })
     .collect()
 }
@@ -282,8 +282,8 @@
             .iter()
             .filter(|moves| cluster.is_alive(moves.old));
         let keys = counted.map(|moves| moves.to - moves.from).sum();
-        let most = limits.max_moved();
-        (keys > most).then_some(Finding::Moved { keys, most })
+        let max = limits.max_moved();
+        (keys > max).then_some(Finding::Moved { keys, max })
     }
 
     fn moving(&self, cluster: &ClusterState) -> Vec<Finding> {
--- a/gateway-cluster/tests/shards.rs
+++ b/gateway-cluster/tests/shards.rs
@@ -476,10 +476,10 @@
         more in 0..6_usize,
         count in 1..80_usize,
         gone in 0..4_usize,
-        most in prop_oneof![Just(1024_usize), Just(90)],
+        max_ranges in prop_oneof![Just(1024_usize), Just(90)],
         loads in proptest::collection::vec(0..100_u64, 100),
     ) {
-        let limits = Limits { ranges: most, ..Limits::default() };
+        let limits = Limits { ranges: max_ranges, ..Limits::default() };
         let all = alive(first + more);
         let names: Vec<&str> = all.living().collect();
         let mut now = ShardMap::first(names[..first].iter().copied(), count, 5, &limits).expect("there are names");
@@ -574,7 +574,7 @@
     let both = cluster(&[("a", PeerCondition::Alive), ("b", PeerCondition::Alive)]);
     assert_eq!(
         validate(Some(&old), &three, &both, &limits),
-        [Finding::Moved { keys: 3, most: 2 }]
+        [Finding::Moved { keys: 3, max: 2 }]
     );
     let two = next(&old, map(&[(0, 2, "a"), (2, 8, "b")]).ranges);
     assert_eq!(validate(Some(&old), &two, &both, &limits), []);
@@ -632,7 +632,7 @@
     let found = [Finding::Share {
         owner: "a".into(),
         keys: 7,
-        most: 6,
+        max: 6,
     }];
     assert_eq!(validate(None, &six, &both, &limits), []);
     assert_eq!(validate(None, &seven, &both, &limits), found);
@@ -674,10 +674,10 @@
 #[test]
 fn at_most_1024_ranges_are_valid() {
     let limits = Limits::default();
-    let most = ShardMap::first(["a", "b"], 5000, 0, &limits).expect("there are names");
-    assert_eq!(most.ranges.len(), 1024);
+    let largest = ShardMap::first(["a", "b"], 5000, 0, &limits).expect("there are names");
+    assert_eq!(largest.ranges.len(), 1024);
     let both = cluster(&[("a", PeerCondition::Alive), ("b", PeerCondition::Alive)]);
-    assert_eq!(validate(None, &most, &both, &limits), []);
+    assert_eq!(validate(None, &largest, &both, &limits), []);
     let more = ShardMap::first(
         ["a", "b"],
         1025,
@@ -692,7 +692,7 @@
         validate(None, &more, &both, &limits),
         [Finding::Size {
             ranges: 1025,
-            most: 1024
+            max: 1024
         }]
     );
 }
@@ -949,22 +949,25 @@
             .is_err()
     );
     let names: Vec<String> = (0..64).map(|name| format!("{name:064}")).collect();
-    let mut most = ShardMap::first(
+    let mut largest = ShardMap::first(
         names.iter().map(String::as_str),
         1024,
         0,
         &Limits::default(),
     )
     .expect("names");
-    (most.version, most.parent, most.epoch) = (u64::MAX, MapHash(u64::MAX), u64::MAX);
-    let bytes = postcard::to_allocvec(&most).expect("bytes");
+    (largest.version, largest.parent, largest.epoch) = (u64::MAX, MapHash(u64::MAX), u64::MAX);
+    let bytes = postcard::to_allocvec(&largest).expect("bytes");
     assert!(bytes.len() <= 76_832, "{}", bytes.len());
-    assert_eq!(postcard::from_bytes::<ShardMap>(&bytes), Ok(most.clone()));
-    let json = serde_json::to_string(&most).expect("text");
+    assert_eq!(
+        postcard::from_bytes::<ShardMap>(&bytes),
+        Ok(largest.clone())
+    );
+    let json = serde_json::to_string(&largest).expect("text");
     assert!(json.contains(r#""parent":"ffffffffffffffff""#));
     assert_eq!(
         serde_json::from_str::<ShardMap>(&json).expect("a map"),
-        most
+        largest
     );
 }
 
