--- a/gateway-cluster/src/sessions/verdicts.rs
+++ b/gateway-cluster/src/sessions/verdicts.rs
@@ -57,6 +57,15 @@
     pub control: [u32; 2],
 }
 
+/// Order of the verdicts of one owner: an owner that restarts may return with the same fencing token.
+#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Serialize, Deserialize)]
+pub struct VerdictSequence {
+    /// Incarnation of the owner.
+    pub incarnation: u64,
+    /// Number of the verdict within the incarnation, over all customers.
+    pub number: u64,
+}
+
 /// Verdict of an owner about a customer.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Verdict {
@@ -66,9 +75,8 @@
     pub pooling: Pooling,
     /// Fencing token of the owner.
     pub fence: FencingToken,
-    /// Incarnation of the owner, and a number that grows within it: an owner that restarts may return with the same
-    /// fencing token.
-    pub sequence: (u64, u64),
+    /// Position among the verdicts of the owner.
+    pub sequence: VerdictSequence,
     /// Time since the last evidence for it, in microseconds.
     pub age: Micros,
     /// Gateways whose reports were used.
--- a/gateway-cluster/src/sessions/verdicts/aggregator.rs
+++ b/gateway-cluster/src/sessions/verdicts/aggregator.rs
@@ -2,7 +2,7 @@
 
 use super::customer::{CustomerState, REPORT_TTL, SEND_REPEATS, WARM_UP};
 use super::io::{Input, Output, OwnerContext};
-use super::{Verdict, CONFIRMATION_TTL, SECOND};
+use super::{Verdict, VerdictSequence, CONFIRMATION_TTL, SECOND};
 use crate::protocol::Micros;
 use crate::sessions::evidence::{Report, WINDOWS};
 use crate::sessions::{Customer, FencingToken, Pooling};
@@ -22,7 +22,7 @@
     rejected: u64,
     /// Incarnation of this owner, and the number of verdicts sent in it, over all customers: a customer that was
     /// dropped and returns gets higher numbers.
-    sequence: (u64, u64),
+    sequence: VerdictSequence,
 }
 
 impl VerdictAggregator {
@@ -30,7 +30,10 @@
     pub fn new(incarnation: u64, max_customers: usize) -> Self {
         VerdictAggregator {
             max_customers,
-            sequence: (incarnation, 0),
+            sequence: VerdictSequence {
+                incarnation,
+                number: 0,
+            },
             ..VerdictAggregator::default()
         }
     }
@@ -95,7 +98,7 @@
         state.evaluate(now, customer, &set, context, outputs);
         state.send_verdict(now, customer, &set, context, &mut self.sequence, outputs);
         // The gateway has missed the verdict, or was added after it was sent.
-        if state.pending_sends == 0 && state.sequence != (0, 0) && acted_on != state.pooling {
+        if state.pending_sends == 0 && state.has_sent() && acted_on != state.pooling {
             outputs.push(Output::SendVerdict {
                 gateway,
                 verdict: state.verdict(now, customer, context.fence),
--- a/gateway-cluster/src/sessions/verdicts/customer.rs
+++ b/gateway-cluster/src/sessions/verdicts/customer.rs
@@ -1,7 +1,7 @@
 //! The owner's state of one customer: its reports, the current verdict, and what still has to be sent.
 
 use super::io::{Output, OwnerContext};
-use super::{EvidenceSummary, Verdict, CONFIRMATION_TTL, SECOND};
+use super::{EvidenceSummary, Verdict, VerdictSequence, CONFIRMATION_TTL, SECOND};
 use crate::protocol::Micros;
 use crate::sessions::evidence::{Report, Window, WINDOWS};
 use crate::sessions::judge::{self, Counts, Found};
@@ -39,7 +39,7 @@
     pub(super) reported_at: Micros,
     sent_at: Option<Micros>,
     pub(super) pending_sends: u8,
-    pub(super) sequence: (u64, u64),
+    pub(super) sequence: VerdictSequence,
 }
 
 impl CustomerState {
@@ -54,10 +54,15 @@
             reported_at: now,
             sent_at: None,
             pending_sends: 0,
-            sequence: (0, 0),
+            sequence: VerdictSequence::default(),
         }
     }
 
+    /// Whether any verdict has been sent.
+    pub(super) fn has_sent(&self) -> bool {
+        self.sequence != VerdictSequence::default()
+    }
+
     /// A gateway has sent its report: it need not be requested.
     pub(super) fn clear_request(&mut self, gateway: &str) {
         self.requested_at.remove(gateway);
@@ -189,7 +194,7 @@
         customer: Customer,
         set: &[String],
         context: &OwnerContext<'_>,
-        last_sequence: &mut (u64, u64),
+        last_sequence: &mut VerdictSequence,
         outputs: &mut Vec<Output>,
     ) {
         // Nothing is sent for a customer that has been `unknown` from the start; nor, during the warm-up, while a
@@ -200,8 +205,7 @@
             && set
                 .iter()
                 .any(|gateway| !self.gateways.contains_key(gateway) && !(context.is_gone)(gateway));
-        let is_suppressed =
-            is_waiting || (self.sequence == (0, 0) && self.pooling == Pooling::Unknown);
+        let is_suppressed = is_waiting || (!self.has_sent() && self.pooling == Pooling::Unknown);
         let is_too_soon = self
             .sent_at
             .is_some_and(|at| now.saturating_sub(at) < RESEND_INTERVAL);
@@ -210,7 +214,7 @@
         }
         self.sent_at = Some(now);
         self.pending_sends = self.pending_sends.saturating_sub(1);
-        last_sequence.1 += 1;
+        last_sequence.number += 1;
         self.sequence = *last_sequence;
         let verdict = self.verdict(now, customer, context.fence);
         for gateway in set.iter().filter(|gateway| !(context.is_gone)(gateway)) {
--- a/gateway-cluster/src/sessions/wire.rs
+++ b/gateway-cluster/src/sessions/wire.rs
@@ -4,7 +4,7 @@
 //! side by side during an upgrade.
 
 use super::evidence::{Report, Window};
-use super::verdicts::{EvidenceSummary, Verdict};
+use super::verdicts::{EvidenceSummary, Verdict, VerdictSequence};
 use super::{Customer, FencingToken, Pooling};
 use crate::peers::PeerId;
 use crate::wire::{self, MAX_DATAGRAM_BYTES};
@@ -126,7 +126,7 @@
         VerdictMessage {
             customer: verdict.customer,
             pooling: verdict.pooling,
-            sequence: verdict.sequence.1,
+            sequence: verdict.sequence.number,
             age_ms: verdict.age / 1000,
             reports: verdict
                 .reports
@@ -148,7 +148,10 @@
             customer: self.customer,
             pooling: self.pooling,
             fence,
-            sequence: (incarnation, self.sequence),
+            sequence: VerdictSequence {
+                incarnation,
+                number: self.sequence,
+            },
             age: self.age_ms.saturating_mul(1000),
             reports: self.reports.into_iter().map(name_of).collect(),
             evidence: self.evidence,
--- a/gateway-cluster/src/shards/consensus.rs
+++ b/gateway-cluster/src/shards/consensus.rs
@@ -35,13 +35,22 @@
     pub hash: MapHash,
 }
 
+/// A map that an acceptor has accepted. Ordered by ballot first.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
+pub struct AcceptedMap {
+    /// Ballot under which it was accepted.
+    pub ballot: Ballot,
+    /// The map.
+    pub map: MapId,
+}
+
 /// State of an acceptor, sent with its promise.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct AcceptorReport {
     /// The highest decided map that the acceptor knows.
     pub in_force: Option<MapId>,
     /// The map that the acceptor has accepted for the next version, with the ballot.
-    pub accepted: Option<(Ballot, MapId)>,
+    pub accepted: Option<AcceptedMap>,
     /// Whether the state is complete since the last restart; an incomplete state does not count towards a majority.
     pub recovered: bool,
 }
@@ -50,7 +59,7 @@
 #[derive(Debug, Clone, Default, PartialEq, Eq, Hash)]
 pub struct Acceptor {
     promised: Ballot,
-    accepted: Option<(Ballot, MapId)>,
+    accepted: Option<AcceptedMap>,
     in_force: Option<MapId>,
     recovered: bool,
 }
@@ -81,7 +90,7 @@
         }
         self.recovered = true;
         self.promised = ballot;
-        self.accepted = Some((ballot, map));
+        self.accepted = Some(AcceptedMap { ballot, map });
         true
     }
 
@@ -92,7 +101,7 @@
         self.in_force = Some(map);
         self.recovered |= idle;
         // An accepted map of this version or a lower one, or of an older epoch, is obsolete.
-        self.accepted = self.accepted.filter(|(ballot, next)| {
+        self.accepted = self.accepted.filter(|AcceptedMap { ballot, map: next }| {
             Some(next.version) == map.version.checked_add(1) && ballot.epoch >= epoch
         });
     }
@@ -103,7 +112,7 @@
     }
 
     /// The map accepted for the next version, with its ballot.
-    pub fn accepted(&self) -> Option<(Ballot, MapId)> {
+    pub fn accepted(&self) -> Option<AcceptedMap> {
         self.accepted
     }
 
@@ -144,15 +153,16 @@
     let starts_history =
         |map: &MapId| map.version == 1 && in_force.is_none_or(|known| map.epoch > known.epoch);
     let accepted = counted_reports().filter_map(|report| report.accepted);
-    let candidates = accepted.filter(|(_, map)| map.version == next || starts_history(map));
-    let highest = candidates.max().map(|(_, map)| map);
+    let candidates =
+        accepted.filter(|accepted| accepted.map.version == next || starts_history(&accepted.map));
+    let highest = candidates.max().map(|accepted| accepted.map);
     // If a map was decided for this version, every later proposal was the same map, so only the one with the highest
     // ballot can be decided. It cannot be if too many acceptors report that they have not accepted it: they have now
     // promised not to.
     let may_have = |map: MapId| {
         is_majority(&|name| {
             counted_report(name)
-                .is_none_or(|report| report.accepted.is_some_and(|(_, accepted)| accepted == map))
+                .is_none_or(|report| report.accepted.is_some_and(|accepted| accepted.map == map))
         })
     };
     Some(LearnedMap {
--- a/gateway-cluster/src/shards/consensus/tests.rs
+++ b/gateway-cluster/src/shards/consensus/tests.rs
@@ -31,7 +31,10 @@
     assert!(acceptor.accept(one, map(6), false) && !acceptor.accept(one, map(5), false));
     assert_eq!(
         acceptor.promise(two).and_then(|report| report.accepted),
-        Some((one, map(6)))
+        Some(AcceptedMap {
+            ballot: one,
+            map: map(6)
+        })
     );
     assert!(!acceptor.accept(one, map(6), false) && acceptor.promise(one).is_none());
 }
--- a/gateway-cluster/src/shards/node/acceptance.rs
+++ b/gateway-cluster/src/shards/node/acceptance.rs
@@ -13,6 +13,15 @@
 };
 use crate::shards::{validate, ClusterState, Rule};
 
+/// Vote of this gateway on a proposed map.
+pub(super) enum Vote {
+    Accepted,
+    /// The map is not valid.
+    Rejected(Vec<FindingReport>),
+    /// This gateway cannot check the map, or must not accept it.
+    Abstained,
+}
+
 impl ShardMapNode {
     /// Handles a request of the leader of this epoch. If the map that it names is missing, the map is fetched first.
     pub(super) fn on_leader_request(
@@ -84,9 +93,11 @@
             return;
         };
         let vote = match self.accept(ballot, map, &proposed, resumed, recovery) {
-            Some(Ok(())) => Kind::Accepted(ballot, map.hash),
-            Some(Err(findings)) => Kind::Rejected(ballot, map.hash, truncated_findings(&findings)),
-            None => return,
+            Vote::Accepted => Kind::Accepted(ballot, map.hash),
+            Vote::Rejected(findings) => {
+                Kind::Rejected(ballot, map.hash, truncated_findings(&findings))
+            }
+            Vote::Abstained => return,
         };
         self.send(election, datagram.from, None, vote, sends);
     }
@@ -139,7 +150,7 @@
         (self.started_at + longer(self.lease_duration)).saturating_sub(now)
     }
 
-    /// Checks and accepts a map. `Err` holds the findings against it; `None` if this gateway cannot vote on it.
+    /// Votes on a proposed map.
     pub(super) fn accept(
         &mut self,
         ballot: Ballot,
@@ -147,7 +158,7 @@
         map: &ShardMap,
         resumed: bool,
         recovery: bool,
-    ) -> Option<Result<(), Vec<FindingReport>>> {
+    ) -> Vote {
         // A gateway that is behind, or has a map of another history, has no base for the check. A map that a majority
         // may have accepted is checked by itself, since the gateways that had the base may have restarted.
         let base = if recovery && map.version == 1 {
@@ -157,7 +168,7 @@
         };
         let follows = base.map_or(MapHash::NONE, ShardMap::hash) == map.parent;
         if id != map_id(map) || !(follows || resumed) {
-            return None;
+            return Vote::Abstained;
         }
         let limits = self.limits;
         let cluster = ClusterState {
@@ -175,13 +186,13 @@
             findings.retain(|finding| !matches!(finding.rule(), Rule::Parent | Rule::Version));
         }
         if !findings.is_empty() {
-            return Some(Err(findings.iter().map(FindingReport::from).collect()));
+            return Vote::Rejected(findings.iter().map(FindingReport::from).collect());
         }
         if !self.acceptor.accept(ballot, id, recovery) {
-            return None;
+            return Vote::Abstained;
         }
         self.cache_map(map.clone());
-        Some(Ok(()))
+        Vote::Accepted
     }
 
     /// Takes over the map of a lease if it is new, and the lease.
--- a/gateway-cluster/src/shards/node/deciding.rs
+++ b/gateway-cluster/src/shards/node/deciding.rs
@@ -5,6 +5,7 @@
 //! accepted under an earlier leader is decided. Uses [`crate::shards::consensus`] for the rules of the acceptors and of
 //! learning; called by the node after each input.
 
+use super::acceptance::Vote;
 use super::term::{
     finish_proposal, restart_prepare, PeerSchedule, PendingDecision, Progress, PromiseReply, Stage,
     Term,
@@ -170,9 +171,13 @@
         if !decision.has_vote_of(self.me) {
             let map = decision.map.clone();
             match self.accept(ballot, decision.id, &map, decision.resumed, recovery) {
-                Some(Ok(())) => drop(decision.accepted.insert(self.me)),
-                Some(Err(findings)) => drop(decision.rejected.insert(self.me, findings)),
-                None => {}
+                Vote::Accepted => {
+                    decision.accepted.insert(self.me);
+                }
+                Vote::Rejected(findings) => {
+                    decision.rejected.insert(self.me, findings);
+                }
+                Vote::Abstained => {}
             }
         }
         if election.is_majority(|name| decision.accepted.contains(&name)) {
--- a/gateway-cluster/src/shards/node/leases.rs
+++ b/gateway-cluster/src/shards/node/leases.rs
@@ -13,7 +13,7 @@
 use crate::peers::{peer_id_of, PeerId};
 use crate::protocol::{Micros, Transmit};
 use crate::shards::consensus::MapId;
-use crate::shards::wire::{encode_map, Kind, CHUNK_BYTES};
+use crate::shards::wire::{encode_map, Kind, RequestProof, CHUNK_BYTES};
 use crate::shards::PeerCondition;
 use std::collections::BTreeSet;
 
@@ -46,9 +46,12 @@
 }
 
 impl Recipient {
-    /// The proof of leadership as datagrams carry it: epoch, and end of validity on the peer's clock.
-    fn stamp(&self) -> Option<(u64, u64)> {
-        Some((self.proof.epoch, self.proof.until))
+    /// The proof of leadership as datagrams carry it.
+    fn request_proof(&self) -> Option<RequestProof> {
+        Some(RequestProof {
+            epoch: self.proof.epoch,
+            valid_until: self.proof.until,
+        })
     }
 }
 
@@ -219,7 +222,13 @@
             RETRY_INTERVAL
         };
         schedule.request_at = pass.now + interval;
-        self.send_within_budget(election, recipient.peer, recipient.stamp(), request, sends);
+        self.send_within_budget(
+            election,
+            recipient.peer,
+            recipient.request_proof(),
+            request,
+            sends,
+        );
         Budget::Available
     }
 
@@ -275,7 +284,7 @@
             expires_at,
             idle,
         };
-        self.send_within_budget(election, peer, recipient.stamp(), lease, sends);
+        self.send_within_budget(election, peer, recipient.request_proof(), lease, sends);
         Budget::Available
     }
 }
--- a/gateway-cluster/src/shards/node/mod.rs
+++ b/gateway-cluster/src/shards/node/mod.rs
@@ -26,7 +26,7 @@
 use super::consensus::{Acceptor, MapId};
 use super::leases::{GrantedLeases, LocalShards, SHARD_LEASE_FACTOR};
 use super::map::{Key, MapHash, ShardMap, ShardRange};
-use super::wire::{Datagram, Kind, ProposalState};
+use super::wire::{Datagram, Kind, ProposalState, RequestProof};
 use super::{ClusterState, Limits, PeerCondition};
 use crate::leadership::election::{LeaderElection, LeaseProof};
 use crate::leadership::{longer, FencingToken};
@@ -326,12 +326,12 @@
             from,
             incarnation,
             to_incarnation,
-            stamp,
+            proof,
             ref kind,
         } = datagram;
         match kind {
             Kind::Prepare(_) | Kind::Propose { .. } | Kind::GrantLease { .. } => {
-                let Some((epoch, until)) = stamp else {
+                let Some(RequestProof { epoch, valid_until }) = proof else {
                     self.dropped.0 += 1;
                     return;
                 };
@@ -342,7 +342,7 @@
                         LeaseProof {
                             epoch,
                             to_incarnation,
-                            until,
+                            until: valid_until,
                         },
                     )
                     .is_ok()
--- a/gateway-cluster/src/shards/node/sending.rs
+++ b/gateway-cluster/src/shards/node/sending.rs
@@ -4,7 +4,7 @@
 use crate::leadership::election::{renewal, LeaderElection};
 use crate::peers::PeerId;
 use crate::protocol::{Micros, Transmit};
-use crate::shards::wire::{Datagram, Kind};
+use crate::shards::wire::{Datagram, Kind, RequestProof};
 use crate::wire::HEADER_BYTES;
 
 /// Token buckets for datagrams and for bytes with headers: size, and rate per second. With the leadership's own budget
@@ -41,18 +41,18 @@
         &mut self,
         election: &LeaderElection,
         to: PeerId,
-        stamp: Option<(u64, u64)>,
+        proof: Option<RequestProof>,
         kind: Kind,
         sends: &mut Vec<Transmit>,
     ) {
         let to_incarnation = election.clock_of(to).map_or(0, |clock| clock.0);
-        self.send_to_incarnation((to, to_incarnation), stamp, kind, sends);
+        self.send_to_incarnation((to, to_incarnation), proof, kind, sends);
     }
 
     pub(super) fn send_to_incarnation(
         &mut self,
         (to, to_incarnation): (PeerId, u64),
-        stamp: Option<(u64, u64)>,
+        proof: Option<RequestProof>,
         kind: Kind,
         sends: &mut Vec<Transmit>,
     ) {
@@ -60,7 +60,7 @@
             from: self.me,
             incarnation: self.incarnation,
             to_incarnation,
-            stamp,
+            proof,
             kind,
         }
         .encode();
@@ -76,12 +76,12 @@
         &mut self,
         election: &LeaderElection,
         to: PeerId,
-        stamp: Option<(u64, u64)>,
+        proof: Option<RequestProof>,
         kind: Kind,
         sends: &mut Vec<Transmit>,
     ) {
         if self.has_budget(DATAGRAM_OVERHEAD_BYTES, 0.0) {
-            self.send(election, to, stamp, kind, sends);
+            self.send(election, to, proof, kind, sends);
         }
     }
 }
--- a/gateway-cluster/src/shards/wire.rs
+++ b/gateway-cluster/src/shards/wire.rs
@@ -22,6 +22,15 @@
 const MAX_FINDINGS_ON_WIRE: usize = 5;
 const MAX_FINDING_CHARS: usize = 180;
 
+/// Proof of leadership of a request. On the wire two numbers.
+#[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize, Deserialize)]
+pub struct RequestProof {
+    /// Epoch of the leader.
+    pub epoch: u64,
+    /// End of validity on the receiver's clock, in microseconds.
+    pub valid_until: u64,
+}
+
 /// A datagram.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize, Deserialize)]
 pub struct Datagram {
@@ -31,9 +40,8 @@
     pub incarnation: u64,
     /// Incarnation of the receiver that the datagram is meant for; 0 if the sender does not know it.
     pub to_incarnation: u64,
-    /// Proof of leadership that goes with a request of the leader: its epoch, and the end of validity on the receiver's
-    /// clock, in microseconds.
-    pub stamp: Option<(u64, u64)>,
+    /// Proof of leadership, for requests of the leader.
+    pub proof: Option<RequestProof>,
     /// Message.
     pub kind: Kind,
 }
--- a/gateway-cluster/tests/compatibility.rs
+++ b/gateway-cluster/tests/compatibility.rs
@@ -5,9 +5,9 @@
 use gateway_cluster::leadership::voter::VoteRejection;
 use gateway_cluster::leadership::{wire as leadership, FencingToken, LeaseHolder};
 use gateway_cluster::sessions::evidence::{Report, Tally, Window};
-use gateway_cluster::sessions::verdicts::{EvidenceSummary, Verdict};
+use gateway_cluster::sessions::verdicts::{EvidenceSummary, Verdict, VerdictSequence};
 use gateway_cluster::sessions::{wire as sessions, Pooling};
-use gateway_cluster::shards::consensus::{AcceptorReport, Ballot, MapId};
+use gateway_cluster::shards::consensus::{AcceptedMap, AcceptorReport, Ballot, MapId};
 use gateway_cluster::shards::leases::RangeSet;
 use gateway_cluster::shards::wire::{self as shards, FindingReport};
 use gateway_cluster::shards::Rule;
@@ -198,7 +198,7 @@
     let blocked = RangeSet::of(12, |number| number == 3 || number == 11);
     let report = AcceptorReport {
         in_force: Some(named),
-        accepted: Some((ballot, named)),
+        accepted: Some(AcceptedMap { ballot, map: named }),
         recovered: true,
     };
     let rejections =
@@ -289,7 +289,10 @@
             from: 5,
             incarnation: 6,
             to_incarnation: 7,
-            stamp: Some((8, 9)),
+            proof: Some(shards::RequestProof {
+                epoch: 8,
+                valid_until: 9,
+            }),
             kind,
         };
         recorded.check(
@@ -343,7 +346,10 @@
             epoch: 9,
             version: 3,
         },
-        sequence: (6, 2),
+        sequence: VerdictSequence {
+            incarnation: 6,
+            number: 2,
+        },
         age: 5_000_000,
         reports: vec!["n0".into(), "n1".into()],
         evidence: EvidenceSummary {
--- a/gateway-cluster/tests/session_classifier.rs
+++ b/gateway-cluster/tests/session_classifier.rs
@@ -7,7 +7,7 @@
     ClassifierStatus, VerdictRejections, BURST, PER_SECOND,
 };
 use gateway_cluster::sessions::evidence::{ConnectionUse, Failure, Outcome};
-use gateway_cluster::sessions::verdicts::{EvidenceSummary, Verdict};
+use gateway_cluster::sessions::verdicts::{EvidenceSummary, Verdict, VerdictSequence};
 use gateway_cluster::sessions::wire::{Datagram, Kind, VerdictMessage};
 use gateway_cluster::sessions::{Customer, FencingToken, Pooling};
 use gateway_cluster::shards::KEYS;
@@ -433,7 +433,10 @@
             customer: customer(0),
             pooling: Pooling::Session,
             fence,
-            sequence: (u64::MAX, 1 << 40),
+            sequence: VerdictSequence {
+                incarnation: u64::MAX,
+                number: 1 << 40,
+            },
             age: 0,
             reports: Vec::new(),
             evidence: EvidenceSummary::default(),
--- a/gateway-cluster/tests/sessions.rs
+++ b/gateway-cluster/tests/sessions.rs
@@ -11,7 +11,9 @@
     grant, Grant, Input, Limits, Output, OwnerContext, VerdictAggregator, VerdictRejection,
     VerdictTable,
 };
-use gateway_cluster::sessions::verdicts::{Usage, Verdict, SESSION_VERDICT_TTL, VERDICT_TTL};
+use gateway_cluster::sessions::verdicts::{
+    Usage, Verdict, VerdictSequence, SESSION_VERDICT_TTL, VERDICT_TTL,
+};
 use gateway_cluster::sessions::{FencingToken, Pooling};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -535,7 +537,14 @@
 
 fn verdict(pooling: Pooling, fence: FencingToken, sequence: u64) -> Verdict {
     let mut verdict = current_verdict(&owner_of(&[report("a", 1, 1, [0, 0], [0, 0])]));
-    (verdict.pooling, verdict.fence, verdict.sequence) = (pooling, fence, (1, sequence));
+    (verdict.pooling, verdict.fence, verdict.sequence) = (
+        pooling,
+        fence,
+        VerdictSequence {
+            incarnation: 1,
+            number: sequence,
+        },
+    );
     verdict
 }
 
--- a/gateway-cluster/tests/shard_leases.rs
+++ b/gateway-cluster/tests/shard_leases.rs
@@ -8,7 +8,7 @@
 use gateway_cluster::shards::consensus::{Ballot, MapId};
 use gateway_cluster::shards::leases::SHARD_LEASE_FACTOR;
 use gateway_cluster::shards::node::ShardMapStatus;
-use gateway_cluster::shards::wire::{encode_map, Datagram, Kind, ProposalState};
+use gateway_cluster::shards::wire::{encode_map, Datagram, Kind, ProposalState, RequestProof};
 use gateway_cluster::shards::{Key, MapHash, ShardMap, ShardRange, KEYS};
 use gateway_cluster::sim::{NetworkConditions, Sim, SimulatedNode};
 use std::collections::BTreeMap;
@@ -568,7 +568,7 @@
         .engine(leader)
         .and_then(|owned| owned.stack.election())
         .expect("it runs");
-    let (incarnation, stamp) = (
+    let (incarnation, proof) = (
         election.incarnation(),
         election.stamp(now, to).expect("it is the leader"),
     );
@@ -576,7 +576,7 @@
     let map = ShardMap {
         version: expect + 1,
         parent,
-        epoch: stamp.epoch,
+        epoch: proof.epoch,
         ranges,
     };
     let (epoch, version, hash) = (map.epoch, map.version, map.hash());
@@ -596,8 +596,11 @@
     let bytes = Datagram {
         from,
         incarnation,
-        to_incarnation: stamp.to_incarnation,
-        stamp: Some((epoch, stamp.until)),
+        to_incarnation: proof.to_incarnation,
+        proof: Some(RequestProof {
+            epoch,
+            valid_until: proof.until,
+        }),
         kind,
     }
     .encode();
@@ -879,7 +882,10 @@
         from: 1,
         incarnation: 1,
         to_incarnation: 1,
-        stamp: Some((u64::MAX, u64::MAX)),
+        proof: Some(RequestProof {
+            epoch: u64::MAX,
+            valid_until: u64::MAX,
+        }),
         kind: Kind::ReleaseLeases,
     };
     let unknown = bytes.encode();
