--- a/gateway-cluster/tests/shard_leases_model.rs
+++ b/gateway-cluster/tests/shard_leases_model.rs
@@ -192,7 +192,7 @@
                 idle,
             } => {
                 let token = FencingToken {
-                    epoch: epoch,
+                    epoch,
                     version: map(hash).version,
                 };
                 if !state.locals[gateway].is_current(token) {
