--- a/gateway-cluster/examples/sessions.rs
+++ b/gateway-cluster/examples/sessions.rs
@@ -4,7 +4,7 @@
 //! `cargo run --release -p gateway-cluster --example sessions -- [SEEDS] [MINUTES] [FIRST]`
 
 use gateway_cluster::sessions::sim::{
-    run, simulated_customers, CustomerOutcome, Fault, Plan, SimulatedCustomer, FAULTS,
+    customer_mix, run, CustomerOutcome, Fault, Plan, SimulatedCustomer, FAULTS,
 };
 use gateway_cluster::sessions::Pooling;
 
@@ -21,7 +21,7 @@
 fn plan(fault: Fault, gateways: usize, seed: u64, minutes: u64) -> Plan {
     Plan {
         gateways,
-        simulated_customers: simulated_customers(),
+        customers: customer_mix(),
         fault,
         time: minutes * 60_000_000,
         lossy: true,
@@ -54,7 +54,7 @@
                 let out = run(&plan);
                 excluded = [excluded[0] + out.excluded[0], excluded[1] + out.excluded[1]];
                 datagrams += out.datagrams;
-                all.extend(plan.simulated_customers.iter().copied().zip(out.seen));
+                all.extend(plan.customers.iter().copied().zip(out.seen));
             }
         }
         let bound = all
@@ -99,27 +99,22 @@
     }
     println!("\nall: {wrong} false statements in {hours:.0} customer-hours of bound customers");
 
-    for (name, simulated_customers) in worlds() {
+    for (name, customers) in worlds() {
         println!("\n{name}");
         let mut all: Vec<(SimulatedCustomer, CustomerOutcome)> = Vec::new();
         for seed in first..first + seeds {
             let plan = Plan {
-                simulated_customers: simulated_customers.clone(),
+                customers: customers.clone(),
                 ..plan(Fault::None, 3, seed, minutes)
             };
-            all.extend(
-                plan.simulated_customers
-                    .iter()
-                    .copied()
-                    .zip(run(&plan).seen),
-            );
+            all.extend(plan.customers.iter().copied().zip(run(&plan).seen));
         }
         rows(&all);
     }
 }
 
 fn worlds() -> Vec<(&'static str, Vec<SimulatedCustomer>)> {
-    let mut turning = simulated_customers();
+    let mut turning = customer_mix();
     for (truth, turned) in [
         (Pooling::Statement, Pooling::Session),
         (Pooling::Statement, Pooling::Transaction),
--- a/gateway-cluster/src/sessions/classifier.rs
+++ b/gateway-cluster/src/sessions/classifier.rs
@@ -149,11 +149,11 @@
 
 /// Whether a key lies in one of these sorted ranges.
 fn owns_key(ranges: &[(Key, Key)], key: Key) -> bool {
-    let place = ranges.partition_point(|(_, to)| *to <= key);
-    ranges.get(place).is_some_and(|(from, _)| *from <= key)
+    let index = ranges.partition_point(|(_, to)| *to <= key);
+    ranges.get(index).is_some_and(|(from, _)| *from <= key)
 }
 
-fn fence_in_force(shard_map: &ShardMapNode) -> FencingToken {
+fn token_in_force(shard_map: &ShardMapNode) -> FencingToken {
     shard_map
         .map()
         .map_or_else(FencingToken::default, |map| FencingToken {
@@ -268,7 +268,7 @@
             .and_then(|map| map.owner_of(customer))
             .map(String::from);
         let own = shard_map.fence_of(now, customer);
-        let own = own.and_then(|fence| self.aggregator.verdict(now, customer, fence));
+        let own = own.and_then(|token| self.aggregator.verdict(now, customer, token));
         let known_verdict = || {
             let (verdict, at) = self.verdicts.verdict(customer)?;
             let age = verdict.age.saturating_add(now.saturating_sub(at));
@@ -281,7 +281,7 @@
         match own.or_else(known_verdict) {
             Some(Verdict {
                 pooling,
-                fence,
+                token,
                 age,
                 reports,
                 evidence,
@@ -289,7 +289,7 @@
             }) => ClassifierStatus {
                 owner,
                 pooling,
-                fence,
+                fence: token,
                 age,
                 reports,
                 evidence,
@@ -297,7 +297,7 @@
             None => ClassifierStatus {
                 owner,
                 pooling: Pooling::Unknown,
-                fence: fence_in_force(shard_map),
+                fence: token_in_force(shard_map),
                 age: 0,
                 reports: Vec::new(),
                 evidence: EvidenceSummary::default(),
@@ -327,14 +327,14 @@
     pub fn on_timer(
         &mut self,
         now: Micros,
-        around: &ClusterContext<'_>,
+        cluster: &ClusterContext<'_>,
         sends: &mut Vec<Transmit>,
     ) {
-        self.sync_with_cluster(now, around);
+        self.sync_with_cluster(now, cluster);
         for customer in self.evidence.due_reports(now, MAX_REPORTS_PER_TICK) {
-            self.queue_report(now, customer, around);
+            self.queue_report(now, customer, cluster);
         }
-        self.run_aggregator(now, Input::Tick, around);
+        self.run_aggregator(now, Input::Tick, cluster);
         if now >= self.cleanup_at {
             self.cleanup_at = now + CLEANUP_INTERVAL;
             let (aggregator, owned) = (&self.aggregator, &self.owned);
@@ -343,7 +343,7 @@
             let gateways: BTreeSet<PeerId> = self.gateways.values().map(|seen| seen.id).collect();
             self.queues.retain(|id, _| gateways.contains(id));
         }
-        self.flush(now, around, sends);
+        self.flush(now, cluster, sends);
         let idle = self.evidence.customers() == 0
             && self.reporting_gateways.is_empty()
             && self.queues.is_empty();
@@ -355,7 +355,7 @@
         &mut self,
         now: Micros,
         bytes: &[u8],
-        around: &ClusterContext<'_>,
+        cluster: &ClusterContext<'_>,
         sends: &mut Vec<Transmit>,
     ) {
         let Some(Datagram {
@@ -368,17 +368,17 @@
             self.dropped.0 += 1;
             return;
         };
-        let name = around.names.iter().find(|name| peer_id_of(name) == from);
+        let name = cluster.names.iter().find(|name| peer_id_of(name) == from);
         let Some(name) = name.filter(|_| {
             from != self.me && (to_incarnation == 0 || to_incarnation == self.incarnation)
         }) else {
             self.dropped.1 += 1;
             return;
         };
-        if around.silent {
+        if cluster.silent {
             return;
         }
-        self.sync_with_cluster(now, around);
+        self.sync_with_cluster(now, cluster);
         self.queues.entry(from).or_default().incarnation = incarnation;
         let sender = Sender {
             peer: from,
@@ -386,31 +386,31 @@
             incarnation,
         };
         match kind {
-            Kind::CollectReports(number) => self.on_collection_request(&sender, number, around),
+            Kind::CollectReports(number) => self.on_collection_request(&sender, number, cluster),
             Kind::RequestReports(customers) => self.on_report_request(&sender, customers),
             Kind::Report {
                 completed_collection,
                 counts,
             } => {
                 for report in counts {
-                    self.on_report(now, &sender, report, around);
+                    self.on_report(now, &sender, report, cluster);
                 }
                 if completed_collection != 0 && completed_collection == self.collection {
                     self.collected.insert(from);
                 }
             }
-            Kind::Verdicts { fence, verdicts } => {
+            Kind::Verdicts { token, verdicts } => {
                 let name_of = |id: PeerId| {
-                    let known = around.names.iter().find(|name| peer_id_of(name) == id);
+                    let known = cluster.names.iter().find(|name| peer_id_of(name) == id);
                     known.cloned().unwrap_or_else(|| format!("{id:08x}"))
                 };
                 for verdict in verdicts {
-                    let verdict = verdict.verdict(fence, incarnation, name_of);
-                    self.on_verdict(now, name, verdict, around);
+                    let verdict = verdict.verdict(token, incarnation, name_of);
+                    self.on_verdict(now, name, verdict, cluster);
                 }
             }
         }
-        self.flush(now, around, sends);
+        self.flush(now, cluster, sends);
     }
 
     /// A peer requests all reports of the customers that it owns.
@@ -418,7 +418,7 @@
         &mut self,
         sender: &Sender<'_>,
         number: u32,
-        around: &ClusterContext<'_>,
+        cluster: &ClusterContext<'_>,
     ) {
         let collection = Some((sender.incarnation, number));
         let queue = self.queues.entry(sender.peer).or_default();
@@ -427,7 +427,7 @@
             queue.pending_collection = collection;
         } else if queue.pending_collection != collection {
             queue.pending_collection = collection;
-            let map = around.shard_map.map();
+            let map = cluster.shard_map.map();
             let is_owned_by_sender =
                 |customer| map.and_then(|map| map.owner_of(customer)) == Some(sender.name);
             // The sender may own more by a map that this gateway does not have yet; those reports follow when the map
@@ -452,12 +452,12 @@
         now: Micros,
         sender: &Sender<'_>,
         report: ReportMessage,
-        around: &ClusterContext<'_>,
+        cluster: &ClusterContext<'_>,
     ) {
         if owns_key(&self.owned, report.customer()) {
             self.add_reporting_gateway(sender.name, report.customer());
             let report = report.report(sender.name, sender.incarnation);
-            self.run_aggregator(now, Input::Report(report), around);
+            self.run_aggregator(now, Input::Report(report), cluster);
         }
     }
 }
--- a/gateway-cluster/src/sessions/classifier/ownership.rs
+++ b/gateway-cluster/src/sessions/classifier/ownership.rs
@@ -2,7 +2,7 @@
 //! owners.
 
 use super::sending::VERDICT_RESERVE;
-use super::{fence_in_force, owns_key, ClusterContext, SessionClassifier};
+use super::{owns_key, token_in_force, ClusterContext, SessionClassifier};
 use crate::membership::PartitionSide;
 use crate::peers::{peer_id_of, PeerId};
 use crate::protocol::{Micros, PeerState};
@@ -23,11 +23,11 @@
 
 impl SessionClassifier {
     /// Takes over the state of the cluster; a gain of keys starts a collection of reports.
-    pub(super) fn sync_with_cluster(&mut self, now: Micros, around: &ClusterContext<'_>) {
+    pub(super) fn sync_with_cluster(&mut self, now: Micros, cluster: &ClusterContext<'_>) {
         self.budget.fill(now);
-        self.majority = matches!(around.side, PartitionSide::Whole | PartitionSide::Majority);
-        self.gateways.retain(|name, _| around.names.contains(name));
-        for (name, state) in around.names.iter().zip(around.states) {
+        self.majority = matches!(cluster.side, PartitionSide::Whole | PartitionSide::Majority);
+        self.gateways.retain(|name, _| cluster.names.contains(name));
+        for (name, state) in cluster.names.iter().zip(cluster.states) {
             let id = peer_id_of(name);
             let seen = self.gateways.entry(name.clone()).or_insert(PeerView {
                 id,
@@ -43,11 +43,11 @@
             }
         }
         self.verdicts
-            .observe_token(fence_in_force(around.shard_map));
-        let owned = if around.silent {
+            .observe_token(token_in_force(cluster.shard_map));
+        let owned = if cluster.silent {
             Vec::new()
         } else {
-            around.shard_map.mine(now)
+            cluster.shard_map.mine(now)
         };
         if owned == self.owned {
             return;
@@ -88,14 +88,14 @@
         &mut self,
         now: Micros,
         customer: Customer,
-        around: &ClusterContext<'_>,
+        cluster: &ClusterContext<'_>,
     ) {
         if owns_key(&self.owned, customer) {
-            self.report_to_self(now, customer, around);
+            self.report_to_self(now, customer, cluster);
             return;
         }
         // Without an owner there is nothing to send: the next owner starts a collection.
-        let owner = around
+        let owner = cluster
             .shard_map
             .map()
             .and_then(|map| map.owner_of(customer));
@@ -108,12 +108,12 @@
         queue.is_urgent |= urgent;
     }
 
-    fn report_to_self(&mut self, now: Micros, customer: Customer, around: &ClusterContext<'_>) {
+    fn report_to_self(&mut self, now: Micros, customer: Customer, cluster: &ClusterContext<'_>) {
         let name = self.name.clone();
         self.add_reporting_gateway(&name, customer);
-        let pooling = self.pooling(now, customer, around.shard_map);
+        let pooling = self.pooling(now, customer, cluster.shard_map);
         let report = self.evidence.report(now, customer, pooling);
-        self.run_aggregator(now, Input::Report(report), around);
+        self.run_aggregator(now, Input::Report(report), cluster);
     }
 
     /// Passes an input to the aggregator and queues its outputs.
@@ -121,13 +121,13 @@
         &mut self,
         now: Micros,
         input: Input,
-        around: &ClusterContext<'_>,
+        cluster: &ClusterContext<'_>,
     ) {
         let (reporting_gateways, gateways, owned) =
             (&self.reporting_gateways, &self.gateways, &self.owned);
         let all = || gateways.keys().cloned().collect();
         let context = OwnerContext {
-            fence: fence_in_force(around.shard_map),
+            token: token_in_force(cluster.shard_map),
             owns: &|customer| owns_key(owned, customer),
             gateways_of: &|customer| {
                 reporting_gateways
@@ -144,7 +144,7 @@
             match output {
                 // The report of this gateway itself is passed on directly.
                 Output::RequestReport { gateway, customer } if gateway == self.name => {
-                    self.report_to_self(now, customer, around);
+                    self.report_to_self(now, customer, cluster);
                 }
                 Output::RequestReport { gateway, customer } => {
                     self.queues
@@ -154,7 +154,7 @@
                         .insert(customer);
                 }
                 Output::SendVerdict { gateway, verdict } if gateway == self.name => {
-                    self.on_verdict(now, &gateway, verdict, around);
+                    self.on_verdict(now, &gateway, verdict, cluster);
                 }
                 Output::SendVerdict { gateway, verdict } => {
                     let repeats = self.aggregator.is_repeating(verdict.customer);
@@ -176,13 +176,13 @@
         now: Micros,
         from: &str,
         verdict: Verdict,
-        around: &ClusterContext<'_>,
+        cluster: &ClusterContext<'_>,
     ) {
         let customer = verdict.customer;
-        let map = around
+        let map = cluster
             .shard_map
             .map()
-            .filter(|_| verdict.fence == fence_in_force(around.shard_map));
+            .filter(|_| verdict.token == token_in_force(cluster.shard_map));
         if map.is_some_and(|map| map.owner_of(customer) != Some(from)) {
             self.rejected.superseded += 1;
             return;
--- a/gateway-cluster/src/sessions/classifier/sending.rs
+++ b/gateway-cluster/src/sessions/classifier/sending.rs
@@ -1,6 +1,6 @@
 //! Queues for each peer, and the order in which they are sent within the rate limit.
 
-use super::{fence_in_force, owns_key, ClusterContext, SessionClassifier};
+use super::{owns_key, token_in_force, ClusterContext, SessionClassifier};
 use crate::peers::{peer_id_of, PeerId};
 use crate::protocol::{Micros, Transmit};
 use crate::sessions::wire::{size, Datagram, Kind, ReportMessage, VerdictMessage, MAX_ITEM_BYTES};
@@ -36,10 +36,10 @@
     pub(super) fn flush(
         &mut self,
         now: Micros,
-        around: &ClusterContext<'_>,
+        cluster: &ClusterContext<'_>,
         sends: &mut Vec<Transmit>,
     ) {
-        if around.silent {
+        if cluster.silent {
             return;
         }
         let dead: BTreeSet<PeerId> = self
@@ -64,22 +64,22 @@
             .copied()
             .filter(|id| !dead.contains(id))
             .collect();
-        let place = gateways.partition_point(|id| *id <= self.last_recipient);
-        gateways.rotate_left(place);
+        let index = gateways.partition_point(|id| *id <= self.last_recipient);
+        gateways.rotate_left(index);
         for &to in &gateways {
-            self.send_verdicts(now, to, around, sends);
+            self.send_verdicts(now, to, cluster, sends);
         }
         for &to in &gateways {
             let soon = self.queues.get(&to).is_some_and(|queue| queue.is_urgent);
             if soon && self.budget.has(1.0, 0.0) {
-                self.send_reports(now, to, around, sends);
+                self.send_reports(now, to, cluster, sends);
             }
         }
         for &to in &gateways {
             if !self.budget.has(1.0, VERDICT_RESERVE) {
                 return;
             }
-            self.send_requests(now, to, around, sends);
+            self.send_requests(now, to, cluster, sends);
         }
     }
 
@@ -87,10 +87,10 @@
         &mut self,
         now: Micros,
         to: PeerId,
-        around: &ClusterContext<'_>,
+        cluster: &ClusterContext<'_>,
         sends: &mut Vec<Transmit>,
     ) {
-        let fence = fence_in_force(around.shard_map);
+        let token = token_in_force(cluster.shard_map);
         while self.budget.has(1.0, 0.0) {
             let Some(queue) = self.queues.get_mut(&to) else {
                 return;
@@ -99,7 +99,7 @@
             let mut verdicts = Vec::new();
             while let Some(&customer) = queue.verdicts.first() {
                 // Ownership is checked when the verdict is sent, not when it was decided.
-                let verdict = self.aggregator.verdict(now, customer, fence);
+                let verdict = self.aggregator.verdict(now, customer, token);
                 if let Some(verdict) = verdict.filter(|_| owns_key(&self.owned, customer)) {
                     let one = VerdictMessage::new(&verdict, peer_id_of);
                     let Some(left) = remaining.checked_sub(size(&one)) else {
@@ -113,7 +113,7 @@
             if verdicts.is_empty() {
                 return;
             }
-            self.send(to, Kind::Verdicts { fence, verdicts }, sends);
+            self.send(to, Kind::Verdicts { token, verdicts }, sends);
         }
     }
 
@@ -121,7 +121,7 @@
         &mut self,
         now: Micros,
         to: PeerId,
-        around: &ClusterContext<'_>,
+        cluster: &ClusterContext<'_>,
         sends: &mut Vec<Transmit>,
     ) {
         let mut remaining = MAX_ITEM_BYTES;
@@ -132,7 +132,7 @@
                 .get(&to)
                 .and_then(|queue| queue.reports.first().copied());
             let Some(customer) = next else { break };
-            let pooling = self.pooling(now, customer, around.shard_map);
+            let pooling = self.pooling(now, customer, cluster.shard_map);
             self.evidence.set_pooling(customer, pooling);
             let one = ReportMessage::from(self.evidence.report(now, customer, pooling));
             let Some(left) = remaining.checked_sub(size(&one)) else {
@@ -172,7 +172,7 @@
         &mut self,
         now: Micros,
         to: PeerId,
-        around: &ClusterContext<'_>,
+        cluster: &ClusterContext<'_>,
         sends: &mut Vec<Transmit>,
     ) {
         let waits = !self.owned.is_empty() && !self.collected.contains(&to);
@@ -213,7 +213,7 @@
         let ready =
             queue.pending_collection.is_some() || (is_report_due && !queue.reports.is_empty());
         if ready && self.budget.has(1.0, VERDICT_RESERVE) {
-            self.send_reports(now, to, around, sends);
+            self.send_reports(now, to, cluster, sends);
             if let Some(queue) = self.queues.get_mut(&to) {
                 queue.reports_sent_at = Some(now);
             }
--- a/gateway-cluster/src/sessions/sim.rs
+++ b/gateway-cluster/src/sessions/sim.rs
@@ -81,7 +81,7 @@
     /// Number of gateways.
     pub gateways: usize,
     /// Customers.
-    pub simulated_customers: Vec<SimulatedCustomer>,
+    pub customers: Vec<SimulatedCustomer>,
     /// The fault.
     pub fault: Fault,
     /// Duration in microseconds.
@@ -141,21 +141,21 @@
 
 /// The three kinds at 2 requests a minute, 1 and 10 a second; some at the edge of what is distinguished; and thirty
 /// others, of which two thirds are stateless.
-pub fn simulated_customers() -> Vec<SimulatedCustomer> {
-    let mut simulated_customers = Vec::new();
+pub fn customer_mix() -> Vec<SimulatedCustomer> {
+    let mut customers = Vec::new();
     for truth in [Pooling::Statement, Pooling::Transaction, Pooling::Session] {
         for rate in [2.0 / 60.0, 1.0, 10.0] {
-            simulated_customers.push(SimulatedCustomer::new(truth, rate));
+            customers.push(SimulatedCustomer::new(truth, rate));
         }
     }
     for truth in [Pooling::Transaction, Pooling::Session] {
-        simulated_customers.push(SimulatedCustomer {
+        customers.push(SimulatedCustomer {
             break_failure_rate: 0.6,
             ..SimulatedCustomer::new(truth, 1.0)
         });
     }
     for own_failure_rate in [0.1, 0.3] {
-        simulated_customers.push(SimulatedCustomer {
+        customers.push(SimulatedCustomer {
             own_failure_rate,
             ..SimulatedCustomer::new(Pooling::Statement, 1.0)
         });
@@ -166,9 +166,9 @@
             1 => Pooling::Session,
             _ => Pooling::Statement,
         };
-        simulated_customers.push(SimulatedCustomer::new(truth, 1.0));
+        customers.push(SimulatedCustomer::new(truth, 1.0));
     }
-    simulated_customers
+    customers
 }
 
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
@@ -216,14 +216,14 @@
     reports: Vec<Report>,
     verdicts: Vec<Verdict>,
     owner: VerdictAggregator,
-    fence: FencingToken,
+    token: FencingToken,
     before: Vec<Pooling>,
     out: Outcomes,
 }
 
 /// Runs a simulation.
 pub fn run(plan: &Plan) -> Outcomes {
-    let simulated_customers = plan.simulated_customers.len();
+    let customers = plan.customers.len();
     let mut simulation = Simulation {
         plan,
         now: 0,
@@ -246,20 +246,20 @@
         reports: Vec::new(),
         verdicts: Vec::new(),
         owner: VerdictAggregator::new(1, 4096),
-        fence: FencingToken {
+        token: FencingToken {
             epoch: 1,
             version: 1,
         },
-        before: vec![Pooling::Unknown; simulated_customers],
+        before: vec![Pooling::Unknown; customers],
         out: Outcomes {
-            seen: vec![CustomerOutcome::default(); simulated_customers],
+            seen: vec![CustomerOutcome::default(); customers],
             datagrams: 0,
             excluded: [0; 2],
-            verdicts: vec![None; simulated_customers],
+            verdicts: vec![None; customers],
         },
     };
     simulation.renew(None);
-    for index in 0..simulated_customers {
+    for index in 0..customers {
         simulation.next_run(index);
     }
     simulation.push(TICK, Event::Tick);
@@ -274,11 +274,11 @@
         simulation.out.excluded[0] += evidence.excluded().unhealthy;
         simulation.out.excluded[1] += evidence.excluded().too_few_others;
     }
-    for index in 0..simulated_customers {
+    for index in 0..customers {
         simulation.out.verdicts[index] =
             simulation
                 .owner
-                .verdict(simulation.now, index as Customer, simulation.fence);
+                .verdict(simulation.now, index as Customer, simulation.token);
     }
     simulation.out
 }
@@ -309,12 +309,7 @@
     }
 
     fn next_run(&mut self, index: usize) {
-        let Some(rate) = self
-            .plan
-            .simulated_customers
-            .get(index)
-            .map(|index| index.rate)
-        else {
+        let Some(rate) = self.plan.customers.get(index).map(|index| index.rate) else {
             return;
         };
         let pause = -self.rng.random::<f64>().max(1e-12).ln() * MEAN_RUN_REQUESTS / rate;
@@ -399,7 +394,7 @@
     fn run_owner(&mut self, input: Input) {
         let gateways = self.plan.gateways;
         let scene = OwnerContext {
-            fence: self.fence,
+            token: self.token,
             owns: &|_| true,
             gateways_of: &|_| (0..gateways).map(gateway_name).collect(),
             is_gone: &|_| false,
@@ -441,7 +436,7 @@
             .is_some_and(|at| at <= now && at + TICK > now)
         {
             self.owner = VerdictAggregator::new(2, 4096);
-            self.fence.epoch += 1;
+            self.token.epoch += 1;
         }
         for gateway in 0..self.plan.gateways {
             let due = self
@@ -458,7 +453,7 @@
     }
 
     fn truth(&self, index: usize) -> (Pooling, Micros) {
-        match self.plan.simulated_customers.get(index) {
+        match self.plan.customers.get(index) {
             Some(SimulatedCustomer {
                 changes_at: Some((at, kind)),
                 ..
@@ -470,7 +465,7 @@
 
     fn record_outcomes(&mut self) {
         let now = self.now;
-        for index in 0..self.plan.simulated_customers.len() {
+        for index in 0..self.plan.customers.len() {
             let customer = index as Customer;
             let (truth, since) = self.truth(index);
             let pooling = self.owner.pooling_of(customer);
@@ -619,13 +614,9 @@
         if self.plan.fault == Fault::StaleConnections && !same {
             part = 0.3;
         }
-        let (share, own) = self
-            .plan
-            .simulated_customers
-            .get(index)
-            .map_or((1.0, 0.0), |index| {
-                (index.break_failure_rate, index.own_failure_rate)
-            });
+        let (share, own) = self.plan.customers.get(index).map_or((1.0, 0.0), |index| {
+            (index.break_failure_rate, index.own_failure_rate)
+        });
         let breaks = breaks && self.rng.random_bool(share);
         let fails = self.rng.random_bool(part) || self.rng.random_bool(own);
         let outcome = match (fails, breaks) {
--- a/gateway-cluster/src/sessions/verdicts.rs
+++ b/gateway-cluster/src/sessions/verdicts.rs
@@ -74,7 +74,7 @@
     /// The classification.
     pub pooling: Pooling,
     /// Fencing token of the owner.
-    pub fence: FencingToken,
+    pub token: FencingToken,
     /// Position among the verdicts of the owner.
     pub sequence: VerdictSequence,
     /// Time since the last evidence for it, in microseconds.
--- a/gateway-cluster/src/sessions/verdicts/aggregator.rs
+++ b/gateway-cluster/src/sessions/verdicts/aggregator.rs
@@ -101,7 +101,7 @@
         if state.pending_sends == 0 && state.has_sent() && acted_on != state.pooling {
             outputs.push(Output::SendVerdict {
                 gateway,
-                verdict: state.verdict(now, customer, context.fence),
+                verdict: state.verdict(now, customer, context.token),
             });
         }
     }
@@ -125,10 +125,10 @@
     }
 
     /// The verdict for a customer, for operators and for the owner's own gateway.
-    pub fn verdict(&self, now: Micros, customer: Customer, fence: FencingToken) -> Option<Verdict> {
+    pub fn verdict(&self, now: Micros, customer: Customer, token: FencingToken) -> Option<Verdict> {
         self.customers
             .get(&customer)
-            .map(|state| state.verdict(now, customer, fence))
+            .map(|state| state.verdict(now, customer, token))
     }
 
     /// Whether there is a report for a customer.
--- a/gateway-cluster/src/sessions/verdicts/customer.rs
+++ b/gateway-cluster/src/sessions/verdicts/customer.rs
@@ -216,7 +216,7 @@
         self.pending_sends = self.pending_sends.saturating_sub(1);
         last_sequence.number += 1;
         self.sequence = *last_sequence;
-        let verdict = self.verdict(now, customer, context.fence);
+        let verdict = self.verdict(now, customer, context.token);
         for gateway in set.iter().filter(|gateway| !(context.is_gone)(gateway)) {
             outputs.push(Output::SendVerdict {
                 gateway: gateway.clone(),
@@ -225,7 +225,7 @@
         }
     }
 
-    pub(super) fn verdict(&self, now: Micros, customer: Customer, fence: FencingToken) -> Verdict {
+    pub(super) fn verdict(&self, now: Micros, customer: Customer, token: FencingToken) -> Verdict {
         let sum = |all: Vec<Vec<Window>>| {
             let mut counts = Counts::default();
             all.iter().flatten().for_each(|window| counts.add(window));
@@ -247,7 +247,7 @@
         Verdict {
             customer,
             pooling: self.pooling,
-            fence,
+            token,
             sequence: self.sequence,
             age: now.saturating_sub(self.confirmed_at),
             reports: self
--- a/gateway-cluster/src/sessions/verdicts/io.rs
+++ b/gateway-cluster/src/sessions/verdicts/io.rs
@@ -35,7 +35,7 @@
 /// Context of an owner at the time of an input.
 pub struct OwnerContext<'a> {
     /// Fencing token of the owner.
-    pub fence: FencingToken,
+    pub token: FencingToken,
     /// Whether this gateway owns a customer now.
     pub owns: &'a dyn Fn(Customer) -> bool,
     /// The gateways that see a customer.
--- a/gateway-cluster/src/sessions/verdicts/table.rs
+++ b/gateway-cluster/src/sessions/verdicts/table.rs
@@ -56,8 +56,8 @@
     }
 
     /// Records a fencing token from any source: verdicts with a lower one are rejected.
-    pub fn observe_token(&mut self, fence: FencingToken) {
-        self.highest = self.highest.max(fence);
+    pub fn observe_token(&mut self, token: FencingToken) {
+        self.highest = self.highest.max(token);
     }
 
     /// Takes a verdict from the customer's owner.
@@ -70,16 +70,16 @@
         verdict: Verdict,
         may_relax: bool,
     ) -> Result<(), VerdictRejection> {
-        if verdict.fence < self.highest {
+        if verdict.token < self.highest {
             return Err(VerdictRejection::Superseded {
-                received: verdict.fence,
+                received: verdict.token,
                 known: self.highest,
             });
         }
-        self.highest = verdict.fence;
+        self.highest = verdict.token;
         let in_force = self.in_force(now, verdict.customer, now, may_relax);
         if let Some((known, _)) = self.verdicts.get(&verdict.customer) {
-            if known.fence == verdict.fence && known.sequence >= verdict.sequence {
+            if known.token == verdict.token && known.sequence >= verdict.sequence {
                 return Err(VerdictRejection::Outdated);
             }
         } else if self.verdicts.len() >= self.max_customers {
--- a/gateway-cluster/src/sessions/wire.rs
+++ b/gateway-cluster/src/sessions/wire.rs
@@ -46,7 +46,7 @@
     /// Verdicts of an owner.
     Verdicts {
         /// The owner's fencing token.
-        fence: FencingToken,
+        token: FencingToken,
         /// The verdicts.
         verdicts: Vec<VerdictMessage>,
     },
@@ -140,14 +140,14 @@
     /// The verdict, with the fencing token and incarnation of the datagram.
     pub fn verdict(
         self,
-        fence: FencingToken,
+        token: FencingToken,
         incarnation: u64,
         name_of: impl Fn(PeerId) -> String,
     ) -> Verdict {
         Verdict {
             customer: self.customer,
             pooling: self.pooling,
-            fence,
+            token,
             sequence: VerdictSequence {
                 incarnation,
                 number: self.sequence,
--- a/gateway-cluster/tests/compatibility.rs
+++ b/gateway-cluster/tests/compatibility.rs
@@ -342,7 +342,7 @@
     let verdict = |pooling| Verdict {
         customer: 99,
         pooling,
-        fence: FencingToken {
+        token: FencingToken {
             epoch: 9,
             version: 3,
         },
@@ -382,7 +382,7 @@
         (
             "verdicts",
             sessions::Kind::Verdicts {
-                fence: FencingToken {
+                token: FencingToken {
                     epoch: 9,
                     version: 3,
                 },
--- a/gateway-cluster/tests/session_classifier.rs
+++ b/gateway-cluster/tests/session_classifier.rs
@@ -133,7 +133,7 @@
             Outcome::Fine
         };
         self.sim.act(gateway, |owned, now, _| {
-            owned.stack.note(now, customer, 0, conn, outcome)
+            owned.stack.note(now, customer, 0, conn, outcome);
         });
     }
 
@@ -432,7 +432,7 @@
         let verdict = Verdict {
             customer: customer(0),
             pooling: Pooling::Session,
-            fence,
+            token: fence,
             sequence: VerdictSequence {
                 incarnation: u64::MAX,
                 number: 1 << 40,
@@ -444,7 +444,10 @@
         let verdicts = vec![VerdictMessage::new(&verdict, peer_id_of)];
         let (from, kind) = (
             peer_id_of(&format!("n{from:03}")),
-            Kind::Verdicts { fence, verdicts },
+            Kind::Verdicts {
+                token: fence,
+                verdicts,
+            },
         );
         let bytes = Datagram {
             from,
@@ -454,7 +457,7 @@
         }
         .encode();
         cluster.sim.act(gateway, |owned, now, _| {
-            owned.stack.on_datagram(now, &bytes, &mut Vec::new())
+            owned.stack.on_datagram(now, &bytes, &mut Vec::new());
         });
         (
             cluster.rejections(gateway).superseded,
--- a/gateway-cluster/tests/sessions.rs
+++ b/gateway-cluster/tests/sessions.rs
@@ -6,7 +6,7 @@
     ConnectionUse, Evidence, Failure, Outcome, Report, Tally, Window,
 };
 use gateway_cluster::sessions::judge::{self, Found};
-use gateway_cluster::sessions::sim::{run, simulated_customers, Fault, Plan, SimulatedCustomer};
+use gateway_cluster::sessions::sim::{customer_mix, run, Fault, Plan, SimulatedCustomer};
 use gateway_cluster::sessions::verdicts::{
     grant, Grant, Input, Limits, Output, OwnerContext, VerdictAggregator, VerdictRejection,
     VerdictTable,
@@ -69,7 +69,7 @@
     may_relax: bool,
 ) -> Vec<Output> {
     let scene = OwnerContext {
-        fence: TOKEN,
+        token: TOKEN,
         owns: &|_| true,
         gateways_of: &|_| vec!["a".to_string(), "b".to_string()],
         is_gone: &|gateway| gone.contains(&gateway),
@@ -96,7 +96,7 @@
 fn assert_classified(fault: Fault, seed: u64) {
     let plan = Plan {
         gateways: 2 + seed as usize % 3,
-        simulated_customers: simulated_customers(),
+        customers: customer_mix(),
         fault,
         time: 200 * SECOND,
         lossy: true,
@@ -105,7 +105,7 @@
         seed,
     };
     let out = run(&plan);
-    for (customer, seen) in plan.simulated_customers.iter().zip(&out.seen) {
+    for (customer, seen) in plan.customers.iter().zip(&out.seen) {
         assert_eq!(
             seen.false_statements, 0,
             "{fault:?}, seed {seed}: {customer:?}"
@@ -122,7 +122,7 @@
         }
     }
     let free = plan
-        .simulated_customers
+        .customers
         .iter()
         .zip(&out.seen)
         .filter(|(customer, _)| customer.truth == Pooling::Statement);
@@ -164,7 +164,7 @@
         let others = (0..20).map(|_| SimulatedCustomer::new(Pooling::Statement, 1.0));
         let plan = Plan {
             gateways: 3,
-            simulated_customers: std::iter::once(customer).chain(others).collect(),
+            customers: std::iter::once(customer).chain(others).collect(),
             fault: Fault::None,
             time: 300 * SECOND,
             lossy: true,
@@ -494,7 +494,7 @@
 fn relaxing_waits_for_all_reports_and_a_majority_and_restricting_for_none() {
     let free = report("a", 1, 1, [32, 0], [32, 0]);
     let mut owner = VerdictAggregator::new(1, 100);
-    input(&mut owner, SECOND, Input::Report(free.clone()), &[], true);
+    input(&mut owner, SECOND, Input::Report(free), &[], true);
     assert_eq!(owner.pooling_of(7), Pooling::Unknown, "b has not answered");
     let outputs = input(&mut owner, 3 * SECOND, Input::Tick, &[], true);
     assert!(
@@ -535,11 +535,11 @@
     assert_eq!(again, 10, "and five times more within the second");
 }
 
-fn verdict(pooling: Pooling, fence: FencingToken, sequence: u64) -> Verdict {
+fn verdict(pooling: Pooling, token: FencingToken, sequence: u64) -> Verdict {
     let mut verdict = current_verdict(&owner_of(&[report("a", 1, 1, [0, 0], [0, 0])]));
-    (verdict.pooling, verdict.fence, verdict.sequence) = (
+    (verdict.pooling, verdict.token, verdict.sequence) = (
         pooling,
-        fence,
+        token,
         VerdictSequence {
             incarnation: 1,
             number: sequence,
--- a/gateway-cluster/tests/shard_leases.rs
+++ b/gateway-cluster/tests/shard_leases.rs
@@ -7,7 +7,7 @@
 use gateway_cluster::protocol::{Micros, PeerIndex, Protocol};
 use gateway_cluster::shards::consensus::{Ballot, MapId};
 use gateway_cluster::shards::leases::SHARD_LEASE_FACTOR;
-use gateway_cluster::shards::node::ShardMapStatus;
+use gateway_cluster::shards::node::{ShardMapNode, ShardMapStatus};
 use gateway_cluster::shards::wire::{encode_map, Datagram, Kind, ProposalState, RequestProof};
 use gateway_cluster::shards::{Key, MapHash, ShardMap, ShardRange, KEYS};
 use gateway_cluster::sim::{NetworkConditions, Sim, SimulatedNode};
@@ -70,7 +70,7 @@
                 .sim
                 .engine(gateway)
                 .and_then(|owned| owned.stack.shard_map());
-            let Some((version, hash)) = shard_map.and_then(|shard_map| shard_map.in_force()) else {
+            let Some((version, hash)) = shard_map.and_then(ShardMapNode::in_force) else {
                 continue;
             };
             let first = *self.decided.entry(version).or_insert(hash);
@@ -181,7 +181,7 @@
                     .engine(*gateway)
                     .and_then(|owned| owned.stack.shard_map());
                 shard_map
-                    .and_then(|shard_map| shard_map.in_force())
+                    .and_then(ShardMapNode::in_force)
                     .is_some_and(|known| known.0 >= version)
             };
             running.iter().all(has)
@@ -197,7 +197,7 @@
 
     fn propose(&mut self, gateway: PeerIndex, expect: u64, ranges: Vec<ShardRange>) {
         self.sim.act(gateway, |owned, now, sends| {
-            owned.propose(now, expect, ranges, sends)
+            owned.propose(now, expect, ranges, sends);
         });
     }
 
@@ -759,11 +759,11 @@
         let mut cluster = ShardCluster::<64>::kept(7, seed, NetworkConditions::default());
         for gateway in 0..7 {
             cluster.sim.act(gateway, |owned, now, sends| {
-                owned.set_peers(now, 0..7_usize, sends)
+                owned.set_peers(now, 0..7_usize, sends);
             });
             if gateway < 5 {
                 cluster.sim.act(gateway, |owned, now, sends| {
-                    owned.set_peers(now, 0..5_usize, sends)
+                    owned.set_peers(now, 0..5_usize, sends);
                 });
                 cluster.run(200_000);
             }
@@ -838,7 +838,7 @@
             for _ in 0..10 {
                 for gateway in 0..gateways {
                     cluster.sim.act(gateway, |owned, _, _| {
-                        (owned.kept, owned.sent) = Default::default()
+                        (owned.kept, owned.sent) = Default::default();
                     });
                 }
                 cluster.run(SECOND);
--- a/gateway-cluster/tests/shard_leases_model.rs
+++ b/gateway-cluster/tests/shard_leases_model.rs
@@ -351,7 +351,7 @@
             let (name, incarnation) = (peer_id_of(name), state.incarnations[gateway]);
             match &state.stage {
                 Stage::Preparing(promises) if !promises.contains_key(&name) => {
-                    actions.push(Action::Prepare(gateway))
+                    actions.push(Action::Prepare(gateway));
                 }
                 Stage::Deciding(_, votes) if !votes.contains(&gateway) => {
                     actions.extend([Action::Vote(gateway, true), Action::Vote(gateway, false)]);
@@ -494,7 +494,7 @@
         .target_max_depth(depth)
         .finish_when(finish);
     let checker = checker.spawn_bfs().join();
-    let found = checker.discovery(what).map(|path| path.into_actions());
+    let found = checker.discovery(what).map(stateright::Path::into_actions);
     println!("{what}: {found:?}, {} states", checker.unique_state_count());
     found.is_some()
 }
--- a/gateway-cluster/tests/shards.rs
+++ b/gateway-cluster/tests/shards.rs
@@ -1110,7 +1110,7 @@
     assert!(owned_keys(&new, "n299") >= even - even / SLACK_DIVISOR);
     println!("joined: {} ranges", new.ranges.len());
     assert!(new.ranges.len() <= 910, "{}", new.ranges.len());
-    let mut fewer = all.clone();
+    let mut fewer = all;
     fewer
         .gateways
         .insert("n007".to_string(), PeerCondition::Leaving);
