--- a/gateway-cluster/src/sessions/classifier.rs
+++ b/gateway-cluster/src/sessions/classifier.rs
@@ -34,7 +34,7 @@
 use ownership::PeerView;
 use rand::{Rng, SeedableRng};
 use rand_pcg::Pcg64Mcg;
-use sending::PeerQueue;
+use sending::{CollectionId, PeerQueue};
 use std::collections::{BTreeMap, BTreeSet};
 
 /// Token bucket for datagrams: size, rate per second, and the fraction reserved for verdicts and reports of breaks.
@@ -420,7 +420,10 @@
         number: u32,
         cluster: &ClusterContext<'_>,
     ) {
-        let collection = Some((sender.incarnation, number));
+        let collection = Some(CollectionId {
+            incarnation: sender.incarnation,
+            number,
+        });
         let queue = self.queues.entry(sender.peer).or_default();
         if queue.answered_collection == collection {
             // All reports have been sent: the completion is repeated.
--- a/gateway-cluster/src/sessions/classifier/sending.rs
+++ b/gateway-cluster/src/sessions/classifier/sending.rs
@@ -7,27 +7,43 @@
 use crate::sessions::Customer;
 use std::collections::BTreeSet;
 
+/// Fraction of the token bucket reserved for verdicts and reports of breaks.
 pub(super) const VERDICT_RESERVE: f64 = 0.5;
 
 /// Minimum interval between two reports without a new break for one owner, and between two requests for a collection.
 const REPORT_INTERVAL: Micros = 1_000_000;
 
+/// Upper limit of the bytes of a customer number in a request for reports.
+const BYTES_PER_REQUEST: usize = 6;
+
+/// A collection of reports that a peer requested.
+#[derive(Debug, Clone, Copy, PartialEq, Eq)]
+pub(super) struct CollectionId {
+    /// Incarnation of the peer.
+    pub(super) incarnation: u64,
+    /// Number of the collection within the incarnation.
+    pub(super) number: u32,
+}
+
 /// Items queued for one peer.
 #[derive(Debug, Default)]
 pub(super) struct PeerQueue {
     /// Incarnation of the peer as last received; 0 before that.
     pub(super) incarnation: u64,
+    /// Customers whose verdict is to be sent.
     pub(super) verdicts: BTreeSet<Customer>,
+    /// Customers whose report is to be sent.
     pub(super) reports: BTreeSet<Customer>,
     /// One of the reports has a new break.
     pub(super) is_urgent: bool,
+    /// Customers whose report is to be requested.
     pub(super) requests: BTreeSet<Customer>,
     /// When this gateway last requested a collection from the peer.
     pub(super) collection_sent_at: Option<Micros>,
-    /// The collection that the peer requested and that is not complete, as the peer's incarnation and its number; and
-    /// the last one that was completed.
-    pub(super) pending_collection: Option<(u64, u32)>,
-    pub(super) answered_collection: Option<(u64, u32)>,
+    /// The collection that the peer requested and that is not complete.
+    pub(super) pending_collection: Option<CollectionId>,
+    /// The last collection of the peer that was completed.
+    pub(super) answered_collection: Option<CollectionId>,
     pub(super) reports_sent_at: Option<Micros>,
 }
 
@@ -49,11 +65,11 @@
             .map(|seen| seen.id)
             .collect();
         if !self.owned.is_empty() {
-            let living = self
+            let alive = self
                 .gateways
                 .values()
                 .filter(|seen| !seen.is_dead && seen.id != self.me);
-            for seen in living.filter(|seen| !self.collected.contains(&seen.id)) {
+            for seen in alive.filter(|seen| !self.collected.contains(&seen.id)) {
                 self.queues.entry(seen.id).or_default();
             }
         }
@@ -70,8 +86,8 @@
             self.send_verdicts(now, to, cluster, sends);
         }
         for &to in &gateways {
-            let soon = self.queues.get(&to).is_some_and(|queue| queue.is_urgent);
-            if soon && self.budget.has(1.0, 0.0) {
+            let is_urgent = self.queues.get(&to).is_some_and(|queue| queue.is_urgent);
+            if is_urgent && self.budget.has(1.0, 0.0) {
                 self.send_reports(now, to, cluster, sends);
             }
         }
@@ -83,6 +99,7 @@
         }
     }
 
+    /// Sends the queued verdicts of customers that are still owned here.
     fn send_verdicts(
         &mut self,
         now: Micros,
@@ -101,12 +118,12 @@
                 // Ownership is checked when the verdict is sent, not when it was decided.
                 let verdict = self.aggregator.verdict(now, customer, token);
                 if let Some(verdict) = verdict.filter(|_| owns_key(&self.owned, customer)) {
-                    let one = VerdictMessage::new(&verdict, peer_id_of);
-                    let Some(left) = remaining.checked_sub(size(&one)) else {
+                    let message = VerdictMessage::new(&verdict, peer_id_of);
+                    let Some(left) = remaining.checked_sub(size(&message)) else {
                         break;
                     };
                     remaining = left;
-                    verdicts.push(one);
+                    verdicts.push(message);
                 }
                 queue.verdicts.pop_first();
             }
@@ -117,6 +134,7 @@
         }
     }
 
+    /// Sends as many queued reports as fit in one datagram.
     fn send_reports(
         &mut self,
         now: Micros,
@@ -134,12 +152,12 @@
             let Some(customer) = next else { break };
             let pooling = self.pooling(now, customer, cluster.shard_map);
             self.evidence.set_pooling(customer, pooling);
-            let one = ReportMessage::from(self.evidence.report(now, customer, pooling));
-            let Some(left) = remaining.checked_sub(size(&one)) else {
+            let message = ReportMessage::from(self.evidence.report(now, customer, pooling));
+            let Some(left) = remaining.checked_sub(size(&message)) else {
                 break;
             };
             remaining = left;
-            counts.push(one);
+            counts.push(message);
             if let Some(queue) = self.queues.get_mut(&to) {
                 queue.reports.pop_first();
             }
@@ -150,9 +168,9 @@
         let mut completed_collection = 0;
         if queue.reports.is_empty() {
             queue.is_urgent = false;
-            if let Some(owed) = queue.pending_collection.take() {
-                completed_collection = owed.1;
-                queue.answered_collection = Some(owed);
+            if let Some(collection) = queue.pending_collection.take() {
+                completed_collection = collection.number;
+                queue.answered_collection = Some(collection);
             }
         }
         if completed_collection != 0 || !counts.is_empty() {
@@ -175,15 +193,15 @@
         cluster: &ClusterContext<'_>,
         sends: &mut Vec<Transmit>,
     ) {
-        let waits = !self.owned.is_empty() && !self.collected.contains(&to);
-        let (collection, known) = (
+        let is_collecting = !self.owned.is_empty() && !self.collected.contains(&to);
+        let (collection, is_known) = (
             self.collection,
             self.gateways.values().any(|seen| seen.id == to),
         );
-        let Some(queue) = self.queues.get_mut(&to).filter(|_| known) else {
+        let Some(queue) = self.queues.get_mut(&to).filter(|_| is_known) else {
             return;
         };
-        if waits
+        if is_collecting
             && queue
                 .collection_sent_at
                 .is_none_or(|at| now.saturating_sub(at) >= REPORT_INTERVAL)
@@ -195,14 +213,14 @@
             return;
         };
         if !queue.requests.is_empty() && self.budget.has(1.0, VERDICT_RESERVE) {
-            let mut asks = Vec::new();
-            while asks.len() * 6 < MAX_ITEM_BYTES - 6 {
+            let mut customers = Vec::new();
+            while customers.len() * BYTES_PER_REQUEST < MAX_ITEM_BYTES - BYTES_PER_REQUEST {
                 let Some(customer) = queue.requests.pop_first() else {
                     break;
                 };
-                asks.push(customer);
+                customers.push(customer);
             }
-            self.send(to, Kind::RequestReports(asks), sends);
+            self.send(to, Kind::RequestReports(customers), sends);
         }
         let Some(queue) = self.queues.get(&to) else {
             return;
@@ -210,9 +228,9 @@
         let is_report_due = queue
             .reports_sent_at
             .is_none_or(|at| now.saturating_sub(at) >= REPORT_INTERVAL);
-        let ready =
+        let may_send =
             queue.pending_collection.is_some() || (is_report_due && !queue.reports.is_empty());
-        if ready && self.budget.has(1.0, VERDICT_RESERVE) {
+        if may_send && self.budget.has(1.0, VERDICT_RESERVE) {
             self.send_reports(now, to, cluster, sends);
             if let Some(queue) = self.queues.get_mut(&to) {
                 queue.reports_sent_at = Some(now);
--- a/gateway-cluster/src/shards/node/fetching.rs
+++ b/gateway-cluster/src/shards/node/fetching.rs
@@ -10,12 +10,16 @@
 use crate::shards::wire::{decode_map, encode_map, Datagram, Kind, CHUNK_BYTES, MAX_CHUNKS};
 use rand::seq::IndexedRandom;
 
-/// Maps in the cache beside those in use; concurrent fetches.
+/// Maps in the cache beside those in use.
 const MAX_CACHED_MAPS: usize = 6;
+/// Concurrent fetches.
 const MAX_FETCHES: usize = 4;
-/// Chunks in one request; attempts without an answer after which a fetch is given up.
+/// Chunks requested at a time.
 const CHUNKS_PER_REQUEST: usize = 4;
+/// Attempts without an answer after which a fetch is abandoned.
 const MAX_FETCH_ATTEMPTS: u32 = 40;
+/// Attempts without an answer after which the interval is longer.
+const FAST_FETCH_ATTEMPTS: u32 = 6;
 /// Datagrams that wait for a map to be fetched.
 const MAX_WAITING_DATAGRAMS: usize = 4;
 
@@ -24,8 +28,10 @@
 pub(super) struct MapFetch {
     pub(super) hash: MapHash,
     pub(super) from: PeerId,
+    /// The chunks received; empty before the first one, which gives their number.
     pub(super) chunks: Vec<Option<Vec<u8>>>,
     pub(super) retry_at: Micros,
+    /// Attempts since the last chunk was received.
     pub(super) attempts: u32,
 }
 
@@ -42,6 +48,7 @@
         known.find(|map| map.hash() == hash)
     }
 
+    /// Adds a map to the cache; the oldest one is dropped.
     pub(super) fn cache_map(&mut self, map: ShardMap) {
         let hash = map.hash();
         self.cached_maps.retain(|known| known.hash() != hash);
@@ -73,6 +80,7 @@
         self.start_fetch(now, hash, (from, attempts), election, sends);
     }
 
+    /// Starts to fetch a map from a peer, unless a fetch of it is running.
     pub(super) fn start_fetch(
         &mut self,
         now: Micros,
@@ -119,7 +127,7 @@
                 from = others.choose(&mut self.rng).copied().unwrap_or(from);
             }
             fetch.retry_at = now
-                + if fetch.attempts > 6 {
+                + if fetch.attempts > FAST_FETCH_ATTEMPTS {
                     SLOW_RETRY_INTERVAL
                 } else {
                     RETRY_INTERVAL
@@ -129,6 +137,7 @@
         self.fetches = fetches;
     }
 
+    /// Requests the first missing chunks.
     fn request_chunks(
         &mut self,
         fetch: &MapFetch,
@@ -140,7 +149,7 @@
             .chunks
             .iter()
             .enumerate()
-            .filter(|(_, index)| index.is_none());
+            .filter(|(_, chunk)| chunk.is_none());
         let mut missing: Vec<usize> = missing
             .map(|(index, _)| index)
             .take(CHUNKS_PER_REQUEST)
@@ -159,6 +168,7 @@
         }
     }
 
+    /// Sends one chunk of a map that this gateway has.
     pub(super) fn send_chunk(
         &mut self,
         (to, incarnation): (PeerId, u64),
@@ -166,11 +176,11 @@
         index: u8,
         sends: &mut Vec<Transmit>,
     ) {
-        let deciding = self.term.as_ref().and_then(|term| match &term.stage {
-            Stage::Deciding(deciding) => Some(&deciding.map),
+        let proposed = self.term.as_ref().and_then(|term| match &term.stage {
+            Stage::Deciding(decision) => Some(&decision.map),
             _ => None,
         });
-        let Some(map) = deciding
+        let Some(map) = proposed
             .filter(|map| map.hash() == hash)
             .or_else(|| self.find(hash))
         else {
@@ -200,6 +210,7 @@
         }
     }
 
+    /// Takes one chunk; when the map is complete, the datagrams that wait for it are handled.
     pub(super) fn on_chunk(
         &mut self,
         now: Micros,
@@ -216,25 +227,25 @@
         else {
             return;
         };
-        let Some(place) = self.fetches.iter().position(|fetch| fetch.hash == hash) else {
+        let Some(position) = self.fetches.iter().position(|fetch| fetch.hash == hash) else {
             return;
         };
         if count == 0 || usize::from(count) > MAX_CHUNKS || index >= count {
             self.dropped.0 += 1;
             return;
         }
-        let mut fetch = self.fetches.remove(place);
+        let mut fetch = self.fetches.remove(position);
         if fetch.chunks.len() != usize::from(count) {
             fetch.chunks = vec![None; usize::from(count)];
         }
         if let Some(slot) = fetch.chunks.get_mut(usize::from(index)) {
             *slot = Some(bytes);
         }
-        let missing = fetch.chunks.iter().filter(|index| index.is_none()).count();
+        let missing = fetch.chunks.iter().filter(|chunk| chunk.is_none()).count();
         if missing > 0 {
-            let got = fetch.chunks.len() - missing;
+            let received = fetch.chunks.len() - missing;
             (fetch.attempts, fetch.retry_at) = (0, now + RETRY_INTERVAL);
-            if (got - 1) % CHUNKS_PER_REQUEST == 0 {
+            if (received - 1) % CHUNKS_PER_REQUEST == 0 {
                 self.request_chunks(&fetch, datagram.from, election, sends);
             }
             self.fetches.push(fetch);
--- a/gateway-cluster/src/shards/node/mod.rs
+++ b/gateway-cluster/src/shards/node/mod.rs
@@ -47,6 +47,9 @@
 /// Delay before a leader plans a map after a membership change, so that several changes go into one map.
 const MEMBERSHIP_CHANGE_DELAY: Micros = 300_000;
 
+/// Shortest time to the next wake-up, in microseconds.
+const MIN_WAKEUP_DELAY: Micros = 10_000;
+
 /// Settings of the state machine.
 #[derive(Debug, Clone, Default)]
 pub struct ShardMapSettings {
@@ -177,9 +180,9 @@
             .as_ref()
             .filter(|map| map.owner_of(key) == Some(&self.name))?;
         let mine = self.mine(now);
-        let place = mine.partition_point(|(_, to)| *to <= key);
-        let keeps = mine.get(place).is_some_and(|(from, _)| *from <= key);
-        keeps.then_some(FencingToken {
+        let index = mine.partition_point(|(_, to)| *to <= key);
+        let owns_key = mine.get(index).is_some_and(|(from, _)| *from <= key);
+        owns_key.then_some(FencingToken {
             epoch: map.epoch,
             version: map.version,
         })
@@ -218,15 +221,16 @@
         if had_lease {
             let leader = election.status(now).leader;
             // Each peer may be the next leader, so all are notified.
-            let mut told = election.names();
-            told.extend(leader);
-            told.retain(|name| *name != self.me);
-            for to in told {
+            let mut recipients = election.names();
+            recipients.extend(leader);
+            recipients.retain(|name| *name != self.me);
+            for to in recipients {
                 self.send(election, to, None, Kind::ReleaseLeases, sends);
             }
         }
     }
 
+    /// Releases all leases and stops taking part.
     fn suspend(&mut self) {
         self.local_shards.release_all();
         (self.suspended, self.term, self.wakeup_at) = (true, None, Micros::MAX);
@@ -315,6 +319,7 @@
         self.schedule_wakeup(now);
     }
 
+    /// Handles a datagram of a known peer by its kind.
     fn dispatch(
         &mut self,
         now: Micros,
@@ -351,8 +356,8 @@
                 }
                 return;
             }
-            Kind::FetchChunk(hash, part) => {
-                return self.send_chunk((from, incarnation), *hash, *part, sends)
+            Kind::FetchChunk(hash, index) => {
+                return self.send_chunk((from, incarnation), *hash, *index, sends)
             }
             Kind::ReleaseLeases => {
                 // The release is valid for that incarnation, whichever incarnation of this gateway it was sent to.
@@ -381,12 +386,14 @@
         self.term = Some(term);
     }
 
+    /// Queues an event for the log, unless it repeats the last one or the queue is full.
     fn record_event(&mut self, event: ShardMapEvent) {
         if self.events.len() < MAX_EVENTS && self.events.back() != Some(&event) {
             self.events.push_back(event);
         }
     }
 
+    /// Sets the next wake-up to the earliest time at which anything is due.
     fn schedule_wakeup(&mut self, now: Micros) {
         let mut next = now + PLANNING_INTERVAL;
         next = self
@@ -426,10 +433,11 @@
                 .fold(next, Micros::min);
         }
         // A minimum delay, for peers that are due but wait for the budget or for their first datagram.
-        self.wakeup_at = next.max(now + 10_000);
+        self.wakeup_at = next.max(now + MIN_WAKEUP_DELAY);
     }
 }
 
+/// Identity of a map.
 fn map_id(map: &ShardMap) -> MapId {
     MapId {
         epoch: map.epoch,
--- a/gateway-cluster/src/shards/node/proposals.rs
+++ b/gateway-cluster/src/shards/node/proposals.rs
@@ -23,6 +23,7 @@
     pub(super) hash: MapHash,
     pub(super) state: ProposalState,
     pub(super) findings: Vec<FindingReport>,
+    /// When it is submitted again.
     pub(super) retry_at: Micros,
 }
 
@@ -87,9 +88,9 @@
         match election.status(now).leader {
             Some(leader) if leader == self.me => {
                 if let Some(mut term) = self.term.take() {
-                    let answer = Self::on_proposal(now, &mut term, hash, &map);
+                    let result = Self::on_proposal(now, &mut term, hash, &map);
                     self.term = Some(term);
-                    if let Some((state, findings)) = answer {
+                    if let Some((state, findings)) = result {
                         self.on_proposal_result(hash, state, findings);
                     }
                 }
@@ -99,6 +100,7 @@
         }
     }
 
+    /// Takes the result of the proposal submitted here.
     pub(super) fn on_proposal_result(
         &mut self,
         hash: MapHash,
@@ -126,13 +128,13 @@
                 ..proposal.map.clone()
             };
             let found = validate(Some(old), &map, &self.cluster, &self.limits);
-            let told: Vec<FindingReport> = found.iter().map(FindingReport::from).collect();
+            let own: Vec<FindingReport> = found.iter().map(FindingReport::from).collect();
             if proposal
                 .findings
                 .iter()
-                .all(|one| told.iter().any(|own| own.rule == one.rule))
+                .all(|reported| own.iter().any(|found| found.rule == reported.rule))
             {
-                proposal.findings = told;
+                proposal.findings = own;
             }
         }
     }
@@ -148,26 +150,26 @@
         if current.ranges == map.ranges && current.version >= map.version {
             return Some((ProposalState::InForce, Vec::new()));
         }
-        if let Some(place) = term
+        if let Some(position) = term
             .proposals
             .iter()
             .position(|received| received.hash == hash)
         {
-            let known = term.proposals.get(place)?;
+            let known = term.proposals.get(position)?;
             let answer = (known.state, known.findings.clone());
             if known.state == ProposalState::Refused {
                 // Operators may submit it again once they have corrected it.
-                term.proposals.remove(place);
+                term.proposals.remove(position);
             }
             return Some(answer);
         }
         if term.proposals.len() >= MAX_PROPOSALS {
             // A proposal that waits for its decision is not dropped for another one.
-            let over = term
+            let finished = term
                 .proposals
                 .iter()
                 .position(|received| received.state != ProposalState::Waiting)?;
-            term.proposals.remove(over);
+            term.proposals.remove(finished);
         }
         term.proposals.push_back(ReceivedProposal {
             hash,
