--- a/gateway-cluster/src/sessions/classifier/ownership.rs
+++ b/gateway-cluster/src/sessions/classifier/ownership.rs
@@ -17,6 +17,7 @@
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PeerView {
     pub(super) id: PeerId,
+    /// When the membership last listed it as not dead.
     pub(super) alive_at: Micros,
     pub(super) is_dead: bool,
 }
@@ -52,8 +53,12 @@
         if owned == self.owned {
             return;
         }
-        let had = std::mem::replace(&mut self.owned, owned);
-        if self.owned.iter().any(|range| !covers(&had, *range)) {
+        let previously_owned = std::mem::replace(&mut self.owned, owned);
+        if self
+            .owned
+            .iter()
+            .any(|range| !covers(&previously_owned, *range))
+        {
             self.collection = self.collection.wrapping_add(1).max(1);
             self.collected.clear();
             self.queues
@@ -71,15 +76,15 @@
         {
             return;
         }
-        let set = self.reporting_gateways.entry(customer).or_default();
-        if set.iter().any(|known| known == gateway) {
+        let gateways = self.reporting_gateways.entry(customer).or_default();
+        if gateways.iter().any(|known| known == gateway) {
             return;
         }
-        if set.len() >= MAX_GATEWAYS {
-            set.retain(|known| self.gateways.get(known).is_some_and(|seen| !seen.is_dead));
+        if gateways.len() >= MAX_GATEWAYS {
+            gateways.retain(|known| self.gateways.get(known).is_some_and(|seen| !seen.is_dead));
         }
-        if set.len() < MAX_GATEWAYS {
-            set.push(gateway.to_string());
+        if gateways.len() < MAX_GATEWAYS {
+            gateways.push(gateway.to_string());
         }
     }
 
@@ -102,12 +107,13 @@
         let Some(owner) = owner.filter(|owner| *owner != self.name) else {
             return;
         };
-        let urgent = self.evidence.is_urgent(customer);
+        let is_urgent = self.evidence.is_urgent(customer);
         let queue = self.queues.entry(peer_id_of(owner)).or_default();
         queue.reports.insert(customer);
-        queue.is_urgent |= urgent;
+        queue.is_urgent |= is_urgent;
     }
 
+    /// Passes the report of this gateway on to its own aggregator.
     fn report_to_self(&mut self, now: Micros, customer: Customer, cluster: &ClusterContext<'_>) {
         let name = self.name.clone();
         self.add_reporting_gateway(&name, customer);
--- a/gateway-cluster/src/sessions/evidence.rs
+++ b/gateway-cluster/src/sessions/evidence.rs
@@ -35,20 +35,24 @@
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 use windows::{ControlSample, WindowRing};
+
 /// Maximum number of requests of one customer at one backend that count for the control group in one second.
 const MAX_CONTROL_REQUESTS_EACH: u32 = 4;
 /// Maximum number of entries that wait for their second or serve as control group, together.
 const MAX_BUFFERED: usize = 16_384;
-/// Customers sampled for an eviction; requests on changed connections that protect a customer from it, and seconds
-/// without a request that end the protection.
+/// Number of customers sampled for an eviction.
 const EVICTION_SAMPLE: usize = 8;
+/// Requests on changed connections that protect a customer from eviction.
 const PROTECTED_CHANGED_REQUESTS: u32 = 4;
+/// Seconds without a request after which a customer is not protected from eviction.
 const PROTECTED_IDLE_S: u32 = 600;
-/// How often a changed report is sent; and the interval between two reports, in microseconds: while the customer is
-/// undecided, after that, and after a new break.
+/// How often a changed report is sent.
 const REPORT_REPEATS: u8 = 3;
+/// Interval between two reports of an undecided customer, in microseconds.
 const UNDECIDED_INTERVAL: Micros = 5_000_000;
+/// Interval between two reports of a customer with a verdict, in microseconds.
 const DECIDED_INTERVAL: Micros = 30_000_000;
+/// Interval between two reports of a new break, in microseconds.
 const BREAK_INTERVAL: Micros = 200_000;
 
 /// All that a gateway has counted for a customer.
@@ -75,17 +79,21 @@
 struct Record {
     in_run: WindowRing,
     between_runs: WindowRing,
+    /// Second of the last counted request.
     last_seen_s: u32,
+    /// When the last report was sent.
     sent_at: Micros,
+    /// How often a change still has to be reported.
     pending_sends: u8,
     /// How often a new break still has to be reported.
     urgent_sends: u8,
+    /// The verdict that this gateway applies.
     pooling: Pooling,
 }
 
 /// Bytes of one customer in the table: number, counts, and the overhead of the table (a hash, and an index that is at
-/// most 7/8 full and doubles when it grows). The test `customer_record_size_stays_within_the_documented_bytes` compares it with the
-/// compiler's sizes.
+/// most 7/8 full and doubles when it grows). The test `customer_record_size_stays_within_the_documented_bytes` compares
+/// it with the compiler's sizes.
 pub const BYTES_PER_CUSTOMER: usize = 8 + RECORD_BYTES + 8 + 16;
 const RECORD_BYTES: usize = std::mem::size_of::<Record>();
 
@@ -112,9 +120,13 @@
     sequence: u64,
     max_customers: usize,
     customers: IndexMap<Customer, Record>,
+    /// The last seconds, as control groups and until their own entries are counted.
     seconds: VecDeque<Second>,
+    /// Seconds before this one have been evaluated.
     evaluated_until: u64,
+    /// Number of entries in `seconds`.
     buffered: usize,
+    /// Index of the customer whose report was looked at last.
     cursor: usize,
     rng: Pcg64Mcg,
     excluded: ExcludedCounts,
@@ -159,7 +171,7 @@
             Outcome::Failed(Failure::Reset) => Some(1),
             Outcome::Failed(Failure::Timeout) => Some(2),
         };
-        let bound = self
+        let is_bound = self
             .customers
             .get(&customer)
             .is_some_and(|record| record.pooling > Pooling::Unknown);
@@ -197,7 +209,7 @@
                 reused: counts,
                 changed: [0; 2],
             },
-            _ if bound => ControlCounts::default(),
+            _ if is_bound => ControlCounts::default(),
             _ => ControlCounts {
                 reused: [0; 2],
                 changed: counts,
@@ -245,22 +257,23 @@
             .front()
             .is_some_and(|first| first.at + CONTROL_MAX_BACK_S + CONTROL_AHEAD_S + 1 < second)
         {
-            if let Some(gone) = self.seconds.pop_front() {
-                self.buffered = self.buffered.saturating_sub(gone.entries.len());
+            if let Some(expired) = self.seconds.pop_front() {
+                self.buffered = self.buffered.saturating_sub(expired.entries.len());
             }
         }
     }
 
+    /// Counts the entries of one second, unless its control group excludes them.
     fn evaluate_second(&mut self, index: usize) {
         let Some(second) = self.seconds.get(index) else {
             return;
         };
         let (at, count) = (second.at, second.entries.len());
-        for place in 0..count {
+        for position in 0..count {
             let Some((&(backend, customer), &entry)) = self
                 .seconds
                 .get(index)
-                .and_then(|second| second.entries.get_index(place))
+                .and_then(|second| second.entries.get_index(position))
             else {
                 continue;
             };
@@ -274,6 +287,7 @@
         }
     }
 
+    /// Adds the requests of a customer in one second to its windows.
     fn count_requests(
         &mut self,
         at: u64,
@@ -306,12 +320,14 @@
         record.last_seen_s = second;
         record.pending_sends = REPORT_REPEATS;
         // A break that the verdict already expects is not urgent.
-        let within = entry.in_run.failures() > 0 && record.pooling < Pooling::Transaction;
-        if within || (entry.between_runs.failures() > 0 && record.pooling < Pooling::Session) {
+        let breaks_in_run = entry.in_run.failures() > 0 && record.pooling < Pooling::Transaction;
+        if breaks_in_run || (entry.between_runs.failures() > 0 && record.pooling < Pooling::Session)
+        {
             record.urgent_sends = REPORT_REPEATS;
         }
     }
 
+    /// Makes space for a new customer, by an eviction if necessary. Returns false if all sampled ones are protected.
     fn evict_for(&mut self, second: u32) -> bool {
         if self.customers.len() < self.max_customers {
             return true;
--- a/gateway-cluster/src/sessions/verdicts/customer.rs
+++ b/gateway-cluster/src/sessions/verdicts/customer.rs
@@ -24,20 +24,26 @@
 #[derive(Debug, Clone)]
 struct ReceivedReport {
     report: Report,
-    at: Micros,
+    received_at: Micros,
 }
 
 /// Reports and verdict of one customer.
 #[derive(Debug, Clone)]
 pub(super) struct CustomerState {
+    /// Reports of each gateway, the newest incarnation first.
     gateways: BTreeMap<String, Vec<ReceivedReport>>,
+    /// When the report of a gateway was last requested.
     requested_at: BTreeMap<String, Micros>,
     pub(super) pooling: Pooling,
+    /// When evidence last confirmed the verdict.
     pub(super) confirmed_at: Micros,
     pub(super) started_at: Micros,
     pub(super) evaluated_at: Micros,
+    /// When the last report was received.
     pub(super) reported_at: Micros,
+    /// When the current verdict was last sent.
     sent_at: Option<Micros>,
+    /// How often the current verdict still has to be sent.
     pub(super) pending_sends: u8,
     pub(super) sequence: VerdictSequence,
 }
@@ -79,8 +85,16 @@
             .find(|received| received.report.incarnation == report.incarnation)
         {
             Some(received) if received.report.sequence >= report.sequence => return false,
-            Some(received) => *received = ReceivedReport { report, at: now },
-            None => incarnations.push(ReceivedReport { report, at: now }),
+            Some(received) => {
+                *received = ReceivedReport {
+                    report,
+                    received_at: now,
+                }
+            }
+            None => incarnations.push(ReceivedReport {
+                report,
+                received_at: now,
+            }),
         }
         incarnations.sort_by_key(|received| std::cmp::Reverse(received.report.incarnation));
         incarnations.truncate(MAX_INCARNATIONS);
@@ -103,7 +117,7 @@
                 .gateways
                 .get(gateway)
                 .and_then(|incarnations| incarnations.first())
-                .map(|received| received.at);
+                .map(|received| received.received_at);
             let is_missing =
                 received.is_none_or(|at| could_relax && now.saturating_sub(at) >= REPORT_TTL);
             let may_request = self
@@ -127,7 +141,7 @@
 
     fn windows(&self, now: Micros, of: impl Fn(&Report) -> &[(Window, u32)]) -> Vec<Vec<Window>> {
         let live = |received: &ReceivedReport| -> Vec<Window> {
-            let since = now.saturating_sub(received.at) / SECOND;
+            let since = now.saturating_sub(received.received_at) / SECOND;
             let max_age = CONFIRMATION_TTL / SECOND;
             let all = of(&received.report).iter();
             all.filter(|(_, age)| u64::from(*age) + since < max_age)
@@ -155,7 +169,7 @@
                 .gateways
                 .get(gateway)
                 .and_then(|incarnations| incarnations.first());
-            received.is_some_and(|received| now.saturating_sub(received.at) < REPORT_TTL)
+            received.is_some_and(|received| now.saturating_sub(received.received_at) < REPORT_TTL)
                 || (context.is_gone)(gateway)
         });
         let in_run = judge::test(&self.windows(now, |report| &report.in_run));
