--- a/gateway-cluster/src/sessions/verdicts/customer.rs
+++ b/gateway-cluster/src/sessions/verdicts/customer.rs
@@ -139,6 +139,7 @@
         outputs
     }
 
+    /// The windows of each gateway for one kind of change, newest first, without those that have expired.
     fn windows(&self, now: Micros, of: impl Fn(&Report) -> &[(Window, u32)]) -> Vec<Vec<Window>> {
         let live = |received: &ReceivedReport| -> Vec<Window> {
             let since = now.saturating_sub(received.received_at) / SECOND;
@@ -155,6 +156,7 @@
             .collect()
     }
 
+    /// Runs the test for both kinds of change, and updates the verdict.
     pub(super) fn evaluate(
         &mut self,
         now: Micros,
@@ -202,6 +204,7 @@
         }
     }
 
+    /// Outputs the verdict for all gateways, if a repetition is due.
     pub(super) fn send_verdict(
         &mut self,
         now: Micros,
@@ -239,6 +242,7 @@
         }
     }
 
+    /// The current verdict with its evidence.
     pub(super) fn verdict(&self, now: Micros, customer: Customer, token: FencingToken) -> Verdict {
         let sum = |all: Vec<Vec<Window>>| {
             let mut counts = Counts::default();
@@ -253,7 +257,7 @@
         } else {
             between_runs
         };
-        let received = |incarnations: &Vec<ReceivedReport>| {
+        let has_counts = |incarnations: &Vec<ReceivedReport>| {
             incarnations.iter().any(|received| {
                 !received.report.in_run.is_empty() || !received.report.between_runs.is_empty()
             })
@@ -267,7 +271,7 @@
             reports: self
                 .gateways
                 .iter()
-                .filter(|(_, incarnations)| received(incarnations))
+                .filter(|(_, incarnations)| has_counts(incarnations))
                 .map(|(gateway, _)| gateway.clone())
                 .collect(),
             evidence: EvidenceSummary {
--- a/gateway-cluster/src/shards/plan.rs
+++ b/gateway-cluster/src/shards/plan.rs
@@ -204,10 +204,12 @@
         self.limits.keys / (self.owned.len() as u64).max(1)
     }
 
+    /// Number of keys by which an owner may be off the even share.
     fn slack(&self) -> u64 {
         self.even() / SLACK_DIVISOR
     }
 
+    /// Whether the last move of some keys of a range is not complete.
     fn is_moving(&self, range: &ShardRange) -> bool {
         let first = self.moving.partition_point(|span| span.1 <= range.from);
         self.moving.get(first).is_some_and(|span| span.0 < range.to)
@@ -217,23 +219,24 @@
     /// sorted.
     fn merge_if_crowded(&mut self) {
         if self.ranges.len().saturating_add(self.owned.len()) > self.limits.ranges {
-            self.join();
+            self.merge_neighbours();
         }
     }
 
-    fn join(&mut self) {
-        let mut joined: Vec<ShardRange> = Vec::with_capacity(self.ranges.len());
+    /// Merges neighbours with one owner.
+    fn merge_neighbours(&mut self) {
+        let mut merged: Vec<ShardRange> = Vec::with_capacity(self.ranges.len());
         for range in std::mem::take(&mut self.ranges) {
             // Keys whose last move is not complete keep their bounds, so that the keys beside them may move.
             let moving = self.is_moving(&range);
-            match joined.last_mut() {
+            match merged.last_mut() {
                 Some(last) if last.owner == range.owner && !moving && !self.is_moving(last) => {
                     last.to = range.to;
                 }
-                _ => joined.push(range),
+                _ => merged.push(range),
             }
         }
-        self.ranges = joined;
+        self.ranges = merged;
     }
 
     /// Assigns ranges to the owners with fewest keys, none of which gets more than `max`, unless no further split is
@@ -345,6 +348,7 @@
         }
     }
 
+    /// Assigns a range to another owner.
     fn change_owner(&mut self, index: usize, to: &'a str) {
         let Some(range) = self.ranges.get_mut(index) else {
             return;
@@ -356,10 +360,11 @@
         range.owner = to.to_string();
     }
 
+    /// Sorts the ranges, and returns the map if it is valid.
     fn finish(mut self) -> Result<ShardMap, PlanError> {
         self.ranges.sort_by_key(|range| range.from);
         if self.ranges.len() > self.limits.ranges {
-            self.join();
+            self.merge_neighbours();
         }
         let MapDraft {
             in_force,
