--- a/gateway-cluster/src/shards/node/acceptance.rs
+++ b/gateway-cluster/src/shards/node/acceptance.rs
@@ -1,20 +1,30 @@
-//! What a gateway does at the word of the leader: it promises, accepts or refuses a map, and takes keep leases.
+//! The follower's side: handles the leader's requests to promise, to accept a map, and to take a lease.
 
-use super::{named, ShardMapEvent, ShardMapNode};
+use super::{map_id, ShardMapEvent, ShardMapNode};
 use crate::leadership::election::LeaderElection;
 use crate::leadership::{longer, FencingToken};
+use crate::peers::PeerId;
 use crate::protocol::{Micros, Transmit};
 use crate::shards::consensus::{Ballot, MapId};
 use crate::shards::leases::RangeSet;
 use crate::shards::map::{MapHash, ShardMap};
 use crate::shards::wire::{
-    truncated_findings, unpack, Datagram, FindingReport, Kind, ProposalState,
+    decode_map, truncated_findings, Datagram, FindingReport, Kind, ProposalState,
 };
 use crate::shards::{validate, ClusterState, Rule};
 
+/// Vote of this gateway on a proposed map.
+pub(super) enum Vote {
+    Accepted,
+    /// The map is not valid.
+    Rejected(Vec<FindingReport>),
+    /// This gateway cannot check the map, or must not accept it.
+    Abstained,
+}
+
 impl ShardMapNode {
-    /// What the leader of this epoch wants is done, unless it lacks a map, which is fetched first.
-    pub(super) fn act(
+    /// Handles a request of the leader of this epoch. If the map that it names is missing, the map is fetched first.
+    pub(super) fn on_leader_request(
         &mut self,
         now: Micros,
         epoch: u64,
@@ -22,113 +32,143 @@
         election: &mut LeaderElection,
         sends: &mut Vec<Transmit>,
     ) {
-        let from = datagram.from;
-        match &datagram.kind {
-            Kind::Learn(ballot) if ballot.epoch == epoch => {
-                let Some(answer) = self.acceptor.promise(*ballot) else {
-                    return;
-                };
-                let (ballot, held) = (*ballot, self.hand.has_held());
-                let young_ms = self.young(now).div_ceil(1000) as u32;
-                self.put(
-                    election,
-                    from,
-                    None,
-                    Kind::Learned {
-                        ballot,
-                        answer,
-                        held,
-                        young_ms,
-                    },
-                    sends,
-                );
+        match datagram.kind {
+            Kind::Prepare(ballot) if ballot.epoch == epoch => {
+                self.on_prepare(now, datagram.from, ballot, election, sends);
             }
-            Kind::Propose {
-                ballot,
-                map,
-                finish,
-                anew,
-                whole,
-            } if ballot.epoch == epoch => {
-                if let Some(found) =
-                    unpack(map.hash, whole).filter(|_| self.find(map.hash).is_none())
-                {
-                    self.shelve(found);
-                }
-                let Some(found) = self.find(map.hash).cloned() else {
-                    return self.pull(now, map.hash, datagram, election, sends);
-                };
-                let kind = match self.accept(*ballot, *map, &found, *finish, *anew) {
-                    Some(Ok(())) => Kind::Accepted(*ballot, map.hash),
-                    Some(Err(findings)) => {
-                        Kind::Refused(*ballot, map.hash, truncated_findings(&findings))
-                    }
-                    None => return,
-                };
-                self.put(election, from, None, kind, sends);
-            }
-            Kind::Keep {
-                map,
-                waits,
-                until,
-                settled,
-            } => {
-                if !self.hand.allows(FencingToken {
-                    epoch,
-                    version: map.version,
-                }) {
-                    return;
-                }
-                if !self.has_in_force(map.hash) && self.find(map.hash).is_none() {
-                    return self.pull(now, map.hash, datagram, election, sends);
-                }
-                if self.take_keep(now, epoch, *map, waits.clone(), *until, *settled) {
-                    let (version, held) = (map.version, self.hand.has_held());
-                    self.put(
-                        election,
-                        from,
-                        None,
-                        Kind::Have {
-                            epoch,
-                            version,
-                            held,
-                        },
-                        sends,
-                    );
-                }
+            Kind::Propose { ballot, .. } if ballot.epoch == epoch => {
+                self.on_propose(now, datagram, election, sends);
             }
+            Kind::GrantLease { .. } => self.on_grant_lease(now, epoch, datagram, election, sends),
             _ => self.dropped.0 += 1,
         }
     }
 
+    /// Paxos phase one.
+    fn on_prepare(
+        &mut self,
+        now: Micros,
+        from: PeerId,
+        ballot: Ballot,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
+    ) {
+        let Some(report) = self.acceptor.promise(ballot) else {
+            return;
+        };
+        let promise = Kind::Promise {
+            ballot,
+            report,
+            had_lease: self.local_shards.had_lease(),
+            lease_uncertainty_ms: self.lease_uncertainty(now).div_ceil(1000) as u32,
+        };
+        self.send(election, from, None, promise, sends);
+    }
+
+    /// Paxos phase two.
+    fn on_propose(
+        &mut self,
+        now: Micros,
+        datagram: Datagram,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
+    ) {
+        let Kind::Propose {
+            ballot,
+            map,
+            resumed,
+            recovery,
+            ref map_bytes,
+        } = datagram.kind
+        else {
+            return;
+        };
+        if let Some(decoded) =
+            decode_map(map.hash, map_bytes).filter(|_| self.find(map.hash).is_none())
+        {
+            self.cache_map(decoded);
+        }
+        let Some(proposed) = self.find(map.hash).cloned() else {
+            self.fetch_for(now, map.hash, datagram, election, sends);
+            return;
+        };
+        let vote = match self.accept(ballot, map, &proposed, resumed, recovery) {
+            Vote::Accepted => Kind::Accepted(ballot, map.hash),
+            Vote::Rejected(findings) => {
+                Kind::Rejected(ballot, map.hash, truncated_findings(&findings))
+            }
+            Vote::Abstained => return,
+        };
+        self.send(election, datagram.from, None, vote, sends);
+    }
+
+    fn on_grant_lease(
+        &mut self,
+        now: Micros,
+        epoch: u64,
+        datagram: Datagram,
+        election: &LeaderElection,
+        sends: &mut Vec<Transmit>,
+    ) {
+        let Kind::GrantLease {
+            map,
+            ref blocked,
+            expires_at,
+            idle,
+        } = datagram.kind
+        else {
+            return;
+        };
+        let token = FencingToken {
+            epoch,
+            version: map.version,
+        };
+        if !self.local_shards.is_current(token) {
+            return;
+        }
+        if !self.has_in_force(map.hash) && self.find(map.hash).is_none() {
+            self.fetch_for(now, map.hash, datagram, election, sends);
+            return;
+        }
+        if self.accept_lease(now, epoch, map, blocked.clone(), expires_at, idle) {
+            let acknowledgement = Kind::AcknowledgeLease {
+                epoch,
+                version: map.version,
+                had_lease: self.local_shards.had_lease(),
+            };
+            self.send(election, datagram.from, None, acknowledgement, sends);
+        }
+    }
+
+    /// Whether this gateway has taken over the map with this hash.
     fn has_in_force(&self, hash: MapHash) -> bool {
         self.acceptor.in_force().is_some_and(|map| map.hash == hash) && self.map.is_some()
     }
 
-    /// For how long yet somebody may keep by a lease that was given before this incarnation began.
-    fn young(&self, now: Micros) -> Micros {
-        (self.born + longer(self.keep)).saturating_sub(now)
+    /// Time for which a lease that was granted before the start of this incarnation may still be valid.
+    fn lease_uncertainty(&self, now: Micros) -> Micros {
+        (self.started_at + longer(self.lease_duration)).saturating_sub(now)
     }
 
-    /// Accepts a map, or says what is wrong with it; `None` if it is not for this gateway to say.
+    /// Votes on a proposed map.
     pub(super) fn accept(
         &mut self,
         ballot: Ballot,
-        name: MapId,
+        id: MapId,
         map: &ShardMap,
-        finish: bool,
-        anew: bool,
-    ) -> Option<Result<(), Vec<FindingReport>>> {
-        // Who is behind, or on another history, cannot judge it against what it has. What a majority may have accepted it
-        // takes all the same if it is whole by itself: the gateways that could judge may have forgotten since.
-        let base = if anew && map.version == 1 {
+        resumed: bool,
+        recovery: bool,
+    ) -> Vote {
+        // A gateway that is behind, or has a map of another history, has no base for the check. A map that a majority
+        // may have accepted is checked by itself, since the gateways that had the base may have restarted.
+        let base = if recovery && map.version == 1 {
             None
         } else {
             self.map.as_ref()
         };
         let follows = base.map_or(MapHash::NONE, ShardMap::hash) == map.parent;
-        if name != named(map) || !(follows || finish) {
-            return None;
+        if id != map_id(map) || !(follows || resumed) {
+            return Vote::Abstained;
         }
         let limits = self.limits;
         let cluster = ClusterState {
@@ -136,8 +176,8 @@
             ..self.cluster.clone()
         };
         let mut findings = validate(base.filter(|_| follows), map, &cluster, &limits);
-        if finish {
-            // What has become of its owners since is for the next map.
+        if resumed {
+            // Changes of the owners' condition since the proposal are for the next map.
             findings.retain(|finding| {
                 !matches!(finding.rule(), Rule::Owner | Rule::Moved | Rule::Share)
             });
@@ -146,24 +186,24 @@
             findings.retain(|finding| !matches!(finding.rule(), Rule::Parent | Rule::Version));
         }
         if !findings.is_empty() {
-            return Some(Err(findings.iter().map(FindingReport::from).collect()));
+            return Vote::Rejected(findings.iter().map(FindingReport::from).collect());
         }
-        if !self.acceptor.accept(ballot, name, anew) {
-            return None;
+        if !self.acceptor.accept(ballot, id, recovery) {
+            return Vote::Abstained;
         }
-        self.shelve(map.clone());
-        Some(Ok(()))
+        self.cache_map(map.clone());
+        Vote::Accepted
     }
 
-    /// Takes a keep lease, and the map that it is of.
-    pub(super) fn take_keep(
+    /// Takes over the map of a lease if it is new, and the lease.
+    pub(super) fn accept_lease(
         &mut self,
         now: Micros,
         epoch: u64,
         map: MapId,
-        waits: RangeSet,
-        until: Micros,
-        settled: bool,
+        blocked: RangeSet,
+        expires_at: Micros,
+        idle: bool,
     ) -> bool {
         if !self.has_in_force(map.hash) {
             let Some(new) = self.find(map.hash).cloned() else {
@@ -172,29 +212,30 @@
             let old = self.map.replace(new);
             if let Some(old) = &old {
                 if old.version >= map.version {
-                    self.note(ShardMapEvent::OtherHistory(old.version, map.version));
+                    self.record_event(ShardMapEvent::OtherHistory(old.version, map.version));
                 }
             }
             let parent = self.map.as_ref().map(|map| map.parent);
             self.previous = old.filter(|old| Some(old.hash()) == parent);
-            if let (Some(offer), Some(map)) = (&mut self.offer, &self.map) {
-                let is_it = offer.map.version == map.version && offer.map.ranges == map.ranges;
-                if is_it && offer.state == ProposalState::Waiting {
-                    offer.state = ProposalState::InForce;
+            if let (Some(proposal), Some(map)) = (&mut self.local_proposal, &self.map) {
+                let is_it =
+                    proposal.map.version == map.version && proposal.map.ranges == map.ranges;
+                if is_it && proposal.state == ProposalState::Waiting {
+                    proposal.state = ProposalState::InForce;
                 }
             }
-            self.note(ShardMapEvent::InForce(map.version, map.hash));
+            self.record_event(ShardMapEvent::InForce(map.version, map.hash));
         }
-        self.acceptor.decided(epoch, map, settled);
-        self.hand.keep(
+        self.acceptor.on_decided(epoch, map, idle);
+        self.local_shards.accept_lease(
             now,
             FencingToken {
                 epoch,
                 version: map.version,
             },
             map.hash,
-            waits,
-            until,
+            blocked,
+            expires_at,
         )
     }
 }
--- a/gateway-cluster/src/shards/node/mod.rs
+++ b/gateway-cluster/src/shards/node/mod.rs
@@ -1,10 +1,13 @@
-//! One gateway's part in the shard map: as an acceptor it helps to decide maps, as an owner it keeps what it has a lease
-//! for, and as the leader it decides the next map and gives the leases.
+//! Shard map state machine of one gateway. As an acceptor it votes for maps, as an owner it acts by its lease, and as
+//! the leader it decides the next map and grants leases.
 //!
-//! A leader that begins asks what there is ([`super::decide`]), and gives no lease before it knows: what a majority may have
-//! accepted it finishes first. From then on each gateway is told the map in force with a keep lease ([`super::keep`]), again and
-//! again; by taking a map over a gateway lets go of what that map gives to others. The next map is proposed once every
-//! range of the last one is where it belongs.
+//! A new leader first runs phase one of [`super::consensus`], finishes a map that a majority may have accepted, and
+//! grants no lease before that. From then on it sends each gateway the map in force with a lease ([`super::leases`]),
+//! periodically. A gateway that acknowledges a map has released the keys that the map assigns to others. The next map
+//! is proposed once no range of the last one is blocked.
+//!
+//! No I/O and no clock: inputs are `on_timer` and `on_datagram`, outputs are datagrams and [`ShardMapEvent`]s. Times
+//! are in microseconds. Driven by the cluster node.
 
 mod acceptance;
 mod deciding;
@@ -12,6 +15,7 @@
 mod leases;
 mod planning;
 mod proposals;
+mod replies;
 mod sending;
 mod status;
 mod term;
@@ -22,82 +26,88 @@
 use super::consensus::{Acceptor, MapId};
 use super::leases::{GrantedLeases, LocalShards, SHARD_LEASE_FACTOR};
 use super::map::{Key, MapHash, ShardMap, ShardRange};
-use super::wire::{Datagram, Kind, ProposalState};
+use super::wire::{Datagram, Kind, ProposalState, RequestProof};
 use super::{ClusterState, Limits, PeerCondition};
 use crate::leadership::election::{LeaderElection, LeaseProof};
 use crate::leadership::{longer, FencingToken};
 use crate::peers::{peer_id_of, PeerId};
 use crate::protocol::{Micros, Transmit};
 use crate::token_bucket::TokenBucket;
-use fetching::Pull;
-use proposals::Offer;
+use fetching::MapFetch;
+use proposals::LocalProposal;
 use rand::SeedableRng;
 use rand_pcg::Pcg64Mcg;
-use sending::{BURST, BURST_BYTES, BYTES_PER_SECOND, LOOK, MAX_EVENTS, PER_SECOND};
+use sending::{
+    BYTES_PER_SECOND, BYTE_BURST, DATAGRAMS_PER_SECOND, DATAGRAM_BURST, MAX_EVENTS,
+    PLANNING_INTERVAL,
+};
 use std::collections::{BTreeMap, VecDeque};
 use term::{Stage, Term};
 
-/// How long a leader waits for more changes of the view.
-const TOGETHER: Micros = 300_000;
+/// Delay before a leader plans a map after a membership change, so that several changes go into one map.
+const MEMBERSHIP_CHANGE_DELAY: Micros = 300_000;
+
+/// Shortest time to the next wake-up, in microseconds.
+const MIN_WAKEUP_DELAY: Micros = 10_000;
 
-/// What a gateway's part begins with.
+/// Settings of the state machine.
 #[derive(Debug, Clone, Default)]
 pub struct ShardMapSettings {
-    /// Ranges of a first map.
+    /// Number of ranges of a first map.
     pub count: usize,
-    /// What operators propose by this gateway's file: to replace the map of this version by one of these ranges.
+    /// Operators' proposal from this gateway's configuration: the version to replace, and the new ranges.
     pub proposal: Option<(u64, Vec<ShardRange>)>,
 }
 
-/// Something that operators should know.
+/// Events for the log of operators.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum ShardMapEvent {
-    /// A map is in force here: its version and its hash.
+    /// A map is in force at this gateway: version and hash.
     InForce(u64, MapHash),
-    /// This gateway had a map of another history: the version that it had, and the one that it takes over.
+    /// The map of this gateway belonged to another history: its version, and the version of the map that replaces it.
     OtherHistory(u64, u64),
-    /// A map that was proposed is refused, at first because of this.
+    /// A proposed map was rejected: text of the first finding.
     Refused(String),
-    /// All ranges of the map of this version are with their owners.
+    /// All ranges of the map of this version are owned by their new owners.
     Moved(u64),
 }
 
-/// One gateway's part.
+/// Shard map state machine of one gateway.
 #[derive(Debug)]
 pub struct ShardMapNode {
     me: PeerId,
     name: String,
     incarnation: u64,
-    born: Micros,
-    keep: Micros,
+    started_at: Micros,
+    lease_duration: Micros,
     count: usize,
     limits: Limits,
     cluster: ClusterState,
     acceptor: Acceptor,
-    hand: LocalShards,
-    hushed: bool,
+    local_shards: LocalShards,
+    suspended: bool,
     map: Option<ShardMap>,
     previous: Option<ShardMap>,
-    shelf: VecDeque<ShardMap>,
-    pulls: Vec<Pull>,
-    stash: VecDeque<Datagram>,
-    offer: Option<Offer>,
-    /// Lives that have kept, and said that they go, with when that came.
+    cached_maps: VecDeque<ShardMap>,
+    fetches: Vec<MapFetch>,
+    waiting_datagrams: VecDeque<Datagram>,
+    local_proposal: Option<LocalProposal>,
+    /// Incarnations that have released their leases, and when that was received.
     departed: BTreeMap<PeerId, (u64, Micros)>,
     term: Option<Term>,
-    budget: TokenBucket,
-    bytes: TokenBucket,
-    next: Micros,
+    datagram_budget: TokenBucket,
+    byte_budget: TokenBucket,
+    wakeup_at: Micros,
     rng: Pcg64Mcg,
-    notes: VecDeque<ShardMapEvent>,
-    /// Datagrams that make no sense, and those of names that no peer set here has.
+    events: VecDeque<ShardMapEvent>,
+    /// Dropped datagrams: those that cannot be decoded, and those from unknown peers.
     pub dropped: (u64, u64),
-    /// Datagrams sent, and their bytes without headers.
+    /// Sent datagrams, and their bytes without headers.
     pub sent: (u64, u64),
 }
 
 impl ShardMapNode {
-    /// A new incarnation that knows nothing. `lease` is the leadership's.
+    /// Starts with empty state. `lease` is the duration of the leadership lease in microseconds.
     pub fn new(
         now: Micros,
         name: &str,
@@ -105,74 +115,74 @@
         settings: ShardMapSettings,
         seed: u64,
     ) -> ShardMapNode {
-        let mut shard_map = ShardMapNode {
+        let mut node = ShardMapNode {
             me: peer_id_of(name),
             name: name.to_string(),
             incarnation: 0,
-            born: now,
-            keep: SHARD_LEASE_FACTOR * lease,
+            started_at: now,
+            lease_duration: SHARD_LEASE_FACTOR * lease,
             count: settings.count,
             limits: Limits::default(),
             cluster: ClusterState::default(),
             acceptor: Acceptor::default(),
-            hand: LocalShards::default(),
-            hushed: false,
+            local_shards: LocalShards::default(),
+            suspended: false,
             map: None,
             previous: None,
-            shelf: VecDeque::new(),
-            pulls: Vec::new(),
-            stash: VecDeque::new(),
-            offer: None,
+            cached_maps: VecDeque::new(),
+            fetches: Vec::new(),
+            waiting_datagrams: VecDeque::new(),
+            local_proposal: None,
             departed: BTreeMap::new(),
             term: None,
-            budget: TokenBucket::full(now, BURST, PER_SECOND),
-            bytes: TokenBucket::full(now, BURST_BYTES, BYTES_PER_SECOND),
-            next: now,
+            datagram_budget: TokenBucket::full(now, DATAGRAM_BURST, DATAGRAMS_PER_SECOND),
+            byte_budget: TokenBucket::full(now, BYTE_BURST, BYTES_PER_SECOND),
+            wakeup_at: now,
             rng: Pcg64Mcg::seed_from_u64(seed),
-            notes: VecDeque::new(),
+            events: VecDeque::new(),
             dropped: (0, 0),
             sent: (0, 0),
         };
         if let Some((expect, ranges)) = settings.proposal {
-            shard_map.propose(now, expect, ranges);
+            node.propose(now, expect, ranges);
         }
-        shard_map
+        node
     }
 
-    /// What the view holds of the peer set's names.
+    /// The membership has changed: condition of each peer of the peer set.
     pub fn on_membership_change(&mut self, now: Micros, gateways: BTreeMap<String, PeerCondition>) {
         self.cluster.gateways = gateways;
-        if let Some(term) = self.term.as_mut().filter(|term| term.look_at <= now) {
-            // Where one falls others may fall with it: they go in one map.
-            term.look_at = now + TOGETHER;
+        if let Some(term) = self.term.as_mut().filter(|term| term.plan_at <= now) {
+            // A failure often takes several gateways at once: they go into one map.
+            term.plan_at = now + MEMBERSHIP_CHANGE_DELAY;
         }
-        self.next = self.next.min(now);
+        self.wakeup_at = self.wakeup_at.min(now);
     }
 
-    /// The keys that this gateway keeps at this moment, from and up to.
+    /// The key ranges `[from, to)` that this gateway owns now.
     pub fn mine(&self, now: Micros) -> Vec<(Key, Key)> {
-        let Some(map) = self.map.as_ref().filter(|_| !self.hushed) else {
+        let Some(map) = self.map.as_ref().filter(|_| !self.suspended) else {
             return Vec::new();
         };
-        self.hand.mine(now, &self.name, map, self.previous.as_ref())
+        self.local_shards
+            .mine(now, &self.name, map, self.previous.as_ref())
     }
 
-    /// Whether this gateway keeps a key at this moment.
+    /// Whether this gateway owns a key now.
     pub fn keeps(&self, now: Micros, key: Key) -> bool {
         self.fence_of(now, key).is_some()
     }
 
-    /// The fencing token that goes with what this gateway does as an owner of a key at this moment; none if it does not
-    /// keep it.
+    /// The fencing token for actions of this gateway as the owner of a key; `None` if it does not own the key now.
     pub fn fence_of(&self, now: Micros, key: Key) -> Option<FencingToken> {
         let map = self
             .map
             .as_ref()
             .filter(|map| map.owner_of(key) == Some(&self.name))?;
         let mine = self.mine(now);
-        let place = mine.partition_point(|(_, to)| *to <= key);
-        let keeps = mine.get(place).is_some_and(|(from, _)| *from <= key);
-        keeps.then_some(FencingToken {
+        let index = mine.partition_point(|(_, to)| *to <= key);
+        let owns_key = mine.get(index).is_some_and(|(from, _)| *from <= key);
+        owns_key.then_some(FencingToken {
             epoch: map.epoch,
             version: map.version,
         })
@@ -183,83 +193,84 @@
         self.map.as_ref()
     }
 
-    /// Its version and its hash.
+    /// Version and hash of the map in force.
     pub fn in_force(&self) -> Option<(u64, MapHash)> {
         self.acceptor.in_force().map(|map| (map.version, map.hash))
     }
 
-    /// The oldest thing to tell that was not taken yet.
+    /// The oldest event that was not taken yet.
     pub fn next_event(&mut self) -> Option<ShardMapEvent> {
-        self.notes.pop_front()
+        self.events.pop_front()
     }
 
     /// When [`ShardMapNode::on_timer`] is wanted.
     pub fn next_wakeup(&self) -> Micros {
-        self.next
+        self.wakeup_at
     }
 
-    /// The epoch in which this gateway rules.
+    /// The epoch in which this gateway is the leader.
     pub fn term(&self) -> Option<u64> {
         self.term.as_ref().map(|term| term.epoch)
     }
 
-    /// This gateway lets go of all that it keeps, tells so, and takes no part any more. To be called before leadership
-    /// leaves.
+    /// Releases all leases, notifies the peers, and suspends this state machine. Call it before leadership is released.
     pub fn leave(&mut self, now: Micros, election: &LeaderElection, sends: &mut Vec<Transmit>) {
         self.incarnation = election.incarnation();
-        let held = self.hand.has_held() && !self.hushed;
-        self.hush();
-        if held {
+        let had_lease = self.local_shards.had_lease() && !self.suspended;
+        self.suspend();
+        if had_lease {
             let leader = election.status(now).leader;
-            // Whoever owns next has to know as well.
-            let mut told = election.names();
-            told.extend(leader);
-            told.retain(|name| *name != self.me);
-            for to in told {
-                self.put(election, to, None, Kind::Left, sends);
+            // Each peer may be the next leader, so all are notified.
+            let mut recipients = election.names();
+            recipients.extend(leader);
+            recipients.retain(|name| *name != self.me);
+            for to in recipients {
+                self.send(election, to, None, Kind::ReleaseLeases, sends);
             }
         }
     }
 
-    fn hush(&mut self) {
-        self.hand.drop_all();
-        (self.hushed, self.term, self.next) = (true, None, Micros::MAX);
-        self.pulls.clear();
-        self.stash.clear();
+    /// Releases all leases and stops taking part.
+    fn suspend(&mut self) {
+        self.local_shards.release_all();
+        (self.suspended, self.term, self.wakeup_at) = (true, None, Micros::MAX);
+        self.fetches.clear();
+        self.waiting_datagrams.clear();
     }
 
-    /// It takes part again. Another process had its name: what that one accepted is not known here.
+    /// Resumes after a suspension. Another process may have voted under this name, so that the acceptor starts without
+    /// state.
     pub fn resume(&mut self, now: Micros) {
         self.acceptor = Acceptor::default();
-        (self.hushed, self.born, self.next) = (false, now, now);
+        (self.suspended, self.started_at, self.wakeup_at) = (false, now, now);
         (self.map, self.previous) = (None, None);
     }
 
-    /// Something is due, or past that.
+    /// Runs what is due.
     pub fn on_timer(
         &mut self,
         now: Micros,
         election: &mut LeaderElection,
         sends: &mut Vec<Transmit>,
     ) {
-        self.follow(now, election);
-        if self.hushed {
+        self.sync_with_election(now, election);
+        if self.suspended {
             return;
         }
-        self.fill(now);
-        self.pull_on(now, election, sends);
-        self.offer_on(now, election, sends);
+        self.refill_budgets(now);
+        self.continue_fetches(now, election, sends);
+        self.submit_proposal(now, election, sends);
         if let Some(mut term) = self.term.take() {
-            self.rule(now, &mut term, election, sends);
+            self.run_leader(now, &mut term, election, sends);
             self.term = Some(term);
         }
-        self.set_next(now);
+        self.schedule_wakeup(now);
     }
 
-    /// Goes by what leadership says at this moment.
-    fn follow(&mut self, now: Micros, election: &LeaderElection) {
-        match (election.is_hushed(), self.hushed) {
-            (true, false) => self.hush(),
+    /// Takes over changes of the leadership: suspension, incarnation, and the start or end of an epoch.
+    fn sync_with_election(&mut self, now: Micros, election: &LeaderElection) {
+        match (election.is_hushed(), self.suspended) {
+            (true, false) => self.suspend(),
             (false, true) => self.resume(now),
             _ => {}
         }
@@ -269,31 +280,17 @@
             return;
         }
         self.term = epoch.map(|epoch| {
-            let mut ledger = GrantedLeases::new(now, self.keep);
+            let mut granted_leases = GrantedLeases::new(now, self.lease_duration);
             for (name, (incarnation, at)) in &self.departed {
-                if now < at + self.keep {
-                    ledger.left(now, *name, *incarnation);
+                if now < at + self.lease_duration {
+                    granted_leases.release(now, *name, *incarnation);
                 }
             }
-            Term {
-                epoch,
-                elected: now,
-                attempt: 0,
-                ledger,
-                stage: Stage::Learning(BTreeMap::new()),
-                ruling: false,
-                anew: false,
-                current: None,
-                previous: None,
-                waits: Default::default(),
-                turns: BTreeMap::new(),
-                offers: VecDeque::new(),
-                look_at: now,
-            }
+            Term::new(now, epoch, granted_leases)
         });
     }
 
-    /// A datagram has come.
+    /// Handles a datagram.
     pub fn on_datagram(
         &mut self,
         now: Micros,
@@ -309,20 +306,21 @@
             self.dropped.1 += 1;
             return;
         }
-        self.follow(now, election);
-        if self.hushed {
+        self.sync_with_election(now, election);
+        if self.suspended {
             return;
         }
-        self.fill(now);
-        self.handle(now, datagram, election, sends);
+        self.refill_budgets(now);
+        self.dispatch(now, datagram, election, sends);
         if let Some(mut term) = self.term.take() {
-            self.rule(now, &mut term, election, sends);
+            self.run_leader(now, &mut term, election, sends);
             self.term = Some(term);
         }
-        self.set_next(now);
+        self.schedule_wakeup(now);
     }
 
-    fn handle(
+    /// Handles a datagram of a known peer by its kind.
+    fn dispatch(
         &mut self,
         now: Micros,
         datagram: Datagram,
@@ -333,12 +331,12 @@
             from,
             incarnation,
             to_incarnation,
-            stamp,
+            proof,
             ref kind,
         } = datagram;
         match kind {
-            Kind::Learn(_) | Kind::Propose { .. } | Kind::Keep { .. } => {
-                let Some((epoch, until)) = stamp else {
+            Kind::Prepare(_) | Kind::Propose { .. } | Kind::GrantLease { .. } => {
+                let Some(RequestProof { epoch, valid_until }) = proof else {
                     self.dropped.0 += 1;
                     return;
                 };
@@ -349,92 +347,98 @@
                         LeaseProof {
                             epoch,
                             to_incarnation,
-                            until,
+                            until: valid_until,
                         },
                     )
                     .is_ok()
                 {
-                    self.act(now, epoch, datagram, election, sends);
+                    self.on_leader_request(now, epoch, datagram, election, sends);
                 }
                 return;
             }
-            Kind::Fetch(hash, part) => {
-                return self.send_part((from, incarnation), *hash, *part, sends)
+            Kind::FetchChunk(hash, index) => {
+                return self.send_chunk((from, incarnation), *hash, *index, sends)
             }
-            Kind::Left => {
-                // It is true of that incarnation, whoever is told.
+            Kind::ReleaseLeases => {
+                // The release is valid for that incarnation, whichever incarnation of this gateway it was sent to.
                 self.departed.insert(from, (incarnation, now));
                 if let Some(term) = &mut self.term {
-                    term.ledger.left(now, from, incarnation);
+                    term.granted_leases.release(now, from, incarnation);
                 }
                 return;
             }
             _ if to_incarnation != self.incarnation => return,
-            Kind::Part { .. } => return self.take_part(now, datagram, election, sends),
-            Kind::Answer {
+            Kind::Chunk { .. } => return self.on_chunk(now, datagram, election, sends),
+            Kind::ProposalResult {
                 hash,
                 state,
                 findings,
-            } => return self.answered(*hash, *state, findings.clone()),
-            Kind::Offer(hash) if self.term.is_some() && self.find(*hash).is_none() => {
-                return self.pull(now, *hash, datagram, election, sends);
+            } => return self.on_proposal_result(*hash, *state, findings.clone()),
+            Kind::SubmitProposal(hash) if self.term.is_some() && self.find(*hash).is_none() => {
+                return self.fetch_for(now, *hash, datagram, election, sends);
             }
             _ => {}
         }
         let Some(mut term) = self.term.take() else {
             return;
         };
-        self.hear(now, &mut term, datagram, election, sends);
+        self.on_reply(now, &mut term, datagram, election, sends);
         self.term = Some(term);
     }
 
-    fn note(&mut self, note: ShardMapEvent) {
-        if self.notes.len() < MAX_EVENTS && self.notes.back() != Some(&note) {
-            self.notes.push_back(note);
+    /// Queues an event for the log, unless it repeats the last one or the queue is full.
+    fn record_event(&mut self, event: ShardMapEvent) {
+        if self.events.len() < MAX_EVENTS && self.events.back() != Some(&event) {
+            self.events.push_back(event);
         }
     }
 
-    fn set_next(&mut self, now: Micros) {
-        let mut next = now + LOOK;
+    /// Sets the next wake-up to the earliest time at which anything is due.
+    fn schedule_wakeup(&mut self, now: Micros) {
+        let mut next = now + PLANNING_INTERVAL;
         next = self
-            .pulls
+            .fetches
             .iter()
-            .map(|pull| pull.at)
+            .map(|fetch| fetch.retry_at)
             .fold(next, Micros::min);
-        if let Some(offer) = self
-            .offer
+        if let Some(proposal) = self
+            .local_proposal
             .as_ref()
-            .filter(|offer| offer.state == ProposalState::Waiting)
+            .filter(|proposal| proposal.state == ProposalState::Waiting)
         {
-            next = next.min(offer.at);
+            next = next.min(proposal.retry_at);
         }
         if let Some(term) = &self.term {
-            let turns = term
-                .turns
+            let schedules = term
+                .schedules
                 .values()
-                .map(|turn| turn.ask_at.min(turn.keep_at));
-            next = turns.fold(next, Micros::min);
+                .map(|schedule| schedule.request_at.min(schedule.lease_at));
+            next = schedules.fold(next, Micros::min);
             let ends = term
-                .waits
-                .1
+                .blocked
+                .owners
                 .iter()
-                .map(|name| now + term.ledger.left_of(now, peer_id_of(name)));
+                .map(|name| now + term.granted_leases.remaining(now, peer_id_of(name)));
             next = ends.fold(next, Micros::min);
-            let mut other = vec![term.ledger.unknown_until(), self.born + longer(self.keep)];
-            if let Stage::Learning(answers) = &term.stage {
-                other.extend(answers.values().map(|heard| heard.old_at));
+            let mut other = vec![
+                term.granted_leases.unknown_until(),
+                self.started_at + longer(self.lease_duration),
+            ];
+            if let Stage::Preparing(replies) = &term.stage {
+                other.extend(replies.values().map(|reply| reply.uncertain_until));
             }
             next = other
                 .into_iter()
                 .filter(|at| *at > now)
                 .fold(next, Micros::min);
         }
-        // Without a budget, or where a gateway was not heard of yet, it is looked at again soon.
-        self.next = next.max(now + 10_000);
+        // A minimum delay, for peers that are due but wait for the budget or for their first datagram.
+        self.wakeup_at = next.max(now + MIN_WAKEUP_DELAY);
     }
 }
 
-fn named(map: &ShardMap) -> MapId {
+/// Identity of a map.
+fn map_id(map: &ShardMap) -> MapId {
     MapId {
         epoch: map.epoch,
         version: map.version,
--- a/gateway-cluster/src/shards/node/planning.rs
+++ b/gateway-cluster/src/shards/node/planning.rs
@@ -1,7 +1,9 @@
-//! Which map the leader proposes next, once all ranges of the last one are where they belong.
+//! The leader's choice of the next map, once no range of the last one is blocked.
+//!
+//! In order: a map without the owners that are gone, a proposal of operators, a map with new owners.
 
-use super::sending::LOOK;
-use super::term::{finish_offer, waits, Term};
+use super::sending::PLANNING_INTERVAL;
+use super::term::{blocked_now, finish_proposal, Progress, Term};
 use super::{ShardMapEvent, ShardMapNode};
 use crate::leadership::election::LeaderElection;
 use crate::peers::{peer_id_of, PeerId};
@@ -11,41 +13,42 @@
 use crate::shards::{plan, validate, Limits};
 use std::collections::BTreeSet;
 
-/// Most keys that move at once by the leader's own plans, in thousandths.
+/// Maximum number of keys that the leader's own plans move at once, in thousandths.
 const PLANNED_PERMILLE: u32 = 250;
 
 impl ShardMapNode {
-    /// The next map, if there is one to be decided and the last one is where it belongs.
-    pub(super) fn change(
+    /// Proposes the next map, if there is one and no range of the map in force is blocked.
+    pub(super) fn maybe_propose_next(
         &mut self,
         now: Micros,
         term: &mut Term,
         election: &LeaderElection,
-    ) -> bool {
+    ) -> Progress {
         let Some(current) = &term.current else {
-            return false;
+            return Progress::Waiting;
         };
         self.cluster.epoch = term.epoch;
         let (cluster, limits) = (&self.cluster, self.limits);
-        let lives: BTreeSet<PeerId> = cluster.living().map(peer_id_of).collect();
-        if now < term.look_at || !election.is_majority(|name| lives.contains(&name)) {
-            return false;
+        let alive: BTreeSet<PeerId> = cluster.living().map(peer_id_of).collect();
+        if now < term.plan_at || !election.is_majority(|name| alive.contains(&name)) {
+            return Progress::Waiting;
         }
-        if !waits(now, term).0.is_empty() {
-            return false;
+        if !blocked_now(now, term).ranges.is_empty() {
+            return Progress::Waiting;
         }
-        term.look_at = now + LOOK;
-        let mut note = None;
-        let mut next = plan::without(current, cluster, &limits).unwrap_or_else(|problem| {
-            note = Some(ShardMapEvent::Refused(problem.to_string()));
-            None
-        });
-        let mut offer = None;
-        let mut refused = Vec::new();
-        for offered in term
-            .offers
+        term.plan_at = now + PLANNING_INTERVAL;
+        let mut event = None;
+        let mut next =
+            plan::replace_lost_owners(current, cluster, &limits).unwrap_or_else(|error| {
+                event = Some(ShardMapEvent::Refused(error.to_string()));
+                None
+            });
+        let mut proposal = None;
+        let mut rejected = Vec::new();
+        for received in term
+            .proposals
             .iter()
-            .filter(|offered| offered.state == ProposalState::Waiting)
+            .filter(|received| received.state == ProposalState::Waiting)
         {
             if next.is_some() {
                 break;
@@ -53,42 +56,44 @@
             let map = ShardMap {
                 parent: current.hash(),
                 epoch: term.epoch,
-                ..offered.map.clone()
+                ..received.map.clone()
             };
             let findings = validate(Some(current), &map, cluster, &limits);
             if findings.is_empty() {
-                (next, offer) = (Some(map), Some(offered.hash));
+                (next, proposal) = (Some(map), Some(received.hash));
             } else {
-                refused.push((
-                    offered.hash,
+                rejected.push((
+                    received.hash,
                     findings.iter().map(FindingReport::from).collect(),
                 ));
             }
         }
-        if next.is_none() && now >= term.elected + self.keep {
+        if next.is_none() && now >= term.elected_at + self.lease_duration {
             let planned = Limits {
                 moved_permille: PLANNED_PERMILLE,
                 ..limits
             };
-            let keeps: BTreeSet<&str> = current
+            let owners: BTreeSet<&str> = current
                 .ranges
                 .iter()
                 .map(|range| range.owner.as_str())
                 .collect();
-            let new = cluster.living().filter(|name| !keeps.contains(name));
-            next = plan::joined(current, new, cluster, &planned).unwrap_or_else(|problem| {
-                note = Some(ShardMapEvent::Refused(problem.to_string()));
+            let new = cluster.living().filter(|name| !owners.contains(name));
+            next = plan::add_owners(current, new, cluster, &planned).unwrap_or_else(|error| {
+                event = Some(ShardMapEvent::Refused(error.to_string()));
                 None
             });
         }
-        for (hash, findings) in refused {
-            finish_offer(term, hash, ProposalState::Refused, findings);
+        for (hash, findings) in rejected {
+            finish_proposal(term, hash, ProposalState::Refused, findings);
         }
-        if let Some(note) = note {
-            self.note(note);
+        if let Some(event) = event {
+            self.record_event(event);
         }
-        let Some(map) = next else { return false };
-        self.begin(now, term, map, false, offer);
-        true
+        let Some(map) = next else {
+            return Progress::Waiting;
+        };
+        self.propose_map(now, term, map, false, proposal);
+        Progress::Advanced
     }
 }
--- a/gateway-cluster/src/shards/node/status.rs
+++ b/gateway-cluster/src/shards/node/status.rs
@@ -1,75 +1,76 @@
-//! What operators are told of the map in force, a change that is under way and a proposal of theirs.
+//! Status for operators: the map in force, a pending change, and a proposal.
 
-use super::proposals::Offer;
+use super::proposals::LocalProposal;
 use super::term::Stage;
 use super::ShardMapNode;
 use crate::leadership::longer;
-use crate::peers::{peer_id_of, PeerId};
+use crate::peers::peer_id_of;
 use crate::protocol::Micros;
+use crate::shards::leases::BlockedRanges;
 use crate::shards::map::{Key, MapHash, ShardMap};
 use crate::shards::wire::{FindingReport, ProposalState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// A change that is under way.
+/// A pending change of the map.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct PendingChange {
-    /// The version that it goes to.
+    /// Version after the change.
     pub version: u64,
-    /// Whose answer or release it waits for.
+    /// Names of the gateways whose vote, acknowledgement or release is missing.
     pub waits_for: Vec<String>,
-    /// For so long at most; none while a map is being decided, which takes a majority that can be reached.
+    /// Maximum remaining time; `None` while a map is being decided, which takes as long as no majority can be reached.
     pub at_most: Option<Micros>,
 }
 
-/// A proposal of operators at this gateway.
+/// State of an operators' proposal at this gateway.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ProposalStatus {
-    /// Its state.
+    /// State of the proposal.
     pub state: ProposalState,
-    /// The version that it is to be.
+    /// The version that the proposed map would have.
     pub version: u64,
-    /// Why it was refused.
+    /// Findings, if it was rejected.
     pub findings: Vec<FindingReport>,
 }
 
-/// What operators are told.
+/// Status of the shard map.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub struct ShardMapStatus {
-    /// The version of the map in force; 0 without one.
+    /// Version of the map in force; 0 without a map.
     pub version: u64,
-    /// The epoch that made it.
+    /// Epoch of the leader that made the map.
     pub epoch: u64,
-    /// Its hash.
+    /// Hash of the map.
     pub hash: MapHash,
-    /// The hash of the map before it.
+    /// Hash of the previous map.
     pub parent: MapHash,
-    /// How many ranges it has.
+    /// Number of ranges.
     pub ranges: usize,
-    /// How many of them each gateway has.
+    /// Number of ranges by owner.
     pub kept: BTreeMap<String, usize>,
-    /// The keys that this gateway keeps now, from and up to.
+    /// Key ranges `[from, to)` that this gateway owns now.
     pub mine: Vec<(Key, Key)>,
-    /// A change that is under way.
+    /// The pending change.
     pub next: Option<PendingChange>,
-    /// What operators have proposed at this gateway.
+    /// The proposal of operators at this gateway.
     pub proposal: ProposalStatus,
 }
 
 impl ShardMapNode {
-    /// What operators are told. True at this moment.
+    /// Status at this moment.
     pub fn status(&self, now: Micros) -> ShardMapStatus {
         let map = self.map.as_ref();
         let mut kept = BTreeMap::new();
         for range in map.into_iter().flat_map(|map| &map.ranges) {
             *kept.entry(range.owner.clone()).or_default() += 1;
         }
-        let proposal = match &self.offer {
+        let proposal = match &self.local_proposal {
             None => ProposalStatus {
                 state: ProposalState::None,
                 version: 0,
                 findings: Vec::new(),
             },
-            Some(Offer {
+            Some(LocalProposal {
                 state,
                 map,
                 findings,
@@ -88,48 +89,49 @@
             ranges: map.map_or(0, |map| map.ranges.len()),
             kept,
             mine: self.mine(now),
-            next: self.staged(now),
+            next: self.pending_change(now),
             proposal,
         }
     }
 
-    fn staged(&self, now: Micros) -> Option<PendingChange> {
+    fn pending_change(&self, now: Micros) -> Option<PendingChange> {
         if let Some(term) = &self.term {
             if let Stage::Deciding(deciding) = &term.stage {
-                let answered = |id: &PeerId| {
-                    deciding.accepted.contains(id) || deciding.refused.contains_key(id)
-                };
-                let waits = self
+                let waits_for = self
                     .cluster
                     .gateways
                     .keys()
-                    .filter(|name| !answered(&peer_id_of(name)));
-                let waits_for = waits.cloned().collect();
+                    .filter(|name| !deciding.has_vote_of(peer_id_of(name)))
+                    .cloned()
+                    .collect();
                 return Some(PendingChange {
-                    version: deciding.named.version,
+                    version: deciding.id.version,
                     waits_for,
                     at_most: None,
                 });
             }
-            let (marks, names) = &term.waits;
-            let left = names
+            let BlockedRanges { ranges, owners } = &term.blocked;
+            let left = owners
                 .iter()
-                .map(|name| term.ledger.left_of(now, peer_id_of(name)))
+                .map(|name| term.granted_leases.remaining(now, peer_id_of(name)))
                 .max();
-            let left = left.unwrap_or(term.ledger.unknown_until().saturating_sub(now));
+            let left = left.unwrap_or(term.granted_leases.unknown_until().saturating_sub(now));
             let version = term.current.as_ref().map_or(0, |map| map.version);
-            return (!marks.is_empty()).then(|| PendingChange {
+            return (!ranges.is_empty()).then(|| PendingChange {
                 version,
-                waits_for: names.clone(),
+                waits_for: owners.clone(),
                 at_most: Some(left),
             });
         }
-        // What another gateway knows is what it waits for itself.
-        let hold = self.hand.hold(now).filter(|hold| !hold.waits.is_empty())?;
+        // A follower knows its own blocked ranges only.
+        let lease = self
+            .local_shards
+            .lease(now)
+            .filter(|lease| !lease.blocked.is_empty())?;
         let map = self.map.as_ref()?;
         let mut waits_for = BTreeSet::new();
         for (number, range) in map.ranges.iter().enumerate() {
-            if range.owner == self.name && hold.waits.has(number) {
+            if range.owner == self.name && lease.blocked.contains(number) {
                 let had = self.previous.iter().flat_map(|previous| &previous.ranges);
                 let had = had.filter(|had| had.from < range.to && range.from < had.to);
                 waits_for.extend(
@@ -139,7 +141,7 @@
             }
         }
         let waits_for: Vec<String> = waits_for.into_iter().collect();
-        let at_most = Some(longer(self.keep));
+        let at_most = Some(longer(self.lease_duration));
         (!waits_for.is_empty()).then_some(PendingChange {
             version: map.version,
             waits_for,
--- a/gateway-cluster/src/shards/validate.rs
+++ b/gateway-cluster/src/shards/validate.rs
@@ -1,29 +1,26 @@
-//! The check that every gateway makes for itself before it accepts a map.
+//! The check that every gateway makes before it accepts a map.
 
-use super::cover::{common, cover, joined, meant, Cover};
+use super::cover::{cover, intersect, merged, normalized_bounds, Cover};
 use super::finding::{shown, Finding, MAX_FINDINGS_PER_RULE};
 use super::map::{MapHash, ShardMap};
 use super::{ClusterState, Limits, PeerCondition};
 use std::collections::BTreeMap;
 
-/// Everything that is wrong with a map, none if it may come into force. At most [`MAX_FINDINGS_PER_RULE`] of a rule,
-/// with one more that says how many are not told; in the order of [`Rule::ALL`](super::Rule::ALL), and of
-/// keys or of the list within a rule. It takes time in `n log n` of the ranges and memory in `n`, whatever
-/// they are.
+/// All findings against a map; empty if it may come into force. At most [`MAX_FINDINGS_PER_RULE`] for each rule,
+/// followed by one with the number of those left out; in the order of [`Rule::ALL`](super::Rule::ALL), within a rule in
+/// the order of keys or of the list. Takes time in `n log n` and memory in `n` of the number of ranges, for any input.
 ///
-/// Each fault is told once:
-/// * a reversed range is `empty`, and covers what its bounds were meant to; an empty one covers nothing;
-/// * gaps and overlaps are those of the key space, whatever the order of the list. What is past its end is
-///   `beyond` alone;
-/// * keys that are covered twice or not at all count neither as moved nor for a share, as it is open who
-///   would have them;
-/// * an owner that had more than its share, and is given no more, is on its way down, and is let be.
+/// Each fault is reported once:
+/// * a reversed range is `empty`, and counts as covering the keys between its bounds; an empty range covers nothing;
+/// * gaps and overlaps are those of the key space, whatever the order of the list. Keys past its end are reported by
+///   `beyond` only;
+/// * keys that are covered twice or not at all count neither as moved nor for a share, since their owner is undefined;
+/// * an owner that had more than its share, and gets no more keys, is accepted.
 ///
-/// Keys whose owner in force is gone (dead, leaving or not in the peer set) do not count as moved. They do
-/// count as moving: a move that is not over has another gateway at its other end, which may still act.
+/// Keys whose owner in force is gone (dead, leaving or not in the peer set) do not count as moved. They do count as
+/// moving: a move that is not complete has another gateway at its other end, which may still act as the owner.
 ///
-/// Without a map in force (a gateway that starts from nothing) the first version has no parent, each later one
-/// has.
+/// Without a map in force (a gateway after its start) version 1 has no parent, and each later version has one.
 pub fn validate(
     in_force: Option<&ShardMap>,
     new: &ShardMap,
@@ -31,64 +28,64 @@
     limits: &Limits,
 ) -> Vec<Finding> {
     let covered = cover(&new.ranges, limits.keys);
-    let mut told = Vec::new();
-    tell(
-        &mut told,
+    let mut findings = Vec::new();
+    push_findings(
+        &mut findings,
         covered
             .gaps
             .iter()
             .map(|&(from, to)| Finding::Gap { from, to }),
     );
-    tell(
-        &mut told,
+    push_findings(
+        &mut findings,
         covered
             .overlaps
             .iter()
             .map(|&(from, to)| Finding::Overlap { from, to }),
     );
-    tell(&mut told, empty(new));
-    tell(&mut told, order(new));
-    tell(&mut told, beyond(new, limits));
-    tell(&mut told, owners(new, cluster));
-    tell(&mut told, parent(in_force, new));
-    tell(&mut told, version(in_force, new));
-    tell(&mut told, epoch(in_force, new, cluster));
+    push_findings(&mut findings, empty(new));
+    push_findings(&mut findings, order(new));
+    push_findings(&mut findings, beyond(new, limits));
+    push_findings(&mut findings, owners(new, cluster));
+    push_findings(&mut findings, parent(in_force, new));
+    push_findings(&mut findings, version(in_force, new));
+    push_findings(&mut findings, epoch(in_force, new, cluster));
     let change = in_force.map(|old| Change::new(old, new, &covered, limits));
-    tell(
-        &mut told,
+    push_findings(
+        &mut findings,
         change
             .iter()
             .flat_map(|change| change.moved(cluster, limits)),
     );
-    tell(
-        &mut told,
+    push_findings(
+        &mut findings,
         shares(change.as_ref(), new, &covered, cluster, limits),
     );
-    tell(
-        &mut told,
+    push_findings(
+        &mut findings,
         change.iter().flat_map(|change| change.moving(cluster)),
     );
     let size = Finding::Size {
         ranges: new.ranges.len(),
-        most: limits.ranges,
+        max: limits.ranges,
     };
-    tell(
-        &mut told,
+    push_findings(
+        &mut findings,
         (new.ranges.len() > limits.ranges).then_some(size),
     );
-    told
+    findings
 }
 
-/// Adds the findings of one rule.
-fn tell(told: &mut Vec<Finding>, findings: impl IntoIterator<Item = Finding>) {
-    let mut findings = findings.into_iter();
-    told.extend(findings.by_ref().take(MAX_FINDINGS_PER_RULE));
+/// Appends the findings of one rule, up to the limit, and the number of those left out.
+fn push_findings(all: &mut Vec<Finding>, of_one_rule: impl IntoIterator<Item = Finding>) {
+    let mut findings = of_one_rule.into_iter();
+    all.extend(findings.by_ref().take(MAX_FINDINGS_PER_RULE));
     let (mut more, mut rule) = (0, None);
     for finding in findings {
         more += 1;
         rule = Some(finding.rule());
     }
-    told.extend(rule.map(|rule| Finding::More { rule, more }));
+    all.extend(rule.map(|rule| Finding::More { rule, more }));
 }
 
 fn empty(new: &ShardMap) -> impl Iterator<Item = Finding> + '_ {
@@ -104,12 +101,17 @@
         })
 }
 
-/// Compares each range with the one that is listed before it. A swap of two neighbours is one finding that
-/// way, and one of any two at most two. An empty range has no place.
+/// Compares each range with the one listed before it. A swap of two neighbours yields one finding, of any two ranges at
+/// most two. Empty ranges are skipped.
 fn order(new: &ShardMap) -> impl Iterator<Item = Finding> + '_ {
-    let meant = || new.ranges.iter().map(meant).filter(|(from, to)| from < to);
-    meant()
-        .zip(meant().skip(1))
+    let normalized_bounds = || {
+        new.ranges
+            .iter()
+            .map(normalized_bounds)
+            .filter(|(from, to)| from < to)
+    };
+    normalized_bounds()
+        .zip(normalized_bounds().skip(1))
         .filter(|(before, next)| next.0 < before.0)
         .map(|(before, (from, to))| Finding::Order {
             from,
@@ -123,7 +125,7 @@
     let bounds = new
         .ranges
         .iter()
-        .map(meant)
+        .map(normalized_bounds)
         .filter(move |(from, to)| from < to && *to > end);
     bounds.map(move |(from, to)| Finding::Beyond {
         from: from.max(end),
@@ -164,7 +166,7 @@
         return (parent != needed).then_some(Finding::Parent { parent, needed });
     }
     match (new.version, parent) {
-        // No version at all: that is told under its own rule.
+        // Version 0 is reported by its own rule.
         (0, _) | (1, MapHash::NONE) => None,
         (1, _) => Some(Finding::ParentOfFirst { parent }),
         (version, MapHash::NONE) => Some(Finding::ParentMissing { version }),
@@ -193,15 +195,15 @@
     })
 }
 
-/// Keys per owner, of those that one range alone covers.
-fn kept<'a>(map: &'a ShardMap, covered: &Cover) -> BTreeMap<&'a str, u64> {
-    let mut kept = BTreeMap::new();
-    for piece in &covered.once {
-        if let Some(range) = map.ranges.get(piece.range) {
-            *kept.entry(range.owner.as_str()).or_default() += piece.to - piece.from;
+/// Keys of each owner, of those that exactly one range covers.
+fn owned_keys<'a>(map: &'a ShardMap, covered: &Cover) -> BTreeMap<&'a str, u64> {
+    let mut owned_keys = BTreeMap::new();
+    for span in &covered.covered_once {
+        if let Some(range) = map.ranges.get(span.range) {
+            *owned_keys.entry(range.owner.as_str()).or_default() += span.to - span.from;
         }
     }
-    kept
+    owned_keys
 }
 
 fn shares(
@@ -211,21 +213,25 @@
     cluster: &ClusterState,
     limits: &Limits,
 ) -> Vec<Finding> {
-    let most = limits.max_owned(cluster.living().count());
-    let over = kept(new, covered).into_iter().filter(|(owner, keys)| {
-        let had = change.and_then(|change| change.kept.get(owner)).copied();
-        // What is given to a gateway that cannot keep it is told under `owner`.
-        *keys > most && had.is_none_or(|had| *keys > had) && cluster.is_alive(owner)
-    });
+    let max = limits.max_owned(cluster.living().count());
+    let over = owned_keys(new, covered)
+        .into_iter()
+        .filter(|(owner, keys)| {
+            let had = change
+                .and_then(|change| change.owned_keys.get(owner))
+                .copied();
+            // Keys assigned to a gateway that is not alive are reported by the rule `owner`.
+            *keys > max && had.is_none_or(|had| *keys > had) && cluster.is_alive(owner)
+        });
     over.map(|(owner, keys)| Finding::Share {
         owner: shown(owner),
         keys,
-        most,
+        max,
     })
     .collect()
 }
 
-/// Keys that change their owner, from and up to, with both names.
+/// Keys `[from, to)` that change their owner, with both owners.
 struct Moves<'a> {
     from: u64,
     to: u64,
@@ -233,10 +239,10 @@
     new: &'a str,
 }
 
-/// What a new map does to the one in force.
+/// Difference between a new map and the map in force.
 struct Change<'a> {
-    /// What each owner has in force.
-    kept: BTreeMap<&'a str, u64>,
+    /// Keys of each owner in the map in force.
+    owned_keys: BTreeMap<&'a str, u64>,
     moves: Vec<Moves<'a>>,
 }
 
@@ -244,7 +250,7 @@
     fn new(old: &'a ShardMap, new: &'a ShardMap, covered: &Cover, limits: &Limits) -> Change<'a> {
         let before = cover(&old.ranges, limits.keys);
         let mut moves: Vec<Moves> = Vec::new();
-        for ((from, to), had, has) in common(&before.once, &covered.once) {
+        for ((from, to), had, has) in intersect(&before.covered_once, &covered.covered_once) {
             let (Some(had), Some(has)) = (old.ranges.get(had), new.ranges.get(has)) else {
                 continue;
             };
@@ -252,9 +258,9 @@
                 continue;
             }
             match moves.last_mut() {
-                // Where bounds are other ones than before, one move is in pieces.
+                // A move that crosses a bound of either map is split there: the parts are joined again.
                 Some(last) if last.to == from && last.old == had.owner && last.new == has.owner => {
-                    last.to = to
+                    last.to = to;
                 }
                 _ => moves.push(Moves {
                     from,
@@ -265,7 +271,7 @@
             }
         }
         Change {
-            kept: kept(old, &before),
+            owned_keys: owned_keys(old, &before),
             moves,
         }
     }
@@ -276,12 +282,12 @@
             .iter()
             .filter(|moves| cluster.is_alive(moves.old));
         let keys = counted.map(|moves| moves.to - moves.from).sum();
-        let most = limits.max_moved();
-        (keys > most).then_some(Finding::Moved { keys, most })
+        let max = limits.max_moved();
+        (keys > max).then_some(Finding::Moved { keys, max })
     }
 
     fn moving(&self, cluster: &ClusterState) -> Vec<Finding> {
-        let moving = joined(&cluster.moving);
+        let moving = merged(&cluster.moving);
         let mut found = Vec::new();
         for moves in &self.moves {
             let first = moving.partition_point(|span| span.1 <= moves.from);
--- a/gateway-cluster/tests/compatibility.rs
+++ b/gateway-cluster/tests/compatibility.rs
@@ -5,9 +5,9 @@
 use gateway_cluster::leadership::voter::VoteRejection;
 use gateway_cluster::leadership::{wire as leadership, FencingToken, LeaseHolder};
 use gateway_cluster::sessions::evidence::{Report, Tally, Window};
-use gateway_cluster::sessions::verdicts::{EvidenceSummary, Verdict};
+use gateway_cluster::sessions::verdicts::{EvidenceSummary, Verdict, VerdictSequence};
 use gateway_cluster::sessions::{wire as sessions, Pooling};
-use gateway_cluster::shards::consensus::{AcceptorReport, Ballot, MapId};
+use gateway_cluster::shards::consensus::{AcceptedMap, AcceptorReport, Ballot, MapId};
 use gateway_cluster::shards::leases::RangeSet;
 use gateway_cluster::shards::wire::{self as shards, FindingReport};
 use gateway_cluster::shards::Rule;
@@ -207,14 +207,14 @@
         to: Some(2),
         text: "a gap".into(),
     };
-    let waits = RangeSet::of(12, |number| number == 3 || number == 11);
-    let answer = AcceptorReport {
+    let blocked = RangeSet::of(12, |number| number == 3 || number == 11);
+    let report = AcceptorReport {
         in_force: Some(named),
-        accepted: Some((ballot, named)),
-        memory: true,
+        accepted: Some(AcceptedMap { ballot, map: named }),
+        recovered: true,
     };
-    let refusals =
-        Rule::ALL.map(|rule| shards::Kind::Refused(ballot, MapHash(0x1234), vec![finding(rule)]));
+    let rejections =
+        Rule::ALL.map(|rule| shards::Kind::Rejected(ballot, MapHash(0x1234), vec![finding(rule)]));
     let states = [
         shards::ProposalState::None,
         shards::ProposalState::Waiting,
@@ -222,33 +222,33 @@
         shards::ProposalState::Refused,
     ];
     let mut kinds = vec![
-        ("learn".to_string(), shards::Kind::Learn(ballot)),
+        ("learn".to_string(), shards::Kind::Prepare(ballot)),
         (
             "propose".to_string(),
             shards::Kind::Propose {
                 ballot,
                 map: named,
-                finish: true,
-                anew: false,
-                whole: vec![1, 2],
+                resumed: true,
+                recovery: false,
+                map_bytes: vec![1, 2],
             },
         ),
         (
             "keep".to_string(),
-            shards::Kind::Keep {
+            shards::Kind::GrantLease {
                 map: named,
-                waits,
-                until: 5_000_000,
-                settled: true,
+                blocked,
+                expires_at: 5_000_000,
+                idle: true,
             },
         ),
         (
             "learned".to_string(),
-            shards::Kind::Learned {
+            shards::Kind::Promise {
                 ballot,
-                answer,
-                held: true,
-                young_ms: 40,
+                report,
+                had_lease: true,
+                lease_uncertainty_ms: 40,
             },
         ),
         (
@@ -257,33 +257,39 @@
         ),
         (
             "have".to_string(),
-            shards::Kind::Have {
+            shards::Kind::AcknowledgeLease {
                 epoch: 9,
                 version: 3,
-                held: true,
+                had_lease: true,
             },
         ),
-        ("left".to_string(), shards::Kind::Left),
-        ("fetch".to_string(), shards::Kind::Fetch(MapHash(0x1234), 4)),
+        ("left".to_string(), shards::Kind::ReleaseLeases),
+        (
+            "fetch".to_string(),
+            shards::Kind::FetchChunk(MapHash(0x1234), 4),
+        ),
         (
             "part".to_string(),
-            shards::Kind::Part {
+            shards::Kind::Chunk {
                 hash: MapHash(0x1234),
-                part: 1,
-                parts: 2,
+                index: 1,
+                count: 2,
                 bytes: vec![9, 8],
             },
         ),
-        ("offer".to_string(), shards::Kind::Offer(MapHash(0x1234))),
+        (
+            "offer".to_string(),
+            shards::Kind::SubmitProposal(MapHash(0x1234)),
+        ),
     ];
     kinds.extend(
-        refusals
+        rejections
             .into_iter()
             .enumerate()
             .map(|(number, kind)| (format!("refused-{number:02}"), kind)),
     );
     kinds.extend(states.into_iter().enumerate().map(|(number, state)| {
-        let kind = shards::Kind::Answer {
+        let kind = shards::Kind::ProposalResult {
             hash: MapHash(0x1234),
             state,
             findings: vec![finding(Rule::Gap)],
@@ -295,7 +301,10 @@
             from: 5,
             incarnation: 6,
             to_incarnation: 7,
-            stamp: Some((8, 9)),
+            proof: Some(shards::RequestProof {
+                epoch: 8,
+                valid_until: 9,
+            }),
             kind,
         };
         recorded.check(
@@ -306,8 +315,8 @@
         );
     }
     let map = map();
-    recorded.check("map", &map, shards::pack, |bytes| {
-        shards::unpack(map.hash(), bytes)
+    recorded.check("map", &map, shards::encode_map, |bytes| {
+        shards::decode_map(map.hash(), bytes)
     });
     recorded.check(
         "map-hash",
@@ -326,7 +335,7 @@
             requests: 10,
             failed: [1, 2, 3],
         },
-        kept: Tally {
+        reused: Tally {
             requests: 20,
             failed: [0, 1, 0],
         },
@@ -338,18 +347,21 @@
         incarnation: 6,
         sequence: 4,
         customer: 99,
-        held: Pooling::Transaction,
+        pooling: Pooling::Transaction,
         in_run: vec![(window, 2)],
-        between: vec![(window, 70)],
+        between_runs: vec![(window, 70)],
     };
     let verdict = |pooling| Verdict {
         customer: 99,
         pooling,
-        fence: FencingToken {
+        token: FencingToken {
             epoch: 9,
             version: 3,
         },
-        round: (6, 2),
+        sequence: VerdictSequence {
+            incarnation: 6,
+            number: 2,
+        },
         age: 5_000_000,
         reports: vec!["n0".into(), "n1".into()],
         evidence: EvidenceSummary {
@@ -366,27 +378,27 @@
         Pooling::Session,
     ];
     let peer_id_of = |name: &str| u32::from(name.as_bytes()[1]);
-    let said = poolings
+    let verdicts = poolings
         .map(|pooling| sessions::VerdictMessage::new(&verdict(pooling), peer_id_of))
         .to_vec();
     let kinds = [
         (
             "report",
             sessions::Kind::Report {
-                rolled: 3,
+                completed_collection: 3,
                 counts: vec![report.into()],
             },
         ),
-        ("roll", sessions::Kind::Roll(3)),
-        ("ask", sessions::Kind::Ask(vec![99, 100])),
+        ("roll", sessions::Kind::CollectReports(3)),
+        ("ask", sessions::Kind::RequestReports(vec![99, 100])),
         (
             "verdicts",
             sessions::Kind::Verdicts {
-                fence: FencingToken {
+                token: FencingToken {
                     epoch: 9,
                     version: 3,
                 },
-                said,
+                verdicts,
             },
         ),
     ];
--- a/gateway-cluster/tests/sessions.rs
+++ b/gateway-cluster/tests/sessions.rs
@@ -1,17 +1,19 @@
-//! Classification of sessions: the counts, the test, the owner, and all of it in drawn traffic whose truth is known. Each
-//! failure names its seed.
+//! Classification of customers: counts, the statistical test, the owner's decisions, and all of it with simulated
+//! traffic of known truth. Each failure names its seed.
 
 use gateway_cluster::protocol::Micros;
 use gateway_cluster::sessions::evidence::{
     ConnectionUse, Evidence, Failure, Outcome, Report, Tally, Window,
 };
 use gateway_cluster::sessions::judge::{self, Found};
-use gateway_cluster::sessions::sim::{run, simulated_customers, Fault, Plan, SimulatedCustomer};
+use gateway_cluster::sessions::sim::{customer_mix, run, Fault, Plan, SimulatedCustomer};
 use gateway_cluster::sessions::verdicts::{
-    grant, Grant, Input, LeaderContext, Limits, Output, VerdictAggregator, VerdictRejection,
+    grant, Grant, Input, Limits, Output, OwnerContext, VerdictAggregator, VerdictRejection,
     VerdictTable,
 };
-use gateway_cluster::sessions::verdicts::{Usage, Verdict, FADE, FADE_SESSION};
+use gateway_cluster::sessions::verdicts::{
+    Usage, Verdict, VerdictSequence, SESSION_VERDICT_TTL, VERDICT_TTL,
+};
 use gateway_cluster::sessions::{FencingToken, Pooling};
 use proptest::prelude::*;
 use rand::{Rng, SeedableRng};
@@ -19,7 +21,7 @@
 
 const SECOND: Micros = 1_000_000;
 const FAILED: Outcome = Outcome::Failed(Failure::Http500);
-const ONE: FencingToken = FencingToken {
+const TOKEN: FencingToken = FencingToken {
     epoch: 1,
     version: 1,
 };
@@ -30,7 +32,7 @@
             requests: changed[0],
             failed: [changed[1], 0, 0],
         },
-        kept: Tally {
+        reused: Tally {
             requests: 100,
             failed: [0; 3],
         },
@@ -44,130 +46,130 @@
     incarnation: u64,
     sequence: u64,
     in_run: [u16; 2],
-    between: [u16; 2],
+    between_runs: [u16; 2],
 ) -> Report {
-    let (in_run, between) = (vec![(window(in_run), 1)], vec![(window(between), 1)]);
+    let (in_run, between_runs) = (vec![(window(in_run), 1)], vec![(window(between_runs), 1)]);
     Report {
         gateway: gateway.into(),
         incarnation,
         sequence,
         customer: 7,
-        held: Pooling::Unknown,
+        pooling: Pooling::Unknown,
         in_run,
-        between,
+        between_runs,
     }
 }
 
-/// Tells an owner of two gateways, `a` and `b`.
-fn tell(
+/// Passes an input to an owner of two gateways, `a` and `b`.
+fn input(
     owner: &mut VerdictAggregator,
     now: Micros,
     input: Input,
     gone: &[&str],
-    may_share: bool,
+    may_relax: bool,
 ) -> Vec<Output> {
-    let scene = LeaderContext {
-        fence: ONE,
-        keeps: &|_| true,
-        set: &|_| vec!["a".to_string(), "b".to_string()],
-        gone: &|gateway| gone.contains(&gateway),
-        may_share,
+    let scene = OwnerContext {
+        token: TOKEN,
+        owns: &|_| true,
+        gateways_of: &|_| vec!["a".to_string(), "b".to_string()],
+        is_gone: &|gateway| gone.contains(&gateway),
+        may_relax,
     };
     let mut outputs = Vec::new();
-    owner.handle(now, input, &scene, &mut outputs);
+    owner.on_input(now, input, &scene, &mut outputs);
     outputs
 }
 
 fn owner_of(reports: &[Report]) -> VerdictAggregator {
     let mut owner = VerdictAggregator::new(1, 100);
     for report in reports {
-        tell(&mut owner, SECOND, Input::Report(report.clone()), &[], true);
+        input(&mut owner, SECOND, Input::Report(report.clone()), &[], true);
     }
     owner
 }
 
-fn shown(owner: &VerdictAggregator) -> Verdict {
-    owner.verdict(SECOND, 7, ONE).expect("a report was taken")
+fn current_verdict(owner: &VerdictAggregator) -> Verdict {
+    owner.verdict(SECOND, 7, TOKEN).expect("a report was taken")
 }
 
-/// Runs the three kinds and some at the edge, and holds what became of them against the bounds.
-fn told_apart(trouble: Fault, seed: u64) {
+/// Simulates the three kinds and some customers at the edge, and checks the error rates.
+fn assert_classified(fault: Fault, seed: u64) {
     let plan = Plan {
         gateways: 2 + seed as usize % 3,
-        simulated_customers: simulated_customers(),
-        trouble,
+        customers: customer_mix(),
+        fault,
         time: 200 * SECOND,
         lossy: true,
-        pool: true,
-        new_owner: Some(130 * SECOND),
+        use_verdicts: true,
+        owner_replaced_at: Some(130 * SECOND),
         seed,
     };
     let out = run(&plan);
-    for (person, seen) in plan.simulated_customers.iter().zip(&out.seen) {
+    for (customer, seen) in plan.customers.iter().zip(&out.seen) {
         assert_eq!(
             seen.false_statements, 0,
-            "{trouble:?}, seed {seed}: {person:?}"
+            "{fault:?}, seed {seed}: {customer:?}"
         );
         assert_eq!(
             seen.false_transactions, 0,
-            "{trouble:?}, seed {seed}: {person:?}"
+            "{fault:?}, seed {seed}: {customer:?}"
         );
-        if person.rate >= 10.0 {
+        if customer.rate >= 10.0 {
             assert!(
                 seen.right.is_some_and(|at| at < 130 * SECOND),
-                "{trouble:?}, seed {seed}: {person:?} {seen:?}"
+                "{fault:?}, seed {seed}: {customer:?} {seen:?}"
             );
         }
     }
     let free = plan
-        .simulated_customers
+        .customers
         .iter()
         .zip(&out.seen)
-        .filter(|(person, _)| person.truth == Pooling::Statement);
-    let held: Vec<Micros> = free.map(|(_, seen)| seen.held_for_more).collect();
+        .filter(|(customer, _)| customer.truth == Pooling::Statement);
+    let held: Vec<Micros> = free.map(|(_, seen)| seen.overclassified_time).collect();
     let part = held.iter().sum::<Micros>() as f64 / (held.len() as f64 * plan.time as f64);
     assert!(
         part <= 0.05,
-        "{trouble:?}, seed {seed}: {part} of the time of stateless customers"
+        "{fault:?}, seed {seed}: {part} of the time of stateless customers"
     );
 }
 
 #[test]
-fn customers_are_told_apart_in_calm_and_beside_a_backend_that_fails_in_part_or_for_all() {
-    told_apart(Fault::Nothing, 1);
-    told_apart(Fault::SickAlways, 2);
-    told_apart(Fault::Fails, 3);
+fn customers_are_classified_without_faults_and_with_a_failing_backend() {
+    assert_classified(Fault::None, 1);
+    assert_classified(Fault::BackendUnhealthy, 2);
+    assert_classified(Fault::BackendDown, 3);
 }
 
 #[test]
-fn customers_are_told_apart_where_a_gateway_is_cut_off_and_where_backends_restart() {
-    told_apart(Fault::CutDoor, 4);
-    told_apart(Fault::Restarts, 5);
+fn customers_are_classified_with_a_partitioned_gateway_and_restarting_backends() {
+    assert_classified(Fault::GatewayPartitioned, 4);
+    assert_classified(Fault::BackendRestarts, 5);
 }
 
 #[test]
-fn customers_are_told_apart_in_overload_and_where_changes_fail_for_all() {
-    told_apart(Fault::Overload, 6);
-    told_apart(Fault::Stale, 7);
+fn customers_are_classified_in_overload_and_with_stale_connections() {
+    assert_classified(Fault::Overload, 6);
+    assert_classified(Fault::StaleConnections, 7);
 }
 
 #[test]
-fn a_customer_that_turns_is_seen_from_new_evidence_and_everywhere_within_a_second() {
+fn a_changed_customer_is_reclassified_and_all_gateways_apply_it_within_a_second() {
     for seed in 1..4 {
-        let turns = Some((200 * SECOND, Pooling::Session));
-        let person = SimulatedCustomer {
-            turns,
+        let changes_at = Some((200 * SECOND, Pooling::Session));
+        let customer = SimulatedCustomer {
+            changes_at,
             ..SimulatedCustomer::new(Pooling::Statement, 10.0)
         };
         let others = (0..20).map(|_| SimulatedCustomer::new(Pooling::Statement, 1.0));
         let plan = Plan {
             gateways: 3,
-            simulated_customers: std::iter::once(person).chain(others).collect(),
-            trouble: Fault::Nothing,
+            customers: std::iter::once(customer).chain(others).collect(),
+            fault: Fault::None,
             time: 300 * SECOND,
             lossy: true,
-            pool: true,
-            new_owner: None,
+            use_verdicts: true,
+            owner_replaced_at: None,
             seed,
         };
         let seen = run(&plan).seen.swap_remove(0);
@@ -182,12 +184,13 @@
     }
 }
 
-/// A gateway whose backend serves ten others well or badly, and a customer whose changed requests fail there; what is counted of it.
-fn counted(others: u64, outcome: Outcome, own: Outcome) -> [u32; 2] {
+/// The counts of a customer whose requests on changed connections have one outcome, at a gateway whose backend serves
+/// some others with another outcome.
+fn counted_requests(others: u64, outcome: Outcome, own: Outcome) -> [u32; 2] {
     let mut gateway = Evidence::new("a", 1, 100, 1);
     for second in 0..20 {
         for other in 0..others {
-            gateway.note(
+            gateway.record_request(
                 second * SECOND,
                 100 + other,
                 0,
@@ -195,52 +198,57 @@
                 outcome,
             );
         }
-        gateway.note(second * SECOND, 7, 0, ConnectionUse::ChangedBetween, own);
+        gateway.record_request(second * SECOND, 7, 0, ConnectionUse::ChangedBetween, own);
     }
     let report = gateway.report(60 * SECOND, 7, Pooling::Unknown);
-    let (changed, failed) = report
-        .between
-        .iter()
-        .fold((0, 0), |(changed, failed), (window, _)| {
-            (
-                changed + u32::from(window.changed.requests),
-                failed + window.changed.failures(),
-            )
-        });
+    let (changed, failed) =
+        report
+            .between_runs
+            .iter()
+            .fold((0, 0), |(changed, failed), (window, _)| {
+                (
+                    changed + u32::from(window.changed.requests),
+                    failed + window.changed.failures(),
+                )
+            });
     [changed, failed]
 }
 
 #[test]
-fn seconds_in_which_others_fail_or_there_are_no_others_convict_nobody() {
+fn seconds_with_failing_or_missing_other_customers_are_not_counted() {
     assert_eq!(
-        counted(10, Outcome::Fine, FAILED),
+        counted_requests(10, Outcome::Fine, FAILED),
         [20, 20],
-        "it fails beside others that do not"
+        "it fails and others do not"
     );
-    assert_eq!(counted(10, FAILED, FAILED), [0, 0], "the backend is sick");
     assert_eq!(
-        counted(10, FAILED, Outcome::Fine),
+        counted_requests(10, FAILED, FAILED),
         [0, 0],
-        "nor does luck beside a sick one count"
+        "the backend is unhealthy"
     );
     assert_eq!(
-        counted(0, Outcome::Fine, FAILED),
+        counted_requests(10, FAILED, Outcome::Fine),
         [0, 0],
-        "there is nobody to compare with"
+        "successes at an unhealthy backend do not count either"
     );
     assert_eq!(
-        counted(10, Outcome::Fine, Outcome::CustomersOwn),
+        counted_requests(0, Outcome::Fine, FAILED),
         [0, 0],
-        "the customer went away"
+        "there is no control group"
+    );
+    assert_eq!(
+        counted_requests(10, Outcome::Fine, Outcome::CustomersOwn),
+        [0, 0],
+        "the customer closed its connection"
     );
 }
 
-/// A gateway with room for so many, a hundred customers with evidence, and then three floods of ten thousand.
-fn flooded(most: usize) -> Evidence {
-    let mut gateway = Evidence::new("a", 1, most, 1);
+/// Evidence with a limit of customers: a hundred customers with counts, then three floods of ten thousand.
+fn flooded_evidence(limit: usize) -> Evidence {
+    let mut gateway = Evidence::new("a", 1, limit, 1);
     for second in 0..20 {
         for customer in 0..100 {
-            gateway.note(
+            gateway.record_request(
                 second * SECOND,
                 customer,
                 0,
@@ -248,12 +256,12 @@
                 Outcome::Fine,
             );
         }
-        gateway.settle(second * SECOND);
+        gateway.evaluate(second * SECOND);
     }
     for round in 0..3 {
         let now = (30 + 10 * round) * SECOND;
         for customer in 0..10_000 {
-            gateway.note(
+            gateway.record_request(
                 now,
                 1000 + customer,
                 0,
@@ -261,14 +269,14 @@
                 Outcome::Fine,
             );
         }
-        gateway.settle(now + 3 * SECOND);
+        gateway.evaluate(now + 3 * SECOND);
     }
-    assert_eq!(gateway.customers(), most);
+    assert_eq!(gateway.customers(), limit);
     for customer in 0..100 {
         assert!(
             !gateway
                 .report(100 * SECOND, customer, Pooling::Unknown)
-                .between
+                .between_runs
                 .is_empty(),
             "customer {customer}"
         );
@@ -277,23 +285,26 @@
 }
 
 #[test]
-fn a_flood_of_customers_stays_within_its_bound_and_pushes_out_none_with_evidence() {
-    let left_out = flooded(500).left_out();
+fn a_flood_of_customers_stays_within_the_limit_and_evicts_none_with_evidence() {
+    let excluded = flooded_evidence(500).excluded();
+    assert!(
+        excluded.evicted > 10_000,
+        "new customers evict new customers: {excluded:?}"
+    );
     assert!(
-        left_out.gone > 10_000,
-        "newcomers push out newcomers: {left_out:?}"
+        excluded.queue_full > 0,
+        "the number of waiting entries is bounded: {excluded:?}"
     );
-    assert!(left_out.crowded > 0, "what waits is bounded: {left_out:?}");
-    let left_out = flooded(100).left_out();
+    let excluded = flooded_evidence(100).excluded();
     assert_eq!(
-        left_out.gone, 0,
-        "where all are dear no newcomer is taken: {left_out:?}"
+        excluded.evicted, 0,
+        "if all are protected no new customer is taken: {excluded:?}"
     );
-    assert!(Evidence::new("a", 1, 8192, 1).most_bytes() < 12 << 20);
+    assert!(Evidence::new("a", 1, 8192, 1).max_bytes() < 12 << 20);
 }
 
 #[test]
-fn the_longest_report_fits_a_datagram() {
+fn the_longest_report_fits_in_a_datagram() {
     let mut full = report(
         "a-door-with-a-long-name.example",
         u64::MAX,
@@ -301,27 +312,27 @@
         [0, 0],
         [0, 0],
     );
-    let most = Tally {
+    let limit = Tally {
         requests: u16::MAX,
         failed: [u16::MAX; 3],
     };
     let window = Window {
-        changed: most,
-        kept: most,
+        changed: limit,
+        reused: limit,
         control: [u32::MAX; 2],
         control_changed: [u32::MAX; 2],
     };
     full.in_run = vec![(window, u32::MAX); 4];
-    full.between = full.in_run.clone();
+    full.between_runs = full.in_run.clone();
     let bytes = postcard::to_allocvec(&full).expect("plain data");
     assert!(bytes.len() <= 1400, "{}", bytes.len());
 }
 
 #[test]
-fn the_test_keeps_the_error_rates_it_states() {
+fn the_statistical_test_keeps_its_documented_error_rates() {
     let mut chance = Pcg64Mcg::seed_from_u64(1);
     let (mut bound, mut free) = (0, 0);
-    // Failure rates at the edge of what is called no effect and an effect, over a control of 1 in 200.
+    // Failure rates at the edge of no effect and of an effect, with a control group that fails 1 in 200 requests.
     for (rate, wrong, count) in [
         (0.15, Found::Bound, &mut bound),
         (0.60, Found::Free, &mut free),
@@ -351,7 +362,7 @@
     assert_eq!(
         judge::test(&gateways),
         Found::Bound,
-        "what one door saw before a turn hides nothing of another's"
+        "old windows of one gateway do not hide a change seen by another"
     );
     let [clean, some] = [window([32, 0]), window([4, 4])];
     let apart = [
@@ -360,34 +371,34 @@
     ];
     assert_eq!(
         judge::test(&apart),
-        Found::Open,
-        "nor do old successes take back what fresh breaks have brought"
+        Found::Undecided,
+        "old successes do not take back a verdict caused by new breaks"
     );
     let test = |changed| judge::test(&[vec![window(changed)]]);
     assert_eq!(
         [test([21, 0]), test([12, 12]), test([3, 3])],
-        [Found::Free, Found::Bound, Found::Open]
+        [Found::Free, Found::Bound, Found::Undecided]
     );
 }
 
 #[test]
-fn what_fails_for_the_customer_anyway_or_for_all_who_change_is_no_sign_of_a_bond() {
+fn failures_without_a_change_or_of_all_changed_connections_do_not_make_a_customer_bound() {
     let mut own = window([32, 20]);
-    own.kept = Tally {
+    own.reused = Tally {
         requests: 100,
         failed: [60, 0, 0],
     };
     assert_eq!(
         judge::test(&[vec![own]]),
-        Found::Open,
-        "its kept requests fail as often"
+        Found::Undecided,
+        "its requests on reused connections fail as often"
     );
     let mut stale = window([32, 24]);
     assert_eq!(judge::test(&[vec![stale]]), Found::Bound);
     stale.control_changed = [500, 400];
     assert_eq!(
         judge::test(&[vec![stale]]),
-        Found::Open,
+        Found::Undecided,
         "others' changed requests fail as often"
     );
 }
@@ -395,16 +406,16 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(200))]
     #[test]
-    fn reports_lost_doubled_and_late_change_nothing(
+    fn lost_duplicated_and_late_reports_do_not_change_the_evidence(
         order in prop::collection::vec((0usize..2, 1u64..3, 1u64..9), 1..60),
     ) {
         let gateways = ["a", "b"];
-        // What a gateway has counted grows with the number of its report.
+        // The counts of a gateway grow with the sequence number of its report.
         let nth = |gateway: usize, incarnation: u64, sequence: u64| {
             let count = (10 * incarnation + sequence) as u16;
             report(gateways[gateway], incarnation, sequence, [count, 0], [count, 0])
         };
-        let came: Vec<Report> = order.iter().map(|&(gateway, incarnation, sequence)| nth(gateway, incarnation, sequence)).collect();
+        let received: Vec<Report> = order.iter().map(|&(gateway, incarnation, sequence)| nth(gateway, incarnation, sequence)).collect();
         let mut last: Vec<(usize, u64, u64)> = Vec::new();
         for &(gateway, incarnation, sequence) in &order {
             match last.iter_mut().find(|known| (known.0, known.1) == (gateway, incarnation)) {
@@ -414,25 +425,25 @@
         }
         let highest: Vec<Report> =
             last.iter().map(|&(gateway, incarnation, sequence)| nth(gateway, incarnation, sequence)).collect();
-        prop_assert_eq!(shown(&owner_of(&came)).evidence, shown(&owner_of(&highest)).evidence);
+        prop_assert_eq!(current_verdict(&owner_of(&received)).evidence, current_verdict(&owner_of(&highest)).evidence);
     }
 }
 
 #[test]
-fn a_new_owner_asks_anew_counts_nothing_twice_and_does_not_forget_caution() {
+fn a_new_owner_requests_reports_counts_nothing_twice_and_keeps_restrictions() {
     let mut reports = [
         report("a", 1, 9, [20, 0], [12, 12]),
         report("b", 1, 4, [20, 0], [12, 12]),
     ];
     let old = owner_of(&reports);
-    assert_eq!(shown(&old).pooling, Pooling::Session);
+    assert_eq!(current_verdict(&old).pooling, Pooling::Session);
     let mut new = VerdictAggregator::new(2, 100);
-    // By now gateways act on `session`, so what they see anew no longer speaks for it.
+    // Gateways now apply `session`, so new counts do not show breaks any more.
     reports[0] = Report {
-        held: Pooling::Session,
+        pooling: Pooling::Session,
         ..report("a", 1, 10, [0, 0], [0, 0])
     };
-    let outputs = tell(
+    let outputs = input(
         &mut new,
         SECOND,
         Input::Report(reports[0].clone()),
@@ -440,19 +451,19 @@
         true,
     );
     assert!(
-        outputs.contains(&Output::Ask {
+        outputs.contains(&Output::RequestReport {
             gateway: "b".into(),
             customer: 7
         }),
         "{outputs:?}"
     );
     assert_eq!(
-        new.verdict_of(7),
+        new.pooling_of(7),
         Pooling::Session,
-        "as the door acts on it"
+        "as the gateway applies it"
     );
-    reports[1].held = Pooling::Session;
-    tell(
+    reports[1].pooling = Pooling::Session;
+    input(
         &mut new,
         SECOND,
         Input::Report(reports[1].clone()),
@@ -460,20 +471,19 @@
         true,
     );
     assert_eq!(
-        shown(&new).evidence.changed_between,
+        current_verdict(&new).evidence.changed_between,
         [12, 12],
-        "each door's counts once"
+        "the counts of each gateway once"
     );
 }
 
 #[test]
-fn a_gateway_that_restarts_is_counted_for_each_incarnation_and_a_late_word_of_the_first_is_no_news()
-{
+fn a_restarted_gateway_is_counted_per_incarnation_and_late_reports_are_ignored() {
     let first = report("a", 1, 9, [20, 0], [20, 0]);
     let second = report("a", 2, 1, [3, 0], [3, 0]);
     let late = report("a", 1, 8, [19, 0], [19, 0]);
     assert_eq!(
-        shown(&owner_of(&[first, second, late]))
+        current_verdict(&owner_of(&[first, second, late]))
             .evidence
             .changed_in_run,
         [23, 0]
@@ -481,39 +491,39 @@
 }
 
 #[test]
-fn sharing_waits_for_every_gateway_of_the_set_and_for_a_majority_and_caution_for_none() {
+fn relaxing_waits_for_all_reports_and_a_majority_and_restricting_for_none() {
     let free = report("a", 1, 1, [32, 0], [32, 0]);
     let mut owner = VerdictAggregator::new(1, 100);
-    tell(&mut owner, SECOND, Input::Report(free.clone()), &[], true);
-    assert_eq!(owner.verdict_of(7), Pooling::Unknown, "b has not answered");
-    let outputs = tell(&mut owner, 3 * SECOND, Input::Tick, &[], true);
+    input(&mut owner, SECOND, Input::Report(free), &[], true);
+    assert_eq!(owner.pooling_of(7), Pooling::Unknown, "b has not answered");
+    let outputs = input(&mut owner, 3 * SECOND, Input::Tick, &[], true);
     assert!(
-        outputs.contains(&Output::Ask {
+        outputs.contains(&Output::RequestReport {
             gateway: "b".into(),
             customer: 7
         }),
         "it is asked again"
     );
-    tell(&mut owner, 5 * SECOND, Input::Tick, &["b"], false);
+    input(&mut owner, 5 * SECOND, Input::Tick, &["b"], false);
     assert_eq!(
-        owner.verdict_of(7),
+        owner.pooling_of(7),
         Pooling::Unknown,
         "this side is a minority"
     );
-    tell(&mut owner, 7 * SECOND, Input::Tick, &["b"], true);
-    assert_eq!(owner.verdict_of(7), Pooling::Statement, "b is gone");
+    input(&mut owner, 7 * SECOND, Input::Tick, &["b"], true);
+    assert_eq!(owner.pooling_of(7), Pooling::Statement, "b is gone");
     let bound = report("a", 1, 2, [32, 0], [32, 32]);
-    let outputs = tell(&mut owner, 8 * SECOND, Input::Report(bound), &[], false);
-    assert_eq!(owner.verdict_of(7), Pooling::Session);
-    let said = |output: &&Output| matches!(output, Output::Say { verdict, .. } if verdict.pooling == Pooling::Session);
+    let outputs = input(&mut owner, 8 * SECOND, Input::Report(bound), &[], false);
+    assert_eq!(owner.pooling_of(7), Pooling::Session);
+    let said = |output: &&Output| matches!(output, Output::SendVerdict { verdict, .. } if verdict.pooling == Pooling::Session);
     assert_eq!(
         outputs.iter().filter(said).count(),
         2,
-        "both doors are told at once: {outputs:?}"
+        "both gateways get it at once: {outputs:?}"
     );
     let mut again = 0;
     for tick in 1..12 {
-        let outputs = tell(
+        let outputs = input(
             &mut owner,
             8 * SECOND + tick * SECOND / 12,
             Input::Tick,
@@ -525,81 +535,96 @@
     assert_eq!(again, 10, "and five times more within the second");
 }
 
-fn verdict(pooling: Pooling, fence: FencingToken, round: u64) -> Verdict {
-    let mut verdict = shown(&owner_of(&[report("a", 1, 1, [0, 0], [0, 0])]));
-    (verdict.pooling, verdict.fence, verdict.round) = (pooling, fence, (1, round));
+fn verdict(pooling: Pooling, token: FencingToken, sequence: u64) -> Verdict {
+    let mut verdict = current_verdict(&owner_of(&[report("a", 1, 1, [0, 0], [0, 0])]));
+    (verdict.pooling, verdict.token, verdict.sequence) = (
+        pooling,
+        token,
+        VerdictSequence {
+            incarnation: 1,
+            number: sequence,
+        },
+    );
     verdict
 }
 
 #[test]
-fn a_gateway_refuses_verdicts_of_a_replaced_owner_late_ones_and_sharing_on_a_minority_side() {
-    let mut held = VerdictTable::new(10);
+fn a_gateway_rejects_superseded_and_outdated_verdicts_and_relaxing_on_a_minority_side() {
+    let mut table = VerdictTable::new(10);
     let two = FencingToken {
         epoch: 2,
         version: 1,
     };
     assert_eq!(
-        held.take(0, verdict(Pooling::Session, two, 5), true),
+        table.on_verdict(0, verdict(Pooling::Session, two, 5), true),
         Ok(())
     );
-    let old = held.take(0, verdict(Pooling::Statement, ONE, 9), true);
+    let old = table.on_verdict(0, verdict(Pooling::Statement, TOKEN, 9), true);
     assert_eq!(
         old,
-        Err(VerdictRejection::Old {
-            came: ONE,
+        Err(VerdictRejection::Superseded {
+            received: TOKEN,
             known: two
         })
     );
     assert_eq!(
-        held.take(0, verdict(Pooling::Statement, two, 5), true),
-        Err(VerdictRejection::Late)
+        table.on_verdict(0, verdict(Pooling::Statement, two, 5), true),
+        Err(VerdictRejection::Outdated)
     );
     assert_eq!(
-        held.take(0, verdict(Pooling::Statement, two, 6), false),
+        table.on_verdict(0, verdict(Pooling::Statement, two, 6), false),
         Err(VerdictRejection::Minority)
     );
-    assert_eq!(held.in_force(0, 7, 0, true), Pooling::Session);
+    assert_eq!(table.in_force(0, 7, 0, true), Pooling::Session);
     assert_eq!(
-        held.take(0, verdict(Pooling::Statement, two, 6), true),
+        table.on_verdict(0, verdict(Pooling::Statement, two, 6), true),
         Ok(())
     );
-    assert_eq!(held.in_force(0, 7, 0, true), Pooling::Statement);
+    assert_eq!(table.in_force(0, 7, 0, true), Pooling::Statement);
 }
 
 #[test]
-fn verdicts_stand_while_their_owner_lives_and_fade_after_it_but_not_towards_sharing_on_a_minority_side(
-) {
-    let mut held = VerdictTable::new(10);
+fn verdicts_expire_after_their_owner_failed_but_are_not_relaxed_on_a_minority_side() {
+    let mut table = VerdictTable::new(10);
     assert_eq!(
-        held.take(0, verdict(Pooling::Statement, ONE, 1), true),
+        table.on_verdict(0, verdict(Pooling::Statement, TOKEN, 1), true),
         Ok(())
     );
     assert_eq!(
-        held.in_force(9 * FADE, 7, 9 * FADE, true),
+        table.in_force(9 * VERDICT_TTL, 7, 9 * VERDICT_TTL, true),
         Pooling::Statement,
-        "the keeper lives"
+        "the owner is alive"
+    );
+    assert_eq!(
+        table.in_force(VERDICT_TTL - 1, 7, 0, true),
+        Pooling::Statement
     );
-    assert_eq!(held.in_force(FADE - 1, 7, 0, true), Pooling::Statement);
-    assert_eq!(held.in_force(FADE, 7, 0, true), Pooling::Unknown);
+    assert_eq!(table.in_force(VERDICT_TTL, 7, 0, true), Pooling::Unknown);
     assert_eq!(
-        held.in_force(FADE, 7, 0, false),
+        table.in_force(VERDICT_TTL, 7, 0, false),
         Pooling::Unknown,
         "that is a step towards caution"
     );
     assert_eq!(
-        held.take(0, verdict(Pooling::Session, ONE, 2), true),
+        table.on_verdict(0, verdict(Pooling::Session, TOKEN, 2), true),
         Ok(())
     );
     assert_eq!(
-        held.in_force(FADE_SESSION - 1, 7, 0, true),
+        table.in_force(SESSION_VERDICT_TTL - 1, 7, 0, true),
+        Pooling::Session
+    );
+    assert_eq!(
+        table.in_force(SESSION_VERDICT_TTL, 7, 0, true),
+        Pooling::Unknown
+    );
+    assert_eq!(
+        table.in_force(SESSION_VERDICT_TTL, 7, 0, false),
         Pooling::Session
     );
-    assert_eq!(held.in_force(FADE_SESSION, 7, 0, true), Pooling::Unknown);
-    assert_eq!(held.in_force(FADE_SESSION, 7, 0, false), Pooling::Session);
 }
 
 #[test]
-fn private_connections_take_no_more_than_their_part_whoever_asks() {
+fn private_connections_stay_within_their_limits() {
     let limits = Limits::default();
     let mut usage = Usage {
         descriptors: [400, 0],
