--- a/gateway-cluster/examples/seeds/mod.rs
+++ b/gateway-cluster/examples/seeds/mod.rs
@@ -5,7 +5,7 @@
 
 /// Runs this for each seed from 1 to `seeds`, on this number of threads. Returns the results with their seeds, in the order
 /// of completion.
-pub fn over_seeds<T: Send>(
+pub(crate) fn over_seeds<T: Send>(
     seeds: u64,
     threads: usize,
     run: impl Fn(u64) -> T + Sync,
--- a/gateway-cluster/src/leadership/configuration.rs
+++ b/gateway-cluster/src/leadership/configuration.rs
@@ -109,7 +109,7 @@
     }
 
     /// The report that datagrams carry.
-    pub fn told(&self) -> ConfigurationReport {
+    pub fn report(&self) -> ConfigurationReport {
         let previous = self.previous.as_ref().map(|previous| previous.digest);
         let PeerConfiguration {
             retired,
@@ -228,7 +228,7 @@
                 self.retired = theirs.retired;
             }
         }
-        if self.told().oldest() == next {
+        if self.report().oldest() == next {
             self.completed_changes = self.completed_changes.max(theirs.completed_changes);
         }
     }
@@ -275,6 +275,6 @@
     /// Whether this gateway has to wait for a change: another gateway's peer sets are in use and differ from those here,
     /// which are not in use yet.
     pub fn must_wait_for(&self, theirs: ConfigurationReport) -> bool {
-        theirs.in_use && !self.in_use && theirs.oldest() != self.told().oldest()
+        theirs.in_use && !self.in_use && theirs.oldest() != self.report().oldest()
     }
 }
--- a/gateway-cluster/src/leadership/election/campaign.rs
+++ b/gateway-cluster/src/leadership/election/campaign.rs
@@ -175,7 +175,7 @@
                 number,
                 epoch,
                 lease_ms,
-                until: self.stamp(now, to).map(|proof| proof.until),
+                until: self.lease_proof(now, to).map(|proof| proof.until),
             }),
             Stage::Idle | Stage::Paused => None,
         }
--- a/gateway-cluster/src/leadership/election/datagrams.rs
+++ b/gateway-cluster/src/leadership/election/datagrams.rs
@@ -20,7 +20,7 @@
         if !self.peers.contains_key(&from) {
             self.dropped.1 += 1;
         }
-        if self.is_hushed() {
+        if self.is_suspended() {
             return;
         }
         self.budget.fill(now);
@@ -46,7 +46,7 @@
 
     /// Updates the state of the sender. A datagram that was overtaken by a later one does not set the clock back.
     fn on_sender(&mut self, now: Micros, datagram: &Datagram) {
-        let own_peer_set = self.peer_sets.told().current;
+        let own_peer_set = self.peer_sets.report().current;
         let theirs = datagram.peer_sets;
         let Some(peer) = self.peers.get_mut(&datagram.from) else {
             return;
@@ -69,7 +69,7 @@
         theirs: ConfigurationReport,
         sends: &mut Vec<Transmit>,
     ) {
-        let before = self.peer_sets.told();
+        let before = self.peer_sets.report();
         self.peer_sets.on_report(theirs);
         self.on_configuration_change(now, before, sends);
         if self.peer_sets.must_wait_for(theirs) {
--- a/gateway-cluster/src/leadership/election/mod.rs
+++ b/gateway-cluster/src/leadership/election/mod.rs
@@ -255,7 +255,7 @@
 
     /// Starts a change to another configured peer set.
     pub fn set_peers(&mut self, now: Micros, names: Vec<PeerId>, sends: &mut Vec<Transmit>) {
-        let before = self.peer_sets.told();
+        let before = self.peer_sets.report();
         self.peer_sets.set(names);
         self.refresh_peers();
         self.on_configuration_change(now, before, sends);
@@ -269,7 +269,7 @@
         before: ConfigurationReport,
         sends: &mut Vec<Transmit>,
     ) {
-        let after = self.peer_sets.told();
+        let after = self.peer_sets.report();
         if (before.current, before.previous) == (after.current, after.previous) {
             return;
         }
@@ -319,7 +319,7 @@
 
     /// The lease proof for an act to another gateway; `None` if this gateway is not the leader or never received a datagram
     /// from the other.
-    pub fn stamp(&self, now: Micros, to: PeerId) -> Option<LeaseProof> {
+    pub fn lease_proof(&self, now: Micros, to: PeerId) -> Option<LeaseProof> {
         let epoch = self.epoch(now)?;
         let peer = self.peers.get(&to).filter(|peer| peer.incarnation != 0)?;
         let until = peer.clock_us + shorter(self.lease_until.saturating_sub(peer.last_received_at));
@@ -423,7 +423,7 @@
     }
 
     /// Whether this gateway takes no part in the election.
-    pub fn is_hushed(&self) -> bool {
+    pub fn is_suspended(&self) -> bool {
         matches!(self.stage, Stage::Paused)
     }
 
--- a/gateway-cluster/src/leadership/election/transmit.rs
+++ b/gateway-cluster/src/leadership/election/transmit.rs
@@ -29,7 +29,7 @@
             incarnation,
         } = self.own;
         let to_incarnation = self.peers.get(&to).map_or(0, |peer| peer.incarnation);
-        let peer_sets: ConfigurationReport = self.peer_sets.told();
+        let peer_sets: ConfigurationReport = self.peer_sets.report();
         let bytes = Datagram {
             from,
             incarnation,
--- a/gateway-cluster/src/leadership/election/voting.rs
+++ b/gateway-cluster/src/leadership/election/voting.rs
@@ -13,7 +13,7 @@
             holder: self.own,
             epoch,
             lease: self.lease,
-            peer_sets: self.peer_sets.told(),
+            peer_sets: self.peer_sets.report(),
         }
     }
 
--- a/gateway-cluster/src/leadership/voter/tests.rs
+++ b/gateway-cluster/src/leadership/voter/tests.rs
@@ -10,7 +10,7 @@
         },
         epoch,
         lease: LEASE,
-        peer_sets: peer_sets.told(),
+        peer_sets: peer_sets.report(),
     }
 }
 
--- a/gateway-cluster/src/lib.rs
+++ b/gateway-cluster/src/lib.rs
@@ -8,8 +8,6 @@
 //! Layers, lowest first: [`wire`], [`peers`], [`protocol`], [`precedence`] and [`token_bucket`] are used by
 //! [`membership`]; [`leadership`] builds on the peer set, [`shards`] on the leader, [`sessions`] on the shard map.
 //! [`node`] combines them for one socket.
-#![forbid(unsafe_code)]
-#![warn(missing_docs)]
 
 pub mod hash;
 pub mod leadership;
--- a/gateway-cluster/src/membership/mod.rs
+++ b/gateway-cluster/src/membership/mod.rs
@@ -47,7 +47,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum PartitionSide {
     /// No peer is dead.
-    Whole,
+    Complete,
     /// More than half of the peer set is reachable, this gateway included.
     Majority,
     /// Half of the peer set or less is reachable.
@@ -62,7 +62,7 @@
     /// The peer did not answer this gateway's health checks.
     NoAnswer,
     /// The gateway with this name reported it.
-    ToldBy(String),
+    ReportedBy(String),
     /// A suspicion of the peer expired without a refutation.
     NotRefuted,
     /// The peer sent a datagram with a newer incarnation.
@@ -331,7 +331,7 @@
     /// The side of a partition on which this gateway is.
     pub fn side(&self) -> PartitionSide {
         match self.count_not_dead() {
-            alive if alive == self.members.len() => PartitionSide::Whole,
+            alive if alive == self.members.len() => PartitionSide::Complete,
             1 => PartitionSide::Alone,
             alive if 2 * alive > self.members.len() => PartitionSide::Majority,
             _ => PartitionSide::Minority,
--- a/gateway-cluster/src/membership/updates.rs
+++ b/gateway-cluster/src/membership/updates.rs
@@ -251,7 +251,7 @@
             let name = self.names()[index].clone();
             let why = match cause {
                 Cause::NoAnswer => ChangeReason::NoAnswer,
-                Cause::ReportedBy(index) => ChangeReason::ToldBy(self.names()[index].clone()),
+                Cause::ReportedBy(index) => ChangeReason::ReportedBy(self.names()[index].clone()),
                 Cause::NotRefuted => ChangeReason::NotRefuted,
                 Cause::Returned => ChangeReason::Returned,
                 Cause::Left => ChangeReason::Left,
--- a/gateway-cluster/src/node.rs
+++ b/gateway-cluster/src/node.rs
@@ -176,7 +176,7 @@
     }
 
     /// Records the outcome of a customer's request for the session classification.
-    pub fn note(
+    pub fn record_request(
         &mut self,
         now: Micros,
         customer: Customer,
@@ -185,31 +185,37 @@
         outcome: Outcome,
     ) {
         if let Some(sessions) = &mut self.sessions {
-            sessions.note(now, customer, backend, conn, outcome);
+            sessions.record_request(now, customer, backend, conn, outcome);
         }
     }
 
     /// The connection policy for a customer's request.
-    pub fn hold(&mut self, now: Micros, customer: Customer) -> ConnectionPolicy {
+    pub fn connection_policy(&mut self, now: Micros, customer: Customer) -> ConnectionPolicy {
         match (&mut self.sessions, &self.shard_map) {
-            (Some(sessions), Some(shard_map)) => sessions.hold(now, customer, shard_map),
+            (Some(sessions), Some(shard_map)) => {
+                sessions.connection_policy(now, customer, shard_map)
+            }
             _ => ConnectionPolicy::Any,
         }
     }
 
     /// The status of a customer's session classification, for operators.
-    pub fn session(&self, now: Micros, customer: Customer) -> Option<classifier::ClassifierStatus> {
+    pub fn session_status(
+        &self,
+        now: Micros,
+        customer: Customer,
+    ) -> Option<classifier::ClassifierStatus> {
         let (sessions, shard_map) = self.sessions.as_ref().zip(self.shard_map.as_ref())?;
         Some(sessions.status(now, customer, shard_map))
     }
 
     /// The key ranges that this gateway owns at this time, each from a key (inclusive) to a key (exclusive).
-    pub fn mine(&self, now: Micros) -> Vec<(Key, Key)> {
+    pub fn owned_ranges(&self, now: Micros) -> Vec<(Key, Key)> {
         let shard_map = self
             .shard_map
             .as_ref()
             .filter(|_| !self.is_stopped && !self.membership.is_superseded());
-        shard_map.map_or_else(Vec::new, |shard_map| shard_map.mine(now))
+        shard_map.map_or_else(Vec::new, |shard_map| shard_map.owned_ranges(now))
     }
 
     /// The leader election, if it is enabled.
@@ -340,7 +346,7 @@
         if let Some(election) = self
             .election
             .as_mut()
-            .filter(|election| election.is_hushed())
+            .filter(|election| election.is_suspended())
         {
             election.resume(now);
         }
@@ -401,7 +407,7 @@
         let is_paused = self
             .election
             .as_ref()
-            .is_some_and(LeaderElection::is_hushed);
+            .is_some_and(LeaderElection::is_suspended);
         match (is_superseded, is_paused) {
             (true, false) => self.release_leases(now),
             (false, true) if !self.is_stopped => self.resume(now),
--- a/gateway-cluster/src/sessions/classifier.rs
+++ b/gateway-cluster/src/sessions/classifier.rs
@@ -201,7 +201,7 @@
     }
 
     /// Records a finished request.
-    pub fn note(
+    pub fn record_request(
         &mut self,
         now: Micros,
         customer: Customer,
@@ -217,7 +217,7 @@
     }
 
     /// How a request of a customer gets its connection.
-    pub fn hold(
+    pub fn connection_policy(
         &mut self,
         now: Micros,
         customer: Customer,
--- a/gateway-cluster/src/sessions/classifier/ownership.rs
+++ b/gateway-cluster/src/sessions/classifier/ownership.rs
@@ -26,7 +26,10 @@
     /// Takes over the state of the cluster; a gain of keys starts a collection of reports.
     pub(super) fn sync_with_cluster(&mut self, now: Micros, cluster: &ClusterContext<'_>) {
         self.budget.fill(now);
-        self.majority = matches!(cluster.side, PartitionSide::Whole | PartitionSide::Majority);
+        self.majority = matches!(
+            cluster.side,
+            PartitionSide::Complete | PartitionSide::Majority
+        );
         self.gateways.retain(|name, _| cluster.names.contains(name));
         for (name, state) in cluster.names.iter().zip(cluster.states) {
             let id = peer_id_of(name);
@@ -48,7 +51,7 @@
         let owned = if cluster.silent {
             Vec::new()
         } else {
-            cluster.shard_map.mine(now)
+            cluster.shard_map.owned_ranges(now)
         };
         if owned == self.owned {
             return;
--- a/gateway-cluster/src/shards/leases.rs
+++ b/gateway-cluster/src/shards/leases.rs
@@ -139,7 +139,7 @@
 
     /// The key ranges `[from, to)` that this gateway owns now. In a blocked range it owns the keys that it already
     /// owned in `previous`, the map before this one.
-    pub fn mine(
+    pub fn owned_ranges(
         &self,
         now: Micros,
         me: &str,
--- a/gateway-cluster/src/shards/node/leases.rs
+++ b/gateway-cluster/src/shards/node/leases.rs
@@ -154,7 +154,7 @@
         let dead = self.unavailable_peers();
         for peer in due_peers(now, term, &names) {
             let (Some((incarnation, clock, heard_at)), Some(proof)) =
-                (election.clock_of(peer), election.stamp(now, peer))
+                (election.clock_of(peer), election.lease_proof(now, peer))
             else {
                 // No datagram of this peer has arrived yet.
                 if let Some(schedule) = term.schedules.get_mut(&peer) {
--- a/gateway-cluster/src/shards/node/mod.rs
+++ b/gateway-cluster/src/shards/node/mod.rs
@@ -160,12 +160,12 @@
     }
 
     /// The key ranges `[from, to)` that this gateway owns now.
-    pub fn mine(&self, now: Micros) -> Vec<(Key, Key)> {
+    pub fn owned_ranges(&self, now: Micros) -> Vec<(Key, Key)> {
         let Some(map) = self.map.as_ref().filter(|_| !self.suspended) else {
             return Vec::new();
         };
         self.local_shards
-            .mine(now, &self.name, map, self.previous.as_ref())
+            .owned_ranges(now, &self.name, map, self.previous.as_ref())
     }
 
     /// Whether this gateway owns a key now.
@@ -179,7 +179,7 @@
             .map
             .as_ref()
             .filter(|map| map.owner_of(key) == Some(&self.name))?;
-        let mine = self.mine(now);
+        let mine = self.owned_ranges(now);
         let index = mine.partition_point(|(_, to)| *to <= key);
         let owns_key = mine.get(index).is_some_and(|(from, _)| *from <= key);
         owns_key.then_some(FencingToken {
@@ -269,7 +269,7 @@
 
     /// Takes over changes of the leadership: suspension, incarnation, and the start or end of an epoch.
     fn sync_with_election(&mut self, now: Micros, election: &LeaderElection) {
-        match (election.is_hushed(), self.suspended) {
+        match (election.is_suspended(), self.suspended) {
             (true, false) => self.suspend(),
             (false, true) => self.resume(now),
             _ => {}
--- a/gateway-cluster/src/shards/node/status.rs
+++ b/gateway-cluster/src/shards/node/status.rs
@@ -88,7 +88,7 @@
             parent: map.map_or(MapHash::NONE, |map| map.parent),
             ranges: map.map_or(0, |map| map.ranges.len()),
             kept,
-            mine: self.mine(now),
+            mine: self.owned_ranges(now),
             next: self.pending_change(now),
             proposal,
         }
--- a/gateway-cluster/tests/compatibility.rs
+++ b/gateway-cluster/tests/compatibility.rs
@@ -189,9 +189,12 @@
     }
 }
 
-#[test]
-fn datagrams_of_the_shard_map_encode_and_decode_as_recorded() {
-    let mut recorded = fixture("shards");
+/// One datagram of each kind, with every rule and every state of a proposal.
+#[expect(
+    clippy::too_many_lines,
+    reason = "a list of values, one for each kind of datagram"
+)]
+fn shard_map_datagrams() -> Vec<(String, shards::Kind)> {
     let ballot = Ballot {
         epoch: 9,
         attempt: 2,
@@ -296,7 +299,13 @@
         };
         (format!("answer-{number}"), kind)
     }));
-    for (name, kind) in kinds {
+    kinds
+}
+
+#[test]
+fn datagrams_of_the_shard_map_encode_and_decode_as_recorded() {
+    let mut recorded = fixture("shards");
+    for (name, kind) in shard_map_datagrams() {
         let datagram = shards::Datagram {
             from: 5,
             incarnation: 6,
--- a/gateway-cluster/tests/leadership.rs
+++ b/gateway-cluster/tests/leadership.rs
@@ -312,7 +312,7 @@
                             .engine(leader)?
                             .stack
                             .election()?
-                            .stamp(now, name(*to))?,
+                            .lease_proof(now, name(*to))?,
                     ))
                 })
                 .collect();
@@ -646,7 +646,7 @@
         to_incarnation: 0,
         tick: 1,
         peer_sets: gateway_cluster::leadership::configuration::PeerConfiguration::new(vec![])
-            .told(),
+            .report(),
         epoch: 0,
         kind: gateway_cluster::leadership::wire::Kind::Prepare {
             number: 1,
--- a/gateway-cluster/tests/leadership_model.rs
+++ b/gateway-cluster/tests/leadership_model.rs
@@ -8,7 +8,7 @@
 //!   membership: all of these only add rejections;
 //! * a sent message stays in flight, so that it may arrive never, late and repeatedly.
 //!
-//! The receiver's check of an act (`LeaderElection::admit`) and the lease proof (`LeaderElection::stamp`) are restated here,
+//! The receiver's check of an act (`LeaderElection::admit`) and the lease proof (`LeaderElection::lease_proof`) are restated here,
 //! because `LeaderElection` holds a random generator and is too large for a model state.
 //!
 //! Clocks: each gateway's clock starts at its own zero. The first gateway's clock is slow by 1% and all others are fast by
@@ -368,7 +368,7 @@
             holder,
             epoch,
             lease: LEASE,
-            peer_sets: gateway.peer_sets.told(),
+            peer_sets: gateway.peer_sets.report(),
         }
     }
 
@@ -400,7 +400,7 @@
 
     fn send(&self, state: &mut State, from: usize, to: usize, kind: MessageKind) {
         let gateway = &state.gateways[from];
-        let peer_sets = OrderedReport(gateway.peer_sets.told());
+        let peer_sets = OrderedReport(gateway.peer_sets.report());
         state.in_flight.insert(Message {
             from,
             to,
@@ -508,7 +508,7 @@
         before: ConfigurationReport,
     ) {
         let gateway = state.gateway(process);
-        let after = gateway.peer_sets.told();
+        let after = gateway.peer_sets.report();
         let same = (before.current, before.previous) == (after.current, after.previous);
         if same || before.current == after.current && after.previous.is_none() {
             return;
@@ -552,7 +552,7 @@
         if state.gateways[to].stage == Stage::Left {
             return;
         }
-        let before = state.gateways[to].peer_sets.told();
+        let before = state.gateways[to].peer_sets.report();
         if self.without != Without::JointConfiguration {
             state.gateway(to).peer_sets.on_report(peer_sets.0);
         }
@@ -739,7 +739,7 @@
         let old_peer_set = PeerConfiguration::new(self.peer_sets[0].to_vec());
         let gateway = &next.gateways[process];
         let is_changed = self.reconfigured.contains(&process)
-            && gateway.peer_sets.told().current != old_peer_set.told().current;
+            && gateway.peer_sets.report().current != old_peer_set.report().current;
         let names = self.peer_sets[usize::from(is_changed || self.fresh.contains(&process))];
         let incarnation = gateway.incarnation + 1;
         let started = self.started_gateway(process, next.tick, incarnation, names);
@@ -750,10 +750,10 @@
     /// Changes the configured peer set to the new one, or back; `None` if it may not change back.
     fn change_peer_set(&self, next: &mut State, process: usize) -> Option<()> {
         let [old, new] = self.peer_sets;
-        let before = next.gateways[process].peer_sets.told();
+        let before = next.gateways[process].peer_sets.report();
         let gateway = next.gateway(process);
         gateway.peer_sets.set(new.to_vec());
-        if gateway.peer_sets.told().current == before.current {
+        if gateway.peer_sets.report().current == before.current {
             if !self.back {
                 return None;
             }
@@ -766,7 +766,7 @@
         Some(())
     }
 
-    /// A leader checks its lease and computes the proof of `LeaderElection::stamp`; `None` if it is not a leader or has
+    /// A leader checks its lease and computes the proof of `LeaderElection::lease_proof`; `None` if it is not a leader or has
     /// never received a message from the receiver.
     fn check_lease(&self, next: &mut State, process: usize, to: usize) -> Option<()> {
         let gateway = next.gateway(process);
@@ -983,7 +983,7 @@
             }),
             Property::sometimes(CHANGE_REACHED, |cluster: &Cluster, state: &State| {
                 let over = |gateway: &Arc<GatewayState>| {
-                    !gateway.peer_sets.is_changing() && gateway.peer_sets.told().retired.is_some()
+                    !gateway.peer_sets.is_changing() && gateway.peer_sets.report().retired.is_some()
                 };
                 cluster.reconfigured.is_empty() || state.gateways.iter().any(over)
             }),
--- a/gateway-cluster/tests/membership.rs
+++ b/gateway-cluster/tests/membership.rs
@@ -416,7 +416,7 @@
     };
     let mut view =
         Membership::new(0, settings("a", &peers), 1, &mut Vec::new()).expect("a valid peer set");
-    assert_eq!(view.side(), PartitionSide::Whole);
+    assert_eq!(view.side(), PartitionSide::Complete);
     let before = view.digest();
     // Nobody answers: the others are declared dead one after the other.
     let mut sides = vec![view.side()];
--- a/gateway-cluster/tests/session_classifier.rs
+++ b/gateway-cluster/tests/session_classifier.rs
@@ -82,7 +82,7 @@
         let owned = self.sim.engine(gateway).expect("it runs");
         owned
             .stack
-            .session(now, customer(index))
+            .session_status(now, customer(index))
             .expect("sessions are on")
     }
 
@@ -133,7 +133,7 @@
             Outcome::Fine
         };
         self.sim.act(gateway, |owned, now, _| {
-            owned.stack.note(now, customer, 0, conn, outcome);
+            owned.stack.record_request(now, customer, 0, conn, outcome);
         });
     }
 
--- a/gateway-cluster/tests/shard_leases.rs
+++ b/gateway-cluster/tests/shard_leases.rs
@@ -62,7 +62,7 @@
                 continue;
             }
             spans.extend(
-                self.mine(gateway)
+                self.owned_ranges(gateway)
                     .into_iter()
                     .map(|(from, to)| (from, to, gateway)),
             );
@@ -120,11 +120,11 @@
         Some(self.sim.engine(gateway)?.stack.shard_map()?.status(now))
     }
 
-    fn mine(&mut self, gateway: PeerIndex) -> Vec<(Key, Key)> {
+    fn owned_ranges(&mut self, gateway: PeerIndex) -> Vec<(Key, Key)> {
         let now = self.sim.now();
         self.sim
             .engine(gateway)
-            .map_or_else(Vec::new, |owned| owned.stack.mine(now))
+            .map_or_else(Vec::new, |owned| owned.stack.owned_ranges(now))
     }
 
     fn leader(&mut self) -> Option<PeerIndex> {
@@ -144,7 +144,7 @@
         let gateways: Vec<PeerIndex> = gateways.collect();
         gateways
             .into_iter()
-            .flat_map(|gateway| self.mine(gateway))
+            .flat_map(|gateway| self.owned_ranges(gateway))
             .map(|(from, to)| to - from)
             .sum()
     }
@@ -292,8 +292,9 @@
             cluster
                 .sim
                 .start((leader + 1) % gateways, UNIX + 60 * SECOND);
-            let has =
-                |cluster: &mut ShardCluster| !cluster.mine((leader + 1) % gateways).is_empty();
+            let has = |cluster: &mut ShardCluster| {
+                !cluster.owned_ranges((leader + 1) % gateways).is_empty()
+            };
             assert!(
                 cluster.until(20 * SECOND, has).is_some(),
                 "{gateways} gateways, seed {seed}: it gets no keys"
@@ -358,7 +359,7 @@
             (0..7).any(|gateway| {
                 gateway != previous_owner
                     && cluster
-                        .mine(gateway)
+                        .owned_ranges(gateway)
                         .iter()
                         .any(|(from, to)| *from < end && *to > 0)
             })
@@ -484,7 +485,7 @@
         cluster.propose(one, expect, ranges);
         cluster.run(LEASE_DURATION);
         assert_eq!(
-            (cluster.mine(one), cluster.mine(other)),
+            (cluster.owned_ranges(one), cluster.owned_ranges(other)),
             (vec![], vec![]),
             "seed {seed}"
         );
@@ -570,7 +571,7 @@
         .expect("it runs");
     let (incarnation, proof) = (
         election.incarnation(),
-        election.stamp(now, to).expect("it is the leader"),
+        election.lease_proof(now, to).expect("it is the leader"),
     );
     let parent = cluster.status(gateway).expect("it runs").hash;
     let map = ShardMap {
@@ -770,7 +771,7 @@
         }
         cluster.run(LEASE_DURATION + LEADER_LEASE + 2 * SECOND);
         assert_eq!(
-            (cluster.mine(5), cluster.mine(6)),
+            (cluster.owned_ranges(5), cluster.owned_ranges(6)),
             (vec![], vec![]),
             "seed {seed}"
         );
--- a/gateway-cluster/tests/shard_leases_model.rs
+++ b/gateway-cluster/tests/shard_leases_model.rs
@@ -283,7 +283,7 @@
         };
         let hash = lease.hash.0;
         !local
-            .mine(
+            .owned_ranges(
                 state.now,
                 NAMES[*gateway],
                 &map(hash),
--- a/quota-gateway/src/bin/quota-gateway/cluster/answers.rs
+++ b/quota-gateway/src/bin/quota-gateway/cluster/answers.rs
@@ -169,7 +169,7 @@
 /// The name of a side of a network partition, in the answer to `fleet`.
 fn partition_side_name(side: PartitionSide) -> &'static str {
     match side {
-        PartitionSide::Whole => "whole",
+        PartitionSide::Complete => "whole",
         PartitionSide::Majority => "majority",
         PartitionSide::Minority => "minority",
         PartitionSide::Alone => "alone",
@@ -292,7 +292,7 @@
         let node = self.node.borrow();
         let status = node
             .as_ref()
-            .and_then(|node| node.session(self.now(), customer))
+            .and_then(|node| node.session_status(self.now(), customer))
             .ok_or_else(|| self.not_running())?;
         to_json(&SessionAnswer {
             customer: format!("{customer:016x}"),
--- a/quota-gateway/src/bin/quota-gateway/cluster/log_events.rs
+++ b/quota-gateway/src/bin/quota-gateway/cluster/log_events.rs
@@ -23,7 +23,7 @@
 fn change_reason(reason: ChangeReason) -> String {
     match reason {
         ChangeReason::NoAnswer => "no answer to health checks".into(),
-        ChangeReason::ToldBy(peer) => format!("reported by {peer}"),
+        ChangeReason::ReportedBy(peer) => format!("reported by {peer}"),
         ChangeReason::NotRefuted => "the suspicion was not refuted in time".into(),
         ChangeReason::Returned => "it returned".into(),
         ChangeReason::Left => "it announced its shutdown".into(),
--- a/quota-gateway/src/bin/quota-gateway/cluster/sessions.rs
+++ b/quota-gateway/src/bin/quota-gateway/cluster/sessions.rs
@@ -18,7 +18,7 @@
         if !policies_apply {
             return Hold::Any;
         }
-        match self.with_node(|node, now, _| node.hold(now, customer)) {
+        match self.with_node(|node, now, _| node.connection_policy(now, customer)) {
             Some(ConnectionPolicy::Run) => Hold::Run,
             Some(ConnectionPolicy::Private) => Hold::Private,
             Some(ConnectionPolicy::Any) | None => Hold::Any,
@@ -33,6 +33,6 @@
             conn,
             outcome,
         } = attempt;
-        self.with_node(|node, now, _| node.note(now, customer, server, conn, outcome));
+        self.with_node(|node, now, _| node.record_request(now, customer, server, conn, outcome));
     }
 }
--- a/quota-gateway/tests/owner.rs
+++ b/quota-gateway/tests/owner.rs
@@ -914,7 +914,7 @@
                 incarnation: 7,
                 to_incarnation: 0,
                 tick: 1,
-                peer_sets: peer_sets.told(),
+                peer_sets: peer_sets.report(),
                 epoch: epoch + EPOCH_DISTANCE,
                 kind,
             };
