--- a/alderhollow/src/control_state/decide.rs
+++ b/alderhollow/src/control_state/decide.rs
@@ -5,10 +5,10 @@
 //! what it builds on: a document that comes again on top of a later version is another order, and its number is not above
 //! the current one.
 
+use super::accepted_requests::{order_digest, Method};
 use super::command::Command;
 use super::groups::may_be_founded;
 use super::request::{Answer, ConfigOrder, Decision, Order, OrderContext, Refusal, Request};
-use super::taken::{order_digest, Method};
 use super::ControlState;
 use crate::configuration::{apply_patch, check, read_json, version_of, InvalidConfig};
 use crate::finding::Finding;
--- a/alderhollow/src/control_state/mod.rs
+++ b/alderhollow/src/control_state/mod.rs
@@ -5,6 +5,7 @@
 //! what the decision rested on (the version that a configuration follows, the epoch that a group follows), so that a
 //! command that is late changes nothing.
 
+pub mod accepted_requests;
 pub mod codec;
 pub mod command;
 mod decide;
@@ -14,10 +15,10 @@
 mod snapshot;
 pub mod store_report;
 pub mod stores;
-pub mod taken;
 pub mod view;
 
 use crate::configuration::{check_text, read_json};
+use accepted_requests::TakenOrders;
 use alderhollow_coordination::replica::interface as replica;
 use alderhollow_model::config::{Config, ConfigVersion};
 use alderhollow_model::snapshot::{BatchGroup, ControlView, GroupId};
@@ -28,7 +29,6 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use stores::{RetirementState, StoreRegistry};
-use taken::TakenOrders;
 
 /// A configuration as it was sent, with its typed view.
 #[derive(Debug, Clone, PartialEq)]
--- a/alderhollow/src/control_state/snapshot.rs
+++ b/alderhollow/src/control_state/snapshot.rs
@@ -1,9 +1,9 @@
 //! The whole control state as bytes.
 
+use super::accepted_requests::TakenOrders;
 use super::codec::{decode, encode, CodecError};
 use super::groups::GroupState;
 use super::stores::StoreRegistry;
-use super::taken::TakenOrders;
 use super::{ConfigDocument, ControlState};
 use alderhollow_model::identity::DiskId;
 use alderhollow_model::snapshot::BatchGroup;
--- a/alderhollow/src/distribution/client.rs
+++ b/alderhollow/src/distribution/client.rs
@@ -1,9 +1,9 @@
 //! The long-polls of one process: finds the primary, keeps asking it, and swaps the process's tables.
 
 use super::directory::Directory;
-use super::finder::Finder;
 use super::link::{AskError, PeerLink};
 use super::message::{Answer, Poll, Request, Update};
+use super::primary_discovery::Finder;
 use super::server::Distributor;
 use super::signal::ChangeSignal;
 use super::tables::Tables;
--- a/alderhollow/src/distribution/mod.rs
+++ b/alderhollow/src/distribution/mod.rs
@@ -4,11 +4,11 @@
 //! | --- | --- |
 //! | [`message`], [`link`] | what goes over the wire, and how |
 //! | [`directory`] | what a process knows of the core's members, and tells others |
-//! | [`finder`] | whom to ask next |
+//! | [`primary_discovery`] | whom to ask next |
 //! | [`client`] | the polls of a process |
 //! | [`tables`] | swaps the process's snapshot; never back |
 //! | [`server`] | answers polls while there is a lease |
-//! | [`introductions`], [`pollers`] | the primary makes itself known to processes that do not poll it |
+//! | [`primary_announcement`], [`pollers`] | the primary makes itself known to processes that do not poll it |
 //! | [`validity`] | whether the tables may still be taken for the newest |
 //! | [`signal`] | wakes polls that hang |
 //! | [`senders`] | which processes polled within the last seconds |
@@ -16,12 +16,12 @@
 
 pub mod client;
 pub mod directory;
-pub mod finder;
-pub mod introductions;
 pub mod link;
 pub mod message;
 pub mod placers;
 pub mod pollers;
+pub mod primary_announcement;
+pub mod primary_discovery;
 pub mod senders;
 pub mod server;
 pub mod signal;
--- a/alderhollow/src/node.rs
+++ b/alderhollow/src/node.rs
@@ -5,7 +5,7 @@
 use crate::control_state::view::decode_view;
 use crate::distribution::client::{PollClient, PollState};
 use crate::distribution::directory::Directory;
-use crate::distribution::introductions::Introductions;
+use crate::distribution::primary_announcement::Introductions;
 use crate::distribution::server::{Authority, DistributionHandler, Distributor, PublishedBackends};
 use crate::distribution::signal::ChangeSignal;
 use crate::distribution::tables::Tables;
--- a/alderhollow/tests/control_state.rs
+++ b/alderhollow/tests/control_state.rs
@@ -2,11 +2,11 @@
 
 mod control;
 
+use alderhollow::control_state::accepted_requests::{TakenOrders, TAKEN_ORDERS};
 use alderhollow::control_state::codec::CodecError;
 use alderhollow::control_state::command::Command;
 use alderhollow::control_state::request::{ConfigOrder, Order, Refusal, Request};
 use alderhollow::control_state::stores::RetirementState;
-use alderhollow::control_state::taken::{TakenOrders, TAKEN_ORDERS};
 use alderhollow::control_state::view::{decode_view, encode_view};
 use alderhollow::control_state::ControlState;
 use alderhollow_coordination::replica::interface::StateMachine;
--- a/alderhollow/tests/core_discovery/world.rs
+++ b/alderhollow/tests/core_discovery/world.rs
@@ -3,11 +3,11 @@
 use alderhollow::clock::SteadyClock;
 use alderhollow::distribution::client::{PollClient, PollState};
 use alderhollow::distribution::directory::Directory;
-use alderhollow::distribution::introductions::Introductions;
 use alderhollow::distribution::link::{AskError, AskFuture, PeerLink};
 use alderhollow::distribution::message::{
     CoreMember, CoreView, EncodedControl, Notice, Poll, Request,
 };
+use alderhollow::distribution::primary_announcement::Introductions;
 use alderhollow::distribution::server::{Authority, Distributor};
 use alderhollow::distribution::signal::ChangeSignal;
 use alderhollow::distribution::tables::Tables;
--- a/alderhollow/tests/distribution.rs
+++ b/alderhollow/tests/distribution.rs
@@ -3,12 +3,12 @@
 use alderhollow::clock::SteadyClock;
 use alderhollow::distribution::client::PollState;
 use alderhollow::distribution::directory::Directory;
-use alderhollow::distribution::finder::Finder;
 use alderhollow::distribution::message::{
     Answer, CoreMember, CoreView, EncodedControl, HeldVersions, Poll, Request, Stamp,
     StampedSenders, Update,
 };
 use alderhollow::distribution::pollers::{PollerWatch, POLLER_MEMORY_MS, POLLER_SILENCE_MS};
+use alderhollow::distribution::primary_discovery::Finder;
 use alderhollow::distribution::senders::{SenderTracker, SENDER_TIMEOUT_MS};
 use alderhollow::distribution::server::{Authority, Distributor, PublishedBackends};
 use alderhollow::distribution::signal::ChangeSignal;
