--- a/alderhollow/src/control_state/accepted_requests.rs
+++ b/alderhollow/src/control_state/accepted_requests.rs
@@ -1,19 +1,20 @@
-//! Which orders were taken, so that one that comes again is acknowledged again however much came between.
+//! Accepted configuration requests: a retried request is recognised by its digest and acknowledged again, however many
+//! others were accepted in between. Part of the replicated state.
 
 use super::request::ConfigOrder;
 use minicbor::{Decode, Encode};
 use serde_json::{json, Value};
 use std::collections::{BTreeSet, VecDeque};
 
-/// How many orders are remembered, the newest ones.
-pub const TAKEN_ORDERS: usize = 20_000;
+/// Number of accepted requests that are remembered; the oldest is dropped first.
+pub const MAX_ACCEPTED_REQUESTS: usize = 20_000;
 
-/// The method of an order that concerns the configuration.
+/// HTTP method of a configuration request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Method {
-    /// A whole configuration.
+    /// A complete configuration.
     Put,
-    /// A change of named items.
+    /// A patch of named items.
     Patch,
 }
 
@@ -26,54 +27,53 @@
     }
 }
 
-/// A digest of all that an order says: its method, what it builds on, and what its document holds. Two orders that
-/// pick the same number for different changes have different ones.
-pub fn order_digest(method: Method, order: &ConfigOrder, document: &Value) -> u64 {
+/// Digest of a configuration request: its method, its `If-Match` and the content of its document. Two requests with the
+/// same configuration version but different content have different digests.
+pub fn request_digest(method: Method, order: &ConfigOrder, document: &Value) -> u64 {
     let if_match = order.if_match.as_deref().map(str::trim);
-    let parts = json!([method.name(), if_match]);
-    let said = crate::configuration::digest(&parts);
-    let held = crate::configuration::digest(document);
-    crate::configuration::digest(&json!([said, held]))
+    let head_digest = crate::configuration::digest(&json!([method.name(), if_match]));
+    let document_digest = crate::configuration::digest(document);
+    crate::configuration::digest(&json!([head_digest, document_digest]))
 }
 
-/// The digests of the orders that were taken.
+/// Digests of the accepted requests, in order of acceptance.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct TakenOrders {
+pub struct AcceptedRequests {
     in_order: VecDeque<u64>,
     known: BTreeSet<u64>,
 }
 
-impl TakenOrders {
-    /// Whether an order was taken.
+impl AcceptedRequests {
+    /// Whether a request was accepted.
     pub fn contains(&self, order: u64) -> bool {
         self.known.contains(&order)
     }
 
-    /// Notes that an order was taken.
+    /// Records that a request was accepted.
     pub fn add(&mut self, order: u64) {
         if !self.known.insert(order) {
             return;
         }
         self.in_order.push_back(order);
-        if self.in_order.len() > TAKEN_ORDERS {
+        if self.in_order.len() > MAX_ACCEPTED_REQUESTS {
             if let Some(oldest) = self.in_order.pop_front() {
                 self.known.remove(&oldest);
             }
         }
     }
 
-    /// How many are remembered.
+    /// Number of remembered requests.
     pub fn len(&self) -> usize {
         self.in_order.len()
     }
 
-    /// Whether none is.
+    /// Whether no request is remembered.
     pub fn is_empty(&self) -> bool {
         self.in_order.is_empty()
     }
 }
 
-impl<C> Encode<C> for TakenOrders {
+impl<C> Encode<C> for AcceptedRequests {
     fn encode<W: minicbor::encode::Write>(
         &self,
         encoder: &mut minicbor::Encoder<W>,
@@ -83,16 +83,16 @@
     }
 }
 
-impl<'b, C> Decode<'b, C> for TakenOrders {
+impl<'b, C> Decode<'b, C> for AcceptedRequests {
     fn decode(
         decoder: &mut minicbor::Decoder<'b>,
         context: &mut C,
     ) -> Result<Self, minicbor::decode::Error> {
         let in_order: VecDeque<u64> = VecDeque::decode(decoder, context)?;
-        let mut taken = TakenOrders::default();
+        let mut accepted = AcceptedRequests::default();
         for order in in_order {
-            taken.add(order);
+            accepted.add(order);
         }
-        Ok(taken)
+        Ok(accepted)
     }
 }
--- a/alderhollow/src/control_state/codec.rs
+++ b/alderhollow/src/control_state/codec.rs
@@ -1,39 +1,43 @@
-//! Bytes of requests, answers, commands and snapshots: a byte for the version of the format, then `minicbor`.
+//! Encoding of requests, answers, commands, snapshots and store reports: one byte with the format version, then CBOR
+//! (`minicbor`). Used by this room and by the stores' reports.
 
 use minicbor::{Decode, Encode};
 use thiserror::Error;
 
-/// The format that is written. A reader of a later one has to keep reading this.
+/// Version of the format that is written. Later versions of the program must still decode it.
 const FORMAT: u8 = 1;
 
-/// Why bytes can't be read.
+/// Why bytes can't be decoded.
 #[derive(Debug, Error)]
 pub enum CodecError {
-    /// There are none.
+    /// The input is empty.
     #[error("no bytes")]
     Empty,
-    /// The format is not known.
+    /// The format version is unknown.
     #[error("format {0} is not known to this program: it was written by a later one")]
     UnknownFormat(u8),
-    /// The bytes are not what they should be.
+    /// The bytes are not the CBOR of the expected type.
     #[error("damaged: {0}")]
     Damaged(#[from] minicbor::decode::Error),
-    /// More follows than there should be.
+    /// Bytes follow the value.
     #[error("damaged: more bytes than one value")]
     TooLong,
 }
 
-/// The bytes of a value.
+/// Encodes a value with the format version.
 pub fn encode<T: Encode<()>>(value: &T) -> Vec<u8> {
     let mut bytes = vec![FORMAT];
-    // Writing into a vector does not fail, and neither does any encoder of these types.
+    // Encoding into a vector is infallible for these types.
     if let Err(error) = minicbor::encode(value, &mut bytes) {
-        log::error!("a value of the control state can't be encoded: {error}");
+        log::error!("failed to encode a value of the control state: {error}");
     }
     bytes
 }
 
-/// Reads a value from its bytes.
+/// Decodes a value.
+///
+/// # Errors
+/// The bytes are empty, of an unknown format version, malformed, or longer than one value.
 pub fn decode<T: for<'b> Decode<'b, ()>>(bytes: &[u8]) -> Result<T, CodecError> {
     let (format, body) = bytes.split_first().ok_or(CodecError::Empty)?;
     if *format != FORMAT {
--- a/alderhollow/src/control_state/command.rs
+++ b/alderhollow/src/control_state/command.rs
@@ -1,4 +1,5 @@
-//! The changes of the control state. Each is decided before it is replicated and holds all that applying it needs.
+//! Commands: the entries that the core replicates. Each contains everything that applying it needs and is independent of
+//! clocks and settings, so that all replicas reach the same state.
 
 use super::groups::GroupChange;
 use alderhollow_model::config::ConfigVersion;
@@ -7,89 +8,92 @@
 use minicbor::{Decode, Encode};
 use std::collections::BTreeSet;
 
-/// A change of the control state.
+/// A replicated change of the control state.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Command {
-    /// A new configuration.
+    /// Replaces the configuration.
     #[n(0)]
     SetConfig {
-        /// The version that it follows; it is passed over if another one is current.
+        /// The version that it replaces; the command has no effect if another one is current.
         #[n(0)]
         base: ConfigVersion,
-        /// Digest of the order that brought it.
+        /// Digest of the operator's request.
         #[n(1)]
         order: u64,
-        /// The whole document.
+        /// The complete JSON document.
         #[cbor(n(2), with = "minicbor::bytes")]
         document: Vec<u8>,
     },
-    /// Nothing more is to go to the backends of a zone.
+    /// Evacuates a zone: no request is sent to its backends any more.
     #[n(1)]
     Evacuate {
         /// The zone.
         #[n(0)]
         zone: String,
     },
-    /// A zone's backends may be used again.
+    /// Cancels the evacuation of a zone.
     #[n(2)]
-    TakeBack {
+    CancelEvacuation {
         /// The zone.
         #[n(0)]
         zone: String,
     },
-    /// A store is to be emptied.
+    /// Starts the decommissioning of a store.
     #[n(3)]
     Retire {
-        /// Name of its machine.
+        /// Name of the machine.
         #[n(0)]
         node: String,
     },
-    /// A store as it is now.
+    /// Registers a store or updates its registration.
     #[n(4)]
     RegisterStore(#[n(0)] NodeInfo),
-    /// A new epoch of the first group, as earlier versions of the program wrote it, which knew one group; after epoch 0: the
-    /// first group is made.
+    /// A new epoch of the first group, as written by earlier versions of the program, which had a single group. With
+    /// `previous_epoch` 0 it creates that group.
     #[n(5)]
     SetGroup {
-        /// The epoch that it follows; it is passed over if another one is current.
+        /// The epoch that it replaces; the command has no effect if another one is current.
         #[n(0)]
         previous_epoch: u64,
         /// The group.
         #[n(1)]
         group: BatchGroup,
     },
-    /// All members of the first group hold everything; see [`Command::SetGroup`].
+    /// All members of the first group are complete; see [`Command::SetGroup`].
     #[n(6)]
     GroupActive {
-        /// The group's epoch; passed over if another one is current.
+        /// The group's epoch; the command has no effect if another one is current.
         #[n(0)]
         epoch: u64,
     },
-    /// Some members of the first group hold everything, though not yet all; see [`Command::SetGroup`].
+    /// Some members of the first group became complete; see [`Command::SetGroup`].
     #[n(7)]
     MembersInSync {
-        /// The group's epoch; passed over if another one is current.
+        /// The group's epoch; the command has no effect if another one is current.
         #[n(0)]
         epoch: u64,
         /// The members' disks.
         #[n(1)]
         disks: BTreeSet<DiskId>,
     },
-    /// The batch groups are made, all at once; passed over if there are some.
+    /// Creates all batch groups; no effect if there are groups.
     #[n(8)]
     FoundGroups(#[n(0)] Vec<BatchGroup>),
-    /// Batch groups change, each by itself: a change that does not fit any more is passed over.
+    /// Changes batch groups. Each change is checked by itself: one whose precondition no longer holds has no effect.
     #[n(9)]
     ChangeGroups(#[n(0)] Vec<GroupChange>),
 }
 
 impl Command {
-    /// The bytes of this command.
+    /// Encodes this command.
     pub fn to_bytes(&self) -> Vec<u8> {
         super::codec::encode(self)
     }
 
-    /// Reads a command from its bytes.
+    /// Decodes a command.
+    ///
+    /// # Errors
+    /// The bytes are not an encoded command.
     pub fn from_bytes(bytes: &[u8]) -> Result<Command, super::codec::CodecError> {
         super::codec::decode(bytes)
     }
--- a/alderhollow/src/control_state/decide.rs
+++ b/alderhollow/src/control_state/decide.rs
@@ -1,13 +1,13 @@
-//! What becomes of an order, by the newest committed state.
+//! Decision rules for requests, evaluated by the primary against the newest committed state.
 //!
-//! For a configuration: (1) an order that was taken before is acknowledged again; (2) one that builds on another version
-//! than the current one is refused by 412; (3) an invalid one by 400; else it is committed. The digest of an order covers
-//! what it builds on: a document that comes again on top of a later version is another order, and its number is not above
-//! the current one.
+//! A configuration request is checked in this order: (1) one that was accepted before is acknowledged again; (2) one whose
+//! `If-Match` is not the current version is rejected with 412; (3) an invalid one is rejected with 400; otherwise it is
+//! committed. The digest of a request covers its `If-Match`: the same document sent on top of a later version is a different
+//! request, and is rejected as its version is not above the current one.
 
-use super::accepted_requests::{order_digest, Method};
+use super::accepted_requests::{request_digest, Method};
 use super::command::Command;
-use super::groups::may_be_founded;
+use super::groups::are_valid_initial_groups;
 use super::request::{Answer, ConfigOrder, Decision, Order, OrderContext, Refusal, Request};
 use super::ControlState;
 use crate::configuration::{apply_patch, check, read_json, version_of, InvalidConfig};
@@ -16,18 +16,22 @@
 use serde_json::Value;
 
 impl ControlState {
-    /// What becomes of a request.
+    /// Decides a request: whether a command is replicated for it, or what is answered.
     pub fn decide_request(&self, request: &Request) -> Decision {
         match request {
             Request::Order { order, context } => self.decide_order(order, context),
-            Request::RegisterStore(store) if self.stores.is_news(store) => {
+            Request::RegisterStore(store) if self.stores.would_change(store) => {
                 Decision::Commit(Command::RegisterStore(store.clone()))
             }
-            Request::FoundGroups(groups) if self.groups.is_empty() && may_be_founded(groups) => {
+            Request::FoundGroups(groups)
+                if self.groups.is_empty() && are_valid_initial_groups(groups) =>
+            {
                 Decision::Commit(Command::FoundGroups(groups.clone()))
             }
             Request::ChangeGroups(changes)
-                if changes.iter().any(|change| self.may_change(change)) =>
+                if changes
+                    .iter()
+                    .any(|change| self.is_applicable_change(change)) =>
             {
                 Decision::Commit(Command::ChangeGroups(changes.clone()))
             }
@@ -40,7 +44,7 @@
             Order::PutConfig(order) => self.decide_config(Method::Put, order),
             Order::PatchConfig(order) => self.decide_config(Method::Patch, order),
             Order::Evacuate { zone } => self.decide_evacuation(zone, context),
-            Order::TakeBack { zone } => self.decide_taking_back(zone, context),
+            Order::CancelEvacuation { zone } => self.decide_cancel_evacuation(zone, context),
             Order::Retire { node } => self.decide_retirement(node, context),
         };
         match decided {
@@ -50,15 +54,15 @@
         }
     }
 
-    /// `None`: already done.
+    /// Returns `None` if the request was accepted before.
     fn decide_config(
         &self,
         method: Method,
         order: &ConfigOrder,
     ) -> Result<Option<Command>, Refusal> {
         let sent = read_json(&order.body).map_err(|error| Refusal::invalid(&[error.finding()]))?;
-        let digest = order_digest(method, order, &sent);
-        if self.taken.contains(digest) {
+        let digest = request_digest(method, order, &sent);
+        if self.accepted.contains(digest) {
             return Ok(None);
         }
         let base = read_if_match(order.if_match.as_deref())
@@ -75,7 +79,7 @@
         }))
     }
 
-    /// The whole document that an order leads to, checked.
+    /// The complete, validated document that results from a request.
     fn resulting_document(
         &self,
         method: Method,
@@ -113,13 +117,13 @@
         }))
     }
 
-    fn decide_taking_back(
+    fn decide_cancel_evacuation(
         &self,
         zone: &str,
         context: &OrderContext,
     ) -> Result<Option<Command>, Refusal> {
         if self.evacuated.contains(zone) {
-            return Ok(Some(Command::TakeBack {
+            return Ok(Some(Command::CancelEvacuation {
                 zone: zone.to_string(),
             }));
         }
@@ -169,7 +173,7 @@
     Err(Refusal::invalid(&[Finding::new("config-version", message)]))
 }
 
-/// The version in `If-Match`, with or without quotes.
+/// Parses the version in `If-Match`, with or without quotes.
 fn read_if_match(header: Option<&str>) -> Result<ConfigVersion, Finding> {
     let position = "If-Match";
     let Some(text) = header else {
--- a/alderhollow/src/control_state/group_policy/founding.rs
+++ b/alderhollow/src/control_state/group_policy/founding.rs
@@ -1,50 +1,50 @@
-//! The first groups, made all at once.
+//! Creation of the batch groups: all are created by one request, once enough stores are known.
 
 use super::placement::{spread_over_zones, StoreLoads};
 use super::rebalancing;
-use super::seen_stores::SeenStores;
+use super::store_health::StoreHealth;
 use crate::control_state::request::Request;
 use alderhollow_model::snapshot::{BatchGroup, GroupMember};
 
-/// How long the first stores may take to come before the groups are made of those that are there.
+/// Time that the primary waits for stores to register before it creates the groups, in ms since it became primary.
 pub const FOUNDING_WAIT_MS: u64 = 1_500;
-/// How much longer that takes where fewer than `tolerate + 1` stores are there.
-pub const FOUNDING_PATIENCE_MS: u64 = 5_000;
-/// The most groups that are made.
-pub const MOST_GROUPS: usize = 64;
-/// The epoch of a group that was just made.
+/// Additional time, in ms, that it waits while fewer than `tolerate + 1` stores are usable.
+pub const FOUNDING_TIMEOUT_MS: u64 = 5_000;
+/// Maximum number of groups.
+pub const MAX_GROUPS: usize = 64;
+/// Epoch of a newly created group.
 const FIRST_EPOCH: u64 = 1;
 
-/// As many groups as there are stores, if it is time to make them.
-pub fn found(seen: &SeenStores) -> Option<Request> {
-    let waited_ms = seen.view.primary_for_ms;
+/// The request that creates the groups, if it is due.
+pub fn initial_groups(health: &StoreHealth) -> Option<Request> {
+    let waited_ms = health.view.primary_for_ms;
     if waited_ms < FOUNDING_WAIT_MS {
         return None;
     }
-    let stores = seen.usable();
-    let patience_is_over = waited_ms >= FOUNDING_WAIT_MS + FOUNDING_PATIENCE_MS;
-    let are_enough = stores.len() >= seen.copies() || patience_is_over;
+    let stores = health.usable();
+    let timed_out = waited_ms >= FOUNDING_WAIT_MS + FOUNDING_TIMEOUT_MS;
+    let are_enough = stores.len() >= health.min_replicas() || timed_out;
     (are_enough && !stores.is_empty())
-        .then(|| Request::FoundGroups(place_groups(&stores, seen.target())))
+        .then(|| Request::FoundGroups(place_groups(&stores, health.target_members())))
 }
 
-/// Places groups of up to `target` members on stores: a group for each store, up to [`MOST_GROUPS`]. Each store leads one at
-/// most. Members lie over the zones first; where these leave a choice, each store belongs to as many groups as any other.
+/// Places groups of up to `target` members on stores: one group for each store, up to [`MAX_GROUPS`]. Each store is primary
+/// of at most one. Members are spread over zones first, then evenly over stores.
 fn place_groups(stores: &[GroupMember], target: usize) -> Vec<BatchGroup> {
-    let count = stores.len().min(MOST_GROUPS);
+    let count = stores.len().min(MAX_GROUPS);
     let primaries = spread_over_zones(&[], stores.to_vec(), count, &StoreLoads::default());
-    let mut groups: Vec<BatchGroup> = primaries.into_iter().map(group_of_one).collect();
+    let mut groups: Vec<BatchGroup> = primaries.into_iter().map(single_member_group).collect();
     let mut loads = StoreLoads::of(&groups);
     for group in &mut groups {
         let former = group.clone();
         fill(group, stores, target, &loads);
         loads.replace(&former, group);
     }
-    rebalancing::settle_memberships(&mut groups, stores);
+    rebalancing::balance_memberships(&mut groups, stores);
     groups
 }
 
-fn group_of_one(primary: GroupMember) -> BatchGroup {
+fn single_member_group(primary: GroupMember) -> BatchGroup {
     BatchGroup {
         epoch: FIRST_EPOCH,
         primary: primary.disk,
--- a/alderhollow/src/control_state/group_policy/placement.rs
+++ b/alderhollow/src/control_state/group_policy/placement.rs
@@ -1,10 +1,10 @@
-//! Where groups lie: what each store carries, and who is the next to carry more or less.
+//! Placement of group members on stores: load counts, and the choice of members to add and remove.
 
 use alderhollow_model::identity::DiskId;
 use alderhollow_model::snapshot::{BatchGroup, GroupMember};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How many groups each store leads, and to how many it belongs, as a member or as a learner.
+/// For each store, the number of groups of which it is primary, and of which it is a member or learner.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct StoreLoads {
     leads: BTreeMap<DiskId, usize>,
@@ -21,17 +21,17 @@
         loads
     }
 
-    /// How many groups a store leads.
+    /// Number of groups of which a store is primary.
     pub fn leads(&self, disk: DiskId) -> usize {
         self.leads.get(&disk).copied().unwrap_or(0)
     }
 
-    /// To how many groups a store belongs.
+    /// Number of groups of which a store is a member or learner.
     pub fn memberships(&self, disk: DiskId) -> usize {
         self.memberships.get(&disk).copied().unwrap_or(0)
     }
 
-    /// Counts a group in.
+    /// Adds a group.
     pub fn add(&mut self, group: &BatchGroup) {
         *self.leads.entry(group.primary).or_default() += 1;
         for disk in disks_of(group) {
@@ -39,7 +39,7 @@
         }
     }
 
-    /// Counts a group as it is to be in place of what it was.
+    /// Replaces a group by its next epoch.
     pub fn replace(&mut self, former: &BatchGroup, next: &BatchGroup) {
         subtract_one(&mut self.leads, former.primary);
         for disk in disks_of(former) {
@@ -65,8 +65,8 @@
         .collect()
 }
 
-/// Picks up to `count` candidates: those first whose zones have the fewest members, then those that belong to the fewest
-/// groups, then in the order given.
+/// Picks up to `count` candidates. Candidates whose zones have the fewest members come first, then those that belong to the
+/// fewest groups, then in the order given.
 pub fn spread_over_zones(
     present: &[GroupMember],
     mut candidates: Vec<GroupMember>,
@@ -94,16 +94,16 @@
     picked
 }
 
-/// How unevenly members lie over the zones: the sum of the squares of their counts by zone. Less is better.
-pub fn zone_crowding(members: &[GroupMember]) -> usize {
+/// Imbalance of members over zones: the sum of the squares of the member counts by zone. Lower is better.
+pub fn zone_imbalance(members: &[GroupMember]) -> usize {
     count_by_zone(members)
         .values()
         .map(|count| count * count)
         .sum()
 }
 
-/// The member that a group with one too many can best do without: not the primary; one without which the others lie the
-/// most evenly over the zones; of these, the one that belongs to the most groups.
+/// The member to remove from a group that has one too many. Never the primary; a member of the zone with the most members;
+/// of these, the one that belongs to the most groups; of these, the one with the highest disk id.
 pub fn surplus_member(
     members: &[GroupMember],
     primary: DiskId,
--- a/alderhollow/src/control_state/group_policy/rebalancing.rs
+++ b/alderhollow/src/control_state/group_policy/rebalancing.rs
@@ -1,12 +1,12 @@
-//! Moves groups, one at a time, towards stores that carry less than others: those that came back or were added.
+//! Rebalancing: moves groups, one at a time, towards stores with less load, such as stores that came back or were added.
 //!
-//! It comes to rest: a hand-over lowers the sum of the squares of the stores' counts of groups that they lead, and changes no
-//! membership. A change of a member changes no leadership; it lowers how unevenly the groups lie over the zones, or leaves
-//! that and lowers the sum of the squares of the stores' counts of memberships. None of these sums ever rises without the
-//! one that ranks before it falling, and all are whole numbers.
+//! It terminates. A transfer of primaries lowers the sum of the squares of the stores' primary counts and changes no
+//! membership. A change of a member changes no primary; it lowers the zone imbalance, or keeps it and lowers the sum of the
+//! squares of the stores' membership counts. These sums are integers ordered by rank, and none rises unless one of higher
+//! rank falls.
 
-use super::placement::{disks_of, surplus_member, zone_crowding, StoreLoads};
-use super::seen_stores::{cannot_serve, SeenStores};
+use super::placement::{disks_of, surplus_member, zone_imbalance, StoreLoads};
+use super::store_health::{cannot_serve, StoreHealth};
 use super::{StoreView, DEAD_AFTER_MS, GONE_AFTER_MS};
 use crate::control_state::groups::{GroupChange, GroupState, GroupStep};
 use crate::control_state::request::Request;
@@ -17,22 +17,22 @@
 use std::collections::btree_map::Entry;
 use std::collections::{BTreeMap, VecDeque};
 
-/// How long all must have been calm before anything is moved.
+/// How long the groups must have been stable before anything is moved, in ms.
 pub const REBALANCE_AFTER_MS: u64 = 3_000;
-/// A store is relieved only for one that carries less by so much: less would only swap the two.
-const WORTHWHILE_GAP: usize = 2;
+/// Minimum difference in load between two stores for a move; with a smaller one, the move would only swap them.
+const MIN_LOAD_GAP: usize = 2;
 
-/// Since when all has been calm, as the core's primary saw it. It lives beside the primary's view of the stores, on the
-/// process's own clock: a new primary begins anew, which only delays what is not urgent.
+/// Measures how long the groups have been stable, on the clock of the core's primary. It is not replicated: a new primary
+/// starts at zero, which only delays rebalancing.
 #[derive(Debug, Clone, Default)]
-pub struct CalmWatch {
+pub struct StabilityTimer {
     since_ms: Option<u64>,
 }
 
-impl CalmWatch {
-    /// Notes whether all is calm now; tells for how long it has been. To be told often.
-    pub fn note(&mut self, is_calm: bool, now_ms: u64) -> u64 {
-        if !is_calm {
+impl StabilityTimer {
+    /// Records whether the groups are stable now and returns for how long they have been, in ms. Call it periodically.
+    pub fn record(&mut self, is_stable: bool, now_ms: u64) -> u64 {
+        if !is_stable {
             self.since_ms = None;
             return 0;
         }
@@ -41,74 +41,74 @@
     }
 }
 
-/// Whether all groups are active and have all their members, nobody is being brought up, and no store is about to come, go
-/// or be emptied. A store that has been silent for [`GONE_AFTER_MS`] is not waited for.
-pub fn is_calm(seen: &SeenStores) -> bool {
-    let groups = seen.state.groups();
-    let members = seen.target().min(seen.usable().len());
-    let is_settled = |group: &GroupState| is_settled(seen, group, members);
-    !groups.is_empty() && groups.iter().all(is_settled) && stores_are_calm(seen)
+/// Whether all groups are active and have all their members and no learners, and no store is dead, shutting down or being
+/// decommissioned. A store that has not polled for [`GONE_AFTER_MS`] is ignored.
+pub fn is_stable(health: &StoreHealth) -> bool {
+    let groups = health.state.groups();
+    let members = health.target_members().min(health.usable().len());
+    let is_stable_group = |group: &GroupState| is_stable_group(health, group, members);
+    !groups.is_empty() && groups.iter().all(is_stable_group) && stores_are_stable(health)
 }
 
-fn is_settled(seen: &SeenStores, state: &GroupState, members: usize) -> bool {
+fn is_stable_group(health: &StoreHealth, state: &GroupState, members: usize) -> bool {
     let group = &state.group;
-    let stays = |member: &GroupMember| seen.is_alive(member.disk) && !seen.is_retiring(member);
+    let stays = |member: &GroupMember| health.is_alive(member.disk) && !health.is_retiring(member);
     state.is_active()
         && group.learners.is_empty()
         && group.members.len() == members
         && group.members.iter().all(stays)
 }
 
-fn stores_are_calm(seen: &SeenStores) -> bool {
-    let is_calm = |store: &&StoreView| {
-        let is_gone = store.silent_for_ms >= GONE_AFTER_MS;
-        let is_here = store.silent_for_ms < DEAD_AFTER_MS && !cannot_serve(&store.report);
-        is_gone || (is_here && !is_being_emptied(seen, &store.node.node))
+fn stores_are_stable(health: &StoreHealth) -> bool {
+    let is_stable = |store: &&StoreView| {
+        let is_gone = store.since_last_poll_ms >= GONE_AFTER_MS;
+        let is_usable = store.since_last_poll_ms < DEAD_AFTER_MS && !cannot_serve(&store.report);
+        is_gone || (is_usable && !is_being_drained(health, &store.node.node))
     };
-    seen.by_disk.values().all(is_calm)
+    health.by_disk.values().all(is_stable)
 }
 
-fn is_being_emptied(seen: &SeenStores, node: &str) -> bool {
-    seen.state.retirement(node) == Some(RetirementState::InProgress)
+fn is_being_drained(health: &StoreHealth, node: &str) -> bool {
+    health.state.retirement(node) == Some(RetirementState::InProgress)
 }
 
-/// The next move, if one is worth its cost and all has been calm for long enough.
-pub fn next_move(seen: &SeenStores) -> Option<Request> {
-    if seen.view.calm_for_ms < REBALANCE_AFTER_MS || !is_calm(seen) {
+/// The next move, if one improves the balance and the groups have been stable for [`REBALANCE_AFTER_MS`].
+pub fn next_move(health: &StoreHealth) -> Option<Request> {
+    if health.view.stable_for_ms < REBALANCE_AFTER_MS || !is_stable(health) {
         return None;
     }
-    let groups: Vec<BatchGroup> = seen
+    let groups: Vec<BatchGroup> = health
         .state
         .groups()
         .iter()
         .map(|state| state.group.as_ref().clone())
         .collect();
-    let hand_overs = hand_overs(&groups);
-    if !hand_overs.is_empty() {
-        return Some(Request::ChangeGroups(hand_overs));
+    let primary_transfers = primary_transfers(&groups);
+    if !primary_transfers.is_empty() {
+        return Some(Request::ChangeGroups(primary_transfers));
     }
-    let change = member_change(&groups, &seen.usable())?;
+    let change = member_change(&groups, &health.usable())?;
     Some(Request::ChangeGroups(vec![change.begin(&groups)?]))
 }
 
-/// A store that is to become a member in the place of another one.
+/// Replacement of a group's member by another store.
 struct MemberChange {
     group_index: usize,
     joins: GroupMember,
     leaves: DiskId,
-    /// What the change brings; see [`Gain`].
+    /// Improvement of the balance.
     gain: Gain,
 }
 
 impl MemberChange {
-    /// Brings the store up as a learner. Once it is a member, the group has one too many and lets the other one go.
+    /// Adds the store as a learner. Once it is a member, the group has one too many and the other member is removed.
     fn begin(self, groups: &[BatchGroup]) -> Option<GroupChange> {
         let mut next = groups.get(self.group_index)?.clone();
         next.learners.push(self.joins);
         Some(replace(self.group_index, next))
     }
 
-    /// Does all of it at once, for groups that hold nothing yet.
+    /// Replaces the member directly, for groups without data.
     fn complete(self, groups: &mut [BatchGroup]) {
         if let Some(group) = groups.get_mut(self.group_index) {
             group.members.retain(|member| member.disk != self.leaves);
@@ -117,23 +117,23 @@
     }
 }
 
-/// How much better it gets, the more important first.
+/// Improvement of the balance; fields are compared in order.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct Gain {
-    /// By how much less the group's members crowd in zones.
+    /// Reduction of the group's zone imbalance.
     zones: usize,
-    /// By how much more the leaving store carries than the joining one.
+    /// Membership count of the leaving store minus that of the joining one.
     memberships: usize,
 }
 
-/// Moves members until no change is worthwhile any more.
-pub fn settle_memberships(groups: &mut [BatchGroup], stores: &[GroupMember]) {
+/// Replaces members until no replacement improves the balance.
+pub fn balance_memberships(groups: &mut [BatchGroup], stores: &[GroupMember]) {
     while let Some(change) = member_change(groups, stores) {
         change.complete(groups);
     }
 }
 
-/// The best change of a member, if one is worthwhile; of equal ones the first.
+/// The best replacement of a member, if one is an improvement; the first of equal ones.
 fn member_change(groups: &[BatchGroup], stores: &[GroupMember]) -> Option<MemberChange> {
     let loads = StoreLoads::of(groups);
     let mut best: Option<MemberChange> = None;
@@ -150,8 +150,8 @@
     best
 }
 
-/// What comes of a store's joining a group, if it is worthwhile. Who leaves is found in the same way as when the time has
-/// come, so that the outcome is the one that was reckoned with.
+/// The replacement that results from a store joining a group, if it is an improvement. The leaving member is chosen by the
+/// same rule that applies once the store has joined, so the outcome is as planned.
 fn change_in_group(
     group_index: usize,
     group: &BatchGroup,
@@ -166,13 +166,13 @@
         return None;
     }
     members.retain(|member| member.disk != leaves);
-    let zones = zone_crowding(&group.members).checked_sub(zone_crowding(&members))?;
+    let zones = zone_imbalance(&group.members).checked_sub(zone_imbalance(&members))?;
     let memberships = loads
         .memberships(leaves)
         .saturating_sub(loads.memberships(joins.disk));
-    let is_worthwhile = zones > 0 || memberships >= WORTHWHILE_GAP;
+    let is_improvement = zones > 0 || memberships >= MIN_LOAD_GAP;
     let gain = Gain { zones, memberships };
-    is_worthwhile.then(|| MemberChange {
+    is_improvement.then(|| MemberChange {
         group_index,
         joins: joins.clone(),
         leaves,
@@ -180,34 +180,34 @@
     })
 }
 
-/// The hand-overs by which a store that leads the most comes to lead one group less, and one that leads less by two or more
-/// leads one more. Most often that is one hand-over; where the two share no group that the first one leads, the groups
-/// between them are handed on in the same step.
-fn hand_overs(groups: &[BatchGroup]) -> Vec<GroupChange> {
+/// The transfers after which a store with the most primaries has one fewer, and a store with at least [`MIN_LOAD_GAP`] fewer
+/// has one more. Usually this is one transfer. If the second store is a member of none of the first one's groups, the
+/// primaries of intermediate groups move in the same request.
+fn primary_transfers(groups: &[BatchGroup]) -> Vec<GroupChange> {
     let loads = StoreLoads::of(groups);
     let mut leaders: Vec<DiskId> = groups.iter().map(|group| group.primary).collect();
     leaders.sort_by_key(|disk| (Reverse(loads.leads(*disk)), *disk));
     leaders.dedup();
     let paths = leaders
         .into_iter()
-        .map(|leader| path_to_less_leading(groups, leader, &loads));
+        .map(|leader| path_to_less_loaded(groups, leader, &loads));
     let path = paths
         .into_iter()
         .find(|path| !path.is_empty())
         .unwrap_or_default();
     path.into_iter()
-        .filter_map(|hand_over| hand_over.change(groups))
+        .filter_map(|transfer| transfer.change(groups))
         .collect()
 }
 
-/// A group that is to be led by another one of its members.
+/// Transfer of a group's primary role to another member.
 #[derive(Debug, Clone, Copy)]
-struct HandOver {
+struct PrimaryTransfer {
     group_index: usize,
     successor: DiskId,
 }
 
-impl HandOver {
+impl PrimaryTransfer {
     fn change(self, groups: &[BatchGroup]) -> Option<GroupChange> {
         let mut next = groups.get(self.group_index)?.clone();
         next.primary = self.successor;
@@ -215,18 +215,19 @@
     }
 }
 
-/// A shortest chain of hand-overs from a leader to a store that leads fewer groups by [`WORTHWHILE_GAP`]; empty if there is
-/// none. Breadth-first search: each store leads on to the members of the groups that it leads.
-fn path_to_less_leading(
+/// A shortest chain of transfers from a store to one with at least [`MIN_LOAD_GAP`] fewer primaries; empty if there is none.
+/// Breadth-first search; the neighbours of a store are the members of the groups of which it is primary.
+fn path_to_less_loaded(
     groups: &[BatchGroup],
     leader: DiskId,
     loads: &StoreLoads,
-) -> Vec<HandOver> {
-    let mut came_by: BTreeMap<DiskId, Option<(DiskId, HandOver)>> = [(leader, None)].into();
+) -> Vec<PrimaryTransfer> {
+    let mut reached_by: BTreeMap<DiskId, Option<(DiskId, PrimaryTransfer)>> =
+        [(leader, None)].into();
     let mut open = VecDeque::from([leader]);
     while let Some(store) = open.pop_front() {
-        if loads.leads(store) + WORTHWHILE_GAP <= loads.leads(leader) {
-            return path_back(&came_by, store);
+        if loads.leads(store) + MIN_LOAD_GAP <= loads.leads(leader) {
+            return path_to(&reached_by, store);
         }
         for (group_index, group) in groups
             .iter()
@@ -234,10 +235,10 @@
             .filter(|(_, group)| group.primary == store)
         {
             for successor in group.members.iter().map(|member| member.disk) {
-                if let Entry::Vacant(entry) = came_by.entry(successor) {
+                if let Entry::Vacant(entry) = reached_by.entry(successor) {
                     entry.insert(Some((
                         store,
-                        HandOver {
+                        PrimaryTransfer {
                             group_index,
                             successor,
                         },
@@ -250,11 +251,14 @@
     Vec::new()
 }
 
-fn path_back(came_by: &BTreeMap<DiskId, Option<(DiskId, HandOver)>>, end: DiskId) -> Vec<HandOver> {
+fn path_to(
+    reached_by: &BTreeMap<DiskId, Option<(DiskId, PrimaryTransfer)>>,
+    end: DiskId,
+) -> Vec<PrimaryTransfer> {
     let mut path = Vec::new();
     let mut at = end;
-    while let Some(Some((from, hand_over))) = came_by.get(&at) {
-        path.push(*hand_over);
+    while let Some(Some((from, transfer))) = reached_by.get(&at) {
+        path.push(*transfer);
         at = *from;
     }
     path
--- a/alderhollow/src/control_state/groups.rs
+++ b/alderhollow/src/control_state/groups.rs
@@ -1,4 +1,7 @@
-//! The batch groups as the control state keeps them: each one's epoch, and which of its members hold everything.
+//! State of a batch group in the control state: its current epoch and which members are complete.
+//!
+//! A member is *complete* when its disk has everything that the group acknowledged. Invariant: only a complete member may
+//! become primary, so that a new epoch never loses acknowledged data.
 
 use alderhollow_model::identity::DiskId;
 use alderhollow_model::snapshot::{BatchGroup, GroupId};
@@ -7,41 +10,41 @@
 use std::fmt;
 use std::sync::Arc;
 
-/// One change of one group.
+/// A change of one group.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct GroupChange {
     /// The group.
     #[n(0)]
     pub id: GroupId,
-    /// What changes.
+    /// The change.
     #[n(1)]
     pub step: GroupStep,
 }
 
-/// What changes in a group.
+/// The kinds of change of a group.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum GroupStep {
-    /// A new epoch.
+    /// Starts a new epoch.
     #[n(0)]
     Replace {
-        /// The epoch that it follows; it is passed over if another one is current.
+        /// The epoch that it replaces; the change has no effect if another one is current.
         #[n(0)]
         previous_epoch: u64,
-        /// The group.
+        /// The group in the new epoch.
         #[n(1)]
         group: BatchGroup,
     },
-    /// The primary says that all members hold everything.
+    /// The primary reported that all members are complete.
     #[n(1)]
     BecameActive {
-        /// The group's epoch; passed over if another one is current.
+        /// The group's epoch; the change has no effect if another one is current.
         #[n(0)]
         epoch: u64,
     },
-    /// Some members hold everything, though not yet all.
+    /// Some members became complete, though not yet all.
     #[n(2)]
     MembersInSync {
-        /// The group's epoch; passed over if another one is current.
+        /// The group's epoch; the change has no effect if another one is current.
         #[n(0)]
         epoch: u64,
         /// The members' disks.
@@ -64,7 +67,7 @@
             GroupStep::MembersInSync { epoch, disks } => {
                 write!(
                     f,
-                    "{} members hold everything in epoch {epoch}",
+                    "{} more members are complete in epoch {epoch}",
                     disks.len()
                 )
             }
@@ -72,7 +75,7 @@
     }
 }
 
-/// The group by the names of its machines, the primary in front.
+/// Formats a group by the names of its machines, the primary first.
 fn show_group(group: &BatchGroup, f: &mut fmt::Formatter<'_>) -> fmt::Result {
     let primary = group
         .primary_member()
@@ -91,21 +94,21 @@
     Ok(())
 }
 
-/// One group.
+/// A batch group and the state of its members.
 #[derive(Debug, Clone, PartialEq)]
 pub struct GroupState {
-    /// The group in its newest epoch.
+    /// The group in its current epoch.
     pub group: Arc<BatchGroup>,
-    /// Members that hold everything that was acknowledged, whatever the epoch: the only ones that may become its primary.
+    /// Disks of the complete members: they have everything that was acknowledged in any epoch. Only these may become primary.
     pub complete: BTreeSet<DiskId>,
-    /// Newest epoch of which the group's primary said that all members hold everything.
+    /// Newest epoch whose primary reported that all members are complete; 0 before the first.
     pub active_epoch: u64,
-    /// Members of the epochs since that one. The newest epoch may still rest on what one of them holds.
+    /// Disks of the former members since `active_epoch`. The current epoch may still need their data.
     pub former_members: BTreeSet<DiskId>,
 }
 
 impl GroupState {
-    /// A group that holds nothing yet: all its members hold everything.
+    /// A new group. It has no data, so all its members are complete.
     pub fn founded(group: BatchGroup) -> GroupState {
         let complete = group.members.iter().map(|member| member.disk).collect();
         GroupState {
@@ -116,54 +119,55 @@
         }
     }
 
-    /// Whether all members are known to hold everything.
+    /// Whether all members are known to be complete in the current epoch.
     pub fn is_active(&self) -> bool {
         self.active_epoch == self.group.epoch
     }
 
-    /// Whether a step would change anything, and nothing that was acknowledged is lost by it.
-    pub fn may_take(&self, step: &GroupStep) -> bool {
+    /// Whether a change has an effect and keeps all acknowledged data.
+    pub fn is_applicable(&self, step: &GroupStep) -> bool {
         match step {
             GroupStep::Replace {
                 previous_epoch,
                 group,
-            } => self.may_follow(*previous_epoch, group),
+            } => self.is_valid_successor(*previous_epoch, group),
             GroupStep::BecameActive { epoch } => {
                 *epoch == self.group.epoch && *epoch > self.active_epoch
             }
-            GroupStep::MembersInSync { epoch, disks } => self.come_in_sync(*epoch, disks),
+            GroupStep::MembersInSync { epoch, disks } => self.adds_in_sync_members(*epoch, disks),
         }
     }
 
-    /// Takes a step; tells whether it changed anything.
-    pub fn take(&mut self, step: GroupStep) -> bool {
-        if !self.may_take(&step) {
+    /// Applies a change if it is applicable. Returns whether it was.
+    pub fn apply(&mut self, step: GroupStep) -> bool {
+        if !self.is_applicable(&step) {
             return false;
         }
         match step {
             GroupStep::Replace { group, .. } => self.replace(group),
             GroupStep::BecameActive { epoch } => self.become_active(epoch),
-            // A member that was made equal to the epoch's primary holds everything: nothing is acknowledged under an older
-            // epoch any more, and nothing under this one without it.
+            // A member in sync with the epoch's primary is complete: no older epoch acknowledges anything any more, and this
+            // epoch acknowledges nothing without it.
             GroupStep::MembersInSync { disks, .. } => self.complete.extend(disks),
         }
         true
     }
 
-    /// Whether a disk belongs to the group, or may hold what its newest epoch rests on.
+    /// Whether a disk belongs to a member, a learner, or a former member whose data may still be needed.
     pub fn uses(&self, disk: DiskId) -> bool {
         let mut all = self.group.members.iter().chain(&self.group.learners);
         all.any(|member| member.disk == disk) || self.former_members.contains(&disk)
     }
 
-    /// Whether a group may take the present one's place: nothing that was acknowledged is lost by it.
-    fn may_follow(&self, previous_epoch: u64, group: &BatchGroup) -> bool {
+    /// Whether a group may replace the current one: it has a later epoch and a complete primary, so no acknowledged data is
+    /// lost.
+    fn is_valid_successor(&self, previous_epoch: u64, group: &BatchGroup) -> bool {
         let is_next = previous_epoch == self.group.epoch && group.epoch > previous_epoch;
         is_next && group.primary_member().is_some() && self.complete.contains(&group.primary)
     }
 
-    /// Whether all the disks belong to members of this epoch, and some were not known to hold everything.
-    fn come_in_sync(&self, epoch: u64, disks: &BTreeSet<DiskId>) -> bool {
+    /// Whether all disks belong to members of the current epoch and at least one was not known to be complete.
+    fn adds_in_sync_members(&self, epoch: u64, disks: &BTreeSet<DiskId>) -> bool {
         let is_member =
             |disk: &DiskId| self.group.members.iter().any(|member| member.disk == *disk);
         epoch == self.group.epoch && disks.iter().all(is_member) && !disks.is_subset(&self.complete)
@@ -189,8 +193,9 @@
     }
 }
 
-/// Whether groups may be made as they are: each has a primary among its members, and an epoch.
-pub fn may_be_founded(groups: &[BatchGroup]) -> bool {
+/// Whether groups are valid as the first ones: there is at least one, and each has a non-zero epoch and a primary among
+/// its members.
+pub fn are_valid_initial_groups(groups: &[BatchGroup]) -> bool {
     !groups.is_empty()
         && groups
             .iter()
--- a/alderhollow/src/control_state/mod.rs
+++ b/alderhollow/src/control_state/mod.rs
@@ -1,9 +1,23 @@
-//! The replicated control state: what operators ordered, which stores there are, and which of them keep batch jobs.
+//! The replicated control state: the configuration, evacuated zones, registered stores and the batch groups.
 //!
-//! A pure state machine that the core replicates. Orders are decided against the newest committed state
-//! ([`ControlState::decide_request`]); what they change is applied on every replica in the same way. Applying checks again
-//! what the decision rested on (the version that a configuration follows, the epoch that a group follows), so that a
-//! command that is late changes nothing.
+//! [`ControlState`] is a deterministic state machine without I/O that the core replicates
+//! ([`replica::StateMachine`]). The primary decides each request against the newest committed state
+//! ([`ControlState::decide_request`]); the resulting [`Command`] is replicated and applied on every member. Applying a
+//! command checks its precondition again (the configuration version or group epoch that it replaces), so a command whose
+//! precondition no longer holds has no effect.
+//!
+//! May use `configuration`, the model and the codec. Used by `core`, which replicates it, by `operator_api`, and by the
+//! processes that decode its [`view`].
+//!
+//! | module | contents |
+//! | --- | --- |
+//! | [`request`], [`command`] | what the state machine decides, and what it replicates |
+//! | `decide` | the decision rules for operators' requests |
+//! | [`accepted_requests`] | digests by which a retried configuration request is recognised |
+//! | [`groups`], [`group_policy`] | state of the batch groups, and which change of them is due |
+//! | [`stores`], [`store_report`] | registered stores with their decommissioning, and what stores report |
+//! | [`view`] | the part of the state that every process receives |
+//! | [`codec`], `snapshot` | encodings |
 
 pub mod accepted_requests;
 pub mod codec;
@@ -18,19 +32,19 @@
 pub mod view;
 
 use crate::configuration::{check_text, read_json};
-use accepted_requests::TakenOrders;
+use accepted_requests::AcceptedRequests;
 use alderhollow_coordination::replica::interface as replica;
 use alderhollow_model::config::{Config, ConfigVersion};
 use alderhollow_model::snapshot::{BatchGroup, ControlView, GroupId};
 use command::Command;
-use groups::{may_be_founded, GroupChange, GroupState, GroupStep};
+use groups::{are_valid_initial_groups, GroupChange, GroupState, GroupStep};
 use request::{Answer, Decision, Request};
 use serde_json::Value;
 use std::collections::BTreeSet;
 use std::sync::Arc;
 use stores::{RetirementState, StoreRegistry};
 
-/// A configuration as it was sent, with its typed view.
+/// A configuration: the JSON text as the operator sent it, and its parsed form.
 #[derive(Debug, Clone, PartialEq)]
 pub struct ConfigDocument {
     text: Arc<Vec<u8>>,
@@ -38,7 +52,7 @@
 }
 
 impl ConfigDocument {
-    /// Takes a text that was checked before; `None` if it is not valid after all.
+    /// Parses a text that passed validation before it was committed; `None` if it is invalid all the same.
     fn read(text: Vec<u8>) -> Option<ConfigDocument> {
         match check_text(&text) {
             Ok(config) => Some(ConfigDocument {
@@ -46,18 +60,18 @@
                 config: Arc::new(config),
             }),
             Err(error) => {
-                log::error!("a committed configuration can't be read and is passed over: {error}");
+                log::error!("ignored a committed configuration that can't be parsed: {error}");
                 None
             }
         }
     }
 
-    /// The JSON text.
+    /// The JSON text as the operator sent it.
     pub fn text(&self) -> &Arc<Vec<u8>> {
         &self.text
     }
 
-    /// The typed view.
+    /// The parsed configuration.
     pub fn config(&self) -> &Arc<Config> {
         &self.config
     }
@@ -71,60 +85,61 @@
 ///
 /// # The view's version
 ///
-/// `view_version` is the version of the last change that [`ControlState::view`] shows. Processes take a view only if its
-/// version is above the one that they hold, and keep what they hold for as long as none is. It is not stored, and not a part
-/// of what replicas agree on: a state that was read from a snapshot takes its own version for it. Any number from the version
-/// of the last change that the view shows up to the state's version serves, whatever replica gives it out:
+/// `view_version` is the state version of the last change that is visible in [`ControlState::view`]. A process replaces its
+/// view only by one with a higher version. The number is not stored and replicas need not agree on it: a state restored
+/// from a snapshot uses its own version. Any number from the version of the last visible change up to the state's version
+/// is correct, whichever replica publishes it:
 ///
-/// - What a process holds is at most the version of a state that was committed when it got it. Whoever has a lease later has
-///   a state at least as new, so that each later change of the view gets a higher number: it is never missed.
-/// - If a new primary's number is lower than what a process holds, the view has not changed in between: the number that it
-///   holds was given out for a state whose last visible change is the same. The process keeps an equal view.
-/// - If it is higher, the process takes the newest committed view, perhaps one equal to its own: once for each time that a
-///   state was read whole.
+/// - A process's view version is at most the version of a state that was committed when the process received it. Every
+///   later lease holder has a state at least as new, so each later change of the view has a higher version and is
+///   delivered.
+/// - If a new primary's view version is lower than a process's, no visible change lies between the two: the process's view
+///   equals the primary's, and the process retains it.
+/// - If it is higher, the process receives the newest committed view, which may equal its own. This happens at most once
+///   for each restored snapshot.
 #[derive(Debug, Clone, Default)]
 pub struct ControlState {
-    /// Counts the changes.
+    /// Number of changes applied.
     version: u64,
-    /// See above; not compared and not stored.
+    /// See the type's documentation; neither compared nor stored.
     view_version: u64,
     document: Option<ConfigDocument>,
-    taken: TakenOrders,
+    accepted: AcceptedRequests,
     evacuated: BTreeSet<String>,
     stores: StoreRegistry,
-    /// The groups that keep batch jobs, by their numbers. Made all at once; their count stays.
+    /// The batch groups, indexed by [`GroupId`]. All are created by one command, and their count never changes.
     groups: Vec<GroupState>,
 }
 
 impl PartialEq for ControlState {
-    /// Compares what replicas agree on.
+    /// Compares what replicas agree on: everything but `view_version`.
     fn eq(&self, other: &ControlState) -> bool {
         let ControlState {
             version,
             view_version: _,
             document,
-            taken,
+            accepted,
             evacuated,
             stores,
             groups,
         } = self;
         *version == other.version
             && *document == other.document
-            && *taken == other.taken
+            && *accepted == other.accepted
             && *evacuated == other.evacuated
             && *stores == other.stores
             && *groups == other.groups
     }
 }
 
-/// What applying a command changed.
+/// The effect of applying a command.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Effect {
-    /// Nothing.
+    /// The command had no effect.
     Unchanged,
-    /// Something that the processes' view does not show.
+    /// The state changed, but not the part that is visible in the view.
     Hidden,
-    /// Something that the view shows.
+    /// The view changed.
     Visible,
 }
 
@@ -147,54 +162,54 @@
 }
 
 impl ControlState {
-    /// Grows with each change.
+    /// The state's version; it grows by one with each change.
     pub fn version(&self) -> u64 {
         self.version
     }
 
-    /// The version that processes compare; see the type.
+    /// The view's version, which processes compare; see the type's documentation.
     pub fn view_version(&self) -> u64 {
         self.view_version
     }
 
-    /// The newest configuration.
+    /// The current configuration; `None` before the first.
     pub fn document(&self) -> Option<&ConfigDocument> {
         self.document.as_ref()
     }
 
-    /// Number of the newest configuration; 0 before the first.
+    /// Version of the current configuration; 0 before the first.
     pub fn config_version(&self) -> ConfigVersion {
         self.document
             .as_ref()
             .map_or(0, |document| document.config.config_version)
     }
 
-    /// The stores.
+    /// The registered stores.
     pub fn stores(&self) -> &StoreRegistry {
         &self.stores
     }
 
-    /// How far a store's retirement has come; `None` if the machine is unknown or no retirement was asked for.
+    /// State of a store's decommissioning; `None` if the machine is unknown or none was requested.
     pub fn retirement(&self, node: &str) -> Option<RetirementState> {
         self.stores.retirement(node)
     }
 
-    /// The groups that keep batch jobs, by their numbers; empty until they are made.
+    /// The batch groups, indexed by [`GroupId`]; empty until they are created.
     pub fn groups(&self) -> &[GroupState] {
         &self.groups
     }
 
-    /// One of the groups.
+    /// A batch group by its id.
     pub fn group(&self, id: GroupId) -> Option<&GroupState> {
         self.groups.get(id.index())
     }
 
-    /// Whether all members of all groups are known to hold everything.
+    /// Whether in every group all members are known to be complete.
     pub fn groups_are_active(&self) -> bool {
         self.groups.iter().all(GroupState::is_active)
     }
 
-    /// What processes act on.
+    /// The part of the state that all processes receive and act on.
     pub fn view(&self) -> ControlView {
         ControlView {
             version: self.view_version,
@@ -211,7 +226,7 @@
         }
     }
 
-    /// Applies a command; says whether it changed anything.
+    /// Applies a committed command. Returns whether the state changed.
     pub fn apply_command(&mut self, command: Command) -> bool {
         let effect = match command {
             Command::SetConfig {
@@ -220,7 +235,7 @@
                 document,
             } => Effect::visible_if(self.set_config(base, order, document)),
             Command::Evacuate { zone } => Effect::visible_if(self.evacuated.insert(zone)),
-            Command::TakeBack { zone } => Effect::visible_if(self.evacuated.remove(&zone)),
+            Command::CancelEvacuation { zone } => Effect::visible_if(self.evacuated.remove(&zone)),
             Command::Retire { node } => Effect::hidden_if(self.retire(&node)),
             Command::RegisterStore(store) => Effect::hidden_if(self.stores.register(&store)),
             Command::SetGroup {
@@ -263,7 +278,7 @@
             return false;
         }
         self.document = Some(document);
-        self.taken.add(order);
+        self.accepted.add(order);
         true
     }
 
@@ -276,14 +291,14 @@
     }
 
     fn found_groups(&mut self, groups: Vec<BatchGroup>) -> bool {
-        if !self.groups.is_empty() || !may_be_founded(&groups) {
+        if !self.groups.is_empty() || !are_valid_initial_groups(&groups) {
             return false;
         }
         self.groups = groups.into_iter().map(GroupState::founded).collect();
         true
     }
 
-    /// A command of an earlier version of the program, which knew one group.
+    /// Applies a command of an earlier version of the program, which had a single group.
     fn change_first_group(&mut self, step: GroupStep) -> Effect {
         self.change_groups(vec![GroupChange {
             id: GroupId::default(),
@@ -291,7 +306,7 @@
         }])
     }
 
-    /// Takes each change that still fits.
+    /// Applies each change whose precondition still holds.
     fn change_groups(&mut self, changes: Vec<GroupChange>) -> Effect {
         let mut effect = Effect::Unchanged;
         for change in changes {
@@ -308,7 +323,7 @@
             return Effect::Unchanged;
         };
         let is_new_epoch = matches!(change.step, GroupStep::Replace { .. });
-        let changed = group.take(change.step);
+        let changed = group.apply(change.step);
         if is_new_epoch {
             Effect::visible_if(changed)
         } else {
@@ -316,12 +331,12 @@
         }
     }
 
-    fn may_change(&self, change: &GroupChange) -> bool {
+    fn is_applicable_change(&self, change: &GroupChange) -> bool {
         self.group(change.id)
-            .is_some_and(|group| group.may_take(&change.step))
+            .is_some_and(|group| group.is_applicable(&change.step))
     }
 
-    /// Completes the retirements of the stores that no group uses any more.
+    /// Completes the decommissioning of stores that no group uses any more.
     fn complete_retirements(&mut self) {
         let groups = &self.groups;
         self.stores
@@ -334,7 +349,9 @@
         let decision = match codec::decode::<Request>(request) {
             Ok(request) => self.decide_request(&request),
             Err(error) => {
-                log::error!("a request to the control state can't be read: {error}");
+                log::error!(
+                    "rejected a request to the control state that can't be decoded: {error}"
+                );
                 Decision::Answer(Answer::Unreadable)
             }
         };
@@ -350,7 +367,7 @@
                 self.apply_command(command);
             }
             Err(error) => {
-                log::error!("a committed command can't be read and is passed over: {error}")
+                log::error!("ignored a committed command that can't be decoded: {error}")
             }
         }
     }
@@ -362,7 +379,7 @@
     fn restore(&mut self, snapshot: &[u8]) {
         match ControlState::from_snapshot(snapshot) {
             Ok(state) => *self = state,
-            Err(error) => log::error!("a snapshot of the control state can't be read: {error}"),
+            Err(error) => log::error!("failed to decode a snapshot of the control state: {error}"),
         }
     }
 }
--- a/alderhollow/src/control_state/request.rs
+++ b/alderhollow/src/control_state/request.rs
@@ -1,4 +1,5 @@
-//! What the control state is asked, and what it answers.
+//! Requests to the control state, its decisions and answers. Encoded with [`super::codec`], as they travel to the primary
+//! and through the replica.
 
 use super::groups::GroupChange;
 use crate::finding::Finding;
@@ -8,7 +9,7 @@
 use std::collections::BTreeSet;
 use std::fmt;
 
-/// An operator's order.
+/// An operator's request for a change.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Order {
     /// `PUT /alderhollow/config`.
@@ -26,7 +27,7 @@
     },
     /// `DELETE /alderhollow/evacuate/ZONE`.
     #[n(3)]
-    TakeBack {
+    CancelEvacuation {
         /// The zone.
         #[n(0)]
         zone: String,
@@ -40,108 +41,107 @@
     },
 }
 
-/// A configuration or a change of it, as it came.
+/// A complete configuration or a patch of it, as received.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct ConfigOrder {
-    /// The header `If-Match`, if there is one.
+    /// The `If-Match` header, if present.
     #[n(0)]
     pub if_match: Option<String>,
-    /// The body.
+    /// The request body.
     #[cbor(n(1), with = "minicbor::bytes")]
     pub body: Vec<u8>,
 }
 
-/// What the one that decides knows beside the state.
+/// What the primary knows besides the replicated state when it decides an operator's request.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct OrderContext {
-    /// The zones that there are: those of the settings, and those of the listed backends.
+    /// The known zones: those of the settings and those of the listed backends.
     #[n(0)]
     pub zones: BTreeSet<String>,
     /// `tolerate.machines` of the settings.
     #[n(1)]
     pub tolerate_machines: u64,
-    /// Machines of stores that have been silent for so long that they don't count as there
-    /// ([`super::group_policy::GONE_AFTER_MS`]).
+    /// Machines whose stores have not polled for [`super::group_policy::GONE_AFTER_MS`].
     #[n(2)]
     pub gone_stores: BTreeSet<String>,
 }
 
-/// What the replicated state machine is given to decide.
+/// A request that the replicated state machine decides.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Request {
-    /// An operator's order.
+    /// An operator's request for a change.
     #[n(0)]
     Order {
-        /// The order.
+        /// The operator's request.
         #[n(0)]
         order: Order,
-        /// What is known beside the state.
+        /// What the primary knows besides the state.
         #[n(1)]
         context: OrderContext,
     },
-    /// A store has come, or its disk, zone or address is another than before.
+    /// Registers a new store, or one whose disk, zone or address changed.
     #[n(1)]
     RegisterStore(#[n(0)] NodeInfo),
-    /// The batch groups are to be made.
+    /// Creates the batch groups.
     #[n(2)]
     FoundGroups(#[n(0)] Vec<BatchGroup>),
-    /// Batch groups are to change.
+    /// Changes batch groups.
     #[n(3)]
     ChangeGroups(#[n(0)] Vec<GroupChange>),
 }
 
-/// What is answered where nothing changes.
+/// The answer to a request that changes nothing.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Answer {
-    /// The order was taken before: to be acknowledged again.
+    /// The request was accepted before, or its effect is already in place: it is acknowledged.
     #[n(0)]
     AlreadyDone,
-    /// The order is refused.
+    /// The request is rejected.
     #[n(1)]
     Refused(#[n(0)] Refusal),
-    /// The request can't be read; a fault of the process that sent it.
+    /// The request can't be decoded: a fault of the process that sent it.
     #[n(2)]
     Unreadable,
 }
 
-/// Why an order is refused.
+/// Why an operator's request is rejected.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Refusal {
     /// The configuration is invalid. One line for each finding.
     #[n(0)]
     Invalid(#[n(0)] Vec<String>),
-    /// Another version than the named one is current.
+    /// `If-Match` is not the current version.
     #[n(1)]
     VersionMismatch {
         /// The current version.
         #[n(0)]
         current: u64,
     },
-    /// There is no such zone.
+    /// The zone does not exist.
     #[n(2)]
     UnknownZone(#[n(0)] String),
-    /// There is no such store.
+    /// No store is registered under this name.
     #[n(3)]
     UnknownMachine(#[n(0)] String),
-    /// Too few stores would remain.
+    /// Too few stores would remain to tolerate the configured losses.
     #[n(4)]
     TooFewWouldRemain {
-        /// How many would.
+        /// Number of stores that would remain.
         #[n(0)]
         remaining: u64,
-        /// How many must.
+        /// Number of stores required.
         #[n(1)]
         needed: u64,
     },
 }
 
 impl Refusal {
-    /// An invalid configuration, by what was found.
+    /// An invalid configuration with its findings.
     pub fn invalid(findings: &[Finding]) -> Refusal {
         Refusal::Invalid(findings.iter().map(Finding::to_string).collect())
     }
 
-    /// The HTTP status that says so.
+    /// The HTTP status of the rejection.
     pub fn status(&self) -> u16 {
         match self {
             Refusal::Invalid(_) => 400,
@@ -171,29 +171,32 @@
     }
 }
 
-/// What becomes of a request.
+/// The decision on a request.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Decision {
-    /// The state is to change.
+    /// The command is replicated and applied.
     Commit(super::command::Command),
-    /// Nothing changes.
+    /// The state does not change; this is answered.
     Answer(Answer),
 }
 
 impl Request {
-    /// The bytes of this request.
+    /// Encodes this request.
     pub fn to_bytes(&self) -> Vec<u8> {
         super::codec::encode(self)
     }
 }
 
 impl Answer {
-    /// The bytes of this answer.
+    /// Encodes this answer.
     pub fn to_bytes(&self) -> Vec<u8> {
         super::codec::encode(self)
     }
 
-    /// Reads an answer from its bytes.
+    /// Decodes an answer.
+    ///
+    /// # Errors
+    /// The bytes are not an encoded answer.
     pub fn from_bytes(bytes: &[u8]) -> Result<Answer, super::codec::CodecError> {
         super::codec::decode(bytes)
     }
--- a/alderhollow/src/control_state/snapshot.rs
+++ b/alderhollow/src/control_state/snapshot.rs
@@ -1,6 +1,6 @@
-//! The whole control state as bytes.
+//! Snapshot encoding of the complete control state, for the core's journal and for members that are far behind.
 
-use super::accepted_requests::TakenOrders;
+use super::accepted_requests::AcceptedRequests;
 use super::codec::{decode, encode, CodecError};
 use super::groups::GroupState;
 use super::stores::StoreRegistry;
@@ -12,7 +12,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// A batch group as it is written, but for the first one.
+/// A batch group other than the first, as stored.
 #[derive(Debug, Encode, Decode)]
 struct StoredGroup {
     #[n(0)]
@@ -25,8 +25,8 @@
     former_members: Option<BTreeSet<DiskId>>,
 }
 
-/// The fields of [`ControlState`] as they are written. Later fields get new numbers and are optional. The first group stands
-/// where the only one stood when there was one.
+/// The fields of [`ControlState`] as stored. New fields get new indexes and are optional. The first group has fields of its
+/// own, as earlier versions of the program had a single group.
 #[derive(Debug, Default, Encode, Decode)]
 struct StoredState {
     #[n(0)]
@@ -34,7 +34,7 @@
     #[n(1)]
     document: Option<ByteVec>,
     #[n(2)]
-    taken: TakenOrders,
+    accepted: AcceptedRequests,
     #[n(3)]
     evacuated: BTreeSet<String>,
     #[n(4)]
@@ -71,13 +71,13 @@
     }
 }
 
-/// `None` if there are none, so that nothing is written.
+/// The former members; `None` if there are none, so that the field is not written.
 fn former_members_of(state: &GroupState) -> Option<BTreeSet<DiskId>> {
     (!state.former_members.is_empty()).then(|| state.former_members.clone())
 }
 
 impl ControlState {
-    /// The bytes of the whole state.
+    /// Encodes the complete state.
     pub fn to_snapshot(&self) -> Vec<u8> {
         let (first, further) = match self.groups.split_first() {
             Some((first, further)) => (Some(first), further),
@@ -89,7 +89,7 @@
                 .document
                 .as_ref()
                 .map(|document| ByteVec::from(document.text().to_vec())),
-            taken: self.taken.clone(),
+            accepted: self.accepted.clone(),
             evacuated: self.evacuated.clone(),
             stores: self.stores.clone(),
             group: first.map(|state| state.group.as_ref().clone()),
@@ -103,7 +103,10 @@
         })
     }
 
-    /// Reads the whole state from its bytes.
+    /// Decodes the complete state. Its view version is the state's version.
+    ///
+    /// # Errors
+    /// The bytes are not an encoded state.
     pub fn from_snapshot(bytes: &[u8]) -> Result<ControlState, CodecError> {
         let stored: StoredState = decode(bytes)?;
         let (complete, active_epoch) = (stored.complete, stored.active_epoch);
@@ -123,7 +126,7 @@
             document: stored
                 .document
                 .and_then(|text| ConfigDocument::read(text.into())),
-            taken: stored.taken,
+            accepted: stored.accepted,
             evacuated: stored.evacuated,
             stores: stored.stores,
             groups: groups.map(StoredGroup::into_state).collect(),
--- a/alderhollow/src/control_state/store_report.rs
+++ b/alderhollow/src/control_state/store_report.rs
@@ -1,4 +1,4 @@
-//! What a store reports of itself to the core with each poll.
+//! The report that a store sends to the core's primary with each poll. Input of the group policy.
 
 use super::codec::{decode, encode, CodecError};
 use alderhollow_model::identity::DiskId;
@@ -6,48 +6,51 @@
 use minicbor::{Decode, Encode};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What the policy of the groups rests on, beside the time of the poll.
+/// A store's report: the group policy's input, besides the time of the poll.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct StoreReport {
-    /// Its part in each group that it belongs to.
+    /// Report for each group that the store belongs to.
     #[n(0)]
     pub groups: BTreeMap<GroupId, GroupReport>,
-    /// The process is about to end.
+    /// The process is shutting down.
     #[n(1)]
     pub leaving: bool,
-    /// The disk takes no writes, or has let one wait for long.
+    /// The disk rejects writes, or a write has been pending for too long.
     #[n(2)]
     pub disk_failing: bool,
 }
 
-/// A store's part in one group.
+/// A store's report for one group.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct GroupReport {
-    /// Epoch of the group that it acts under; 0: none.
+    /// The group epoch that the store acts under; 0 for none.
     #[n(0)]
     pub epoch: u64,
-    /// As the group's primary: all members of that epoch hold everything, so that it may acknowledge.
+    /// Primary only: all members of that epoch are complete, so the primary may acknowledge.
     #[n(1)]
     pub active: bool,
-    /// Not the primary: the primary made it equal to itself under that epoch, and it has that on disk. A member then holds
-    /// everything that was acknowledged; a learner has what was there at that time, and gets what is new.
+    /// Members and learners: the store is in sync with the primary of that epoch, on disk. A member in sync is complete; a
+    /// learner in sync has the data up to that moment and receives what is new.
     #[n(2)]
     pub synced: bool,
-    /// As the group's primary: members that have let something wait for long.
+    /// Primary only: members that have not acknowledged replicated data for too long.
     #[n(3)]
     pub silent: BTreeSet<DiskId>,
-    /// As the group's primary: a member that may hold acknowledged jobs which this store lacks.
+    /// Primary only: a member that may have acknowledged jobs which this store lacks.
     #[n(4)]
     pub behind: Option<DiskId>,
 }
 
 impl StoreReport {
-    /// The bytes of this report.
+    /// Encodes this report.
     pub fn to_bytes(&self) -> Vec<u8> {
         encode(self)
     }
 
-    /// Reads a report from its bytes.
+    /// Decodes a report.
+    ///
+    /// # Errors
+    /// The bytes are not an encoded report.
     pub fn from_bytes(bytes: &[u8]) -> Result<StoreReport, CodecError> {
         decode(bytes)
     }
--- a/alderhollow/src/control_state/stores.rs
+++ b/alderhollow/src/control_state/stores.rs
@@ -1,22 +1,24 @@
-//! The stores that have come, and those that are to be emptied.
+//! Registered stores and the state of their decommissioning.
+//!
+//! A machine has one disk at a time. Invariant: a disk that was replaced is never registered again.
 
 use alderhollow_model::identity::{DiskId, NodeInfo};
 use minicbor::{Decode, Encode};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// How far a retirement has come.
+/// State of a store's decommissioning (`retire` in the operators' calls).
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub enum RetirementState {
-    /// The store is being emptied.
+    /// The store's data is being moved to other stores.
     #[n(0)]
     InProgress,
-    /// Nothing that counts is on it any more.
+    /// No group needs the store's data any more.
     #[n(1)]
     Completed,
 }
 
 impl RetirementState {
-    /// The name that operators read.
+    /// The state's name in operators' answers.
     pub fn name(self) -> &'static str {
         match self {
             RetirementState::InProgress => "in_progress",
@@ -25,12 +27,12 @@
     }
 }
 
-/// The stores by the names of their machines.
+/// The registered stores, by the names of their machines.
 #[derive(Debug, Clone, Default, PartialEq, Eq, Encode, Decode)]
 pub struct StoreRegistry {
     #[n(0)]
     by_node: BTreeMap<String, NodeInfo>,
-    /// Disks in whose place another one has come: they never count again.
+    /// Disks that were replaced by another disk of the same machine. They are never registered again.
     #[n(1)]
     replaced: BTreeSet<DiskId>,
     #[n(2)]
@@ -38,23 +40,24 @@
 }
 
 impl StoreRegistry {
-    /// All stores.
+    /// All registered stores.
     pub fn iter(&self) -> impl Iterator<Item = &NodeInfo> {
         self.by_node.values()
     }
 
-    /// The store on a machine.
+    /// The store registered for a machine.
     pub fn get(&self, node: &str) -> Option<&NodeInfo> {
         self.by_node.get(node)
     }
 
-    /// Whether a disk belongs to a machine now.
+    /// Whether a disk is the current disk of a machine.
     pub fn has_disk(&self, disk: DiskId) -> bool {
         self.by_node.values().any(|store| store.disk == Some(disk))
     }
 
-    /// Whether taking this in would change anything that others rest on.
-    pub fn is_news(&self, store: &NodeInfo) -> bool {
+    /// Whether registering this store would change its disk, zone or address. `false` for a replaced disk or a node without
+    /// a disk.
+    pub fn would_change(&self, store: &NodeInfo) -> bool {
         let Some(disk) = store.disk else {
             return false;
         };
@@ -71,10 +74,11 @@
         }
     }
 
-    /// Takes in a store as it is now. A new disk replaces the machine's old one. A retirement under way goes on: the new disk
-    /// holds nothing, so that it is completed with the next group that is active.
+    /// Registers a store or updates its registration; returns whether it changed. A new disk replaces the machine's former
+    /// one. A decommissioning in progress continues: the new disk is empty, so it completes with the next active group
+    /// epoch.
     pub fn register(&mut self, store: &NodeInfo) -> bool {
-        if !self.is_news(store) {
+        if !self.would_change(store) {
             return false;
         }
         let former = self.by_node.insert(store.node.clone(), store.clone());
@@ -87,17 +91,17 @@
         true
     }
 
-    /// How far a machine's retirement has come; `None` if none was asked for.
+    /// State of a machine's decommissioning; `None` if none was requested.
     pub fn retirement(&self, node: &str) -> Option<RetirementState> {
         self.retirements.get(node).copied()
     }
 
-    /// Whether a machine is being emptied, or was.
+    /// Whether a machine's decommissioning is in progress or completed.
     pub fn is_retiring(&self, node: &str) -> bool {
         self.retirements.contains_key(node)
     }
 
-    /// Begins a retirement.
+    /// Starts a decommissioning; returns whether it was started.
     pub fn retire(&mut self, node: &str) -> bool {
         if self.is_retiring(node) || !self.by_node.contains_key(node) {
             return false;
@@ -107,7 +111,7 @@
         true
     }
 
-    /// Completes the retirements of all machines whose disks are not in use.
+    /// Completes the decommissioning of all machines whose disks are not in use; returns whether any completed.
     pub fn complete_retirements(&mut self, in_use: impl Fn(DiskId) -> bool) -> bool {
         let mut changed = false;
         for (node, state) in &mut self.retirements {
@@ -120,7 +124,7 @@
         changed
     }
 
-    /// The stores that would remain without a machine: neither retiring nor gone.
+    /// Number of stores without the given machine, not counting those that are being decommissioned or are gone.
     pub fn remaining_without(&self, node: &str, gone: &BTreeSet<String>) -> usize {
         let remains =
             |name: &&String| *name != node && !self.is_retiring(name) && !gone.contains(*name);
--- a/alderhollow/src/control_state/view.rs
+++ b/alderhollow/src/control_state/view.rs
@@ -1,4 +1,5 @@
-//! [`ControlView`] as it goes to the processes. Each store stands in it once, however many groups it belongs to.
+//! Encoding of [`ControlView`] for the distribution to all processes. Each store is encoded once, however many groups it
+//! belongs to; groups refer to stores by index.
 
 use super::codec::{decode, encode, CodecError};
 use alderhollow_model::config::Config;
@@ -10,9 +11,9 @@
 use std::sync::Arc;
 use thiserror::Error;
 
-/// The fields of a view as they are sent. The configuration is the JSON of its typed view.
+/// The fields of a view as encoded. The configuration is the JSON of its parsed form.
 #[derive(Debug, Encode, Decode)]
-struct SentView {
+struct EncodedView {
     #[n(0)]
     version: u64,
     #[n(1)]
@@ -23,12 +24,12 @@
     #[n(4)]
     stores: Vec<GroupMember>,
     #[n(5)]
-    groups: Vec<SentGroup>,
+    groups: Vec<EncodedGroup>,
 }
 
-/// A group as it is sent: its stores by their places in the list of stores.
+/// A group as sent: its stores by their indexes in [`EncodedView::stores`].
 #[derive(Debug, Encode, Decode)]
-struct SentGroup {
+struct EncodedGroup {
     #[n(0)]
     epoch: u64,
     #[n(1)]
@@ -39,46 +40,46 @@
     learners: Vec<u32>,
 }
 
-/// The list of stores while it is being made.
+/// Builds the list of stores and assigns their indexes.
 #[derive(Default)]
 struct StoreTable {
     stores: Vec<GroupMember>,
-    /// Places by disk: more than one where groups know a store at several addresses or in several lives.
-    places: BTreeMap<DiskId, Vec<usize>>,
+    /// Indexes by disk. A disk has several where groups name its store with different addresses or incarnations.
+    indexes: BTreeMap<DiskId, Vec<usize>>,
 }
 
 impl StoreTable {
-    /// A store's place, which it gets if it has none yet.
-    fn place_of(&mut self, store: &GroupMember) -> u32 {
-        let places = self.places.entry(store.disk).or_default();
-        let known = places
+    /// Index of a store, assigned on first use.
+    fn index_of(&mut self, store: &GroupMember) -> u32 {
+        let indexes = self.indexes.entry(store.disk).or_default();
+        let known = indexes
             .iter()
             .copied()
-            .find(|place| self.stores.get(*place) == Some(store));
-        let place = known.unwrap_or(self.stores.len());
+            .find(|index| self.stores.get(*index) == Some(store));
+        let index = known.unwrap_or(self.stores.len());
         if known.is_none() {
-            places.push(place);
+            indexes.push(index);
             self.stores.push(store.clone());
         }
-        place as u32
+        index as u32
     }
 
-    fn places_of(&mut self, stores: &[GroupMember]) -> Vec<u32> {
-        stores.iter().map(|store| self.place_of(store)).collect()
+    fn indexes_of(&mut self, stores: &[GroupMember]) -> Vec<u32> {
+        stores.iter().map(|store| self.index_of(store)).collect()
     }
 
-    fn group(&mut self, group: &BatchGroup) -> SentGroup {
-        SentGroup {
+    fn encode_group(&mut self, group: &BatchGroup) -> EncodedGroup {
+        EncodedGroup {
             epoch: group.epoch,
             primary: group.primary,
-            members: self.places_of(&group.members),
-            learners: self.places_of(&group.learners),
+            members: self.indexes_of(&group.members),
+            learners: self.indexes_of(&group.learners),
         }
     }
 }
 
-impl SentGroup {
-    fn read(self, stores: &[GroupMember]) -> Result<BatchGroup, ViewError> {
+impl EncodedGroup {
+    fn decode(self, stores: &[GroupMember]) -> Result<BatchGroup, ViewError> {
         Ok(BatchGroup {
             epoch: self.epoch,
             primary: self.primary,
@@ -88,31 +89,31 @@
     }
 }
 
-fn stores_at(places: &[u32], stores: &[GroupMember]) -> Result<Vec<GroupMember>, ViewError> {
-    let store_at = |place: &u32| {
+fn stores_at(indexes: &[u32], stores: &[GroupMember]) -> Result<Vec<GroupMember>, ViewError> {
+    let store_at = |index: &u32| {
         stores
-            .get(*place as usize)
+            .get(*index as usize)
             .cloned()
-            .ok_or(ViewError::NoSuchStore(*place))
+            .ok_or(ViewError::UnknownStoreIndex(*index))
     };
-    places.iter().map(store_at).collect()
+    indexes.iter().map(store_at).collect()
 }
 
-/// Why a view can't be read.
+/// Why a view can't be decoded.
 #[derive(Debug, Error)]
 pub enum ViewError {
-    /// The bytes are not a view.
+    /// The bytes are not an encoded view.
     #[error(transparent)]
     Codec(#[from] CodecError),
-    /// The configuration in it can't be read.
+    /// The configuration in it can't be parsed.
     #[error("the configuration can't be read: {0}")]
     Config(#[from] serde_json::Error),
-    /// A group names a place at which no store stands.
-    #[error("a group names the store at place {0}, where there is none")]
-    NoSuchStore(u32),
+    /// A group refers to an index beyond the list of stores.
+    #[error("a group refers to store index {0}, which does not exist")]
+    UnknownStoreIndex(u32),
 }
 
-/// The bytes of a view.
+/// Encodes a view.
 pub fn encode_view(view: &ControlView) -> Vec<u8> {
     let config = view
         .config
@@ -120,13 +121,17 @@
         .and_then(|config| match serde_json::to_vec(config) {
             Ok(text) => Some(ByteVec::from(text)),
             Err(error) => {
-                log::error!("the configuration can't be encoded: {error}");
+                log::error!("failed to encode the configuration: {error}");
                 None
             }
         });
     let mut table = StoreTable::default();
-    let groups = view.groups.iter().map(|group| table.group(group)).collect();
-    encode(&SentView {
+    let groups = view
+        .groups
+        .iter()
+        .map(|group| table.encode_group(group))
+        .collect();
+    encode(&EncodedView {
         version: view.version,
         config,
         evacuated: view.evacuated.clone(),
@@ -135,22 +140,25 @@
     })
 }
 
-/// Reads a view from its bytes.
+/// Decodes a view.
+///
+/// # Errors
+/// The bytes are not an encoded view, or its configuration or a store index is invalid.
 pub fn decode_view(bytes: &[u8]) -> Result<ControlView, ViewError> {
-    let sent: SentView = decode(bytes)?;
-    let config: Option<Config> = match sent.config {
+    let encoded: EncodedView = decode(bytes)?;
+    let config: Option<Config> = match encoded.config {
         Some(text) => Some(serde_json::from_slice(&text)?),
         None => None,
     };
-    let stores = sent.stores;
-    let groups = sent
+    let stores = encoded.stores;
+    let groups = encoded
         .groups
         .into_iter()
-        .map(|group| group.read(&stores).map(Arc::new));
+        .map(|group| group.decode(&stores).map(Arc::new));
     Ok(ControlView {
-        version: sent.version,
+        version: encoded.version,
         config: config.map(Arc::new),
-        evacuated: sent.evacuated,
+        evacuated: encoded.evacuated,
         groups: groups.collect::<Result<_, _>>()?,
     })
 }
--- a/alderhollow/src/core/authority.rs
+++ b/alderhollow/src/core/authority.rs
@@ -3,8 +3,8 @@
 use super::driver::Core;
 use super::store_watch::StoreWatch;
 use crate::clock::SteadyClock;
-use crate::control_state::group_policy::rebalancing::CalmWatch;
-use crate::control_state::group_policy::{is_calm, GroupView};
+use crate::control_state::group_policy::rebalancing::StabilityTimer;
+use crate::control_state::group_policy::{is_stable, GroupView};
 use crate::control_state::store_report::StoreReport;
 use crate::control_state::view::encode_view;
 use crate::control_state::ControlState;
@@ -21,7 +21,7 @@
     clock: SteadyClock,
     tolerate_machines: usize,
     stores: RefCell<StoreWatch>,
-    calm: RefCell<CalmWatch>,
+    calm: RefCell<StabilityTimer>,
     stores_changed: Notify,
     encoded: RefCell<EncodedControl>,
 }
@@ -58,12 +58,12 @@
         let mut stores = self.stores.borrow_mut();
         stores.note_lease(self.core.leased_epoch(), now_ms);
         let view = stores.view(now_ms, self.tolerate_machines);
-        let is_calm = view
+        let is_stable = view
             .as_ref()
-            .is_some_and(|view| is_calm(&self.core.state(), view));
-        let calm_for_ms = self.calm.borrow_mut().note(is_calm, now_ms);
+            .is_some_and(|view| is_stable(&self.core.state(), view));
+        let stable_for_ms = self.calm.borrow_mut().record(is_stable, now_ms);
         view.map(|view| GroupView {
-            calm_for_ms: calm_for_ms.min(view.primary_for_ms),
+            stable_for_ms: stable_for_ms.min(view.primary_for_ms),
             ..view
         })
     }
--- a/alderhollow/src/core/store_watch.rs
+++ b/alderhollow/src/core/store_watch.rs
@@ -59,13 +59,13 @@
         let lease = self.lease?;
         let stores = self.stores.values().map(|seen| StoreView {
             node: seen.node.clone(),
-            silent_for_ms: now_ms.saturating_sub(seen.heard_at_ms),
+            since_last_poll_ms: now_ms.saturating_sub(seen.heard_at_ms),
             report: seen.report.clone(),
         });
         Some(GroupView {
             primary_for_ms: now_ms.saturating_sub(lease.since_ms),
             tolerate_machines,
-            calm_for_ms: 0,
+            stable_for_ms: 0,
             stores: stores.collect(),
         })
     }
--- a/alderhollow/src/operator_api/calls.rs
+++ b/alderhollow/src/operator_api/calls.rs
@@ -35,7 +35,7 @@
         zone: String,
     },
     /// Takes an evacuation back.
-    TakeBack {
+    CancelEvacuation {
         /// The zone.
         zone: String,
     },
--- a/alderhollow/src/operator_api/server.rs
+++ b/alderhollow/src/operator_api/server.rs
@@ -119,7 +119,7 @@
 async fn take_back(context: RequestContext<OperatorContext>, path: Path<ZonePath>) -> Answer {
     end(
         context,
-        Call::TakeBack {
+        Call::CancelEvacuation {
             zone: path.into_inner().zone,
         },
     )
--- a/alderhollow/src/operator_api/service.rs
+++ b/alderhollow/src/operator_api/service.rs
@@ -63,7 +63,10 @@
             ),
             Call::Retire { node, .. } => self.order(&authority, Order::Retire { node }).await,
             Call::Evacuate { zone } => self.order(&authority, Order::Evacuate { zone }).await,
-            Call::TakeBack { zone } => self.order(&authority, Order::TakeBack { zone }).await,
+            Call::CancelEvacuation { zone } => {
+                self.order(&authority, Order::CancelEvacuation { zone })
+                    .await
+            }
             Call::ChangeConfig {
                 method,
                 if_match,
@@ -201,7 +204,7 @@
         Order::PutConfig(_) => "a configuration",
         Order::PatchConfig(_) => "a change of the configuration",
         Order::Evacuate { .. } => "an evacuation",
-        Order::TakeBack { .. } => "the end of an evacuation",
+        Order::CancelEvacuation { .. } => "the end of an evacuation",
         Order::Retire { .. } => "a retirement",
     }
 }
--- a/alderhollow/tests/compatibility.rs
+++ b/alderhollow/tests/compatibility.rs
@@ -634,7 +634,7 @@
         ),
         (
             "take_back",
-            Command::TakeBack {
+            Command::CancelEvacuation {
                 zone: "east".into(),
             },
         ),
@@ -709,7 +709,7 @@
         ),
         (
             "take_back",
-            Order::TakeBack {
+            Order::CancelEvacuation {
                 zone: "east".into(),
             },
         ),
--- a/alderhollow/tests/control/mod.rs
+++ b/alderhollow/tests/control/mod.rs
@@ -1,4 +1,4 @@
-//! Documents and orders for the tests of the control state.
+//! Documents and requests for the tests of the control state.
 #![allow(dead_code)]
 
 use alderhollow::control_state::command::Command;
@@ -10,26 +10,26 @@
 use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use serde_json::{json, Value};
 
-/// What became of an order.
+/// Outcome of an operator's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Ended {
+pub enum Outcome {
     Committed,
     AlreadyDone,
     Refused(Refusal),
 }
 
-impl Ended {
+impl Outcome {
     /// The HTTP status that an operator sees.
     pub fn status(&self) -> u16 {
         match self {
-            Ended::Committed | Ended::AlreadyDone => 200,
-            Ended::Refused(refusal) => refusal.status(),
+            Outcome::Committed | Outcome::AlreadyDone => 200,
+            Outcome::Refused(refusal) => refusal.status(),
         }
     }
 }
 
-/// Decides and applies by bytes, as a replica does.
-pub fn submit(state: &mut ControlState, order: &Order, context: &OrderContext) -> Ended {
+/// Decides a request and applies the command, both encoded, as a replica does.
+pub fn submit(state: &mut ControlState, order: &Order, context: &OrderContext) -> Outcome {
     let request = Request::Order {
         order: order.clone(),
         context: context.clone(),
@@ -37,19 +37,19 @@
     match state.decide(&request.to_bytes()) {
         replica::Decision::Replicate(command) => {
             state.apply(&command);
-            Ended::Committed
+            Outcome::Committed
         }
         replica::Decision::Answer(answer) => {
             match Answer::from_bytes(&answer).expect("an answer") {
-                Answer::AlreadyDone => Ended::AlreadyDone,
-                Answer::Refused(refusal) => Ended::Refused(refusal),
+                Answer::AlreadyDone => Outcome::AlreadyDone,
+                Answer::Refused(refusal) => Outcome::Refused(refusal),
                 Answer::Unreadable => panic!("the request is well formed"),
             }
         }
     }
 }
 
-/// The command that a request leads to.
+/// The command that a request results in, if any.
 pub fn command_of(state: &ControlState, request: &Request) -> Option<Command> {
     match state.decide_request(request) {
         Decision::Commit(command) => Some(command),
@@ -57,7 +57,7 @@
     }
 }
 
-/// What the one that decides knows: two zones, one machine may be lost.
+/// Context with two zones and tolerance for the loss of one machine.
 pub fn context() -> OrderContext {
     OrderContext {
         zones: ["north", "south"].map(str::to_string).into(),
@@ -85,9 +85,9 @@
            "timeout-ms": timeout_ms, "service": "llm", "a-later-field": [1, 2]})
 }
 
-/// A valid document whose content depends on a mark.
-pub fn document(version: u64, mark: u64) -> Value {
-    json!({"config-version": version, "routes": [route("first", "/first/", 1000 + mark)],
+/// A valid document whose content depends on `seed`.
+pub fn document(version: u64, seed: u64) -> Value {
+    json!({"config-version": version, "routes": [route("first", "/first/", 1000 + seed)],
            "services": [{"name": "llm", "max-conns": 3, "link-mbps": 2900000.0}], "limits": {}})
 }
 
--- a/alderhollow/tests/control_state.rs
+++ b/alderhollow/tests/control_state.rs
@@ -1,8 +1,8 @@
-//! The control state: orders that come again, that race, that are invalid; evacuations, retirements, snapshots.
+//! The control state machine: retried, concurrent and invalid requests, evacuations, decommissioning, snapshots.
 
 mod control;
 
-use alderhollow::control_state::accepted_requests::{TakenOrders, TAKEN_ORDERS};
+use alderhollow::control_state::accepted_requests::{AcceptedRequests, MAX_ACCEPTED_REQUESTS};
 use alderhollow::control_state::codec::CodecError;
 use alderhollow::control_state::command::Command;
 use alderhollow::control_state::request::{ConfigOrder, Order, Refusal, Request};
@@ -12,7 +12,7 @@
 use alderhollow_coordination::replica::interface::StateMachine;
 use alderhollow_model::identity::DiskId;
 use alderhollow_model::snapshot::{BatchGroup, GroupMember};
-use control::{command_of, context, document, patch, put, route, store, submit, Ended};
+use control::{command_of, context, document, patch, put, route, store, submit, Outcome};
 use proptest::prelude::*;
 use serde_json::{json, Value};
 
@@ -20,7 +20,7 @@
     let mut state = ControlState::default();
     assert_eq!(
         submit(&mut state, &put(0, &document(5, 0)), &context()),
-        Ended::Committed
+        Outcome::Committed
     );
     state
 }
@@ -33,63 +33,69 @@
 }
 
 #[test]
-fn the_first_configuration_is_kept_as_it_was_sent() {
+fn the_first_configuration_is_stored_byte_for_byte() {
     let text = b"{ \"services\" : [], \"x\":1.50, \"routes\":[],\n \"config-version\":3}".to_vec();
     let order = Order::PutConfig(ConfigOrder {
         if_match: Some("0".to_string()),
         body: text.clone(),
     });
     let mut state = ControlState::default();
-    assert_eq!(submit(&mut state, &order, &context()), Ended::Committed);
-    let kept = state.document().expect("a document");
-    assert_eq!(kept.text().as_slice(), text.as_slice());
+    assert_eq!(submit(&mut state, &order, &context()), Outcome::Committed);
+    let stored = state.document().expect("a document");
+    assert_eq!(stored.text().as_slice(), text.as_slice());
     assert_eq!(state.config_version(), 3);
-    assert_eq!(state.view().config.as_deref(), Some(kept.config().as_ref()));
+    assert_eq!(
+        state.view().config.as_deref(),
+        Some(stored.config().as_ref())
+    );
 }
 
 #[test]
-fn an_order_that_comes_again_is_acknowledged_however_much_came_between() {
+fn a_retried_configuration_is_acknowledged_after_any_number_of_later_ones() {
     let mut state = founded();
     let first = put(5, &document(7, 1));
-    assert_eq!(submit(&mut state, &first, &context()), Ended::Committed);
-    assert_eq!(submit(&mut state, &first, &context()), Ended::AlreadyDone);
+    assert_eq!(submit(&mut state, &first, &context()), Outcome::Committed);
+    assert_eq!(submit(&mut state, &first, &context()), Outcome::AlreadyDone);
     for version in 8..40 {
         let order = put(version - 1, &document(version, version));
-        assert_eq!(submit(&mut state, &order, &context()), Ended::Committed);
+        assert_eq!(submit(&mut state, &order, &context()), Outcome::Committed);
     }
     let before = state.clone();
-    assert_eq!(submit(&mut state, &first, &context()), Ended::AlreadyDone);
+    assert_eq!(submit(&mut state, &first, &context()), Outcome::AlreadyDone);
     assert_eq!(
         submit(&mut state, &put(0, &document(5, 0)), &context()),
-        Ended::AlreadyDone
+        Outcome::AlreadyDone
     );
-    assert_eq!(state, before, "nothing changes by it");
+    assert_eq!(state, before, "a retry changes nothing");
 }
 
 #[test]
-fn a_change_that_comes_again_is_acknowledged_too() {
+fn a_retried_patch_is_acknowledged() {
     let mut state = founded();
     let change = patch(
         5,
         &json!({"config-version": 6, "upsert": {"routes": [route("second", "/second/", 1)]}}),
     );
-    assert_eq!(submit(&mut state, &change, &context()), Ended::Committed);
-    assert_eq!(submit(&mut state, &change, &context()), Ended::AlreadyDone);
+    assert_eq!(submit(&mut state, &change, &context()), Outcome::Committed);
+    assert_eq!(
+        submit(&mut state, &change, &context()),
+        Outcome::AlreadyDone
+    );
     let text = state.document().expect("a document").text().clone();
-    let held: Value = serde_json::from_slice(&text).expect("JSON");
+    let process_views: Value = serde_json::from_slice(&text).expect("JSON");
     assert_eq!(
-        held["routes"],
+        process_views["routes"],
         json!([
             route("first", "/first/", 1000),
             route("second", "/second/", 1)
         ])
     );
-    assert_eq!(held["services"], document(5, 0)["services"]);
-    assert_eq!(held["config-version"], json!(6));
+    assert_eq!(process_views["services"], document(5, 0)["services"]);
+    assert_eq!(process_views["config-version"], json!(6));
 }
 
 #[test]
-fn two_operators_with_one_number_are_told_apart_by_content() {
+fn requests_with_the_same_version_are_distinguished_by_content() {
     let mut state = founded();
     let one = put(5, &document(8, 1));
     let other = put(5, &document(8, 2));
@@ -109,7 +115,7 @@
 }
 
 #[test]
-fn the_same_document_on_a_later_version_is_another_order() {
+fn the_same_document_on_a_later_version_is_rejected_as_a_new_request() {
     let mut state = founded();
     assert_eq!(
         statuses(
@@ -120,7 +126,7 @@
     );
     assert_eq!(
         submit(&mut state, &put(5, &document(9, 0)), &context()),
-        Ended::Committed
+        Outcome::Committed
     );
     assert_eq!(
         statuses(
@@ -132,12 +138,12 @@
 }
 
 #[test]
-fn a_stale_if_match_is_told_the_current_version() {
+fn a_stale_if_match_is_rejected_with_the_current_version() {
     let mut state = founded();
     let refused = submit(&mut state, &put(4, &document(9, 0)), &context());
     assert_eq!(
         refused,
-        Ended::Refused(Refusal::VersionMismatch { current: 5 })
+        Outcome::Refused(Refusal::VersionMismatch { current: 5 })
     );
     assert_eq!(
         statuses(
@@ -149,7 +155,7 @@
 }
 
 #[test]
-fn invalid_orders_are_refused_and_change_nothing() {
+fn invalid_requests_are_rejected_and_change_nothing() {
     let mut state = founded();
     let before = state.clone();
     let mut unknown_service = document(9, 0);
@@ -198,18 +204,18 @@
 }
 
 #[test]
-fn if_match_may_stand_in_quotes() {
+fn if_match_may_be_quoted() {
     let mut state = founded();
     let body = document(6, 0).to_string().into_bytes();
     let order = Order::PutConfig(ConfigOrder {
         if_match: Some(" \"5\" ".to_string()),
         body,
     });
-    assert_eq!(submit(&mut state, &order, &context()), Ended::Committed);
+    assert_eq!(submit(&mut state, &order, &context()), Outcome::Committed);
 }
 
 #[test]
-fn a_late_command_changes_nothing() {
+fn a_command_whose_base_version_was_replaced_has_no_effect() {
     let mut state = founded();
     let request = |order| Request::Order {
         order,
@@ -219,20 +225,17 @@
     let other = command_of(&state, &request(put(5, &document(8, 2)))).expect("a command");
     assert!(state.apply_command(one));
     let before = state.clone();
-    assert!(
-        !state.apply_command(other),
-        "decided on a state that is gone"
-    );
+    assert!(!state.apply_command(other), "its base version was replaced");
     assert_eq!(state, before);
 }
 
 #[test]
-fn evacuations_are_repeated_and_taken_back() {
+fn evacuations_and_their_cancellations_are_idempotent() {
     let mut state = founded();
     let evacuate = |zone: &str| Order::Evacuate {
         zone: zone.to_string(),
     };
-    let take_back = |zone: &str| Order::TakeBack {
+    let take_back = |zone: &str| Order::CancelEvacuation {
         zone: zone.to_string(),
     };
     let orders = [
@@ -245,11 +248,11 @@
     assert!(state.view().evacuated.contains("north"));
     assert_eq!(
         submit(&mut state, &take_back("north"), &context()),
-        Ended::Committed
+        Outcome::Committed
     );
     assert_eq!(
         submit(&mut state, &take_back("north"), &context()),
-        Ended::AlreadyDone
+        Outcome::AlreadyDone
     );
     assert_eq!(
         submit(&mut state, &take_back("nowhere"), &context()).status(),
@@ -258,7 +261,7 @@
     assert!(state.view().evacuated.is_empty());
     assert_eq!(
         submit(&mut state, &evacuate("north"), &context()),
-        Ended::Committed
+        Outcome::Committed
     );
 }
 
@@ -311,11 +314,11 @@
     assert_eq!(submit(&mut state, &retire("s9"), &context()).status(), 404);
     assert_eq!(
         submit(&mut state, &retire("s3"), &context()),
-        Ended::Committed
+        Outcome::Committed
     );
     assert_eq!(
         submit(&mut state, &retire("s3"), &context()),
-        Ended::AlreadyDone
+        Outcome::AlreadyDone
     );
     assert_eq!(
         submit(&mut state, &retire("s2"), &context()).status(),
@@ -332,13 +335,13 @@
     assert_eq!(state.retirement("s3"), Some(RetirementState::Completed));
     assert_eq!(
         submit(&mut state, &retire("s3"), &context()),
-        Ended::AlreadyDone
+        Outcome::AlreadyDone
     );
     assert_eq!(state.retirement("s1"), None);
 }
 
 #[test]
-fn a_store_outside_the_group_is_empty_at_once() {
+fn a_store_outside_all_groups_is_decommissioned_at_once() {
     let mut state = with_stores(&[1, 2, 3]);
     assert!(state.apply_command(Command::SetGroup {
         previous_epoch: 0,
@@ -347,7 +350,7 @@
     assert!(state.apply_command(Command::GroupActive { epoch: 1 }));
     assert_eq!(
         submit(&mut state, &retire("s3"), &context()),
-        Ended::Committed
+        Outcome::Committed
     );
     assert_eq!(state.retirement("s3"), Some(RetirementState::Completed));
 }
@@ -361,23 +364,23 @@
 }
 
 #[test]
-fn a_new_disk_replaces_the_machines_old_one_for_good() {
+fn a_replaced_disk_is_never_registered_again() {
     let mut state = with_stores(&[1, 2, 3]);
     let new_disk = store("s3", "north", 33);
     assert!(state.apply_command(Command::RegisterStore(new_disk.clone())));
     assert!(state.stores().has_disk(DiskId(33)) && !state.stores().has_disk(DiskId(3)));
     assert!(
         !state.apply_command(Command::RegisterStore(store("s3", "north", 3))),
-        "it never comes back"
+        "a replaced disk is rejected"
     );
     assert!(
         !state.apply_command(Command::RegisterStore(new_disk)),
-        "no news"
+        "nothing changed"
     );
 }
 
 #[test]
-fn a_group_follows_only_the_present_one_and_under_a_primary_that_holds_everything() {
+fn a_new_epoch_requires_the_current_epoch_and_a_complete_primary() {
     let mut state = with_stores(&[1, 2, 3]);
     assert!(state.apply_command(Command::SetGroup {
         previous_epoch: 0,
@@ -404,22 +407,22 @@
 }
 
 #[test]
-fn only_the_newest_orders_are_remembered() {
-    let mut taken = TakenOrders::default();
-    for order in 0..(TAKEN_ORDERS as u64 + 10) {
-        taken.add(order);
+fn only_the_newest_accepted_requests_are_remembered() {
+    let mut accepted = AcceptedRequests::default();
+    for order in 0..(MAX_ACCEPTED_REQUESTS as u64 + 10) {
+        accepted.add(order);
     }
-    assert_eq!(taken.len(), TAKEN_ORDERS);
-    assert!(!taken.contains(9) && taken.contains(10));
+    assert_eq!(accepted.len(), MAX_ACCEPTED_REQUESTS);
+    assert!(!accepted.contains(9) && accepted.contains(10));
 }
 
 #[test]
-fn what_the_view_does_not_show_leaves_its_version() {
+fn changes_outside_the_view_leave_the_view_version() {
     let mut state = with_stores(&[1, 2, 3]);
     assert_eq!(
         (state.version(), state.view_version()),
         (4, 1),
-        "stores came"
+        "stores were registered"
     );
     assert!(state.apply_command(Command::SetGroup {
         previous_epoch: 0,
@@ -429,12 +432,12 @@
     assert!(state.apply_command(Command::GroupActive { epoch: 1 }));
     assert_eq!(
         submit(&mut state, &retire("s3"), &context()),
-        Ended::Committed
+        Outcome::Committed
     );
     assert_eq!(
         (state.version(), state.view_version()),
         (7, 5),
-        "active, and a retirement"
+        "group active and a retirement"
     );
     assert!(state.apply_command(Command::Evacuate {
         zone: "south".to_string()
@@ -443,7 +446,7 @@
 }
 
 #[test]
-fn a_state_that_was_read_whole_takes_its_own_version_for_the_views() {
+fn a_restored_state_uses_its_own_version_as_view_version() {
     let mut state = with_stores(&[1, 2]);
     let read = ControlState::from_snapshot(&state.to_snapshot()).expect("readable");
     assert_eq!((read.version(), read.view_version()), (3, 3));
@@ -454,7 +457,7 @@
     assert_eq!(
         state.view_version(),
         4,
-        "above all that was given out before"
+        "above every version published before"
     );
 }
 
@@ -469,13 +472,13 @@
     }));
     assert_eq!(
         submit(&mut state, &retire("s3"), &context()),
-        Ended::Committed
+        Outcome::Committed
     );
     state
 }
 
 #[test]
-fn a_snapshot_and_a_view_go_round_unchanged() {
+fn snapshots_and_views_decode_to_what_was_encoded() {
     let state = full_state();
     assert_eq!(
         ControlState::from_snapshot(&state.to_snapshot()).expect("readable"),
@@ -493,7 +496,7 @@
 }
 
 #[test]
-fn a_snapshot_of_a_later_format_is_told_apart_and_leaves_the_state() {
+fn a_snapshot_of_a_later_format_is_rejected_and_leaves_the_state() {
     let mut bytes = full_state().to_snapshot();
     bytes[0] = 200;
     assert!(matches!(
@@ -506,9 +509,9 @@
     assert_eq!(state, before);
 }
 
-/// The bytes of format 1 as they are on disks: a change of them needs a new format and a reader of this one.
+/// The bytes of format 1 as stored on disk. A change of them requires a new format version, and a decoder of this one.
 #[test]
-fn the_bytes_of_format_1_stay_readable() {
+fn the_bytes_of_format_1_are_unchanged() {
     let hex: String = full_state()
         .to_snapshot()
         .iter()
@@ -532,17 +535,17 @@
         }
     }
 
-    /// Processes hold what they took from a primary; primaries change, and some of them read their state whole.
+    /// Each process has the last view that it received; primaries change, and some restore their state from a snapshot.
     #[test]
-    fn processes_hold_the_newest_view_over_all_primaries(steps in prop::collection::vec(0_u8..8, 1..60)) {
+    fn processes_have_the_newest_view_across_primary_changes_and_restores(steps in prop::collection::vec(0_u8..8, 1..60)) {
         let mut primaries = [ControlState::default(), ControlState::default(), ControlState::default()];
         let mut leader = 0;
-        let mut held = [ControlState::default().view(), ControlState::default().view()];
+        let mut process_views = [ControlState::default().view(), ControlState::default().view()];
         for (at, step) in steps.into_iter().enumerate() {
             let zone = "south".to_string();
             match step {
                 0 => primaries.iter_mut().for_each(|state| { state.apply_command(Command::Evacuate { zone: zone.clone() }); }),
-                1 => primaries.iter_mut().for_each(|state| { state.apply_command(Command::TakeBack { zone: zone.clone() }); }),
+                1 => primaries.iter_mut().for_each(|state| { state.apply_command(Command::CancelEvacuation { zone: zone.clone() }); }),
                 2 | 3 => {
                     let come = store(&format!("s{at}"), "north", at as u64);
                     primaries.iter_mut().for_each(|state| { state.apply_command(Command::RegisterStore(come.clone())); });
@@ -555,7 +558,7 @@
                 // One of the processes polls, the other one lags behind.
                 _ => {
                     let newest = primaries[leader].view();
-                    let process = &mut held[usize::from(step == 6)];
+                    let process = &mut process_views[usize::from(step == 6)];
                     if newest.version > process.version {
                         *process = newest.clone();
                     }
@@ -566,7 +569,7 @@
     }
 
     #[test]
-    fn any_bytes_are_decided_and_applied_without_panic(mut bytes in prop::collection::vec(any::<u8>(), 0..100)) {
+    fn arbitrary_bytes_are_decided_and_applied_without_panic(mut bytes in prop::collection::vec(any::<u8>(), 0..100)) {
         let mut state = founded();
         let before = state.clone();
         for _ in 0..2 {
--- a/alderhollow/tests/control_state_model.rs
+++ b/alderhollow/tests/control_state_model.rs
@@ -1,5 +1,5 @@
-//! The control state against an oracle: random orders of two operators, sent once or again, on two replicas of which one
-//! is now and then replaced by a snapshot.
+//! Model test of the control state: random requests of operators, some retried, on two replicas, one of which is sometimes
+//! restored from a snapshot, compared with an oracle.
 
 mod control;
 
@@ -11,27 +11,27 @@
 use serde_json::{json, Value};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// One thing that an operator does.
+/// One step of a run.
 #[derive(Debug, Clone)]
 enum Step {
-    /// Sends a new order. `behind` is how far its `If-Match` lies behind the current version, `rise` how far its own
-    /// version lies above that one.
+    /// Sends a new request. `behind` is the current version minus its `If-Match`, `rise` its own version minus the current
+    /// one.
     Send {
         kind: OrderKind,
         behind: u64,
         rise: u64,
     },
-    /// Sends an earlier order again.
+    /// Retries an earlier request.
     Resend(prop::sample::Index),
-    /// Evacuates a zone or takes it back.
+    /// Evacuates a zone or cancels the evacuation.
     Zone { name: &'static str, evacuate: bool },
-    /// The second replica starts anew from a snapshot of the first.
+    /// Restores the second replica from a snapshot of the first.
     Restore,
 }
 
 #[derive(Debug, Clone)]
 enum OrderKind {
-    /// A whole configuration with these routes and time-outs.
+    /// A complete configuration with these routes and time-outs.
     Put(BTreeMap<String, u64>),
     /// Routes to set and to delete.
     Patch(BTreeMap<String, u64>, BTreeSet<String>),
@@ -57,9 +57,9 @@
     ]
 }
 
-/// An order with what the oracle needs to know of it.
+/// A request with the properties that the oracle uses.
 #[derive(Debug, Clone)]
-struct Sent {
+struct SentRequest {
     order: Order,
     identity: String,
     if_match: u64,
@@ -74,7 +74,7 @@
         .collect()
 }
 
-fn new_order(kind: OrderKind, if_match: u64, version: u64) -> Sent {
+fn new_order(kind: OrderKind, if_match: u64, version: u64) -> SentRequest {
     let (order, document) = match &kind {
         OrderKind::Put(routes) => {
             let document = json!({"config-version": version, "routes": items(routes),
@@ -88,7 +88,7 @@
         }
     };
     let method = matches!(kind, OrderKind::Put(_));
-    Sent {
+    SentRequest {
         order,
         identity: format!("{method} {if_match} {document}"),
         if_match,
@@ -97,18 +97,18 @@
     }
 }
 
-/// What should be, kept in the plainest way.
+/// The expected state, in its simplest representation.
 #[derive(Debug, Default)]
 struct Oracle {
     version: u64,
     routes: BTreeMap<String, u64>,
-    taken: BTreeSet<String>,
+    accepted: BTreeSet<String>,
     evacuated: BTreeSet<String>,
 }
 
 impl Oracle {
-    fn submit(&mut self, sent: &Sent) -> u16 {
-        if self.taken.contains(&sent.identity) {
+    fn submit(&mut self, sent: &SentRequest) -> u16 {
+        if self.accepted.contains(&sent.identity) {
             return 200;
         }
         if sent.if_match != self.version {
@@ -127,7 +127,7 @@
             }
         }
         self.version = sent.version;
-        self.taken.insert(sent.identity.clone());
+        self.accepted.insert(sent.identity.clone());
         200
     }
 
@@ -179,7 +179,7 @@
     fn every_order_ends_as_the_oracle_says(steps in prop::collection::vec(step(), 1..60)) {
         let mut replicas = Replicas::default();
         let mut oracle = Oracle::default();
-        let mut sent: Vec<Sent> = Vec::new();
+        let mut sent: Vec<SentRequest> = Vec::new();
         for step in steps {
             match step {
                 Step::Send { kind, behind, rise } => {
@@ -195,7 +195,7 @@
                 Step::Resend(_) => {}
                 Step::Zone { name, evacuate } => {
                     let zone = name.to_string();
-                    let order = if evacuate { Order::Evacuate { zone } } else { Order::TakeBack { zone } };
+                    let order = if evacuate { Order::Evacuate { zone } } else { Order::CancelEvacuation { zone } };
                     prop_assert_eq!(replicas.submit(&order), oracle.zone(name, evacuate));
                 }
                 Step::Restore => {
--- a/alderhollow/tests/group_balance.rs
+++ b/alderhollow/tests/group_balance.rs
@@ -2,8 +2,8 @@
 
 mod control;
 
-use alderhollow::control_state::group_policy::founding::MOST_GROUPS;
-use alderhollow::control_state::group_policy::rebalancing::{CalmWatch, REBALANCE_AFTER_MS};
+use alderhollow::control_state::group_policy::founding::MAX_GROUPS;
+use alderhollow::control_state::group_policy::rebalancing::{StabilityTimer, REBALANCE_AFTER_MS};
 use alderhollow::control_state::group_policy::{next_request, GroupView, StoreView, DEAD_AFTER_MS};
 use alderhollow::control_state::groups::{GroupChange, GroupStep};
 use alderhollow::control_state::request::Request;
@@ -23,7 +23,7 @@
 fn heard(disk: u64, zone: &str) -> StoreView {
     StoreView {
         node: store(&format!("s{disk}"), zone, disk),
-        silent_for_ms: 0,
+        since_last_poll_ms: 0,
         report: StoreReport::default(),
     }
 }
@@ -41,7 +41,7 @@
     GroupView {
         primary_for_ms: 60_000,
         tolerate_machines,
-        calm_for_ms: REBALANCE_AFTER_MS,
+        stable_for_ms: REBALANCE_AFTER_MS,
         stores,
     }
 }
@@ -167,7 +167,7 @@
         for tolerate in [1, 2] {
             let view = view(zones, tolerate);
             let state = found(&view);
-            assert_eq!(state.groups().len(), view.stores.len().min(MOST_GROUPS));
+            assert_eq!(state.groups().len(), view.stores.len().min(MAX_GROUPS));
             assert!(
                 view.stores
                     .iter()
@@ -224,7 +224,7 @@
     // One store leads four groups.
     let heavy = groups(&state).next().expect("a group").primary;
     lead_by(&mut state, heavy, 4);
-    view.calm_for_ms = 0;
+    view.stable_for_ms = 0;
     work(&mut state, &mut view);
     let hit: BTreeSet<usize> = indices(&state, |group| belongs(group, heavy));
     let led = indices(&state, |group| group.primary == heavy);
@@ -234,7 +234,7 @@
         .iter_mut()
         .find(|seen| disk_of(seen) == heavy)
         .expect("the store");
-    lost.silent_for_ms = DEAD_AFTER_MS;
+    lost.since_last_poll_ms = DEAD_AFTER_MS;
     let request = next_request(&state, &view).expect("changes are due");
     let Request::ChangeGroups(changes) = &request else {
         panic!("{request:?}")
@@ -315,18 +315,18 @@
     let mut state = found(&view);
     work(&mut state, &mut view);
     view.stores.push(heard(3, "z2"));
-    view.calm_for_ms = REBALANCE_AFTER_MS - 1;
+    view.stable_for_ms = REBALANCE_AFTER_MS - 1;
     let requests = work(&mut state, &mut view);
     assert!(
         matches!(requests[..], [Request::RegisterStore(_)]),
         "{requests:?}"
     );
-    view.calm_for_ms += 1;
+    view.stable_for_ms += 1;
     assert!(matches!(
         next_request(&state, &view),
         Some(Request::ChangeGroups(_))
     ));
-    view.stores[0].silent_for_ms = DEAD_AFTER_MS - 1;
+    view.stores[0].since_last_poll_ms = DEAD_AFTER_MS - 1;
     assert!(matches!(
         next_request(&state, &view),
         Some(Request::ChangeGroups(_))
@@ -337,12 +337,12 @@
 
 #[test]
 fn calm_is_counted_from_its_newest_beginning() {
-    let mut watch = CalmWatch::default();
-    assert_eq!(watch.note(true, 1_000), 0);
-    assert_eq!(watch.note(true, 3_500), 2_500);
-    assert_eq!(watch.note(false, 4_000), 0);
-    assert_eq!(watch.note(true, 5_000), 0);
-    assert_eq!(watch.note(true, 5_100), 100);
+    let mut timer = StabilityTimer::default();
+    assert_eq!(timer.record(true, 1_000), 0);
+    assert_eq!(timer.record(true, 3_500), 2_500);
+    assert_eq!(timer.record(false, 4_000), 0);
+    assert_eq!(timer.record(true, 5_000), 0);
+    assert_eq!(timer.record(true, 5_100), 100);
 }
 
 /// Stores in zones, and groups of any of them that are active: for each a primary and others, drawn by lot.
--- a/alderhollow/tests/group_policy.rs
+++ b/alderhollow/tests/group_policy.rs
@@ -1,10 +1,10 @@
-//! The group policy: its steps one by one, then a seeded simulation with an oracle.
+//! The group policy: each kind of change by itself, then seeded simulations with an oracle.
 
 mod control;
 mod group_simulation;
 
 use alderhollow::control_state::group_policy::{
-    gone_stores, next_request, GroupView, StoreView, DEAD_AFTER_MS, FOUNDING_PATIENCE_MS,
+    gone_stores, next_request, GroupView, StoreView, DEAD_AFTER_MS, FOUNDING_TIMEOUT_MS,
     FOUNDING_WAIT_MS, GONE_AFTER_MS,
 };
 use alderhollow::control_state::groups::GroupState;
@@ -13,57 +13,57 @@
 use alderhollow::control_state::ControlState;
 use alderhollow_model::identity::{DiskId, NodeInfo};
 use alderhollow_model::snapshot::{BatchGroup, GroupId};
-use control::{command_of, context, store, submit, Ended};
+use control::{command_of, context, store, submit, Outcome};
 
-/// A store that was heard a moment ago and holds nothing yet.
-fn heard(node: NodeInfo) -> StoreView {
+/// A store that has just polled and belongs to no group.
+fn new_store(node: NodeInfo) -> StoreView {
     StoreView {
         node,
-        silent_for_ms: 0,
+        since_last_poll_ms: 0,
         report: StoreReport::default(),
     }
 }
 
-/// Stores with disks and zones, all just heard of.
+/// Stores with the given disks and zones, all of which have just polled.
 fn view(stores: &[(u64, &str)]) -> GroupView {
-    let view_of = |(disk, zone): &(u64, &str)| heard(store(&format!("s{disk}"), zone, *disk));
+    let view_of = |(disk, zone): &(u64, &str)| new_store(store(&format!("s{disk}"), zone, *disk));
     GroupView {
         primary_for_ms: 10_000,
         tolerate_machines: 1,
-        calm_for_ms: 0,
+        stable_for_ms: 0,
         stores: stores.iter().map(view_of).collect(),
     }
 }
 
-/// Commits all that the policy asks for, up to a bound.
-fn settle(state: &mut ControlState, view: &GroupView) {
+/// Commits the policy's requests until there are none; panics after 50.
+fn apply_due_changes(state: &mut ControlState, view: &GroupView) {
     for _ in 0..50 {
         let Some(request) = next_request(state, view) else {
             return;
         };
-        let command = command_of(state, &request).expect("what the policy asks for is taken");
+        let command = command_of(state, &request).expect("the policy's request is accepted");
         assert!(state.apply_command(command));
     }
-    panic!("the policy does not come to rest: {:?}", state.groups());
+    panic!("the policy does not terminate: {:?}", state.groups());
 }
 
-fn silence(view: &mut GroupView, disk: u64) {
+fn stop_polling(view: &mut GroupView, disk: u64) {
     for store in &mut view.stores {
         if store.node.disk == Some(DiskId(disk)) {
-            store.silent_for_ms = DEAD_AFTER_MS;
+            store.since_last_poll_ms = DEAD_AFTER_MS;
         }
     }
 }
 
-/// Lets every store report what one reports that works well.
-fn report(state: &ControlState, view: &mut GroupView) {
+/// Sets every store's report to that of a healthy store in the current epochs.
+fn report_healthy(state: &ControlState, view: &mut GroupView) {
     for (index, state) in state.groups().iter().enumerate() {
         for store in &mut view.stores {
             let disk = store.node.disk.expect("a store has a disk");
-            let part = store.report.groups.entry(GroupId::at(index)).or_default();
-            part.epoch = state.group.epoch;
-            part.active = state.group.primary == disk;
-            part.synced = state
+            let group_report = store.report.groups.entry(GroupId::at(index)).or_default();
+            group_report.epoch = state.group.epoch;
+            group_report.active = state.group.primary == disk;
+            group_report.synced = state
                 .group
                 .learners
                 .iter()
@@ -72,17 +72,17 @@
     }
 }
 
-/// Reports and commits until nothing changes.
-fn work(state: &mut ControlState, view: &mut GroupView) {
+/// Reports and commits for ten rounds.
+fn run_until_stable(state: &mut ControlState, view: &mut GroupView) {
     for _ in 0..10 {
-        report(state, view);
-        settle(state, view);
+        report_healthy(state, view);
+        apply_due_changes(state, view);
     }
 }
 
 fn founded(view: &mut GroupView) -> ControlState {
     let mut state = ControlState::default();
-    work(&mut state, view);
+    run_until_stable(&mut state, view);
     state
 }
 
@@ -94,8 +94,8 @@
     &first_group(state).group
 }
 
-/// What a store reports of its part in the first group.
-fn part(store: &mut StoreView) -> &mut GroupReport {
+/// A store's report for the first group.
+fn report_of_first_group(store: &mut StoreView) -> &mut GroupReport {
     store.report.groups.entry(GroupId(0)).or_default()
 }
 
@@ -118,65 +118,65 @@
 }
 
 #[test]
-fn the_first_group_waits_for_the_stores_and_spreads_over_zones() {
+fn founding_waits_for_stores_and_spreads_members_over_zones() {
     let mut view = view(&[(1, "a"), (2, "a"), (3, "b"), (4, "c")]);
     let mut state = ControlState::default();
     view.primary_for_ms = FOUNDING_WAIT_MS - 1;
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert!(state.groups().is_empty());
     view.primary_for_ms = FOUNDING_WAIT_MS;
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert_eq!(members(&state), [1, 3, 4]);
     assert_eq!(group(&state).epoch, 1);
 }
 
 #[test]
-fn too_few_stores_found_a_group_only_after_patience() {
+fn too_few_stores_found_a_group_only_after_the_timeout() {
     let mut view = view(&[(1, "a")]);
     let mut state = ControlState::default();
-    view.primary_for_ms = FOUNDING_WAIT_MS + FOUNDING_PATIENCE_MS - 1;
-    settle(&mut state, &view);
+    view.primary_for_ms = FOUNDING_WAIT_MS + FOUNDING_TIMEOUT_MS - 1;
+    apply_due_changes(&mut state, &view);
     assert!(state.groups().is_empty());
     view.primary_for_ms += 1;
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert_eq!(members(&state), [1]);
 }
 
 #[test]
-fn a_dead_primary_gives_its_place_to_a_member() {
+fn a_dead_primary_is_replaced_by_a_member() {
     let mut view = view(&[(1, "a"), (2, "b"), (3, "c")]);
     let mut state = founded(&mut view);
     let primary = group(&state).primary.0;
-    silence(&mut view, primary);
-    settle(&mut state, &view);
+    stop_polling(&mut view, primary);
+    apply_due_changes(&mut state, &view);
     assert_ne!(group(&state).primary.0, primary);
     assert!(!members(&state).contains(&primary));
     assert_eq!(group(&state).epoch, 2, "one step");
 }
 
 #[test]
-fn a_store_that_leaves_is_replaced_at_once() {
+fn a_store_that_shuts_down_is_replaced_at_once() {
     let mut view = view(&[(1, "a"), (2, "b"), (3, "c")]);
     let mut state = founded(&mut view);
     let primary = group(&state).primary;
     for store in &mut view.stores {
         store.report.leaving = store.node.disk == Some(primary);
     }
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert_ne!(group(&state).primary, primary);
 }
 
 #[test]
-fn a_new_core_primary_calls_nobody_dead_in_its_first_seconds() {
+fn a_new_core_primary_considers_no_store_dead_before_the_timeout() {
     let mut all = view(&[(1, "a"), (2, "b"), (3, "c")]);
     let mut state = founded(&mut all);
     let before = state.clone();
     let mut fresh = view(&[]);
     fresh.primary_for_ms = DEAD_AFTER_MS - 1;
-    settle(&mut state, &fresh);
+    apply_due_changes(&mut state, &fresh);
     assert_eq!(state, before);
     fresh.primary_for_ms = DEAD_AFTER_MS;
-    settle(&mut state, &fresh);
+    apply_due_changes(&mut state, &fresh);
     assert_eq!(state, before, "nobody is there to take over");
 }
 
@@ -184,64 +184,64 @@
 fn a_dead_member_stays_while_too_few_others_are_alive() {
     let mut view = view(&[(1, "a"), (2, "b")]);
     let mut state = founded(&mut view);
-    silence(&mut view, 2);
-    work(&mut state, &mut view);
+    stop_polling(&mut view, 2);
+    run_until_stable(&mut state, &mut view);
     assert_eq!(members(&state), [1, 2]);
 }
 
 #[test]
-fn a_spare_store_is_brought_up_before_the_dead_member_leaves() {
+fn a_spare_store_joins_before_the_dead_member_is_removed() {
     let mut view = view(&[(1, "a"), (2, "b")]);
     let mut state = founded(&mut view);
-    silence(&mut view, 2);
-    view.stores.push(heard(store("s3", "c", 3)));
-    settle(&mut state, &view);
+    stop_polling(&mut view, 2);
+    view.stores.push(new_store(store("s3", "c", 3)));
+    apply_due_changes(&mut state, &view);
     assert_eq!((members(&state), learners(&state)), (vec![1, 2], vec![3]));
-    work(&mut state, &mut view);
+    run_until_stable(&mut state, &mut view);
     assert_eq!(members(&state), [1, 3]);
 }
 
-/// Lets the primary report members that it waits for in vain.
+/// Sets the primary's report of unresponsive members.
 fn report_silent(state: &ControlState, view: &mut GroupView, silent: &[u64]) {
-    report(state, view);
+    report_healthy(state, view);
     for store in &mut view.stores {
         if store.node.disk == Some(group(state).primary) {
-            part(store).silent = silent.iter().copied().map(DiskId).collect();
+            report_of_first_group(store).silent = silent.iter().copied().map(DiskId).collect();
         }
     }
 }
 
 #[test]
-fn a_silent_member_that_holds_everything_stays_until_enough_others_do() {
+fn an_unresponsive_complete_member_stays_until_enough_others_are_complete() {
     let mut view = view(&[(1, "a"), (2, "b")]);
     let mut state = founded(&mut view);
     view.stores.push(StoreView {
         node: store("s3", "c", 3),
-        silent_for_ms: 0,
+        since_last_poll_ms: 0,
         report: StoreReport::default(),
     });
-    settle(&mut state, &view);
-    report(&state, &mut view);
+    apply_due_changes(&mut state, &view);
+    report_healthy(&state, &mut view);
     view.stores
         .iter_mut()
-        .for_each(|store| part(store).active = false);
-    silence(&mut view, 2);
-    settle(&mut state, &view);
+        .for_each(|store| report_of_first_group(store).active = false);
+    stop_polling(&mut view, 2);
+    apply_due_changes(&mut state, &view);
     assert_eq!(
         members(&state),
         [1, 2, 3],
-        "three is promoted and does not hold everything yet"
+        "three is promoted and not complete yet"
     );
     for store in &mut view.stores {
-        part(store).epoch = group(&state).epoch;
-        part(store).synced = store.node.disk == Some(DiskId(3));
+        report_of_first_group(store).epoch = group(&state).epoch;
+        report_of_first_group(store).synced = store.node.disk == Some(DiskId(3));
     }
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert_eq!(members(&state), [1, 3]);
 }
 
 #[test]
-fn a_member_that_the_primary_waits_for_is_left_out_though_the_core_hears_of_it() {
+fn a_member_unresponsive_to_its_primary_is_removed_though_it_polls_the_core() {
     let mut view = view(&[(1, "a"), (2, "b"), (3, "c")]);
     let mut state = founded(&mut view);
     let silent = members(&state)
@@ -249,13 +249,13 @@
         .find(|disk| *disk != group(&state).primary.0)
         .expect("a member");
     report_silent(&state, &mut view, &[silent]);
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert!(!members(&state).contains(&silent));
     assert_eq!(learners(&state), [silent]);
 }
 
 #[test]
-fn a_primary_that_reaches_nobody_gives_its_place_to_those_that_it_does_not_reach() {
+fn an_isolated_primary_is_replaced_by_a_member_it_cannot_reach() {
     let mut view = view(&[(1, "a"), (2, "b"), (3, "c")]);
     let mut state = founded(&mut view);
     let primary = group(&state).primary;
@@ -264,7 +264,7 @@
         .filter(|disk| *disk != primary.0)
         .collect();
     report_silent(&state, &mut view, &others);
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert_ne!(group(&state).primary, primary);
     assert_eq!(
         members(&state).len(),
@@ -274,7 +274,7 @@
 }
 
 #[test]
-fn a_primary_in_a_group_of_two_keeps_the_member_that_it_waits_for() {
+fn a_group_of_two_retains_its_unresponsive_member() {
     let mut view = view(&[(1, "a"), (2, "b")]);
     let mut state = founded(&mut view);
     let before = state.clone();
@@ -283,25 +283,25 @@
         .find(|disk| *disk != group(&state).primary.0)
         .expect("a member");
     report_silent(&state, &mut view, &[other]);
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert_eq!(state, before);
 }
 
 #[test]
-fn a_store_whose_disk_fails_neither_leads_nor_holds_the_others_up() {
+fn a_store_with_a_failing_disk_is_neither_primary_nor_waited_for() {
     let mut view = view(&[(1, "a"), (2, "b"), (3, "c")]);
     let mut state = founded(&mut view);
     let primary = group(&state).primary;
     for store in &mut view.stores {
         store.report.disk_failing = store.node.disk == Some(primary);
     }
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert_ne!(group(&state).primary, primary);
     assert_eq!((members(&state).len(), learners(&state)), (2, Vec::new()));
     view.stores
         .iter_mut()
         .for_each(|store| store.report.disk_failing = false);
-    work(&mut state, &mut view);
+    run_until_stable(&mut state, &mut view);
     assert_eq!(
         members(&state),
         [1, 2, 3],
@@ -310,7 +310,7 @@
 }
 
 #[test]
-fn a_primary_that_lacks_what_a_member_may_hold_gives_its_place_to_that_member() {
+fn a_primary_behind_a_member_is_replaced_by_that_member() {
     let mut view = view(&[(1, "a"), (2, "b"), (3, "c")]);
     let mut state = founded(&mut view);
     let primary = group(&state).primary;
@@ -320,15 +320,15 @@
         .expect("a member");
     for store in &mut view.stores {
         if store.node.disk == Some(primary) {
-            part(store).behind = Some(DiskId(ahead));
+            report_of_first_group(store).behind = Some(DiskId(ahead));
         }
     }
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert_eq!(group(&state).primary.0, ahead);
 }
 
 #[test]
-fn a_retiring_machine_that_loses_its_disk_is_retired_all_the_same() {
+fn a_retirement_completes_though_the_machine_loses_its_disk() {
     let mut view = view(&[(1, "a"), (2, "b"), (3, "c")]);
     let mut state = founded(&mut view);
     assert_eq!(
@@ -339,7 +339,7 @@
             },
             &context()
         ),
-        Ended::Committed
+        Outcome::Committed
     );
     for seen in &mut view.stores {
         if seen.node.disk == Some(DiskId(1)) {
@@ -347,7 +347,7 @@
             seen.report = StoreReport::default();
         }
     }
-    work(&mut state, &mut view);
+    run_until_stable(&mut state, &mut view);
     assert_eq!(members(&state), [2, 3]);
     assert_eq!(
         state.retirement("s1").map(|state| state.name()),
@@ -356,49 +356,49 @@
 }
 
 #[test]
-fn a_learner_that_was_just_promoted_does_not_lead_before_it_holds_everything() {
+fn a_promoted_learner_does_not_become_primary_before_it_is_complete() {
     let mut view = view(&[(1, "a"), (2, "b")]);
     let mut state = founded(&mut view);
-    view.stores.push(heard(store("s0", "c", 0)));
-    settle(&mut state, &view);
-    report(&state, &mut view);
+    view.stores.push(new_store(store("s0", "c", 0)));
+    apply_due_changes(&mut state, &view);
+    report_healthy(&state, &mut view);
     for store in &mut view.stores {
-        part(store).active = false;
+        report_of_first_group(store).active = false;
     }
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert_eq!(
         members(&state),
         [0, 1, 2],
         "promoted, but its epoch is not active yet"
     );
-    silence(&mut view, group(&state).primary.0);
-    settle(&mut state, &view);
+    stop_polling(&mut view, group(&state).primary.0);
+    apply_due_changes(&mut state, &view);
     assert_eq!(group(&state).primary.0, 2);
 }
 
 #[test]
-fn a_member_in_sync_may_lead_though_a_dead_one_keeps_the_epoch_from_being_active() {
+fn a_member_in_sync_may_become_primary_in_an_epoch_that_is_not_active() {
     let mut view = view(&[(1, "a"), (2, "b")]);
     let mut state = founded(&mut view);
-    view.stores.push(heard(store("s3", "c", 3)));
-    settle(&mut state, &view);
+    view.stores.push(new_store(store("s3", "c", 3)));
+    apply_due_changes(&mut state, &view);
     let primary = group(&state).primary.0;
-    report(&state, &mut view);
+    report_healthy(&state, &mut view);
     view.stores
         .iter_mut()
-        .for_each(|store| part(store).active = false);
-    settle(&mut state, &view);
+        .for_each(|store| report_of_first_group(store).active = false);
+    apply_due_changes(&mut state, &view);
     assert_eq!(members(&state), [1, 2, 3]);
     assert!(!first_group(&state).complete.contains(&DiskId(3)));
     for store in &mut view.stores {
-        part(store).epoch = group(&state).epoch;
-        part(store).synced = store.node.disk == Some(DiskId(3));
+        report_of_first_group(store).epoch = group(&state).epoch;
+        report_of_first_group(store).synced = store.node.disk == Some(DiskId(3));
     }
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert!(!first_group(&state).is_active() && first_group(&state).complete.contains(&DiskId(3)));
-    silence(&mut view, 1);
-    silence(&mut view, 2);
-    settle(&mut state, &view);
+    stop_polling(&mut view, 1);
+    stop_polling(&mut view, 2);
+    apply_due_changes(&mut state, &view);
     assert_ne!(group(&state).primary.0, primary);
     assert_eq!(group(&state).primary.0, 3);
 }
@@ -413,33 +413,33 @@
             seen.report = StoreReport::default();
         }
     }
-    settle(&mut state, &view);
+    apply_due_changes(&mut state, &view);
     assert_eq!(
         (members(&state), learners(&state)),
         (vec![2, 3], vec![11]),
         "the old disk never counts again"
     );
-    work(&mut state, &mut view);
+    run_until_stable(&mut state, &mut view);
     assert_eq!(members(&state), [2, 3, 11]);
 }
 
 #[test]
-fn a_retiring_store_leaves_when_its_successor_is_in() {
+fn a_retiring_store_is_removed_once_its_replacement_is_a_member() {
     let mut view = view(&[(1, "a"), (2, "b"), (3, "c"), (4, "a")]);
     let mut state = founded(&mut view);
     let primary = group(&state).primary.0;
     let order = Order::Retire {
         node: format!("s{primary}"),
     };
-    assert_eq!(submit(&mut state, &order, &context()), Ended::Committed);
-    settle(&mut state, &view);
+    assert_eq!(submit(&mut state, &order, &context()), Outcome::Committed);
+    apply_due_changes(&mut state, &view);
     assert_ne!(
         group(&state).primary.0,
         primary,
         "it gives its place away first"
     );
     assert!(members(&state).contains(&primary) && !learners(&state).is_empty());
-    work(&mut state, &mut view);
+    run_until_stable(&mut state, &mut view);
     assert!(!members(&state).contains(&primary));
     assert_eq!(members(&state).len(), 3);
     assert_eq!(
@@ -451,7 +451,7 @@
 }
 
 #[test]
-fn a_retiring_store_without_a_successor_leaves_if_enough_remain() {
+fn a_retiring_store_without_a_replacement_is_removed_if_enough_remain() {
     let mut view = view(&[(1, "a"), (2, "b"), (3, "c")]);
     let mut state = founded(&mut view);
     assert_eq!(
@@ -462,9 +462,9 @@
             },
             &context()
         ),
-        Ended::Committed
+        Outcome::Committed
     );
-    work(&mut state, &mut view);
+    run_until_stable(&mut state, &mut view);
     assert_eq!(members(&state), [2, 3]);
     assert_eq!(
         state.retirement("s1").map(|state| state.name()),
@@ -473,7 +473,7 @@
 }
 
 #[test]
-fn a_dead_primarys_place_goes_to_a_retiring_member_if_there_is_no_other() {
+fn a_dead_primary_is_replaced_by_a_retiring_member_if_there_is_no_other() {
     let mut view = view(&[(1, "a"), (2, "b"), (3, "c"), (4, "a")]);
     let mut state = founded(&mut view);
     let primary = group(&state).primary.0;
@@ -483,20 +483,20 @@
         let order = Order::Retire {
             node: format!("s{disk}"),
         };
-        assert_eq!(submit(&mut state, &order, &context), Ended::Committed);
+        assert_eq!(submit(&mut state, &order, &context), Outcome::Committed);
     }
-    silence(&mut view, primary);
-    settle(&mut state, &view);
+    stop_polling(&mut view, primary);
+    apply_due_changes(&mut state, &view);
     assert_ne!(group(&state).primary.0, primary);
-    work(&mut state, &mut view);
+    run_until_stable(&mut state, &mut view);
     assert_eq!(group(&state).primary.0, 4, "and then to the one that stays");
 }
 
 #[test]
-fn a_store_that_was_silent_for_long_is_gone() {
+fn a_store_that_has_not_polled_for_long_is_gone() {
     let mut view = view(&[(1, "a"), (2, "b"), (3, "c")]);
     let state = founded(&mut view);
-    view.stores[0].silent_for_ms = GONE_AFTER_MS;
+    view.stores[0].since_last_poll_ms = GONE_AFTER_MS;
     assert!(
         gone_stores(&state, &view).is_empty(),
         "a young primary can't know"
@@ -506,16 +506,16 @@
 }
 
 #[test]
-fn a_settled_group_is_left_alone() {
+fn a_stable_group_is_not_changed() {
     let mut view = view(&[(1, "a"), (2, "b"), (3, "c"), (4, "a"), (5, "b")]);
     let mut state = founded(&mut view);
-    work(&mut state, &mut view);
+    run_until_stable(&mut state, &mut view);
     assert_eq!(next_request(&state, &view), None::<Request>);
     assert_eq!(group(&state).epoch, 1);
     assert!(first_group(&state).is_active());
 }
 
-/// Runs seeds of the simulation and names the one that fails.
+/// Runs the simulation for a range of seeds; a failure names its seed.
 fn simulate(seeds: std::ops::Range<u64>, stores: usize, tolerate: usize) {
     for seed in seeds {
         if let Err(fault) = group_simulation::run(seed, stores, tolerate) {
@@ -536,7 +536,7 @@
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_where_two_may_go() {
+fn nothing_acknowledged_is_lost_with_tolerance_for_two() {
     simulate(0..80, 5, 2);
     simulate(0..80, 8, 2);
 }
@@ -548,15 +548,15 @@
 }
 
 #[test]
-fn nothing_acknowledged_is_lost_with_many_stores_where_two_may_go() {
+fn nothing_acknowledged_is_lost_with_many_stores_and_tolerance_for_two() {
     simulate(0..80, 14, 2);
 }
 
-/// Seeds in which the network is also cut into halves.
+/// Seeds in which the network is also partitioned into halves.
 const SEEDS_WITH_HALVES: std::ops::Range<u64> = 0..40;
 
 #[test]
-fn nothing_acknowledged_is_lost_while_the_network_is_cut_into_halves() {
+fn nothing_acknowledged_is_lost_while_the_network_is_partitioned() {
     for (stores, tolerate) in [(3, 1), (4, 1), (5, 2), (8, 2)] {
         for seed in SEEDS_WITH_HALVES {
             if let Err(fault) = group_simulation::run_with_halves(seed, stores, tolerate) {
--- a/alderhollow/tests/group_simulation/mod.rs
+++ b/alderhollow/tests/group_simulation/mod.rs
@@ -5,9 +5,9 @@
 mod rest;
 
 use super::control::{command_of, context, store, submit};
-use alderhollow::control_state::group_policy::rebalancing::CalmWatch;
+use alderhollow::control_state::group_policy::rebalancing::StabilityTimer;
 use alderhollow::control_state::group_policy::{
-    is_calm, next_request, GroupView, StoreView, GONE_AFTER_MS,
+    is_stable, next_request, GroupView, StoreView, GONE_AFTER_MS,
 };
 use alderhollow::control_state::groups::GroupState;
 use alderhollow::control_state::request::Order;
@@ -159,7 +159,7 @@
     /// Records that were acknowledged, by group.
     acknowledged: BTreeMap<GroupId, BTreeSet<u64>>,
     next_record: u64,
-    calm: CalmWatch,
+    stability: StabilityTimer,
     /// Whether the policy may move what is uneven.
     may_rebalance: bool,
     /// When the policy last asked for anything.
@@ -216,7 +216,7 @@
             heard: BTreeMap::new(),
             acknowledged: BTreeMap::new(),
             next_record: 0,
-            calm: CalmWatch::default(),
+            stability: StabilityTimer::default(),
             may_rebalance: true,
             last_request: 0,
         };
@@ -443,7 +443,7 @@
             let node = store(&machine.name, machine.zone, machine.disk.0);
             let seen = StoreView {
                 node,
-                silent_for_ms: 0,
+                since_last_poll_ms: 0,
                 report,
             };
             self.heard.insert(machine.name.clone(), (now, seen));
@@ -462,19 +462,19 @@
     fn decide(&mut self) -> Result<(), String> {
         let stores = self.heard.values().map(|(at, seen)| {
             let mut seen = seen.clone();
-            seen.silent_for_ms = self.now - at;
+            seen.since_last_poll_ms = self.now - at;
             seen
         });
         let mut view = GroupView {
             primary_for_ms: self.now - self.core_since,
             tolerate_machines: self.tolerate,
-            calm_for_ms: 0,
+            stable_for_ms: 0,
             stores: stores.collect(),
         };
-        let is_calm = is_calm(&self.state, &view);
-        let calm_for_ms = self.calm.note(is_calm, self.now);
+        let is_stable = is_stable(&self.state, &view);
+        let stable_for_ms = self.stability.record(is_stable, self.now);
         if self.may_rebalance {
-            view.calm_for_ms = calm_for_ms.min(view.primary_for_ms);
+            view.stable_for_ms = stable_for_ms.min(view.primary_for_ms);
         }
         let Some(request) = next_request(&self.state, &view) else {
             return Ok(());
