--- a/alderhollow/examples/scale-run/hollow.rs
+++ b/alderhollow/examples/scale-run/hollow.rs
@@ -190,7 +190,7 @@
     gateway.bytes.set(bytes);
     match minicbor::decode(&answer).ok()? {
         Answer::Update(update) => Some(update),
-        Answer::Hello(..) | Answer::NotPrimary(_) => None,
+        Answer::Identity(..) | Answer::NotPrimary(_) => None,
     }
 }
 
--- a/alderhollow/src/control_plane/founding_check.rs
+++ b/alderhollow/src/control_plane/founding_check.rs
@@ -1,5 +1,5 @@
-//! Says loudly, at the first start of the whole system, that nobody can found the core: no seed has a disk and a role that
-//! may keep the core's state. Without this, such a deployment would answer 503 all day with nothing in its logs.
+//! Check at the first start of the system that a seed can found the core, which needs a disk and a role that may join it.
+//! Without this check, a deployment where none can would answer 503 with nothing in its logs.
 
 use crate::distribution::message::{Answer, Request};
 use crate::internal::ServiceId;
@@ -7,82 +7,82 @@
 use std::net::SocketAddr;
 use std::time::Duration;
 
-/// Between two rounds of questions.
-const ROUND: Duration = Duration::from_secs(1);
-/// How long a seed may take to answer.
-const HELLO_TIMEOUT: Duration = Duration::from_millis(400);
-/// The finding is repeated every so many rounds.
-const ROUNDS_PER_MESSAGE: u32 = 10;
+/// Interval between two checks.
+const CHECK_INTERVAL: Duration = Duration::from_secs(1);
+/// Time-out of an identify request to a seed.
+const IDENTIFY_TIMEOUT: Duration = Duration::from_millis(400);
+/// The error is logged at the first of so many consecutive checks that find it.
+const CHECKS_PER_MESSAGE: u32 = 10;
 
-/// What the seeds, taken together, say about the core.
+/// Whether the seeds can found the core, according to all their answers.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Prospect {
-    /// One of them may found it, or there is one.
+pub enum FoundingOutlook {
+    /// A seed can found the core, or knows an existing one.
     Possible,
-    /// Some have not answered.
+    /// No seed that answered can found the core, and some have not answered.
     Unknown,
-    /// All have answered, and none may found it.
+    /// All seeds have answered, and none can found the core.
     Impossible,
 }
 
-impl Prospect {
-    /// Judges the answers of all seeds; `None`: no answer.
-    pub fn of(answers: &[Option<Answer>]) -> Prospect {
+impl FoundingOutlook {
+    /// Evaluates the answers of all seeds; `None` stands for no answer.
+    pub fn of(answers: &[Option<Answer>]) -> FoundingOutlook {
         let may_found = |answer: &Answer| match answer {
-            Answer::Hello(node, core) => {
+            Answer::Identity(node, core) => {
                 let is_founder = node.disk.is_some() && node.role.may_join_core();
                 is_founder || core.primary.is_some() || !core.members.is_empty()
             }
             Answer::Update(_) | Answer::NotPrimary(_) => true,
         };
         if answers.iter().flatten().any(may_found) {
-            return Prospect::Possible;
+            return FoundingOutlook::Possible;
         }
         match answers.iter().all(Option::is_some) {
-            true => Prospect::Impossible,
-            false => Prospect::Unknown,
+            true => FoundingOutlook::Impossible,
+            false => FoundingOutlook::Unknown,
         }
     }
 }
 
-/// Asks the seeds until the core can be or is there, and logs an error while it can't.
+/// Queries the seeds until the core exists or can be founded, and logs an error while it can't.
 pub async fn run(node: Node) {
-    let mut rounds: u32 = 0;
+    let mut checks: u32 = 0;
     loop {
-        tokio::time::sleep(ROUND).await;
+        tokio::time::sleep(CHECK_INTERVAL).await;
         if node.poll_state.validated_since_ms().is_some() {
             return;
         }
-        match ask_seeds(&node).await {
-            Prospect::Possible => return,
-            Prospect::Unknown => continue,
-            Prospect::Impossible => (),
+        match identify_seeds(&node).await {
+            FoundingOutlook::Possible => return,
+            FoundingOutlook::Unknown => continue,
+            FoundingOutlook::Impossible => (),
         }
-        if rounds.is_multiple_of(ROUNDS_PER_MESSAGE) {
+        if checks.is_multiple_of(CHECKS_PER_MESSAGE) {
             log::error!(
-                "nobody can keep the core: none of the seeds {:?} has a disk and a role that serves control_plane. \
+                "no seed can found the core: none of {:?} has a disk and a role that serves control_plane. \
                  Every operator's call and every request will be answered with 503. Run `alderhollow core` (or \
                  `alderhollow door`) with `control_plane` in `serves` on machines that have a disk",
                 node.directory.seeds()
             );
         }
-        rounds = rounds.wrapping_add(1);
+        checks = checks.wrapping_add(1);
     }
 }
 
-async fn ask_seeds(node: &Node) -> Prospect {
+async fn identify_seeds(node: &Node) -> FoundingOutlook {
     let mut answers = Vec::new();
     for seed in node.directory.seeds() {
-        answers.push(ask(node, seed).await);
+        answers.push(identify(node, seed).await);
     }
-    Prospect::of(&answers)
+    FoundingOutlook::of(&answers)
 }
 
-async fn ask(node: &Node, seed: SocketAddr) -> Option<Answer> {
-    let request = minicbor::to_vec(Request::Hello).ok()?;
+async fn identify(node: &Node, seed: SocketAddr) -> Option<Answer> {
+    let request = minicbor::to_vec(Request::Identify).ok()?;
     let answer = node
         .network
-        .call(seed, ServiceId::Distribution, request, HELLO_TIMEOUT)
+        .call(seed, ServiceId::Distribution, request, IDENTIFY_TIMEOUT)
         .await
         .ok()?;
     minicbor::decode(&answer).ok()
--- a/alderhollow/src/control_plane/member.rs
+++ b/alderhollow/src/control_plane/member.rs
@@ -1,4 +1,4 @@
-//! Opens the core's member on the disk, and starts what a primary does.
+//! Opens the core member on its disk and starts the reader of the platform's backend list.
 
 use crate::control_state::ControlState;
 use crate::core::authority::ControlAuthority;
@@ -18,7 +18,10 @@
 use std::rc::Rc;
 use tokio::sync::watch;
 
-/// Opens the member with what the folder holds.
+/// Opens the member with the state recovered from its folder.
+///
+/// # Errors
+/// The folder can't be used, or the state in it is damaged.
 pub fn open(
     folder: &Path,
     settings: &Settings,
@@ -68,8 +71,8 @@
     }
 }
 
-/// Starts the reader of the platform's list, if there is a platform.
-pub fn read_backends(
+/// Starts the reader of the platform's backend list, if the platform's address is set.
+pub fn start_backend_reader(
     settings: &Settings,
     node: &Node,
     authority: Rc<ControlAuthority>,
--- a/alderhollow/src/control_plane/mod.rs
+++ b/alderhollow/src/control_plane/mod.rs
@@ -1,11 +1,14 @@
-//! What a process does that serves operators: it answers or redirects their calls and, with a disk, is a member of the
-//! core. Gateways do so beside serving clients; the role `core` does nothing else.
+//! The control plane of a process: it serves operators' calls or redirects them to the primary and, with a disk, runs a core
+//! member.
 //!
-//! | part | does |
+//! May use `core`, `discovery`, `distribution` and `operator_api`. Used by `gateway`, whose processes also serve clients, and
+//! by the role `core`, which runs nothing else.
+//!
+//! | module | contents |
 //! | --- | --- |
-//! | [`member`] | opens the core's member on the disk, and starts what a primary does |
-//! | [`founding_check`] | warns where no machine can found the core |
-//! | [`role`] | the main loop of the role `core` |
+//! | [`member`] | opens the core member on its disk and starts the reader of the platform's backend list |
+//! | [`founding_check`] | logs an error if no seed can found the core |
+//! | [`role`] | main loop of the role `core` |
 
 pub mod founding_check;
 pub mod member;
@@ -33,31 +36,31 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, watch};
 
-/// The party that operators and backends are, in `serves`.
-const CONTROL_PLANE: &str = "control_plane";
-/// How long a process that serves nobody else still redirects callers after it was told to end: the platform's and the
-/// operators' lists lag.
-const LEAVING_TIME: Duration = Duration::from_millis(2_500);
+/// Value of the setting `serves` for processes that serve operators.
+const CONTROL_PLANE_PARTY: &str = "control_plane";
+/// Maximum time for which a process of the role `core` redirects operators after SIGTERM, as the address lists of the
+/// platform and the operators lag.
+const MAX_REDIRECT_TIME: Duration = Duration::from_millis(2_500);
 
-/// A process's part in the control plane. The server ends when this is dropped.
+/// The control plane of this process. Dropping it stops the operators' server.
 pub struct ControlPlane {
     authority: Option<Rc<ControlAuthority>>,
     operator_server: Option<dropshot::HttpServer<OperatorContext>>,
 }
 
 impl ControlPlane {
-    /// Opens the core's member where the process has a disk and serves operators, joins the tier, and serves the
-    /// operators.
+    /// Opens the core member if the process has a disk and serves operators, joins the tier, and starts the operators'
+    /// server.
     ///
     /// # Errors
-    /// The disk can't be used, or an address can't be listened on.
+    /// The disk can't be opened, or an address can't be listened on.
     pub async fn start(
         settings: &Settings,
         node: &Node,
         role: Role,
     ) -> Result<ControlPlane, RoleError> {
         let authority = match &settings.data_dir {
-            Some(folder) if settings.serves(CONTROL_PLANE) => {
+            Some(folder) if settings.serves(CONTROL_PLANE_PARTY) => {
                 Some(member::open(folder, settings, node, role)?)
             }
             _ => None,
@@ -80,22 +83,23 @@
         })
     }
 
-    /// Hands the primary's part over, if this process has it.
+    /// Hands over the core's primary role, if this process has it, and waits for the confirmation or its time-out.
     pub async fn leave(&self) {
         if let Some(authority) = &self.authority {
             authority.core().leave().await;
-            log::info!("the core's part is handed over");
+            log::info!("core: finished the handover of the primary role");
         }
     }
 
-    /// Goes on redirecting operators for a part of the time until SIGKILL, then ends their server.
+    /// Redirects operators for [`MAX_REDIRECT_TIME`] or half of the grace period before SIGKILL, whichever is shorter, then
+    /// stops their server.
     pub async fn redirect_and_end(self, grace: Duration) {
-        tokio::time::sleep(LEAVING_TIME.min(grace / 2)).await;
+        tokio::time::sleep(MAX_REDIRECT_TIME.min(grace / 2)).await;
         drop(self.operator_server);
     }
 }
 
-/// Starts what talks to the tier's other processes.
+/// Starts the internal services and the tasks that communicate with other processes.
 async fn join_tier(
     settings: &Settings,
     node: &Node,
@@ -121,7 +125,7 @@
     node.join(info.clone(), shared, backends, services).await?;
     if let Some(authority) = authority {
         tokio::task::spawn_local(group_reconciler::run(authority.clone()));
-        member::read_backends(settings, node, authority.clone(), published);
+        member::start_backend_reader(settings, node, authority.clone(), published);
         tokio::task::spawn_local(membership::maintain(Membership {
             core: authority.core().clone(),
             node: info,
--- a/alderhollow/src/core/authority.rs
+++ b/alderhollow/src/core/authority.rs
@@ -1,4 +1,4 @@
-//! The core's member as the distribution, the operators' calls and the batch groups' reconciliation see it.
+//! The core member's interface for the distribution, the operators' calls and the reconciliation of batch groups.
 
 use super::driver::Core;
 use super::store_watch::StoreWatch;
@@ -15,19 +15,19 @@
 use std::rc::Rc;
 use tokio::sync::Notify;
 
-/// The member of this process, with what it sees of the stores while it is the primary.
+/// This process's core member, with the stores' newest polls while it is the primary.
 pub struct ControlAuthority {
     core: Rc<Core<ControlState>>,
     clock: SteadyClock,
     tolerate_machines: usize,
     stores: RefCell<StoreWatch>,
-    calm: RefCell<StabilityTimer>,
+    stability: RefCell<StabilityTimer>,
     stores_changed: Notify,
     encoded: RefCell<EncodedControl>,
 }
 
 impl ControlAuthority {
-    /// Puts a member to use. `tolerate_machines` is from the settings.
+    /// Wraps a member. `tolerate_machines` is the number of machine losses to tolerate, from the settings.
     pub fn new(
         core: Rc<Core<ControlState>>,
         clock: SteadyClock,
@@ -38,7 +38,7 @@
             clock,
             tolerate_machines,
             stores: RefCell::default(),
-            calm: RefCell::default(),
+            stability: RefCell::default(),
             stores_changed: Notify::new(),
             encoded: RefCell::new(EncodedControl {
                 version: 0,
@@ -52,23 +52,23 @@
         &self.core
     }
 
-    /// What the primary sees of the stores; `None` without a lease.
+    /// What the primary knows of the stores; `None` without a lease.
     pub fn group_view(&self) -> Option<GroupView> {
         let now_ms = self.clock.now_ms();
         let mut stores = self.stores.borrow_mut();
-        stores.note_lease(self.core.leased_epoch(), now_ms);
+        stores.update_lease(self.core.leased_epoch(), now_ms);
         let view = stores.view(now_ms, self.tolerate_machines);
         let is_stable = view
             .as_ref()
             .is_some_and(|view| is_stable(&self.core.state(), view));
-        let stable_for_ms = self.calm.borrow_mut().record(is_stable, now_ms);
+        let stable_for_ms = self.stability.borrow_mut().record(is_stable, now_ms);
         view.map(|view| GroupView {
             stable_for_ms: stable_for_ms.min(view.primary_for_ms),
             ..view
         })
     }
 
-    /// Waits until a store said something new.
+    /// Waits until a store's poll differs from its previous one.
     pub async fn stores_changed(&self) {
         self.stores_changed.notified().await;
     }
@@ -100,7 +100,7 @@
         self.core.core_view()
     }
 
-    fn heard(&self, poll: &Poll) {
+    fn on_poll(&self, poll: &Poll) {
         if poll.node.role != Role::Store {
             return;
         }
@@ -108,8 +108,8 @@
         report.leaving |= poll.leaving;
         let now_ms = self.clock.now_ms();
         let mut stores = self.stores.borrow_mut();
-        stores.note_lease(self.core.leased_epoch(), now_ms);
-        if stores.heard(&poll.node, report, now_ms) {
+        stores.update_lease(self.core.leased_epoch(), now_ms);
+        if stores.on_poll(&poll.node, report, now_ms) {
             self.stores_changed.notify_one();
         }
     }
--- a/alderhollow/src/core/contact.rs
+++ b/alderhollow/src/core/contact.rs
@@ -1,37 +1,37 @@
-//! A member's addresses: opaque to the replica, which passes them on with the member.
+//! A member's addresses. They are opaque bytes to the replica, which replicates them with the member.
 
 use crate::distribution::message::{CoreMember, CoreView};
 use alderhollow_coordination::replica::interface::Member;
 use alderhollow_model::identity::{Address, DiskId};
 use minicbor::{Decode, Encode};
 
-/// Where a member is reached.
+/// Addresses of a member.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct Contact {
-    /// For the tier's own messages.
+    /// Address for messages between processes.
     #[n(0)]
     pub internal: Address,
-    /// For operators.
+    /// Address for operators' calls, if it serves them.
     #[n(1)]
     pub control: Option<Address>,
-    /// Whether its process serves no clients: it runs on a machine of the core's own.
+    /// Whether the process has the role `core`: it runs on a dedicated machine and serves no clients.
     #[cbor(n(2), default)]
     pub is_dedicated: bool,
 }
 
 impl Contact {
-    /// As it stands in a member.
+    /// Encodes the addresses for [`Member::contact`].
     pub fn encode(&self) -> Vec<u8> {
         minicbor::to_vec(self).unwrap_or_default()
     }
 
-    /// The contact of a member; `None` if it can't be read.
+    /// Decodes the addresses of a member; `None` if they can't be decoded.
     pub fn of(member: &Member) -> Option<Contact> {
         minicbor::decode(&member.contact).ok()
     }
 }
 
-/// A member as the other processes know it.
+/// Converts a member for the distribution; `None` if its addresses can't be decoded.
 pub fn core_member(member: &Member) -> Option<CoreMember> {
     let contact = Contact::of(member)?;
     Some(CoreMember {
@@ -42,7 +42,7 @@
     })
 }
 
-/// The core as its member knows it, from the record of an epoch.
+/// The core's members and primary according to an epoch record.
 pub fn core_view(epoch: u64, primary: Option<&Member>, members: &[Member]) -> CoreView {
     CoreView {
         primary: primary.and_then(core_member),
--- a/alderhollow/src/core/driver.rs
+++ b/alderhollow/src/core/driver.rs
@@ -1,4 +1,8 @@
-//! Does what a replica asks for, and tells it what happened.
+//! Driver of the core's replica: executes its outputs (writes, messages, results of proposals) and passes it completed
+//! writes, received messages and timer ticks.
+//!
+//! Invariant: writes complete in the order in which they were submitted, and each completion is reported to the replica
+//! exactly once.
 
 use super::contact::{self, Contact};
 use crate::clock::SteadyClock;
@@ -23,30 +27,30 @@
 use std::time::Duration;
 use tokio::sync::{mpsc, oneshot, Notify};
 
-/// Longest time that a planned hand-over may take.
-const HAND_OVER_TIMEOUT: Duration = Duration::from_millis(700);
-/// When the replica names no moment, it is woken after so long.
-const IDLE_TICK_MS: u64 = 1_000;
+/// Maximum time for a planned handover of the primary role.
+const HANDOVER_TIMEOUT: Duration = Duration::from_millis(700);
+/// Interval between ticks while the replica has requested no wake-up.
+const MAX_TICK_INTERVAL_MS: u64 = 1_000;
 
-/// A notice between members.
+/// A one-way message between members.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub enum CoreNotice {
     /// A message of the replica.
     #[n(0)]
     Message(#[n(0)] Box<Envelope>),
-    /// A disk asks the primary to be a member.
+    /// A request to the primary to add a disk as a member.
     #[n(1)]
     Join(#[n(0)] Member),
 }
 
-/// The end of one write, in the order of the writes.
-type WriteEnd = (Token, oneshot::Receiver<Result<(), StorageError>>);
+/// A submitted write: its token and the receiver of its result. Queued in the order of submission.
+type PendingWrite = (Token, oneshot::Receiver<Result<(), StorageError>>);
 
 /// The core's member in this process.
 pub struct Core<S: StateMachine> {
     replica: RefCell<Replica<S>>,
     writer: Writer,
-    write_ends: mpsc::UnboundedSender<WriteEnd>,
+    pending_writes: mpsc::UnboundedSender<PendingWrite>,
     network: Network,
     clock: SteadyClock,
     changes: ChangeSignal,
@@ -55,13 +59,17 @@
     logged_epoch: Cell<u64>,
     scheduled_ms: Cell<Option<u64>>,
     rescheduled: Notify,
-    handed_over: Notify,
-    /// The newest role that is not a candidate's, with its epoch.
+    handover_confirmed: Notify,
+    /// The last logged role other than candidate, with its epoch.
     logged_role: Cell<Option<(Role, u64)>>,
 }
 
 impl<S: StateMachine + 'static> Core<S> {
-    /// Opens the member with what its disk holds, and starts the tasks that drive it. To be called in a `LocalSet`.
+    /// Opens the member with the state recovered from its disk and starts the tasks that drive it. Must be called in a
+    /// `LocalSet`.
+    ///
+    /// # Errors
+    /// The recovered state is invalid.
     pub fn start(
         settings: Settings,
         recovered: Recovered,
@@ -72,11 +80,11 @@
         changes: ChangeSignal,
     ) -> Result<Rc<Core<S>>, RecoveryError> {
         let replica = Replica::open(settings, recovered, state, clock.now_ms())?;
-        let (write_ends, ends) = mpsc::unbounded_channel();
+        let (pending_writes, submitted_writes) = mpsc::unbounded_channel();
         let core = Rc::new(Core {
             replica: RefCell::new(replica),
             writer,
-            write_ends,
+            pending_writes,
             network,
             clock,
             changes,
@@ -85,12 +93,15 @@
             logged_epoch: Cell::new(0),
             scheduled_ms: Cell::new(None),
             rescheduled: Notify::new(),
-            handed_over: Notify::new(),
+            handover_confirmed: Notify::new(),
             logged_role: Cell::new(None),
         });
-        tokio::task::spawn_local(report_write_ends(Rc::downgrade(&core), ends));
+        tokio::task::spawn_local(report_completed_writes(
+            Rc::downgrade(&core),
+            submitted_writes,
+        ));
         tokio::task::spawn_local(core.clone().tick());
-        core.tell(Input::Tick);
+        core.handle_input(Input::Tick);
         Ok(core)
     }
 
@@ -99,7 +110,7 @@
         self.replica.borrow().member().clone()
     }
 
-    /// The committed state: the newest only under the lease.
+    /// The committed state. It is certainly the newest only while this member has the lease.
     pub fn state(&self) -> Ref<'_, S> {
         Ref::map(self.replica.borrow(), Replica::state)
     }
@@ -109,7 +120,7 @@
         self.replica.borrow().version()
     }
 
-    /// The epoch of which this member is the primary, if it holds the lease now. To be asked at the moment of use.
+    /// The epoch of which this member is the primary, if it has the lease now. Query it at the moment of use.
     pub fn leased_epoch(&self) -> Option<u64> {
         let replica = self.replica.borrow();
         replica
@@ -117,27 +128,27 @@
             .then(|| replica.epoch())
     }
 
-    /// Its role.
+    /// This member's role.
     pub fn role(&self) -> Role {
         self.replica.borrow().role()
     }
 
-    /// The newest epoch that it knows.
+    /// The newest epoch known to this member.
     pub fn epoch(&self) -> u64 {
         self.replica.borrow().epoch()
     }
 
-    /// End of the lease on the process's clock; 0: none.
+    /// End of the lease on the process's clock, in ms; 0 without a lease.
     pub fn lease_until_ms(&self) -> u64 {
         self.replica.borrow().lease_until()
     }
 
-    /// Whether the host is to ask the primary to take this disk in.
+    /// Whether this disk is not a member and should request to join.
     pub fn wants_to_join(&self) -> bool {
         self.replica.borrow().wants_to_join()
     }
 
-    /// Where the core is, as far as this member knows.
+    /// The core's members and primary, as known to this member.
     pub fn core_view(&self) -> CoreView {
         let replica = self.replica.borrow();
         contact::core_view(replica.epoch(), replica.primary(), replica.members())
@@ -145,43 +156,49 @@
 
     /// Founds the core, at the first start of the whole system.
     pub fn found(&self, witnesses: Vec<Member>) {
-        self.tell(Input::Found { witnesses });
+        self.handle_input(Input::Found { witnesses });
     }
 
-    /// Asks the primary at this address to take this disk in.
-    pub fn ask_to_join(&self, primary: SocketAddr) {
+    /// Sends a request to join to the primary at this address.
+    pub fn send_join_request(&self, primary: SocketAddr) {
         self.send(primary, CoreNotice::Join(self.member()));
     }
 
-    /// Has a request decided and, if it changes the state, committed.
+    /// Submits a request to the state machine and, if it changes the state, waits until it is committed.
+    ///
+    /// # Errors
+    /// This member is not the primary, or the outcome is unknown.
     pub async fn propose(&self, request: Vec<u8>) -> Result<Outcome, ProposeError> {
         let token = self.last_token.get() + 1;
         self.last_token.set(token);
-        let (sender, end) = oneshot::channel();
+        let (sender, result) = oneshot::channel();
         self.proposals.borrow_mut().insert(token, sender);
-        self.tell(Input::Propose { token, request });
-        end.await.unwrap_or(Err(ProposeError::Unknown))
+        self.handle_input(Input::Propose { token, request });
+        result.await.unwrap_or(Err(ProposeError::Unknown))
     }
 
-    /// Hands over what this member has, because its process is to end.
+    /// Hands over the primary role before the process shuts down. Returns after [`HANDOVER_TIMEOUT`] at the latest.
     pub async fn leave(&self) {
-        self.tell(Input::Leave);
-        if tokio::time::timeout(HAND_OVER_TIMEOUT, self.handed_over.notified())
+        self.handle_input(Input::Leave);
+        if tokio::time::timeout(HANDOVER_TIMEOUT, self.handover_confirmed.notified())
             .await
             .is_err()
         {
-            log::warn!("no member confirmed that it took the core over");
+            log::warn!(
+                "no member confirmed the handover of the core's primary role within {} ms",
+                HANDOVER_TIMEOUT.as_millis()
+            );
         }
     }
 
-    /// Tells the replica what happened and does what it asks for.
-    fn tell(&self, input: Input) {
+    /// Passes an input to the replica and executes the resulting outputs in order.
+    fn handle_input(&self, input: Input) {
         let mut outputs = Vec::new();
         self.replica
             .borrow_mut()
             .handle(self.clock.now_ms(), input, &mut outputs);
         for output in outputs {
-            self.perform(output);
+            self.execute_output(output);
         }
         metrics::get()
             .core
@@ -192,7 +209,7 @@
         }
     }
 
-    fn perform(&self, output: Output) {
+    fn execute_output(&self, output: Output) {
         match output {
             Output::Persist {
                 token,
@@ -213,7 +230,7 @@
                 self.log_role(role);
                 self.changes.notify();
             }
-            Output::HandedOver => self.handed_over.notify_one(),
+            Output::HandedOver => self.handover_confirmed.notify_one(),
         }
     }
 
@@ -222,13 +239,13 @@
             Some(snapshot) => vec![Write::Compact(snapshot)],
             None => writes.into_iter().map(Write::Append).collect(),
         };
-        let end = self.writer.submit(writes);
-        let _ = self.write_ends.send((token, end));
+        let result = self.writer.submit(writes);
+        let _ = self.pending_writes.send((token, result));
     }
 
     fn send_message(&self, to: &Member, message: Message) {
         let Some(contact) = Contact::of(to) else {
-            log::warn!("core member {} has no readable address", to.node);
+            log::warn!("the addresses of core member {} can't be decoded", to.node);
             return;
         };
         let envelope = Envelope {
@@ -247,13 +264,15 @@
 
     fn log_role(&self, role: Role) {
         let replica = self.replica.borrow();
-        // A member that is cut off tries for the primary's place again and again, and follows in between.
-        let is_news = role == Role::Candidate
+        // A member that is cut off becomes candidate and follower repeatedly; only a new role or epoch is logged at info.
+        let is_changed = role == Role::Candidate
             || self.logged_role.replace(Some((role, replica.epoch())))
                 != Some((role, replica.epoch()));
         match role {
             Role::Primary => log::info!("core: primary of epoch {}", replica.epoch()),
-            Role::Follower if is_news => log::info!("core: follows in epoch {}", replica.epoch()),
+            Role::Follower if is_changed => {
+                log::info!("core: follows in epoch {}", replica.epoch())
+            }
             Role::Follower => log::debug!("core: follows in epoch {} again", replica.epoch()),
             Role::Candidate => {
                 log::debug!("core: candidate, epoch {} is the newest", replica.epoch())
@@ -272,7 +291,7 @@
                 .map(|member| member.node.as_str())
                 .collect();
             let stage = if replica.is_changing_members() {
-                " (not yet without the former ones)"
+                " (joint with the former members)"
             } else {
                 ""
             };
@@ -292,33 +311,34 @@
         loop {
             let next = self.next_wakeup_ms();
             self.scheduled_ms.set(next);
-            let due_ms = next.unwrap_or_else(|| self.clock.now_ms().saturating_add(IDLE_TICK_MS));
+            let due_ms =
+                next.unwrap_or_else(|| self.clock.now_ms().saturating_add(MAX_TICK_INTERVAL_MS));
             tokio::select! {
-                () = tokio::time::sleep_until(self.clock.instant(due_ms)) => self.tell(Input::Tick),
+                () = tokio::time::sleep_until(self.clock.instant(due_ms)) => self.handle_input(Input::Tick),
                 () = self.rescheduled.notified() => (),
             }
         }
     }
 }
 
-async fn report_write_ends<S: StateMachine + 'static>(
+async fn report_completed_writes<S: StateMachine + 'static>(
     core: Weak<Core<S>>,
-    mut ends: mpsc::UnboundedReceiver<WriteEnd>,
+    mut writes: mpsc::UnboundedReceiver<PendingWrite>,
 ) {
-    while let Some((token, end)) = ends.recv().await {
-        let result = end.await.unwrap_or(Err(StorageError::WriterEnded));
+    while let Some((token, result)) = writes.recv().await {
+        let result = result.await.unwrap_or(Err(StorageError::WriterEnded));
         let Some(core) = core.upgrade() else { return };
         match result {
-            Ok(()) => core.tell(Input::Persisted(token)),
+            Ok(()) => core.handle_input(Input::Persisted(token)),
             Err(error) => {
-                log::error!("a write of the core's state failed: {error}");
-                core.tell(Input::PersistFailed(token));
+                log::error!("failed to write the core's state to disk: {error}");
+                core.handle_input(Input::PersistFailed(token));
             }
         }
     }
 }
 
-/// Puts a [`Core`] on the internal port.
+/// Serves [`ServiceId::Core`] on the internal port.
 pub struct CoreHandler<S: StateMachine>(pub Rc<Core<S>>);
 
 impl<S: StateMachine + 'static> Handler for CoreHandler<S> {
@@ -331,11 +351,13 @@
             Ok(CoreNotice::Message(envelope)) => {
                 let Envelope { from, to, message } = *envelope;
                 if to == self.0.replica.borrow().member().id {
-                    self.0.tell(Input::Message { from, message });
+                    self.0.handle_input(Input::Message { from, message });
                 }
             }
-            Ok(CoreNotice::Join(member)) => self.0.tell(Input::Join(member)),
-            Err(error) => log::debug!("a message between core members can't be read: {error}"),
+            Ok(CoreNotice::Join(member)) => self.0.handle_input(Input::Join(member)),
+            Err(error) => {
+                log::debug!("dropped a message between core members that can't be decoded: {error}")
+            }
         }
     }
 }
--- a/alderhollow/src/core/membership.rs
+++ b/alderhollow/src/core/membership.rs
@@ -1,5 +1,5 @@
-//! How a disk becomes a member: the seeds' disks found the core at the first start of the whole system; every other disk
-//! asks the primary to be taken in. Where machines of the core's own keep it, gateways' disks stay outside.
+//! Membership of this process's disk in the core. At the first start of the system, the disks of the seeds found the core;
+//! every other disk requests to join. If the core has dedicated machines, the disks of gateways do not join.
 
 use super::contact::Contact;
 use super::driver::Core;
@@ -12,53 +12,52 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// How long a seed may take to say who it is.
-const HELLO_TIMEOUT: Duration = Duration::from_millis(400);
-/// Pause between rounds over the seeds that have not answered.
-const HELLO_PAUSE: Duration = Duration::from_millis(50);
-/// Pause between requests to be taken in.
-const JOIN_PAUSE: Duration = Duration::from_millis(300);
+/// Time-out of an identify request to a seed.
+const IDENTIFY_TIMEOUT: Duration = Duration::from_millis(400);
+/// Pause between attempts to reach the seeds that have not answered.
+const IDENTIFY_RETRY_INTERVAL: Duration = Duration::from_millis(50);
+/// Pause between requests to join.
+const JOIN_RETRY_INTERVAL: Duration = Duration::from_millis(300);
 
-/// What [`maintain`] works with.
+/// Dependencies of [`maintain`].
 pub struct Membership<S: StateMachine> {
-    /// The member.
+    /// The core's member in this process.
     pub core: Rc<Core<S>>,
-    /// This process.
+    /// Identity of this process.
     pub node: NodeInfo,
-    /// Connections to the others.
+    /// Connections to the other processes.
     pub network: Network,
-    /// Where the core is.
+    /// What this process knows of the core's members.
     pub directory: Directory,
-    /// Whether the whole system starts for the first time.
+    /// Whether this is the first start of the whole system.
     pub first_start: bool,
 }
 
-/// Has this disk be a member until the future is dropped.
+/// Founds the core if required, then requests to join whenever this disk is not a member, until the future is dropped.
 pub async fn maintain<S: StateMachine + 'static>(membership: Membership<S>) {
     if membership.first_start && membership.is_seed() {
         membership.found().await;
     }
     loop {
-        tokio::time::sleep(JOIN_PAUSE).await;
-        if !membership.core.wants_to_join() || membership.leaves_core_to_others() {
+        tokio::time::sleep(JOIN_RETRY_INTERVAL).await;
+        if !membership.core.wants_to_join() || membership.is_excluded_by_dedicated_members() {
             continue;
         }
         if let Some(primary) = membership.directory.core_view().primary {
-            membership.core.ask_to_join(primary.internal.0);
+            membership.core.send_join_request(primary.internal.0);
         }
     }
 }
 
-/// What a seed said of itself.
+/// Whether a seed may become a member, according to its identity.
 enum Seed {
-    /// It may be a member.
+    /// It has a disk and a role that may join the core.
     Candidate { member: Member, role: Role },
-    /// It may not.
+    /// It has no disk, or a role that may not join.
     Other,
 }
 
-/// The members that found the core: all seeds that may be members; where some of them are the core's own machines, these
-/// alone.
+/// The members that found the core: the seeds with the role `core` if there are any, else all seeds that may join.
 fn founders(seeds: Vec<Seed>) -> Vec<Member> {
     let is_dedicated = |seed: &Seed| {
         matches!(
@@ -78,8 +77,8 @@
 }
 
 impl<S: StateMachine + 'static> Membership<S> {
-    /// Machines of the core's own keep the core, and this one is none of them.
-    fn leaves_core_to_others(&self) -> bool {
+    /// Whether the core has dedicated machines and this process is not one of them.
+    fn is_excluded_by_dedicated_members(&self) -> bool {
         let core_view = self.directory.core_view();
         self.node.role != Role::Core && core_view.members.iter().any(|member| member.is_dedicated)
     }
@@ -88,15 +87,15 @@
         self.directory.seeds().contains(&self.node.internal.0)
     }
 
-    /// Asks the seeds until each has said whether it has a disk, then founds the core with those that have one. Ends
-    /// early if there is a core already.
+    /// Queries the seeds until each has answered, then founds the core with those that may join. Returns early if this disk
+    /// became a member of an existing core.
     async fn found(&self) {
         let seeds = self.directory.seeds();
         let mut known: Vec<Option<Seed>> = seeds.iter().map(|_| None).collect();
         while self.core.wants_to_join() {
             for (seed, address) in known.iter_mut().zip(&seeds) {
                 if seed.is_none() {
-                    *seed = self.ask(*address).await;
+                    *seed = self.identify(*address).await;
                 }
             }
             if known.iter().all(Option::is_some) {
@@ -104,25 +103,25 @@
                     .found(founders(known.into_iter().flatten().collect()));
                 return;
             }
-            tokio::time::sleep(HELLO_PAUSE).await;
+            tokio::time::sleep(IDENTIFY_RETRY_INTERVAL).await;
         }
     }
 
-    async fn ask(&self, seed: SocketAddr) -> Option<Seed> {
+    async fn identify(&self, seed: SocketAddr) -> Option<Seed> {
         if seed == self.node.internal.0 {
             return Some(Seed::Candidate {
                 member: self.core.member(),
                 role: self.node.role,
             });
         }
-        let request = minicbor::to_vec(Request::Hello).ok()?;
+        let request = minicbor::to_vec(Request::Identify).ok()?;
         let answer = self
             .network
-            .call(seed, ServiceId::Distribution, request, HELLO_TIMEOUT)
+            .call(seed, ServiceId::Distribution, request, IDENTIFY_TIMEOUT)
             .await
             .ok()?;
         match minicbor::decode(&answer).ok()? {
-            Answer::Hello(node, _) => Some(Seed::of(node)),
+            Answer::Identity(node, _) => Some(Seed::of(node)),
             Answer::Update(_) | Answer::NotPrimary(_) => None,
         }
     }
--- a/alderhollow/src/core/store_watch.rs
+++ b/alderhollow/src/core/store_watch.rs
@@ -1,15 +1,16 @@
-//! What the core's primary sees of the stores, from their polls. No I/O and no clock.
+//! The stores' newest polls, as received by the core's primary. No I/O and no clock.
 
 use crate::control_state::group_policy::{GroupView, StoreView};
 use crate::control_state::store_report::StoreReport;
 use alderhollow_model::identity::{DiskId, NodeInfo};
 use std::collections::BTreeMap;
 
-/// Counts for one unbroken lease of this process: what was seen under another one says nothing of silences.
+/// The stores' polls during one uninterrupted lease of this process. Polls from before are dropped: while another process
+/// was primary, stores did not poll this one, so the time since such a poll says nothing about the store.
 #[derive(Debug, Default)]
 pub struct StoreWatch {
     lease: Option<LeasedEpoch>,
-    stores: BTreeMap<DiskId, SeenStore>,
+    stores: BTreeMap<DiskId, PolledStore>,
 }
 
 #[derive(Debug, Clone, Copy)]
@@ -19,15 +20,15 @@
 }
 
 #[derive(Debug)]
-struct SeenStore {
+struct PolledStore {
     node: NodeInfo,
     report: StoreReport,
-    heard_at_ms: u64,
+    polled_at_ms: u64,
 }
 
 impl StoreWatch {
-    /// Notes whether this process is the primary with a lease, and of which epoch. To be told often.
-    pub fn note_lease(&mut self, epoch: Option<u64>, now_ms: u64) {
+    /// Records the epoch for which this process has the lease, or `None`. Call it before each use.
+    pub fn update_lease(&mut self, epoch: Option<u64>, now_ms: u64) {
         if self.lease.map(|lease| lease.epoch) == epoch {
             return;
         }
@@ -38,29 +39,29 @@
         });
     }
 
-    /// Notes a poll of a store. Tells whether it said something new.
-    pub fn heard(&mut self, node: &NodeInfo, report: StoreReport, now_ms: u64) -> bool {
+    /// Handles a poll of a store. Returns whether its identity or report changed.
+    pub fn on_poll(&mut self, node: &NodeInfo, report: StoreReport, now_ms: u64) -> bool {
         let Some(disk) = node.disk else { return false };
-        let is_known = |seen: &SeenStore| seen.report == report && seen.node == *node;
-        let is_news = !self.stores.get(&disk).is_some_and(is_known);
+        let is_known = |store: &PolledStore| store.report == report && store.node == *node;
+        let is_changed = !self.stores.get(&disk).is_some_and(is_known);
         self.stores.insert(
             disk,
-            SeenStore {
+            PolledStore {
                 node: node.clone(),
                 report,
-                heard_at_ms: now_ms,
+                polled_at_ms: now_ms,
             },
         );
-        is_news
+        is_changed
     }
 
-    /// What the groups' policy rests on, but for how long all has been calm; `None` without a lease.
+    /// The group policy's input, with `stable_for_ms` 0; `None` without a lease.
     pub fn view(&self, now_ms: u64, tolerate_machines: usize) -> Option<GroupView> {
         let lease = self.lease?;
-        let stores = self.stores.values().map(|seen| StoreView {
-            node: seen.node.clone(),
-            since_last_poll_ms: now_ms.saturating_sub(seen.heard_at_ms),
-            report: seen.report.clone(),
+        let stores = self.stores.values().map(|store| StoreView {
+            node: store.node.clone(),
+            since_last_poll_ms: now_ms.saturating_sub(store.polled_at_ms),
+            report: store.report.clone(),
         });
         Some(GroupView {
             primary_for_ms: now_ms.saturating_sub(lease.since_ms),
--- a/alderhollow/src/distribution/client.rs
+++ b/alderhollow/src/distribution/client.rs
@@ -291,7 +291,7 @@
                 );
                 self.plan();
             }
-            Ok(Answer::Hello(..)) => self.fail(from),
+            Ok(Answer::Identity(..)) => self.fail(from),
             Err(error) => {
                 log::debug!("a poll of {from}: {error}");
                 self.client.directory.forget_primary(from);
--- a/alderhollow/src/distribution/message.rs
+++ b/alderhollow/src/distribution/message.rs
@@ -9,9 +9,9 @@
 /// What a process asks another.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub enum Request {
-    /// Who are you, and who is the primary?
+    /// Requests the process's identity and its view of the core.
     #[n(0)]
-    Hello,
+    Identify,
     /// What is newer than what I hold?
     #[n(1)]
     Poll(#[n(0)] Box<Poll>),
@@ -65,9 +65,9 @@
 /// What a process answers.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub enum Answer {
-    /// To [`Request::Hello`].
+    /// To [`Request::Identify`].
     #[n(0)]
-    Hello(#[n(0)] NodeInfo, #[n(1)] CoreView),
+    Identity(#[n(0)] NodeInfo, #[n(1)] CoreView),
     /// To [`Request::Poll`], by the primary while it holds its lease.
     #[n(1)]
     Update(#[n(0)] Update),
--- a/alderhollow/src/distribution/server.rs
+++ b/alderhollow/src/distribution/server.rs
@@ -36,7 +36,7 @@
     /// The core's members and its primary, as far as known.
     fn core_view(&self) -> CoreView;
     /// Takes note of a poll.
-    fn heard(&self, poll: &Poll);
+    fn on_poll(&self, poll: &Poll);
 }
 
 /// Backends as the primary's reader publishes them.
@@ -140,7 +140,7 @@
             };
             if !std::mem::replace(&mut noted, true) {
                 self.note(&poll, epoch);
-                authority.heard(&poll);
+                authority.on_poll(&poll);
             }
             let mut update = self.newer_than(&poll.held, authority.as_ref(), epoch);
             if poll.node.disk.is_some()
@@ -220,7 +220,7 @@
     /// Answers a question of another process.
     pub async fn serve(&self, request: Request) -> Answer {
         match request {
-            Request::Hello => Answer::Hello(self.node.clone(), self.core_view()),
+            Request::Identify => Answer::Identity(self.node.clone(), self.core_view()),
             Request::Poll(poll) => self.poll(*poll).await,
         }
     }
--- a/alderhollow/tests/compatibility.rs
+++ b/alderhollow/tests/compatibility.rs
@@ -187,7 +187,7 @@
     check(
         &mut recorded,
         "request_hello",
-        &distribution::Request::Hello,
+        &distribution::Request::Identify,
     );
     check(
         &mut recorded,
@@ -197,7 +197,7 @@
     check(
         &mut recorded,
         "answer_hello",
-        &distribution::Answer::Hello(node(2, Role::Core), core_view()),
+        &distribution::Answer::Identity(node(2, Role::Core), core_view()),
     );
     check(
         &mut recorded,
--- a/alderhollow/tests/core_discovery/world.rs
+++ b/alderhollow/tests/core_discovery/world.rs
@@ -177,7 +177,7 @@
             epoch,
         }
     }
-    fn heard(&self, _: &Poll) {}
+    fn on_poll(&self, _: &Poll) {}
 }
 
 /// The network as one process sees it.
--- a/alderhollow/tests/distribution.rs
+++ b/alderhollow/tests/distribution.rs
@@ -202,7 +202,7 @@
             epoch: 3,
         }
     }
-    fn heard(&self, poll: &Poll) {
+    fn on_poll(&self, poll: &Poll) {
         self.polls.borrow_mut().push(poll.node.node.clone());
     }
 }
--- a/alderhollow/tests/founding.rs
+++ b/alderhollow/tests/founding.rs
@@ -1,6 +1,6 @@
-//! What the seeds' answers say about the founding of a core.
+//! The founding check: whether the seeds' answers allow a core to be founded.
 
-use alderhollow::control_plane::founding_check::Prospect;
+use alderhollow::control_plane::founding_check::FoundingOutlook;
 use alderhollow::distribution::message::{Answer, CoreMember, CoreView};
 use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use std::net::SocketAddr;
@@ -9,7 +9,7 @@
     Address(SocketAddr::from(([10, 0, 0, 1], 7660)))
 }
 
-fn hello(role: Role, has_disk: bool, core: CoreView) -> Option<Answer> {
+fn identity(role: Role, has_disk: bool, core: CoreView) -> Option<Answer> {
     let node = NodeInfo {
         node: "machine-1".into(),
         role,
@@ -19,7 +19,7 @@
         internal: address(),
         control: Some(address()),
     };
-    Some(Answer::Hello(node, core))
+    Some(Answer::Identity(node, core))
 }
 
 fn core() -> CoreView {
@@ -39,37 +39,37 @@
 #[test]
 fn seeds_without_a_disk_cannot_found_the_core() {
     let gateways = [
-        hello(Role::Gateway, false, CoreView::default()),
-        hello(Role::Gateway, false, CoreView::default()),
+        identity(Role::Gateway, false, CoreView::default()),
+        identity(Role::Gateway, false, CoreView::default()),
     ];
-    assert_eq!(Prospect::of(&gateways), Prospect::Impossible);
-    let store = [hello(Role::Store, true, CoreView::default())];
-    assert_eq!(Prospect::of(&store), Prospect::Impossible);
+    assert_eq!(FoundingOutlook::of(&gateways), FoundingOutlook::Impossible);
+    let store = [identity(Role::Store, true, CoreView::default())];
+    assert_eq!(FoundingOutlook::of(&store), FoundingOutlook::Impossible);
 }
 
 #[test]
-fn one_seed_that_may_keep_the_core_suffices() {
+fn one_seed_that_may_join_the_core_suffices() {
     for role in [Role::Gateway, Role::Core] {
         let seeds = [
-            hello(Role::Gateway, false, CoreView::default()),
-            hello(role, true, CoreView::default()),
+            identity(Role::Gateway, false, CoreView::default()),
+            identity(role, true, CoreView::default()),
         ];
-        assert_eq!(Prospect::of(&seeds), Prospect::Possible);
+        assert_eq!(FoundingOutlook::of(&seeds), FoundingOutlook::Possible);
     }
 }
 
 #[test]
-fn a_core_that_a_seed_knows_is_enough() {
+fn a_core_known_to_a_seed_suffices() {
     assert_eq!(
-        Prospect::of(&[hello(Role::Gateway, false, core())]),
-        Prospect::Possible
+        FoundingOutlook::of(&[identity(Role::Gateway, false, core())]),
+        FoundingOutlook::Possible
     );
 }
 
 #[test]
-fn a_seed_that_is_silent_leaves_it_open() {
+fn a_seed_without_an_answer_leaves_the_outlook_unknown() {
     assert_eq!(
-        Prospect::of(&[None, hello(Role::Gateway, false, CoreView::default())]),
-        Prospect::Unknown
+        FoundingOutlook::of(&[None, identity(Role::Gateway, false, CoreView::default())]),
+        FoundingOutlook::Unknown
     );
 }
--- a/alderhollow/tests/own_core_machines.rs
+++ b/alderhollow/tests/own_core_machines.rs
@@ -136,13 +136,13 @@
 }
 
 #[test]
-fn a_deployment_whose_seeds_cannot_keep_the_core_says_so_at_the_start() {
+fn a_deployment_whose_seeds_cannot_found_the_core_logs_an_error() {
     run(|mut tier| async move {
         for gateway in 1..=4 {
             tier.start(gateway, false, true);
         }
         for gateway in 1..=4 {
-            tier.until_logged(gateway, "nobody can keep the core").await;
+            tier.until_logged(gateway, "no seed can found the core").await;
         }
     });
 }
--- a/alderhollow/tests/poll_client.rs
+++ b/alderhollow/tests/poll_client.rs
@@ -76,7 +76,7 @@
             epoch: 3,
         }
     }
-    fn heard(&self, poll: &Poll) {
+    fn on_poll(&self, poll: &Poll) {
         self.reports.borrow_mut().push(poll.batch_status.to_vec());
         self.leaving.set(poll.leaving);
     }
