--- a/alderhollow/src/control_plane/founding_check.rs
+++ b/alderhollow/src/control_plane/founding_check.rs
@@ -1,16 +1,13 @@
 //! Check at the first start of the system that a seed can found the core, which needs a disk and a role that may join it.
 //! Without this check, a deployment where none can would answer 503 with nothing in its logs.
 
-use crate::distribution::message::{Answer, Request};
-use crate::internal::ServiceId;
+use crate::distribution::identify::identify;
+use crate::distribution::message::Answer;
 use crate::node::Node;
-use std::net::SocketAddr;
 use std::time::Duration;
 
 /// Interval between two checks.
 const CHECK_INTERVAL: Duration = Duration::from_secs(1);
-/// Time-out of an identify request to a seed.
-const IDENTIFY_TIMEOUT: Duration = Duration::from_millis(400);
 /// The error is logged at the first of so many consecutive checks that find it.
 const CHECKS_PER_MESSAGE: u32 = 10;
 
@@ -73,17 +70,7 @@
 async fn identify_seeds(node: &Node) -> FoundingOutlook {
     let mut answers = Vec::new();
     for seed in node.directory.seeds() {
-        answers.push(identify(node, seed).await);
+        answers.push(identify(&node.network, seed).await);
     }
     FoundingOutlook::of(&answers)
 }
-
-async fn identify(node: &Node, seed: SocketAddr) -> Option<Answer> {
-    let request = minicbor::to_vec(Request::Identify).ok()?;
-    let answer = node
-        .network
-        .call(seed, ServiceId::Distribution, request, IDENTIFY_TIMEOUT)
-        .await
-        .ok()?;
-    minicbor::decode(&answer).ok()
-}
--- a/alderhollow/src/core/membership.rs
+++ b/alderhollow/src/core/membership.rs
@@ -4,16 +4,15 @@
 use super::contact::Contact;
 use super::driver::Core;
 use crate::distribution::directory::Directory;
-use crate::distribution::message::{Answer, Request};
-use crate::internal::{Network, ServiceId};
+use crate::distribution::identify::identify;
+use crate::distribution::message::Answer;
+use crate::internal::Network;
 use alderhollow_coordination::replica::interface::{Member, StateMachine};
 use alderhollow_model::identity::{NodeInfo, Role};
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Time-out of an identify request to a seed.
-const IDENTIFY_TIMEOUT: Duration = Duration::from_millis(400);
 /// Pause between attempts to reach the seeds that have not answered.
 const IDENTIFY_RETRY_INTERVAL: Duration = Duration::from_millis(50);
 /// Pause between requests to join.
@@ -95,7 +94,7 @@
         while self.core.wants_to_join() {
             for (seed, address) in known.iter_mut().zip(&seeds) {
                 if seed.is_none() {
-                    *seed = self.identify(*address).await;
+                    *seed = self.identify_seed(*address).await;
                 }
             }
             if known.iter().all(Option::is_some) {
@@ -107,20 +106,14 @@
         }
     }
 
-    async fn identify(&self, seed: SocketAddr) -> Option<Seed> {
+    async fn identify_seed(&self, seed: SocketAddr) -> Option<Seed> {
         if seed == self.node.internal.0 {
             return Some(Seed::Candidate {
                 member: self.core.member(),
                 role: self.node.role,
             });
         }
-        let request = minicbor::to_vec(Request::Identify).ok()?;
-        let answer = self
-            .network
-            .call(seed, ServiceId::Distribution, request, IDENTIFY_TIMEOUT)
-            .await
-            .ok()?;
-        match minicbor::decode(&answer).ok()? {
+        match identify(&self.network, seed).await? {
             Answer::Identity(node, _) => Some(Seed::of(node)),
             Answer::Update(_) | Answer::NotPrimary(_) => None,
         }
--- a/alderhollow/src/distribution/mod.rs
+++ b/alderhollow/src/distribution/mod.rs
@@ -16,6 +16,7 @@
 
 pub mod client;
 pub mod directory;
+pub mod identify;
 pub mod link;
 pub mod message;
 pub mod placers;
