--- a/alderhollow/tests/process_support/mod.rs
+++ b/alderhollow/tests/process_support/mod.rs
@@ -269,7 +269,7 @@
                 .lines()
                 .rfind(|line| line.contains("core: members"))
                 .map(str::to_string);
-            last.is_some_and(|line| !line.contains("not yet"))
+            last.is_some_and(|line| !line.contains("joint with the former members"))
         };
         while !is_member(self.log(gateway)) {
             tokio::task::yield_now().await;
