--- a/alderhollow/src/control_state/decide.rs
+++ b/alderhollow/src/control_state/decide.rs
@@ -9,7 +9,7 @@
 use super::command::Command;
 use super::groups::are_valid_initial_groups;
 use super::request::{Answer, ConfigOrder, Decision, Order, OrderContext, Refusal, Request};
-use super::ControlState;
+use super::{ConfigDocument, ControlState};
 use crate::configuration::{apply_patch, check, read_json, version_of, InvalidConfig};
 use crate::finding::Finding;
 use alderhollow_model::config::ConfigVersion;
@@ -89,15 +89,13 @@
         check_version_is_above(sent, self.config_version())?;
         match method {
             Method::Put => {
-                check(sent).map_err(refusal_of)?;
+                check(sent).map_err(|invalid| refusal_of(&invalid))?;
                 Ok(order.body.clone())
             }
             Method::Patch => {
-                let current = self
-                    .document()
-                    .map_or(Value::Null, |document| document.value());
-                let result = apply_patch(&current, sent).map_err(refusal_of)?;
-                check(&result).map_err(refusal_of)?;
+                let current = self.document().map_or(Value::Null, ConfigDocument::value);
+                let result = apply_patch(&current, sent).map_err(|invalid| refusal_of(&invalid))?;
+                check(&result).map_err(|invalid| refusal_of(&invalid))?;
                 Ok(result.to_string().into_bytes())
             }
         }
@@ -153,7 +151,7 @@
     }
 }
 
-fn refusal_of(invalid: InvalidConfig) -> Refusal {
+fn refusal_of(invalid: &InvalidConfig) -> Refusal {
     Refusal::invalid(&invalid.0)
 }
 
--- a/alderhollow/src/control_state/group_policy/placement.rs
+++ b/alderhollow/src/control_state/group_policy/placement.rs
@@ -6,14 +6,14 @@
 
 /// For each store, the number of groups of which it is primary, and of which it is a member or learner.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct StoreLoads {
+pub(super) struct StoreLoads {
     leads: BTreeMap<DiskId, usize>,
     memberships: BTreeMap<DiskId, usize>,
 }
 
 impl StoreLoads {
     /// Counts over groups.
-    pub fn of<'a>(groups: impl IntoIterator<Item = &'a BatchGroup>) -> StoreLoads {
+    pub(super) fn of<'a>(groups: impl IntoIterator<Item = &'a BatchGroup>) -> StoreLoads {
         let mut loads = StoreLoads::default();
         for group in groups {
             loads.add(group);
@@ -22,17 +22,17 @@
     }
 
     /// Number of groups of which a store is primary.
-    pub fn leads(&self, disk: DiskId) -> usize {
+    pub(super) fn leads(&self, disk: DiskId) -> usize {
         self.leads.get(&disk).copied().unwrap_or(0)
     }
 
     /// Number of groups of which a store is a member or learner.
-    pub fn memberships(&self, disk: DiskId) -> usize {
+    pub(super) fn memberships(&self, disk: DiskId) -> usize {
         self.memberships.get(&disk).copied().unwrap_or(0)
     }
 
     /// Adds a group.
-    pub fn add(&mut self, group: &BatchGroup) {
+    pub(super) fn add(&mut self, group: &BatchGroup) {
         *self.leads.entry(group.primary).or_default() += 1;
         for disk in disks_of(group) {
             *self.memberships.entry(disk).or_default() += 1;
@@ -40,7 +40,7 @@
     }
 
     /// Replaces a group by its next epoch.
-    pub fn replace(&mut self, former: &BatchGroup, next: &BatchGroup) {
+    pub(super) fn replace(&mut self, former: &BatchGroup, next: &BatchGroup) {
         subtract_one(&mut self.leads, former.primary);
         for disk in disks_of(former) {
             subtract_one(&mut self.memberships, disk);
@@ -56,7 +56,7 @@
 }
 
 /// The disks of a group's members and learners.
-pub fn disks_of(group: &BatchGroup) -> BTreeSet<DiskId> {
+pub(super) fn disks_of(group: &BatchGroup) -> BTreeSet<DiskId> {
     group
         .members
         .iter()
@@ -67,7 +67,7 @@
 
 /// Picks up to `count` candidates. Candidates whose zones have the fewest members come first, then those that belong to the
 /// fewest groups, then in the order given.
-pub fn spread_over_zones(
+pub(super) fn spread_over_zones(
     present: &[GroupMember],
     mut candidates: Vec<GroupMember>,
     count: usize,
@@ -95,7 +95,7 @@
 }
 
 /// Imbalance of members over zones: the sum of the squares of the member counts by zone. Lower is better.
-pub fn zone_imbalance(members: &[GroupMember]) -> usize {
+pub(super) fn zone_imbalance(members: &[GroupMember]) -> usize {
     count_by_zone(members)
         .values()
         .map(|count| count * count)
@@ -104,7 +104,7 @@
 
 /// The member to remove from a group that has one too many. Never the primary; a member of the zone with the most members;
 /// of these, the one that belongs to the most groups; of these, the one with the highest disk id.
-pub fn surplus_member(
+pub(super) fn surplus_member(
     members: &[GroupMember],
     primary: DiskId,
     memberships: impl Fn(DiskId) -> usize,
--- a/alderhollow/src/control_state/group_policy/steps.rs
+++ b/alderhollow/src/control_state/group_policy/steps.rs
@@ -9,7 +9,7 @@
 use std::collections::BTreeSet;
 
 /// Plans the next change of one group.
-pub struct Planner<'a> {
+pub(super) struct Planner<'a> {
     /// Health of the stores.
     pub health: &'a StoreHealth<'a>,
     /// Load of the stores, including the changes of other groups in the same request.
@@ -22,7 +22,7 @@
 
 impl Planner<'_> {
     /// The next change, if one is due.
-    pub fn next_step(&self) -> Option<GroupStep> {
+    pub(super) fn next_step(&self) -> Option<GroupStep> {
         let group = &self.group.group;
         if self.reports_active(group) && !self.group.is_active() {
             return Some(GroupStep::BecameActive { epoch: group.epoch });
--- a/alderhollow/src/control_state/group_policy/store_health.rs
+++ b/alderhollow/src/control_state/group_policy/store_health.rs
@@ -89,6 +89,6 @@
 }
 
 /// Whether a store that polls can't serve as a member: it is shutting down or its disk fails.
-pub fn cannot_serve(report: &StoreReport) -> bool {
+pub(super) fn cannot_serve(report: &StoreReport) -> bool {
     report.leaving || report.disk_failing
 }
--- a/alderhollow/src/control_state/mod.rs
+++ b/alderhollow/src/control_state/mod.rs
@@ -367,7 +367,7 @@
                 self.apply_command(command);
             }
             Err(error) => {
-                log::error!("ignored a committed command that can't be decoded: {error}")
+                log::error!("ignored a committed command that can't be decoded: {error}");
             }
         }
     }
--- a/alderhollow/src/core/driver.rs
+++ b/alderhollow/src/core/driver.rs
@@ -43,8 +43,11 @@
     Join(#[n(0)] Member),
 }
 
-/// A submitted write: its token and the receiver of its result. Queued in the order of submission.
-type PendingWrite = (Token, oneshot::Receiver<Result<(), StorageError>>);
+/// A submitted write, queued in the order of submission.
+struct PendingWrite {
+    token: Token,
+    result: oneshot::Receiver<Result<(), StorageError>>,
+}
 
 /// The core's member in this process.
 pub struct Core<S: StateMachine> {
@@ -161,7 +164,7 @@
 
     /// Sends a request to join to the primary at this address.
     pub fn send_join_request(&self, primary: SocketAddr) {
-        self.send(primary, CoreNotice::Join(self.member()));
+        self.send(primary, &CoreNotice::Join(self.member()));
     }
 
     /// Submits a request to the state machine and, if it changes the state, waits until it is committed.
@@ -240,7 +243,7 @@
             None => writes.into_iter().map(Write::Append).collect(),
         };
         let result = self.writer.submit(writes);
-        let _ = self.pending_writes.send((token, result));
+        let _ = self.pending_writes.send(PendingWrite { token, result });
     }
 
     fn send_message(&self, to: &Member, message: Message) {
@@ -253,11 +256,11 @@
             to: to.id,
             message,
         };
-        self.send(contact.internal.0, CoreNotice::Message(Box::new(envelope)));
+        self.send(contact.internal.0, &CoreNotice::Message(Box::new(envelope)));
     }
 
-    fn send(&self, to: SocketAddr, notice: CoreNotice) {
-        if let Ok(payload) = minicbor::to_vec(&notice) {
+    fn send(&self, to: SocketAddr, notice: &CoreNotice) {
+        if let Ok(payload) = minicbor::to_vec(notice) {
             self.network.notify(to, ServiceId::Core, payload);
         }
     }
@@ -271,11 +274,11 @@
         match role {
             Role::Primary => log::info!("core: primary of epoch {}", replica.epoch()),
             Role::Follower if is_changed => {
-                log::info!("core: follows in epoch {}", replica.epoch())
+                log::info!("core: follows in epoch {}", replica.epoch());
             }
             Role::Follower => log::debug!("core: follows in epoch {} again", replica.epoch()),
             Role::Candidate => {
-                log::debug!("core: candidate, epoch {} is the newest", replica.epoch())
+                log::debug!("core: candidate, epoch {} is the newest", replica.epoch());
             }
             Role::Outside => log::info!("core: not a member"),
         }
@@ -325,7 +328,7 @@
     core: Weak<Core<S>>,
     mut writes: mpsc::UnboundedReceiver<PendingWrite>,
 ) {
-    while let Some((token, result)) = writes.recv().await {
+    while let Some(PendingWrite { token, result }) = writes.recv().await {
         let result = result.await.unwrap_or(Err(StorageError::WriterEnded));
         let Some(core) = core.upgrade() else { return };
         match result {
@@ -356,7 +359,9 @@
             }
             Ok(CoreNotice::Join(member)) => self.0.handle_input(Input::Join(member)),
             Err(error) => {
-                log::debug!("dropped a message between core members that can't be decoded: {error}")
+                log::debug!(
+                    "dropped a message between core members that can't be decoded: {error}"
+                );
             }
         }
     }
--- a/alderhollow/src/discovery/listing.rs
+++ b/alderhollow/src/discovery/listing.rs
@@ -62,7 +62,7 @@
         let mut backends = Vec::with_capacity(raw.instances.len());
         let mut skipped = Vec::new();
         for entry in raw.instances {
-            match read_entry(entry) {
+            match read_entry(&entry) {
                 Ok(backend) => backends.push(backend),
                 Err(error) => skipped.push(error),
             }
@@ -76,8 +76,8 @@
     }
 }
 
-fn read_entry(entry: Value) -> Result<Backend, String> {
-    let raw = RawEntry::deserialize(&entry).map_err(|error| format!("{error} in {entry}"))?;
+fn read_entry(entry: &Value) -> Result<Backend, String> {
+    let raw = RawEntry::deserialize(entry).map_err(|error| format!("{error} in {entry}"))?;
     let address = raw
         .address
         .parse()
--- a/alderhollow/src/distribution/server.rs
+++ b/alderhollow/src/distribution/server.rs
@@ -235,7 +235,7 @@
         match minicbor::decode(&payload) {
             Ok(notice) => self.0.on_notice(&notice),
             Err(error) => {
-                log::debug!("dropped a notice of the distribution that can't be decoded: {error}")
+                log::debug!("dropped a notice of the distribution that can't be decoded: {error}");
             }
         }
     }
