--- a/alderhollow/src/control_plane/mod.rs
+++ b/alderhollow/src/control_plane/mod.rs
@@ -91,7 +91,7 @@
         }
     }
 
-    /// Redirects operators for [`MAX_REDIRECT_TIME`] or half of the grace period before SIGKILL, whichever is shorter, then
+    /// Redirects operators for `MAX_REDIRECT_TIME` or half of the grace period before SIGKILL, whichever is shorter, then
     /// stops their server.
     pub async fn redirect_and_end(self, grace: Duration) {
         tokio::time::sleep(MAX_REDIRECT_TIME.min(grace / 2)).await;
--- a/alderhollow/src/core/driver.rs
+++ b/alderhollow/src/core/driver.rs
@@ -180,7 +180,7 @@
         result.await.unwrap_or(Err(ProposeError::Unknown))
     }
 
-    /// Hands over the primary role before the process shuts down. Returns after [`HANDOVER_TIMEOUT`] at the latest.
+    /// Hands over the primary role before the process shuts down. Returns after `HANDOVER_TIMEOUT` at the latest.
     pub async fn leave(&self) {
         self.handle_input(Input::Leave);
         if tokio::time::timeout(HANDOVER_TIMEOUT, self.handover_confirmed.notified())
--- a/alderhollow/src/discovery/platform.rs
+++ b/alderhollow/src/discovery/platform.rs
@@ -115,7 +115,7 @@
         let body = Limited::new(answer.into_body(), MAX_PAGE_BYTES)
             .collect()
             .await;
-        let body = body.map_err(body_error)?.to_bytes();
+        let body = body.map_err(|error| body_error(error.as_ref()))?.to_bytes();
         match status {
             StatusCode::OK => Ok(Page::parse(&body)?),
             StatusCode::TOO_MANY_REQUESTS => Err(PlatformError::OverRate),
@@ -147,7 +147,7 @@
     Ok(sender)
 }
 
-fn body_error(error: Box<dyn std::error::Error + Send + Sync>) -> PlatformError {
+fn body_error(error: &(dyn std::error::Error + Send + Sync + 'static)) -> PlatformError {
     if !error.is::<LengthLimitError>() {
         log::debug!("reading the platform's answer failed: {error}");
     }
--- a/alderhollow/src/distribution/placers.rs
+++ b/alderhollow/src/distribution/placers.rs
@@ -67,7 +67,7 @@
         &self.placers
     }
 
-    /// Replaces placers that stopped polling and assigns missing ones, at most every [`CHECK_INTERVAL_MS`] unless a candidate
+    /// Replaces placers that stopped polling and assigns missing ones, at most every `CHECK_INTERVAL_MS` unless a candidate
     /// changed. `primary` is the name of the primary's machine, which ranks lower. Returns whether the assignment changed.
     pub fn check_placers(&mut self, primary: &str, now_ms: u64) -> bool {
         let is_due = now_ms.saturating_sub(self.checked_at_ms) >= CHECK_INTERVAL_MS;
