--- a/alderhollow/tests/control_plane_support/mod.rs
+++ b/alderhollow/tests/control_plane_support/mod.rs
@@ -19,7 +19,7 @@
 const READY_PORT: u16 = 18_140;
 const PLATFORM_PORT: u16 = 18_142;
 /// Maximum time for which a test waits.
-const PATIENCE: Duration = Duration::from_secs(30);
+const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Runs a test with its own network and a time-out.
 pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Net) -> F) {
@@ -30,7 +30,7 @@
     let net = Net::new();
     let folder = net.folder.clone();
     let bounded = async {
-        tokio::time::timeout(PATIENCE, test(net))
+        tokio::time::timeout(TEST_TIMEOUT, test(net))
             .await
             .expect("ends in time")
     };
--- a/alderhollow/tests/control_state_model.rs
+++ b/alderhollow/tests/control_state_model.rs
@@ -176,7 +176,7 @@
     #![proptest_config(ProptestConfig { cases: 400, ..ProptestConfig::default() })]
 
     #[test]
-    fn every_order_ends_as_the_oracle_says(steps in prop::collection::vec(step(), 1..60)) {
+    fn every_request_is_answered_as_the_oracle_predicts(steps in prop::collection::vec(step(), 1..60)) {
         let mut replicas = Replicas::default();
         let mut oracle = Oracle::default();
         let mut sent: Vec<SentRequest> = Vec::new();
--- a/alderhollow/tests/core_discovery.rs
+++ b/alderhollow/tests/core_discovery.rs
@@ -124,7 +124,7 @@
             let mut world = World::start(5, 6, seed);
             world.wait_until_connected().await;
             let former = world.primary();
-            world.cut_off(former);
+            world.isolate(former);
             let given_up_by = world.now() + SILENT_PRIMARY;
             while world.now() < given_up_by {
                 world.pass(Duration::from_millis(10)).await;
--- a/alderhollow/tests/core_discovery/world.rs
+++ b/alderhollow/tests/core_discovery/world.rs
@@ -65,7 +65,7 @@
     /// The seeds in each process's settings file.
     settings: RefCell<BTreeMap<Process, Vec<Process>>>,
     /// Processes that are isolated in both directions.
-    cut_off: RefCell<BTreeSet<Process>>,
+    isolated: RefCell<BTreeSet<Process>>,
     /// The minority side of a partitioned core, with the core as it was at the partition. Diskless processes reach both
     /// sides.
     minority: RefCell<Option<Minority>>,
@@ -187,10 +187,10 @@
 }
 
 impl Link {
-    fn is_cut(&self, to: Process) -> bool {
-        let cut_off = self.shared.cut_off.borrow();
-        let is_cut_off = cut_off.contains(&to) || cut_off.contains(&self.from);
-        to != self.from && (is_cut_off || self.are_partitioned(to))
+    fn is_isolated_from(&self, to: Process) -> bool {
+        let isolated = self.shared.isolated.borrow();
+        let is_isolated = isolated.contains(&to) || isolated.contains(&self.from);
+        to != self.from && (is_isolated || self.are_partitioned(to))
     }
 
     /// Whether this process and another one are members on different sides of a partition.
@@ -222,18 +222,18 @@
         Box::pin(async move {
             let until = Instant::now() + timeout;
             sleep(DELAY).await;
-            let answer = match link.distributor(to).filter(|_| !link.is_cut(to)) {
+            let answer = match link.distributor(to).filter(|_| !link.is_isolated_from(to)) {
                 Some(distributor) => {
                     tokio::time::timeout_at(until, distributor.on_request(request)).await
                 }
-                None if link.is_cut(to) => {
+                None if link.is_isolated_from(to) => {
                     tokio::time::sleep_until(until).await;
                     return Err(RequestError::TimedOut);
                 }
                 None => return Err(RequestError::Call(CallError::Unreachable)),
             };
             sleep(DELAY).await;
-            if link.is_cut(to) || link.distributor(to).is_none() {
+            if link.is_isolated_from(to) || link.distributor(to).is_none() {
                 tokio::time::sleep_until(until).await;
                 return Err(RequestError::TimedOut);
             }
@@ -250,7 +250,8 @@
         let to = process_at(to);
         tokio::task::spawn_local(async move {
             sleep(DELAY).await;
-            let Some(distributor) = link.distributor(to).filter(|_| !link.is_cut(to)) else {
+            let Some(distributor) = link.distributor(to).filter(|_| !link.is_isolated_from(to))
+            else {
                 return;
             };
             distributor.on_notice(&notice);
@@ -277,7 +278,7 @@
                     .map(|process| (process, vec![1, 2, 3]))
                     .collect(),
             ),
-            cut_off: RefCell::default(),
+            isolated: RefCell::default(),
             minority: RefCell::default(),
         };
         let mut world = World {
@@ -345,8 +346,8 @@
         }
     }
 
-    pub fn cut_off(&mut self, process: Process) {
-        self.shared.cut_off.borrow_mut().insert(process);
+    pub fn isolate(&mut self, process: Process) {
+        self.shared.isolated.borrow_mut().insert(process);
         if self.primary() == process {
             self.shared.core.leads.set(false);
         }
@@ -432,7 +433,7 @@
 
     /// Starts all stopped processes, spread over time, and heals all links.
     pub async fn start_all(&mut self) {
-        self.shared.cut_off.borrow_mut().clear();
+        self.shared.isolated.borrow_mut().clear();
         let mut starts: Vec<(u32, Process)> = Vec::new();
         for process in 1..=self.processes {
             if !self.shared.running.borrow().contains_key(&process) {
@@ -461,7 +462,7 @@
         let members = self.shared.core.members.iter().copied();
         let fit: Vec<Process> = members
             .filter(|member| running.contains_key(member) && candidates.contains(member))
-            .filter(|member| !self.shared.cut_off.borrow().contains(member))
+            .filter(|member| !self.shared.isolated.borrow().contains(member))
             .collect();
         let Some(count) = u32::try_from(fit.len()).ok().filter(|count| *count > 0) else {
             return;
@@ -498,7 +499,7 @@
             }
             4 => {
                 let process = self.random_process();
-                self.cut_off(process);
+                self.isolate(process);
             }
             _ => {
                 let process = self.random_process();
