--- a/alderhollow/src/distribution/client.rs
+++ b/alderhollow/src/distribution/client.rs
@@ -193,7 +193,7 @@
         loop {
             tokio::select! {
                 () = tokio::time::sleep_until(self.due.at) => self.on_timer(),
-                Some(Ok(end)) = self.polls.join_next(), if !self.polls.is_empty() => self.on_poll_result(end),
+                Some(Ok(result)) = self.polls.join_next(), if !self.polls.is_empty() => self.on_poll_result(result),
                 _ = self.changes.changed(), if self.is_long_poll => self.send_changed_state(),
             }
         }
@@ -277,12 +277,12 @@
         }
     }
 
-    fn on_poll_result(&mut self, end: PollResult) {
+    fn on_poll_result(&mut self, poll: PollResult) {
         let PollResult {
             from,
             sent_at_ms,
             result,
-        } = end;
+        } = poll;
         match result {
             Ok(Answer::Update(update)) => self.on_update(from, sent_at_ms, update),
             Ok(Answer::NotPrimary(view)) => {
