--- a/alderhollow/tests/compatibility.rs
+++ b/alderhollow/tests/compatibility.rs
@@ -250,6 +250,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "a list of values, one for each message"
+)]
 fn batch_messages_encode_and_decode_as_recorded() {
     let mut recorded = fixture("batch.txt");
     let job = JobId("j".into());
@@ -686,6 +690,10 @@
 }
 
 #[test]
+#[expect(
+    clippy::too_many_lines,
+    reason = "a list of values, one for each message"
+)]
 fn messages_of_the_control_state_encode_and_decode_as_recorded() {
     let mut recorded = fixture("control_state.txt");
     for (name, command) in commands() {
--- a/alderhollow/tests/control/mod.rs
+++ b/alderhollow/tests/control/mod.rs
@@ -12,7 +12,7 @@
 
 /// Outcome of an operator's request.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum Outcome {
+pub(crate) enum Outcome {
     Committed,
     AlreadyDone,
     Refused(Refusal),
@@ -20,7 +20,7 @@
 
 impl Outcome {
     /// The HTTP status that an operator sees.
-    pub fn status(&self) -> u16 {
+    pub(crate) fn status(&self) -> u16 {
         match self {
             Outcome::Committed | Outcome::AlreadyDone => 200,
             Outcome::Refused(refusal) => refusal.status(),
@@ -29,7 +29,7 @@
 }
 
 /// Decides a request and applies the command, both encoded, as a replica does.
-pub fn submit(state: &mut ControlState, order: &Order, context: &OrderContext) -> Outcome {
+pub(crate) fn submit(state: &mut ControlState, order: &Order, context: &OrderContext) -> Outcome {
     let request = Request::Order {
         order: order.clone(),
         context: context.clone(),
@@ -50,7 +50,7 @@
 }
 
 /// The command that a request results in, if any.
-pub fn command_of(state: &ControlState, request: &Request) -> Option<Command> {
+pub(crate) fn command_of(state: &ControlState, request: &Request) -> Option<Command> {
     match state.decide_request(request) {
         Decision::Commit(command) => Some(command),
         Decision::Answer(_) => None,
@@ -58,7 +58,7 @@
 }
 
 /// Context with two zones and tolerance for the loss of one machine.
-pub fn context() -> OrderContext {
+pub(crate) fn context() -> OrderContext {
     OrderContext {
         zones: ["north", "south"].map(str::to_string).into(),
         tolerate_machines: 1,
@@ -66,32 +66,32 @@
     }
 }
 
-pub fn put(if_match: u64, document: &Value) -> Order {
+pub(crate) fn put(if_match: u64, document: &Value) -> Order {
     Order::PutConfig(ConfigOrder {
         if_match: Some(if_match.to_string()),
         body: document.to_string().into_bytes(),
     })
 }
 
-pub fn patch(if_match: u64, change: &Value) -> Order {
+pub(crate) fn patch(if_match: u64, change: &Value) -> Order {
     Order::PatchConfig(ConfigOrder {
         if_match: Some(if_match.to_string()),
         body: change.to_string().into_bytes(),
     })
 }
 
-pub fn route(name: &str, prefix: &str, timeout_ms: u64) -> Value {
+pub(crate) fn route(name: &str, prefix: &str, timeout_ms: u64) -> Value {
     json!({"name": name, "hostname": "desk.example", "path-prefix": prefix, "route-type": "idempotent",
            "timeout-ms": timeout_ms, "service": "llm", "a-later-field": [1, 2]})
 }
 
 /// A valid document whose content depends on `seed`.
-pub fn document(version: u64, seed: u64) -> Value {
+pub(crate) fn document(version: u64, seed: u64) -> Value {
     json!({"config-version": version, "routes": [route("first", "/first/", 1000 + seed)],
            "services": [{"name": "llm", "max-conns": 3, "link-mbps": 2900000.0}], "limits": {}})
 }
 
-pub fn store(node: &str, zone: &str, disk: u64) -> NodeInfo {
+pub(crate) fn store(node: &str, zone: &str, disk: u64) -> NodeInfo {
     NodeInfo {
         node: node.to_string(),
         role: Role::Store,
--- a/alderhollow/tests/control_plane_support/mod.rs
+++ b/alderhollow/tests/control_plane_support/mod.rs
@@ -22,7 +22,7 @@
 const TEST_TIMEOUT: Duration = Duration::from_secs(30);
 
 /// Runs a test with its own network and a time-out.
-pub fn run<F: Future<Output = ()>>(test: impl FnOnce(Net) -> F) {
+pub(crate) fn run<F: Future<Output = ()>>(test: impl FnOnce(Net) -> F) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -32,21 +32,21 @@
     let bounded = async {
         tokio::time::timeout(TEST_TIMEOUT, test(net))
             .await
-            .expect("ends in time")
+            .expect("ends in time");
     };
     LocalSet::new().block_on(&runtime, bounded);
     let _ = std::fs::remove_dir_all(folder);
 }
 
 /// Addresses and folders of one test, different from those of all other tests and runs.
-pub struct Net {
+pub(crate) struct Net {
     prefix: String,
     folder: PathBuf,
 }
 
 /// An answer.
 #[derive(Debug)]
-pub struct Answer {
+pub(crate) struct Answer {
     pub status: StatusCode,
     pub headers: HeaderMap,
     pub body: String,
@@ -67,17 +67,17 @@
     }
 
     /// The machine's address, without a port.
-    pub fn ip(&self, machine: u8) -> String {
+    pub(crate) fn ip(&self, machine: u8) -> String {
         format!("{}.{machine}", self.prefix)
     }
 
     /// A machine's address for operators' calls.
-    pub fn control(&self, machine: u8) -> String {
+    pub(crate) fn control(&self, machine: u8) -> String {
         format!("{}:{CONTROL_PORT}", self.ip(machine))
     }
 
     /// Settings of a gateway; the seeds are machines 1 to 3.
-    pub fn settings(&self, machine: u8, has_disk: bool) -> Settings {
+    pub(crate) fn settings(&self, machine: u8, has_disk: bool) -> Settings {
         let ip = self.ip(machine);
         let seeds: Vec<String> = (1..=3)
             .map(|seed| format!("{:?}", self.control(seed)))
@@ -130,7 +130,7 @@
     }
 
     /// Starts a gateway that runs until the test ends.
-    pub fn start_gateway(&self, machine: u8, has_disk: bool) {
+    pub(crate) fn start_gateway(&self, machine: u8, has_disk: bool) {
         if has_disk {
             std::fs::create_dir_all(self.folder.join(machine.to_string())).expect("a folder");
         }
@@ -141,7 +141,7 @@
     }
 
     /// Starts the platform, which lists one backend.
-    pub async fn start_platform(&self) {
+    pub(crate) async fn start_platform(&self) {
         let listener = TcpListener::bind(format!("{}:{PLATFORM_PORT}", self.ip(100)))
             .await
             .expect("the platform's port");
@@ -153,7 +153,7 @@
     }
 
     /// Whether a gateway reports that it is ready.
-    pub async fn is_ready(&self, machine: u8) -> bool {
+    pub(crate) async fn is_ready(&self, machine: u8) -> bool {
         let url = format!(
             "http://{}:{READY_PORT}/alderhollow/readyz",
             self.ip(machine)
@@ -164,7 +164,12 @@
     }
 
     /// Calls one gateway without following redirects.
-    pub async fn call_once(&self, machine: u8, method: Method, path: &str) -> Option<Answer> {
+    pub(crate) async fn call_once(
+        &self,
+        machine: u8,
+        method: Method,
+        path: &str,
+    ) -> Option<Answer> {
         call(
             method,
             &format!("http://{}{path}", self.control(machine)),
@@ -175,7 +180,7 @@
     }
 
     /// Calls as operators do: follows two redirects and retries after a 5xx or a broken connection.
-    pub async fn operate(
+    pub(crate) async fn operate(
         &self,
         machine: u8,
         method: Method,
--- a/alderhollow/tests/core_discovery/world.rs
+++ b/alderhollow/tests/core_discovery/world.rs
@@ -36,10 +36,10 @@
 const ELECTION_MS: u32 = 1_200;
 
 /// Index of a process in the order of the machines. The first ones have disks.
-pub type Process = u8;
+pub(crate) type Process = u8;
 
 /// Runs a test in simulated time.
-pub fn block_on_paused<T>(future: impl std::future::Future<Output = T>) -> T {
+pub(crate) fn block_on_paused<T>(future: impl std::future::Future<Output = T>) -> T {
     let mut builder = tokio::runtime::Builder::new_current_thread();
     let runtime = builder
         .enable_time()
@@ -91,7 +91,7 @@
 }
 
 /// The simulated tier.
-pub struct World {
+pub(crate) struct World {
     shared: Rc<Shared>,
     processes: Process,
     random: Rand32,
@@ -261,7 +261,7 @@
 
 impl World {
     /// A tier with the given numbers of core members and diskless processes. The seeds are the first members.
-    pub fn start(members: usize, diskless: usize, seed: u64) -> World {
+    pub(crate) fn start(members: usize, diskless: usize, seed: u64) -> World {
         let members = Process::try_from(members).expect("few members");
         let processes = members + Process::try_from(diskless).expect("few processes");
         let core = Core {
@@ -292,30 +292,30 @@
         world
     }
 
-    pub fn now(&self) -> Instant {
+    pub(crate) fn now(&self) -> Instant {
         Instant::now()
     }
 
-    pub async fn pass(&self, time: Duration) {
+    pub(crate) async fn pass(&self, time: Duration) {
         sleep(time).await;
     }
 
     /// Waits until all processes have found the primary.
-    pub async fn wait_until_connected(&self) {
+    pub(crate) async fn wait_until_connected(&self) {
         sleep(Duration::from_secs(2)).await;
     }
 
-    pub fn diskless_processes(&self) -> Vec<Process> {
+    pub(crate) fn diskless_processes(&self) -> Vec<Process> {
         (1..=self.processes)
             .filter(|process| !self.shared.core.members.contains(process))
             .collect()
     }
 
-    pub fn primary(&self) -> Process {
+    pub(crate) fn primary(&self) -> Process {
         self.shared.core.primary.get()
     }
 
-    pub fn running_except(&self, one: Process) -> Vec<Process> {
+    pub(crate) fn running_except(&self, one: Process) -> Vec<Process> {
         self.shared
             .running
             .borrow()
@@ -325,7 +325,7 @@
             .collect()
     }
 
-    pub fn considers_primary(&self, process: Process, primary: Process) -> bool {
+    pub(crate) fn considers_primary(&self, process: Process, primary: Process) -> bool {
         let running = self.shared.running.borrow();
         let view = running[&process].directory.core_view();
         view.primary
@@ -333,20 +333,20 @@
     }
 
     /// Replaces the seeds in all settings files.
-    pub fn replace_seeds(&mut self, seeds: &[Process]) {
+    pub(crate) fn replace_seeds(&mut self, seeds: &[Process]) {
         let all: Vec<Process> = (1..=self.processes).collect();
         self.set_seeds_of(&all, seeds);
     }
 
     /// Replaces the seeds in the settings files of some processes.
-    pub fn set_seeds_of(&mut self, of: &[Process], seeds: &[Process]) {
+    pub(crate) fn set_seeds_of(&mut self, of: &[Process], seeds: &[Process]) {
         let mut settings = self.shared.settings.borrow_mut();
         for process in of {
             settings.insert(*process, seeds.to_vec());
         }
     }
 
-    pub fn isolate(&mut self, process: Process) {
+    pub(crate) fn isolate(&mut self, process: Process) {
         self.shared.isolated.borrow_mut().insert(process);
         if self.primary() == process {
             self.shared.core.leads.set(false);
@@ -355,7 +355,7 @@
 
     /// Partitions the core: half of the members, rounded down, are separated from the others. A primary among them retains
     /// its role until its lease ends. Returns the minority.
-    pub fn partition_core(&mut self) -> Vec<Process> {
+    pub(crate) fn partition_core(&mut self) -> Vec<Process> {
         let mut majority = self.shared.core.members.clone();
         let mut members = BTreeSet::new();
         while members.len() < self.shared.core.members.len() / 2 {
@@ -382,7 +382,7 @@
     }
 
     /// Ends the lease of a primary in the minority and elects one in the majority, if it has none.
-    pub fn elect_in_majority(&mut self) {
+    pub(crate) fn elect_in_majority(&mut self) {
         let members = self.shared.core.members.clone();
         let mut minority = self.shared.minority.borrow_mut();
         let cut = minority.as_mut().map(|minority| {
@@ -398,16 +398,16 @@
         self.elect_among(&majority);
     }
 
-    pub fn heal_partition(&mut self) {
+    pub(crate) fn heal_partition(&mut self) {
         self.shared.minority.replace(None);
     }
 
-    pub fn epoch(&self) -> u64 {
+    pub(crate) fn epoch(&self) -> u64 {
         self.shared.core.epoch.get()
     }
 
     /// Version of the control state in each process's tables.
-    pub fn table_versions(&self) -> BTreeMap<Process, u64> {
+    pub(crate) fn table_versions(&self) -> BTreeMap<Process, u64> {
         let running = self.shared.running.borrow();
         let version = |running: &Running| running.snapshots.borrow().control.version;
         running
@@ -416,7 +416,7 @@
             .collect()
     }
 
-    pub fn end(&mut self, process: Process) {
+    pub(crate) fn end(&mut self, process: Process) {
         if let Some(running) = self.shared.running.borrow_mut().remove(&process) {
             running.tasks.iter().for_each(JoinHandle::abort);
         }
@@ -425,14 +425,14 @@
         }
     }
 
-    pub fn end_all(&mut self) {
+    pub(crate) fn end_all(&mut self) {
         for process in 1..=self.processes {
             self.end(process);
         }
     }
 
     /// Starts all stopped processes, spread over time, and heals all links.
-    pub async fn start_all(&mut self) {
+    pub(crate) async fn start_all(&mut self) {
         self.shared.isolated.borrow_mut().clear();
         let mut starts: Vec<(u32, Process)> = Vec::new();
         for process in 1..=self.processes {
@@ -449,12 +449,12 @@
     }
 
     /// Elects a running member after a delay, if there is no primary.
-    pub fn elect_any(&mut self) {
+    pub(crate) fn elect_any(&mut self) {
         let all: Vec<Process> = (1..=self.processes).collect();
         self.elect_among(&all);
     }
 
-    pub fn elect_among(&mut self, candidates: &[Process]) {
+    pub(crate) fn elect_among(&mut self, candidates: &[Process]) {
         if self.shared.core.leads.get() {
             return;
         }
@@ -475,7 +475,7 @@
     }
 
     /// Injects a random fault.
-    pub async fn inject_fault(&mut self) {
+    pub(crate) async fn inject_fault(&mut self) {
         match self.random.rand_range(0..6) {
             0 => {
                 let seeds: Vec<Process> = (0..3).map(|_| self.random_process()).collect();
@@ -521,12 +521,16 @@
     }
 
     /// Waits until all running processes are informed. Returns the time that it took, or slightly more than the limit.
-    pub async fn until_informed(&self, limit: Duration) -> Duration {
+    pub(crate) async fn until_informed(&self, limit: Duration) -> Duration {
         let all: Vec<Process> = (1..=self.processes).collect();
         self.until_informed_among(&all, limit).await
     }
 
-    pub async fn until_informed_among(&self, processes: &[Process], limit: Duration) -> Duration {
+    pub(crate) async fn until_informed_among(
+        &self,
+        processes: &[Process],
+        limit: Duration,
+    ) -> Duration {
         let begin = Instant::now();
         loop {
             sleep(Duration::from_millis(10)).await;
@@ -540,7 +544,7 @@
     }
 
     /// The running processes whose tables were not validated recently.
-    pub fn uninformed(&self) -> Vec<Process> {
+    pub(crate) fn uninformed(&self) -> Vec<Process> {
         let running = self.shared.running.borrow();
         let is_stale = |running: &Running| {
             let validated = running.polls.validated_since_ms();
@@ -554,7 +558,7 @@
     }
 
     /// Starts a process with only its settings file and its disk.
-    pub fn start_process(&mut self, process: Process) {
+    pub(crate) fn start_process(&mut self, process: Process) {
         let shared = &self.shared;
         let has_disk = shared.core.members.contains(&process);
         let clock = SteadyClock::start();
--- a/alderhollow/tests/core_processes.rs
+++ b/alderhollow/tests/core_processes.rs
@@ -114,7 +114,7 @@
         match read.await.expect("a read") {
             ReadAnswer::Version(version) => assert_eq!(version, newest),
             ReadAnswer::NotSure(status) => {
-                assert!(matches!(status, 307 | SERVICE_UNAVAILABLE), "{status}")
+                assert!(matches!(status, 307 | SERVICE_UNAVAILABLE), "{status}");
             }
             ReadAnswer::Silence => {}
         }
