--- a/alderhollow/src/cli/inspect.rs
+++ b/alderhollow/src/cli/inspect.rs
@@ -153,7 +153,7 @@
 }
 
 fn show_jobs(state: &State) {
-    let marks = &state.marks;
+    let marks = &state.progress;
     println!("newest epoch followed: {}", marks.following.epoch);
     println!("newest epoch as primary: {}", marks.session.epoch);
     println!("newest epoch up to date: {}", marks.synced_epoch);
--- a/alderhollow/src/executor/attempt.rs
+++ b/alderhollow/src/executor/attempt.rs
@@ -89,7 +89,7 @@
         }
     };
     answer.abandon(outcome);
-    RunEnd::Cut {
+    RunEnd::Interrupted {
         resume: resume_of(reader.into_transcript()),
         retry_after_ms: PAUSE_AFTER_CUT_MS,
     }
@@ -144,7 +144,7 @@
 
 /// The run may have happened; what earlier runs brought stays.
 fn cut(item: &ItemStart, retry_after_ms: u64) -> RunEnd {
-    RunEnd::Cut {
+    RunEnd::Interrupted {
         resume: item.resume.clone(),
         retry_after_ms,
     }
--- a/alderhollow/src/executor/mod.rs
+++ b/alderhollow/src/executor/mod.rs
@@ -143,7 +143,7 @@
 
     fn deadline(&self, item: &ItemStart) -> Duration {
         let left = item
-            .given_up_ms
+            .abandon_at_ms
             .saturating_sub(self.shared.clock.now_ms() as i64);
         Duration::from_millis(left.max(0) as u64).clamp(SHORTEST_DEADLINE, LONGEST_DEADLINE)
     }
--- a/alderhollow/src/metrics/store.rs
+++ b/alderhollow/src/metrics/store.rs
@@ -2,7 +2,7 @@
 
 use super::family::{label, Counter, CounterFamily, Description, Durations, Gauge, Registrar};
 use crate::store::activity::StorePart;
-use alderhollow_batch::api::{RunEnd, Submitted};
+use alderhollow_batch::api::{RunEnd, SubmitOutcome};
 use alderhollow_batch::counts::EngineCounts;
 use alderhollow_batch::message::Message;
 use alderhollow_batch::records::Entry;
@@ -132,15 +132,15 @@
 
 impl SubmitResult {
     /// The result of a call; `is_new` tells whether a pending job was unknown before.
-    pub fn of(submitted: Submitted, is_new: bool) -> SubmitResult {
+    pub fn of(submitted: SubmitOutcome, is_new: bool) -> SubmitResult {
         match submitted {
-            Submitted::Pending(_) if is_new => SubmitResult::Accepted,
-            Submitted::Pending(_) => SubmitResult::AlreadyPending,
-            Submitted::AlreadyAccepted => SubmitResult::AlreadyAccepted,
-            Submitted::OverQuota => SubmitResult::OverQuota,
-            Submitted::NotSure => SubmitResult::NotSure,
-            Submitted::NotPrimary => SubmitResult::NotPrimary,
-            Submitted::Invalid => SubmitResult::Invalid,
+            SubmitOutcome::Pending(_) if is_new => SubmitResult::Accepted,
+            SubmitOutcome::Pending(_) => SubmitResult::AlreadyPending,
+            SubmitOutcome::AlreadyAccepted => SubmitResult::AlreadyAccepted,
+            SubmitOutcome::OverQuota => SubmitResult::OverQuota,
+            SubmitOutcome::NotSure => SubmitResult::NotSure,
+            SubmitOutcome::NotPrimary => SubmitResult::NotPrimary,
+            SubmitOutcome::Invalid => SubmitResult::Invalid,
         }
     }
 }
@@ -170,7 +170,7 @@
             RunEnd::Rejected => RunEndKind::Rejected,
             RunEnd::Failed => RunEndKind::Failed,
             RunEnd::NotRun { .. } => RunEndKind::NotRun,
-            RunEnd::Cut { .. } => RunEndKind::Cut,
+            RunEnd::Interrupted { .. } => RunEndKind::Cut,
         }
     }
 }
@@ -225,7 +225,7 @@
         match entry {
             Entry::JobAccepted(_) => EntryContent::Jobs,
             Entry::ItemResults { .. } => EntryContent::Results,
-            Entry::WholeJob(_) => EntryContent::WholeJobs,
+            Entry::FullJob(_) => EntryContent::WholeJobs,
             Entry::JobEnded(_)
             | Entry::JobForgotten(_)
             | Entry::Following(_)
@@ -389,6 +389,6 @@
         self.retries.add(counted.replication.retries);
         self.comparisons.add(counted.replication.comparisons);
         self.streams_given_up
-            .add(counted.replication.streams_given_up);
+            .add(counted.replication.streams_abandoned);
     }
 }
--- a/alderhollow/src/store/calls.rs
+++ b/alderhollow/src/store/calls.rs
@@ -11,7 +11,8 @@
 use crate::metrics;
 use crate::metrics::store::SubmitResult;
 use alderhollow_batch::api::{
-    BodyAnswer, EndAnswer, JobOffer, Offered, Outcome, ReadAnswer, Submitted, Token, TryId,
+    BodyOutcome, EndOutcome, JobOffer, OfferOutcome, Outcome, ReadOutcome, SubmissionAttemptId,
+    SubmitOutcome, Token,
 };
 use alderhollow_batch::engine::Engine;
 use alderhollow_batch::job::{JobId, NewJob, ResultState};
@@ -60,7 +61,9 @@
         };
     };
     let reply = match call {
-        StoreCall::Submit { try_id, job } => return submit(node, &group, TryId(try_id), job).await,
+        StoreCall::Submit { try_id, job } => {
+            return submit(node, &group, SubmissionAttemptId(try_id), job).await
+        }
         StoreCall::Offer {
             try_id,
             job,
@@ -72,7 +75,7 @@
                 route: &route,
                 tokens,
             };
-            return answer_offer(node, &group, TryId(try_id), &offer).await;
+            return answer_offer(node, &group, SubmissionAttemptId(try_id), &offer).await;
         }
         StoreCall::Read {
             job,
@@ -92,7 +95,7 @@
 async fn submit(
     node: &Rc<StoreNode>,
     group: &Rc<GroupEngine>,
-    try_id: TryId,
+    try_id: SubmissionAttemptId,
     job: NewJob,
 ) -> StoreAnswer {
     let (route, tokens) = (job.route.clone(), job.tokens());
@@ -101,24 +104,26 @@
         false => submit_at_once(node, group, try_id, job),
     };
     let is_new = match submitted {
-        Submitted::Pending(token) => node.activity.accepted(group.id, token),
+        SubmitOutcome::Pending(token) => node.activity.accepted(group.id, token),
         _ => false,
     };
     metrics::get()
         .store
         .submitted(SubmitResult::of(submitted, is_new));
     let reading = match submitted {
-        Submitted::NotPrimary | Submitted::NotSure | Submitted::Invalid => None,
-        Submitted::OverQuota => read_meter(node, group, &route, tokens),
-        Submitted::Pending(_) | Submitted::AlreadyAccepted => read_meter(node, group, &route, 0),
+        SubmitOutcome::NotPrimary | SubmitOutcome::NotSure | SubmitOutcome::Invalid => None,
+        SubmitOutcome::OverQuota => read_meter(node, group, &route, tokens),
+        SubmitOutcome::Pending(_) | SubmitOutcome::AlreadyAccepted => {
+            read_meter(node, group, &route, 0)
+        }
     };
     let reply = match submitted {
-        Submitted::Pending(_) => await_end(end).await,
-        Submitted::AlreadyAccepted => StoreReply::Committed,
-        Submitted::OverQuota => StoreReply::OverQuota,
-        Submitted::NotPrimary => StoreReply::NotPrimary,
-        Submitted::NotSure => StoreReply::NotSure,
-        Submitted::Invalid => StoreReply::Invalid,
+        SubmitOutcome::Pending(_) => await_end(end).await,
+        SubmitOutcome::AlreadyAccepted => StoreReply::Committed,
+        SubmitOutcome::OverQuota => StoreReply::OverQuota,
+        SubmitOutcome::NotPrimary => StoreReply::NotPrimary,
+        SubmitOutcome::NotSure => StoreReply::NotSure,
+        SubmitOutcome::Invalid => StoreReply::Invalid,
     };
     StoreAnswer { reply, reading }
 }
@@ -127,15 +132,15 @@
 async fn answer_offer(
     node: &Rc<StoreNode>,
     group: &Rc<GroupEngine>,
-    try_id: TryId,
+    try_id: SubmissionAttemptId,
     offer: &JobOffer<'_>,
 ) -> StoreAnswer {
     let reply = match node.offer_with_room(group, try_id, offer).await {
-        Offered::Welcome => StoreReply::Welcome,
-        Offered::NotSure | Offered::BeyondLimit => StoreReply::NotSure,
-        Offered::AlreadyAccepted => StoreReply::Committed,
-        Offered::NotPrimary => StoreReply::NotPrimary,
-        Offered::OverQuota => {
+        OfferOutcome::Welcome => StoreReply::Welcome,
+        OfferOutcome::NotSure | OfferOutcome::BeyondLimit => StoreReply::NotSure,
+        OfferOutcome::AlreadyAccepted => StoreReply::Committed,
+        OfferOutcome::NotPrimary => StoreReply::NotPrimary,
+        OfferOutcome::OverQuota => {
             let reading = read_meter(node, group, offer.route, offer.tokens);
             return StoreAnswer {
                 reply: StoreReply::OverQuota,
@@ -150,7 +155,12 @@
 }
 
 /// Hands a batch job in that needs no more room, or is not to be taken anyway.
-fn submit_at_once(node: &StoreNode, group: &GroupEngine, try_id: TryId, job: NewJob) -> Answered {
+fn submit_at_once(
+    node: &StoreNode,
+    group: &GroupEngine,
+    try_id: SubmissionAttemptId,
+    job: NewJob,
+) -> Answered {
     let route = job.route.clone();
     node.with_group(group, |engine, now_ms| {
         let waiting_before = engine.waiting_tokens(&route);
@@ -195,7 +205,7 @@
     group
         .meter
         .borrow_mut()
-        .note(now_ms, epoch, route, waiting, beyond)
+        .record(now_ms, epoch, route, waiting, beyond)
         .map(TenantReading::from)
 }
 
@@ -213,30 +223,30 @@
     let mut ended = None;
     let answer = node.with_group(group, |engine, now_ms| {
         let answer = engine.end(now_ms, job);
-        if let EndAnswer::Pending(token) = answer {
+        if let EndOutcome::Pending(token) = answer {
             ended = Some(group.waiting.for_end(token));
         }
         answer
     });
     match answer {
-        EndAnswer::Pending(Token(_)) => await_end(ended).await,
-        EndAnswer::AlreadyEnded => StoreReply::Committed,
-        EndAnswer::NotFound => StoreReply::NotFound,
-        EndAnswer::NotPrimary => StoreReply::NotPrimary,
-        EndAnswer::NotSure => StoreReply::NotSure,
+        EndOutcome::Pending(Token(_)) => await_end(ended).await,
+        EndOutcome::AlreadyEnded => StoreReply::Committed,
+        EndOutcome::NotFound => StoreReply::NotFound,
+        EndOutcome::NotPrimary => StoreReply::NotPrimary,
+        EndOutcome::NotSure => StoreReply::NotSure,
     }
 }
 
 fn body(node: &StoreNode, group: &GroupEngine, job: &JobId, item: &str) -> StoreReply {
     node.look(group, |engine, now_ms| {
         match engine.body(now_ms, job, item) {
-            BodyAnswer::Body(bytes) => {
+            BodyOutcome::Body(bytes) => {
                 metrics::get().store.body_read();
                 StoreReply::Body(bytes.to_vec())
             }
-            BodyAnswer::NotFound => StoreReply::NotFound,
-            BodyAnswer::NotPrimary => StoreReply::NotPrimary,
-            BodyAnswer::NotSure => StoreReply::NotSure,
+            BodyOutcome::NotFound => StoreReply::NotFound,
+            BodyOutcome::NotPrimary => StoreReply::NotPrimary,
+            BodyOutcome::NotSure => StoreReply::NotSure,
         }
     })
 }
@@ -274,7 +284,7 @@
 fn read_now(node: &StoreNode, group: &GroupEngine, job: &JobId, after: u32) -> (StoreReply, bool) {
     node.look(group, |engine, now_ms| {
         match engine.read(now_ms, job, after, RESULT_BYTES) {
-            ReadAnswer::Results {
+            ReadOutcome::Results {
                 total,
                 next,
                 results,
@@ -289,9 +299,9 @@
                 };
                 (StoreReply::Results(answer.to_json()), may_wait)
             }
-            ReadAnswer::NotFound => (StoreReply::NotFound, false),
-            ReadAnswer::NotPrimary => (StoreReply::NotPrimary, false),
-            ReadAnswer::NotSure => (StoreReply::NotSure, false),
+            ReadOutcome::NotFound => (StoreReply::NotFound, false),
+            ReadOutcome::NotPrimary => (StoreReply::NotPrimary, false),
+            ReadOutcome::NotSure => (StoreReply::NotSure, false),
         }
     })
 }
--- a/alderhollow/src/store/group_engine.rs
+++ b/alderhollow/src/store/group_engine.rs
@@ -161,7 +161,7 @@
     pub(super) fn note_look(&self, now_ms: u64) -> EngineCounts {
         let mut engine = self.engine.borrow_mut();
         let status = engine.status(now_ms);
-        let next_tick_ms = engine.next_tick_ms().unwrap_or(u64::MAX);
+        let next_tick_ms = engine.next_timer_ms().unwrap_or(u64::MAX);
         let by_time_ms = if status.primary {
             now_ms + LONGEST_TICK_MS
         } else {
--- a/alderhollow/src/store/group_engine/tests.rs
+++ b/alderhollow/src/store/group_engine/tests.rs
@@ -88,7 +88,7 @@
     assert!(group.is_due(0));
     group.note_look(0);
     assert!(!group.is_due(u64::MAX - 1));
-    group.call(5, |engine, now_ms| engine.tick(now_ms));
+    group.call(5, |engine, now_ms| engine.on_timer(now_ms));
     assert!(group.is_due(5));
 }
 
@@ -122,7 +122,7 @@
         digests: Vec::new(),
     };
     group.call(now_ms, |engine, now_ms| {
-        engine.receive(now_ms, DiskId(2), compare);
+        engine.on_message(now_ms, DiskId(2), compare);
     });
     group.note_look(now_ms);
     assert!(!group.may_be_dropped(now_ms));
--- a/alderhollow/src/store/group_quota.rs
+++ b/alderhollow/src/store/group_quota.rs
@@ -8,13 +8,13 @@
 use super::waiting::Waiting;
 use crate::invariant::{self, Invariant};
 use alderhollow_batch::api::{
-    JobOffer, Offered, Outcome, ReadAnswer, RouteTerms, Submitted, TryId,
+    JobOffer, OfferOutcome, Outcome, ReadOutcome, RouteTerms, SubmissionAttemptId, SubmitOutcome,
 };
 use alderhollow_batch::engine::Engine;
 use alderhollow_batch::job::{JobId, NewJob};
 use alderhollow_batch::quota::{
     home_group, Account, Coordinator, CoordinatorId, QuotaGrant, QuotaOutcome, QuotaReading,
-    QuotaReport, ReportId, Settled, SubmissionId,
+    QuotaReport, ReportId, ResolvedSubmission, SubmissionId,
 };
 use alderhollow_batch::records::SessionId;
 use alderhollow_model::snapshot::{ControlView, GroupId};
@@ -34,13 +34,13 @@
 #[derive(Debug)]
 pub struct Answered {
     /// The engine's word.
-    pub submitted: Submitted,
+    pub submitted: SubmitOutcome,
     /// The end of an acceptance that is pending.
     pub end: End,
 }
 
 impl Answered {
-    fn without_end(submitted: Submitted) -> Answered {
+    fn without_end(submitted: SubmitOutcome) -> Answered {
         Answered {
             submitted,
             end: None,
@@ -53,12 +53,12 @@
     engine: &mut Engine,
     now_ms: u64,
     waiting: &Waiting,
-    try_id: TryId,
+    try_id: SubmissionAttemptId,
     job: NewJob,
 ) -> Answered {
     let submitted = engine.submit(now_ms, try_id, job);
     let end = match submitted {
-        Submitted::Pending(token) => Some(waiting.for_end(token)),
+        SubmitOutcome::Pending(token) => Some(waiting.for_end(token)),
         _ => None,
     };
     Answered { submitted, end }
@@ -76,7 +76,7 @@
 /// A batch job that waits for room.
 #[derive(Debug)]
 struct WaitingJob {
-    try_id: TryId,
+    try_id: SubmissionAttemptId,
     job: NewJob,
     /// Size of the job, roughly.
     bytes: usize,
@@ -86,11 +86,11 @@
 /// An offer that waits for room.
 #[derive(Debug)]
 struct WaitingOffer {
-    try_id: TryId,
+    try_id: SubmissionAttemptId,
     job: JobId,
     route: String,
     tokens: u64,
-    answer: oneshot::Sender<Offered>,
+    answer: oneshot::Sender<OfferOutcome>,
 }
 
 /// The account of one route.
@@ -240,7 +240,7 @@
     pub(super) fn must_wait(&self, engine: &Engine, now_ms: u64, job: &NewJob) -> bool {
         let is_new = matches!(
             engine.read(now_ms, &job.id, u32::MAX, 0),
-            ReadAnswer::NotFound
+            ReadOutcome::NotFound
         );
         let has_account = self.accounts.borrow().contains_key(&job.route);
         has_account && is_new && !engine.would_fit(&job.route, job.tokens())
@@ -250,7 +250,7 @@
     pub(super) fn queue(
         &self,
         now_ms: u64,
-        try_id: TryId,
+        try_id: SubmissionAttemptId,
         job: NewJob,
     ) -> Option<Queued<Answered>> {
         let (sender, answer) = oneshot::channel();
@@ -270,9 +270,9 @@
     pub(super) fn queue_offer(
         &self,
         now_ms: u64,
-        try_id: TryId,
+        try_id: SubmissionAttemptId,
         offer: &JobOffer,
-    ) -> Option<Queued<Offered>> {
+    ) -> Option<Queued<OfferOutcome>> {
         let (sender, answer) = oneshot::channel();
         let waiting = WaitingSubmission::Offer(WaitingOffer {
             try_id,
@@ -301,7 +301,7 @@
         let account = accounts.get_mut(route)?;
         let id = SubmissionId(self.newest_submission.get() + 1);
         self.newest_submission.set(id.0);
-        account.account.want(now_ms, id, tokens);
+        account.account.request(now_ms, id, tokens);
         account.submissions.insert(id, waiting);
         Some(id)
     }
@@ -330,7 +330,9 @@
     ) -> Vec<QuotaReport> {
         let mut reports = Vec::new();
         for (route, account) in self.accounts.borrow_mut().iter_mut() {
-            let settled = account.account.settle(now_ms, engine.waiting_tokens(route));
+            let settled = account
+                .account
+                .resolve_waiting(now_ms, engine.waiting_tokens(route));
             account.act(now_ms, engine, waiting, route, settled);
             reports.extend(
                 account
@@ -357,7 +359,7 @@
         };
         let settled = account
             .account
-            .take_answer(now_ms, engine.waiting_tokens(route), grant);
+            .on_grant(now_ms, engine.waiting_tokens(route), grant);
         account.act(now_ms, engine, waiting, route, settled);
         let taken = grant.reading.map(|reading| TakenReading {
             reading,
@@ -369,7 +371,7 @@
     /// The answer to a report won't come.
     pub(super) fn answer_lost(&self, now_ms: u64, route: &str, report: ReportId) {
         if let Some(account) = self.accounts.borrow_mut().get_mut(route) {
-            account.account.answer_lost(now_ms, report);
+            account.account.on_answer_lost(now_ms, report);
         }
     }
 
@@ -497,7 +499,7 @@
     fn note_accepted(&mut self, engine: &Engine, route: &str) {
         let used = engine.waiting_tokens(route);
         let before = self.account.counters().violations;
-        self.account.note_accepted(used);
+        self.account.record_accepted(used);
         let holds = self.account.counters().violations == before;
         invariant::check(Invariant::QuotaUseWithinGrant, holds, || {
             format!(
@@ -514,10 +516,10 @@
         engine: &mut Engine,
         waiting: &Waiting,
         route: &str,
-        settled: Vec<Settled>,
+        settled: Vec<ResolvedSubmission>,
     ) {
         engine.set_quota_limit(route, self.account.limit());
-        for Settled {
+        for ResolvedSubmission {
             submission,
             outcome,
         } in settled
@@ -551,10 +553,12 @@
     fn refuse_service(self) {
         match self {
             WaitingSubmission::Job(job) => {
-                let _ = job.answer.send(Answered::without_end(Submitted::NotSure));
+                let _ = job
+                    .answer
+                    .send(Answered::without_end(SubmitOutcome::NotSure));
             }
             WaitingSubmission::Offer(offer) => {
-                let _ = offer.answer.send(Offered::NotSure);
+                let _ = offer.answer.send(OfferOutcome::NotSure);
             }
         }
     }
@@ -571,7 +575,7 @@
         let answered = match outcome {
             QuotaOutcome::Fits => submit_now(engine, now_ms, waiting, try_id, job),
             QuotaOutcome::OverQuota => Answered::without_end(engine.refuse(now_ms, try_id, &job)),
-            QuotaOutcome::Unsure => Answered::without_end(Submitted::NotSure),
+            QuotaOutcome::Unsure => Answered::without_end(SubmitOutcome::NotSure),
         };
         let _ = answer.send(answered);
     }
@@ -587,7 +591,7 @@
         let offered = match outcome {
             QuotaOutcome::Fits => engine.offer(now_ms, self.try_id, &offer),
             QuotaOutcome::OverQuota => engine.refuse_offer(now_ms, self.try_id, &offer),
-            QuotaOutcome::Unsure => Offered::NotSure,
+            QuotaOutcome::Unsure => OfferOutcome::NotSure,
         };
         let _ = self.answer.send(offered);
     }
--- a/alderhollow/src/store/group_quota/tests.rs
+++ b/alderhollow/src/store/group_quota/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use alderhollow_batch::api::Output;
 use alderhollow_batch::job::{Item, ItemRequest, JobId};
-use alderhollow_batch::quota::account::{REFUSAL_PAUSE_MS, SUBMISSION_PATIENCE_MS};
+use alderhollow_batch::quota::account::{REFUSAL_PAUSE_MS, SUBMISSION_TIMEOUT_MS};
 use alderhollow_batch::quota::Decision;
 use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::{BatchGroup, GroupMember};
@@ -60,7 +60,7 @@
         }
         for output in outputs {
             if let Output::Write { ticket, .. } = output {
-                engine.written(0, ticket);
+                engine.on_written(0, ticket);
             }
         }
     }
@@ -138,7 +138,7 @@
     set_max(&quota, &mut engine, 0, MAX);
     let mut queued = Vec::new();
     for id in 0..1_000 {
-        queued.extend(quota.queue(0, TryId(id as u64), job(id, BODY_BYTES)));
+        queued.extend(quota.queue(0, SubmissionAttemptId(id as u64), job(id, BODY_BYTES)));
     }
     assert!(
         queued.len() * BODY_BYTES < WAITING_BYTES + BODY_BYTES,
@@ -153,7 +153,7 @@
     quota.withdraw(ROUTE, queued[0].id);
     assert!(
         quota
-            .queue(0, TryId(9_999), job(9_999, BODY_BYTES))
+            .queue(0, SubmissionAttemptId(9_999), job(9_999, BODY_BYTES))
             .is_some(),
         "one has left"
     );
@@ -167,7 +167,7 @@
     set_max(&quota, &mut engine, 0, MAX);
     let mut jobs = Vec::new();
     for id in 0..8 {
-        jobs.extend(quota.queue(0, TryId(id as u64), job(id, BODY_BYTES)));
+        jobs.extend(quota.queue(0, SubmissionAttemptId(id as u64), job(id, BODY_BYTES)));
     }
     assert_eq!(jobs.len(), 8, "some room is left");
     let mut offers = Vec::new();
@@ -178,7 +178,7 @@
             route: ROUTE,
             tokens: 10,
         };
-        offers.extend(quota.queue_offer(0, TryId(100 + id), &offer));
+        offers.extend(quota.queue_offer(0, SubmissionAttemptId(100 + id), &offer));
     }
     assert!(
         offers.len() >= 100,
@@ -194,7 +194,9 @@
         tokens: 10,
     };
     assert!(
-        quota.queue_offer(0, TryId(1), &offer).is_some(),
+        quota
+            .queue_offer(0, SubmissionAttemptId(1), &offer)
+            .is_some(),
         "one has left"
     );
 }
@@ -204,10 +206,10 @@
     engine: Engine,
     quota: GroupQuota,
     report: QuotaReport,
-    answer: oneshot::Receiver<Offered>,
+    answer: oneshot::Receiver<OfferOutcome>,
 }
 
-const OFFER_TRY: TryId = TryId(5);
+const OFFER_TRY: SubmissionAttemptId = SubmissionAttemptId(5);
 
 fn on_offer(tokens: u64, check: impl FnOnce(&JobOffer)) {
     check(&JobOffer {
@@ -226,7 +228,7 @@
         set_max(&quota, &mut engine, 0, MAX);
         let mut queued = None;
         on_offer(tokens, |offer| {
-            assert_eq!(engine.offer(0, OFFER_TRY, offer), Offered::BeyondLimit);
+            assert_eq!(engine.offer(0, OFFER_TRY, offer), OfferOutcome::BeyondLimit);
             queued = quota.queue_offer(0, OFFER_TRY, offer);
         });
         let report = quota
@@ -247,7 +249,7 @@
     fn grant(&mut self, now_ms: u64, limit: u64, room: u64) {
         let decision = Decision::Counted {
             limit,
-            room,
+            available: room,
             is_contended: false,
         };
         let (coordinator, report) = (self.report.coordinator, self.report.id);
@@ -266,7 +268,7 @@
 fn an_offer_that_fits_the_grant_is_welcome_and_takes_no_room() {
     let mut line = OfferInLine::new(10);
     line.grant(10, 10, 10);
-    assert_eq!(line.answer.try_recv(), Ok(Offered::Welcome));
+    assert_eq!(line.answer.try_recv(), Ok(OfferOutcome::Welcome));
     assert_eq!(line.engine.waiting_tokens(ROUTE), 0);
     let answered = submit_now(
         &mut line.engine,
@@ -276,7 +278,7 @@
         job(1, 10),
     );
     assert!(
-        matches!(answered.submitted, Submitted::Pending(_)),
+        matches!(answered.submitted, SubmitOutcome::Pending(_)),
         "{answered:?}"
     );
 }
@@ -285,11 +287,11 @@
 fn an_offer_over_the_routes_limit_is_refused_and_its_try_with_it() {
     let mut line = OfferInLine::new(10);
     line.grant(REFUSAL_PAUSE_MS, 0, 0);
-    assert_eq!(line.answer.try_recv(), Ok(Offered::OverQuota));
+    assert_eq!(line.answer.try_recv(), Ok(OfferOutcome::OverQuota));
     on_offer(10, |offer| {
         assert_eq!(
             line.engine.offer(REFUSAL_PAUSE_MS, OFFER_TRY, offer),
-            Offered::OverQuota
+            OfferOutcome::OverQuota
         );
     });
     let late = submit_now(
@@ -301,7 +303,7 @@
     );
     assert_eq!(
         late.submitted,
-        Submitted::OverQuota,
+        SubmitOutcome::OverQuota,
         "a late copy of a refused try"
     );
 }
@@ -309,15 +311,12 @@
 #[test]
 fn an_offer_without_an_answer_in_time_or_of_an_ended_session_is_unsure() {
     let mut line = OfferInLine::new(10);
-    line.quota.drive(
-        SUBMISSION_PATIENCE_MS,
-        &mut line.engine,
-        &Waiting::default(),
-    );
-    assert_eq!(line.answer.try_recv(), Ok(Offered::NotSure));
+    line.quota
+        .drive(SUBMISSION_TIMEOUT_MS, &mut line.engine, &Waiting::default());
+    assert_eq!(line.answer.try_recv(), Ok(OfferOutcome::NotSure));
     assert!(!line.quota.has_waiting());
 
     let mut line = OfferInLine::new(10);
     line.quota.end_session();
-    assert_eq!(line.answer.try_recv(), Ok(Offered::NotSure));
+    assert_eq!(line.answer.try_recv(), Ok(OfferOutcome::NotSure));
 }
--- a/alderhollow/src/store/journal_records/tests.rs
+++ b/alderhollow/src/store/journal_records/tests.rs
@@ -146,7 +146,7 @@
     assert_eq!(
         states
             .values()
-            .map(|state| state.marks.active_epoch)
+            .map(|state| state.progress.active_epoch)
             .collect::<Vec<_>>(),
         [0, 0, 9]
     );
--- a/alderhollow/src/store/node.rs
+++ b/alderhollow/src/store/node.rs
@@ -233,7 +233,7 @@
         for group in &due {
             self.with_group(group, |engine, now_ms| {
                 engine.set_disk_ready(disk_ready);
-                engine.tick(now_ms);
+                engine.on_timer(now_ms);
             });
             self.drive_quota(group);
             group.waiting.sweep();
@@ -350,7 +350,7 @@
         };
         self.check_groups_of_jobs(&notice);
         self.with_group(&group, |engine, now_ms| {
-            engine.receive(now_ms, notice.from, notice.message);
+            engine.on_message(now_ms, notice.from, notice.message);
         });
     }
 
@@ -550,7 +550,7 @@
         };
         group.note_written(written.ticket);
         self.0.with_group(&group, |engine, now_ms| {
-            engine.written(now_ms, written.ticket);
+            engine.on_written(now_ms, written.ticket);
         });
     }
 }
--- a/alderhollow/src/store/quota_exchange.rs
+++ b/alderhollow/src/store/quota_exchange.rs
@@ -5,16 +5,16 @@
 use super::node::StoreNode;
 use crate::batch_protocol::{StoreAnswer, StoreCall, StoreReply};
 use crate::internal::ServiceId;
-use alderhollow_batch::api::{JobOffer, Offered, Submitted, TryId};
+use alderhollow_batch::api::{JobOffer, OfferOutcome, SubmissionAttemptId, SubmitOutcome};
 use alderhollow_batch::job::NewJob;
-use alderhollow_batch::quota::account::ANSWER_PATIENCE_MS;
+use alderhollow_batch::quota::account::ANSWER_TIMEOUT_MS;
 use alderhollow_batch::quota::{QuotaGrant, QuotaReport, SubmissionId};
 use alderhollow_model::snapshot::GroupMember;
 use std::rc::Rc;
 use std::time::Duration;
 
 /// A report that has no answer for so long is lost.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(ANSWER_PATIENCE_MS);
+const ANSWER_PATIENCE: Duration = Duration::from_millis(ANSWER_TIMEOUT_MS);
 
 /// Takes a submission out of the line when its client goes.
 struct InLine<'a> {
@@ -54,11 +54,11 @@
     pub(super) async fn submit_with_room(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
-        try_id: TryId,
+        try_id: SubmissionAttemptId,
         job: NewJob,
     ) -> Answered {
         let unsure = Answered {
-            submitted: Submitted::NotSure,
+            submitted: SubmitOutcome::NotSure,
             end: None,
         };
         let route = job.route.clone();
@@ -79,15 +79,15 @@
     pub(super) async fn offer_with_room(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
-        try_id: TryId,
+        try_id: SubmissionAttemptId,
         offer: &JobOffer<'_>,
-    ) -> Offered {
+    ) -> OfferOutcome {
         if self.shares_quota() {
             self.drive_quota(group);
         }
         let offered = self.with_group(group, |engine, now_ms| engine.offer(now_ms, try_id, offer));
         match offered {
-            Offered::BeyondLimit => self.await_room_for_offer(group, try_id, offer).await,
+            OfferOutcome::BeyondLimit => self.await_room_for_offer(group, try_id, offer).await,
             _ => offered,
         }
     }
@@ -96,11 +96,11 @@
     async fn await_room_for_offer(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
-        try_id: TryId,
+        try_id: SubmissionAttemptId,
         offer: &JobOffer<'_>,
-    ) -> Offered {
+    ) -> OfferOutcome {
         let Some(queued) = group.quota.queue_offer(self.clock.now_ms(), try_id, offer) else {
-            return Offered::NotSure;
+            return OfferOutcome::NotSure;
         };
         let _in_line = InLine {
             group,
@@ -108,7 +108,7 @@
             id: queued.id,
         };
         self.drive_quota(group);
-        queued.answer.await.unwrap_or(Offered::NotSure)
+        queued.answer.await.unwrap_or(OfferOutcome::NotSure)
     }
 
     /// Opens a group's accounts, settles what waits at them and sends the reports that are due.
--- a/alderhollow/src/store/replication.rs
+++ b/alderhollow/src/store/replication.rs
@@ -34,7 +34,7 @@
     };
     entries.iter().filter_map(|entry| match entry {
         Entry::JobAccepted(job) => Some(&job.id),
-        Entry::WholeJob(job) => Some(&job.accepted.id),
+        Entry::FullJob(job) => Some(&job.accepted.id),
         _ => None,
     })
 }
--- a/alderhollow/tests/executor.rs
+++ b/alderhollow/tests/executor.rs
@@ -73,7 +73,7 @@
             body: b"body\x00\xff".to_vec(),
         },
         due_ms: 10_000,
-        given_up_ms: 40_000,
+        abandon_at_ms: 40_000,
         resume,
     }
 }
@@ -129,7 +129,7 @@
             .collect();
         let setup = setup(script).await;
         for cut in 0..=length {
-            let RunEnd::Cut { resume, .. } = setup.executor.run(&item(None)).await else {
+            let RunEnd::Interrupted { resume, .. } = setup.executor.run(&item(None)).await else {
                 panic!("cut at {cut}: not noticed")
             };
             let end = setup.executor.run(&item(resume.clone())).await;
@@ -162,7 +162,7 @@
             Reply::Reset,
         ])
         .await;
-        let RunEnd::Cut {
+        let RunEnd::Interrupted {
             resume: Some(resume),
             ..
         } = setup.executor.run(&item(None)).await
@@ -172,7 +172,10 @@
         assert_eq!((resume.last_event_id, resume.text), (4, whole_text()));
         for _ in 0..3 {
             let end = setup.executor.run(&item(None)).await;
-            assert!(matches!(end, RunEnd::Cut { resume: None, .. }), "{end:?}");
+            assert!(
+                matches!(end, RunEnd::Interrupted { resume: None, .. }),
+                "{end:?}"
+            );
         }
     });
 }
@@ -185,7 +188,8 @@
             last_event_id: 2,
             text: "one\n".to_string(),
         });
-        let RunEnd::Cut { resume: kept, .. } = setup.executor.run(&item(resume.clone())).await
+        let RunEnd::Interrupted { resume: kept, .. } =
+            setup.executor.run(&item(resume.clone())).await
         else {
             panic!()
         };
@@ -207,7 +211,7 @@
                 matches!(end, RunEnd::NotRun { .. })
             }),
             (Reply::Status(418), |end| {
-                matches!(end, RunEnd::Cut { resume: None, .. })
+                matches!(end, RunEnd::Interrupted { resume: None, .. })
             }),
         ];
         for (reply, is_expected) in cases {
--- a/batch/src/api.rs
+++ b/batch/src/api.rs
@@ -11,7 +11,7 @@
 /// Names one try of a client as a gateway took it, drawn at random by the gateway. When the gateway asks again after an unknown
 /// end it gives the same one: once a try was refused as over quota, no late copy of it is accepted.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct TryId(pub u64);
+pub struct SubmissionAttemptId(pub u64);
 
 /// Names one run of an item at a backend, within one life of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -70,13 +70,13 @@
     /// It is on every member's disk: 202 or 200.
     Committed,
     /// It can't be known here: the caller must hand it in again at the primary in place. Only [`Outcome::Committed`],
-    /// [`Submitted::AlreadyAccepted`] or [`Submitted::OverQuota`] settles it then; no other answer allows 429 or 503.
+    /// [`SubmitOutcome::AlreadyAccepted`] or [`SubmitOutcome::OverQuota`] settles it then; no other answer allows 429 or 503.
     Unknown,
 }
 
 /// Answer to a job handed in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Submitted {
+pub enum SubmitOutcome {
     /// Under way; [`Output::Resolved`] tells its end. The same job handed in again gets the same token.
     Pending(Token),
     /// It was accepted before: 202.
@@ -106,7 +106,7 @@
 
 /// Answer to a job that is offered before it is handed in.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Offered {
+pub enum OfferOutcome {
     /// It would be taken now.
     Welcome,
     /// It doesn't fit this group's limit; the route's coordinator has to be asked.
@@ -123,7 +123,7 @@
 
 /// Answer to a read.
 #[derive(Debug, Clone, PartialEq)]
-pub enum ReadAnswer<'a> {
+pub enum ReadOutcome<'a> {
     /// The results from the position asked for.
     Results {
         /// Items in the job.
@@ -156,7 +156,7 @@
 
 /// Answer to a question for an item's body.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum BodyAnswer<'a> {
+pub enum BodyOutcome<'a> {
     /// The decoded body.
     Body(&'a [u8]),
     /// No such job or item, or the item is listed, or the job has ended: 404.
@@ -169,7 +169,7 @@
 
 /// Answer to the end of a job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum EndAnswer {
+pub enum EndOutcome {
     /// Under way; [`Output::Resolved`] tells its end.
     Pending(Token),
     /// It has ended before: 200.
@@ -204,7 +204,7 @@
     /// When its results are due, on the steady clock; it may be past.
     pub due_ms: i64,
     /// When it is given up, on the steady clock.
-    pub given_up_ms: i64,
+    pub abandon_at_ms: i64,
     /// Where an earlier run was cut; `None` to start from the first event.
     pub resume: Option<Resume>,
 }
@@ -236,7 +236,7 @@
         retry_after_ms: u64,
     },
     /// The stream broke off, or it can't be told whether the backend ran it.
-    Cut {
+    Interrupted {
         /// How far it got; `None` if there was no whole event.
         resume: Option<Resume>,
         /// How long to wait before the next try.
--- a/batch/src/congestion.rs
+++ b/batch/src/congestion.rs
@@ -7,9 +7,9 @@
 //! items, or bytes.
 
 /// Part of the window that a prompt round adds: one n-th.
-const GROWTH_PART: usize = 8;
+const GROWTH_DIVISOR: usize = 8;
 /// Part of what is in flight that a late round takes away: one n-th.
-const CUT_PART: usize = 4;
+const SHRINK_DIVISOR: usize = 4;
 
 /// How quickly records are committed.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -24,26 +24,26 @@
 #[derive(Debug, Clone)]
 pub struct CongestionWindow {
     size: usize,
-    smallest: usize,
+    min_size: usize,
     /// How much was put in flight so far.
-    begun: u64,
+    started: u64,
     /// The round is over when so much has left.
     round_ends_at: u64,
     /// Whether something had to wait for the window in this round.
     limits: bool,
-    was_cut: bool,
+    has_shrunk: bool,
 }
 
 impl CongestionWindow {
     /// A window that starts at a size, and never shrinks below another one.
-    pub fn new(first: usize, smallest: usize) -> CongestionWindow {
+    pub fn new(first: usize, min_size: usize) -> CongestionWindow {
         CongestionWindow {
             size: first,
-            smallest,
-            begun: 0,
+            min_size,
+            started: 0,
             round_ends_at: 0,
             limits: false,
-            was_cut: false,
+            has_shrunk: false,
         }
     }
 
@@ -53,49 +53,49 @@
     }
 
     /// Whether commits were ever late: only then does the size say something about the link.
-    pub fn was_cut(&self) -> bool {
-        self.was_cut
+    pub fn has_shrunk(&self) -> bool {
+        self.has_shrunk
     }
 
-    /// How much may be begun while so much is in flight.
-    pub fn room(&self, in_flight: usize) -> usize {
+    /// How much may be started while so much is in flight.
+    pub fn available(&self, in_flight: usize) -> usize {
         self.size.saturating_sub(in_flight)
     }
 
     /// So much was put in flight.
-    pub fn note_begun(&mut self, amount: usize) {
-        self.begun += amount as u64;
+    pub fn record_started(&mut self, amount: usize) {
+        self.started += amount as u64;
     }
 
     /// Something had to wait for the window.
-    pub fn note_limit(&mut self) {
+    pub fn record_limited(&mut self) {
         self.limits = true;
     }
 
     /// Adapts the window, if its round is over.
     pub fn adapt(&mut self, pace: CommitPace, in_flight: usize) {
-        let left = self.begun.saturating_sub(in_flight as u64);
+        let left = self.started.saturating_sub(in_flight as u64);
         if left < self.round_ends_at {
             return;
         }
         match pace {
-            CommitPace::Late => self.cut(in_flight),
+            CommitPace::Late => self.shrink(in_flight),
             CommitPace::Prompt if self.limits => self.grow(),
             CommitPace::Prompt => return,
         }
         self.limits = false;
-        self.round_ends_at = self.begun + 1;
+        self.round_ends_at = self.started + 1;
     }
 
     /// Commits are late.
-    fn cut(&mut self, in_flight: usize) {
+    fn shrink(&mut self, in_flight: usize) {
         let base = self.size.min(in_flight);
-        self.size = (base - base / CUT_PART).max(self.smallest);
-        self.was_cut = true;
+        self.size = (base - base / SHRINK_DIVISOR).max(self.min_size);
+        self.has_shrunk = true;
     }
 
     /// Commits were prompt with a full window.
     fn grow(&mut self) {
-        self.size = self.size.saturating_add(self.size / GROWTH_PART);
+        self.size = self.size.saturating_add(self.size / GROWTH_DIVISOR);
     }
 }
--- a/batch/src/counts.rs
+++ b/batch/src/counts.rs
@@ -10,7 +10,7 @@
     /// Comparisons of all jobs with another store that were begun.
     pub comparisons: u64,
     /// Streams to stores that held back too many records.
-    pub streams_given_up: u64,
+    pub streams_abandoned: u64,
 }
 
 impl Add for ReplicationCounts {
@@ -20,7 +20,7 @@
         ReplicationCounts {
             retries: self.retries + other.retries,
             comparisons: self.comparisons + other.comparisons,
-            streams_given_up: self.streams_given_up + other.streams_given_up,
+            streams_abandoned: self.streams_abandoned + other.streams_abandoned,
         }
     }
 }
@@ -32,9 +32,9 @@
         ReplicationCounts {
             retries: self.retries.saturating_sub(earlier.retries),
             comparisons: self.comparisons.saturating_sub(earlier.comparisons),
-            streams_given_up: self
-                .streams_given_up
-                .saturating_sub(earlier.streams_given_up),
+            streams_abandoned: self
+                .streams_abandoned
+                .saturating_sub(earlier.streams_abandoned),
         }
     }
 }
--- a/batch/src/engine.rs
+++ b/batch/src/engine.rs
@@ -6,14 +6,14 @@
 mod overload;
 mod runs;
 
-use crate::api::{GroupStatus, Output, RouteTerms, Token, TryId, WriteTicket};
+use crate::api::{GroupStatus, Output, RouteTerms, SubmissionAttemptId, Token, WriteTicket};
 use crate::counts::EngineCounts;
 use crate::group::{Changes, GroupNode};
 use crate::job::JobId;
-use crate::ledger::Ledger;
 use crate::message::Message;
 use crate::records::{DecodeError, SessionId};
 use crate::state::State;
+use crate::token_counts::TokenCounts;
 use crate::work::WorkQueue;
 use alderhollow_model::identity::DiskId;
 use alderhollow_model::snapshot::BatchGroup;
@@ -39,7 +39,7 @@
     routes: BTreeMap<String, RouteTerms>,
     /// Limits that stand in for those of the routes' terms, by route.
     quota_limits: BTreeMap<String, u64>,
-    ledger: Ledger,
+    token_counts: TokenCounts,
     work: WorkQueue,
     /// What is committed of each job; kept only by an active primary.
     views: HashMap<JobId, JobView>,
@@ -54,7 +54,7 @@
     windows: Windows,
     newest_token: u64,
     /// Tries that were refused as over quota, and until when that is remembered.
-    refused: BTreeMap<TryId, u64>,
+    refused: BTreeMap<SubmissionAttemptId, u64>,
     next_sweep_ms: u64,
     outputs: Vec<Output>,
     items_listed: u64,
@@ -82,7 +82,7 @@
             config_version: 0,
             routes: BTreeMap::new(),
             quota_limits: BTreeMap::new(),
-            ledger: Ledger::default(),
+            token_counts: TokenCounts::default(),
             work: WorkQueue::default(),
             views: HashMap::new(),
             commits: VecDeque::new(),
@@ -102,7 +102,7 @@
     pub fn set_group(&mut self, now_ms: u64, group: Arc<BatchGroup>) {
         self.now_ms = now_ms;
         let changes = self.node.set_group(group);
-        self.take_changes(changes);
+        self.apply_changes(changes);
     }
 
     /// The core validates this store's epoch until this moment, counted from before it was asked.
@@ -146,21 +146,21 @@
     }
 
     /// A message of another store.
-    pub fn receive(&mut self, now_ms: u64, from: DiskId, message: Message) {
+    pub fn on_message(&mut self, now_ms: u64, from: DiskId, message: Message) {
         self.now_ms = now_ms;
-        let changes = self.node.receive(now_ms, from, message);
-        self.take_changes(changes);
+        let changes = self.node.on_message(now_ms, from, message);
+        self.apply_changes(changes);
     }
 
     /// All writes up to this one are on disk.
-    pub fn written(&mut self, now_ms: u64, ticket: WriteTicket) {
+    pub fn on_written(&mut self, now_ms: u64, ticket: WriteTicket) {
         self.now_ms = now_ms;
-        let changes = self.node.written(ticket);
-        self.take_changes(changes);
+        let changes = self.node.on_written(ticket);
+        self.apply_changes(changes);
     }
 
-    /// Time has passed: call by [`Engine::next_tick_ms`].
-    pub fn tick(&mut self, now_ms: u64) {
+    /// Time has passed: call by [`Engine::next_timer_ms`].
+    pub fn on_timer(&mut self, now_ms: u64) {
         self.now_ms = now_ms;
         self.work.wake(now_ms);
         self.adapt_windows();
@@ -171,8 +171,8 @@
         }
     }
 
-    /// When [`Engine::tick`] has something to do next, if nothing else happens before.
-    pub fn next_tick_ms(&self) -> Option<u64> {
+    /// When [`Engine::on_timer`] has something to do next, if nothing else happens before.
+    pub fn next_timer_ms(&self) -> Option<u64> {
         let sweep =
             (!self.views.is_empty() || !self.refused.is_empty()).then_some(self.next_sweep_ms);
         [self.node.next_retry_ms(), self.work.next_wake_ms(), sweep]
@@ -195,7 +195,7 @@
 
     /// Tokens that wait on a route.
     pub fn waiting_tokens(&self, route: &str) -> u64 {
-        self.ledger.waiting(route)
+        self.token_counts.waiting(route)
     }
 
     /// Whether so many more tokens would be taken on a route as far as its limit goes. `false` for an unknown route.
@@ -204,8 +204,10 @@
             return false;
         };
         match self.quota_limits.get(route) {
-            Some(limit) => self.ledger.waiting(route).saturating_add(tokens) <= *limit,
-            None => self.ledger.fits(route, tokens, terms.max_queued_tokens),
+            Some(limit) => self.token_counts.waiting(route).saturating_add(tokens) <= *limit,
+            None => self
+                .token_counts
+                .fits(route, tokens, terms.max_queued_tokens),
         }
     }
 
@@ -214,7 +216,7 @@
     pub fn session(&self) -> Option<SessionId> {
         self.node
             .is_leader()
-            .then(|| self.node.state().marks.session)
+            .then(|| self.node.state().progress.session)
     }
 
     /// Tokens that may wait on a route; 0: no limit. `None` for a route that is not known.
@@ -252,14 +254,14 @@
     }
 
     /// What the replication changed.
-    fn take_changes(&mut self, changes: Changes) {
+    fn apply_changes(&mut self, changes: Changes) {
         if changes.left_leadership {
-            self.leave();
+            self.on_leadership_lost();
         }
         if changes.became_active {
-            self.take_over();
+            self.on_epoch_active();
         }
-        self.take_commits();
+        self.process_commits();
     }
 
     /// A token that was not given before.
--- a/batch/src/engine/calls.rs
+++ b/batch/src/engine/calls.rs
@@ -3,20 +3,21 @@
 use super::commits::{Change, JobView};
 use super::Engine;
 use crate::api::{
-    BodyAnswer, EndAnswer, JobOffer, ListedResult, Offered, Output, ReadAnswer, Submitted, TryId,
+    BodyOutcome, EndOutcome, JobOffer, ListedResult, OfferOutcome, Output, ReadOutcome,
+    SubmissionAttemptId, SubmitOutcome,
 };
 use crate::job::{Job, JobId, NewJob};
 use crate::records::Entry;
 use std::collections::HashSet;
 
 /// Most items of a job.
-pub(super) const MOST_ITEMS: usize = 200;
+pub(super) const MAX_ITEMS: usize = 200;
 /// Longest id of a job or an item.
-pub(super) const LONGEST_ID: usize = 256;
+pub(super) const MAX_ID_BYTES: usize = 256;
 /// How long a refused try is remembered: longer than any copy of it can be late.
-const REFUSED_MEMORY_MS: u64 = 60_000;
+const REJECTION_RETENTION_MS: u64 = 60_000;
 /// Most refused tries that are remembered.
-const REFUSED_TRIES: usize = 20_000;
+const MAX_REJECTED_ATTEMPTS: usize = 20_000;
 /// Bytes of a result in JSON beside its id and text.
 const RESULT_JSON_BYTES: usize = 48;
 
@@ -24,122 +25,144 @@
     /// A client hands in a job, at a try that the gateway has named.
     ///
     /// The same job is told by its id alone. Under a limit of [`Engine::set_quota_limit`], a job that does not fit is
-    /// answered [`Submitted::NotSure`]: only the route's coordinator can tell whether it is over quota.
-    pub fn submit(&mut self, now_ms: u64, try_id: TryId, mut job: NewJob) -> Submitted {
+    /// answered [`SubmitOutcome::NotSure`]: only the route's coordinator can tell whether it is over quota.
+    pub fn submit(
+        &mut self,
+        now_ms: u64,
+        attempt_id: SubmissionAttemptId,
+        mut job: NewJob,
+    ) -> SubmitOutcome {
         self.now_ms = now_ms;
         if let Some(answer) = self.answer_before_quota(now_ms, &job) {
             return answer;
         }
-        if self.refused.contains_key(&try_id) {
-            return self.remember_refusal(try_id);
+        if self.refused.contains_key(&attempt_id) {
+            return self.remember_refusal(attempt_id);
         }
         if self.would_fit(&job.route, job.tokens()) {
             job.config_version = self.config_version;
             return self.accept(job);
         }
         if self.quota_limits.contains_key(&job.route) {
-            return Submitted::NotSure;
+            return SubmitOutcome::NotSure;
         }
-        self.remember_refusal(try_id)
+        self.remember_refusal(attempt_id)
     }
 
     /// The route's coordinator refused a job that a client handed in: it is answered as over quota and the try is
     /// remembered, unless the job has become known in the meantime or this store is not sure any more.
-    pub fn refuse(&mut self, now_ms: u64, try_id: TryId, job: &NewJob) -> Submitted {
+    pub fn refuse(
+        &mut self,
+        now_ms: u64,
+        attempt_id: SubmissionAttemptId,
+        job: &NewJob,
+    ) -> SubmitOutcome {
         self.now_ms = now_ms;
         match self.answer_before_quota(now_ms, job) {
             Some(answer) => answer,
-            None => self.remember_refusal(try_id),
+            None => self.remember_refusal(attempt_id),
         }
     }
 
     /// The answer to a job that does not depend on the tokens that wait, if there is one.
-    fn answer_before_quota(&self, now_ms: u64, job: &NewJob) -> Option<Submitted> {
+    fn answer_before_quota(&self, now_ms: u64, job: &NewJob) -> Option<SubmitOutcome> {
         if !self.node.is_leader() {
-            return Some(Submitted::NotPrimary);
+            return Some(SubmitOutcome::NotPrimary);
         }
         if let Some(view) = self.views.get(&job.id) {
             return Some(
                 view.accept_token
-                    .map_or(Submitted::AlreadyAccepted, Submitted::Pending),
+                    .map_or(SubmitOutcome::AlreadyAccepted, SubmitOutcome::Pending),
             );
         }
         if !is_valid(job) {
-            return Some(Submitted::Invalid);
+            return Some(SubmitOutcome::Invalid);
         }
-        (!self.may_decide(now_ms, &job.route)).then_some(Submitted::NotSure)
+        (!self.may_decide(now_ms, &job.route)).then_some(SubmitOutcome::NotSure)
     }
 
     /// Whether a job of a route can be taken or refused now.
     fn may_decide(&self, now_ms: u64, route: &str) -> bool {
-        let may_accept =
-            self.disk_ready && !self.is_overloaded(now_ms) && self.refused.len() < REFUSED_TRIES;
+        let may_accept = self.disk_ready
+            && !self.is_overloaded(now_ms)
+            && self.refused.len() < MAX_REJECTED_ATTEMPTS;
         self.is_sure(now_ms) && may_accept && self.routes.contains_key(route)
     }
 
     /// A gateway asks whether a job would be taken, before it sends the job itself, which is large. An offer without tokens
     /// asks only whether the job is known: it is never refused for want of room, so that nothing is remembered of it.
-    pub fn offer(&mut self, now_ms: u64, try_id: TryId, offer: &JobOffer) -> Offered {
+    pub fn offer(
+        &mut self,
+        now_ms: u64,
+        attempt_id: SubmissionAttemptId,
+        offer: &JobOffer,
+    ) -> OfferOutcome {
         self.now_ms = now_ms;
         if let Some(answer) = self.answer_offer_before_quota(offer) {
             return answer;
         }
-        if self.refused.contains_key(&try_id) {
-            self.remember_refusal(try_id);
-            return Offered::OverQuota;
+        if self.refused.contains_key(&attempt_id) {
+            self.remember_refusal(attempt_id);
+            return OfferOutcome::OverQuota;
         }
         if offer.tokens == 0 || self.would_fit(offer.route, offer.tokens) {
-            return Offered::Welcome;
+            return OfferOutcome::Welcome;
         }
         if self.quota_limits.contains_key(offer.route) {
-            return Offered::BeyondLimit;
+            return OfferOutcome::BeyondLimit;
         }
-        self.remember_refusal(try_id);
-        Offered::OverQuota
+        self.remember_refusal(attempt_id);
+        OfferOutcome::OverQuota
     }
 
     /// The route's coordinator refused a job that was offered; as [`Engine::refuse`].
-    pub fn refuse_offer(&mut self, now_ms: u64, try_id: TryId, offer: &JobOffer) -> Offered {
+    pub fn refuse_offer(
+        &mut self,
+        now_ms: u64,
+        attempt_id: SubmissionAttemptId,
+        offer: &JobOffer,
+    ) -> OfferOutcome {
         self.now_ms = now_ms;
         if let Some(answer) = self.answer_offer_before_quota(offer) {
             return answer;
         }
-        self.remember_refusal(try_id);
-        Offered::OverQuota
+        self.remember_refusal(attempt_id);
+        OfferOutcome::OverQuota
     }
 
     /// The answer to an offer that does not depend on the tokens that wait, if there is one.
-    fn answer_offer_before_quota(&self, offer: &JobOffer) -> Option<Offered> {
+    fn answer_offer_before_quota(&self, offer: &JobOffer) -> Option<OfferOutcome> {
         if !self.node.is_leader() {
-            return Some(Offered::NotPrimary);
+            return Some(OfferOutcome::NotPrimary);
         }
         if let Some(view) = self.views.get(offer.id) {
             let is_accepted = view.accept_token.is_none();
             return Some(if is_accepted {
-                Offered::AlreadyAccepted
+                OfferOutcome::AlreadyAccepted
             } else {
-                Offered::NotSure
+                OfferOutcome::NotSure
             });
         }
-        (!self.may_decide(self.now_ms, offer.route)).then_some(Offered::NotSure)
+        (!self.may_decide(self.now_ms, offer.route)).then_some(OfferOutcome::NotSure)
     }
 
     /// A try was refused: no late copy of it is accepted.
-    fn remember_refusal(&mut self, try_id: TryId) -> Submitted {
-        self.refused.insert(try_id, self.now_ms + REFUSED_MEMORY_MS);
-        Submitted::OverQuota
+    fn remember_refusal(&mut self, attempt_id: SubmissionAttemptId) -> SubmitOutcome {
+        self.refused
+            .insert(attempt_id, self.now_ms + REJECTION_RETENTION_MS);
+        SubmitOutcome::OverQuota
     }
 
     /// Takes a job that fits.
-    fn accept(&mut self, job: NewJob) -> Submitted {
+    fn accept(&mut self, job: NewJob) -> SubmitOutcome {
         let id = job.id.clone();
         let entry = Entry::JobAccepted(job);
         let bytes = entry.approximate_bytes();
         let Some(index) = self.node.append(self.now_ms, entry) else {
-            return Submitted::NotSure;
+            return SubmitOutcome::NotSure;
         };
         if let Some(job) = self.node.state().jobs.get(&id) {
-            self.ledger.add(job);
+            self.token_counts.add(job);
         }
         let token = self.new_token();
         self.views.insert(
@@ -149,31 +172,31 @@
                 ..JobView::default()
             },
         );
-        self.note_job_taken(bytes);
+        self.record_job_accepted(bytes);
         self.await_commit(index, id, Change::Accepted { bytes });
-        Submitted::Pending(token)
+        SubmitOutcome::Pending(token)
     }
 
     /// A client reads results from a position on; at most `max_bytes` of JSON, or one result.
-    pub fn read(&self, now_ms: u64, job: &JobId, after: u32, max_bytes: usize) -> ReadAnswer<'_> {
+    pub fn read(&self, now_ms: u64, job: &JobId, after: u32, max_bytes: usize) -> ReadOutcome<'_> {
         if !self.node.is_leader() {
-            return ReadAnswer::NotPrimary;
+            return ReadOutcome::NotPrimary;
         }
         let Some((view, job)) = self.accepted(job) else {
             let unknown = self.is_sure(now_ms) && !self.views.contains_key(job);
             return if unknown {
-                ReadAnswer::NotFound
+                ReadOutcome::NotFound
             } else {
-                ReadAnswer::NotSure
+                ReadOutcome::NotSure
             };
         };
         if after >= view.visible && !self.is_sure(now_ms) {
-            return ReadAnswer::NotSure;
+            return ReadOutcome::NotSure;
         }
         let results = listed(view, job, after, max_bytes);
         let total = job.accepted.items.len() as u32;
         let next = after.saturating_add(results.len() as u32);
-        ReadAnswer::Results {
+        ReadOutcome::Results {
             total,
             next,
             results,
@@ -182,49 +205,49 @@
     }
 
     /// A client asks for the body of an item.
-    pub fn body(&self, now_ms: u64, job: &JobId, item_id: &str) -> BodyAnswer<'_> {
+    pub fn body(&self, now_ms: u64, job: &JobId, item_id: &str) -> BodyOutcome<'_> {
         if !self.node.is_leader() {
-            return BodyAnswer::NotPrimary;
+            return BodyOutcome::NotPrimary;
         }
         let Some((_, job)) = self.accepted(job) else {
             let unknown = self.is_sure(now_ms) && !self.views.contains_key(job);
             return if unknown {
-                BodyAnswer::NotFound
+                BodyOutcome::NotFound
             } else {
-                BodyAnswer::NotSure
+                BodyOutcome::NotSure
             };
         };
         let item = job.accepted.items.iter().find(|item| item.id == item_id);
         match item.and_then(|item| item.request.as_ref()) {
-            Some(request) => BodyAnswer::Body(&request.body),
-            None => BodyAnswer::NotFound,
+            Some(request) => BodyOutcome::Body(&request.body),
+            None => BodyOutcome::NotFound,
         }
     }
 
     /// A client ends a job. Nothing more of it is started from now on.
-    pub fn end(&mut self, now_ms: u64, job: &JobId) -> EndAnswer {
+    pub fn end(&mut self, now_ms: u64, job: &JobId) -> EndOutcome {
         self.now_ms = now_ms;
         if !self.node.is_leader() {
-            return EndAnswer::NotPrimary;
+            return EndOutcome::NotPrimary;
         }
         let Some(view) = self.views.get(job) else {
             return if self.is_sure(now_ms) {
-                EndAnswer::NotFound
+                EndOutcome::NotFound
             } else {
-                EndAnswer::NotSure
+                EndOutcome::NotSure
             };
         };
         if view.ended {
-            return EndAnswer::AlreadyEnded;
+            return EndOutcome::AlreadyEnded;
         }
         if let Some(token) = view.end_token {
-            return EndAnswer::Pending(token);
+            return EndOutcome::Pending(token);
         }
         let entry = Entry::JobEnded(job.clone());
         let Some(index) = self.node.append(now_ms, entry) else {
-            return EndAnswer::NotSure;
+            return EndOutcome::NotSure;
         };
-        self.ledger.remove(job);
+        self.token_counts.remove(job);
         let runs = self.work.close(job);
         self.outputs.extend(runs.into_iter().map(Output::CancelRun));
         let token = self.new_token();
@@ -232,7 +255,7 @@
             view.end_token = Some(token);
         }
         self.await_commit(index, job.clone(), Change::Ended);
-        EndAnswer::Pending(token)
+        EndOutcome::Pending(token)
     }
 
     /// A job whose acceptance is committed.
@@ -246,12 +269,12 @@
 fn is_valid(job: &NewJob) -> bool {
     let count = job.items.len();
     let ids: HashSet<&str> = job.items.iter().map(|item| item.id.as_str()).collect();
-    let is_id = |id: &str| !id.is_empty() && id.len() <= LONGEST_ID;
+    let is_id = |id: &str| !id.is_empty() && id.len() <= MAX_ID_BYTES;
     let items_valid = job
         .items
         .iter()
         .all(|item| is_id(&item.id) && item.request.is_some());
-    is_id(&job.id.0) && (1..=MOST_ITEMS).contains(&count) && ids.len() == count && items_valid
+    is_id(&job.id.0) && (1..=MAX_ITEMS).contains(&count) && ids.len() == count && items_valid
 }
 
 /// The readable results of a job from a position on, up to a size in JSON.
--- a/batch/src/engine/commits.rs
+++ b/batch/src/engine/commits.rs
@@ -67,7 +67,7 @@
 
 impl Engine {
     /// The epoch has become active: all that this store holds is on every member's disk.
-    pub(super) fn take_over(&mut self) {
+    pub(super) fn on_epoch_active(&mut self) {
         let unknown = self
             .node
             .state()
@@ -80,14 +80,14 @@
                 continue;
             };
             self.views.insert(id.clone(), JobView::of_committed(job));
-            self.ledger.add(job);
+            self.token_counts.add(job);
             self.open_work(&id);
         }
         self.next_sweep_ms = self.now_ms;
     }
 
     /// This store is no longer the primary.
-    pub(super) fn leave(&mut self) {
+    pub(super) fn on_leadership_lost(&mut self) {
         for view in self.views.values() {
             for token in [view.accept_token, view.end_token].into_iter().flatten() {
                 self.outputs.push(Output::Resolved {
@@ -101,7 +101,7 @@
         // Held reads are to be asked for elsewhere.
         self.outputs
             .extend(self.views.drain().map(|(id, _)| Output::Readable(id)));
-        self.ledger = Default::default();
+        self.token_counts = Default::default();
         self.commits.clear();
         self.pending_bytes = 0;
         self.uncommitted_results = 0;
@@ -119,11 +119,11 @@
             change,
             appended_ms: self.now_ms,
         });
-        self.take_commits();
+        self.process_commits();
     }
 
     /// Acts on the records that have become committed.
-    pub(super) fn take_commits(&mut self) {
+    pub(super) fn process_commits(&mut self) {
         if !self.node.is_leader() {
             return;
         }
--- a/batch/src/engine/overload.rs
+++ b/batch/src/engine/overload.rs
@@ -18,16 +18,16 @@
 const PROGRESS_MS: u64 = 500;
 /// No job is taken while a record has waited for so long, whether others are committed or not. It is longer than a silent
 /// member is waited for: a job that fits is refused for no shorter silence.
-const MOST_COMMIT_WAIT_MS: u64 = 2_000;
+const MAX_COMMIT_WAIT_MS: u64 = 2_000;
 
 /// Items in flight before any commit was late: beyond what a driver runs at once, so that a calm group has no limit.
-const FIRST_ITEMS: usize = 2_048;
+const INITIAL_WINDOW_ITEMS: usize = 2_048;
 /// Items that may always be in flight: slow disks alone hold no light load up.
-const FEWEST_ITEMS: usize = 32;
+const MIN_WINDOW_ITEMS: usize = 32;
 /// Bytes of jobs that wait for the members' disks before any commit was late.
-const FIRST_JOB_BYTES: usize = 16 << 20;
+const INITIAL_WINDOW_JOB_BYTES: usize = 16 << 20;
 /// Bytes of jobs that may always wait for the members' disks.
-const FEWEST_JOB_BYTES: usize = 64 << 10;
+const MIN_WINDOW_JOB_BYTES: usize = 64 << 10;
 
 /// The windows of a primary.
 #[derive(Debug)]
@@ -41,8 +41,8 @@
 impl Default for Windows {
     fn default() -> Windows {
         Windows {
-            runs: CongestionWindow::new(FIRST_ITEMS, FEWEST_ITEMS),
-            jobs: CongestionWindow::new(FIRST_JOB_BYTES, FEWEST_JOB_BYTES),
+            runs: CongestionWindow::new(INITIAL_WINDOW_ITEMS, MIN_WINDOW_ITEMS),
+            jobs: CongestionWindow::new(INITIAL_WINDOW_JOB_BYTES, MIN_WINDOW_JOB_BYTES),
         }
     }
 }
@@ -53,15 +53,15 @@
         let wait_ms = self.commit_wait_ms(now_ms);
         let is_congested = wait_ms >= CONGESTED_MS && self.makes_progress(now_ms);
         let is_crowded = wait_ms >= LATE_FOR_JOBS_MS && self.items_wait_for_window();
-        wait_ms >= MOST_COMMIT_WAIT_MS || is_congested || is_crowded || self.is_jobs_window_full()
+        wait_ms >= MAX_COMMIT_WAIT_MS || is_congested || is_crowded || self.is_jobs_window_full()
     }
 
     /// A job was taken, which now waits for the members' disks.
-    pub(super) fn note_job_taken(&mut self, bytes: usize) {
+    pub(super) fn record_job_accepted(&mut self, bytes: usize) {
         self.pending_bytes += bytes;
-        self.windows.jobs.note_begun(bytes);
+        self.windows.jobs.record_started(bytes);
         if self.is_jobs_window_full() {
-            self.windows.jobs.note_limit();
+            self.windows.jobs.record_limited();
         }
     }
 
@@ -103,13 +103,13 @@
 
     /// Whether no further job may wait for the members' disks.
     fn is_jobs_window_full(&self) -> bool {
-        self.windows.jobs.room(self.pending_bytes) == 0
+        self.windows.jobs.available(self.pending_bytes) == 0
     }
 
     /// Whether commits have been late and more items wait for a run than the window holds.
     fn items_wait_for_window(&self) -> bool {
         let (waiting, _) = self.work.load();
-        self.windows.runs.was_cut() && waiting >= self.windows.runs.size()
+        self.windows.runs.has_shrunk() && waiting >= self.windows.runs.size()
     }
 }
 
--- a/batch/src/engine/runs.rs
+++ b/batch/src/engine/runs.rs
@@ -5,7 +5,7 @@
 use crate::api::{ItemStart, Output, Resume, RunEnd, RunId};
 use crate::job::{ItemResult, JobId, ResultState};
 use crate::records::Entry;
-use crate::work::{ItemKey, OverRun, Turn};
+use crate::work::{EndedRun, ItemKey, Turn};
 
 /// Pause after a failed attempt; it grows with each one.
 const FAILURE_PAUSE_MS: u64 = 200;
@@ -41,8 +41,8 @@
             return starts;
         }
         self.adapt_windows();
-        let room = self.windows.runs.room(self.in_flight());
-        while starts.len() < max.min(room) {
+        let available = self.windows.runs.available(self.in_flight());
+        while starts.len() < max.min(available) {
             let Some(key) = self.work.first_ready(route, now_ms).cloned() else {
                 break;
             };
@@ -52,9 +52,12 @@
                 None => drop(self.work.finish(&key)),
             }
         }
-        self.windows.runs.note_begun(starts.len());
-        if starts.len() == room && room < max && self.work.first_ready(route, now_ms).is_some() {
-            self.windows.runs.note_limit();
+        self.windows.runs.record_started(starts.len());
+        if starts.len() == available
+            && available < max
+            && self.work.first_ready(route, now_ms).is_some()
+        {
+            self.windows.runs.record_limited();
         }
         starts
     }
@@ -78,7 +81,7 @@
             due_ms: job
                 .first_sent_ms
                 .saturating_add_unsigned(terms.run_target_ms),
-            given_up_ms: job
+            abandon_at_ms: job
                 .first_sent_ms
                 .saturating_add_unsigned(terms.retention_ms),
             resume: open.resume.clone(),
@@ -88,7 +91,7 @@
     /// A run has ended. Runs that were cancelled are ignored.
     pub fn run_ended(&mut self, now_ms: u64, run: RunId, end: RunEnd) {
         self.now_ms = now_ms;
-        let Some(OverRun {
+        let Some(EndedRun {
             item: key,
             lasted_ms,
         }) = self.work.end_run(run, now_ms)
@@ -96,18 +99,18 @@
             return;
         };
         if matches!(end, RunEnd::Completed { .. }) {
-            self.work.note_completed(lasted_ms);
+            self.work.record_completed(lasted_ms);
         }
         match end {
             RunEnd::Completed { text } => self.list_one(key, ResultState::Completed, text),
             RunEnd::Rejected => self.list_one(key, ResultState::DeadLetter, String::new()),
             RunEnd::Failed => self.attempt_failed(key),
             RunEnd::NotRun { retry_after_ms } => self.work.pause(key, now_ms + retry_after_ms),
-            RunEnd::Cut {
+            RunEnd::Interrupted {
                 resume,
                 retry_after_ms,
             } => {
-                self.note_resume(&key, resume);
+                self.record_resume(&key, resume);
                 self.work.pause(key, now_ms + retry_after_ms);
             }
         }
@@ -131,7 +134,7 @@
     }
 
     /// Keeps the furthest position of an item's runs.
-    fn note_resume(&mut self, key: &ItemKey, resume: Option<Resume>) {
+    fn record_resume(&mut self, key: &ItemKey, resume: Option<Resume>) {
         let Some(item) = self.work.item_mut(key) else {
             return;
         };
@@ -159,7 +162,7 @@
                 item: result.item,
             });
             self.outputs.extend(run.map(Output::CancelRun));
-            self.ledger.finish(id, result.item);
+            self.token_counts.finish(id, result.item);
         }
         let Some(job) = self.node.state().jobs.get(id).filter(|job| !job.ended) else {
             return;
@@ -195,7 +198,7 @@
         for id in ids {
             if self.may_forget(&id) {
                 self.forget(&id);
-            } else if self.must_give_up(&id) {
+            } else if self.must_abandon(&id) {
                 let give_up = |item| ItemResult {
                     item,
                     state: ResultState::DeadLetter,
@@ -208,7 +211,7 @@
     }
 
     /// Whether a job's open items are to be given up: it is too old, or its route was removed after its acceptance.
-    fn must_give_up(&self, id: &JobId) -> bool {
+    fn must_abandon(&self, id: &JobId) -> bool {
         let Some(job) = self.node.state().jobs.get(id) else {
             return false;
         };
@@ -235,7 +238,7 @@
         self.node
             .append(self.now_ms, Entry::JobForgotten(id.clone()));
         self.views.remove(id);
-        self.ledger.remove(id);
+        self.token_counts.remove(id);
         let runs = self.work.close(id);
         self.outputs.extend(runs.into_iter().map(Output::CancelRun));
     }
--- a/batch/src/group.rs
+++ b/batch/src/group.rs
@@ -80,7 +80,7 @@
     /// A store with what its disk held.
     pub fn new(disk: DiskId, state: State) -> GroupNode {
         let known_epoch = state.newest_epoch();
-        let synced_on_disk = state.marks.synced_epoch;
+        let synced_on_disk = state.progress.synced_epoch;
         GroupNode {
             disk,
             state,
@@ -127,7 +127,7 @@
 
     /// Starts a session as the primary.
     fn lead(&mut self, group: &BatchGroup) {
-        let earlier = self.state.marks.session;
+        let earlier = self.state.progress.session;
         let session = if earlier.epoch == group.epoch {
             earlier.session + 1
         } else {
@@ -137,7 +137,7 @@
             epoch: group.epoch,
             session,
         };
-        self.state.marks.session = session;
+        self.state.progress.session = session;
         let ticket = self.writes.push(&Entry::SessionStarted(session));
         let leader = Leader::new(self.disk, group, session, ticket, self.appended);
         self.take_role(Role::Leader(Box::new(leader)));
@@ -170,7 +170,7 @@
     }
 
     /// A message of another store.
-    pub fn receive(&mut self, now_ms: u64, from: DiskId, message: Message) -> Changes {
+    pub fn on_message(&mut self, now_ms: u64, from: DiskId, message: Message) -> Changes {
         match message {
             Message::Compare {
                 stream,
@@ -215,16 +215,16 @@
                     &mut self.writes,
                 );
                 self.outbox.extend(answer.map(|answer| (from, answer)));
-                self.note_synced();
+                self.record_synced();
                 changes
             }
-            answer => self.receive_answer(now_ms, from, answer),
+            answer => self.on_answer(now_ms, from, answer),
         }
     }
 
     /// Notes which write makes it last that this store equalled the primary of an epoch.
-    fn note_synced(&mut self) {
-        let epoch = self.state.marks.synced_epoch;
+    fn record_synced(&mut self) {
+        let epoch = self.state.progress.synced_epoch;
         let noted = self.syncing.map_or(self.synced_on_disk, |(_, epoch)| epoch);
         if epoch > noted {
             self.syncing = Some((self.writes.newest_ticket(), epoch));
@@ -249,23 +249,23 @@
     }
 
     /// An answer to this store as the primary.
-    fn receive_answer(&mut self, now_ms: u64, from: DiskId, message: Message) -> Changes {
+    fn on_answer(&mut self, now_ms: u64, from: DiskId, message: Message) -> Changes {
         if let Role::Leader(leader) = &mut self.role {
-            let next = leader.receive(now_ms, from, message, &mut self.state);
+            let next = leader.on_message(now_ms, from, message, &mut self.state);
             self.outbox.extend(next.map(|next| (from, next)));
         }
         self.advance()
     }
 
     /// All writes up to this one are on disk.
-    pub fn written(&mut self, ticket: WriteTicket) -> Changes {
+    pub fn on_written(&mut self, ticket: WriteTicket) -> Changes {
         if let Some((_, epoch)) = self.syncing.filter(|(syncing, _)| *syncing <= ticket) {
             self.synced_on_disk = epoch;
             self.syncing = None;
         }
         match &mut self.role {
-            Role::Follower(follower) => self.outbox.extend(follower.written(ticket)),
-            Role::Leader(leader) => leader.written(ticket),
+            Role::Follower(follower) => self.outbox.extend(follower.on_written(ticket)),
+            Role::Leader(leader) => leader.on_written(ticket),
         }
         self.advance()
     }
@@ -279,11 +279,11 @@
         match leader.advance() {
             Advance::None => Changes::default(),
             Advance::MembersEqual => {
-                self.append_mark(Entry::Synced(epoch));
+                self.append_epoch_entry(Entry::Synced(epoch));
                 Changes::default()
             }
             Advance::BecameActive => {
-                self.append_mark(Entry::Active(epoch));
+                self.append_epoch_entry(Entry::Active(epoch));
                 Changes {
                     left_leadership: false,
                     became_active: true,
@@ -301,12 +301,12 @@
     }
 
     /// Appends a mark of the epoch.
-    fn append_mark(&mut self, mark: Entry) {
-        // Marks concern no job: the time is of no matter, and they always apply.
+    fn append_epoch_entry(&mut self, mark: Entry) {
+        // ReplicationProgress concern no job: the time is of no matter, and they always apply.
         let index = self.append(0, mark.clone());
         if let (Role::Leader(leader), Entry::Synced(_), Some(index)) = (&mut self.role, mark, index)
         {
-            leader.set_synced_mark(index);
+            leader.set_synced_entry_index(index);
         }
     }
 
--- a/batch/src/group/follower.rs
+++ b/batch/src/group/follower.rs
@@ -49,15 +49,15 @@
         writes: &mut WriteQueue,
     ) -> Message {
         let stream = request.stream;
-        if stream < state.marks.following {
+        if stream < state.progress.following {
             return Message::Refused {
                 stream,
-                known: state.marks.following,
+                known: state.progress.following,
             };
         }
-        if stream > state.marks.following {
+        if stream > state.progress.following {
             writes.push(&Entry::Following(stream));
-            state.marks.following = stream;
+            state.progress.following = stream;
             self.following = Some(Following {
                 stream,
                 primary: from,
@@ -82,10 +82,10 @@
         state: &mut State,
         writes: &mut WriteQueue,
     ) -> Option<Message> {
-        if stream < state.marks.following {
+        if stream < state.progress.following {
             return Some(Message::Refused {
                 stream,
-                known: state.marks.following,
+                known: state.progress.following,
             });
         }
         let Some(following) = self
@@ -128,7 +128,7 @@
     }
 
     /// All writes up to this one are on disk: what to tell the primary.
-    pub fn written(&mut self, ticket: WriteTicket) -> Option<(DiskId, Message)> {
+    pub fn on_written(&mut self, ticket: WriteTicket) -> Option<(DiskId, Message)> {
         let following = self.following.as_mut()?;
         let mut advanced = false;
         while let Some(unsynced) = following
@@ -203,7 +203,7 @@
     } else {
         Vec::new()
     };
-    let active_epoch = state.marks.active_epoch;
+    let active_epoch = state.progress.active_epoch;
     Message::Differences {
         stream: request.stream,
         until: request.until,
--- a/batch/src/group/leader.rs
+++ b/batch/src/group/leader.rs
@@ -46,7 +46,7 @@
     unsynced: VecDeque<Unsynced>,
     synced: u64,
     /// Index of the record which marks that all members were made equal.
-    synced_mark: Option<u64>,
+    synced_entry_index: Option<u64>,
     active: bool,
     committed: u64,
     superseded: bool,
@@ -79,7 +79,7 @@
             log: RecordLog::new(appended),
             unsynced: VecDeque::new(),
             synced: appended,
-            synced_mark: None,
+            synced_entry_index: None,
             active: false,
             committed: 0,
             superseded: false,
@@ -105,7 +105,7 @@
     }
 
     /// All writes up to this one are on disk.
-    pub fn written(&mut self, ticket: WriteTicket) {
+    pub fn on_written(&mut self, ticket: WriteTicket) {
         self.started |= ticket >= self.start_ticket;
         while let Some(unsynced) = self
             .unsynced
@@ -118,7 +118,7 @@
     }
 
     /// The answer of a store.
-    pub fn receive(
+    pub fn on_message(
         &mut self,
         now_ms: u64,
         from: DiskId,
@@ -138,7 +138,7 @@
                 if stream != peer.stream() {
                     return None;
                 }
-                if peer.is_member && active_epoch > state.marks.synced_epoch {
+                if peer.is_member && active_epoch > state.progress.synced_epoch {
                     self.behind = Some(from);
                 }
                 for age in older {
@@ -185,10 +185,10 @@
 
     /// What is to be sent now.
     pub fn messages(&mut self, now_ms: u64, state: &State) -> Vec<(DiskId, Message)> {
-        if !self.may_go_on() {
+        if !self.may_send() {
             return Vec::new();
         }
-        self.restart_laggards(now_ms);
+        self.restart_lagging_streams(now_ms);
         let mut messages = Vec::new();
         for (disk, peer) in &mut self.peers {
             if peer.stream().attempt == 0 {
@@ -207,15 +207,15 @@
     }
 
     /// Compares anew with the stores that hold back too many records.
-    fn restart_laggards(&mut self, now_ms: u64) {
+    fn restart_lagging_streams(&mut self, now_ms: u64) {
         if self.log.bytes() <= LOG_BYTES {
             return;
         }
-        let lowest = self.peers.values().map(Peer::needs_after).min();
+        let lowest = self.peers.values().map(Peer::released_index).min();
         for peer in self
             .peers
             .values_mut()
-            .filter(|peer| Some(peer.needs_after()) == lowest)
+            .filter(|peer| Some(peer.released_index()) == lowest)
         {
             peer.restart_later(now_ms);
         }
@@ -224,7 +224,7 @@
 
     /// Takes stock of the acknowledgements.
     pub fn advance(&mut self) -> Advance {
-        if !self.may_go_on() {
+        if !self.may_send() {
             return Advance::None;
         }
         let members = self.peers.values().filter(|peer| peer.is_member);
@@ -235,10 +235,10 @@
         let Some(index) = on_all else {
             return Advance::None;
         };
-        let Some(synced_mark) = self.synced_mark else {
+        let Some(synced_entry_index) = self.synced_entry_index else {
             return Advance::MembersEqual;
         };
-        if self.synced < synced_mark {
+        if self.synced < synced_entry_index {
             return Advance::None;
         }
         self.committed = self.committed.max(index);
@@ -251,25 +251,25 @@
 
     /// The record with this index marks that all members were made equal. The epoch is active once the primary has it on
     /// disk: nobody may know the epoch as active while its primary could forget that it was its equal.
-    pub fn set_synced_mark(&mut self, index: u64) {
-        self.synced_mark = Some(index);
+    pub fn set_synced_entry_index(&mut self, index: u64) {
+        self.synced_entry_index = Some(index);
     }
 
     /// Drops the records that no store needs any more.
     fn trim(&mut self) {
-        let needed = self.peers.values().map(Peer::needs_after).min();
+        let needed = self.peers.values().map(Peer::released_index).min();
         self.log.trim(needed.unwrap_or(self.log.last()));
     }
 
     /// Whether it may send and commit: not before its session is on disk, and never again once it knows that another store
     /// has to lead.
-    fn may_go_on(&self) -> bool {
+    fn may_send(&self) -> bool {
         self.started && !self.superseded && self.behind.is_none()
     }
 
     /// When something must be sent again; never, while nothing may be sent.
     pub fn next_retry_ms(&self) -> Option<u64> {
-        if !self.may_go_on() {
+        if !self.may_send() {
             return None;
         }
         self.peers.values().filter_map(Peer::retry_at_ms).min()
--- a/batch/src/group/peer.rs
+++ b/batch/src/group/peer.rs
@@ -5,22 +5,22 @@
 use crate::job::JobId;
 use crate::message::{JobDigest, Message, StreamId, MESSAGE_BYTES};
 use crate::records::Entry;
-use crate::state::{whole_job, State};
+use crate::state::{full_job_entry, State};
 use std::collections::VecDeque;
 use std::ops::Bound;
 
 /// Bytes of records in one message, unless a single one is larger.
 const RECORDS_BYTES: usize = 64 << 10;
 /// Bytes that may be under way to a store before it acknowledges. The windows of all members together pass a link of
-/// 60 Mbit/s well within [`FIRST_RETRY_MS`]: a full link alone makes nothing go out twice, and holds up no poll of the core.
+/// 60 Mbit/s well within [`INITIAL_RETRY_MS`]: a full link alone makes nothing go out twice, and holds up no poll of the core.
 const WINDOW_BYTES: usize = 4 * RECORDS_BYTES;
-/// Time without an answer after which the primary sends again. It doubles up to [`LONGEST_RETRY_MS`].
-const FIRST_RETRY_MS: u64 = 500;
-/// See [`FIRST_RETRY_MS`].
-const LONGEST_RETRY_MS: u64 = 2_000;
+/// Time without an answer after which the primary sends again. It doubles up to [`MAX_RETRY_MS`].
+const INITIAL_RETRY_MS: u64 = 500;
+/// See [`INITIAL_RETRY_MS`].
+const MAX_RETRY_MS: u64 = 2_000;
 /// A store that has let something wait for so long is reported as silent, and may be left out for it. A message that was lost
 /// with its connection is sent again before.
-const SILENT_MS: u64 = FIRST_RETRY_MS + 400;
+const SILENT_MS: u64 = INITIAL_RETRY_MS + 400;
 /// Bytes of a digest beside the id, roughly.
 const DIGEST_BYTES: usize = 32;
 
@@ -107,7 +107,7 @@
             in_flight_bytes: 0,
             waiting_since_ms: None,
             retry_at_ms: None,
-            retry_ms: FIRST_RETRY_MS,
+            retry_ms: INITIAL_RETRY_MS,
             counts: ReplicationCounts::default(),
         }
     }
@@ -264,7 +264,7 @@
         if number <= steps {
             return match self.steps.get(usize::try_from(number - 1).ok()?)? {
                 SyncStep::Send(id) => Some(match state.jobs.get(id) {
-                    Some(job) => whole_job(job, now_ms),
+                    Some(job) => full_job_entry(job, now_ms),
                     None => Entry::JobForgotten(id.clone()),
                 }),
                 SyncStep::Drop(id) => Some(Entry::JobForgotten(id.clone())),
@@ -286,7 +286,7 @@
     }
 
     /// Index of the newest record that this store will not ask for again.
-    pub fn needs_after(&self) -> u64 {
+    pub fn released_index(&self) -> u64 {
         self.acknowledged_index().unwrap_or(self.start)
     }
 
@@ -303,7 +303,7 @@
             return None;
         }
         self.counts.retries += 1;
-        self.retry_ms = (self.retry_ms * 2).min(LONGEST_RETRY_MS);
+        self.retry_ms = (self.retry_ms * 2).min(MAX_RETRY_MS);
         self.retry_at_ms = None;
         match &self.phase {
             Phase::Comparing { after, .. } => Some(self.compare(now_ms, state, after.clone())),
@@ -318,7 +318,7 @@
 
     /// Gives the stream up: the store is compared anew when the retry is due, and until then no record is held for it.
     pub fn restart_later(&mut self, now_ms: u64) {
-        self.counts.streams_given_up += 1;
+        self.counts.streams_abandoned += 1;
         self.phase = Phase::Postponed;
         self.start = u64::MAX;
         self.clear_in_flight();
@@ -335,7 +335,7 @@
 
     /// The store answered.
     fn progressed(&mut self, now_ms: u64) {
-        self.retry_ms = FIRST_RETRY_MS;
+        self.retry_ms = INITIAL_RETRY_MS;
         self.waiting_since_ms = Some(now_ms);
     }
 
--- a/batch/src/quota.rs
+++ b/batch/src/quota.rs
@@ -26,14 +26,14 @@
 //! * The epochs that [`Coordinator::new`] and [`Account::new`] are told come from one state of the core, read after the
 //!   start of this process, that contains the own epoch.
 //! * Sessions rise with each start of the process within an epoch of the group.
-//! * After [`Account::next_report`], [`Account::take_answer`] and [`Account::set_max`] the engine is told
+//! * After [`Account::next_report`], [`Account::on_grant`] and [`Account::set_max`] the engine is told
 //!   [`Account::limit`] before it takes another job.
 pub mod account;
 pub mod coordinator;
 pub mod message;
 pub mod meter;
 
-pub use account::{Account, AccountCounters, QuotaOutcome, Settled, SubmissionId};
+pub use account::{Account, AccountCounters, QuotaOutcome, ResolvedSubmission, SubmissionId};
 pub use coordinator::{Coordinator, CoordinatorCounters};
 pub use message::{CoordinatorId, Decision, QuotaGrant, QuotaReading, QuotaReport, ReportId};
 pub use meter::Meter;
--- a/batch/src/quota/account.rs
+++ b/batch/src/quota/account.rs
@@ -11,19 +11,19 @@
 /// Between reports while nothing changes.
 pub const IDLE_PERIOD_MS: u64 = 1_000;
 /// A report that has no answer for so long is given up.
-pub const ANSWER_PATIENCE_MS: u64 = 300;
+pub const ANSWER_TIMEOUT_MS: u64 = 300;
 /// A submission waits for room so long at most. A gateway waits longer for its answer.
-pub const SUBMISSION_PATIENCE_MS: u64 = 600;
+pub const SUBMISSION_TIMEOUT_MS: u64 = 600;
 /// A submission that may ever fit is refused after so long at least: by then the other groups have reported what ended there before.
 pub const REFUSAL_PAUSE_MS: u64 = 300;
 /// Most submissions that one report names.
-const MOST_WANTED: usize = 256;
+const MAX_REPORTED_SUBMISSIONS: usize = 256;
 /// Shortest pause before room is asked for again.
-const SHORTEST_PAUSE_MS: u64 = 30;
+const MIN_BACKOFF_MS: u64 = 30;
 /// Pauses are longer than the shortest by less than this.
-const PAUSE_SPREAD_MS: u64 = 30;
+const BACKOFF_JITTER_MS: u64 = 30;
 /// Spreads pauses over the whole range: the golden ratio as a fraction of 2^64.
-const PAUSE_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
+const JITTER_MULTIPLIER: u64 = 0x9e37_79b9_7f4a_7c15;
 
 /// Names a submission that waits for room. The caller draws it.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -42,7 +42,7 @@
 
 /// The end of a submission's wait.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub struct Settled {
+pub struct ResolvedSubmission {
     /// The submission.
     pub submission: SubmissionId,
     /// What it came to.
@@ -58,7 +58,7 @@
     pub lost: u64,
     /// Answers that were put aside: to another report, or of another coordinator.
     pub ignored: u64,
-    /// Submissions that were settled as fitting.
+    /// Submissions that were resolved as fitting.
     pub fits: u64,
     /// Submissions that were refused.
     pub over_quota: u64,
@@ -83,7 +83,7 @@
     since_ms: u64,
     until_ms: u64,
     /// Whether a report has named it.
-    is_asked: bool,
+    is_reported: bool,
 }
 
 /// The account of one group and route, for one incarnation of the group's primary.
@@ -103,7 +103,7 @@
     /// Whether the newest of those answers told of contention.
     is_contended: bool,
     /// When to report for the sake of submissions, or of a new coordinator.
-    ask_at_ms: Option<u64>,
+    report_at_ms: Option<u64>,
     waiting: VecDeque<Waiting>,
     refused_total: u64,
     counters: AccountCounters,
@@ -139,7 +139,7 @@
             reported_used: 0,
             is_counted: false,
             is_contended: false,
-            ask_at_ms: Some(0),
+            report_at_ms: Some(0),
             waiting: VecDeque::new(),
             refused_total: 0,
             counters: AccountCounters::default(),
@@ -179,7 +179,7 @@
         self.limit = 0;
         // Its answer may be by the earlier limit.
         self.under_way = None;
-        self.ask_now(now_ms);
+        self.schedule_report(now_ms);
     }
 
     /// The epoch of the route's home group, as the core's state says. Lower ones than known are ignored.
@@ -199,7 +199,7 @@
     }
 
     /// The engine has accepted a submission; so much is used now.
-    pub fn note_accepted(&mut self, used: u64) {
+    pub fn record_accepted(&mut self, used: u64) {
         let is_exceeded = self.limit().is_some_and(|limit| used > limit);
         self.counters.violations += u64::from(is_exceeded);
     }
@@ -210,16 +210,16 @@
     }
 
     /// A submission waits for room.
-    pub fn want(&mut self, now_ms: u64, submission: SubmissionId, tokens: u64) {
-        let until_ms = now_ms.saturating_add(SUBMISSION_PATIENCE_MS);
+    pub fn request(&mut self, now_ms: u64, submission: SubmissionId, tokens: u64) {
+        let until_ms = now_ms.saturating_add(SUBMISSION_TIMEOUT_MS);
         self.waiting.push_back(Waiting {
             submission,
             tokens,
             since_ms: now_ms,
             until_ms,
-            is_asked: false,
+            is_reported: false,
         });
-        self.ask_now(now_ms);
+        self.schedule_report(now_ms);
     }
 
     /// The client of a submission has gone.
@@ -234,7 +234,7 @@
         if self.max == 0 {
             return None;
         }
-        self.give_up_late_answer(now_ms);
+        self.abandon_late_answer(now_ms);
         if self.under_way.is_some() || now_ms < self.next_report_ms(used) {
             return None;
         }
@@ -245,20 +245,25 @@
         self.reported_used = used;
         self.sent_ms = now_ms;
         self.is_counted = false;
-        self.ask_at_ms = None;
+        self.report_at_ms = None;
         self.under_way = Some(UnderWay {
             id: self.newest,
             coordinator: self.coordinator,
         });
         self.waiting
             .iter_mut()
-            .take(MOST_WANTED)
-            .for_each(|waiting| waiting.is_asked = true);
+            .take(MAX_REPORTED_SUBMISSIONS)
+            .for_each(|waiting| waiting.is_reported = true);
         Some(self.report(used))
     }
 
     /// Takes the coordinator's answer, and settles the submissions that it decides.
-    pub fn take_answer(&mut self, now_ms: u64, used: u64, grant: &QuotaGrant) -> Vec<Settled> {
+    pub fn on_grant(
+        &mut self,
+        now_ms: u64,
+        used: u64,
+        grant: &QuotaGrant,
+    ) -> Vec<ResolvedSubmission> {
         let Some(under_way) = self
             .under_way
             .filter(|under_way| under_way.id == grant.report)
@@ -275,7 +280,7 @@
         }
         let Decision::Counted {
             limit,
-            room,
+            available,
             is_contended,
         } = grant.decision
         else {
@@ -285,15 +290,15 @@
         self.limit = limit;
         self.is_counted = true;
         self.is_contended = is_contended;
-        let mut settled = self.settle_fitting(used);
-        let taken = self.tokens_left_to(&settled, room);
-        settled.extend(self.settle_refused(now_ms, taken));
+        let mut resolved = self.resolve_fitting(used);
+        let taken = self.tokens_left_to(&resolved, available);
+        resolved.extend(self.reject_exceeding(now_ms, taken));
         self.pause(now_ms);
-        settled.into_iter().map(|(settled, _)| settled).collect()
+        resolved.into_iter().map(|(resolved, _)| resolved).collect()
     }
 
     /// The answer to a report won't come.
-    pub fn answer_lost(&mut self, now_ms: u64, report: ReportId) {
+    pub fn on_answer_lost(&mut self, now_ms: u64, report: ReportId) {
         if self
             .under_way
             .is_some_and(|under_way| under_way.id == report)
@@ -305,12 +310,12 @@
     }
 
     /// Settles the submissions that fit as tokens have become free, and those that have waited too long.
-    pub fn settle(&mut self, now_ms: u64, used: u64) -> Vec<Settled> {
+    pub fn resolve_waiting(&mut self, now_ms: u64, used: u64) -> Vec<ResolvedSubmission> {
         let fitting = self
-            .settle_fitting(used)
+            .resolve_fitting(used)
             .into_iter()
-            .map(|(settled, _)| settled);
-        let mut settled: Vec<Settled> = fitting.collect();
+            .map(|(resolved, _)| resolved);
+        let mut resolved: Vec<ResolvedSubmission> = fitting.collect();
         let is_late = |waiting: &Waiting| now_ms >= waiting.until_ms;
         let late: Vec<SubmissionId> = self
             .waiting
@@ -320,20 +325,20 @@
             .collect();
         self.waiting.retain(|waiting| !is_late(waiting));
         self.counters.unsure += late.len() as u64;
-        let unsure = |submission| Settled {
+        let unsure = |submission| ResolvedSubmission {
             submission,
             outcome: QuotaOutcome::Unsure,
         };
-        settled.extend(late.into_iter().map(unsure));
-        settled
+        resolved.extend(late.into_iter().map(unsure));
+        resolved
     }
 
-    /// When [`Account::next_report`] or [`Account::settle`] has something to do, if nothing else happens before.
+    /// When [`Account::next_report`] or [`Account::resolve_waiting`] has something to do, if nothing else happens before.
     pub fn next_due_ms(&self, used: u64) -> Option<u64> {
         let late_ms = self.waiting.iter().map(|waiting| waiting.until_ms).min();
         let report_ms = match self.under_way {
             _ if self.max == 0 => None,
-            Some(_) => Some(self.sent_ms.saturating_add(ANSWER_PATIENCE_MS)),
+            Some(_) => Some(self.sent_ms.saturating_add(ANSWER_TIMEOUT_MS)),
             None => Some(self.next_report_ms(used)),
         };
         [late_ms, report_ms].into_iter().flatten().min()
@@ -348,8 +353,8 @@
             false => IDLE_PERIOD_MS,
         };
         let periodic_ms = self.sent_ms.saturating_add(period_ms);
-        self.ask_at_ms
-            .map_or(periodic_ms, |ask_at_ms| ask_at_ms.min(periodic_ms))
+        self.report_at_ms
+            .map_or(periodic_ms, |report_at_ms| report_at_ms.min(periodic_ms))
     }
 
     /// The newest report.
@@ -363,19 +368,19 @@
             wanted: self
                 .waiting
                 .iter()
-                .take(MOST_WANTED)
+                .take(MAX_REPORTED_SUBMISSIONS)
                 .map(|waiting| waiting.tokens)
                 .collect(),
             refused_total: self.refused_total,
         }
     }
 
-    fn give_up_late_answer(&mut self, now_ms: u64) {
-        let is_late = now_ms >= self.sent_ms.saturating_add(ANSWER_PATIENCE_MS);
+    fn abandon_late_answer(&mut self, now_ms: u64) {
+        let is_late = now_ms >= self.sent_ms.saturating_add(ANSWER_TIMEOUT_MS);
         if let Some(under_way) = self.under_way.filter(|_| is_late) {
-            self.answer_lost(now_ms, under_way.id);
+            self.on_answer_lost(now_ms, under_way.id);
             // The wait was a pause already.
-            self.ask_now(now_ms);
+            self.schedule_report(now_ms);
         }
     }
 
@@ -385,33 +390,33 @@
         if coordinator > self.coordinator {
             self.coordinator = coordinator;
             self.under_way = None;
-            self.ask_now(now_ms);
+            self.schedule_report(now_ms);
         }
     }
 
-    fn ask_now(&mut self, now_ms: u64) {
-        self.ask_at_ms = Some(now_ms);
+    fn schedule_report(&mut self, now_ms: u64) {
+        self.report_at_ms = Some(now_ms);
     }
 
     /// After the end of a report: submissions that it did not name are asked for at once, the others after a pause.
     fn pause(&mut self, now_ms: u64) {
-        let is_asked = self.waiting.iter().all(|waiting| waiting.is_asked);
-        let pause_ms = if is_asked { self.pause_ms() } else { 0 };
-        let asks = !self.waiting.is_empty() || self.ask_at_ms.is_some();
-        self.ask_at_ms = asks.then_some(now_ms.saturating_add(pause_ms));
+        let is_reported = self.waiting.iter().all(|waiting| waiting.is_reported);
+        let pause_ms = if is_reported { self.pause_ms() } else { 0 };
+        let asks = !self.waiting.is_empty() || self.report_at_ms.is_some();
+        self.report_at_ms = asks.then_some(now_ms.saturating_add(pause_ms));
     }
 
     /// A pause that differs between groups and reports.
     fn pause_ms(&self) -> u64 {
         let mixed =
-            (self.newest.sequence + u64::from(self.group)).wrapping_mul(PAUSE_MULTIPLIER) >> 32;
-        SHORTEST_PAUSE_MS + mixed % PAUSE_SPREAD_MS
+            (self.newest.sequence + u64::from(self.group)).wrapping_mul(JITTER_MULTIPLIER) >> 32;
+        MIN_BACKOFF_MS + mixed % BACKOFF_JITTER_MS
     }
 
     /// Takes the submissions out that fit the limit, oldest first, with their tokens.
-    fn settle_fitting(&mut self, used: u64) -> Vec<(Settled, u64)> {
+    fn resolve_fitting(&mut self, used: u64) -> Vec<(ResolvedSubmission, u64)> {
         let mut used = used;
-        let mut settled = Vec::new();
+        let mut resolved = Vec::new();
         for waiting in std::mem::take(&mut self.waiting) {
             if !self.fits(used, waiting.tokens) {
                 self.waiting.push_back(waiting);
@@ -419,40 +424,40 @@
             }
             used = used.saturating_add(waiting.tokens);
             self.counters.fits += 1;
-            let fits = Settled {
+            let fits = ResolvedSubmission {
                 submission: waiting.submission,
                 outcome: QuotaOutcome::Fits,
             };
-            settled.push((fits, waiting.tokens));
+            resolved.push((fits, waiting.tokens));
         }
-        settled
+        resolved
     }
 
     /// What is left of the room after the submissions that were just found to fit.
-    fn tokens_left_to(&self, settled: &[(Settled, u64)], room: u64) -> u64 {
-        settled
+    fn tokens_left_to(&self, resolved: &[(ResolvedSubmission, u64)], available: u64) -> u64 {
+        resolved
             .iter()
-            .fold(room, |left, (_, tokens)| left.saturating_sub(*tokens))
+            .fold(available, |left, (_, tokens)| left.saturating_sub(*tokens))
     }
 
     /// Takes the submissions out that the coordinator was asked about and that exceed the room.
-    fn settle_refused(&mut self, now_ms: u64, room: u64) -> Vec<(Settled, u64)> {
-        let mut settled = Vec::new();
+    fn reject_exceeding(&mut self, now_ms: u64, available: u64) -> Vec<(ResolvedSubmission, u64)> {
+        let mut resolved = Vec::new();
         for waiting in std::mem::take(&mut self.waiting) {
             let is_young = now_ms < waiting.since_ms.saturating_add(REFUSAL_PAUSE_MS);
             let may_yet_fit = is_young && waiting.tokens <= self.max;
-            if !waiting.is_asked || may_yet_fit || waiting.tokens <= room {
+            if !waiting.is_reported || may_yet_fit || waiting.tokens <= available {
                 self.waiting.push_back(waiting);
                 continue;
             }
             self.refused_total = self.refused_total.saturating_add(waiting.tokens);
             self.counters.over_quota += 1;
-            let refused = Settled {
+            let refused = ResolvedSubmission {
                 submission: waiting.submission,
                 outcome: QuotaOutcome::OverQuota,
             };
-            settled.push((refused, waiting.tokens));
+            resolved.push((refused, waiting.tokens));
         }
-        settled
+        resolved
     }
 }
--- a/batch/src/quota/coordinator.rs
+++ b/batch/src/quota/coordinator.rs
@@ -135,7 +135,7 @@
         let limits = Limits::of(max);
         let granted = counts.grant(now_ms, limits, group_count, &report.wanted);
         self.counters.short += u64::from(granted.is_short);
-        let decision = counts.settle(now_ms, report, to_tokens(granted.tokens), limits);
+        let decision = counts.record_grant(now_ms, report, to_tokens(granted.tokens), limits);
         self.counters.violations += u64::from(counts.is_exceeded_by(report, decision, limits));
         decision
     }
@@ -163,7 +163,7 @@
         };
         let waiting = u64::try_from(counts.used_sum()).unwrap_or(u64::MAX);
         self.meter
-            .note(now_ms, self.id.epoch, &report.route, waiting, beyond)
+            .record(now_ms, self.id.epoch, &report.route, waiting, beyond)
     }
 
     fn answer(
@@ -262,7 +262,7 @@
 
     /// Notes what a group was granted, and answers it. If the groups use more than the limit, it may count less than it
     /// does, so that nothing takes the place of what ends.
-    fn settle(
+    fn record_grant(
         &mut self,
         now_ms: u64,
         report: &QuotaReport,
@@ -275,11 +275,11 @@
                 .max
                 .saturating_sub(self.count_of_others(report.group)),
         ));
-        let room = to_tokens(limits.max.saturating_sub(self.used_sum()));
+        let available = to_tokens(limits.max.saturating_sub(self.used_sum()));
         let is_contended = self.is_contended(now_ms);
         let decision = Decision::Counted {
             limit,
-            room,
+            available,
             is_contended,
         };
         if let Some(count) = self.groups.get_mut(&report.group) {
--- a/batch/src/quota/message.rs
+++ b/batch/src/quota/message.rs
@@ -68,7 +68,7 @@
         /// Tokens that no group uses: a submission of more does not fit. One that fits the room but not the limit is
         /// to be asked for again, since others hold tokens that they don't use.
         #[n(1)]
-        room: u64,
+        available: u64,
         /// Whether some group did not get all it wanted of late: what changes is to be reported sooner.
         #[n(2)]
         is_contended: bool,
--- a/batch/src/quota/meter.rs
+++ b/batch/src/quota/meter.rs
@@ -36,7 +36,7 @@
 impl Meter {
     /// Notes a job that came: how many tokens wait after it, and how many of its own did not fit. Gives the newest
     /// reading.
-    pub fn note(
+    pub fn record(
         &mut self,
         now_ms: u64,
         epoch: u64,
--- a/batch/src/records.rs
+++ b/batch/src/records.rs
@@ -36,7 +36,7 @@
     JobForgotten(#[n(0)] JobId),
     /// A whole job, in place of what there was.
     #[n(4)]
-    WholeJob(#[n(0)] Job),
+    FullJob(#[n(0)] Job),
     /// This store follows a stream.
     #[n(5)]
     Following(#[n(0)] StreamId),
@@ -71,7 +71,7 @@
         let content = match self {
             Entry::JobAccepted(job) => new_job_bytes(job),
             Entry::ItemResults { results, .. } => results_bytes(results),
-            Entry::WholeJob(job) => new_job_bytes(&job.accepted) + results_bytes(&job.results),
+            Entry::FullJob(job) => new_job_bytes(&job.accepted) + results_bytes(&job.results),
             Entry::JobEnded(_)
             | Entry::JobForgotten(_)
             | Entry::Following(_)
--- a/batch/src/state.rs
+++ b/batch/src/state.rs
@@ -7,7 +7,7 @@
 
 /// What a store must remember of the replication over restarts.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Marks {
+pub struct ReplicationProgress {
     /// The greatest stream that it followed.
     pub following: StreamId,
     /// Its newest session as a primary.
@@ -23,8 +23,8 @@
 pub struct State {
     /// The jobs by id.
     pub jobs: BTreeMap<JobId, Job>,
-    /// See [`Marks`].
-    pub marks: Marks,
+    /// See [`ReplicationProgress`].
+    pub progress: ReplicationProgress,
 }
 
 impl State {
@@ -52,12 +52,12 @@
     /// All that is needed to restore the state.
     pub fn snapshot(&self, now_ms: u64) -> Vec<u8> {
         let mut bytes = Vec::new();
-        encode_next(&mut bytes, &Entry::Following(self.marks.following));
-        encode_next(&mut bytes, &Entry::SessionStarted(self.marks.session));
-        encode_next(&mut bytes, &Entry::Synced(self.marks.synced_epoch));
-        encode_next(&mut bytes, &Entry::Active(self.marks.active_epoch));
+        encode_next(&mut bytes, &Entry::Following(self.progress.following));
+        encode_next(&mut bytes, &Entry::SessionStarted(self.progress.session));
+        encode_next(&mut bytes, &Entry::Synced(self.progress.synced_epoch));
+        encode_next(&mut bytes, &Entry::Active(self.progress.active_epoch));
         for job in self.jobs.values() {
-            encode_next(&mut bytes, &whole_job(job, now_ms));
+            encode_next(&mut bytes, &full_job_entry(job, now_ms));
         }
         bytes
     }
@@ -96,16 +96,24 @@
             Entry::JobForgotten(job) => {
                 self.jobs.remove(&job);
             }
-            Entry::WholeJob(mut job) => {
+            Entry::FullJob(mut job) => {
                 if !job.after_decoding(now_ms) {
                     return Err(DecodeError::Inconsistent(job.accepted.id));
                 }
                 self.jobs.insert(job.accepted.id.clone(), job);
             }
-            Entry::Following(stream) => self.marks.following = self.marks.following.max(stream),
-            Entry::SessionStarted(session) => self.marks.session = self.marks.session.max(session),
-            Entry::Synced(epoch) => self.marks.synced_epoch = self.marks.synced_epoch.max(epoch),
-            Entry::Active(epoch) => self.marks.active_epoch = self.marks.active_epoch.max(epoch),
+            Entry::Following(stream) => {
+                self.progress.following = self.progress.following.max(stream)
+            }
+            Entry::SessionStarted(session) => {
+                self.progress.session = self.progress.session.max(session)
+            }
+            Entry::Synced(epoch) => {
+                self.progress.synced_epoch = self.progress.synced_epoch.max(epoch)
+            }
+            Entry::Active(epoch) => {
+                self.progress.active_epoch = self.progress.active_epoch.max(epoch)
+            }
         }
         Ok(())
     }
@@ -118,7 +126,7 @@
     pub fn apply_and_release(&mut self, now_ms: u64, entry: Entry) -> Result<(), DecodeError> {
         let listing = match &entry {
             Entry::ItemResults { job, position, .. } => Some((job.clone(), *position as usize)),
-            Entry::WholeJob(job) => Some((job.accepted.id.clone(), 0)),
+            Entry::FullJob(job) => Some((job.accepted.id.clone(), 0)),
             _ => None,
         };
         self.apply(now_ms, entry)?;
@@ -132,13 +140,16 @@
 
     /// The newest epoch that stands in the marks.
     pub fn newest_epoch(&self) -> u64 {
-        self.marks.following.epoch.max(self.marks.session.epoch)
+        self.progress
+            .following
+            .epoch
+            .max(self.progress.session.epoch)
     }
 }
 
 /// A job as an entry, with its age at this moment.
-pub fn whole_job(job: &Job, now_ms: u64) -> Entry {
+pub fn full_job_entry(job: &Job, now_ms: u64) -> Entry {
     let mut copy = job.clone();
     copy.accepted.age_ms = job.age_ms(now_ms);
-    Entry::WholeJob(copy)
+    Entry::FullJob(copy)
 }
--- a/batch/src/ledger.rs
+++ b/batch/src/token_counts.rs
@@ -17,12 +17,12 @@
 
 /// The counts of all routes.
 #[derive(Debug, Default)]
-pub struct Ledger {
+pub struct TokenCounts {
     routes: BTreeMap<String, u64>,
     jobs: HashMap<JobId, JobCount>,
 }
 
-impl Ledger {
+impl TokenCounts {
     /// Tokens that wait on a route.
     pub fn waiting(&self, route: &str) -> u64 {
         self.routes.get(route).copied().unwrap_or(0)
--- a/batch/src/work.rs
+++ b/batch/src/work.rs
@@ -32,7 +32,7 @@
 
 /// A run that is over.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct OverRun {
+pub struct EndedRun {
     /// Its item.
     pub item: ItemKey,
     /// How long it lasted.
@@ -197,7 +197,7 @@
     }
 
     /// Learns from a run that completed its item.
-    pub fn note_completed(&mut self, lasted_ms: u64) {
+    pub fn record_completed(&mut self, lasted_ms: u64) {
         let lasted = lasted_ms as f64;
         let run_ms = self.run_ms.get_or_insert(lasted);
         *run_ms += RUN_TIME_SAMPLE * (lasted - *run_ms);
@@ -239,9 +239,9 @@
     }
 
     /// A run is over: its item, which then pauses until [`WorkQueue::pause`] or [`WorkQueue::finish`] is called.
-    pub fn end_run(&mut self, run: RunId, now_ms: u64) -> Option<OverRun> {
+    pub fn end_run(&mut self, run: RunId, now_ms: u64) -> Option<EndedRun> {
         let Run { item, started_ms } = self.runs.remove(&run)?;
-        Some(OverRun {
+        Some(EndedRun {
             item,
             lasted_ms: now_ms.saturating_sub(started_ms),
         })
--- a/batch/tests/codec.rs
+++ b/batch/tests/codec.rs
@@ -77,7 +77,7 @@
         }),
         job_id().prop_map(Entry::JobEnded),
         job_id().prop_map(Entry::JobForgotten),
-        new_job().prop_map(|job| Entry::WholeJob(Job::new(0, job))),
+        new_job().prop_map(|job| Entry::FullJob(Job::new(0, job))),
         stream().prop_map(Entry::Following),
         (0..4u64, 0..4u64)
             .prop_map(|(epoch, session)| Entry::SessionStarted(SessionId { epoch, session })),
@@ -167,10 +167,10 @@
 fn quota_grant() -> impl Strategy<Value = QuotaGrant> {
     let decision = prop_oneof![
         Just(Decision::Unsure),
-        (any::<u64>(), any::<u64>(), any::<bool>()).prop_map(|(limit, room, is_contended)| {
+        (any::<u64>(), any::<u64>(), any::<bool>()).prop_map(|(limit, available, is_contended)| {
             Decision::Counted {
                 limit,
-                room,
+                available,
                 is_contended,
             }
         }),
@@ -207,7 +207,7 @@
         let bytes = entry.to_bytes();
         let decoded = Entry::from_bytes(&bytes).unwrap();
         prop_assert_eq!(decoded.to_bytes(), bytes);
-        if !matches!(entry, Entry::WholeJob(_)) {
+        if !matches!(entry, Entry::FullJob(_)) {
             prop_assert_eq!(decoded, entry);
         }
     }
@@ -293,7 +293,7 @@
         let restored = State::restore(5, Some(&snapshot), &[]).unwrap();
         let digests = |state: &State| -> Vec<u64> { state.jobs.values().map(Job::digest).collect() };
         prop_assert_eq!(digests(&restored), digests(&state));
-        prop_assert_eq!(&restored.marks, &state.marks);
+        prop_assert_eq!(&restored.progress, &state.progress);
     }
 }
 
--- a/batch/tests/compatibility.rs
+++ b/batch/tests/compatibility.rs
@@ -176,8 +176,8 @@
         });
     }
     // A decoded job lacks what a store derives from it once it is in its state, so its bytes are compared.
-    let whole_job = Entry::WholeJob(Job::new(0, new_job("whole"))).to_bytes();
-    recorded.check("whole_job", &whole_job, Vec::clone, |bytes| {
+    let full_job_entry = Entry::FullJob(Job::new(0, new_job("whole"))).to_bytes();
+    recorded.check("whole_job", &full_job_entry, Vec::clone, |bytes| {
         Some(Entry::from_bytes(bytes).ok()?.to_bytes())
     });
     recorded.finish();
@@ -230,7 +230,7 @@
     };
     let counted = Decision::Counted {
         limit: 2000,
-        room: 500,
+        available: 500,
         is_contended: true,
     };
     let grant = |decision| QuotaGrant {
--- a/batch/tests/engine/acceptance.rs
+++ b/batch/tests/engine/acceptance.rs
@@ -2,7 +2,8 @@
 
 use crate::cluster::{job, routes, terms, Cluster, ROUTE};
 use alderhollow_batch::api::{
-    EndAnswer, JobOffer, Offered, Outcome, RouteTerms, RunEnd, Submitted, TryId,
+    EndOutcome, JobOffer, OfferOutcome, Outcome, RouteTerms, RunEnd, SubmissionAttemptId,
+    SubmitOutcome,
 };
 use alderhollow_batch::job::JobId;
 
@@ -10,13 +11,13 @@
 fn a_job_is_accepted_once_every_member_has_it_on_disk() {
     let mut cluster = Cluster::active(3);
     cluster.stores.get_mut(&3).unwrap().holds_writes = true;
-    let Submitted::Pending(token) = cluster.submit(1, job("a", 2, 10)) else {
+    let SubmitOutcome::Pending(token) = cluster.submit(1, job("a", 2, 10)) else {
         panic!("not taken")
     };
     assert_eq!(cluster.resolved, []);
     assert_eq!(
         cluster.submit(1, job("a", 2, 10)),
-        Submitted::Pending(token),
+        SubmitOutcome::Pending(token),
         "the same job, the same token"
     );
     assert_eq!(
@@ -26,11 +27,11 @@
     );
 
     cluster.release_writes(3);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(cluster.resolved, [(token, Outcome::Committed)]);
     assert_eq!(
         cluster.submit(1, job("a", 2, 10)),
-        Submitted::AlreadyAccepted
+        SubmitOutcome::AlreadyAccepted
     );
     assert_eq!(cluster.engine(1).waiting_tokens(ROUTE), 20);
 }
@@ -41,11 +42,11 @@
     cluster.stores.get_mut(&1).unwrap().holds_writes = true;
     assert!(matches!(
         cluster.submit(1, job("a", 1, 10)),
-        Submitted::Pending(_)
+        SubmitOutcome::Pending(_)
     ));
     assert_eq!(cluster.resolved, []);
     cluster.release_writes(1);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(cluster.resolved.len(), 1);
 }
 
@@ -53,7 +54,7 @@
 fn a_pending_acceptance_ends_as_unknown_when_the_role_is_lost() {
     let mut cluster = Cluster::active(3);
     cluster.stores.get_mut(&3).unwrap().holds_writes = true;
-    let Submitted::Pending(token) = cluster.submit(1, job("a", 1, 10)) else {
+    let SubmitOutcome::Pending(token) = cluster.submit(1, job("a", 1, 10)) else {
         panic!("not taken")
     };
     cluster.set_group(2, 2, &[1, 2], &[]);
@@ -61,7 +62,7 @@
     cluster.validate(2);
     assert_eq!(
         cluster.submit(2, job("a", 1, 10)),
-        Submitted::AlreadyAccepted,
+        SubmitOutcome::AlreadyAccepted,
         "it stood at the new primary"
     );
 }
@@ -70,7 +71,7 @@
 fn a_pending_acceptance_goes_on_in_the_same_primarys_next_epoch() {
     let mut cluster = Cluster::active(3);
     cluster.stores.get_mut(&3).unwrap().holds_writes = true;
-    let Submitted::Pending(token) = cluster.submit(1, job("a", 1, 10)) else {
+    let SubmitOutcome::Pending(token) = cluster.submit(1, job("a", 1, 10)) else {
         panic!("not taken")
     };
     cluster.set_group(2, 1, &[1, 2], &[]);
@@ -81,9 +82,12 @@
 fn what_does_not_fit_is_refused_and_what_fits_is_taken() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 3, 300));
-    assert_eq!(cluster.submit(1, job("b", 1, 101)), Submitted::OverQuota);
+    assert_eq!(
+        cluster.submit(1, job("b", 1, 101)),
+        SubmitOutcome::OverQuota
+    );
     cluster.accept(1, job("c", 1, 100));
-    assert_eq!(cluster.submit(1, job("d", 1, 1)), Submitted::OverQuota);
+    assert_eq!(cluster.submit(1, job("d", 1, 1)), SubmitOutcome::OverQuota);
 }
 
 #[test]
@@ -108,9 +112,12 @@
     cluster.stores.get_mut(&2).unwrap().holds_writes = true;
     assert!(matches!(
         cluster.submit(1, job("a", 1, 600)),
-        Submitted::Pending(_)
+        SubmitOutcome::Pending(_)
     ));
-    assert_eq!(cluster.submit(1, job("b", 1, 600)), Submitted::OverQuota);
+    assert_eq!(
+        cluster.submit(1, job("b", 1, 600)),
+        SubmitOutcome::OverQuota
+    );
 }
 
 #[test]
@@ -140,11 +147,11 @@
         },
     );
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(cluster.engine(1).waiting_tokens(ROUTE), 700);
     let now_ms = cluster.now_ms;
     cluster.engine(1).end(now_ms, &JobId::from("a"));
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(cluster.engine(1).waiting_tokens(ROUTE), 400);
 }
 
@@ -172,18 +179,24 @@
     cluster.accept(1, job("a", 1, 900));
     let now_ms = cluster.now_ms;
     assert_eq!(
-        cluster.engine(1).submit(now_ms, TryId(7), job("b", 1, 200)),
-        Submitted::OverQuota
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(7), job("b", 1, 200)),
+        SubmitOutcome::OverQuota
     );
     cluster.engine(1).end(now_ms, &JobId::from("a"));
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(
-        cluster.engine(1).submit(now_ms, TryId(7), job("b", 1, 200)),
-        Submitted::OverQuota
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(7), job("b", 1, 200)),
+        SubmitOutcome::OverQuota
     );
     assert!(matches!(
-        cluster.engine(1).submit(now_ms, TryId(8), job("b", 1, 200)),
-        Submitted::Pending(_)
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(8), job("b", 1, 200)),
+        SubmitOutcome::Pending(_)
     ));
 }
 
@@ -192,14 +205,14 @@
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 900));
     cluster.now_ms += 1_000;
-    assert_eq!(cluster.submit(1, job("b", 1, 900)), Submitted::NotSure);
-    assert_eq!(cluster.submit(1, job("c", 1, 1)), Submitted::NotSure);
+    assert_eq!(cluster.submit(1, job("b", 1, 900)), SubmitOutcome::NotSure);
+    assert_eq!(cluster.submit(1, job("c", 1, 1)), SubmitOutcome::NotSure);
     assert_eq!(
         cluster.submit(1, job("a", 1, 900)),
-        Submitted::AlreadyAccepted,
+        SubmitOutcome::AlreadyAccepted,
         "what is committed stays so"
     );
-    assert_eq!(cluster.submit(2, job("c", 1, 1)), Submitted::NotPrimary);
+    assert_eq!(cluster.submit(2, job("c", 1, 1)), SubmitOutcome::NotPrimary);
 }
 
 #[test]
@@ -207,9 +220,9 @@
     let mut cluster = Cluster::active(2);
     let mut elsewhere = job("a", 1, 1);
     elsewhere.route = "other".to_owned();
-    assert_eq!(cluster.submit(1, elsewhere), Submitted::NotSure);
+    assert_eq!(cluster.submit(1, elsewhere), SubmitOutcome::NotSure);
     cluster.engine(1).set_disk_ready(false);
-    assert_eq!(cluster.submit(1, job("a", 1, 1)), Submitted::NotSure);
+    assert_eq!(cluster.submit(1, job("a", 1, 1)), SubmitOutcome::NotSure);
 }
 
 #[test]
@@ -218,21 +231,21 @@
     cluster.stores.get_mut(&2).unwrap().holds_writes = true;
     assert!(matches!(
         cluster.submit(1, job("a", 1, 1)),
-        Submitted::Pending(_)
+        SubmitOutcome::Pending(_)
     ));
     cluster.pass(1_900, 1);
     assert!(matches!(
         cluster.submit(1, job("b", 1, 1)),
-        Submitted::Pending(_)
+        SubmitOutcome::Pending(_)
     ));
     cluster.pass(100, 1);
-    assert_eq!(cluster.submit(1, job("c", 1, 1)), Submitted::NotSure);
+    assert_eq!(cluster.submit(1, job("c", 1, 1)), SubmitOutcome::NotSure);
     assert!(
-        matches!(cluster.submit(1, job("a", 1, 1)), Submitted::Pending(_)),
+        matches!(cluster.submit(1, job("a", 1, 1)), SubmitOutcome::Pending(_)),
         "what was taken goes on"
     );
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     cluster.accept(1, job("c", 1, 1));
 }
 
@@ -247,35 +260,51 @@
     };
     let now_ms = cluster.now_ms;
     assert_eq!(
-        cluster.engine(2).offer(now_ms, TryId(1), &offer(1_000)),
-        Offered::NotPrimary
+        cluster
+            .engine(2)
+            .offer(now_ms, SubmissionAttemptId(1), &offer(1_000)),
+        OfferOutcome::NotPrimary
     );
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(1), &offer(1_000)),
-        Offered::Welcome
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(1), &offer(1_000)),
+        OfferOutcome::Welcome
     );
     assert_eq!(cluster.engine(1).waiting_tokens(ROUTE), 0);
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(2), &offer(1_001)),
-        Offered::OverQuota
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(2), &offer(1_001)),
+        OfferOutcome::OverQuota
+    );
+    let late = cluster
+        .engine(1)
+        .submit(now_ms, SubmissionAttemptId(2), job("a", 1, 1));
+    assert_eq!(
+        late,
+        SubmitOutcome::OverQuota,
+        "a late copy of a refused try"
     );
-    let late = cluster.engine(1).submit(now_ms, TryId(2), job("a", 1, 1));
-    assert_eq!(late, Submitted::OverQuota, "a late copy of a refused try");
     cluster.stores.get_mut(&2).unwrap().holds_writes = true;
     assert!(matches!(
         cluster.submit(1, job("a", 1, 1_000)),
-        Submitted::Pending(_)
+        SubmitOutcome::Pending(_)
     ));
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(3), &offer(1_000)),
-        Offered::NotSure,
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(3), &offer(1_000)),
+        OfferOutcome::NotSure,
         "under way"
     );
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(3), &offer(1_000)),
-        Offered::AlreadyAccepted
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(3), &offer(1_000)),
+        OfferOutcome::AlreadyAccepted
     );
     let later_ms = now_ms + 1_000;
     let other = JobId::from("b");
@@ -285,8 +314,10 @@
         tokens: 1,
     };
     assert_eq!(
-        cluster.engine(1).offer(later_ms, TryId(4), &other),
-        Offered::NotSure,
+        cluster
+            .engine(1)
+            .offer(later_ms, SubmissionAttemptId(4), &other),
+        OfferOutcome::NotSure,
         "not validated"
     );
 }
@@ -303,27 +334,37 @@
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_quota_limit(ROUTE, Some(10));
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(1), &offer),
-        Offered::BeyondLimit
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(1), &offer),
+        OfferOutcome::BeyondLimit
     );
     cluster.engine(1).set_quota_limit(ROUTE, Some(20));
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(1), &offer),
-        Offered::Welcome,
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(1), &offer),
+        OfferOutcome::Welcome,
         "nothing was remembered"
     );
     assert_eq!(
-        cluster.engine(1).refuse_offer(now_ms, TryId(1), &offer),
-        Offered::OverQuota
+        cluster
+            .engine(1)
+            .refuse_offer(now_ms, SubmissionAttemptId(1), &offer),
+        OfferOutcome::OverQuota
     );
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(1), &offer),
-        Offered::OverQuota,
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(1), &offer),
+        OfferOutcome::OverQuota,
         "from now on"
     );
     assert_eq!(
-        cluster.engine(1).submit(now_ms, TryId(1), job("a", 1, 11)),
-        Submitted::OverQuota
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(1), job("a", 1, 11)),
+        SubmitOutcome::OverQuota
     );
 }
 
@@ -341,18 +382,24 @@
     for limit in [0, 10, 11] {
         cluster.engine(1).set_quota_limit(ROUTE, Some(limit));
         assert_eq!(
-            cluster.engine(1).offer(now_ms, TryId(90), &offer(&known)),
-            Offered::AlreadyAccepted
+            cluster
+                .engine(1)
+                .offer(now_ms, SubmissionAttemptId(90), &offer(&known)),
+            OfferOutcome::AlreadyAccepted
         );
         assert_eq!(
-            cluster.engine(1).offer(now_ms, TryId(90), &offer(&other)),
-            Offered::Welcome
+            cluster
+                .engine(1)
+                .offer(now_ms, SubmissionAttemptId(90), &offer(&other)),
+            OfferOutcome::Welcome
         );
     }
     cluster.engine(1).set_quota_limit(ROUTE, Some(1_000));
-    let submitted = cluster.engine(1).submit(now_ms, TryId(90), job("b", 1, 1));
+    let submitted = cluster
+        .engine(1)
+        .submit(now_ms, SubmissionAttemptId(90), job("b", 1, 1));
     assert!(
-        matches!(submitted, Submitted::Pending(_)),
+        matches!(submitted, SubmitOutcome::Pending(_)),
         "no refusal was remembered: {submitted:?}"
     );
 }
@@ -360,12 +407,12 @@
 #[test]
 fn jobs_out_of_bounds_are_invalid() {
     let mut cluster = Cluster::active(1);
-    assert_eq!(cluster.submit(1, job("a", 0, 1)), Submitted::Invalid);
-    assert_eq!(cluster.submit(1, job("a", 201, 1)), Submitted::Invalid);
-    assert_eq!(cluster.submit(1, job("", 1, 1)), Submitted::Invalid);
+    assert_eq!(cluster.submit(1, job("a", 0, 1)), SubmitOutcome::Invalid);
+    assert_eq!(cluster.submit(1, job("a", 201, 1)), SubmitOutcome::Invalid);
+    assert_eq!(cluster.submit(1, job("", 1, 1)), SubmitOutcome::Invalid);
     let mut twice = job("a", 2, 1);
     twice.items[1].id = twice.items[0].id.clone();
-    assert_eq!(cluster.submit(1, twice), Submitted::Invalid);
+    assert_eq!(cluster.submit(1, twice), SubmitOutcome::Invalid);
     cluster.accept(1, job("a", 200, 1));
 }
 
@@ -376,10 +423,10 @@
     let starts = cluster.work(1, 2);
     cluster.stores.get_mut(&2).unwrap().holds_writes = true;
     let now_ms = cluster.now_ms;
-    let EndAnswer::Pending(token) = cluster.engine(1).end(now_ms, &JobId::from("a")) else {
+    let EndOutcome::Pending(token) = cluster.engine(1).end(now_ms, &JobId::from("a")) else {
         panic!()
     };
-    cluster.settle();
+    cluster.run_until_idle();
     let mut cancelled = cluster.cancelled.clone();
     cancelled.sort();
     assert_eq!(cancelled, [starts[0].run, starts[1].run]);
@@ -387,15 +434,15 @@
     assert!(!cluster.resolved.contains(&(token, Outcome::Committed)));
     assert_eq!(
         cluster.engine(1).end(now_ms, &JobId::from("a")),
-        EndAnswer::Pending(token)
+        EndOutcome::Pending(token)
     );
 
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     assert!(cluster.resolved.contains(&(token, Outcome::Committed)));
     assert_eq!(
         cluster.engine(1).end(now_ms, &JobId::from("a")),
-        EndAnswer::AlreadyEnded
+        EndOutcome::AlreadyEnded
     );
     cluster.end_run(
         1,
@@ -413,17 +460,17 @@
     cluster.accept(1, job("a", 3, 10));
     let now_ms = cluster.now_ms;
     cluster.engine(1).end(now_ms, &JobId::from("a"));
-    cluster.settle();
+    cluster.run_until_idle();
     cluster.set_group(2, 2, &[1, 2], &[]);
     cluster.validate(2);
     assert_eq!(cluster.work(2, 9), []);
     assert_eq!(
         cluster.engine(2).end(now_ms, &JobId::from("a")),
-        EndAnswer::AlreadyEnded
+        EndOutcome::AlreadyEnded
     );
     assert_eq!(
         cluster.engine(2).end(now_ms, &JobId::from("b")),
-        EndAnswer::NotFound
+        EndOutcome::NotFound
     );
 }
 
@@ -434,15 +481,17 @@
     cluster.engine(1).set_quota_limit(ROUTE, Some(150));
     assert!(cluster.engine(1).would_fit(ROUTE, 150) && !cluster.engine(1).would_fit(ROUTE, 151));
     assert_eq!(
-        cluster.engine(1).submit(now_ms, TryId(7), job("a", 1, 151)),
-        Submitted::NotSure
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(7), job("a", 1, 151)),
+        SubmitOutcome::NotSure
     );
     assert!(!cluster.engine(1).would_fit("other", 1));
 
     cluster.engine(1).set_quota_limit(ROUTE, Some(0));
     assert_eq!(
         cluster.submit(1, job("b", 1, 1)),
-        Submitted::NotSure,
+        SubmitOutcome::NotSure,
         "0 is a limit here"
     );
     cluster.engine(1).set_quota_limit(ROUTE, Some(u64::MAX));
@@ -451,14 +500,16 @@
     assert!(!cluster.engine(1).would_fit(ROUTE, 1));
     assert_eq!(
         cluster.submit(1, job("d", 1, 1)),
-        Submitted::OverQuota,
+        SubmitOutcome::OverQuota,
         "the terms' own limit again"
     );
 
     cluster.engine(1).set_quota_limit(ROUTE, Some(u64::MAX));
-    let submitted = cluster.engine(1).submit(now_ms, TryId(7), job("a", 1, 151));
+    let submitted = cluster
+        .engine(1)
+        .submit(now_ms, SubmissionAttemptId(7), job("a", 1, 151));
     assert!(
-        matches!(submitted, Submitted::Pending(_)),
+        matches!(submitted, SubmitOutcome::Pending(_)),
         "the try was not refused before: {submitted:?}"
     );
 }
@@ -471,17 +522,21 @@
     assert_eq!(
         cluster
             .engine(1)
-            .refuse(now_ms, TryId(7), &job("a", 1, 200)),
-        Submitted::OverQuota
+            .refuse(now_ms, SubmissionAttemptId(7), &job("a", 1, 200)),
+        SubmitOutcome::OverQuota
     );
     cluster.engine(1).set_quota_limit(ROUTE, Some(500));
     assert_eq!(
-        cluster.engine(1).submit(now_ms, TryId(7), job("a", 1, 200)),
-        Submitted::OverQuota
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(7), job("a", 1, 200)),
+        SubmitOutcome::OverQuota
     );
     assert!(matches!(
-        cluster.engine(1).submit(now_ms, TryId(8), job("a", 1, 200)),
-        Submitted::Pending(_)
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(8), job("a", 1, 200)),
+        SubmitOutcome::Pending(_)
     ));
 }
 
@@ -493,25 +548,27 @@
     assert_eq!(
         cluster
             .engine(1)
-            .refuse(now_ms, TryId(7), &job("a", 1, 200)),
-        Submitted::AlreadyAccepted
+            .refuse(now_ms, SubmissionAttemptId(7), &job("a", 1, 200)),
+        SubmitOutcome::AlreadyAccepted
     );
     assert_eq!(
         cluster
             .engine(2)
-            .refuse(now_ms, TryId(7), &job("b", 1, 200)),
-        Submitted::NotPrimary
+            .refuse(now_ms, SubmissionAttemptId(7), &job("b", 1, 200)),
+        SubmitOutcome::NotPrimary
     );
     let later_ms = now_ms + 1_000;
     assert_eq!(
         cluster
             .engine(1)
-            .refuse(later_ms, TryId(7), &job("b", 1, 200)),
-        Submitted::NotSure
+            .refuse(later_ms, SubmissionAttemptId(7), &job("b", 1, 200)),
+        SubmitOutcome::NotSure
     );
     assert!(matches!(
-        cluster.engine(1).submit(now_ms, TryId(7), job("b", 1, 200)),
-        Submitted::Pending(_)
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(7), job("b", 1, 200)),
+        SubmitOutcome::Pending(_)
     ));
 }
 
--- a/batch/tests/engine/catch_up.rs
+++ b/batch/tests/engine/catch_up.rs
@@ -55,10 +55,10 @@
     });
     cluster.engine(1).set_routes(now_ms, 2, unlimited);
     accept(&mut cluster, 0..JOBS - missed);
-    cluster.cut.insert(2);
+    cluster.partitioned.insert(2);
     cluster.set_group(2, 1, &[1], &[]);
     accept(&mut cluster, JOBS - missed..JOBS);
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.restart(2);
     cluster.sent.clear();
     cluster.set_group(3, 1, &[1], &[2]);
--- a/batch/tests/engine/cluster.rs
+++ b/batch/tests/engine/cluster.rs
@@ -1,9 +1,9 @@
 //! Stores wired without delay or loss, whose disks and links a test may hold.
 
 use alderhollow_batch::api::{
-    ItemStart, Output, RouteTerms, RunId, Submitted, Token, TryId, WriteTicket,
+    ItemStart, Output, RouteTerms, RunId, SubmissionAttemptId, SubmitOutcome, Token, WriteTicket,
 };
-use alderhollow_batch::api::{Outcome, ReadAnswer, RunEnd};
+use alderhollow_batch::api::{Outcome, ReadOutcome, RunEnd};
 use alderhollow_batch::engine::Engine;
 use alderhollow_batch::job::{Item, ItemRequest, JobId, NewJob, ResultState};
 use alderhollow_batch::message::Message;
@@ -31,12 +31,12 @@
     pub now_ms: u64,
     pub stores: BTreeMap<u64, Store>,
     /// Stores that nothing reaches nor leaves.
-    pub cut: BTreeSet<u64>,
+    pub partitioned: BTreeSet<u64>,
     pub resolved: Vec<(Token, Outcome)>,
     pub cancelled: Vec<RunId>,
     /// Every message that was sent: sender, receiver, message.
     pub sent: Vec<(u64, u64, Message)>,
-    tries: u64,
+    attempts: u64,
 }
 
 impl Cluster {
@@ -45,11 +45,11 @@
         let mut cluster = Cluster {
             now_ms: 1_000,
             stores: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             resolved: Vec::new(),
             cancelled: Vec::new(),
             sent: Vec::new(),
-            tries: 0,
+            attempts: 0,
         };
         (1..=count).for_each(|store| cluster.start(store, Vec::new()));
         cluster
@@ -106,12 +106,12 @@
             .stores
             .keys()
             .copied()
-            .filter(|store| !self.cut.contains(store))
+            .filter(|store| !self.partitioned.contains(store))
             .collect();
         reached
             .into_iter()
             .for_each(|store| self.engine(store).set_group(now_ms, group.clone()));
-        self.settle();
+        self.run_until_idle();
     }
 
     /// The core validates a store for the next second.
@@ -129,13 +129,13 @@
             let now_ms = self.now_ms;
             self.stores
                 .values_mut()
-                .for_each(|store| store.engine.tick(now_ms));
-            self.settle();
+                .for_each(|store| store.engine.on_timer(now_ms));
+            self.run_until_idle();
         }
     }
 
     /// Carries out all outputs until there are none.
-    pub(crate) fn settle(&mut self) {
+    pub(crate) fn run_until_idle(&mut self) {
         loop {
             let mut outputs = Vec::new();
             for (id, store) in &mut self.stores {
@@ -160,7 +160,7 @@
         match output {
             Output::Send { to, message } => {
                 self.sent.push((from, to.0, message.clone()));
-                if !self.cut.contains(&from) && !self.cut.contains(&to.0) {
+                if !self.partitioned.contains(&from) && !self.partitioned.contains(&to.0) {
                     self.deliver(from, to.0, message);
                 }
             }
@@ -181,7 +181,7 @@
     pub(crate) fn deliver(&mut self, from: u64, to: u64, message: Message) {
         let now_ms = self.now_ms;
         if let Some(store) = self.stores.get_mut(&to) {
-            store.engine.receive(now_ms, DiskId(from), message);
+            store.engine.on_message(now_ms, DiskId(from), message);
         }
     }
 
@@ -192,23 +192,23 @@
         store.holds_writes = false;
         for (ticket, records) in store.held.drain(..) {
             store.records.extend(records);
-            store.engine.written(now_ms, ticket);
+            store.engine.on_written(now_ms, ticket);
         }
     }
 
     /// Hands a job in at a store, and lets everything happen.
-    pub(crate) fn submit(&mut self, store: u64, job: NewJob) -> Submitted {
+    pub(crate) fn submit(&mut self, store: u64, job: NewJob) -> SubmitOutcome {
         let now_ms = self.now_ms;
-        self.tries += 1;
-        let try_id = TryId(1_000_000 + self.tries);
-        let submitted = self.engine(store).submit(now_ms, try_id, job);
-        self.settle();
+        self.attempts += 1;
+        let attempt_id = SubmissionAttemptId(1_000_000 + self.attempts);
+        let submitted = self.engine(store).submit(now_ms, attempt_id, job);
+        self.run_until_idle();
         submitted
     }
 
     /// Hands a job in at a store, which must come to accept it.
     pub(crate) fn accept(&mut self, store: u64, job: NewJob) {
-        let Submitted::Pending(token) = self.submit(store, job) else {
+        let SubmitOutcome::Pending(token) = self.submit(store, job) else {
             panic!("not taken")
         };
         assert!(self.resolved.contains(&(token, Outcome::Committed)));
@@ -224,7 +224,7 @@
     pub(crate) fn end_run(&mut self, store: u64, run: RunId, end: RunEnd) {
         let now_ms = self.now_ms;
         self.engine(store).run_ended(now_ms, run, end);
-        self.settle();
+        self.run_until_idle();
     }
 
     /// The readable results of a job at a store: item id, state, text.
@@ -234,7 +234,7 @@
             .engine(store)
             .read(now_ms, &JobId::from(job), 0, 1 << 20)
         {
-            ReadAnswer::Results { results, .. } => {
+            ReadOutcome::Results { results, .. } => {
                 let owned = results
                     .into_iter()
                     .map(|result| (result.id.to_owned(), result.state, result.text.to_owned()));
--- a/batch/tests/engine/link_ceiling/clients.rs
+++ b/batch/tests/engine/link_ceiling/clients.rs
@@ -1,7 +1,7 @@
 //! Clients that hand jobs in at a steady rate, come again after a refusal and give up after a second.
 
 use crate::cluster::job;
-use alderhollow_batch::api::{Submitted, Token};
+use alderhollow_batch::api::{SubmitOutcome, Token};
 use alderhollow_batch::job::{JobId, NewJob};
 use std::collections::BTreeMap;
 
@@ -77,15 +77,15 @@
     }
 
     /// The answer to a job that was handed in.
-    pub(super) fn submitted(&mut self, now_ms: u64, id: &JobId, answer: Submitted) {
+    pub(super) fn submitted(&mut self, now_ms: u64, id: &JobId, answer: SubmitOutcome) {
         let client = self.by_job.get_mut(id).expect("a client");
         client.next_try_ms = None;
         match answer {
-            Submitted::Pending(token) => {
+            SubmitOutcome::Pending(token) => {
                 client.taken.get_or_insert((token, now_ms));
                 self.by_token.insert(token, id.clone());
             }
-            Submitted::AlreadyAccepted => client.answered_ms = Some(now_ms),
+            SubmitOutcome::AlreadyAccepted => client.answered_ms = Some(now_ms),
             _ => client.next_try_ms = Some(now_ms + RETRY_MS),
         }
     }
--- a/batch/tests/engine/link_ceiling/group.rs
+++ b/batch/tests/engine/link_ceiling/group.rs
@@ -5,7 +5,7 @@
 use super::link::{Link, Parcel};
 use crate::cluster::{group, routes, terms, ROUTE};
 use alderhollow_batch::api::{
-    ItemStart, Outcome, Output, ReadAnswer, RouteTerms, RunEnd, RunId, TryId,
+    ItemStart, Outcome, Output, ReadOutcome, RouteTerms, RunEnd, RunId, SubmissionAttemptId,
 };
 use alderhollow_batch::engine::Engine;
 use alderhollow_batch::job::JobId;
@@ -41,7 +41,7 @@
     running: VecDeque<Running>,
     /// Items on their way to a backend.
     starting: usize,
-    tries: u64,
+    attempts: u64,
     /// Results that became readable to clients who had been told of their job's acceptance.
     useful_results: u64,
 }
@@ -68,7 +68,7 @@
             link: Link::default(),
             running: VecDeque::new(),
             starting: 0,
-            tries: 0,
+            attempts: 0,
             useful_results: 0,
         };
         congested.set_group(1, &MEMBERS, &[]);
@@ -118,7 +118,7 @@
         if now_ms.is_multiple_of(TICK_MS) {
             self.engines
                 .values_mut()
-                .for_each(|engine| engine.tick(now_ms));
+                .for_each(|engine| engine.on_timer(now_ms));
             self.start_runs();
         }
         self.carry_out();
@@ -127,9 +127,9 @@
     fn submit_due(&mut self) {
         let now_ms = self.now_ms;
         for job in self.clients.due(now_ms) {
-            self.tries += 1;
-            let (id, try_id) = (job.id.clone(), TryId(self.tries));
-            let answer = self.primary().submit(now_ms, try_id, job);
+            self.attempts += 1;
+            let (id, attempt_id) = (job.id.clone(), SubmissionAttemptId(self.attempts));
+            let answer = self.primary().submit(now_ms, attempt_id, job);
             self.clients.submitted(now_ms, &id, answer);
         }
         self.carry_out();
@@ -139,7 +139,7 @@
         match parcel {
             Parcel::Replication { to, message } => {
                 let engine = self.engines.get_mut(&to).expect("a store");
-                engine.receive(self.now_ms, DiskId(PRIMARY), message);
+                engine.on_message(self.now_ms, DiskId(PRIMARY), message);
             }
             Parcel::Run(ItemStart { run, .. }) => {
                 self.starting -= 1;
@@ -170,8 +170,8 @@
 
     fn start_runs(&mut self) {
         let now_ms = self.now_ms;
-        let room = MOST_RUNS.saturating_sub(self.running.len() + self.starting);
-        let starts = self.primary().take_work(now_ms, ROUTE, room);
+        let capacity = MOST_RUNS.saturating_sub(self.running.len() + self.starting);
+        let starts = self.primary().take_work(now_ms, ROUTE, capacity);
         self.starting += starts.len();
         starts
             .into_iter()
@@ -206,11 +206,11 @@
             }
             Output::Send { to, message } => {
                 let engine = self.engines.get_mut(&to.0).expect("a store");
-                engine.receive(now_ms, DiskId(from), message);
+                engine.on_message(now_ms, DiskId(from), message);
             }
             Output::Write { ticket, .. } => {
                 let engine = self.engines.get_mut(&from).expect("a store");
-                engine.written(now_ms, ticket);
+                engine.on_written(now_ms, ticket);
             }
             Output::Resolved {
                 token,
@@ -232,7 +232,7 @@
             return;
         };
         let answer = self.primary().read(now_ms, id, after, PAGE_BYTES);
-        let ReadAnswer::Results { next, results, .. } = answer else {
+        let ReadOutcome::Results { next, results, .. } = answer else {
             return;
         };
         let bytes = results.iter().map(|result| result.text.len()).sum();
--- a/batch/tests/engine/link_ceiling/link.rs
+++ b/batch/tests/engine/link_ceiling/link.rs
@@ -42,14 +42,14 @@
 
     /// Passes what fits in one millisecond; gives the parcels that are through.
     pub(super) fn pass_one_ms(&mut self) -> Vec<Parcel> {
-        let mut room = BYTES_PER_MS;
+        let mut capacity = BYTES_PER_MS;
         let mut through = Vec::new();
         while let Some((parcel, left)) = self.waiting.pop_front() {
-            if left > room {
-                self.waiting.push_front((parcel, left - room));
+            if left > capacity {
+                self.waiting.push_front((parcel, left - capacity));
                 break;
             }
-            room -= left;
+            capacity -= left;
             through.push(parcel);
         }
         through
--- a/batch/tests/engine/overload.rs
+++ b/batch/tests/engine/overload.rs
@@ -1,7 +1,7 @@
 //! What is taken and started while records wait for the members' disks.
 
 use crate::cluster::{job, Cluster};
-use alderhollow_batch::api::{RunEnd, Submitted};
+use alderhollow_batch::api::{RunEnd, SubmitOutcome};
 
 /// Runs items, as many as there may be; their results are handed in.
 fn run(cluster: &mut Cluster, max: usize) -> usize {
@@ -20,8 +20,8 @@
 
 fn is_taken(cluster: &mut Cluster, id: &str) -> bool {
     match cluster.submit(1, job(id, 1, 1)) {
-        Submitted::Pending(_) => true,
-        Submitted::NotSure => false,
+        SubmitOutcome::Pending(_) => true,
+        SubmitOutcome::NotSure => false,
         other => panic!("{other:?} for a job that fits"),
     }
 }
@@ -29,7 +29,7 @@
 #[test]
 fn a_silent_member_holds_up_no_job_until_it_can_be_left_out() {
     let mut cluster = Cluster::active(2);
-    cluster.cut.insert(2);
+    cluster.partitioned.insert(2);
     assert!(is_taken(&mut cluster, "at-once"));
     cluster.pass(1_900, 1);
     assert!(is_taken(&mut cluster, "while-it-may-be-left-out"));
@@ -42,13 +42,13 @@
     let mut cluster = Cluster::active(2);
     cluster.stores.get_mut(&2).expect("a store").holds_writes = true;
     assert!(is_taken(&mut cluster, "first"));
-    cluster.cut.insert(2);
+    cluster.partitioned.insert(2);
     cluster.pass(300, 1);
     assert!(is_taken(&mut cluster, "second"));
     cluster.pass(400, 1);
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(cluster.resolved.len(), 1, "the first is committed");
     assert!(is_taken(&mut cluster, "third"));
     cluster.pass(100, 1);
@@ -84,7 +84,7 @@
         "as much is in flight as the window holds, and more"
     );
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(
         run(&mut cluster, 100),
         75,
--- a/batch/tests/engine/reading.rs
+++ b/batch/tests/engine/reading.rs
@@ -1,7 +1,7 @@
 //! Reads and bodies.
 
 use crate::cluster::{job, Cluster};
-use alderhollow_batch::api::{BodyAnswer, ReadAnswer, RunEnd};
+use alderhollow_batch::api::{BodyOutcome, ReadOutcome, RunEnd};
 use alderhollow_batch::job::{JobId, ResultState};
 
 /// Completes the items of a job that are due first, with this text.
@@ -28,24 +28,24 @@
     let id = JobId::from("a");
     assert_eq!(
         cluster.engine(1).body(now_ms, &id, "a-0"),
-        BodyAnswer::Body(b"body"),
+        BodyOutcome::Body(b"body"),
         "not listed yet"
     );
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     let expected = ("a-0".to_owned(), ResultState::Completed, "text".to_owned());
     assert_eq!(cluster.results(1, "a"), [expected]);
     assert_eq!(
         cluster.engine(1).body(now_ms, &id, "a-0"),
-        BodyAnswer::NotFound
+        BodyOutcome::NotFound
     );
     assert_eq!(
         cluster.engine(1).body(now_ms, &id, "a-1"),
-        BodyAnswer::Body(b"body")
+        BodyOutcome::Body(b"body")
     );
     assert_eq!(
         cluster.engine(1).body(now_ms, &id, "b-1"),
-        BodyAnswer::NotFound
+        BodyOutcome::NotFound
     );
 }
 
@@ -59,7 +59,7 @@
     let mut counts = Vec::new();
     for max_bytes in [0, 2_000, 3_000, 1 << 20] {
         let answer = cluster.engine(1).read(now_ms, &id, 0, max_bytes);
-        let ReadAnswer::Results {
+        let ReadOutcome::Results {
             total: 3,
             next,
             results,
@@ -74,7 +74,7 @@
     assert_eq!(counts, [1, 1, 2, 3]);
     let answer = cluster.engine(1).read(now_ms, &id, 3, 100);
     assert!(
-        matches!(answer, ReadAnswer::Results { next: 3, .. }),
+        matches!(answer, ReadOutcome::Results { next: 3, .. }),
         "{answer:?}"
     );
 }
@@ -88,37 +88,37 @@
     let (known, unknown) = (JobId::from("a"), JobId::from("b"));
     assert_eq!(
         cluster.engine(1).read(now_ms, &unknown, 0, 100),
-        ReadAnswer::NotFound
+        ReadOutcome::NotFound
     );
     assert!(matches!(
         cluster.engine(1).read(now_ms, &known, 1, 100),
-        ReadAnswer::Results { .. }
+        ReadOutcome::Results { .. }
     ));
 
     let later_ms = now_ms + 1_000;
     assert_eq!(
         cluster.engine(1).read(later_ms, &unknown, 0, 100),
-        ReadAnswer::NotSure
+        ReadOutcome::NotSure
     );
     assert_eq!(
         cluster.engine(1).read(later_ms, &known, 1, 100),
-        ReadAnswer::NotSure
+        ReadOutcome::NotSure
     );
     assert!(matches!(
         cluster.engine(1).read(later_ms, &known, 0, 100),
-        ReadAnswer::Results { next: 1, .. }
+        ReadOutcome::Results { next: 1, .. }
     ));
     assert_eq!(
         cluster.engine(1).body(later_ms, &unknown, "b-0"),
-        BodyAnswer::NotSure
+        BodyOutcome::NotSure
     );
     assert_eq!(
         cluster.engine(1).body(later_ms, &known, "a-1"),
-        BodyAnswer::Body(b"body")
+        BodyOutcome::Body(b"body")
     );
     assert_eq!(
         cluster.engine(2).read(now_ms, &known, 0, 100),
-        ReadAnswer::NotPrimary
+        ReadOutcome::NotPrimary
     );
 }
 
@@ -126,21 +126,21 @@
 fn a_primary_whose_epoch_is_not_active_says_nothing() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 2, 10));
-    cluster.cut.insert(1);
+    cluster.partitioned.insert(1);
     cluster.set_group(2, 2, &[1, 2], &[]);
     cluster.validate(2);
     let now_ms = cluster.now_ms;
     assert_eq!(
         cluster.engine(2).read(now_ms, &JobId::from("a"), 0, 100),
-        ReadAnswer::NotSure
+        ReadOutcome::NotSure
     );
     assert_eq!(
         cluster.engine(2).read(now_ms, &JobId::from("b"), 0, 100),
-        ReadAnswer::NotSure
+        ReadOutcome::NotSure
     );
     assert_eq!(
         cluster.engine(2).body(now_ms, &JobId::from("a"), "a-0"),
-        BodyAnswer::NotSure
+        BodyOutcome::NotSure
     );
 }
 
@@ -159,11 +159,11 @@
         cluster
             .engine(1)
             .read(now_ms, &JobId::from("closed"), 0, 100),
-        ReadAnswer::NotFound
+        ReadOutcome::NotFound
     );
     assert!(matches!(
         cluster.engine(1).read(now_ms, &JobId::from("open"), 0, 100),
-        ReadAnswer::Results { .. }
+        ReadOutcome::Results { .. }
     ));
     assert_eq!((cluster.engine(1).jobs(), cluster.engine(2).jobs()), (1, 1));
 }
--- a/batch/tests/engine/replication.rs
+++ b/batch/tests/engine/replication.rs
@@ -1,7 +1,7 @@
 //! Epochs, streams and repair.
 
 use crate::cluster::{group, job, routes, terms, Cluster};
-use alderhollow_batch::api::{RouteTerms, RunEnd, Submitted};
+use alderhollow_batch::api::{RouteTerms, RunEnd, SubmitOutcome};
 use alderhollow_batch::counts::ReplicationCounts;
 use alderhollow_batch::engine::Engine;
 use alderhollow_batch::message::{Message, StreamId, MESSAGE_BYTES};
@@ -33,12 +33,12 @@
 #[test]
 fn a_store_takes_nothing_under_a_lower_epoch_than_the_core_told_it() {
     let mut cluster = Cluster::active(3);
-    cluster.cut.insert(1);
+    cluster.partitioned.insert(1);
     let told = Arc::new(group(2, 2, &[2, 3], &[]));
     let now_ms = cluster.now_ms;
     cluster.engine(3).set_group(now_ms, told);
-    cluster.cut.remove(&1);
-    let Submitted::Pending(_) = cluster.submit(1, job("a", 1, 1)) else {
+    cluster.partitioned.remove(&1);
+    let SubmitOutcome::Pending(_) = cluster.submit(1, job("a", 1, 1)) else {
         panic!("not taken")
     };
     assert_eq!(cluster.resolved, []);
@@ -59,13 +59,13 @@
     let told = Arc::new(group(2, 2, &[2, 3], &[]));
     let now_ms = cluster.now_ms;
     cluster.engine(3).set_group(now_ms, told);
-    let Submitted::Pending(_) = cluster.submit(1, job("a", 1, 1)) else {
+    let SubmitOutcome::Pending(_) = cluster.submit(1, job("a", 1, 1)) else {
         panic!("not taken")
     };
     cluster.pass(3_000, 1);
     let now_ms = cluster.now_ms;
     assert!(!cluster.engine(1).status(now_ms).active);
-    let next_ms = cluster.engine(1).next_tick_ms();
+    let next_ms = cluster.engine(1).next_timer_ms();
     assert!(
         next_ms.is_none_or(|at_ms| at_ms > now_ms),
         "{next_ms:?} is due at {now_ms} and stays so"
@@ -95,7 +95,7 @@
     cluster.restart(2);
     cluster.deliver(1, 2, compare);
     cluster.deliver(1, 2, drop_it);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(jobs_on_disk(&cluster, 2).len(), 1);
     let answers = sent(&cluster, 2, 1);
     assert!(answers
@@ -136,7 +136,7 @@
             entries: vec![Entry::JobForgotten("a".into())],
         },
     );
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(jobs_on_disk(&cluster, 2).len(), 1);
     assert!(matches!(
         sent(&cluster, 2, 1).last(),
@@ -151,7 +151,7 @@
         cluster.accept(1, job(&format!("same{number}"), 2, 1));
     }
     // Store 1 takes a job that reaches nobody; store 2 leads meanwhile and takes others.
-    cluster.cut.insert(1);
+    cluster.partitioned.insert(1);
     cluster.submit(1, job("lost", 1, 1));
     cluster.set_group(2, 2, &[2, 3], &[]);
     cluster.validate(2);
@@ -165,7 +165,7 @@
             },
         );
     }
-    cluster.cut.remove(&1);
+    cluster.partitioned.remove(&1);
     cluster.sent.clear();
     cluster.set_group(3, 2, &[2, 3], &[1]);
     assert_eq!(jobs_on_disk(&cluster, 1), jobs_on_disk(&cluster, 2));
@@ -179,7 +179,7 @@
     let entries: Vec<Entry> = entries.flatten().collect();
     let whole = entries
         .iter()
-        .filter(|entry| matches!(entry, Entry::WholeJob(_)))
+        .filter(|entry| matches!(entry, Entry::FullJob(_)))
         .count();
     let dropped: Vec<&Entry> = entries
         .iter()
@@ -199,11 +199,11 @@
     cluster.set_group(2, 1, &[1, 2], &[3]);
     let now_ms = cluster.now_ms;
     assert_eq!(cluster.engine(1).status(now_ms).in_sync, [DiskId(3)]);
-    cluster.cut.insert(3);
+    cluster.partitioned.insert(3);
     cluster.accept(1, job("b", 1, 1));
     assert_eq!(cluster.engine(1).status(now_ms).in_sync, []);
     assert_eq!(cluster.engine(1).status(now_ms).silent, []);
-    cluster.cut.remove(&3);
+    cluster.partitioned.remove(&3);
     cluster.pass(3_000, 1);
     assert_eq!(jobs_on_disk(&cluster, 1), jobs_on_disk(&cluster, 3));
     let now_ms = cluster.now_ms;
@@ -236,7 +236,7 @@
 #[test]
 fn a_member_that_does_not_answer_is_reported_and_waited_for() {
     let mut cluster = Cluster::active(3);
-    cluster.cut.insert(3);
+    cluster.partitioned.insert(3);
     cluster.submit(1, job("a", 1, 1));
     cluster.pass(800, 1);
     let now_ms = cluster.now_ms;
@@ -245,7 +245,7 @@
     let now_ms = cluster.now_ms;
     assert_eq!(cluster.engine(1).status(now_ms).silent, [DiskId(3)]);
     assert_eq!(cluster.resolved, []);
-    cluster.cut.remove(&3);
+    cluster.partitioned.remove(&3);
     cluster.pass(3_000, 1);
     assert_eq!(cluster.resolved.len(), 1);
     let now_ms = cluster.now_ms;
@@ -264,12 +264,12 @@
     let now_ms = cluster.now_ms;
     let status = cluster.engine(3).status(now_ms);
     assert_eq!((status.behind, status.active), (Some(DiskId(2)), false));
-    assert_eq!(cluster.submit(3, job("b", 1, 1)), Submitted::NotSure);
+    assert_eq!(cluster.submit(3, job("b", 1, 1)), SubmitOutcome::NotSure);
     cluster.set_group(3, 2, &[2, 3], &[]);
     cluster.validate(2);
     assert_eq!(
         cluster.submit(2, job("a", 1, 1)),
-        Submitted::AlreadyAccepted
+        SubmitOutcome::AlreadyAccepted
     );
 }
 
@@ -285,7 +285,7 @@
     cluster.validate(1);
     assert_eq!(
         cluster.submit(1, job("a", 1, 1)),
-        Submitted::AlreadyAccepted
+        SubmitOutcome::AlreadyAccepted
     );
 }
 
@@ -293,15 +293,15 @@
 fn an_answer_that_comes_later_than_the_retry_of_a_comparison_counts() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 1));
-    cluster.cut.insert(2);
+    cluster.partitioned.insert(2);
     cluster.sent.clear();
     cluster.set_group(2, 1, &[1, 2], &[]);
     cluster.pass(4_000, 1);
     let compares = sent(&cluster, 1, 2);
     assert!(compares.len() >= 3, "{compares:?}");
-    cluster.cut.remove(&2);
+    cluster.partitioned.remove(&2);
     cluster.deliver(1, 2, compares[0].clone());
-    cluster.settle();
+    cluster.run_until_idle();
     let now_ms = cluster.now_ms;
     assert!(
         cluster.engine(1).status(now_ms).active,
@@ -311,7 +311,7 @@
     compares
         .into_iter()
         .for_each(|compare| cluster.deliver(1, 2, compare));
-    cluster.settle();
+    cluster.run_until_idle();
     cluster.accept(1, job("c", 1, 1));
     assert_eq!(jobs_on_disk(&cluster, 1), jobs_on_disk(&cluster, 2));
 }
@@ -357,7 +357,7 @@
             ..terms()
         }),
     );
-    cluster.cut.insert(2);
+    cluster.partitioned.insert(2);
     cluster.sent.clear();
     for number in 0..40 {
         let mut large = job(&format!("large{number}"), 1, 1);
@@ -414,13 +414,13 @@
     );
     cluster.start(3, Vec::new());
     cluster.set_group(2, 1, &[1, 2], &[3]);
-    cluster.cut.insert(3);
+    cluster.partitioned.insert(3);
     for number in 0..30 {
         let mut large = job(&format!("large{number}"), 1, 1);
         large.items[0].request.as_mut().unwrap().body = vec![number; 1 << 20];
         cluster.accept(1, large);
     }
-    cluster.cut.remove(&3);
+    cluster.partitioned.remove(&3);
     cluster.pass(5_000, 1);
     assert_eq!(jobs_on_disk(&cluster, 1), jobs_on_disk(&cluster, 3));
 }
@@ -469,7 +469,7 @@
             ..ReplicationCounts::default()
         }
     );
-    cluster.cut.insert(3);
+    cluster.partitioned.insert(3);
     cluster.submit(1, job("a", 1, 1));
     cluster.pass(600, 1);
     assert_eq!(
@@ -477,7 +477,7 @@
         1,
         "after 500 ms without an answer"
     );
-    cluster.cut.remove(&3);
+    cluster.partitioned.remove(&3);
     cluster.pass(3_000, 1);
     let before = cluster.engine(1).counts().replication;
     cluster.set_group(2, 1, &[1, 2], &[]);
@@ -512,11 +512,11 @@
     );
     cluster.start(3, Vec::new());
     cluster.set_group(2, 1, &[1, 2], &[3]);
-    cluster.cut.insert(3);
+    cluster.partitioned.insert(3);
     for number in 0..17 {
         let mut large = job(&format!("large{number}"), 1, 1);
         large.items[0].request.as_mut().unwrap().body = vec![number; 1 << 20];
         cluster.accept(1, large);
     }
-    assert!(cluster.engine(1).counts().replication.streams_given_up >= 1);
+    assert!(cluster.engine(1).counts().replication.streams_abandoned >= 1);
 }
--- a/batch/tests/engine/runs.rs
+++ b/batch/tests/engine/runs.rs
@@ -70,7 +70,7 @@
         cluster.end_run(
             1,
             starts[0].run,
-            RunEnd::Cut {
+            RunEnd::Interrupted {
                 resume: None,
                 retry_after_ms: 50,
             },
@@ -119,7 +119,7 @@
         cluster.end_run(
             1,
             starts[0].run,
-            RunEnd::Cut {
+            RunEnd::Interrupted {
                 resume: end,
                 retry_after_ms: 10,
             },
--- a/batch/tests/engine/window.rs
+++ b/batch/tests/engine/window.rs
@@ -8,8 +8,8 @@
 /// A window that is full.
 fn full() -> CongestionWindow {
     let mut window = CongestionWindow::new(FIRST, SMALLEST);
-    window.note_begun(FIRST);
-    window.note_limit();
+    window.record_started(FIRST);
+    window.record_limited();
     window
 }
 
@@ -18,9 +18,9 @@
     let window = CongestionWindow::new(FIRST, SMALLEST);
     assert_eq!(
         (
-            window.room(0),
-            window.room(FIRST - 1),
-            window.room(FIRST + 1)
+            window.available(0),
+            window.available(FIRST - 1),
+            window.available(FIRST + 1)
         ),
         (FIRST, 1, 0)
     );
@@ -29,10 +29,10 @@
 #[test]
 fn a_window_that_does_not_limit_stays() {
     let mut window = CongestionWindow::new(FIRST, SMALLEST);
-    window.note_begun(5);
+    window.record_started(5);
     window.adapt(CommitPace::Prompt, 5);
     assert_eq!(window.size(), FIRST);
-    assert!(!window.was_cut());
+    assert!(!window.has_shrunk());
 }
 
 #[test]
@@ -40,14 +40,14 @@
     let mut window = full();
     window.adapt(CommitPace::Prompt, FIRST);
     assert_eq!(window.size(), 900);
-    window.note_limit();
+    window.record_limited();
     window.adapt(CommitPace::Prompt, 0);
     assert_eq!(
         window.size(),
         900,
         "nothing that began after the round has left"
     );
-    window.note_begun(1);
+    window.record_started(1);
     window.adapt(CommitPace::Prompt, 0);
     assert_eq!(window.size(), 1_012);
 }
@@ -57,10 +57,10 @@
     let mut window = full();
     window.adapt(CommitPace::Late, 400);
     assert_eq!(window.size(), 300);
-    assert!(window.was_cut());
+    assert!(window.has_shrunk());
     window.adapt(CommitPace::Late, 400);
     assert_eq!(window.size(), 300, "the same round");
-    window.note_begun(100);
+    window.record_started(100);
     window.adapt(CommitPace::Late, 99);
     assert_eq!(window.size(), 75);
 }
--- a/batch/tests/quota/account.rs
+++ b/batch/tests/quota/account.rs
@@ -1,13 +1,13 @@
 //! What an account asks, takes and settles.
 
 use crate::coordinator::{ID, MAX};
-use alderhollow_batch::quota::account::SUBMISSION_PATIENCE_MS;
+use alderhollow_batch::quota::account::SUBMISSION_TIMEOUT_MS;
 use alderhollow_batch::quota::account::{
-    ACTIVE_PERIOD_MS, ANSWER_PATIENCE_MS, CONTENDED_PERIOD_MS, IDLE_PERIOD_MS, REFUSAL_PAUSE_MS,
+    ACTIVE_PERIOD_MS, ANSWER_TIMEOUT_MS, CONTENDED_PERIOD_MS, IDLE_PERIOD_MS, REFUSAL_PAUSE_MS,
 };
 use alderhollow_batch::quota::{
-    Account, Coordinator, CoordinatorId, Decision, QuotaGrant, QuotaOutcome, QuotaReport, Settled,
-    SubmissionId,
+    Account, Coordinator, CoordinatorId, Decision, QuotaGrant, QuotaOutcome, QuotaReport,
+    ResolvedSubmission, SubmissionId,
 };
 
 const A: SubmissionId = SubmissionId(1);
@@ -18,11 +18,11 @@
 fn account(limit: u64) -> Account {
     let mut account = new_account();
     let report = account.next_report(0, 0).expect("a first report");
-    account.take_answer(0, 0, &answer(&report, Decision::Unsure));
+    account.on_grant(0, 0, &answer(&report, Decision::Unsure));
     let report = account
         .next_report(0, 0)
         .expect("a report to the incarnation");
-    account.take_answer(0, 0, &counted(&report, limit, MAX));
+    account.on_grant(0, 0, &counted(&report, limit, MAX));
     account
 }
 
@@ -41,19 +41,19 @@
     }
 }
 
-fn counted(report: &QuotaReport, limit: u64, room: u64) -> QuotaGrant {
+fn counted(report: &QuotaReport, limit: u64, available: u64) -> QuotaGrant {
     answer(
         report,
         Decision::Counted {
             limit,
-            room,
+            available,
             is_contended: false,
         },
     )
 }
 
-fn settled(submission: SubmissionId, outcome: QuotaOutcome) -> Settled {
-    Settled {
+fn resolved(submission: SubmissionId, outcome: QuotaOutcome) -> ResolvedSubmission {
+    ResolvedSubmission {
         submission,
         outcome,
     }
@@ -74,9 +74,9 @@
         !account.fits(400, 1),
         "others may have been given what has ended"
     );
-    account.take_answer(0, 500, &answer(&report, Decision::Unsure));
+    account.on_grant(0, 500, &answer(&report, Decision::Unsure));
     let report = account.next_report(0, 400).expect("at once");
-    account.take_answer(0, 400, &counted(&report, 300, 0));
+    account.on_grant(0, 400, &counted(&report, 300, 0));
     assert!(!account.fits(300, 1) && account.fits(299, 1));
 }
 
@@ -87,8 +87,11 @@
     assert!(account.fits(u64::MAX, u64::MAX));
     assert_eq!((account.limit(), account.next_due_ms(5)), (None, None));
     assert_eq!(account.next_report(9_999, 5), None);
-    account.want(0, A, 10);
-    assert_eq!(account.settle(0, 0), [settled(A, QuotaOutcome::Fits)]);
+    account.request(0, A, 10);
+    assert_eq!(
+        account.resolve_waiting(0, 0),
+        [resolved(A, QuotaOutcome::Fits)]
+    );
 }
 
 #[test]
@@ -103,7 +106,7 @@
         }
     );
     let early = counted(&first, 500, 500);
-    account.take_answer(1, 0, &early);
+    account.on_grant(1, 0, &early);
     assert!(
         !account.fits(0, 1),
         "it was not addressed to this incarnation"
@@ -129,15 +132,15 @@
 fn only_the_answer_to_the_newest_report_is_taken_and_once() {
     let mut account = account(0);
     let first = account.next_report(IDLE_PERIOD_MS, 0).expect("due");
-    account.answer_lost(IDLE_PERIOD_MS, first.id);
+    account.on_answer_lost(IDLE_PERIOD_MS, first.id);
     let second = account.next_report(2 * IDLE_PERIOD_MS, 0).expect("due");
     assert!(second.id > first.id);
-    account.take_answer(2_000, 0, &counted(&first, 500, MAX));
+    account.on_grant(2_000, 0, &counted(&first, 500, MAX));
     assert!(!account.fits(0, 1), "a late answer");
-    account.take_answer(2_000, 0, &counted(&second, 500, MAX));
+    account.on_grant(2_000, 0, &counted(&second, 500, MAX));
     assert!(account.fits(0, 500));
     account.next_report(2_500, 0).expect("due");
-    account.take_answer(2_500, 0, &counted(&second, 500, MAX));
+    account.on_grant(2_500, 0, &counted(&second, 500, MAX));
     assert!(!account.fits(0, 1), "a copy of an answer");
 }
 
@@ -153,7 +156,7 @@
             session: 0
         }
     );
-    account.take_answer(100, 0, &counted(&report, 500, MAX));
+    account.on_grant(100, 0, &counted(&report, 500, MAX));
     assert!(!account.fits(0, 1));
     account.set_coordinator_epoch(200, ID.epoch);
     let next = account.next_report(900, 0).expect("due");
@@ -168,7 +171,7 @@
 fn one_report_is_under_way_and_is_given_up_after_a_while() {
     let mut account = account(0);
     let first = account.next_report(IDLE_PERIOD_MS, 0).expect("due");
-    let late_ms = IDLE_PERIOD_MS + ANSWER_PATIENCE_MS;
+    let late_ms = IDLE_PERIOD_MS + ANSWER_TIMEOUT_MS;
     assert_eq!(account.next_due_ms(0), Some(late_ms));
     assert_eq!(account.next_report(late_ms - 1, 0), None);
     let second = account
@@ -191,10 +194,10 @@
     let report = idle.next_report(IDLE_PERIOD_MS, 0).expect("due");
     let contended = Decision::Counted {
         limit: 1,
-        room: 1,
+        available: 1,
         is_contended: true,
     };
-    idle.take_answer(IDLE_PERIOD_MS, 0, &answer(&report, contended));
+    idle.on_grant(IDLE_PERIOD_MS, 0, &answer(&report, contended));
     assert_eq!(
         idle.next_due_ms(0),
         Some(IDLE_PERIOD_MS + CONTENDED_PERIOD_MS),
@@ -209,8 +212,8 @@
 #[test]
 fn a_submission_is_asked_for_at_once_and_fits() {
     let mut account = account(100);
-    account.want(10, A, 300);
-    account.want(10, B, 50);
+    account.request(10, A, 300);
+    account.request(10, B, 50);
     assert_eq!(account.next_due_ms(100), Some(10));
     let report = account.next_report(10, 100).expect("at once");
     assert_eq!(
@@ -218,31 +221,25 @@
         (100, [300, 50].as_slice())
     );
     let fits = [
-        settled(A, QuotaOutcome::Fits),
-        settled(B, QuotaOutcome::Fits),
+        resolved(A, QuotaOutcome::Fits),
+        resolved(B, QuotaOutcome::Fits),
     ];
-    assert_eq!(
-        account.take_answer(12, 100, &counted(&report, 450, 900)),
-        fits
-    );
-    account.note_accepted(450);
+    assert_eq!(account.on_grant(12, 100, &counted(&report, 450, 900)), fits);
+    account.record_accepted(450);
     assert_eq!(account.counters().violations, 0);
-    account.note_accepted(451);
+    account.record_accepted(451);
     assert_eq!(account.counters().violations, 1);
 }
 
 #[test]
 fn what_exceeds_the_room_is_refused_and_the_rest_is_asked_for_again() {
     let mut account = account(0);
-    account.want(10, A, 300);
-    account.want(10, B, 500);
-    account.want(10, C, 700);
+    account.request(10, A, 300);
+    account.request(10, B, 500);
+    account.request(10, C, 700);
     let report = account.next_report(10, 0).expect("at once");
-    let fits = [settled(A, QuotaOutcome::Fits)];
-    assert_eq!(
-        account.take_answer(12, 0, &counted(&report, 400, 850)),
-        fits
-    );
+    let fits = [resolved(A, QuotaOutcome::Fits)];
+    assert_eq!(account.on_grant(12, 0, &counted(&report, 400, 850)), fits);
     let due_ms = account.next_due_ms(300).expect("it asks again");
     assert!((12 + 30..12 + 60).contains(&due_ms), "{due_ms}");
     let again = account.next_report(due_ms, 300).expect("due");
@@ -251,9 +248,9 @@
         ([500, 700].as_slice(), 0)
     );
     let late_ms = 10 + REFUSAL_PAUSE_MS;
-    let refused = [settled(C, QuotaOutcome::OverQuota)];
+    let refused = [resolved(C, QuotaOutcome::OverQuota)];
     assert_eq!(
-        account.take_answer(late_ms, 300, &counted(&again, 300, 500)),
+        account.on_grant(late_ms, 300, &counted(&again, 300, 500)),
         refused
     );
     let last = account.next_report(late_ms + 100, 300).expect("due");
@@ -261,9 +258,9 @@
         (last.wanted.as_slice(), last.refused_total),
         ([500].as_slice(), 700)
     );
-    let refused = [settled(B, QuotaOutcome::OverQuota)];
+    let refused = [resolved(B, QuotaOutcome::OverQuota)];
     assert_eq!(
-        account.take_answer(late_ms + 101, 300, &counted(&last, 300, 499)),
+        account.on_grant(late_ms + 101, 300, &counted(&last, 300, 499)),
         refused
     );
 }
@@ -271,13 +268,13 @@
 #[test]
 fn nothing_that_may_fit_is_refused_before_the_others_have_reported() {
     let mut account = account(0);
-    account.want(10, A, MAX);
-    account.want(10, B, MAX + 1);
+    account.request(10, A, MAX);
+    account.request(10, B, MAX + 1);
     let report = account.next_report(10, 0).expect("at once");
-    let refused = [settled(B, QuotaOutcome::OverQuota)];
+    let refused = [resolved(B, QuotaOutcome::OverQuota)];
     let just_before_ms = 9 + REFUSAL_PAUSE_MS;
     assert_eq!(
-        account.take_answer(just_before_ms, 0, &counted(&report, 0, 0)),
+        account.on_grant(just_before_ms, 0, &counted(&report, 0, 0)),
         refused
     );
 }
@@ -285,13 +282,13 @@
 #[test]
 fn a_submission_that_came_behind_the_report_is_not_refused_by_its_answer() {
     let mut account = account(0);
-    account.want(10, A, 300);
+    account.request(10, A, 300);
     let report = account.next_report(10, 0).expect("at once");
-    account.want(11, B, 900);
+    account.request(11, B, 900);
     let late_ms = 11 + REFUSAL_PAUSE_MS;
-    let ends = [settled(A, QuotaOutcome::OverQuota)];
+    let ends = [resolved(A, QuotaOutcome::OverQuota)];
     assert_eq!(
-        account.take_answer(late_ms, 0, &counted(&report, 0, 100)),
+        account.on_grant(late_ms, 0, &counted(&report, 0, 100)),
         ends
     );
     assert_eq!(
@@ -304,13 +301,13 @@
 #[test]
 fn every_wait_ends() {
     let mut account = account(0);
-    account.want(10, A, 300);
-    account.want(10, B, 300);
+    account.request(10, A, 300);
+    account.request(10, B, 300);
     account.withdraw(B);
     account.next_report(10, 0).expect("at once");
-    assert_eq!(account.settle(9 + SUBMISSION_PATIENCE_MS, 0), []);
-    let end = [settled(A, QuotaOutcome::Unsure)];
-    assert_eq!(account.settle(10 + SUBMISSION_PATIENCE_MS, 0), end);
+    assert_eq!(account.resolve_waiting(9 + SUBMISSION_TIMEOUT_MS, 0), []);
+    let end = [resolved(A, QuotaOutcome::Unsure)];
+    assert_eq!(account.resolve_waiting(10 + SUBMISSION_TIMEOUT_MS, 0), end);
 }
 
 #[test]
@@ -321,7 +318,7 @@
     account.set_max(20, MAX - 1);
     assert!(!account.fits(0, 1));
     let report = account.next_report(20, 0).expect("at once");
-    account.take_answer(21, 0, &counted(&report, 400, 400));
+    account.on_grant(21, 0, &counted(&report, 400, 400));
     assert!(account.fits(0, 400));
 }
 
@@ -330,7 +327,7 @@
     let mut account = account(500);
     let report = account.next_report(ACTIVE_PERIOD_MS, 0).expect("due");
     account.set_max(260, MAX / 2);
-    account.take_answer(270, 0, &counted(&report, MAX, MAX));
+    account.on_grant(270, 0, &counted(&report, MAX, MAX));
     assert!(
         !account.fits(0, 1),
         "it was granted under the earlier limit"
@@ -344,9 +341,9 @@
     earlier.set_max(0, MAX);
     let mut late_report = None;
     for round in 0..20 {
-        let now_ms = round * ANSWER_PATIENCE_MS;
+        let now_ms = round * ANSWER_TIMEOUT_MS;
         if let Some(report) = earlier.next_report(now_ms, 0) {
-            earlier.take_answer(now_ms, 0, &coordinator.report(now_ms, MAX, &report));
+            earlier.on_grant(now_ms, 0, &coordinator.report(now_ms, MAX, &report));
             late_report = Some(report);
         }
     }
@@ -357,10 +354,10 @@
     account.set_max(0, MAX);
     coordinator.report(0, MAX, &late_report);
     let report = account.next_report(0, 10).expect("at once");
-    account.take_answer(0, 10, &coordinator.report(0, MAX, &report));
+    account.on_grant(0, 10, &coordinator.report(0, MAX, &report));
     let report = account
         .next_report(0, 10)
         .expect("at once, to the incarnation");
-    account.take_answer(0, 10, &coordinator.report(0, MAX, &report));
+    account.on_grant(0, 10, &coordinator.report(0, MAX, &report));
     assert!(account.limit() >= Some(10), "{account:?}");
 }
--- a/batch/tests/quota/coordinator.rs
+++ b/batch/tests/quota/coordinator.rs
@@ -47,9 +47,9 @@
     }
 }
 
-fn room(grant: &QuotaGrant) -> u64 {
+fn available(grant: &QuotaGrant) -> u64 {
     match grant.decision {
-        Decision::Counted { room, .. } => room,
+        Decision::Counted { available, .. } => available,
         Decision::Unsure => panic!("unsure"),
     }
 }
@@ -63,7 +63,7 @@
     }
     let grant = coordinator.report(0, MAX, &report(2, 1, 10, 10));
     assert!(limit(&grant) >= 20);
-    assert_eq!(room(&grant), 970);
+    assert_eq!(available(&grant), 970);
 }
 
 #[test]
@@ -184,7 +184,7 @@
         ..report(0, 3, 0, 0)
     };
     let grant = coordinator.report(1, MAX, &none);
-    assert_eq!((limit(&grant), room(&grant)), (0, 400));
+    assert_eq!((limit(&grant), available(&grant)), (0, 400));
     assert_eq!(coordinator.counters().short, 3);
 }
 
@@ -194,7 +194,7 @@
     coordinator.report(1, MAX, &report(1, 2, 100, 800));
     let grant = coordinator.report(1, MAX, &report(0, 2, 0, 500));
     assert_eq!(
-        (limit(&grant), room(&grant)),
+        (limit(&grant), available(&grant)),
         (0, 900),
         "it fits once group 1 has returned what it does not use"
     );
@@ -291,12 +291,12 @@
     };
     let grant = coordinator.report(1, MAX, &over);
     assert_eq!(
-        (limit(&grant), room(&grant)),
+        (limit(&grant), available(&grant)),
         (100, 0),
         "nothing takes the place of the first 200 that end"
     );
     let other = coordinator.report(1, MAX, &report(1, 2, 900, 1));
-    assert_eq!((limit(&other), room(&other)), (700, 0));
+    assert_eq!((limit(&other), available(&other)), (700, 0));
     assert_eq!(coordinator.counters().violations, 0);
 }
 
@@ -320,7 +320,7 @@
 fn greatest_numbers_end_nothing() {
     let mut coordinator = of_two(u64::MAX);
     let grant = coordinator.report(u64::MAX, u64::MAX, &report(0, 2, u64::MAX, u64::MAX));
-    assert_eq!((limit(&grant), room(&grant)), (0, 0));
+    assert_eq!((limit(&grant), available(&grant)), (0, 0));
     assert_eq!(coordinator.counters().violations, 0);
 }
 
@@ -385,5 +385,5 @@
     );
     coordinator.report(0, MAX, &report(1, 2, 2 * MAX, 0));
     let late = coordinator.report(0, MAX, &report(0, 2, 0, 500));
-    assert_eq!((limit(&late), room(&late)), (0, 0));
+    assert_eq!((limit(&late), available(&late)), (0, 0));
 }
--- a/batch/tests/quota/meter.rs
+++ b/batch/tests/quota/meter.rs
@@ -5,8 +5,8 @@
 #[test]
 fn a_period_gives_one_reading_with_all_that_did_not_fit() {
     let mut meter = Meter::default();
-    assert_eq!(meter.note(1_000, 3, "r", 10, 0), None);
-    assert_eq!(meter.note(1_200, 3, "r", 20, 7), None);
+    assert_eq!(meter.record(1_000, 3, "r", 10, 0), None);
+    assert_eq!(meter.record(1_200, 3, "r", 20, 7), None);
     let reading = QuotaReading {
         period: (3 << 32) + 1,
         age_ms: 0,
@@ -14,12 +14,12 @@
         waiting: 30,
         beyond: 12,
     };
-    assert_eq!(meter.note(1_600, 3, "r", 30, 5), Some(reading));
+    assert_eq!(meter.record(1_600, 3, "r", 30, 5), Some(reading));
     let later = QuotaReading {
         age_ms: 100,
         ..reading
     };
-    assert_eq!(meter.note(1_700, 3, "r", 40, 9), Some(later));
+    assert_eq!(meter.record(1_700, 3, "r", 40, 9), Some(later));
     let next = QuotaReading {
         period: (3 << 32) + 2,
         length_ms: 500,
@@ -27,15 +27,15 @@
         beyond: 9,
         ..reading
     };
-    assert_eq!(meter.note(2_100, 3, "r", 50, 0), Some(next));
+    assert_eq!(meter.record(2_100, 3, "r", 50, 0), Some(next));
 }
 
 #[test]
 fn numbers_rise_over_epochs() {
     let mut meter = Meter::default();
-    meter.note(0, 1, "r", 0, 0);
-    let before = meter.note(600, 1, "r", 0, 0).expect("a reading");
-    assert_eq!(meter.note(700, 2, "r", 0, 0), None);
-    let after = meter.note(1_300, 2, "r", 0, 0).expect("a reading");
+    meter.record(0, 1, "r", 0, 0);
+    let before = meter.record(600, 1, "r", 0, 0).expect("a reading");
+    assert_eq!(meter.record(700, 2, "r", 0, 0), None);
+    let after = meter.record(1_300, 2, "r", 0, 0).expect("a reading");
     assert!(after.period > before.period);
 }
--- a/batch/tests/quota/simulation/oracle.rs
+++ b/batch/tests/quota/simulation/oracle.rs
@@ -1,7 +1,7 @@
 //! What must hold at each moment.
 
 use super::process::Client;
-use alderhollow_batch::quota::account::SUBMISSION_PATIENCE_MS;
+use alderhollow_batch::quota::account::SUBMISSION_TIMEOUT_MS;
 use alderhollow_batch::quota::QuotaOutcome;
 use std::collections::VecDeque;
 
@@ -69,7 +69,7 @@
     }
 
     /// A client got its answer.
-    pub(super) fn settled(
+    pub(super) fn resolved(
         &mut self,
         now_ms: u64,
         step_ms: u64,
@@ -78,7 +78,7 @@
     ) {
         let waited_ms = now_ms - client.since_ms;
         assert!(
-            waited_ms <= SUBMISSION_PATIENCE_MS + step_ms,
+            waited_ms <= SUBMISSION_TIMEOUT_MS + step_ms,
             "seed {}, {now_ms} ms: a client waited {waited_ms} ms",
             self.seed
         );
@@ -101,7 +101,7 @@
 
     /// No client is left alone at a process that is alive.
     pub(super) fn still_waits(&self, now_ms: u64, step_ms: u64, client: Client) {
-        let patience_ms = SUBMISSION_PATIENCE_MS + step_ms;
+        let patience_ms = SUBMISSION_TIMEOUT_MS + step_ms;
         assert!(
             client.since_ms + patience_ms >= now_ms,
             "seed {}: {client:?} has no answer",
--- a/batch/tests/quota/simulation/world.rs
+++ b/batch/tests/quota/simulation/world.rs
@@ -4,7 +4,7 @@
 use super::network::{Envelope, Network, Packet, Quality};
 use super::oracle::{Oracle, Tally};
 use super::process::{due, Client, Process, ROUTE};
-use alderhollow_batch::quota::{home_group, QuotaOutcome, Settled, SubmissionId};
+use alderhollow_batch::quota::{home_group, QuotaOutcome, ResolvedSubmission, SubmissionId};
 use oorandom::Rand32;
 use std::collections::BTreeSet;
 
@@ -312,8 +312,8 @@
             }
             Packet::Grant(grant) => {
                 let used = process.used();
-                let settled = process.account.take_answer(self.now_ms, used, &grant);
-                self.settle(to, settled);
+                let resolved = process.account.on_grant(self.now_ms, used, &grant);
+                self.on_resolved(to, resolved);
             }
         }
     }
@@ -352,30 +352,32 @@
         let process = &mut self.processes[index];
         process.clients.insert(submission, client);
         if process.account.fits(process.used(), client.tokens) {
-            self.settle(
+            self.on_resolved(
                 index,
-                vec![Settled {
+                vec![ResolvedSubmission {
                     submission,
                     outcome: QuotaOutcome::Fits,
                 }],
             );
         } else {
-            process.account.want(self.now_ms, submission, client.tokens);
+            process
+                .account
+                .request(self.now_ms, submission, client.tokens);
         }
     }
 
-    fn settle(&mut self, index: usize, settled: Vec<Settled>) {
-        for Settled {
+    fn on_resolved(&mut self, index: usize, resolved: Vec<ResolvedSubmission>) {
+        for ResolvedSubmission {
             submission,
             outcome,
-        } in settled
+        } in resolved
         {
             let process = &mut self.processes[index];
             let client = process
                 .clients
                 .remove(&submission)
                 .expect("a client that waits");
-            self.oracle.settled(self.now_ms, STEP_MS, client, outcome);
+            self.oracle.resolved(self.now_ms, STEP_MS, client, outcome);
             if outcome == QuotaOutcome::Fits {
                 self.accept(index, client.tokens);
             }
@@ -391,7 +393,7 @@
         );
         let job = self.jobs.add(process.group, tokens, process.is_fenced);
         process.counted.insert(job, tokens);
-        process.account.note_accepted(process.used());
+        process.account.record_accepted(process.used());
         let commit_ms = self.now_ms + u64::from(self.random.rand_range(1..60));
         process.accepting.entry(commit_ms).or_default().push(job);
     }
@@ -404,8 +406,8 @@
         let process = &mut self.processes[index];
         let used = process.used();
         let due_ms = process.account.next_due_ms(used);
-        let settled = process.account.settle(now_ms, used);
-        self.settle(index, settled);
+        let resolved = process.account.resolve_waiting(now_ms, used);
+        self.on_resolved(index, resolved);
         self.report(index, due_ms);
         let clients = self.processes[index].clients.values();
         clients.for_each(|client| self.oracle.still_waits(now_ms, STEP_MS, *client));
@@ -427,7 +429,7 @@
             Some(addressee) => self.send(index, addressee, Packet::Report(report)),
             None => self.processes[index]
                 .account
-                .answer_lost(self.now_ms, report.id),
+                .on_answer_lost(self.now_ms, report.id),
         }
     }
 
--- a/batch/tests/simulation/backends.rs
+++ b/batch/tests/simulation/backends.rs
@@ -54,7 +54,7 @@
             last_event_id: reached as u64,
             text: text(&start.item_id, reached),
         };
-        return RunEnd::Cut {
+        return RunEnd::Interrupted {
             resume: (reached > 0).then_some(resume),
             retry_after_ms: 30,
         };
--- a/batch/tests/simulation/clients.rs
+++ b/batch/tests/simulation/clients.rs
@@ -2,7 +2,7 @@
 
 use crate::oracle::Oracle;
 use crate::stores::{Answer, Call, ROUTE};
-use alderhollow_batch::api::TryId;
+use alderhollow_batch::api::SubmissionAttemptId;
 use alderhollow_batch::job::{Header, Item, ItemRequest, JobId, NewJob};
 use oorandom::Rand64;
 
@@ -20,7 +20,7 @@
 enum Stage {
     /// Handing in.
     Trying {
-        try_id: TryId,
+        attempt_id: SubmissionAttemptId,
         until_ms: u64,
         unknown: bool,
     },
@@ -91,9 +91,9 @@
                     oracle.sent(now_ms, &self.job);
                 }
                 self.tries_left -= 1;
-                let try_id = TryId(random.rand_u64());
+                let attempt_id = SubmissionAttemptId(random.rand_u64());
                 self.stage = Stage::Trying {
-                    try_id,
+                    attempt_id,
                     until_ms: now_ms + TRY_MS,
                     unknown: false,
                 };
@@ -106,11 +106,11 @@
 
     /// Hands the job in.
     fn submit(&mut self) -> Step {
-        let Stage::Trying { try_id, .. } = self.stage else {
+        let Stage::Trying { attempt_id, .. } = self.stage else {
             return Step::Nothing;
         };
         self.call(Call::Submit {
-            try_id,
+            attempt_id,
             job: self.job.clone(),
         })
     }
--- a/batch/tests/simulation/processes.rs
+++ b/batch/tests/simulation/processes.rs
@@ -3,22 +3,30 @@
 use crate::backends;
 use crate::stores::{read_answer, Answer, Call, Caller, ToProcess, ROUTE};
 use crate::world::{Event, PollStatus, World, POLL_MS, RUNS, TICK_MS, VALIDATED_MS};
-use alderhollow_batch::api::{BodyAnswer, EndAnswer, Outcome, Output, RunEnd, Submitted};
+use alderhollow_batch::api::{BodyOutcome, EndOutcome, Outcome, Output, RunEnd, SubmitOutcome};
 use alderhollow_batch::message::Message;
 use alderhollow_model::identity::DiskId;
 
 impl World {
-    /// Something happens to a process; `life`: only to that one.
-    pub(crate) fn reach(&mut self, slot: usize, disk: DiskId, life: Option<u64>, what: ToProcess) {
+    /// Something happens to a process; `incarnation`: only to that one.
+    pub(crate) fn reach(
+        &mut self,
+        slot: usize,
+        disk: DiskId,
+        incarnation: Option<u64>,
+        what: ToProcess,
+    ) {
         let machine = &mut self.slots[slot];
         let Some(process) = &machine.process else {
             return;
         };
-        if machine.disk.id != disk || life.is_some_and(|life| life != process.life) {
+        if machine.disk.id != disk
+            || incarnation.is_some_and(|incarnation| incarnation != process.incarnation)
+        {
             return;
         }
         if machine.frozen {
-            machine.mailbox.push((life, what));
+            machine.mailbox.push((incarnation, what));
             return;
         }
         self.process_takes(slot, what);
@@ -31,40 +39,40 @@
             return;
         };
         let clock = self.now_ms + process.clock_ahead_ms;
-        let (disk, life) = (machine.disk.id, Some(process.life));
+        let (disk, incarnation) = (machine.disk.id, Some(process.incarnation));
         match what {
             ToProcess::Message { from, bytes } => {
                 let message = Message::from_bytes(&bytes).expect("a message of a store");
-                process.engine.receive(clock, from, message);
+                process.engine.on_message(clock, from, message);
             }
             ToProcess::Written { ticket, length } => {
                 machine.disk.sync(length);
-                process.engine.written(clock, ticket);
+                process.engine.on_written(clock, ticket);
                 if machine.disk.is_synced() && self.random.rand_float() < 0.02 {
                     machine.disk.compact(process.engine.snapshot(clock));
                 }
             }
             ToProcess::Tick => {
-                process.engine.tick(clock);
+                process.engine.on_timer(clock);
                 self.after(
                     TICK_MS,
                     Event::ToSlot {
                         slot,
                         disk,
-                        life,
+                        incarnation,
                         what: ToProcess::Tick,
                     },
                 );
             }
             ToProcess::Poll => {
                 let status = Box::new(process.engine.status(clock));
-                let life = process.life;
+                let incarnation = process.incarnation;
                 self.after(
                     POLL_MS,
                     Event::ToSlot {
                         slot,
                         disk,
-                        life: Some(life),
+                        incarnation: Some(incarnation),
                         what: ToProcess::Poll,
                     },
                 );
@@ -74,7 +82,7 @@
                         delay_ms,
                         Event::CorePolled {
                             slot,
-                            life,
+                            incarnation,
                             disk,
                             sent_local_ms: clock,
                             status,
@@ -110,15 +118,16 @@
         };
         let clock = self.now_ms + process.clock_ahead_ms;
         let answer = match call {
-            Call::Submit { try_id, job } => match process.engine.submit(clock, try_id, job) {
-                Submitted::Pending(token) => {
+            Call::Submit { attempt_id, job } => match process.engine.submit(clock, attempt_id, job)
+            {
+                SubmitOutcome::Pending(token) => {
                     process.waiting.entry(token).or_default().push(caller);
                     return;
                 }
-                Submitted::AlreadyAccepted => Answer::Done,
-                Submitted::OverQuota => Answer::OverQuota,
-                Submitted::NotPrimary | Submitted::NotSure => Answer::NotHere,
-                Submitted::Invalid => panic!("the job is valid"),
+                SubmitOutcome::AlreadyAccepted => Answer::Done,
+                SubmitOutcome::OverQuota => Answer::OverQuota,
+                SubmitOutcome::NotPrimary | SubmitOutcome::NotSure => Answer::NotHere,
+                SubmitOutcome::Invalid => panic!("the job is valid"),
             },
             Call::Read { job, after, known } => {
                 let answer =
@@ -127,8 +136,8 @@
                 answer
             }
             Call::Body { job, item_id } => match process.engine.body(clock, &job, &item_id) {
-                BodyAnswer::Body(body) => Answer::Body(body.to_vec()),
-                BodyAnswer::NotFound => {
+                BodyOutcome::Body(body) => Answer::Body(body.to_vec()),
+                BodyOutcome::NotFound => {
                     let listed = read_answer(process.engine.read(clock, &job, 0, usize::MAX), 0, 0);
                     let is_listed = match listed {
                         Answer::Results { results, .. } => {
@@ -142,16 +151,16 @@
                     );
                     Answer::NotFound
                 }
-                BodyAnswer::NotPrimary | BodyAnswer::NotSure => Answer::NotHere,
+                BodyOutcome::NotPrimary | BodyOutcome::NotSure => Answer::NotHere,
             },
             Call::End { job } => match process.engine.end(clock, &job) {
-                EndAnswer::Pending(token) => {
+                EndOutcome::Pending(token) => {
                     process.waiting.entry(token).or_default().push(caller);
                     return;
                 }
-                EndAnswer::AlreadyEnded => Answer::Done,
-                EndAnswer::NotFound => panic!("LOST: 404 at the end of {job}"),
-                EndAnswer::NotPrimary | EndAnswer::NotSure => Answer::NotHere,
+                EndOutcome::AlreadyEnded => Answer::Done,
+                EndOutcome::NotFound => panic!("LOST: 404 at the end of {job}"),
+                EndOutcome::NotPrimary | EndOutcome::NotSure => Answer::NotHere,
             },
         };
         self.answer(caller, answer);
@@ -171,8 +180,9 @@
             return;
         };
         let clock = self.now_ms + process.clock_ahead_ms;
-        let (life, room) = (process.life, RUNS.saturating_sub(process.runs.len()));
-        let starts = process.engine.take_work(clock, ROUTE, room);
+        let (incarnation, capacity) =
+            (process.incarnation, RUNS.saturating_sub(process.runs.len()));
+        let starts = process.engine.take_work(clock, ROUTE, capacity);
         for start in &starts {
             process
                 .runs
@@ -185,17 +195,17 @@
                 delay_ms,
                 Event::RunArrives {
                     slot,
-                    life,
+                    incarnation,
                     start: Box::new(start),
                 },
             );
         }
         for output in outputs {
-            self.carry_out(slot, life, output);
+            self.carry_out(slot, incarnation, output);
         }
     }
 
-    pub(crate) fn carry_out(&mut self, slot: usize, life: u64, output: Output) {
+    pub(crate) fn carry_out(&mut self, slot: usize, incarnation: u64, output: Output) {
         let disk = self.slots[slot].disk.id;
         match output {
             Output::Send { to, message } => {
@@ -221,7 +231,7 @@
                     Event::ToSlot {
                         slot,
                         disk,
-                        life: Some(life),
+                        incarnation: Some(incarnation),
                         what,
                     },
                 );
@@ -251,7 +261,7 @@
     pub(crate) fn core_polled(
         &mut self,
         slot: usize,
-        life: u64,
+        incarnation: u64,
         disk: DiskId,
         sent_local_ms: u64,
         status: PollStatus,
@@ -269,7 +279,7 @@
             Event::ToSlot {
                 slot,
                 disk,
-                life: Some(life),
+                incarnation: Some(incarnation),
                 what,
             },
         );
@@ -279,13 +289,13 @@
     pub(crate) fn run_arrives(
         &mut self,
         slot: usize,
-        life: u64,
+        incarnation: u64,
         start: alderhollow_batch::api::ItemStart,
     ) {
         let process = self.slots[slot]
             .process
             .as_ref()
-            .filter(|process| process.life == life);
+            .filter(|process| process.incarnation == incarnation);
         if process.is_some_and(|process| !process.runs.contains_key(&start.run)) {
             return;
         }
@@ -299,7 +309,7 @@
             took_ms,
             Event::RunEnds {
                 slot,
-                life,
+                incarnation,
                 run,
                 job,
                 item,
--- a/batch/tests/simulation/stores.rs
+++ b/batch/tests/simulation/stores.rs
@@ -1,7 +1,9 @@
 //! Store machines and the processes on them.
 
 use crate::disk::SimDisk;
-use alderhollow_batch::api::{ReadAnswer, RouteTerms, RunEnd, RunId, Token, TryId, WriteTicket};
+use alderhollow_batch::api::{
+    ReadOutcome, RouteTerms, RunEnd, RunId, SubmissionAttemptId, Token, WriteTicket,
+};
 use alderhollow_batch::engine::Engine;
 use alderhollow_batch::job::{JobId, NewJob};
 use alderhollow_model::identity::DiskId;
@@ -26,9 +28,9 @@
     pub sync_ms: u64,
 }
 
-/// One life of a process.
+/// One incarnation of a process.
 pub(crate) struct Process {
-    pub life: u64,
+    pub incarnation: u64,
     pub engine: Engine,
     /// Its steady clock is ahead of the simulation's by so much.
     pub clock_ahead_ms: u64,
@@ -77,7 +79,7 @@
 #[derive(Debug, Clone)]
 pub(crate) enum Call {
     Submit {
-        try_id: TryId,
+        attempt_id: SubmissionAttemptId,
         job: NewJob,
     },
     Read {
@@ -127,7 +129,7 @@
     }
 
     /// Starts a process on what the disk holds.
-    pub(crate) fn start(&mut self, life: u64, now_ms: u64, clock_ahead_ms: u64) {
+    pub(crate) fn start(&mut self, incarnation: u64, now_ms: u64, clock_ahead_ms: u64) {
         let clock = now_ms + clock_ahead_ms;
         let (snapshot, records) = (self.disk.snapshot.as_deref(), &self.disk.records);
         let mut engine = Engine::restore(self.disk.id, clock, snapshot, records)
@@ -136,7 +138,7 @@
         engine.set_status_ms(1_000_000);
         let (waiting, runs) = (HashMap::new(), HashMap::new());
         self.process = Some(Process {
-            life,
+            incarnation,
             engine,
             clock_ahead_ms,
             waiting,
@@ -159,9 +161,9 @@
 }
 
 /// A read's answer, as it goes to the client.
-pub(crate) fn read_answer(answer: ReadAnswer<'_>, after: u32, known: usize) -> Answer {
+pub(crate) fn read_answer(answer: ReadOutcome<'_>, after: u32, known: usize) -> Answer {
     match answer {
-        ReadAnswer::Results {
+        ReadOutcome::Results {
             total,
             next,
             results,
@@ -181,7 +183,7 @@
                 results,
             }
         }
-        ReadAnswer::NotFound => Answer::NotFound,
-        ReadAnswer::NotPrimary | ReadAnswer::NotSure => Answer::NotHere,
+        ReadOutcome::NotFound => Answer::NotFound,
+        ReadOutcome::NotPrimary | ReadOutcome::NotSure => Answer::NotHere,
     }
 }
--- a/batch/tests/simulation/troubles.rs
+++ b/batch/tests/simulation/troubles.rs
@@ -207,13 +207,13 @@
         self.newest_life += 1;
         let clock_ahead_ms = self.random.rand_range(0..100_000);
         self.slots[slot].start(self.newest_life, self.now_ms, clock_ahead_ms);
-        let (disk, life) = (self.slots[slot].disk.id, Some(self.newest_life));
+        let (disk, incarnation) = (self.slots[slot].disk.id, Some(self.newest_life));
         self.after(
             1,
             Event::ToSlot {
                 slot,
                 disk,
-                life,
+                incarnation,
                 what: ToProcess::Tick,
             },
         );
@@ -222,7 +222,7 @@
             Event::ToSlot {
                 slot,
                 disk,
-                life,
+                incarnation,
                 what: ToProcess::Poll,
             },
         );
@@ -233,8 +233,8 @@
             return;
         }
         let disk = self.slots[slot].disk.id;
-        for (life, what) in std::mem::take(&mut self.slots[slot].mailbox) {
-            self.reach(slot, disk, life, what);
+        for (incarnation, what) in std::mem::take(&mut self.slots[slot].mailbox) {
+            self.reach(slot, disk, incarnation, what);
         }
     }
 
--- a/batch/tests/simulation/world.rs
+++ b/batch/tests/simulation/world.rs
@@ -22,7 +22,7 @@
 pub(crate) const VALIDATED_MS: u64 = 1_000;
 /// Longest and shortest time for which a store is cut off from all.
 pub(crate) const LONG_CUT_MS: std::ops::Range<u64> = 2_000..7_000;
-/// Longest life and pause of a store that comes and goes.
+/// Longest incarnation and pause of a store that comes and goes.
 pub(crate) const FLICKER_MS: u64 = 150;
 /// Longest pause before a process starts again.
 pub(crate) const RESTART_MS: u64 = 2_500;
@@ -80,12 +80,12 @@
     ToSlot {
         slot: usize,
         disk: DiskId,
-        life: Option<u64>,
+        incarnation: Option<u64>,
         what: ToProcess,
     },
     CorePolled {
         slot: usize,
-        life: u64,
+        incarnation: u64,
         disk: DiskId,
         sent_local_ms: u64,
         status: Box<PollStatus>,
@@ -103,12 +103,12 @@
     },
     RunArrives {
         slot: usize,
-        life: u64,
+        incarnation: u64,
         start: Box<alderhollow_batch::api::ItemStart>,
     },
     RunEnds {
         slot: usize,
-        life: u64,
+        incarnation: u64,
         run: alderhollow_batch::api::RunId,
         job: JobId,
         item: String,
@@ -327,16 +327,16 @@
             Event::ToSlot {
                 slot,
                 disk,
-                life,
+                incarnation,
                 what,
-            } => self.reach(slot, disk, life, what),
+            } => self.reach(slot, disk, incarnation, what),
             Event::CorePolled {
                 slot,
-                life,
+                incarnation,
                 disk,
                 sent_local_ms,
                 status,
-            } => self.core_polled(slot, life, disk, sent_local_ms, *status),
+            } => self.core_polled(slot, incarnation, disk, sent_local_ms, *status),
             Event::CoreDecides => {
                 self.core.decide(self.now_ms);
                 self.after(100, Event::CoreDecides);
@@ -356,10 +356,10 @@
                 let step = client.timed_out(self.now_ms, caller.call, &mut self.oracle);
                 self.client_steps(caller.client, step);
             }
-            Event::RunArrives { slot, life, start } => self.run_arrives(slot, life, *start),
+            Event::RunArrives { slot, incarnation, start } => self.run_arrives(slot, incarnation, *start),
             Event::RunEnds {
                 slot,
-                life,
+                incarnation,
                 run,
                 job,
                 item,
@@ -374,7 +374,7 @@
                     Event::ToSlot {
                         slot,
                         disk,
-                        life: Some(life),
+                        incarnation: Some(incarnation),
                         what,
                     },
                 );
@@ -400,7 +400,7 @@
                 Event::ToSlot {
                     slot,
                     disk,
-                    life: None,
+                    incarnation: None,
                     what: what.clone(),
                 },
             );
@@ -411,7 +411,7 @@
             Event::ToSlot {
                 slot,
                 disk,
-                life: None,
+                incarnation: None,
                 what,
             },
         );
