--- a/alderhollow/src/batch_protocol/tests.rs
+++ b/alderhollow/src/batch_protocol/tests.rs
@@ -1,7 +1,7 @@
 //! Messages of earlier versions.
 
 use super::*;
-use alderhollow_batch::message::StreamId;
+use alderhollow_batch::records::StreamId;
 
 /// A notice as earlier versions send it.
 #[derive(Encode)]
--- a/alderhollow/src/store/group_engine/tests.rs
+++ b/alderhollow/src/store/group_engine/tests.rs
@@ -1,7 +1,8 @@
 //! When a group that was left may be dropped, and when a group is looked at.
 
 use super::*;
-use alderhollow_batch::message::{Message, StreamId};
+use alderhollow_batch::message::Message;
+use alderhollow_batch::records::StreamId;
 use alderhollow_model::identity::{Address, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::GroupMember;
 
--- a/alderhollow/src/store/journal_records.rs
+++ b/alderhollow/src/store/journal_records.rs
@@ -4,8 +4,8 @@
 //! tagged snapshot is [`GROUP_TAG`], then for each group its id in four bytes, the length of its snapshot in eight, and
 //! its snapshot. Earlier versions knew one group: what begins with any other byte is a record or a snapshot of group 0.
 
+use alderhollow_batch::codec::{DecodeError, FORMAT_VERSION};
 use alderhollow_batch::engine::Engine;
-use alderhollow_batch::records::{DecodeError, FORMAT_VERSION};
 use alderhollow_batch::state::State;
 use alderhollow_model::identity::DiskId;
 use alderhollow_model::snapshot::GroupId;
--- a/alderhollow/tests/compatibility.rs
+++ b/alderhollow/tests/compatibility.rs
@@ -29,10 +29,11 @@
     TablesGroup, TablesStatus,
 };
 use alderhollow::store::journal_records::{join_snapshots, restore_states, tag_record};
+use alderhollow_batch::codec::append_to_snapshot;
 use alderhollow_batch::job::{Item, ItemRequest, ItemResult, JobId, NewJob, ResultState};
-use alderhollow_batch::message::{Message, StreamId};
+use alderhollow_batch::message::Message;
 use alderhollow_batch::quota::{CoordinatorId, Decision, QuotaGrant, QuotaReport, ReportId};
-use alderhollow_batch::records::{encode_next, Entry};
+use alderhollow_batch::records::{Entry, StreamId};
 use alderhollow_coordination::replica::inspection::read_member;
 use alderhollow_coordination::replica::interface::{self as replica, StateMachine};
 use alderhollow_model::backend::{Backend, BackendList, BackendState};
@@ -827,10 +828,10 @@
 /// The records of a store with an accepted, a half-done and an ended job, and the snapshot before them.
 fn store_journal() -> (Vec<u8>, Vec<Vec<u8>>) {
     let mut first_group = Vec::new();
-    encode_next(&mut first_group, &Entry::JobAccepted(new_job("accepted")));
-    encode_next(&mut first_group, &Entry::JobAccepted(new_job("half-done")));
+    append_to_snapshot(&mut first_group, &Entry::JobAccepted(new_job("accepted")));
+    append_to_snapshot(&mut first_group, &Entry::JobAccepted(new_job("half-done")));
     let mut second_group = Vec::new();
-    encode_next(&mut second_group, &Entry::JobAccepted(new_job("ended")));
+    append_to_snapshot(&mut second_group, &Entry::JobAccepted(new_job("ended")));
     let snapshot = join_snapshots([(GroupId(0), first_group), (GroupId(1), second_group)]);
     let result = ItemResult {
         item: 1,
--- a/batch/src/engine.rs
+++ b/batch/src/engine.rs
@@ -7,11 +7,12 @@
 mod runs;
 
 use crate::api::{GroupStatus, Output, RouteTerms, SubmissionAttemptId, Token, WriteTicket};
+use crate::codec::DecodeError;
 use crate::counts::EngineCounts;
 use crate::group::{Changes, GroupNode};
 use crate::job::JobId;
 use crate::message::Message;
-use crate::records::{DecodeError, SessionId};
+use crate::records::SessionId;
 use crate::state::State;
 use crate::token_counts::TokenCounts;
 use crate::work::WorkQueue;
--- a/batch/src/group.rs
+++ b/batch/src/group.rs
@@ -30,8 +30,8 @@
 
 use crate::api::{GroupStatus, Output, WriteTicket};
 use crate::counts::ReplicationCounts;
-use crate::message::{Message, StreamId};
-use crate::records::{Entry, SessionId};
+use crate::message::Message;
+use crate::records::{Entry, SessionId, StreamId};
 use crate::state::State;
 use alderhollow_model::identity::DiskId;
 use alderhollow_model::snapshot::BatchGroup;
--- a/batch/src/group/follower.rs
+++ b/batch/src/group/follower.rs
@@ -3,8 +3,8 @@
 use crate::api::WriteTicket;
 use crate::group::writes::WriteQueue;
 use crate::job::JobId;
-use crate::message::{JobAge, JobDigest, Message, StreamId};
-use crate::records::Entry;
+use crate::message::{JobAge, JobDigest, Message};
+use crate::records::{Entry, StreamId};
 use crate::state::State;
 use alderhollow_model::identity::DiskId;
 use std::collections::{BTreeMap, VecDeque};
--- a/batch/src/group/peer.rs
+++ b/batch/src/group/peer.rs
@@ -3,8 +3,8 @@
 use crate::counts::ReplicationCounts;
 use crate::group::log::RecordLog;
 use crate::job::JobId;
-use crate::message::{JobDigest, Message, StreamId, MESSAGE_BYTES};
-use crate::records::Entry;
+use crate::message::{JobDigest, Message, MESSAGE_BYTES};
+use crate::records::{Entry, StreamId};
 use crate::state::{full_job_entry, State};
 use std::collections::VecDeque;
 use std::ops::Bound;
--- a/batch/src/lib.rs
+++ b/batch/src/lib.rs
@@ -36,6 +36,7 @@
 //!   limit ([`quota`]): the tests and the simulation of `tests/quota`.
 
 pub mod api;
+pub mod codec;
 pub mod congestion;
 pub mod counts;
 pub mod engine;
--- a/batch/src/message.rs
+++ b/batch/src/message.rs
@@ -1,24 +1,9 @@
 //! What stores of a group say to each other.
 
 use crate::job::JobId;
-use crate::records::Entry;
+use crate::records::{Entry, StreamId};
 use minicbor::{Decode, Encode};
 
-/// A primary's stream of records to one store. A greater one replaces all lower ones; a store that has followed one
-/// never follows a lower one again, also after a restart.
-#[derive(Debug, Clone, Copy, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
-pub struct StreamId {
-    /// Epoch of the group.
-    #[n(0)]
-    pub epoch: u64,
-    /// Counts the primary's starts within the epoch, on its disk.
-    #[n(1)]
-    pub session: u64,
-    /// Counts the primary's attempts to bring this store up to date within the session.
-    #[n(2)]
-    pub attempt: u64,
-}
-
 /// A job's digest, for comparison.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct JobDigest {
--- a/batch/src/state.rs
+++ b/batch/src/state.rs
@@ -1,8 +1,8 @@
 //! The fold of a store's entries: its jobs, and its marks in the replication.
 
+use crate::codec::{append_to_snapshot, decode_snapshot, DecodeError};
 use crate::job::{Job, JobId};
-use crate::message::StreamId;
-use crate::records::{decode_all, encode_next, DecodeError, Entry, SessionId};
+use crate::records::{Entry, SessionId, StreamId};
 use std::collections::BTreeMap;
 
 /// What a store must remember of the replication over restarts.
@@ -39,7 +39,7 @@
     ) -> Result<State, DecodeError> {
         let mut state = State::default();
         if let Some(bytes) = snapshot {
-            for entry in decode_all(bytes)? {
+            for entry in decode_snapshot(bytes)? {
                 state.apply_and_release(now_ms, entry)?;
             }
         }
@@ -52,12 +52,12 @@
     /// All that is needed to restore the state.
     pub fn snapshot(&self, now_ms: u64) -> Vec<u8> {
         let mut bytes = Vec::new();
-        encode_next(&mut bytes, &Entry::Following(self.progress.following));
-        encode_next(&mut bytes, &Entry::SessionStarted(self.progress.session));
-        encode_next(&mut bytes, &Entry::Synced(self.progress.synced_epoch));
-        encode_next(&mut bytes, &Entry::Active(self.progress.active_epoch));
+        append_to_snapshot(&mut bytes, &Entry::Following(self.progress.following));
+        append_to_snapshot(&mut bytes, &Entry::SessionStarted(self.progress.session));
+        append_to_snapshot(&mut bytes, &Entry::Synced(self.progress.synced_epoch));
+        append_to_snapshot(&mut bytes, &Entry::Active(self.progress.active_epoch));
         for job in self.jobs.values() {
-            encode_next(&mut bytes, &full_job_entry(job, now_ms));
+            append_to_snapshot(&mut bytes, &full_job_entry(job, now_ms));
         }
         bytes
     }
--- a/batch/tests/codec.rs
+++ b/batch/tests/codec.rs
@@ -1,13 +1,14 @@
 //! Entries and messages as bytes: what is encoded comes back, and no bytes end the process.
 
+use alderhollow_batch::codec::{append_to_snapshot, decode_snapshot, DecodeError};
 use alderhollow_batch::job::{
     Header, Item, ItemRequest, ItemResult, Job, JobId, NewJob, ResultState,
 };
-use alderhollow_batch::message::{JobAge, JobDigest, Message, StreamId};
+use alderhollow_batch::message::{JobAge, JobDigest, Message};
 use alderhollow_batch::quota::{
     CoordinatorId, Decision, QuotaGrant, QuotaReading, QuotaReport, ReportId,
 };
-use alderhollow_batch::records::{decode_all, encode_next, DecodeError, Entry, SessionId};
+use alderhollow_batch::records::{Entry, SessionId, StreamId};
 use alderhollow_batch::state::State;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -241,9 +242,9 @@
     #[test]
     fn entries_of_a_snapshot_come_back(entries in vec(entry(), 1..6)) {
         let mut bytes = Vec::new();
-        entries.iter().for_each(|entry| encode_next(&mut bytes, entry));
+        entries.iter().for_each(|entry| append_to_snapshot(&mut bytes, entry));
         let expected: Vec<Entry> = entries.into_iter().map(as_decoded).collect();
-        prop_assert_eq!(decode_all(&bytes).unwrap(), expected);
+        prop_assert_eq!(decode_snapshot(&bytes).unwrap(), expected);
     }
 
     #[test]
--- a/batch/tests/compatibility.rs
+++ b/batch/tests/compatibility.rs
@@ -1,13 +1,14 @@
 //! Entries on disk and messages between stores have the bytes that earlier builds wrote.
 
+use alderhollow_batch::codec::append_to_snapshot;
 use alderhollow_batch::job::{
     Header, Item, ItemRequest, ItemResult, Job, JobId, NewJob, ResultState,
 };
-use alderhollow_batch::message::{JobAge, JobDigest, Message, StreamId};
+use alderhollow_batch::message::{JobAge, JobDigest, Message};
 use alderhollow_batch::quota::{
     CoordinatorId, Decision, QuotaGrant, QuotaReading, QuotaReport, ReportId,
 };
-use alderhollow_batch::records::{encode_next, Entry, SessionId};
+use alderhollow_batch::records::{Entry, SessionId, StreamId};
 use alderhollow_batch::state::State;
 use alderhollow_recorded_bytes::{is_recording, RecordedBytes};
 
@@ -286,7 +287,7 @@
     .split_at(5);
     let mut snapshot = Vec::new();
     for name in in_snapshot {
-        encode_next(
+        append_to_snapshot(
             &mut snapshot,
             &Entry::from_bytes(recorded.bytes(name)).expect("an entry"),
         );
--- a/batch/tests/simulation/world.rs
+++ b/batch/tests/simulation/world.rs
@@ -356,7 +356,11 @@
                 let step = client.timed_out(self.now_ms, caller.call, &mut self.oracle);
                 self.client_steps(caller.client, step);
             }
-            Event::RunArrives { slot, incarnation, start } => self.run_arrives(slot, incarnation, *start),
+            Event::RunArrives {
+                slot,
+                incarnation,
+                start,
+            } => self.run_arrives(slot, incarnation, *start),
             Event::RunEnds {
                 slot,
                 incarnation,
