--- a/batch/src/state.rs
+++ b/batch/src/state.rs
@@ -105,16 +105,16 @@
                 self.jobs.insert(job.accepted.id.clone(), job);
             }
             Entry::Following(stream) => {
-                self.progress.following = self.progress.following.max(stream)
+                self.progress.following = self.progress.following.max(stream);
             }
             Entry::SessionStarted(session) => {
-                self.progress.session = self.progress.session.max(session)
+                self.progress.session = self.progress.session.max(session);
             }
             Entry::Synced(epoch) => {
-                self.progress.synced_epoch = self.progress.synced_epoch.max(epoch)
+                self.progress.synced_epoch = self.progress.synced_epoch.max(epoch);
             }
             Entry::Active(epoch) => {
-                self.progress.active_epoch = self.progress.active_epoch.max(epoch)
+                self.progress.active_epoch = self.progress.active_epoch.max(epoch);
             }
         }
         Ok(())
--- a/batch/tests/codec.rs
+++ b/batch/tests/codec.rs
@@ -204,7 +204,7 @@
 
 proptest! {
     #[test]
-    fn an_entry_comes_back(entry in entry()) {
+    fn an_entry_round_trips(entry in entry()) {
         let bytes = entry.to_bytes();
         let decoded = Entry::from_bytes(&bytes).unwrap();
         prop_assert_eq!(decoded.to_bytes(), bytes);
@@ -214,13 +214,13 @@
     }
 
     #[test]
-    fn a_message_comes_back(message in message()) {
+    fn a_message_round_trips(message in message()) {
         let bytes = message.to_bytes();
         prop_assert_eq!(Message::from_bytes(&bytes).unwrap().to_bytes(), bytes);
     }
 
     #[test]
-    fn a_quota_report_and_a_grant_come_back(report in quota_report(), grant in quota_grant()) {
+    fn a_quota_report_and_a_grant_round_trip(report in quota_report(), grant in quota_grant()) {
         let bytes = minicbor::to_vec(&report).unwrap();
         prop_assert_eq!(minicbor::decode::<QuotaReport>(&bytes).unwrap(), report);
         let bytes = minicbor::to_vec(&grant).unwrap();
@@ -228,19 +228,19 @@
     }
 
     #[test]
-    fn any_bytes_are_a_quota_message_or_an_error(bytes in vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_decode_to_a_quota_message_or_an_error(bytes in vec(any::<u8>(), 0..200)) {
         let _ = minicbor::decode::<QuotaReport>(&bytes);
         let _ = minicbor::decode::<QuotaGrant>(&bytes);
     }
 
     #[test]
-    fn a_cut_quota_message_is_an_error(report in quota_report(), place in any::<prop::sample::Index>()) {
+    fn a_truncated_quota_message_is_an_error(report in quota_report(), place in any::<prop::sample::Index>()) {
         let bytes = minicbor::to_vec(&report).unwrap();
         prop_assert!(minicbor::decode::<QuotaReport>(&bytes[..place.index(bytes.len())]).is_err());
     }
 
     #[test]
-    fn entries_of_a_snapshot_come_back(entries in vec(entry(), 1..6)) {
+    fn entries_of_a_snapshot_round_trip(entries in vec(entry(), 1..6)) {
         let mut bytes = Vec::new();
         entries.iter().for_each(|entry| append_to_snapshot(&mut bytes, entry));
         let expected: Vec<Entry> = entries.into_iter().map(as_decoded).collect();
@@ -248,7 +248,7 @@
     }
 
     #[test]
-    fn any_bytes_are_an_entry_or_an_error(mut bytes in vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_decode_to_an_entry_or_an_error(mut bytes in vec(any::<u8>(), 0..200)) {
         let _ = Entry::from_bytes(&bytes);
         let _ = Message::from_bytes(&bytes);
         if let Some(first) = bytes.first_mut() {
@@ -260,7 +260,7 @@
     }
 
     #[test]
-    fn a_changed_or_cut_message_is_a_message_or_an_error(
+    fn a_corrupted_or_truncated_message_decodes_or_is_an_error(
         message in message(), place in any::<prop::sample::Index>(), byte in any::<u8>(),
     ) {
         let mut bytes = message.to_bytes();
@@ -271,14 +271,14 @@
     }
 
     #[test]
-    fn bytes_after_the_end_are_an_error(entry in entry(), more in vec(any::<u8>(), 1..9)) {
+    fn trailing_bytes_are_an_error(entry in entry(), more in vec(any::<u8>(), 1..9)) {
         let mut bytes = entry.to_bytes();
         bytes.extend(more);
         prop_assert!(matches!(Entry::from_bytes(&bytes), Err(DecodeError::Malformed(_))));
     }
 
     #[test]
-    fn any_entries_apply_or_are_an_error_and_apply_twice(entries in vec(entry(), 0..20)) {
+    fn entries_apply_idempotently_or_are_an_error(entries in vec(entry(), 0..20)) {
         let mut state = State::default();
         for entry in entries.into_iter().map(as_decoded) {
             let before = state.clone();
--- a/batch/tests/engine/acceptance.rs
+++ b/batch/tests/engine/acceptance.rs
@@ -37,7 +37,7 @@
 }
 
 #[test]
-fn the_primary_waits_for_its_own_disk_too() {
+fn commits_wait_for_the_primarys_own_disk() {
     let mut cluster = Cluster::active(2);
     cluster.stores.get_mut(&1).unwrap().holds_writes = true;
     assert!(matches!(
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn a_pending_acceptance_ends_as_unknown_when_the_role_is_lost() {
+fn a_pending_acceptance_resolves_as_unknown_on_loss_of_leadership() {
     let mut cluster = Cluster::active(3);
     cluster.stores.get_mut(&3).unwrap().holds_writes = true;
     let SubmitOutcome::Pending(token) = cluster.submit(1, job("a", 1, 10)) else {
@@ -68,7 +68,7 @@
 }
 
 #[test]
-fn a_pending_acceptance_goes_on_in_the_same_primarys_next_epoch() {
+fn a_pending_acceptance_continues_in_the_next_epoch_of_the_same_primary() {
     let mut cluster = Cluster::active(3);
     cluster.stores.get_mut(&3).unwrap().holds_writes = true;
     let SubmitOutcome::Pending(token) = cluster.submit(1, job("a", 1, 10)) else {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn what_does_not_fit_is_refused_and_what_fits_is_taken() {
+fn jobs_over_quota_are_rejected_and_others_accepted() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 3, 300));
     assert_eq!(
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn no_limit_takes_all() {
+fn an_unlimited_route_accepts_everything() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_routes(
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn pending_jobs_count() {
+fn pending_jobs_count_as_queued() {
     let mut cluster = Cluster::active(2);
     cluster.stores.get_mut(&2).unwrap().holds_writes = true;
     assert!(matches!(
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn an_item_leaves_the_count_once() {
+fn an_item_is_subtracted_from_the_count_once() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 2, 300));
     cluster.accept(1, job("b", 1, 400));
@@ -156,7 +156,7 @@
 }
 
 #[test]
-fn a_successor_counts_anew() {
+fn a_successor_recounts_queued_tokens() {
     let mut cluster = Cluster::active(3);
     cluster.accept(1, job("a", 2, 300));
     let starts = cluster.work(1, 1);
@@ -174,7 +174,7 @@
 }
 
 #[test]
-fn a_late_copy_of_a_refused_try_is_refused() {
+fn a_late_copy_of_a_rejected_attempt_is_rejected() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 900));
     let now_ms = cluster.now_ms;
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn who_is_not_validated_refuses_nothing_and_accepts_nothing() {
+fn an_unvalidated_primary_neither_rejects_nor_accepts() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 900));
     cluster.now_ms += 1_000;
@@ -216,7 +216,7 @@
 }
 
 #[test]
-fn a_disk_in_trouble_or_an_unknown_route_takes_nothing() {
+fn no_job_is_accepted_with_an_unready_disk_or_for_an_unknown_route() {
     let mut cluster = Cluster::active(2);
     let mut elsewhere = job("a", 1, 1);
     elsewhere.route = "other".to_owned();
@@ -226,7 +226,7 @@
 }
 
 #[test]
-fn nothing_is_taken_while_the_members_are_far_behind() {
+fn no_job_is_accepted_while_members_lag_far_behind() {
     let mut cluster = Cluster::active(2);
     cluster.stores.get_mut(&2).unwrap().holds_writes = true;
     assert!(matches!(
@@ -250,7 +250,7 @@
 }
 
 #[test]
-fn an_offer_says_what_handing_in_would_and_keeps_nothing_but_a_refused_try() {
+fn an_offer_predicts_the_submission_and_stores_only_rejected_attempts() {
     let mut cluster = Cluster::active(2);
     let id = JobId::from("a");
     let offer = |tokens| JobOffer {
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn an_offer_beyond_a_groups_limit_is_for_the_coordinator_to_refuse() {
+fn an_offer_beyond_the_group_limit_is_decided_by_the_coordinator() {
     let mut cluster = Cluster::active(2);
     let id = JobId::from("a");
     let offer = JobOffer {
@@ -369,7 +369,7 @@
 }
 
 #[test]
-fn an_offer_without_tokens_asks_only_whether_the_job_is_known() {
+fn an_offer_of_no_tokens_only_checks_whether_the_job_is_known() {
     let mut cluster = Cluster::active(2);
     let (known, other) = (JobId::from("a"), JobId::from("b"));
     let offer = |id| JobOffer {
@@ -405,7 +405,7 @@
 }
 
 #[test]
-fn jobs_out_of_bounds_are_invalid() {
+fn jobs_that_exceed_the_limits_are_invalid() {
     let mut cluster = Cluster::active(1);
     assert_eq!(cluster.submit(1, job("a", 0, 1)), SubmitOutcome::Invalid);
     assert_eq!(cluster.submit(1, job("a", 201, 1)), SubmitOutcome::Invalid);
@@ -417,7 +417,7 @@
 }
 
 #[test]
-fn an_end_stops_runs_at_once_and_is_acknowledged_when_committed() {
+fn ending_a_job_cancels_runs_at_once_and_is_acknowledged_when_committed() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 3, 10));
     let starts = cluster.work(1, 2);
@@ -455,7 +455,7 @@
 }
 
 #[test]
-fn an_ended_job_stays_ended_at_a_successor() {
+fn an_ended_job_remains_ended_at_a_successor() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 3, 10));
     let now_ms = cluster.now_ms;
@@ -475,7 +475,7 @@
 }
 
 #[test]
-fn a_limit_of_its_own_stands_in_for_the_routes_and_refuses_nothing() {
+fn a_group_limit_replaces_the_routes_limit_and_rejects_nothing() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_quota_limit(ROUTE, Some(150));
@@ -515,7 +515,7 @@
 }
 
 #[test]
-fn what_the_coordinator_refuses_is_remembered() {
+fn rejections_by_the_coordinator_are_remembered() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_quota_limit(ROUTE, Some(150));
@@ -541,7 +541,7 @@
 }
 
 #[test]
-fn a_refusal_that_comes_too_late_refuses_nothing() {
+fn a_late_rejection_has_no_effect() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 200));
     let now_ms = cluster.now_ms;
@@ -573,7 +573,7 @@
 }
 
 #[test]
-fn the_session_rises_with_each_start_within_an_epoch() {
+fn the_session_increases_with_each_start_within_an_epoch() {
     let mut cluster = Cluster::active(2);
     assert_eq!(cluster.engine(2).session(), None);
     let before = cluster.engine(1).session().expect("a primary");
--- a/batch/tests/engine/catch_up.rs
+++ b/batch/tests/engine/catch_up.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-fn a_member_is_sent_what_it_missed_and_the_digests_of_the_rest() {
+fn catching_up_sends_missed_records_and_digests_of_the_rest() {
     for percent in [0, 1, 10, 100] {
         let missed = JOBS * percent / 100;
         let bytes = catch_up(missed);
--- a/batch/tests/engine/cluster.rs
+++ b/batch/tests/engine/cluster.rs
@@ -21,8 +21,8 @@
     pub engine: Engine,
     /// What is on disk.
     pub records: Vec<Vec<u8>>,
-    /// What is held before the disk.
-    held: Vec<(WriteTicket, Vec<Vec<u8>>)>,
+    /// What is held_back before the disk.
+    held_back: Vec<(WriteTicket, Vec<Vec<u8>>)>,
     pub holds_writes: bool,
 }
 
@@ -76,13 +76,13 @@
             Store {
                 engine,
                 records,
-                held: Vec::new(),
+                held_back: Vec::new(),
                 holds_writes: false,
             },
         );
     }
 
-    /// Ends a store's process and starts it anew; what is held before the disk is lost.
+    /// Ends a store's process and starts it anew; what is held_back before the disk is lost.
     pub(crate) fn restart(&mut self, store: u64) {
         let records = self.stores.remove(&store).expect("a store").records;
         self.start(store, records);
@@ -166,7 +166,7 @@
             }
             Output::Write { ticket, records } => {
                 let store = self.stores.get_mut(&from).expect("a store");
-                store.held.push((ticket, records));
+                store.held_back.push((ticket, records));
                 if !store.holds_writes {
                     self.release_writes(from);
                 }
@@ -185,12 +185,12 @@
         }
     }
 
-    /// Lets a store's disk do what it held.
+    /// Lets a store's disk do what it held_back.
     pub(crate) fn release_writes(&mut self, store: u64) {
         let now_ms = self.now_ms;
         let store = self.stores.get_mut(&store).expect("a store");
         store.holds_writes = false;
-        for (ticket, records) in store.held.drain(..) {
+        for (ticket, records) in store.held_back.drain(..) {
             store.records.extend(records);
             store.engine.on_written(now_ms, ticket);
         }
--- a/batch/tests/engine/link_ceiling/clients.rs
+++ b/batch/tests/engine/link_ceiling/clients.rs
@@ -11,7 +11,7 @@
 /// texts to readers.
 const CEILING_JOBS_PER_S: f64 = 15.6;
 /// How long a client waits for its acceptance, all tries together.
-pub(super) const PATIENCE_MS: u64 = 1_000;
+pub(super) const ACCEPTANCE_TIMEOUT_MS: u64 = 1_000;
 /// Pause after a refusal.
 const RETRY_MS: u64 = 300;
 
@@ -19,7 +19,7 @@
 struct Client {
     first_sent_ms: u64,
     /// When it tries again; `None` while it waits for an answer, or once it is done.
-    next_try_ms: Option<u64>,
+    next_attempt_ms: Option<u64>,
     /// The store's promise of an answer, and when it was given.
     taken: Option<(Token, u64)>,
     answered_ms: Option<u64>,
@@ -28,8 +28,8 @@
 }
 
 impl Client {
-    fn has_given_up(&self, now_ms: u64) -> bool {
-        self.answered_ms.is_none() && now_ms >= self.first_sent_ms + PATIENCE_MS
+    fn has_timed_out(&self, now_ms: u64) -> bool {
+        self.answered_ms.is_none() && now_ms >= self.first_sent_ms + ACCEPTANCE_TIMEOUT_MS
     }
 }
 
@@ -61,7 +61,7 @@
             let id = JobId(format!("job-{:06}", self.by_job.len()));
             let client = Client {
                 first_sent_ms: now_ms,
-                next_try_ms: Some(now_ms),
+                next_attempt_ms: Some(now_ms),
                 taken: None,
                 answered_ms: None,
                 read: 0,
@@ -69,7 +69,8 @@
             self.by_job.insert(id, client);
         }
         let is_due = |client: &Client| {
-            !client.has_given_up(now_ms) && client.next_try_ms.is_some_and(|at_ms| at_ms <= now_ms)
+            !client.has_timed_out(now_ms)
+                && client.next_attempt_ms.is_some_and(|at_ms| at_ms <= now_ms)
         };
         let due = self.by_job.iter().filter(|(_, client)| is_due(client));
         due.map(|(id, client)| new_job(id, now_ms - client.first_sent_ms))
@@ -79,14 +80,14 @@
     /// The answer to a job that was handed in.
     pub(super) fn submitted(&mut self, now_ms: u64, id: &JobId, answer: SubmitOutcome) {
         let client = self.by_job.get_mut(id).expect("a client");
-        client.next_try_ms = None;
+        client.next_attempt_ms = None;
         match answer {
             SubmitOutcome::Pending(token) => {
                 client.taken.get_or_insert((token, now_ms));
                 self.by_token.insert(token, id.clone());
             }
             SubmitOutcome::AlreadyAccepted => client.answered_ms = Some(now_ms),
-            _ => client.next_try_ms = Some(now_ms + RETRY_MS),
+            _ => client.next_attempt_ms = Some(now_ms + RETRY_MS),
         }
     }
 
@@ -98,7 +99,7 @@
         let client = self.by_job.get_mut(id).expect("a client");
         let (_, taken_ms) = client.taken.expect("a promise");
         self.longest_commit_ms = self.longest_commit_ms.max(now_ms - taken_ms);
-        if !client.has_given_up(now_ms) {
+        if !client.has_timed_out(now_ms) {
             client.answered_ms.get_or_insert(now_ms);
         }
         client.taken = None;
--- a/batch/tests/engine/link_ceiling/group.rs
+++ b/batch/tests/engine/link_ceiling/group.rs
@@ -17,7 +17,7 @@
 pub(super) const MEMBERS: [u64; 4] = [1, 2, 3, 4];
 const START_MS: u64 = 1_000;
 /// Items that run at once, more than enough for what the link passes.
-const MOST_RUNS: usize = 400;
+const MAX_RUNS: usize = 400;
 /// How long a backend takes for an item.
 const RUN_MS: u64 = 500;
 const TEXT_BYTES: usize = 4_400;
@@ -84,7 +84,7 @@
         for engine in self.engines.values_mut() {
             engine.set_group(self.now_ms, group.clone());
         }
-        self.carry_out();
+        self.apply_outputs();
     }
 
     /// Whether the primary's epoch is active.
@@ -121,7 +121,7 @@
                 .for_each(|engine| engine.on_timer(now_ms));
             self.start_runs();
         }
-        self.carry_out();
+        self.apply_outputs();
     }
 
     fn submit_due(&mut self) {
@@ -132,7 +132,7 @@
             let answer = self.primary().submit(now_ms, attempt_id, job);
             self.clients.submitted(now_ms, &id, answer);
         }
-        self.carry_out();
+        self.apply_outputs();
     }
 
     fn deliver(&mut self, parcel: Parcel) {
@@ -170,7 +170,7 @@
 
     fn start_runs(&mut self) {
         let now_ms = self.now_ms;
-        let capacity = MOST_RUNS.saturating_sub(self.running.len() + self.starting);
+        let capacity = MAX_RUNS.saturating_sub(self.running.len() + self.starting);
         let starts = self.primary().take_work(now_ms, ROUTE, capacity);
         self.starting += starts.len();
         starts
@@ -179,7 +179,7 @@
     }
 
     /// Carries out all outputs until there are none.
-    fn carry_out(&mut self) {
+    fn apply_outputs(&mut self) {
         loop {
             let outputs = self
                 .engines
@@ -193,12 +193,12 @@
             for (from, outputs) in outputs {
                 outputs
                     .into_iter()
-                    .for_each(|output| self.carry_out_one(from, output));
+                    .for_each(|output| self.apply_output(from, output));
             }
         }
     }
 
-    fn carry_out_one(&mut self, from: u64, output: Output) {
+    fn apply_output(&mut self, from: u64, output: Output) {
         let now_ms = self.now_ms;
         match output {
             Output::Send { to, message } if from == PRIMARY => {
--- a/batch/tests/engine/link_ceiling/mod.rs
+++ b/batch/tests/engine/link_ceiling/mod.rs
@@ -4,7 +4,7 @@
 mod group;
 mod link;
 
-use clients::PATIENCE_MS;
+use clients::ACCEPTANCE_TIMEOUT_MS;
 use group::{CongestedGroup, MEMBERS};
 use std::fmt::{self, Display, Formatter};
 
@@ -76,7 +76,7 @@
 
 /// All three rules stand in one test, as they have one cause: what waits for the link has no bound.
 #[test]
-fn a_group_stays_useful_beyond_the_ceiling_of_its_primarys_link() {
+fn a_group_stays_useful_beyond_the_capacity_of_its_primarys_link() {
     let near = LOADS_NEAR_THE_CEILING.map(measure);
     let beyond = LOADS_BEYOND_THE_CEILING.map(measure);
     let best = near
@@ -92,7 +92,7 @@
         }
     }
     for measured in near.iter().chain(&beyond) {
-        if measured.longest_commit_ms > PATIENCE_MS {
+        if measured.longest_commit_ms > ACCEPTANCE_TIMEOUT_MS {
             broken.push(format!(
                 "an acceptance committed after its client had left: {measured}"
             ));
--- a/batch/tests/engine/overload.rs
+++ b/batch/tests/engine/overload.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_silent_member_holds_up_no_job_until_it_can_be_left_out() {
+fn jobs_are_accepted_until_an_unresponsive_member_can_be_removed() {
     let mut cluster = Cluster::active(2);
     cluster.partitioned.insert(2);
     assert!(is_taken(&mut cluster, "at-once"));
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn a_job_is_not_taken_while_others_are_committed_late() {
+fn no_job_is_accepted_while_commits_are_late() {
     let mut cluster = Cluster::active(2);
     cluster.stores.get_mut(&2).expect("a store").holds_writes = true;
     assert!(is_taken(&mut cluster, "first"));
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn late_results_hold_up_further_runs() {
+fn late_results_delay_further_runs() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 200, 1));
     cluster.stores.get_mut(&2).expect("a store").holds_writes = true;
--- a/batch/tests/engine/reading.rs
+++ b/batch/tests/engine/reading.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_read_is_bounded_but_gives_at_least_one() {
+fn a_read_is_bounded_but_returns_at_least_one_result() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 3, 10));
     complete(&mut cluster, 3, &"x\n".repeat(400));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn who_is_not_sure_answers_only_with_results() {
+fn an_unvalidated_primary_answers_only_with_results() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 2, 10));
     complete(&mut cluster, 1, "text");
@@ -123,7 +123,7 @@
 }
 
 #[test]
-fn a_primary_whose_epoch_is_not_active_says_nothing() {
+fn a_primary_of_an_inactive_epoch_answers_nothing() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 2, 10));
     cluster.partitioned.insert(1);
--- a/batch/tests/engine/replication.rs
+++ b/batch/tests/engine/replication.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn a_store_takes_nothing_under_a_lower_epoch_than_the_core_told_it() {
+fn a_store_rejects_streams_below_the_epoch_decided_by_the_core() {
     let mut cluster = Cluster::active(3);
     cluster.partitioned.insert(1);
     let told = Arc::new(group(2, 2, &[2, 3], &[]));
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn a_primary_that_knows_of_a_greater_epoch_waits_without_looking_again_and_again() {
+fn a_superseded_primary_schedules_no_timer() {
     let mut cluster = Cluster::active(3);
     let told = Arc::new(group(2, 2, &[2, 3], &[]));
     let now_ms = cluster.now_ms;
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_restarted_store_follows_no_stream_that_it_followed_before() {
+fn a_restarted_store_does_not_follow_its_earlier_streams() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 1));
     let stream = StreamId {
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn late_messages_of_an_earlier_session_are_refused() {
+fn late_messages_of_an_earlier_session_are_rejected() {
     let mut cluster = Cluster::active(2);
     cluster.restart(1);
     cluster.set_group(1, 1, &[1, 2], &[]);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn a_new_epoch_sends_only_what_differs_and_drops_what_the_primary_lacks() {
+fn a_new_epoch_sends_only_differing_jobs_and_deletes_jobs_the_primary_lacks() {
     let mut cluster = Cluster::active(3);
     for number in 0..20 {
         cluster.accept(1, job(&format!("same{number}"), 2, 1));
@@ -192,7 +192,7 @@
 }
 
 #[test]
-fn a_learner_is_not_waited_for() {
+fn commits_do_not_wait_for_learners() {
     let mut cluster = Cluster::active(2);
     cluster.start(3, Vec::new());
     cluster.accept(1, job("a", 1, 1));
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_store_reports_that_it_equals_the_primary_once_that_is_on_its_disk() {
+fn a_store_reports_synced_only_after_it_is_on_disk() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 1));
     let now_ms = cluster.now_ms;
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn a_member_that_does_not_answer_is_reported_and_waited_for() {
+fn an_unresponsive_member_is_reported_and_commits_wait_for_it() {
     let mut cluster = Cluster::active(3);
     cluster.partitioned.insert(3);
     cluster.submit(1, job("a", 1, 1));
@@ -253,7 +253,7 @@
 }
 
 #[test]
-fn a_primary_that_may_lack_acknowledged_jobs_says_so_and_drops_none() {
+fn a_primary_that_may_lack_acknowledged_jobs_reports_it_and_deletes_none() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 1));
     cluster.start(3, Vec::new());
@@ -290,7 +290,7 @@
 }
 
 #[test]
-fn an_answer_that_comes_later_than_the_retry_of_a_comparison_counts() {
+fn an_answer_after_the_retry_of_a_comparison_is_accepted() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 1));
     cluster.partitioned.insert(2);
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn large_states_go_in_bounded_messages() {
+fn large_states_are_sent_in_bounded_messages() {
     let mut cluster = Cluster::active(1);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_routes(
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn little_is_under_way_to_a_store_that_does_not_acknowledge() {
+fn the_send_window_bounds_unacknowledged_bytes() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_routes(
@@ -401,7 +401,7 @@
 }
 
 #[test]
-fn what_a_dead_learner_holds_back_is_bounded() {
+fn the_log_retained_for_a_dead_learner_is_bounded() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_routes(
@@ -499,7 +499,7 @@
 }
 
 #[test]
-fn a_stream_that_is_given_up_is_counted() {
+fn an_abandoned_stream_is_counted() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_routes(
--- a/batch/tests/engine/runs.rs
+++ b/batch/tests/engine/runs.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn what_is_due_first_starts_first_and_once() {
+fn items_start_once_in_order_of_due_time() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("young", 2, 10));
     let mut old = job("old", 2, 10);
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn nothing_starts_without_being_validated() {
+fn nothing_starts_without_validation() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 2, 10));
     cluster.now_ms += 1_000;
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn attempts_that_failed_give_an_item_up_at_the_bound() {
+fn an_item_is_abandoned_at_the_limit_of_failed_attempts() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 10));
     let first = cluster.work(1, 1);
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_did_not_run_or_was_cut_is_no_attempt() {
+fn unexecuted_and_interrupted_runs_are_not_counted_as_attempts() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 10));
     for _ in 0..5 {
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn a_rejected_item_is_given_up_at_once() {
+fn a_rejected_item_is_abandoned_at_once() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 10));
     let starts = cluster.work(1, 1);
@@ -90,7 +90,7 @@
 }
 
 #[test]
-fn a_cut_run_goes_on_where_the_furthest_one_got() {
+fn an_interrupted_run_resumes_at_the_furthest_position() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 10));
     let resume = |last_event_id, text: &str| {
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn an_item_is_given_up_after_its_retention_and_not_before() {
+fn an_item_is_abandoned_after_its_retention_and_not_before() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 2, 10));
     let starts = cluster.work(1, 1);
@@ -148,7 +148,7 @@
 }
 
 #[test]
-fn items_of_a_removed_route_are_given_up_but_not_under_an_older_configuration() {
+fn items_of_a_removed_route_are_abandoned_but_not_under_an_older_configuration() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_routes(now_ms, 5, routes(terms()));
@@ -170,7 +170,7 @@
 }
 
 #[test]
-fn all_runs_are_cancelled_when_the_role_is_lost() {
+fn all_runs_are_cancelled_on_loss_of_leadership() {
     let mut cluster = Cluster::active(3);
     cluster.accept(1, job("a", 2, 10));
     let starts = cluster.work(1, 2);
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn runs_go_on_in_the_same_primarys_next_epoch() {
+fn runs_continue_in_the_next_epoch_of_the_same_primary() {
     let mut cluster = Cluster::active(3);
     cluster.accept(1, job("a", 1, 10));
     let starts = cluster.work(1, 1);
@@ -207,7 +207,7 @@
 }
 
 #[test]
-fn routes_with_work_are_those_in_force() {
+fn only_configured_routes_have_work() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 10));
     let now_ms = cluster.now_ms;
@@ -217,7 +217,7 @@
 }
 
 #[test]
-fn the_age_that_a_member_knows_better_counts() {
+fn the_larger_age_known_by_a_member_is_used() {
     let mut cluster = Cluster::active(2);
     let long = RouteTerms {
         retention_ms: 100_000,
@@ -241,7 +241,7 @@
 }
 
 #[test]
-fn an_item_that_cannot_be_done_in_time_any_more_waits_behind_those_that_can() {
+fn late_items_run_after_items_that_can_complete_in_time() {
     const RUN_MS: u64 = 100;
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("first", 1, 10));
@@ -268,7 +268,7 @@
 }
 
 #[test]
-fn items_that_are_all_too_late_run_all_the_same() {
+fn late_items_still_run_when_all_are_late() {
     let mut cluster = Cluster::active(2);
     let mut late = job("late", 2, 10);
     late.age_ms = run_target_ms() + 1;
--- a/batch/tests/engine/window.rs
+++ b/batch/tests/engine/window.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn room_is_what_is_not_in_flight() {
+fn available_is_the_size_minus_the_amount_in_flight() {
     let window = CongestionWindow::new(FIRST, SMALLEST);
     assert_eq!(
         (
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_window_that_does_not_limit_stays() {
+fn a_window_that_does_not_limit_keeps_its_size() {
     let mut window = CongestionWindow::new(FIRST, SMALLEST);
     window.record_started(5);
     window.adapt(CommitPace::Prompt, 5);
@@ -36,7 +36,7 @@
 }
 
 #[test]
-fn a_window_that_limits_grows_once_per_round_of_prompt_commits() {
+fn a_limiting_window_grows_once_per_round_of_prompt_commits() {
     let mut window = full();
     window.adapt(CommitPace::Prompt, FIRST);
     assert_eq!(window.size(), 900);
@@ -53,7 +53,7 @@
 }
 
 #[test]
-fn late_commits_cut_what_is_in_flight_once_per_round() {
+fn late_commits_shrink_the_window_once_per_round() {
     let mut window = full();
     window.adapt(CommitPace::Late, 400);
     assert_eq!(window.size(), 300);
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn late_commits_leave_the_smallest_window() {
+fn late_commits_never_shrink_below_the_minimum() {
     let mut window = full();
     window.adapt(CommitPace::Late, 0);
     assert_eq!(window.size(), SMALLEST);
--- a/batch/tests/quota/account.rs
+++ b/batch/tests/quota/account.rs
@@ -60,14 +60,14 @@
 }
 
 #[test]
-fn nothing_fits_before_a_grant() {
+fn nothing_is_admitted_before_a_grant() {
     let account = new_account();
     assert!(!account.fits(0, 1));
     assert_eq!(account.limit(), Some(0));
 }
 
 #[test]
-fn what_a_successor_finds_is_no_limit_before_its_coordinator_has_answered() {
+fn a_successors_limit_is_zero_until_its_coordinator_answers() {
     let mut account = new_account();
     let report = account.next_report(0, 500).expect("at once");
     assert!(
@@ -81,7 +81,7 @@
 }
 
 #[test]
-fn no_limit_needs_no_coordinator() {
+fn an_unlimited_account_needs_no_coordinator() {
     let mut account = new_account();
     account.set_max(0, 0);
     assert!(account.fits(u64::MAX, u64::MAX));
@@ -95,7 +95,7 @@
 }
 
 #[test]
-fn the_incarnation_is_learnt_from_the_first_answer() {
+fn the_coordinators_incarnation_is_taken_from_the_first_answer() {
     let mut account = new_account();
     let first = account.next_report(0, 0).expect("it reports at once");
     assert_eq!(
@@ -116,7 +116,7 @@
 }
 
 #[test]
-fn what_is_granted_and_unused_is_returned_by_the_next_report() {
+fn unused_grants_are_returned_by_the_next_report() {
     let mut account = account(500);
     assert!(account.fits(400, 100) && !account.fits(400, 101));
     let report = account.next_report(ACTIVE_PERIOD_MS, 200).expect("due");
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn only_the_answer_to_the_newest_report_is_taken_and_once() {
+fn only_the_answer_to_the_newest_report_is_applied_and_only_once() {
     let mut account = account(0);
     let first = account.next_report(IDLE_PERIOD_MS, 0).expect("due");
     account.on_answer_lost(IDLE_PERIOD_MS, first.id);
@@ -145,7 +145,7 @@
 }
 
 #[test]
-fn an_answer_of_an_earlier_coordinator_is_not_used() {
+fn an_answer_of_an_earlier_coordinator_is_ignored() {
     let mut account = account(500);
     account.set_coordinator_epoch(100, ID.epoch + 1);
     let report = account.next_report(100, 0).expect("at once");
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn one_report_is_under_way_and_is_given_up_after_a_while() {
+fn one_report_is_pending_at_a_time_and_times_out() {
     let mut account = account(0);
     let first = account.next_report(IDLE_PERIOD_MS, 0).expect("due");
     let late_ms = IDLE_PERIOD_MS + ANSWER_TIMEOUT_MS;
@@ -182,7 +182,7 @@
 }
 
 #[test]
-fn reports_come_often_while_there_is_something_to_say() {
+fn reports_are_frequent_while_something_changes() {
     let mut idle = account(0);
     assert_eq!(idle.next_due_ms(0), Some(IDLE_PERIOD_MS));
     assert_eq!(idle.next_report(IDLE_PERIOD_MS - 1, 0), None);
@@ -210,7 +210,7 @@
 }
 
 #[test]
-fn a_submission_is_asked_for_at_once_and_fits() {
+fn a_submission_is_reported_at_once_and_admitted() {
     let mut account = account(100);
     account.request(10, A, 300);
     account.request(10, B, 50);
@@ -232,7 +232,7 @@
 }
 
 #[test]
-fn what_exceeds_the_room_is_refused_and_the_rest_is_asked_for_again() {
+fn submissions_beyond_the_available_tokens_are_rejected_and_others_requested_again() {
     let mut account = account(0);
     account.request(10, A, 300);
     account.request(10, B, 500);
@@ -266,7 +266,7 @@
 }
 
 #[test]
-fn nothing_that_may_fit_is_refused_before_the_others_have_reported() {
+fn nothing_within_the_limit_is_rejected_before_other_groups_have_reported() {
     let mut account = account(0);
     account.request(10, A, MAX);
     account.request(10, B, MAX + 1);
@@ -280,7 +280,7 @@
 }
 
 #[test]
-fn a_submission_that_came_behind_the_report_is_not_refused_by_its_answer() {
+fn a_submission_added_after_the_report_is_not_rejected_by_its_answer() {
     let mut account = account(0);
     account.request(10, A, 300);
     let report = account.next_report(10, 0).expect("at once");
@@ -299,7 +299,7 @@
 }
 
 #[test]
-fn every_wait_ends() {
+fn every_waiting_submission_times_out() {
     let mut account = account(0);
     account.request(10, A, 300);
     account.request(10, B, 300);
@@ -311,7 +311,7 @@
 }
 
 #[test]
-fn a_changed_limit_stops_all_until_the_coordinator_has_answered() {
+fn after_a_limit_change_nothing_is_admitted_until_the_coordinator_answers() {
     let mut account = account(500);
     account.set_max(20, MAX);
     assert!(account.fits(0, 500), "no change");
@@ -323,7 +323,7 @@
 }
 
 #[test]
-fn a_change_of_the_limit_while_a_report_is_under_way_outlives_its_answer() {
+fn a_limit_changed_during_a_pending_report_is_not_overwritten_by_its_answer() {
     let mut account = account(500);
     let report = account.next_report(ACTIVE_PERIOD_MS, 0).expect("due");
     account.set_max(260, MAX / 2);
@@ -335,7 +335,7 @@
 }
 
 #[test]
-fn an_account_of_a_route_that_comes_again_goes_on_counting_reports() {
+fn an_account_of_a_readded_route_continues_the_report_numbering() {
     let mut coordinator = Coordinator::new(ID, vec![1]);
     let mut earlier = Account::new(0, 7, 1, "route".to_owned(), ID.epoch);
     earlier.set_max(0, MAX);
--- a/batch/tests/quota/coordinator.rs
+++ b/batch/tests/quota/coordinator.rs
@@ -55,7 +55,7 @@
 }
 
 #[test]
-fn nothing_is_granted_before_all_groups_are_heard() {
+fn nothing_is_granted_before_all_groups_have_reported() {
     let mut coordinator = Coordinator::new(ID, vec![1, 1, 1]);
     for group in [0, 1, 1] {
         let grant = coordinator.report(0, MAX, &report(group, u64::from(group) + 1, 10, 10));
@@ -154,7 +154,7 @@
 }
 
 #[test]
-fn the_sum_of_counts_stays_at_the_limit() {
+fn the_sum_of_counts_never_exceeds_the_limit() {
     let mut coordinator = of_two(600);
     assert_eq!(
         limit(&coordinator.report(1, MAX, &report(0, 2, 0, 400))),
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn of_what_is_wanted_each_that_still_fits_is_granted_and_no_more() {
+fn each_request_that_still_fits_is_granted_and_no_more() {
     let mut coordinator = of_two(600);
     let some = QuotaReport {
         wanted: vec![150, 500, 200, 51, 50],
@@ -189,7 +189,7 @@
 }
 
 #[test]
-fn only_what_is_used_decides_that_something_does_not_fit() {
+fn only_used_tokens_make_a_submission_over_quota() {
     let mut coordinator = of_two(0);
     coordinator.report(1, MAX, &report(1, 2, 100, 800));
     let grant = coordinator.report(1, MAX, &report(0, 2, 0, 500));
@@ -206,7 +206,7 @@
 }
 
 #[test]
-fn headroom_is_a_part_of_what_is_left_unless_there_is_contention() {
+fn headroom_is_a_fraction_of_the_remaining_tokens_without_contention() {
     let mut coordinator = of_two(0);
     assert_eq!(
         limit(&coordinator.report(999, MAX, &report(0, 2, 100, 100))),
@@ -221,7 +221,7 @@
 }
 
 #[test]
-fn a_copy_of_a_report_gets_the_same_answer_and_a_late_one_none() {
+fn a_duplicate_report_gets_the_same_answer_and_a_late_one_is_ignored() {
     let mut coordinator = of_two(0);
     let first = coordinator.report(2_000, MAX, &report(0, 2, 0, 100));
     coordinator.report(2_000, MAX, &report(1, 2, 700, 0));
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn a_changed_limit_holds_from_the_next_report_on() {
+fn a_changed_limit_applies_from_the_next_report_on() {
     let mut coordinator = of_two(600);
     coordinator.report(0, MAX, &report(1, 2, 600, 0));
     assert_eq!(limit(&coordinator.report(1, 700, &report(0, 2, 0, 200))), 0);
@@ -317,7 +317,7 @@
 }
 
 #[test]
-fn greatest_numbers_end_nothing() {
+fn maximum_values_do_not_overflow() {
     let mut coordinator = of_two(u64::MAX);
     let grant = coordinator.report(u64::MAX, u64::MAX, &report(0, 2, u64::MAX, u64::MAX));
     assert_eq!((limit(&grant), available(&grant)), (0, 0));
@@ -325,7 +325,7 @@
 }
 
 #[test]
-fn the_reading_is_of_all_groups() {
+fn the_reading_covers_all_groups() {
     let mut coordinator = Coordinator::new(ID, vec![1, 1]);
     assert_eq!(
         coordinator.report(0, MAX, &report(0, 1, 100, 0)).reading,
@@ -353,7 +353,7 @@
 }
 
 #[test]
-fn a_routes_home_is_one_of_the_groups_and_always_the_same() {
+fn the_home_group_of_a_route_is_valid_and_stable() {
     let homes: Vec<u32> = (0..64)
         .map(|index| home_group(&format!("route-{index}"), 16))
         .collect();
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn what_is_reported_while_a_route_has_no_limit_does_not_count_under_a_later_one() {
+fn reports_without_a_limit_are_not_counted_under_a_later_limit() {
     let mut coordinator = Coordinator::new(ID, vec![1, 1]);
     assert_eq!(
         coordinator.report(0, 0, &report(1, 1, 10, 0)).decision,
--- a/batch/tests/quota/meter.rs
+++ b/batch/tests/quota/meter.rs
@@ -3,7 +3,7 @@
 use alderhollow_batch::quota::{Meter, QuotaReading};
 
 #[test]
-fn a_period_gives_one_reading_with_all_that_did_not_fit() {
+fn a_period_yields_one_reading_with_all_rejected_tokens() {
     let mut meter = Meter::default();
     assert_eq!(meter.record(1_000, 3, "r", 10, 0), None);
     assert_eq!(meter.record(1_200, 3, "r", 20, 7), None);
--- a/batch/tests/quota/simulation.rs
+++ b/batch/tests/quota/simulation.rs
@@ -1,19 +1,19 @@
 //! Seeded simulation of the groups' primaries that share one route's limit, under loss, delay, reordering and doubling of
 //! messages, replaced primaries that go on, and restarts.
 
+mod harness;
 mod jobs;
 mod network;
 mod oracle;
 mod process;
-mod world;
 
+use harness::{Settings, Simulation};
 use oracle::Tally;
-use world::{Settings, World};
 
 /// Plays seeds, and adds up what came of them.
-fn play(seeds: std::ops::Range<u64>, settings: fn(u64) -> Settings) -> Tally {
+fn run(seeds: std::ops::Range<u64>, settings: fn(u64) -> Settings) -> Tally {
     seeds.fold(Tally::default(), |sum, seed| {
-        let tally = World::new(seed, settings(seed)).run();
+        let tally = Simulation::new(seed, settings(seed)).run();
         Tally {
             accepted: sum.accepted + tally.accepted,
             judged: sum.judged + tally.judged,
@@ -23,22 +23,22 @@
 }
 
 #[test]
-fn the_sum_stays_at_the_limit_through_all_troubles() {
-    let tally = play(0..1_500, Settings::troubled);
+fn the_sum_never_exceeds_the_limit_under_faults() {
+    let tally = run(0..1_500, Settings::troubled);
     assert!(tally.accepted > 100_000, "too little happened: {tally:?}");
 }
 
 #[test]
-fn the_sum_stays_at_the_limit_while_the_groups_lie_in_two_halves() {
-    let tally = play(0..600, Settings::with_halves);
+fn the_sum_never_exceeds_the_limit_under_split_partitions() {
+    let tally = run(0..600, Settings::with_halves);
     assert!(tally.accepted > 30_000, "too little happened: {tally:?}");
 }
 
 /// Groups report at different moments, so that tokens which moved between them may be seen twice for a tenth of a
 /// second: close to the limit, a job in some thousands is refused or late all the same.
 #[test]
-fn in_calm_times_what_fits_is_taken_soon() {
-    let tally = play(0..500, Settings::calm);
+fn without_faults_submissions_within_the_limit_are_admitted_soon() {
+    let tally = run(0..500, Settings::calm);
     assert!(tally.accepted > 50_000, "too little happened: {tally:?}");
     assert!(
         tally.missed * 2_000 <= tally.judged,
@@ -47,7 +47,7 @@
 }
 
 #[test]
-fn the_same_seed_is_the_same_play() {
-    let first = World::new(7, Settings::troubled(7)).run();
-    assert_eq!(first, World::new(7, Settings::troubled(7)).run());
+fn the_same_seed_gives_the_same_run() {
+    let first = Simulation::new(7, Settings::troubled(7)).run();
+    assert_eq!(first, Simulation::new(7, Settings::troubled(7)).run());
 }
--- a/batch/tests/quota/simulation/world.rs
+++ b/batch/tests/quota/simulation/harness.rs
@@ -12,7 +12,7 @@
 /// Where cuts into halves occur, one begins in one of so many steps.
 const STEPS_BETWEEN_CUTS: u32 = 300;
 /// Shortest and longest cut into halves.
-const CUT_MS: std::ops::Range<u32> = 500..4_000;
+const PARTITION_MS: std::ops::Range<u32> = 500..4_000;
 
 /// What a play is like.
 #[derive(Debug, Clone, Copy)]
@@ -25,7 +25,7 @@
     /// Whether the processes are cut into two halves now and then.
     pub has_halves: bool,
     /// Chance in 10,000 of a trouble in a step.
-    pub trouble: u32,
+    pub fault: u32,
     /// Chance in 1,000 of a submission in a step.
     pub submissions: u32,
     /// Chance in 1,000 that an accepted job ends in a step.
@@ -47,7 +47,7 @@
         Settings {
             quality,
             is_calm: false,
-            trouble: random.rand_range(1..150),
+            fault: random.rand_range(1..150),
             ..Settings::load(&mut random)
         }
     }
@@ -73,7 +73,7 @@
         Settings {
             quality,
             is_calm: true,
-            trouble: 0,
+            fault: 0,
             ..Settings::load(&mut random)
         }
     }
@@ -93,7 +93,7 @@
             quality,
             is_calm: true,
             has_halves: false,
-            trouble: 0,
+            fault: 0,
             submissions: random.rand_range(50..1_000),
             ends: random.rand_range(2..40),
             tokens: [100, 500, 2_000, 8_000][random.rand_range(0..4) as usize],
@@ -109,7 +109,7 @@
 }
 
 /// The whole.
-pub(super) struct World {
+pub(super) struct Simulation {
     settings: Settings,
     random: Rand32,
     now_ms: u64,
@@ -126,10 +126,10 @@
     submissions: u64,
 }
 
-impl World {
-    pub(super) fn new(seed: u64, settings: Settings) -> World {
+impl Simulation {
+    pub(super) fn new(seed: u64, settings: Settings) -> Simulation {
         let home = home_group(ROUTE, settings.groups as u32) as usize;
-        let mut world = World {
+        let mut harness = Simulation {
             settings,
             random: Rand32::new(seed),
             now_ms: 0,
@@ -144,10 +144,10 @@
             submissions: 0,
         };
         for group in 0..settings.groups {
-            world.newest.push(group);
-            world.start_process(group, 1, 0);
+            harness.newest.push(group);
+            harness.start_process(group, 1, 0);
         }
-        world
+        harness
     }
 
     /// Plays to the end; gives what came of it.
@@ -161,14 +161,14 @@
     }
 
     fn step(&mut self) {
-        if self.random.rand_range(0..10_000) < self.settings.trouble {
-            self.make_trouble();
+        if self.random.rand_range(0..10_000) < self.settings.fault {
+            self.inject_fault();
         }
         if self.settings.has_halves {
-            self.cut_or_join();
+            self.split_or_rejoin();
         }
         for index in 0..self.processes.len() {
-            self.processes[index].read_news(self.now_ms, self.home);
+            self.processes[index].read_core_update(self.now_ms, self.home);
             self.activate_if_due(index);
         }
         self.deliver();
@@ -223,7 +223,7 @@
     }
 
     /// Half of the processes, by chance, hear neither the others nor the core for a while.
-    fn cut_or_join(&mut self) {
+    fn split_or_rejoin(&mut self) {
         self.halves = self
             .halves
             .take()
@@ -231,7 +231,7 @@
         if self.halves.is_some() || self.random.rand_range(0..STEPS_BETWEEN_CUTS) > 0 {
             return;
         }
-        let until_ms = self.now_ms + u64::from(self.random.rand_range(CUT_MS));
+        let until_ms = self.now_ms + u64::from(self.random.rand_range(PARTITION_MS));
         let without_core = (0..self.processes.len())
             .filter(|_| self.random.rand_range(0..2) == 0)
             .collect();
@@ -249,7 +249,7 @@
     }
 
     /// Ends or replaces a group's primary, in favour of the home group.
-    fn make_trouble(&mut self) {
+    fn inject_fault(&mut self) {
         let group = match self.random.rand_range(0..3) {
             0 => self.home,
             _ => self.random.rand_range(0..self.settings.groups as u32) as usize,
@@ -285,7 +285,9 @@
                 .filter(|halves| halves.without_core.contains(&index));
             let from_ms = cut.map_or(self.now_ms, |halves| halves.until_ms);
             let delay_ms = u64::from(self.random.rand_range(0..1_500));
-            process.news.insert(from_ms + delay_ms, self.epochs.clone());
+            process
+                .core_update
+                .insert(from_ms + delay_ms, self.epochs.clone());
         }
         let recovery_ms = u64::from(self.random.rand_range(20..500));
         self.start_process(group, 1, recovery_ms);
--- a/batch/tests/quota/simulation/process.rs
+++ b/batch/tests/quota/simulation/process.rs
@@ -21,7 +21,7 @@
     /// Epochs of all groups, as it read them from the core last.
     pub epochs: Vec<u64>,
     /// States of the core that are on their way to it, by arrival.
-    pub news: BTreeMap<u64, Vec<u64>>,
+    pub core_update: BTreeMap<u64, Vec<u64>>,
     pub active_from_ms: u64,
     pub is_active: bool,
     /// It ends then.
@@ -54,7 +54,7 @@
             epoch,
             session,
             epochs,
-            news: BTreeMap::new(),
+            core_update: BTreeMap::new(),
             active_from_ms,
             is_active: false,
             ends_ms: None,
@@ -88,9 +88,9 @@
     }
 
     /// Reads the states of the core that have come.
-    pub(super) fn read_news(&mut self, now_ms: u64, home: usize) {
+    pub(super) fn read_core_update(&mut self, now_ms: u64, home: usize) {
         while let Some(entry) = self
-            .news
+            .core_update
             .first_entry()
             .filter(|entry| *entry.key() <= now_ms)
         {
--- a/batch/tests/simulation/clients.rs
+++ b/batch/tests/simulation/clients.rs
@@ -7,11 +7,11 @@
 use oorandom::Rand64;
 
 /// How long a gateway looks for a clear answer to one try.
-const TRY_MS: u64 = 2_500;
+const RETRY_DELAY_MS: u64 = 2_500;
 /// How long a gateway waits for a store's answer.
 pub(crate) const CALL_MS: u64 = 700;
 /// Tries of a client.
-const TRIES: u32 = 6;
+const MAX_ATTEMPTS: u32 = 6;
 /// Pause between two tries, and between two reads.
 const PAUSE_MS: u64 = 400;
 
@@ -19,7 +19,7 @@
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Stage {
     /// Handing in.
-    Trying {
+    Submitting {
         attempt_id: SubmissionAttemptId,
         until_ms: u64,
         unknown: bool,
@@ -36,7 +36,7 @@
 pub(crate) struct Client {
     pub job: NewJob,
     stage: Stage,
-    tries_left: u32,
+    attempts_left: u32,
     all_refused: bool,
     newest_call: u64,
     ends_at_ms: Option<u64>,
@@ -66,11 +66,11 @@
             items,
         };
         let ends_at_ms = (random.rand_float() < 0.25).then(|| random.rand_range(1_000..12_000));
-        let tries_left = TRIES;
+        let attempts_left = MAX_ATTEMPTS;
         Client {
             job,
             stage: Stage::Pausing,
-            tries_left,
+            attempts_left,
             all_refused: true,
             newest_call: 0,
             ends_at_ms,
@@ -85,16 +85,16 @@
     /// Its turn.
     pub(crate) fn step(&mut self, now_ms: u64, oracle: &mut Oracle, random: &mut Rand64) -> Step {
         match &self.stage {
-            Stage::Trying { .. } => self.submit(),
+            Stage::Submitting { .. } => self.submit(),
             Stage::Pausing => {
-                if self.tries_left == TRIES {
+                if self.attempts_left == MAX_ATTEMPTS {
                     oracle.sent(now_ms, &self.job);
                 }
-                self.tries_left -= 1;
+                self.attempts_left -= 1;
                 let attempt_id = SubmissionAttemptId(random.rand_u64());
-                self.stage = Stage::Trying {
+                self.stage = Stage::Submitting {
                     attempt_id,
-                    until_ms: now_ms + TRY_MS,
+                    until_ms: now_ms + RETRY_DELAY_MS,
                     unknown: false,
                 };
                 self.submit()
@@ -106,7 +106,7 @@
 
     /// Hands the job in.
     fn submit(&mut self) -> Step {
-        let Stage::Trying { attempt_id, .. } = self.stage else {
+        let Stage::Submitting { attempt_id, .. } = self.stage else {
             return Step::Nothing;
         };
         self.call(Call::Submit {
@@ -122,7 +122,7 @@
         if truth.end_acknowledged_ms.is_none()
             && self.ends_at_ms.is_some_and(|at_ms| now_ms >= at_ms)
         {
-            truth.end_asked = true;
+            truth.end_requested = true;
             return self.call(Call::End { job: id });
         }
         let known = truth.seen.len();
@@ -157,7 +157,7 @@
             return Step::Nothing;
         }
         self.newest_call += 1;
-        if let Stage::Trying { .. } = self.stage {
+        if let Stage::Submitting { .. } = self.stage {
             return self.submitted(now_ms, Answer::Unknown, oracle);
         }
         Step::Wait(PAUSE_MS)
@@ -175,7 +175,7 @@
             return Step::Nothing;
         }
         self.newest_call += 1;
-        if let Stage::Trying { .. } = self.stage {
+        if let Stage::Submitting { .. } = self.stage {
             return self.submitted(now_ms, answer, oracle);
         }
         let id = &self.job.id;
@@ -210,7 +210,7 @@
 
     /// The gateway has an answer of a store to the job handed in.
     fn submitted(&mut self, now_ms: u64, answer: Answer, oracle: &mut Oracle) -> Step {
-        let Stage::Trying {
+        let Stage::Submitting {
             until_ms, unknown, ..
         } = &mut self.stage
         else {
@@ -233,16 +233,16 @@
         }
         // 504: nothing is promised.
         self.all_refused = false;
-        self.next_try(oracle)
+        self.next_attempt(oracle)
     }
 
     /// The gateway answers 429 or 503.
     fn refused(&mut self, oracle: &mut Oracle) -> Step {
-        self.next_try(oracle)
+        self.next_attempt(oracle)
     }
 
-    fn next_try(&mut self, oracle: &mut Oracle) -> Step {
-        if self.tries_left > 0 {
+    fn next_attempt(&mut self, oracle: &mut Oracle) -> Step {
+        if self.attempts_left > 0 {
             self.stage = Stage::Pausing;
             return Step::Wait(PAUSE_MS);
         }
--- a/batch/tests/simulation/core.rs
+++ b/batch/tests/simulation/core.rs
@@ -8,9 +8,9 @@
 use std::sync::Arc;
 
 /// The primary's place is given away so long after its last poll.
-const PRIMARY_SILENCE_MS: u64 = 2_000;
+const PRIMARY_TIMEOUT_MS: u64 = 2_000;
 /// A store that has not polled for so long is not chosen for anything.
-const STORE_SILENCE_MS: u64 = 1_000;
+const STORE_TIMEOUT_MS: u64 = 1_000;
 /// A member is left out for its silence only if the primary has polled so much later than it: if the primary's own disk
 /// is lost in the moment in which the member goes, the member must stay, as it has the only copy.
 const OUTLIVED_MS: u64 = 600;
@@ -93,7 +93,7 @@
         };
         let primary = self.stores.get(&group.primary);
         let primary_lives =
-            primary.is_some_and(|known| now_ms < known.polled_ms + PRIMARY_SILENCE_MS);
+            primary.is_some_and(|known| now_ms < known.polled_ms + PRIMARY_TIMEOUT_MS);
         if !primary_lives {
             let heir = live
                 .iter()
@@ -217,7 +217,7 @@
     }
 
     fn live(&self, now_ms: u64) -> impl Iterator<Item = DiskId> + '_ {
-        let live = move |known: &Known| now_ms < known.polled_ms + STORE_SILENCE_MS;
+        let live = move |known: &Known| now_ms < known.polled_ms + STORE_TIMEOUT_MS;
         self.stores
             .iter()
             .filter(move |(_, known)| live(known))
--- a/batch/tests/simulation/troubles.rs
+++ b/batch/tests/simulation/fault_injection.rs
@@ -1,39 +1,41 @@
 //! Troubles and their ends.
 
 use crate::disk::SimDisk;
+use crate::harness::{
+    Event, Simulation, CATCH_UP_MS, FLICKER_MS, LONG_PARTITION_MS, RESTART_MS, STORES,
+};
 use crate::stores::{Slot, ToProcess};
-use crate::world::{Event, World, CATCH_UP_MS, FLICKER_MS, LONG_CUT_MS, RESTART_MS, STORES};
 use alderhollow_model::identity::DiskId;
 
 /// Share of the planned changes of the group after which a disk is lost, and how soon.
 const WIPED_AFTER_EXCHANGE: f64 = 0.4;
 const AFTER_EXCHANGE_MS: u64 = 500;
 
-impl World {
+impl Simulation {
     /// Troubles and their ends.
-    pub(crate) fn strike(&mut self, event: Event) {
+    pub(crate) fn on_fault(&mut self, event: Event) {
         let slot = self.random.rand_range(0..STORES as u64) as usize;
         let span_ms = match event {
-            Event::CutOff | Event::Halves => self.random.rand_range(LONG_CUT_MS),
+            Event::Isolate | Event::Halves => self.random.rand_range(LONG_PARTITION_MS),
             _ => self.random.rand_range(100..4_000),
         };
-        let is_trouble = matches!(
+        let is_fault = matches!(
             event,
             Event::Kill { .. }
                 | Event::KillAll { .. }
                 | Event::Freeze
-                | Event::Cut
-                | Event::CutCore
-                | Event::CutOff
+                | Event::Partition
+                | Event::PartitionCore
+                | Event::Isolate
                 | Event::Flicker { .. }
                 | Event::Halves
         );
-        if is_trouble && self.now_ms < self.no_trouble_until_ms {
+        if is_fault && self.now_ms < self.no_fault_until_ms {
             return;
         }
-        if is_trouble {
-            self.trouble_until_ms = self
-                .trouble_until_ms
+        if is_fault {
+            self.fault_until_ms = self
+                .fault_until_ms
                 .max(self.now_ms + span_ms.max(RESTART_MS) + CATCH_UP_MS);
         }
         match event {
@@ -45,26 +47,26 @@
                 self.after(span_ms, Event::Thaw { slot });
             }
             Event::Thaw { slot } => self.thaw(slot),
-            Event::Cut => {
+            Event::Partition => {
                 let pair = (slot, (slot + 1 + span_ms as usize % (STORES - 1)) % STORES);
-                self.cuts.insert(pair);
-                self.after(span_ms, Event::Join { pair });
+                self.partitions.insert(pair);
+                self.after(span_ms, Event::Rejoin { pair });
             }
-            Event::Join { pair } => drop(self.cuts.remove(&pair)),
-            Event::CutCore => {
-                self.slots[slot].cut_from_core = true;
-                self.after(span_ms, Event::JoinCore { slot });
+            Event::Rejoin { pair } => drop(self.partitions.remove(&pair)),
+            Event::PartitionCore => {
+                self.slots[slot].partitioned_from_core = true;
+                self.after(span_ms, Event::RejoinCore { slot });
             }
-            Event::JoinCore { slot } => self.slots[slot].cut_from_core = false,
+            Event::RejoinCore { slot } => self.slots[slot].partitioned_from_core = false,
             Event::Wipe => self.wipe(slot, false),
             Event::WipeAndPowerLoss => self.wipe(slot, true),
             Event::ExchangeMember => self.exchange_member(),
-            Event::CutOff => self.cut_off(slot, span_ms),
-            Event::JoinAll { slot } => self.join_all(slot),
+            Event::Isolate => self.isolate(slot, span_ms),
+            Event::RejoinAll { slot } => self.rejoin_all(slot),
             Event::Flicker { slot, times } => self.flicker(slot, times),
-            Event::Halves => self.cut_into_halves(span_ms),
+            Event::Halves => self.split_into_halves(span_ms),
             Event::WipeInHalves => self.wipe_in_halves(slot),
-            Event::JoinHalves { half } => self.join_halves(half),
+            Event::RejoinHalves { half } => self.rejoin_halves(half),
             Event::SlowDisk => self.slots[slot].sync_ms = 600,
             Event::Heal => self.heal(),
             _ => unreachable!("not a trouble"),
@@ -72,48 +74,49 @@
     }
 
     /// A store reaches neither the others nor the core, and they don't reach it.
-    fn cut_off(&mut self, slot: usize, span_ms: u64) {
+    fn isolate(&mut self, slot: usize, span_ms: u64) {
         for other in (0..STORES).filter(|other| *other != slot) {
-            self.cuts.insert((slot, other));
-            self.cuts.insert((other, slot));
+            self.partitions.insert((slot, other));
+            self.partitions.insert((other, slot));
         }
-        self.slots[slot].cut_from_core = true;
-        self.after(span_ms, Event::JoinAll { slot });
+        self.slots[slot].partitioned_from_core = true;
+        self.after(span_ms, Event::RejoinAll { slot });
     }
 
-    fn join_all(&mut self, slot: usize) {
-        self.cuts.retain(|(from, to)| *from != slot && *to != slot);
-        self.slots[slot].cut_from_core = false;
+    fn rejoin_all(&mut self, slot: usize) {
+        self.partitions
+            .retain(|(from, to)| *from != slot && *to != slot);
+        self.slots[slot].partitioned_from_core = false;
     }
 
     /// Two stores neither reach the two others nor are reached by them. Clients reach all of them; the core reaches all, or
     /// but one half.
-    fn cut_into_halves(&mut self, span_ms: u64) {
+    fn split_into_halves(&mut self, span_ms: u64) {
         let first = self.random.rand_range(0..STORES as u64) as usize;
         let second = (first + 1 + self.random.rand_range(0..STORES as u64 - 1) as usize) % STORES;
         let half = [first, second];
         for one in half {
             for other in (0..STORES).filter(|other| !half.contains(other)) {
-                self.cuts.insert((one, other));
-                self.cuts.insert((other, one));
+                self.partitions.insert((one, other));
+                self.partitions.insert((other, one));
             }
         }
         if self.random.rand_float() < 0.5 {
             half.into_iter()
-                .for_each(|slot| self.slots[slot].cut_from_core = true);
+                .for_each(|slot| self.slots[slot].partitioned_from_core = true);
         }
-        self.after(span_ms, Event::JoinHalves { half });
+        self.after(span_ms, Event::RejoinHalves { half });
         if self.faults.wipe_in_halves {
             let delay_ms = self.random.rand_range(0..span_ms);
             self.after(delay_ms, Event::WipeInHalves);
         }
     }
 
-    fn join_halves(&mut self, half: [usize; STORES / 2]) {
-        self.cuts
+    fn rejoin_halves(&mut self, half: [usize; STORES / 2]) {
+        self.partitions
             .retain(|(from, to)| half.contains(from) == half.contains(to));
         half.into_iter()
-            .for_each(|slot| self.slots[slot].cut_from_core = false);
+            .for_each(|slot| self.slots[slot].partitioned_from_core = false);
     }
 
     /// A store is killed soon after it came back, so many times.
@@ -122,9 +125,9 @@
         let pause_ms = self.random.rand_range(1..FLICKER_MS);
         self.kill_for(slot, power, pause_ms);
         if times > 0 {
-            let life_ms = self.random.rand_range(1..FLICKER_MS);
+            let uptime_ms = self.random.rand_range(1..FLICKER_MS);
             self.after(
-                pause_ms + life_ms,
+                pause_ms + uptime_ms,
                 Event::Flicker {
                     slot,
                     times: times - 1,
@@ -153,8 +156,9 @@
     /// same moment all others may lose power, or surely do.
     pub(crate) fn wipe(&mut self, slot: usize, others_lose_power: bool) {
         let disk = self.slots[slot].disk.id;
-        let calm = self.now_ms >= self.trouble_until_ms && self.cuts.is_empty();
-        let is_well = |slot: &Slot| slot.process.is_some() && !slot.frozen && !slot.cut_from_core;
+        let calm = self.now_ms >= self.fault_until_ms && self.partitions.is_empty();
+        let is_well =
+            |slot: &Slot| slot.process.is_some() && !slot.frozen && !slot.partitioned_from_core;
         let others = self.core.complete.iter().filter(|other| **other != disk);
         let held = others
             .filter(|other| self.slots.iter().any(|slot| slot.disk.id == **other))
@@ -163,19 +167,19 @@
         if self.core.group.is_none() || !held || !calm || !self.slots.iter().all(is_well) {
             return;
         }
-        self.no_trouble_until_ms = self.now_ms + CATCH_UP_MS;
-        self.take_disk(slot, others_lose_power);
+        self.no_fault_until_ms = self.now_ms + CATCH_UP_MS;
+        self.replace_disk(slot, others_lose_power);
     }
 
     /// One disk of the play is lost while the stores may be cut into halves, whatever else is in trouble.
     fn wipe_in_halves(&mut self, slot: usize) {
         if self.wiped == 0 && self.core.group.is_some() {
-            self.take_disk(slot, false);
+            self.replace_disk(slot, false);
         }
     }
 
     /// Takes a disk; perhaps all others lose power in the same moment.
-    fn take_disk(&mut self, slot: usize, others_lose_power: bool) {
+    fn replace_disk(&mut self, slot: usize, others_lose_power: bool) {
         if others_lose_power || self.random.rand_float() < 0.5 {
             (0..STORES)
                 .filter(|other| *other != slot)
@@ -204,10 +208,10 @@
         if self.slots[slot].process.is_some() {
             return;
         }
-        self.newest_life += 1;
+        self.newest_incarnation += 1;
         let clock_ahead_ms = self.random.rand_range(0..100_000);
-        self.slots[slot].start(self.newest_life, self.now_ms, clock_ahead_ms);
-        let (disk, incarnation) = (self.slots[slot].disk.id, Some(self.newest_life));
+        self.slots[slot].start(self.newest_incarnation, self.now_ms, clock_ahead_ms);
+        let (disk, incarnation) = (self.slots[slot].disk.id, Some(self.newest_incarnation));
         self.after(
             1,
             Event::ToSlot {
@@ -233,16 +237,16 @@
             return;
         }
         let disk = self.slots[slot].disk.id;
-        for (incarnation, what) in std::mem::take(&mut self.slots[slot].mailbox) {
+        for (incarnation, what) in std::mem::take(&mut self.slots[slot].pending_inputs) {
             self.reach(slot, disk, incarnation, what);
         }
     }
 
     pub(crate) fn heal(&mut self) {
         self.faults.loss = 0.0;
-        self.cuts.clear();
+        self.partitions.clear();
         for slot in 0..STORES {
-            self.slots[slot].cut_from_core = false;
+            self.slots[slot].partitioned_from_core = false;
             self.slots[slot].sync_ms = 5;
             self.thaw(slot);
             self.restart(slot);
--- a/batch/tests/simulation/world.rs
+++ b/batch/tests/simulation/harness.rs
@@ -14,14 +14,14 @@
 pub(crate) const STORES: usize = 4;
 pub(crate) const CLIENTS: usize = 14;
 /// Troubles and new jobs come until then.
-pub(crate) const TROUBLE_MS: u64 = 10_000;
+pub(crate) const FAULTS_END_MS: u64 = 10_000;
 /// Everything must be whole by then.
 pub(crate) const END_MS: u64 = 22_000;
 pub(crate) const TICK_MS: u64 = 50;
 pub(crate) const POLL_MS: u64 = 200;
 pub(crate) const VALIDATED_MS: u64 = 1_000;
 /// Longest and shortest time for which a store is cut off from all.
-pub(crate) const LONG_CUT_MS: std::ops::Range<u64> = 2_000..7_000;
+pub(crate) const LONG_PARTITION_MS: std::ops::Range<u64> = 2_000..7_000;
 /// Longest incarnation and pause of a store that comes and goes.
 pub(crate) const FLICKER_MS: u64 = 150;
 /// Longest pause before a process starts again.
@@ -36,12 +36,12 @@
 pub(crate) struct Faults {
     pub kills: u32,
     pub freezes: u32,
-    pub cuts: u32,
+    pub partitions: u32,
     pub wipes: u32,
     /// Planned changes of the group.
     pub exchanges: u32,
     /// A store hears nobody and is heard by nobody for seconds.
-    pub long_cuts: u32,
+    pub long_partitions: u32,
     /// A store is killed again and again, each time while it catches up.
     pub flickers: u32,
     /// The stores are cut into two halves for seconds; the core lies in one of them, or reaches both.
@@ -127,19 +127,19 @@
     Thaw {
         slot: usize,
     },
-    Cut,
-    Join {
+    Partition,
+    Rejoin {
         pair: (usize, usize),
     },
-    CutCore,
-    JoinCore {
+    PartitionCore,
+    RejoinCore {
         slot: usize,
     },
     Wipe,
     WipeAndPowerLoss,
     ExchangeMember,
-    CutOff,
-    JoinAll {
+    Isolate,
+    RejoinAll {
         slot: usize,
     },
     Flicker {
@@ -147,7 +147,7 @@
         times: u32,
     },
     Halves,
-    JoinHalves {
+    RejoinHalves {
         half: [usize; STORES / 2],
     },
     WipeInHalves,
@@ -158,7 +158,7 @@
 /// What a store reports at a poll.
 pub(crate) type PollStatus = alderhollow_batch::api::GroupStatus;
 
-pub(crate) struct World {
+pub(crate) struct Simulation {
     pub seed: u64,
     pub now_ms: u64,
     pub random: Rand64,
@@ -166,22 +166,22 @@
     pub events: BinaryHeap<Reverse<(u64, u64)>>,
     pub bodies: BTreeMap<u64, Event>,
     pub newest_event: u64,
-    pub newest_life: u64,
+    pub newest_incarnation: u64,
     pub slots: Vec<Slot>,
-    pub cuts: BTreeSet<(usize, usize)>,
+    pub partitions: BTreeSet<(usize, usize)>,
     pub core: Core,
     pub clients: Vec<Client>,
     pub oracle: Oracle,
     pub wiped: u64,
     pub exchanged: u64,
     /// Something is in trouble, or catches up, until then.
-    pub trouble_until_ms: u64,
+    pub fault_until_ms: u64,
     /// A disk was lost: the tolerance is used up until then.
-    pub no_trouble_until_ms: u64,
+    pub no_fault_until_ms: u64,
 }
 
-impl World {
-    pub(crate) fn new(seed: u64, faults: Faults) -> World {
+impl Simulation {
+    pub(crate) fn new(seed: u64, faults: Faults) -> Simulation {
         let mut random = Rand64::new(u128::from(seed) * 7_919 + 1);
         let slots = (0..STORES as u64)
             .map(|slot| Slot::new(DiskId(slot + 1)))
@@ -189,7 +189,7 @@
         let clients = (0..CLIENTS)
             .map(|number| Client::new(number, &mut random))
             .collect();
-        World {
+        Simulation {
             seed,
             now_ms: 0,
             random,
@@ -197,21 +197,21 @@
             events: BinaryHeap::new(),
             bodies: BTreeMap::new(),
             newest_event: 0,
-            newest_life: 0,
+            newest_incarnation: 0,
             slots,
-            cuts: BTreeSet::new(),
+            partitions: BTreeSet::new(),
             core: Core::new(),
             clients,
             oracle: Oracle::default(),
             wiped: 0,
             exchanged: 0,
-            trouble_until_ms: 0,
-            no_trouble_until_ms: 0,
+            fault_until_ms: 0,
+            no_fault_until_ms: 0,
         }
     }
 
     /// Plays it all.
-    pub(crate) fn play(mut self) -> Totals {
+    pub(crate) fn run_to_end(mut self) -> Totals {
         let seed = self.seed;
         let played = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| self.run()));
         match played {
@@ -276,49 +276,49 @@
         }
         self.at(400, Event::CoreDecides);
         for client in 0..CLIENTS {
-            let at_ms = self.random.rand_range(1_000..TROUBLE_MS);
+            let at_ms = self.random.rand_range(1_000..FAULTS_END_MS);
             self.at(at_ms, Event::ClientTurn { client });
         }
         let faults = self.faults;
         for _ in 0..faults.kills {
             let power = self.random.rand_float() < 0.5;
             let all = self.random.rand_float() < 0.15;
-            self.trouble(if all {
+            self.fault(if all {
                 Event::KillAll { power }
             } else {
                 Event::Kill { power }
             });
         }
         for _ in 0..faults.freezes {
-            self.trouble(Event::Freeze);
-            self.trouble(Event::SlowDisk);
+            self.fault(Event::Freeze);
+            self.fault(Event::SlowDisk);
         }
-        for _ in 0..faults.cuts {
-            self.trouble(Event::Cut);
-            self.trouble(Event::CutCore);
+        for _ in 0..faults.partitions {
+            self.fault(Event::Partition);
+            self.fault(Event::PartitionCore);
         }
         for _ in 0..faults.wipes {
-            self.trouble(Event::Wipe);
+            self.fault(Event::Wipe);
         }
         for _ in 0..faults.exchanges {
-            self.trouble(Event::ExchangeMember);
+            self.fault(Event::ExchangeMember);
         }
-        for _ in 0..faults.long_cuts {
-            self.trouble(Event::CutOff);
+        for _ in 0..faults.long_partitions {
+            self.fault(Event::Isolate);
         }
         for _ in 0..faults.flickers {
             let slot = self.random.rand_range(0..STORES as u64) as usize;
             let times = 2 + self.random.rand_range(0..5) as u32;
-            self.trouble(Event::Flicker { slot, times });
+            self.fault(Event::Flicker { slot, times });
         }
         for _ in 0..faults.halves {
-            self.trouble(Event::Halves);
+            self.fault(Event::Halves);
         }
-        self.at(TROUBLE_MS + 1_000, Event::Heal);
+        self.at(FAULTS_END_MS + 1_000, Event::Heal);
     }
 
-    pub(crate) fn trouble(&mut self, event: Event) {
-        let at_ms = self.random.rand_range(1_000..TROUBLE_MS);
+    pub(crate) fn fault(&mut self, event: Event) {
+        let at_ms = self.random.rand_range(1_000..FAULTS_END_MS);
         self.at(at_ms, event);
     }
 
@@ -383,7 +383,7 @@
                     },
                 );
             }
-            trouble => self.strike(trouble),
+            fault => self.on_fault(fault),
         }
     }
 
@@ -452,7 +452,7 @@
     /// All acknowledged jobs are whole, and read.
     pub(crate) fn check_end(&self) {
         for job in self.oracle.jobs.values().filter(|job| job.accepted) {
-            job.check_whole();
+            job.check_complete();
         }
         let unread = self.clients.iter().filter(|client| client.is_reading());
         for client in unread {
--- a/batch/tests/simulation/main.rs
+++ b/batch/tests/simulation/main.rs
@@ -7,22 +7,22 @@
 mod clients;
 mod core;
 mod disk;
+mod fault_injection;
+mod harness;
 mod oracle;
 mod processes;
 mod stores;
-mod troubles;
-mod world;
 
-use world::{Faults, World};
+use harness::{Faults, Simulation};
 
 /// Seeds that one test plays.
 const SEEDS: u64 = 220;
 
 /// Plays seeds one after the other; the first broken rule ends the test, naming its seed.
-fn play(first: u64, faults: Faults) -> world::Totals {
-    let mut totals = world::Totals::default();
+fn run(first: u64, faults: Faults) -> harness::Totals {
+    let mut totals = harness::Totals::default();
     for seed in first..first + SEEDS {
-        totals.add(&World::new(seed, faults).play());
+        totals.add(&Simulation::new(seed, faults).run_to_end());
     }
     println!("{SEEDS} seeds from {first}: {totals:?}");
     assert!(
@@ -39,10 +39,10 @@
 const CALM: Faults = Faults {
     kills: 0,
     freezes: 0,
-    cuts: 0,
+    partitions: 0,
     wipes: 0,
     exchanges: 0,
-    long_cuts: 0,
+    long_partitions: 0,
     flickers: 0,
     halves: 0,
     wipe_in_halves: false,
@@ -50,18 +50,18 @@
 };
 
 #[test]
-fn keeps_the_rules_in_calm() {
-    play(0, CALM);
+fn rules_hold_without_faults() {
+    run(0, CALM);
 }
 
 #[test]
-fn keeps_the_rules_under_kills_and_losses_of_power() {
-    play(
+fn rules_hold_under_kills_and_power_losses() {
+    run(
         10_000,
         Faults {
             kills: 6,
             freezes: 0,
-            cuts: 0,
+            partitions: 0,
             wipes: 0,
             loss: 0.02,
             ..CALM
@@ -70,13 +70,13 @@
 }
 
 #[test]
-fn keeps_the_rules_under_freezes_and_cuts() {
-    play(
+fn rules_hold_under_freezes_and_partitions() {
+    run(
         20_000,
         Faults {
             kills: 0,
             freezes: 5,
-            cuts: 5,
+            partitions: 5,
             wipes: 0,
             loss: 0.05,
             ..CALM
@@ -85,13 +85,13 @@
 }
 
 #[test]
-fn keeps_the_rules_under_lost_disks() {
-    play(
+fn rules_hold_under_lost_disks() {
+    run(
         30_000,
         Faults {
             kills: 2,
             freezes: 1,
-            cuts: 1,
+            partitions: 1,
             wipes: 4,
             loss: 0.02,
             ..CALM
@@ -100,13 +100,13 @@
 }
 
 #[test]
-fn keeps_the_rules_under_everything_at_once() {
-    play(
+fn rules_hold_under_all_faults_combined() {
+    run(
         40_000,
         Faults {
             kills: 5,
             freezes: 4,
-            cuts: 4,
+            partitions: 4,
             wipes: 3,
             loss: 0.08,
             ..CALM
@@ -115,12 +115,12 @@
 }
 
 #[test]
-fn keeps_the_rules_under_long_cuts_and_stores_that_come_and_go() {
-    play(
+fn rules_hold_under_long_partitions_and_flapping_stores() {
+    run(
         50_000,
         Faults {
             kills: 2,
-            long_cuts: 3,
+            long_partitions: 3,
             flickers: 3,
             loss: 0.03,
             ..CALM
@@ -129,13 +129,13 @@
 }
 
 #[test]
-fn keeps_the_rules_under_lost_disks_while_stores_come_and_go() {
-    play(
+fn rules_hold_under_lost_disks_with_flapping_stores() {
+    run(
         60_000,
         Faults {
             kills: 1,
             wipes: 4,
-            long_cuts: 1,
+            long_partitions: 1,
             flickers: 2,
             loss: 0.02,
             ..CALM
@@ -144,8 +144,8 @@
 }
 
 #[test]
-fn keeps_the_rules_while_the_stores_are_cut_into_halves() {
-    play(
+fn rules_hold_under_split_partitions() {
+    run(
         70_000,
         Faults {
             halves: 2,
@@ -156,8 +156,8 @@
 }
 
 #[test]
-fn keeps_the_rules_while_losses_of_more_stores_than_one_overlap_with_halves() {
-    play(
+fn rules_hold_when_several_store_losses_overlap_with_split_partitions() {
+    run(
         80_000,
         Faults {
             halves: 2,
@@ -171,8 +171,8 @@
 }
 
 #[test]
-fn keeps_the_rules_under_lost_disks_between_cuts_into_halves() {
-    play(
+fn rules_hold_under_lost_disks_between_split_partitions() {
+    run(
         90_000,
         Faults {
             halves: 2,
@@ -185,8 +185,8 @@
 }
 
 #[test]
-fn keeps_the_rules_where_a_disk_is_lost_while_the_stores_are_cut_into_halves() {
-    play(
+fn rules_hold_when_a_disk_is_lost_during_a_split_partition() {
+    run(
         100_000,
         Faults {
             halves: 1,
@@ -200,8 +200,8 @@
 }
 
 #[test]
-fn keeps_the_rules_where_a_disk_is_lost_and_all_others_lose_power_as_the_group_changes() {
-    let totals = play(
+fn rules_hold_when_a_disk_is_lost_and_all_others_lose_power_during_a_group_change() {
+    let totals = run(
         70_000,
         Faults {
             exchanges: 40,
--- a/batch/tests/simulation/oracle.rs
+++ b/batch/tests/simulation/oracle.rs
@@ -39,7 +39,7 @@
     pub accepted: bool,
     /// Every try was answered 429 or 503, and no other comes.
     pub refused: bool,
-    pub end_asked: bool,
+    pub end_requested: bool,
     pub end_acknowledged_ms: Option<u64>,
     /// Positions that were read.
     pub seen: Vec<SeenResult>,
@@ -61,7 +61,7 @@
             first_sent_ms: now_ms,
             accepted: false,
             refused: false,
-            end_asked: false,
+            end_requested: false,
             end_acknowledged_ms: None,
             seen: Vec::new(),
             ran: false,
@@ -157,7 +157,7 @@
 impl JobTruth {
     /// Tokens of its items that no backend has finished, that are not dead, and whose end was not asked for.
     fn waiting(&self, now_ms: u64) -> u64 {
-        if !self.accepted || self.end_asked || now_ms >= self.first_sent_ms + RETENTION_MS {
+        if !self.accepted || self.end_requested || now_ms >= self.first_sent_ms + RETENTION_MS {
             return 0;
         }
         let waits = |id: &str| {
@@ -198,7 +198,7 @@
                 let is_old = now_ms >= self.first_sent_ms + RETENTION_MS;
                 let is_dead = item.rejected || item.failures >= MAX_ATTEMPTS;
                 assert!(
-                    is_old || is_dead || self.end_asked,
+                    is_old || is_dead || self.end_requested,
                     "MIXED: {} of {id} was given up early",
                     result.id
                 );
@@ -207,9 +207,9 @@
     }
 
     /// After all trouble: the job is whole.
-    pub(crate) fn check_whole(&self) {
+    pub(crate) fn check_complete(&self) {
         let id = &self.job.id;
-        if self.end_asked {
+        if self.end_requested {
             return;
         }
         let listed: BTreeSet<&str> = self.seen.iter().map(|result| result.id.as_str()).collect();
--- a/batch/tests/simulation/processes.rs
+++ b/batch/tests/simulation/processes.rs
@@ -1,13 +1,13 @@
 //! What happens to the processes of stores, and what they do.
 
 use crate::backends;
+use crate::harness::{Event, PollStatus, Simulation, POLL_MS, RUNS, TICK_MS, VALIDATED_MS};
 use crate::stores::{read_answer, Answer, Call, Caller, ToProcess, ROUTE};
-use crate::world::{Event, PollStatus, World, POLL_MS, RUNS, TICK_MS, VALIDATED_MS};
 use alderhollow_batch::api::{BodyOutcome, EndOutcome, Outcome, Output, RunEnd, SubmitOutcome};
 use alderhollow_batch::message::Message;
 use alderhollow_model::identity::DiskId;
 
-impl World {
+impl Simulation {
     /// Something happens to a process; `incarnation`: only to that one.
     pub(crate) fn reach(
         &mut self,
@@ -26,7 +26,7 @@
             return;
         }
         if machine.frozen {
-            machine.mailbox.push((incarnation, what));
+            machine.pending_inputs.push((incarnation, what));
             return;
         }
         self.process_takes(slot, what);
@@ -76,7 +76,9 @@
                         what: ToProcess::Poll,
                     },
                 );
-                if !self.slots[slot].cut_from_core && self.random.rand_float() >= self.faults.loss {
+                if !self.slots[slot].partitioned_from_core
+                    && self.random.rand_float() >= self.faults.loss
+                {
                     let delay_ms = self.delay();
                     self.after(
                         delay_ms,
@@ -146,7 +148,7 @@
                         _ => false,
                     };
                     assert!(
-                        is_listed || self.oracle.job(&job).end_asked,
+                        is_listed || self.oracle.job(&job).end_requested,
                         "LOST: the body of {item_id}"
                     );
                     Answer::NotFound
@@ -201,18 +203,20 @@
             );
         }
         for output in outputs {
-            self.carry_out(slot, incarnation, output);
+            self.apply_outputs(slot, incarnation, output);
         }
     }
 
-    pub(crate) fn carry_out(&mut self, slot: usize, incarnation: u64, output: Output) {
+    pub(crate) fn apply_outputs(&mut self, slot: usize, incarnation: u64, output: Output) {
         let disk = self.slots[slot].disk.id;
         match output {
             Output::Send { to, message } => {
                 let Some(target) = self.slots.iter().position(|other| other.disk.id == to) else {
                     return;
                 };
-                if self.cuts.contains(&(slot, target)) || self.cuts.contains(&(target, slot)) {
+                if self.partitions.contains(&(slot, target))
+                    || self.partitions.contains(&(target, slot))
+                {
                     return;
                 }
                 let what = ToProcess::Message {
--- a/batch/tests/simulation/stores.rs
+++ b/batch/tests/simulation/stores.rs
@@ -22,8 +22,8 @@
     pub process: Option<Process>,
     pub frozen: bool,
     /// What waits for a frozen process.
-    pub mailbox: Vec<(Option<u64>, ToProcess)>,
-    pub cut_from_core: bool,
+    pub pending_inputs: Vec<(Option<u64>, ToProcess)>,
+    pub partitioned_from_core: bool,
     /// Longest sync.
     pub sync_ms: u64,
 }
@@ -122,8 +122,8 @@
             disk: SimDisk::new(id),
             process: None,
             frozen: false,
-            mailbox: Vec::new(),
-            cut_from_core: false,
+            pending_inputs: Vec::new(),
+            partitioned_from_core: false,
             sync_ms: 5,
         }
     }
@@ -145,7 +145,7 @@
             runs,
         });
         self.frozen = false;
-        self.mailbox.clear();
+        self.pending_inputs.clear();
     }
 }
 
