--- a/batch/tests/codec.rs
+++ b/batch/tests/codec.rs
@@ -1,4 +1,4 @@
-//! Entries and messages as bytes: what is encoded comes back, and no bytes end the process.
+//! Binary format of entries and messages: values round-trip, and no input panics.
 
 use alderhollow_batch::codec::{append_to_snapshot, decode_snapshot, DecodeError};
 use alderhollow_batch::job::{
@@ -197,7 +197,7 @@
         })
 }
 
-/// An entry without what is not encoded.
+/// An entry without the fields that are not encoded.
 fn as_decoded(entry: Entry) -> Entry {
     Entry::from_bytes(&entry.to_bytes()).expect("what was encoded")
 }
--- a/batch/tests/compatibility.rs
+++ b/batch/tests/compatibility.rs
@@ -1,4 +1,4 @@
-//! Entries on disk and messages between stores have the bytes that earlier builds wrote.
+//! Compatibility: entries on disk and messages between stores have the same bytes as those of earlier builds.
 
 use alderhollow_batch::codec::append_to_snapshot;
 use alderhollow_batch::job::{
@@ -176,7 +176,7 @@
             Entry::from_bytes(bytes).ok()
         });
     }
-    // A decoded job lacks what a store derives from it once it is in its state, so its bytes are compared.
+    // A decoded job lacks the fields that are derived when it is applied to a state, so its bytes are compared.
     let full_job_entry = Entry::FullJob(Job::new(0, new_job("whole"))).to_bytes();
     recorded.check("whole_job", &full_job_entry, Vec::clone, |bytes| {
         Some(Entry::from_bytes(bytes).ok()?.to_bytes())
--- a/batch/tests/engine/acceptance.rs
+++ b/batch/tests/engine/acceptance.rs
@@ -1,4 +1,4 @@
-//! Acceptance, the count of waiting tokens, and ends.
+//! Acceptance of jobs, the count of queued tokens, and ends of jobs.
 
 use crate::cluster::{job, routes, terms, Cluster, ROUTE};
 use alderhollow_batch::api::{
--- a/batch/tests/engine/catch_up.rs
+++ b/batch/tests/engine/catch_up.rs
@@ -1,5 +1,5 @@
-//! What it takes to bring a member up to date that missed a part of a group of 20,000 items: the digests of all jobs, and the
-//! jobs that differ, whole. With `--nocapture` the bytes are printed.
+//! Bytes needed to synchronize a member that missed a part of a group of 20,000 items: the digests of all jobs, and
+//! full copies of the jobs that differ. With `--nocapture` the bytes are printed.
 
 use crate::cluster::{job, routes, terms, Cluster};
 use alderhollow_batch::api::RouteTerms;
@@ -8,12 +8,12 @@
 
 const JOBS: usize = 500;
 const ITEMS: usize = 40;
-/// Body of one item, as the deployments' sheets have it.
+/// Size of the body of one item in the reference deployment.
 const BODY_BYTES: usize = 1_600;
-/// Bytes of a job's digest, its id of 16 characters included.
+/// Bytes of a job's digest, including its id of 16 characters.
 const MOST_DIGEST_BYTES: usize = 48;
 
-/// Bytes that passed between two stores, by what they are for.
+/// Bytes sent between two stores, by purpose.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 struct Bytes {
     comparison: usize,
@@ -45,7 +45,7 @@
     }
 }
 
-/// Has a member miss the last so many of all jobs, and brings it up to date.
+/// Lets a member miss the last `missed` jobs, and synchronizes it.
 fn catch_up(missed: usize) -> Bytes {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
--- a/batch/tests/engine/cluster.rs
+++ b/batch/tests/engine/cluster.rs
@@ -1,4 +1,4 @@
-//! Stores wired without delay or loss, whose disks and links a test may hold.
+//! Test cluster: stores connected without delay or loss, whose disk writes and links a test can block.
 
 use alderhollow_batch::api::{
     ItemStart, Output, RouteTerms, RunId, SubmissionAttemptId, SubmitOutcome, Token, WriteTicket,
@@ -16,31 +16,31 @@
 /// The route of all jobs.
 pub(crate) const ROUTE: &str = "route";
 
-/// A store.
+/// A store of the test cluster.
 pub(crate) struct Store {
     pub engine: Engine,
-    /// What is on disk.
+    /// Records on disk.
     pub records: Vec<Vec<u8>>,
-    /// What is held_back before the disk.
+    /// Writes that are blocked before the disk.
     held_back: Vec<(WriteTicket, Vec<Vec<u8>>)>,
     pub holds_writes: bool,
 }
 
-/// Some stores.
+/// A test cluster.
 pub(crate) struct Cluster {
     pub now_ms: u64,
     pub stores: BTreeMap<u64, Store>,
-    /// Stores that nothing reaches nor leaves.
+    /// Stores that are partitioned from all others.
     pub partitioned: BTreeSet<u64>,
     pub resolved: Vec<(Token, Outcome)>,
     pub cancelled: Vec<RunId>,
-    /// Every message that was sent: sender, receiver, message.
+    /// Every sent message, with its sender and receiver.
     pub sent: Vec<(u64, u64, Message)>,
     attempts: u64,
 }
 
 impl Cluster {
-    /// Stores 1 to `count`, which know the route but no group.
+    /// Starts stores 1 to `count`, which know the route but no group.
     pub(crate) fn new(count: u64) -> Cluster {
         let mut cluster = Cluster {
             now_ms: 1_000,
@@ -55,7 +55,7 @@
         cluster
     }
 
-    /// Stores 1 to `count` as members of epoch 1 under store 1, which is validated.
+    /// Starts stores 1 to `count` as members of epoch 1 with store 1 as validated primary.
     pub(crate) fn active(count: u64) -> Cluster {
         let mut cluster = Cluster::new(count);
         let members: Vec<u64> = (1..=count).collect();
@@ -66,7 +66,7 @@
         cluster
     }
 
-    /// Starts a store on what its disk holds.
+    /// Starts a store with the records on its disk.
     pub(crate) fn start(&mut self, store: u64, records: Vec<Vec<u8>>) {
         let mut engine = Engine::restore(DiskId(store), self.now_ms, None, &records)
             .expect("a disk that can be read");
@@ -82,7 +82,7 @@
         );
     }
 
-    /// Ends a store's process and starts it anew; what is held_back before the disk is lost.
+    /// Restarts a store's process; writes that are blocked before the disk are lost.
     pub(crate) fn restart(&mut self, store: u64) {
         let records = self.stores.remove(&store).expect("a store").records;
         self.start(store, records);
@@ -92,7 +92,7 @@
         &mut self.stores.get_mut(&store).expect("a store").engine
     }
 
-    /// Tells every store that isn't cut of the group.
+    /// Applies a group configuration at every store that is not partitioned.
     pub(crate) fn set_group(
         &mut self,
         epoch: u64,
@@ -114,13 +114,13 @@
         self.run_until_idle();
     }
 
-    /// The core validates a store for the next second.
+    /// Validates a store's epoch for the next second.
     pub(crate) fn validate(&mut self, store: u64) {
         let until_ms = self.now_ms + 1_000;
         self.engine(store).set_validated_until(until_ms);
     }
 
-    /// Lets time pass, validating a store.
+    /// Advances the time in steps and keeps a store validated.
     pub(crate) fn pass(&mut self, span_ms: u64, validated: u64) {
         let end_ms = self.now_ms + span_ms;
         while self.now_ms < end_ms {
@@ -134,7 +134,7 @@
         }
     }
 
-    /// Carries out all outputs until there are none.
+    /// Applies all outputs until there are none.
     pub(crate) fn run_until_idle(&mut self) {
         loop {
             let mut outputs = Vec::new();
@@ -177,7 +177,7 @@
         }
     }
 
-    /// Hands a message to a store.
+    /// Delivers a message to a store.
     pub(crate) fn deliver(&mut self, from: u64, to: u64, message: Message) {
         let now_ms = self.now_ms;
         if let Some(store) = self.stores.get_mut(&to) {
@@ -185,7 +185,7 @@
         }
     }
 
-    /// Lets a store's disk do what it held_back.
+    /// Completes the blocked writes of a store.
     pub(crate) fn release_writes(&mut self, store: u64) {
         let now_ms = self.now_ms;
         let store = self.stores.get_mut(&store).expect("a store");
@@ -196,7 +196,7 @@
         }
     }
 
-    /// Hands a job in at a store, and lets everything happen.
+    /// Submits a job at a store and applies all outputs.
     pub(crate) fn submit(&mut self, store: u64, job: NewJob) -> SubmitOutcome {
         let now_ms = self.now_ms;
         self.attempts += 1;
@@ -206,7 +206,7 @@
         submitted
     }
 
-    /// Hands a job in at a store, which must come to accept it.
+    /// Submits a job at a store and asserts that it is accepted.
     pub(crate) fn accept(&mut self, store: u64, job: NewJob) {
         let SubmitOutcome::Pending(token) = self.submit(store, job) else {
             panic!("not taken")
@@ -220,7 +220,7 @@
         self.engine(store).take_work(now_ms, ROUTE, max)
     }
 
-    /// Ends a run, and lets everything happen.
+    /// Ends a run and applies all outputs.
     pub(crate) fn end_run(&mut self, store: u64, run: RunId, end: RunEnd) {
         let now_ms = self.now_ms;
         self.engine(store).run_ended(now_ms, run, end);
@@ -245,7 +245,7 @@
     }
 }
 
-/// What the route says.
+/// Configuration of the route.
 pub(crate) fn terms() -> RouteTerms {
     RouteTerms {
         run_target_ms: 2_000,
@@ -255,7 +255,7 @@
     }
 }
 
-/// The one route, with terms.
+/// The only route, with these terms.
 pub(crate) fn routes(terms: RouteTerms) -> BTreeMap<String, RouteTerms> {
     BTreeMap::from([(ROUTE.to_owned(), terms)])
 }
--- a/batch/tests/engine/link_ceiling/clients.rs
+++ b/batch/tests/engine/link_ceiling/clients.rs
@@ -1,4 +1,4 @@
-//! Clients that hand jobs in at a steady rate, come again after a refusal and give up after a second.
+//! Clients that submit jobs at a constant rate, retry after a rejection, and time out after a second.
 
 use crate::cluster::job;
 use alderhollow_batch::api::{SubmitOutcome, Token};
@@ -7,23 +7,23 @@
 
 const ITEMS_PER_JOB: usize = 20;
 const BODY_BYTES: usize = 1_600;
-/// What the link passes of such jobs in a second, with all that they send: bodies and texts to three members, runs, and
+/// Capacity of the link in jobs per second, given all that a job sends: bodies and texts to three members, runs, and
 /// texts to readers.
 const CEILING_JOBS_PER_S: f64 = 15.6;
-/// How long a client waits for its acceptance, all tries together.
+/// Time-out of a client for the acceptance of its job, over all attempts.
 pub(super) const ACCEPTANCE_TIMEOUT_MS: u64 = 1_000;
-/// Pause after a refusal.
+/// Delay of a retry after a rejection.
 const RETRY_MS: u64 = 300;
 
-/// A client's view of its job.
+/// State of a client and its job.
 struct Client {
     first_sent_ms: u64,
-    /// When it tries again; `None` while it waits for an answer, or once it is done.
+    /// Time of the next attempt; `None` while an answer is pending, or when it is done.
     next_attempt_ms: Option<u64>,
-    /// The store's promise of an answer, and when it was given.
+    /// Token of the pending acceptance, and when it was returned.
     taken: Option<(Token, u64)>,
     answered_ms: Option<u64>,
-    /// Position behind the results that it has.
+    /// Position after the last result that it has read.
     read: u32,
 }
 
@@ -43,7 +43,7 @@
 }
 
 impl Clients {
-    /// Clients that hand in `load` times what the link can pass.
+    /// Clients that submit `load` times the capacity of the link.
     pub(super) fn new(now_ms: u64, load: u32) -> Clients {
         Clients {
             pause_ms: 1_000.0 / (CEILING_JOBS_PER_S * f64::from(load)),
@@ -54,7 +54,7 @@
         }
     }
 
-    /// The jobs to hand in now: new ones, and those whose pause after a refusal is over.
+    /// Jobs to submit now: new ones, and retries that are due.
     pub(super) fn due(&mut self, now_ms: u64) -> Vec<NewJob> {
         while self.next_job_ms <= now_ms as f64 {
             self.next_job_ms += self.pause_ms;
@@ -77,7 +77,7 @@
             .collect()
     }
 
-    /// The answer to a job that was handed in.
+    /// Handles the outcome of a submission.
     pub(super) fn submitted(&mut self, now_ms: u64, id: &JobId, answer: SubmitOutcome) {
         let client = self.by_job.get_mut(id).expect("a client");
         client.next_attempt_ms = None;
@@ -91,7 +91,7 @@
         }
     }
 
-    /// An acceptance is committed.
+    /// Handles a committed acceptance.
     pub(super) fn committed(&mut self, now_ms: u64, token: Token) {
         let Some(id) = self.by_token.get(&token) else {
             return;
@@ -105,20 +105,20 @@
         client.taken = None;
     }
 
-    /// Position from which on a client reads; `None` if it has given up.
+    /// Position from which a client reads; `None` if it has timed out.
     pub(super) fn reads_from(&self, id: &JobId) -> Option<u32> {
         let client = self.by_job.get(id)?;
         client.answered_ms.map(|_| client.read)
     }
 
-    /// A client has results up to this position.
+    /// Records that a client has read up to this position.
     pub(super) fn has_read(&mut self, id: &JobId, next: u32) {
         if let Some(client) = self.by_job.get_mut(id) {
             client.read = next;
         }
     }
 
-    /// The longest time between a job's being taken and its commit, or the present moment.
+    /// Longest time from the append of a job to its commit, or to now.
     pub(super) fn longest_commit_ms(&self, now_ms: u64) -> u64 {
         let open = self.by_job.values().filter_map(|client| client.taken);
         open.map(|(_, taken_ms)| now_ms - taken_ms)
--- a/batch/tests/engine/link_ceiling/group.rs
+++ b/batch/tests/engine/link_ceiling/group.rs
@@ -1,5 +1,5 @@
-//! A group of stores whose primary sends all that it sends over one narrow link, under the load of clients. The members'
-//! links and all disks are taken as fast, and so is the way to the primary.
+//! A group of stores under the load of clients, whose primary sends everything over one slow link. The links of the
+//! members, all disks and the links to the primary are modelled as fast.
 
 use super::clients::Clients;
 use super::link::{Link, Parcel};
@@ -16,14 +16,14 @@
 const PRIMARY: u64 = 1;
 pub(super) const MEMBERS: [u64; 4] = [1, 2, 3, 4];
 const START_MS: u64 = 1_000;
-/// Items that run at once, more than enough for what the link passes.
+/// Maximum number of concurrent runs, more than the link can sustain.
 const MAX_RUNS: usize = 400;
-/// How long a backend takes for an item.
+/// Duration of a run.
 const RUN_MS: u64 = 500;
 const TEXT_BYTES: usize = 4_400;
-/// Time between two looks at the engine for work.
+/// Interval at which items are taken from the engine.
 const TICK_MS: u64 = 10;
-/// Most bytes of results in one answer.
+/// Maximum bytes of results in one read.
 const PAGE_BYTES: usize = 256 << 10;
 
 /// A run at a backend.
@@ -42,12 +42,12 @@
     /// Items on their way to a backend.
     starting: usize,
     attempts: u64,
-    /// Results that became readable to clients who had been told of their job's acceptance.
+    /// Results that became readable to clients whose acceptance had been acknowledged.
     useful_results: u64,
 }
 
 impl CongestedGroup {
-    /// An active group under `load` times what the link can pass.
+    /// Creates an active group under `load` times the capacity of the link.
     pub(super) fn new(load: u32) -> CongestedGroup {
         let terms = RouteTerms {
             run_target_ms: 60_000,
@@ -78,7 +78,7 @@
         congested
     }
 
-    /// Tells all stores of a new epoch of the same primary.
+    /// Applies a new epoch of the same primary at all stores.
     pub(super) fn set_group(&mut self, epoch: u64, members: &[u64], learners: &[u64]) {
         let group = Arc::new(group(epoch, PRIMARY, members, learners));
         for engine in self.engines.values_mut() {
@@ -93,7 +93,7 @@
         self.primary().status(now_ms).active
     }
 
-    /// Lets time pass under load; gives the useful results of that time.
+    /// Advances the time under load; returns the useful results of that time.
     pub(super) fn pass(&mut self, span_ms: u64) -> u64 {
         let before = self.useful_results;
         (0..span_ms).for_each(|_| {
@@ -178,7 +178,7 @@
             .for_each(|start| self.link.push(Parcel::Run(start)));
     }
 
-    /// Carries out all outputs until there are none.
+    /// Applies all outputs until there are none.
     fn apply_outputs(&mut self) {
         loop {
             let outputs = self
@@ -225,7 +225,7 @@
         }
     }
 
-    /// A client reads what is new of its job.
+    /// Reads the new results of a job for its client.
     fn read(&mut self, id: &JobId) {
         let now_ms = self.now_ms;
         let Some(after) = self.clients.reads_from(id) else {
--- a/batch/tests/engine/link_ceiling/link.rs
+++ b/batch/tests/engine/link_ceiling/link.rs
@@ -4,10 +4,10 @@
 use alderhollow_batch::message::Message;
 use std::collections::VecDeque;
 
-/// What the link of a store passes: 60 Mbit/s.
+/// Capacity of a store's link: 60 Mbit/s.
 const BYTES_PER_MS: usize = 7_500;
 
-/// Something that the primary sends.
+/// A unit that the primary sends.
 pub(super) enum Parcel {
     /// A message to a member.
     Replication { to: u64, message: Message },
@@ -27,20 +27,20 @@
     }
 }
 
-/// The link, with what waits for it.
+/// The link and its queue.
 #[derive(Default)]
 pub(super) struct Link {
     waiting: VecDeque<(Parcel, usize)>,
 }
 
 impl Link {
-    /// Puts a parcel behind all others.
+    /// Appends a parcel to the queue.
     pub(super) fn push(&mut self, parcel: Parcel) {
         let bytes = parcel.bytes();
         self.waiting.push_back((parcel, bytes));
     }
 
-    /// Passes what fits in one millisecond; gives the parcels that are through.
+    /// Transmits for one millisecond; returns the parcels that are complete.
     pub(super) fn pass_one_ms(&mut self) -> Vec<Parcel> {
         let mut capacity = BYTES_PER_MS;
         let mut through = Vec::new();
--- a/batch/tests/engine/link_ceiling/mod.rs
+++ b/batch/tests/engine/link_ceiling/mod.rs
@@ -1,4 +1,4 @@
-//! A group whose primary's link is offered more than it passes: what it does for clients stays as much as before.
+//! A group whose primary's link is overloaded: its useful throughput must not drop.
 
 mod clients;
 mod group;
@@ -8,23 +8,23 @@
 use group::{CongestedGroup, MEMBERS};
 use std::fmt::{self, Display, Formatter};
 
-/// Time until the load has shown its effect.
+/// Warm-up time under load.
 const WARM_UP_MS: u64 = 3_000;
 const MEASURED_MS: u64 = 8_000;
-/// Part of the results at the ceiling that must come beyond it.
+/// Fraction of the throughput at capacity that is required beyond it.
 const LEAST_PART: f64 = 0.8;
-/// Longest time until a new epoch is active under load.
+/// Maximum time until a new epoch is active under load.
 const LONGEST_CHANGE_MS: u64 = 3_000;
-/// Loads as multiples of what the link passes.
+/// Loads as multiples of the capacity of the link.
 const LOADS_NEAR_THE_CEILING: [u32; 2] = [1, 2];
 const LOADS_BEYOND_THE_CEILING: [u32; 2] = [4, 8];
 
-/// What a group did under one load.
+/// Measurements of a group under one load.
 struct Measured {
     load: u32,
     results_per_s: f64,
     longest_commit_ms: u64,
-    /// How long the change to a new epoch took; `None` if it was given up.
+    /// Duration of the change to a new epoch; `None` if it timed out.
     change_ms: Option<u64>,
 }
 
@@ -74,7 +74,7 @@
     group.is_active().then_some(group.now_ms - begun_ms)
 }
 
-/// All three rules stand in one test, as they have one cause: what waits for the link has no bound.
+/// One test checks all three rules, because they are violated by the same cause: an unbounded backlog for the link.
 #[test]
 fn a_group_stays_useful_beyond_the_capacity_of_its_primarys_link() {
     let near = LOADS_NEAR_THE_CEILING.map(measure);
--- a/batch/tests/engine/main.rs
+++ b/batch/tests/engine/main.rs
@@ -1,4 +1,4 @@
-//! One rule at a time, on a few stores that are wired without delay.
+//! Tests of the engine: one rule at a time, in a small cluster without delay.
 
 mod acceptance;
 mod catch_up;
--- a/batch/tests/engine/overload.rs
+++ b/batch/tests/engine/overload.rs
@@ -1,9 +1,9 @@
-//! What is taken and started while records wait for the members' disks.
+//! Admission of jobs and starts of items while records wait for the members' disks.
 
 use crate::cluster::{job, Cluster};
 use alderhollow_batch::api::{RunEnd, SubmitOutcome};
 
-/// Runs items, as many as there may be; their results are handed in.
+/// Runs up to `max` items and completes them; returns their number.
 fn run(cluster: &mut Cluster, max: usize) -> usize {
     let starts = cluster.work(1, max);
     for start in &starts {
--- a/batch/tests/engine/reading.rs
+++ b/batch/tests/engine/reading.rs
@@ -1,10 +1,10 @@
-//! Reads and bodies.
+//! Reads of results and of item bodies.
 
 use crate::cluster::{job, Cluster};
 use alderhollow_batch::api::{BodyOutcome, ReadOutcome, RunEnd};
 use alderhollow_batch::job::{JobId, ResultState};
 
-/// Completes the items of a job that are due first, with this text.
+/// Completes the `count` items that are due first with this text.
 fn complete(cluster: &mut Cluster, count: usize, text: &str) {
     for start in cluster.work(1, count) {
         cluster.end_run(
--- a/batch/tests/engine/replication.rs
+++ b/batch/tests/engine/replication.rs
@@ -1,4 +1,4 @@
-//! Epochs, streams and repair.
+//! Epochs, streams and synchronization of stores.
 
 use crate::cluster::{group, job, routes, terms, Cluster};
 use alderhollow_batch::api::{RouteTerms, RunEnd, SubmitOutcome};
@@ -10,7 +10,7 @@
 use alderhollow_model::identity::DiskId;
 use std::sync::Arc;
 
-/// What a store's disk folds to, without its marks.
+/// The jobs restored from a store's disk, without its replication progress.
 fn jobs_on_disk(cluster: &Cluster, store: u64) -> Vec<(String, u64)> {
     let state = State::restore(cluster.now_ms, None, &cluster.stores[&store].records)
         .expect("a disk that can be read");
@@ -150,7 +150,7 @@
     for number in 0..20 {
         cluster.accept(1, job(&format!("same{number}"), 2, 1));
     }
-    // Store 1 takes a job that reaches nobody; store 2 leads meanwhile and takes others.
+    // Store 1 appends a job that reaches no other store; meanwhile store 2 leads and accepts others.
     cluster.partitioned.insert(1);
     cluster.submit(1, job("lost", 1, 1));
     cluster.set_group(2, 2, &[2, 3], &[]);
@@ -257,7 +257,7 @@
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 1));
     cluster.start(3, Vec::new());
-    // Against the rule for the core, a store that was never brought up to date is named.
+    // The core violates its rule and appoints a store that was never in sync.
     cluster.set_group(2, 3, &[2, 3], &[]);
     cluster.validate(3);
     cluster.pass(2_000, 3);
--- a/batch/tests/engine/runs.rs
+++ b/batch/tests/engine/runs.rs
@@ -1,11 +1,11 @@
-//! Runs of items and what ends them.
+//! Runs of items, and items that are abandoned.
 
 use crate::cluster::{job, routes, terms, Cluster, ROUTE};
 use alderhollow_batch::api::{Resume, RouteTerms, RunEnd};
 use alderhollow_batch::job::ResultState;
 use std::collections::BTreeMap;
 
-/// Item ids of the next items to run.
+/// Takes the next items to run and returns their ids.
 fn next_items(cluster: &mut Cluster, max: usize) -> Vec<String> {
     cluster
         .work(1, max)
@@ -153,7 +153,7 @@
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_routes(now_ms, 5, routes(terms()));
     cluster.accept(1, job("a", 1, 10));
-    // The successor's configuration is from before the route.
+    // The configuration of the successor is older than the route.
     cluster.engine(2).set_routes(now_ms, 4, BTreeMap::new());
     cluster.set_group(2, 2, &[1, 2], &[]);
     cluster.pass(500, 2);
@@ -227,7 +227,7 @@
     cluster.engine(1).set_routes(now_ms, 2, routes(long));
     cluster.accept(1, job("a", 1, 10));
     cluster.pass(5_000, 1);
-    // The restarted primary knows only the age at the acceptance; the member tells it.
+    // The restarted primary knows only the age at the acceptance; the member reports the current one.
     cluster.restart(1);
     cluster.set_group(1, 1, &[1, 2], &[]);
     cluster.validate(1);
--- a/batch/tests/engine/window.rs
+++ b/batch/tests/engine/window.rs
@@ -1,11 +1,11 @@
-//! The congestion window by itself.
+//! The congestion window in isolation.
 
 use alderhollow_batch::congestion::{CommitPace, CongestionWindow};
 
 const FIRST: usize = 800;
 const SMALLEST: usize = 10;
 
-/// A window that is full.
+/// A full window.
 fn full() -> CongestionWindow {
     let mut window = CongestionWindow::new(FIRST, SMALLEST);
     window.record_started(FIRST);
--- a/batch/tests/quota/account.rs
+++ b/batch/tests/quota/account.rs
@@ -1,4 +1,4 @@
-//! What an account asks, takes and settles.
+//! Reports, limits and outcomes of a quota account.
 
 use crate::coordinator::{ID, MAX};
 use alderhollow_batch::quota::account::SUBMISSION_TIMEOUT_MS;
@@ -14,7 +14,7 @@
 const B: SubmissionId = SubmissionId(2);
 const C: SubmissionId = SubmissionId(3);
 
-/// An account that knows its coordinator and has just been granted so much.
+/// An account that knows its coordinator and was just granted `limit` tokens.
 fn account(limit: u64) -> Account {
     let mut account = new_account();
     let report = account.next_report(0, 0).expect("a first report");
@@ -348,7 +348,7 @@
         }
     }
     let late_report = late_report.expect("reports");
-    // The limit goes and comes back within the session; a report of the time before comes late.
+    // The limit is removed and added again within the session; a report from before arrives late.
     coordinator.retain_routes(|_| false);
     let mut account = Account::following(&earlier, ID.epoch);
     account.set_max(0, MAX);
--- a/batch/tests/quota/coordinator.rs
+++ b/batch/tests/quota/coordinator.rs
@@ -1,4 +1,4 @@
-//! What a coordinator grants.
+//! Grants of a quota coordinator.
 
 use alderhollow_batch::quota::{
     home_group, Coordinator, CoordinatorId, Decision, QuotaGrant, QuotaReport, ReportId,
@@ -31,11 +31,11 @@
     }
 }
 
-/// A coordinator of two groups that has heard both; group 1 uses so much.
+/// A coordinator of two groups to which both have reported; group 1 uses `used` tokens.
 fn of_two(used: u64) -> Coordinator {
     let mut coordinator = Coordinator::new(ID, vec![1, 1]);
     coordinator.report(0, MAX, &report(0, 1, 0, 0));
-    // It wants more than there is, so that there is contention and no headroom.
+    // It requests more than is available, so that there is contention and no headroom.
     coordinator.report(0, MAX, &report(1, 1, used, MAX + 1));
     coordinator
 }
@@ -378,7 +378,7 @@
         coordinator.report(0, 0, &report(1, 1, 10, 0)).decision,
         Decision::Unsure
     );
-    // Group 1 takes as many jobs as come; then the limit is back, and group 1 hears of it last.
+    // Group 1 accepts jobs without a limit; then the limit is restored, and group 1 learns of it last.
     assert_eq!(
         coordinator.report(0, MAX, &report(0, 1, 0, 500)).decision,
         Decision::Unsure
--- a/batch/tests/quota/main.rs
+++ b/batch/tests/quota/main.rs
@@ -1,4 +1,4 @@
-//! The shared count of waiting tokens: rules one at a time, and a seeded simulation.
+//! Tests of the distributed quota: one rule at a time, and a seeded simulation.
 
 mod account;
 mod coordinator;
--- a/batch/tests/quota/meter.rs
+++ b/batch/tests/quota/meter.rs
@@ -1,4 +1,4 @@
-//! Readings of waiting tokens.
+//! Readings of the meter of queued tokens.
 
 use alderhollow_batch::quota::{Meter, QuotaReading};
 
--- a/batch/tests/quota/simulation.rs
+++ b/batch/tests/quota/simulation.rs
@@ -1,5 +1,5 @@
-//! Seeded simulation of the groups' primaries that share one route's limit, under loss, delay, reordering and doubling of
-//! messages, replaced primaries that go on, and restarts.
+//! Seeded simulation of the primaries of groups that share one route's limit, under loss, delay, reordering and
+//! duplication of messages, replaced primaries that continue, and restarts.
 
 mod harness;
 mod jobs;
@@ -10,7 +10,7 @@
 use harness::{Settings, Simulation};
 use oracle::Tally;
 
-/// Plays seeds, and adds up what came of them.
+/// Runs the seeds and adds up their tallies.
 fn run(seeds: std::ops::Range<u64>, settings: fn(u64) -> Settings) -> Tally {
     seeds.fold(Tally::default(), |sum, seed| {
         let tally = Simulation::new(seed, settings(seed)).run();
@@ -34,8 +34,8 @@
     assert!(tally.accepted > 30_000, "too little happened: {tally:?}");
 }
 
-/// Groups report at different moments, so that tokens which moved between them may be seen twice for a tenth of a
-/// second: close to the limit, a job in some thousands is refused or late all the same.
+/// Groups report at different times, so that tokens that moved between them may be counted twice for a tenth of a
+/// second: close to the limit, one job in some thousands is still rejected or late.
 #[test]
 fn without_faults_submissions_within_the_limit_are_admitted_soon() {
     let tally = run(0..500, Settings::calm);
--- a/batch/tests/quota/simulation/harness.rs
+++ b/batch/tests/quota/simulation/harness.rs
@@ -1,4 +1,4 @@
-//! All processes, the core's word on the groups, the clients, and the troubles.
+//! The simulation: all processes, the group configuration of the core, the clients, and fault injection.
 
 use super::jobs::Jobs;
 use super::network::{Envelope, Network, Packet, Quality};
@@ -9,12 +9,12 @@
 use std::collections::BTreeSet;
 
 const STEP_MS: u64 = 5;
-/// Where cuts into halves occur, one begins in one of so many steps.
+/// With split partitions enabled, one starts on average every so many steps.
 const STEPS_BETWEEN_CUTS: u32 = 300;
-/// Shortest and longest cut into halves.
+/// Duration of a split partition.
 const PARTITION_MS: std::ops::Range<u32> = 500..4_000;
 
-/// What a play is like.
+/// Settings of a simulation run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Settings {
     pub groups: usize,
@@ -22,15 +22,15 @@
     pub end_ms: u64,
     pub quality: Quality,
     pub is_calm: bool,
-    /// Whether the processes are cut into two halves now and then.
+    /// Whether partitions into two halves occur.
     pub has_halves: bool,
-    /// Chance in 10,000 of a trouble in a step.
+    /// Probability of a fault in a step, in 1/10,000.
     pub fault: u32,
-    /// Chance in 1,000 of a submission in a step.
+    /// Probability of a submission in a step, in 1/1,000.
     pub submissions: u32,
-    /// Chance in 1,000 that an accepted job ends in a step.
+    /// Probability that an accepted job ends in a step, in 1/1,000.
     pub ends: u32,
-    /// Most tokens of a job, nearly.
+    /// Exclusive maximum of the tokens of a job.
     pub tokens: u32,
 }
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// All troubles, and cuts into halves.
+    /// All faults, and partitions into two halves.
     pub(super) fn with_halves(seed: u64) -> Settings {
         Settings {
             has_halves: true,
@@ -101,20 +101,20 @@
     }
 }
 
-/// A cut into two halves. Processes that start meanwhile are in the half of the core.
+/// A partition into two halves. Processes that start during it are in the half of the core.
 struct Halves {
     until_ms: u64,
-    /// Processes of the half that the core is not in.
+    /// Processes of the half without the core.
     without_core: BTreeSet<usize>,
 }
 
-/// The whole.
+/// A simulation run.
 pub(super) struct Simulation {
     settings: Settings,
     random: Rand32,
     now_ms: u64,
     home: usize,
-    /// The core's word: each group's epoch.
+    /// Epoch of each group, as decided by the core.
     epochs: Vec<u64>,
     /// The newest process of each group.
     newest: Vec<usize>,
@@ -150,7 +150,7 @@
         harness
     }
 
-    /// Plays to the end; gives what came of it.
+    /// Runs to the end and returns the tally.
     pub(super) fn run(mut self) -> Tally {
         while self.now_ms < self.settings.end_ms {
             self.now_ms += STEP_MS;
@@ -191,7 +191,7 @@
         process.is_active && process.is_alive(self.now_ms)
     }
 
-    /// A group's primary starts, with the core's state of this moment.
+    /// Starts a group's primary with the current state of the core.
     fn start_process(&mut self, group: usize, session: u64, recovery_ms: u64) {
         let active_from_ms = self.now_ms + recovery_ms;
         let mut process = Process::new(
@@ -222,7 +222,7 @@
         self.oracle.check_sum(self.now_ms, self.jobs.waiting());
     }
 
-    /// Half of the processes, by chance, hear neither the others nor the core for a while.
+    /// Sometimes partitions half of the processes from the others and the core for a while.
     fn split_or_rejoin(&mut self) {
         self.halves = self
             .halves
@@ -248,7 +248,7 @@
         self.halves.as_ref().is_some_and(is_cut)
     }
 
-    /// Ends or replaces a group's primary, in favour of the home group.
+    /// Restarts or replaces the primary of a group, preferably of the home group.
     fn inject_fault(&mut self) {
         let group = match self.random.rand_range(0..3) {
             0 => self.home,
@@ -264,7 +264,7 @@
         }
     }
 
-    /// The same process starts again within its epoch.
+    /// Restarts the same process within its epoch.
     fn restart(&mut self, group: usize) {
         let index = self.newest[group];
         let session = self.processes[index].session + 1;
@@ -273,7 +273,7 @@
         self.start_process(group, session, recovery_ms);
     }
 
-    /// The core names another primary; the replaced one goes on for a while without knowing.
+    /// The core appoints another primary; the replaced one continues for a while without knowing.
     fn replace(&mut self, group: usize, goes_on_ms: u64) {
         let index = self.newest[group];
         self.processes[index].ends_ms = Some(self.now_ms + goes_on_ms);
@@ -333,7 +333,7 @@
         );
     }
 
-    /// A client hands a job in, mostly at the newest primary of its group.
+    /// A client submits a job, mostly at the newest primary of its group.
     fn submit(&mut self) {
         let group = self.random.rand_range(0..self.settings.groups as u32) as usize;
         let stray = self.random.rand_range(0..self.processes.len() as u32) as usize;
@@ -386,7 +386,7 @@
         }
     }
 
-    /// A primary takes a job; it is committed later.
+    /// A primary accepts a job, which is committed later.
     fn accept(&mut self, index: usize, tokens: u64) {
         let process = &mut self.processes[index];
         assert!(
@@ -400,7 +400,7 @@
         process.accepting.entry(commit_ms).or_default().push(job);
     }
 
-    /// All that a primary does by itself.
+    /// Runs the periodic work of a primary.
     fn run_process(&mut self, index: usize) {
         self.commit(index);
         self.end_jobs(index);
@@ -435,7 +435,7 @@
         }
     }
 
-    /// What has come to every member's disk.
+    /// Commits what has reached every member's disk.
     fn commit(&mut self, index: usize) {
         let process = &mut self.processes[index];
         let accepted = due(&mut process.accepting, self.now_ms);
--- a/batch/tests/quota/simulation/jobs.rs
+++ b/batch/tests/quota/simulation/jobs.rs
@@ -1,4 +1,4 @@
-//! The jobs of all groups as they truly are.
+//! Ground truth of the jobs of all groups.
 
 use oorandom::Rand32;
 use std::collections::BTreeMap;
@@ -8,9 +8,9 @@
 pub(super) struct Job {
     pub group: usize,
     pub tokens: u64,
-    /// Taken by a primary whose successor was active already: no member keeps it.
+    /// Accepted by a primary whose successor was already active: no member has it.
     pub is_void: bool,
-    /// Its 202 was, or could be, given.
+    /// Its acceptance was, or may have been, acknowledged.
     pub is_accepted: bool,
     /// A backend has finished it.
     pub is_finished: bool,
@@ -26,7 +26,7 @@
 }
 
 impl Jobs {
-    /// A job that a primary has taken and that is not committed.
+    /// Adds a job that a primary has appended but not committed.
     pub(super) fn add(&mut self, group: usize, tokens: u64, is_void: bool) -> u64 {
         let job = Job {
             group,
@@ -41,13 +41,13 @@
         self.newest
     }
 
-    /// Tokens that are accepted and that no backend has finished.
+    /// Tokens of the accepted jobs that no backend has finished.
     pub(super) fn waiting(&self) -> u64 {
         let waits = |job: &&Job| job.is_accepted && !job.is_finished;
         self.all.values().filter(waits).map(|job| job.tokens).sum()
     }
 
-    /// What a primary that takes over finds: each pending job stands there or is lost; what stands there is accepted.
+    /// State found by a new primary: each pending job is either present, and then accepted, or lost.
     pub(super) fn take_over(&mut self, random: &mut Rand32, group: usize) -> BTreeMap<u64, u64> {
         let mut is_kept = |job: &Job| !job.is_void && random.rand_range(0..2) == 0;
         self.all
@@ -62,7 +62,7 @@
         counted
     }
 
-    /// Drops what nobody counts any more.
+    /// Drops jobs that no primary counts any longer.
     pub(super) fn forget_finished(&mut self) {
         self.all.retain(|_, job| !job.is_finish_committed);
     }
--- a/batch/tests/quota/simulation/network.rs
+++ b/batch/tests/quota/simulation/network.rs
@@ -1,10 +1,10 @@
-//! Messages on their way.
+//! The simulated network.
 
 use alderhollow_batch::quota::{QuotaGrant, QuotaReport};
 use oorandom::Rand32;
 use std::collections::BTreeMap;
 
-/// What is on its way.
+/// A packet in flight.
 #[derive(Debug, Clone)]
 pub(super) enum Packet {
     /// To a coordinator.
@@ -13,7 +13,7 @@
     Grant(QuotaGrant),
 }
 
-/// A packet with its ends, as indices of processes.
+/// A packet with the indices of the sending and the receiving process.
 #[derive(Debug, Clone)]
 pub(super) struct Envelope {
     pub from: usize,
@@ -21,22 +21,22 @@
     pub packet: Packet,
 }
 
-/// How bad the network is.
+/// Network conditions.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Quality {
-    /// Parts of a hundred that are lost.
+    /// Percentage of lost packets.
     pub lost: u32,
-    /// Parts of a hundred that come twice.
+    /// Percentage of duplicated packets.
     pub doubled: u32,
-    /// Parts of a hundred that are late.
+    /// Percentage of late packets.
     pub late: u32,
-    /// Most usual delay.
+    /// Maximum usual delay.
     pub delay_ms: u32,
-    /// Longest delay of a late one.
+    /// Maximum delay of a late packet.
     pub late_ms: u32,
 }
 
-/// Delivers in an order of its own.
+/// A network that may reorder packets.
 #[derive(Debug, Default)]
 pub(super) struct Network {
     sent: u64,
@@ -44,7 +44,7 @@
 }
 
 impl Network {
-    /// Sends a packet: it may be lost, doubled or late.
+    /// Sends a packet, which may be lost, duplicated or late.
     pub(super) fn send(
         &mut self,
         now_ms: u64,
@@ -74,7 +74,7 @@
         }
     }
 
-    /// The next one that has come.
+    /// Takes the next packet that has arrived.
     pub(super) fn next(&mut self, now_ms: u64) -> Option<Envelope> {
         let entry = self.on_the_way.first_entry()?;
         (entry.key().0 <= now_ms).then(|| entry.remove())
--- a/batch/tests/quota/simulation/oracle.rs
+++ b/batch/tests/quota/simulation/oracle.rs
@@ -1,37 +1,37 @@
-//! What must hold at each moment.
+//! Oracle: the properties that must hold at each time.
 
 use super::process::Client;
 use alderhollow_batch::quota::account::SUBMISSION_TIMEOUT_MS;
 use alderhollow_batch::quota::QuotaOutcome;
 use std::collections::VecDeque;
 
-/// What fits must have been taken so soon in calm times.
+/// Without faults, a job within the limit must be accepted within this time.
 const TAKEN_WITHIN_MS: u64 = 400;
-/// A job that is not taken did not fit at some moment so long before it came, or since.
+/// A job that was not accepted must have exceeded the limit at some time since this long before its submission.
 const MEMORY_MS: u64 = 1_000;
-/// What fits by this part of the limit more is taken without exception.
+/// A job that fits with this fraction of the limit to spare must always be accepted.
 const AMPLE_PART: u64 = 20;
-/// Until all processes have met.
+/// Time until all processes have communicated.
 const WARM_UP_MS: u64 = 1_500;
 
-/// What came of a play.
+/// Tally of a simulation run.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub(super) struct Tally {
     /// Jobs that were accepted.
     pub accepted: u64,
-    /// Clients of calm times that were answered.
+    /// Answered clients of times without faults.
     pub judged: u64,
-    /// Those of them whose job fitted the count of the whole last second, and was not taken soon.
+    /// Those of them whose job fitted during the whole last second but was not accepted in time.
     pub missed: u64,
 }
 
-/// Watches a play.
+/// Checks a simulation run.
 #[derive(Debug)]
 pub(super) struct Oracle {
     seed: u64,
     max: u64,
     is_calm: bool,
-    /// Tokens that all primaries counted, by moment.
+    /// Tokens counted by all primaries, by time.
     counts: VecDeque<(u64, u64)>,
     pub tally: Tally,
 }
@@ -47,7 +47,7 @@
         }
     }
 
-    /// Jobs were accepted; so much waits now in truth.
+    /// Checks the actual queued tokens after jobs were accepted.
     pub(super) fn check_sum(&self, now_ms: u64, waiting: u64) {
         assert!(
             waiting <= self.max,
@@ -56,7 +56,7 @@
         );
     }
 
-    /// Notes what all primaries count together.
+    /// Records the sum of the tokens counted by all primaries.
     pub(super) fn count(&mut self, now_ms: u64, counted: u64) {
         self.counts.push_back((now_ms, counted));
         while self
@@ -68,7 +68,7 @@
         }
     }
 
-    /// A client got its answer.
+    /// Checks the answer of a client.
     pub(super) fn resolved(
         &mut self,
         now_ms: u64,
@@ -99,7 +99,7 @@
         self.tally.missed += u64::from(!is_taken && client.tokens <= left);
     }
 
-    /// No client is left alone at a process that is alive.
+    /// Checks that no client waits too long at a running process.
     pub(super) fn still_waits(&self, now_ms: u64, step_ms: u64, client: Client) {
         let patience_ms = SUBMISSION_TIMEOUT_MS + step_ms;
         assert!(
--- a/batch/tests/quota/simulation/process.rs
+++ b/batch/tests/quota/simulation/process.rs
@@ -1,11 +1,11 @@
-//! One group's primary, in one life of its process and one epoch.
+//! The primary of one group, in one incarnation of its process and one epoch.
 
 use alderhollow_batch::quota::{Account, Coordinator, CoordinatorId, SubmissionId};
 use std::collections::BTreeMap;
 
 pub(super) const ROUTE: &str = "route";
 
-/// A client that waits.
+/// A waiting client.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Client {
     pub tokens: u64,
@@ -18,23 +18,23 @@
     pub group: usize,
     pub epoch: u64,
     pub session: u64,
-    /// Epochs of all groups, as it read them from the core last.
+    /// Epochs of all groups as last read from the core.
     pub epochs: Vec<u64>,
-    /// States of the core that are on their way to it, by arrival.
+    /// States of the core in flight, by time of arrival.
     pub core_update: BTreeMap<u64, Vec<u64>>,
     pub active_from_ms: u64,
     pub is_active: bool,
-    /// It ends then.
+    /// Time at which it stops.
     pub ends_ms: Option<u64>,
-    /// A successor is active, so that nothing of it can be committed.
+    /// Whether a successor is active, so that it cannot commit anything.
     pub is_fenced: bool,
     pub account: Account,
     pub coordinator: Option<Coordinator>,
     /// Jobs that it counts, with their tokens.
     pub counted: BTreeMap<u64, u64>,
-    /// Jobs that become committed.
+    /// Jobs whose commit is pending.
     pub accepting: BTreeMap<u64, Vec<u64>>,
-    /// Jobs whose ends become committed.
+    /// Jobs whose end is pending.
     pub finishing: BTreeMap<u64, Vec<u64>>,
     pub clients: BTreeMap<SubmissionId, Client>,
 }
@@ -76,7 +76,7 @@
         self.counted.values().sum()
     }
 
-    /// It has read all jobs of its group: it serves from now on.
+    /// Starts to serve, after all jobs of its group were read.
     pub(super) fn activate(&mut self, counted: BTreeMap<u64, u64>, is_home: bool) {
         self.is_active = true;
         self.counted = counted;
@@ -87,7 +87,7 @@
         self.coordinator = is_home.then(|| Coordinator::new(id, self.epochs.clone()));
     }
 
-    /// Reads the states of the core that have come.
+    /// Applies the states of the core that have arrived.
     pub(super) fn read_core_update(&mut self, now_ms: u64, home: usize) {
         while let Some(entry) = self
             .core_update
@@ -103,7 +103,7 @@
     }
 }
 
-/// Takes what is due out of a schedule.
+/// Takes the due entries out of a schedule.
 pub(super) fn due(schedule: &mut BTreeMap<u64, Vec<u64>>, now_ms: u64) -> Vec<u64> {
     let later = schedule.split_off(&(now_ms + 1));
     std::mem::replace(schedule, later)
--- a/batch/tests/simulation/backends.rs
+++ b/batch/tests/simulation/backends.rs
@@ -1,4 +1,4 @@
-//! Backends: what an item yields, and how runs of it may end.
+//! Backends: the output of an item, and the outcomes of its runs.
 
 use alderhollow_batch::api::{ItemStart, Resume, RunEnd};
 use oorandom::Rand64;
@@ -11,7 +11,7 @@
         .collect()
 }
 
-/// Whether no backend can do the item.
+/// Whether every backend rejects the item.
 pub(crate) fn is_undoable(item_id: &str) -> bool {
     item_id.bytes().map(u64::from).sum::<u64>() % 17 == 0
 }
@@ -22,7 +22,7 @@
     events.join("\n")
 }
 
-/// How a run ends, by luck.
+/// Random outcome of a run.
 pub(crate) fn run(start: &ItemStart, random: &mut Rand64) -> RunEnd {
     let all = events(&start.item_id).len();
     let from = start
--- a/batch/tests/simulation/clients.rs
+++ b/batch/tests/simulation/clients.rs
@@ -1,4 +1,4 @@
-//! Clients, each with one job, and the gateways that they meet.
+//! Clients with one job each, and the gateways that they use.
 
 use crate::oracle::Oracle;
 use crate::stores::{Answer, Call, ROUTE};
@@ -6,33 +6,33 @@
 use alderhollow_batch::job::{Header, Item, ItemRequest, JobId, NewJob};
 use oorandom::Rand64;
 
-/// How long a gateway looks for a clear answer to one try.
+/// Time-out of a gateway for a final outcome of one attempt.
 const RETRY_DELAY_MS: u64 = 2_500;
-/// How long a gateway waits for a store's answer.
+/// Time-out of a gateway for a store's answer.
 pub(crate) const CALL_MS: u64 = 700;
-/// Tries of a client.
+/// Maximum number of attempts of a client.
 const MAX_ATTEMPTS: u32 = 6;
-/// Pause between two tries, and between two reads.
+/// Delay between two attempts, and between two reads.
 const PAUSE_MS: u64 = 400;
 
-/// Where a client is.
+/// Stage of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Stage {
-    /// Handing in.
+    /// Submitting.
     Submitting {
         attempt_id: SubmissionAttemptId,
         until_ms: u64,
         unknown: bool,
     },
-    /// Between two tries.
+    /// Between two attempts.
     Pausing,
     /// Reading.
     Reading,
-    /// No try was accepted.
+    /// No attempt was accepted.
     GaveUp,
 }
 
-/// A client, with the gateway that it meets.
+/// A client and its gateway.
 pub(crate) struct Client {
     pub job: NewJob,
     stage: Stage,
@@ -46,7 +46,7 @@
 pub(crate) enum Step {
     /// Call a store; the call's number.
     Call(u64, Call),
-    /// Come again later.
+    /// Continue later.
     Wait(u64),
     Nothing,
 }
@@ -82,7 +82,7 @@
         self.stage == Stage::Reading
     }
 
-    /// Its turn.
+    /// Takes the next step.
     pub(crate) fn step(&mut self, now_ms: u64, oracle: &mut Oracle, random: &mut Rand64) -> Step {
         match &self.stage {
             Stage::Submitting { .. } => self.submit(),
@@ -104,7 +104,7 @@
         }
     }
 
-    /// Hands the job in.
+    /// Submits the job.
     fn submit(&mut self) -> Step {
         let Stage::Submitting { attempt_id, .. } = self.stage else {
             return Step::Nothing;
@@ -151,7 +151,7 @@
         Step::Call(self.newest_call, call)
     }
 
-    /// No answer came in time.
+    /// Handles a time-out of a call.
     pub(crate) fn timed_out(&mut self, now_ms: u64, call: u64, oracle: &mut Oracle) -> Step {
         if call != self.newest_call {
             return Step::Nothing;
@@ -163,7 +163,7 @@
         Step::Wait(PAUSE_MS)
     }
 
-    /// A store answered.
+    /// Handles the answer of a store.
     pub(crate) fn answered(
         &mut self,
         now_ms: u64,
@@ -201,14 +201,14 @@
                     "MIXED: other bytes than those of {id}"
                 );
             }
-            // An item may be listed or its job ended; whether a body may be missing is looked at where it is answered.
+            // The item may have a result or its job may have ended; a missing body is checked where it is answered.
             Answer::NotFound | Answer::NotHere | Answer::Unknown => {}
             Answer::OverQuota => panic!("no answer to a read"),
         }
         Step::Wait(PAUSE_MS)
     }
 
-    /// The gateway has an answer of a store to the job handed in.
+    /// Handles a store's answer to the submission.
     fn submitted(&mut self, now_ms: u64, answer: Answer, oracle: &mut Oracle) -> Step {
         let Stage::Submitting {
             until_ms, unknown, ..
@@ -231,12 +231,12 @@
         if now_ms < *until_ms {
             return Step::Wait(100);
         }
-        // 504: nothing is promised.
+        // 504: the outcome is unknown.
         self.all_refused = false;
         self.next_attempt(oracle)
     }
 
-    /// The gateway answers 429 or 503.
+    /// Handles a rejection: the gateway answers 429 or 503.
     fn refused(&mut self, oracle: &mut Oracle) -> Step {
         self.next_attempt(oracle)
     }
--- a/batch/tests/simulation/core.rs
+++ b/batch/tests/simulation/core.rs
@@ -1,4 +1,4 @@
-//! The core: names the group under epochs, as the control plane is to do it.
+//! The core: decides the group's configuration under epochs, by the rules of the control plane.
 
 use alderhollow_batch::api::GroupStatus;
 use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
@@ -7,19 +7,19 @@
 use std::net::SocketAddr;
 use std::sync::Arc;
 
-/// The primary's place is given away so long after its last poll.
+/// Time since its last poll after which the primary is replaced.
 const PRIMARY_TIMEOUT_MS: u64 = 2_000;
-/// A store that has not polled for so long is not chosen for anything.
+/// Time since its last poll after which a store is not selected for a role.
 const STORE_TIMEOUT_MS: u64 = 1_000;
-/// A member is left out for its silence only if the primary has polled so much later than it: if the primary's own disk
-/// is lost in the moment in which the member goes, the member must stay, as it has the only copy.
+/// An unresponsive member is removed only if the primary has polled this much later: if the primary's disk is lost
+/// when the member stops responding, the member has the only replica and must remain.
 const OUTLIVED_MS: u64 = 600;
-/// Members that a group has at most.
+/// Maximum number of members of a group.
 const MOST_MEMBERS: usize = 3;
-/// Copies of each acknowledged job.
+/// Minimum number of replicas of each acknowledged job.
 const COPIES: usize = 2;
 
-/// What the core knows of a store.
+/// State of a store as known by the core.
 struct Known {
     polled_ms: u64,
     status: GroupStatus,
@@ -28,7 +28,7 @@
 pub(crate) struct Core {
     pub group: Option<Arc<BatchGroup>>,
     pub previous: Option<Arc<BatchGroup>>,
-    /// Stores that hold all that was acknowledged: members of every epoch since the newest that is known as active.
+    /// Stores that have everything that was acknowledged: members of every epoch since the newest known active one.
     pub complete: BTreeSet<DiskId>,
     stores: BTreeMap<DiskId, Known>,
 }
@@ -43,7 +43,7 @@
         }
     }
 
-    /// A store polls.
+    /// Handles a poll of a store.
     pub(crate) fn poll(&mut self, now_ms: u64, disk: DiskId, status: GroupStatus) {
         assert_eq!(
             status.behind, None,
@@ -53,7 +53,7 @@
             if status.active && status.epoch == group.epoch && group.primary == disk {
                 self.complete = disks(&group.members).collect();
             }
-            // A member that the primary made equal holds all, also while the epoch waits for another member.
+            // A member that is in sync has everything, also while the epoch waits for another member.
             if status.synced
                 && status.epoch == group.epoch
                 && disks(&group.members).any(|member| member == disk)
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Makes learners that caught up members, and unknown stores learners.
+    /// Makes in-sync learners members, and unknown stores learners.
     fn admit(&mut self, live: &[DiskId], group: &BatchGroup, status: &GroupStatus) {
         let mut members: Vec<DiskId> = disks(&group.members).collect();
         let mut learners: Vec<DiskId> = disks(&group.learners).collect();
@@ -148,8 +148,8 @@
         self.install(group.primary, members, learners);
     }
 
-    /// Changes the group as planned, as rebalancing does: a learner that caught up comes in, or, once all members are equal
-    /// again, another than the primary goes. False: neither may be now.
+    /// Makes a planned change as rebalancing does: adds an in-sync learner as a member, or, once all members are in
+    /// sync again, removes one other than the primary. Returns `false` if neither is possible now.
     pub(crate) fn exchange_member(&mut self) -> bool {
         let Some(group) = self.group.clone() else {
             return false;
@@ -164,7 +164,7 @@
         let mut members: Vec<DiskId> = disks(&group.members).collect();
         let mut learners: Vec<DiskId> = disks(&group.learners).collect();
         if members.len() > MOST_MEMBERS {
-            // The one that has been a member for longest.
+            // The member with the longest membership.
             let Some(goes) = members.iter().position(|disk| *disk != group.primary) else {
                 return false;
             };
@@ -180,9 +180,9 @@
         true
     }
 
-    /// Leaves out the members that don't live, if enough others hold all that was acknowledged. Else keeps them and takes
-    /// in others, which come to hold all: were the incomplete ones to stand in at once, the loss of one more disk could
-    /// be the loss of all.
+    /// Removes the members that are not alive if enough others have everything that was acknowledged. Otherwise keeps
+    /// them and adds others to be synchronized: if incomplete stores replaced them at once, the loss of one more disk
+    /// could lose acknowledged jobs.
     fn reform(&mut self, primary: DiskId, live: &[DiskId], group: &BatchGroup) {
         let mut members: Vec<DiskId> = disks(&group.members).collect();
         let holds_all = |disk: &&DiskId| live.contains(disk) && self.complete.contains(disk);
--- a/batch/tests/simulation/disk.rs
+++ b/batch/tests/simulation/disk.rs
@@ -3,7 +3,7 @@
 use alderhollow_model::identity::DiskId;
 use oorandom::Rand64;
 
-/// A journal with a snapshot; records beyond `synced` may get lost.
+/// A journal with a snapshot; records beyond `synced` may be lost.
 pub(crate) struct SimDisk {
     pub id: DiskId,
     pub snapshot: Option<Vec<u8>>,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Adds records; how many there have been is the length up to which a sync must reach to keep them.
+    /// Appends records; returns the length that a sync must cover to make them durable.
     pub(crate) fn append(&mut self, records: Vec<Vec<u8>>) -> usize {
         self.records.extend(records);
         self.compacted + self.records.len()
@@ -35,7 +35,7 @@
         self.synced = self.synced.max(length.saturating_sub(self.compacted));
     }
 
-    /// Whether nothing is on its way.
+    /// Whether all records are synced.
     pub(crate) fn is_synced(&self) -> bool {
         self.synced == self.records.len()
     }
@@ -47,7 +47,7 @@
         self.synced = 0;
     }
 
-    /// What was not synced is lost from some record on; the rest has reached the disk by luck.
+    /// Loses a random suffix of the records that were not synced.
     pub(crate) fn lose_unsynced(&mut self, random: &mut Rand64) {
         let kept = random.rand_range(self.synced as u64..self.records.len() as u64 + 1) as usize;
         let kept = if random.rand_float() < 0.5 {
@@ -58,7 +58,7 @@
         self.records.truncate(kept);
     }
 
-    /// After a loss of power, what is read is on the disk.
+    /// After a power loss, the records that can be read are on disk.
     pub(crate) fn lose_power(&mut self, random: &mut Rand64) {
         self.lose_unsynced(random);
         self.synced = self.records.len();
--- a/batch/tests/simulation/fault_injection.rs
+++ b/batch/tests/simulation/fault_injection.rs
@@ -1,4 +1,4 @@
-//! Troubles and their ends.
+//! Faults and recoveries.
 
 use crate::disk::SimDisk;
 use crate::harness::{
@@ -7,12 +7,12 @@
 use crate::stores::{Slot, ToProcess};
 use alderhollow_model::identity::DiskId;
 
-/// Share of the planned changes of the group after which a disk is lost, and how soon.
+/// Fraction of the planned group changes after which a disk is lost, and the maximum delay.
 const WIPED_AFTER_EXCHANGE: f64 = 0.4;
 const AFTER_EXCHANGE_MS: u64 = 500;
 
 impl Simulation {
-    /// Troubles and their ends.
+    /// Applies a fault or a recovery.
     pub(crate) fn on_fault(&mut self, event: Event) {
         let slot = self.random.rand_range(0..STORES as u64) as usize;
         let span_ms = match event {
@@ -73,7 +73,7 @@
         }
     }
 
-    /// A store reaches neither the others nor the core, and they don't reach it.
+    /// Partitions a store from the others and from the core.
     fn isolate(&mut self, slot: usize, span_ms: u64) {
         for other in (0..STORES).filter(|other| *other != slot) {
             self.partitions.insert((slot, other));
@@ -89,8 +89,7 @@
         self.slots[slot].partitioned_from_core = false;
     }
 
-    /// Two stores neither reach the two others nor are reached by them. Clients reach all of them; the core reaches all, or
-    /// but one half.
+    /// Partitions two stores from the two others. Clients reach all of them; the core reaches all, or only one half.
     fn split_into_halves(&mut self, span_ms: u64) {
         let first = self.random.rand_range(0..STORES as u64) as usize;
         let second = (first + 1 + self.random.rand_range(0..STORES as u64 - 1) as usize) % STORES;
@@ -119,7 +118,7 @@
             .for_each(|slot| self.slots[slot].partitioned_from_core = false);
     }
 
-    /// A store is killed soon after it came back, so many times.
+    /// Kills a store repeatedly, each time soon after it has restarted.
     fn flicker(&mut self, slot: usize, times: u32) {
         let power = self.random.rand_float() < 0.5;
         let pause_ms = self.random.rand_range(1..FLICKER_MS);
@@ -152,8 +151,8 @@
         self.after(pause_ms, Event::Restart { slot });
     }
 
-    /// A disk is lost, where the tolerance of one machine allows it: nothing else is in trouble, nor soon will be. In the
-    /// same moment all others may lose power, or surely do.
+    /// Loses a disk if the tolerance of one machine allows it: there is no other fault, nor soon will be. At the same
+    /// time all others may lose power, or do so if `others_lose_power`.
     pub(crate) fn wipe(&mut self, slot: usize, others_lose_power: bool) {
         let disk = self.slots[slot].disk.id;
         let calm = self.now_ms >= self.fault_until_ms && self.partitions.is_empty();
@@ -171,14 +170,14 @@
         self.replace_disk(slot, others_lose_power);
     }
 
-    /// One disk of the play is lost while the stores may be cut into halves, whatever else is in trouble.
+    /// Loses one disk per run, possibly during a split partition and regardless of other faults.
     fn wipe_in_halves(&mut self, slot: usize) {
         if self.wiped == 0 && self.core.group.is_some() {
             self.replace_disk(slot, false);
         }
     }
 
-    /// Takes a disk; perhaps all others lose power in the same moment.
+    /// Replaces a disk by an empty one; all others may lose power at the same time.
     fn replace_disk(&mut self, slot: usize, others_lose_power: bool) {
         if others_lose_power || self.random.rand_float() < 0.5 {
             (0..STORES)
@@ -192,7 +191,7 @@
         self.after(delay_ms, Event::Restart { slot });
     }
 
-    /// The core changes the group as planned; a disk may be lost shortly after, and all others lose power with it.
+    /// The core makes a planned change of the group; shortly after, a disk may be lost while all others lose power.
     fn exchange_member(&mut self) {
         if !self.core.exchange_member() {
             return;
--- a/batch/tests/simulation/harness.rs
+++ b/batch/tests/simulation/harness.rs
@@ -1,4 +1,4 @@
-//! The simulated world: time, network, troubles.
+//! The simulation: time, network and scheduled faults.
 
 use crate::clients::{Client, Step, CALL_MS};
 use crate::core::Core;
@@ -13,25 +13,25 @@
 
 pub(crate) const STORES: usize = 4;
 pub(crate) const CLIENTS: usize = 14;
-/// Troubles and new jobs come until then.
+/// Time at which faults and new jobs stop.
 pub(crate) const FAULTS_END_MS: u64 = 10_000;
-/// Everything must be whole by then.
+/// Time by which every job must be complete.
 pub(crate) const END_MS: u64 = 22_000;
 pub(crate) const TICK_MS: u64 = 50;
 pub(crate) const POLL_MS: u64 = 200;
 pub(crate) const VALIDATED_MS: u64 = 1_000;
-/// Longest and shortest time for which a store is cut off from all.
+/// Duration of the partition of a store from all others.
 pub(crate) const LONG_PARTITION_MS: std::ops::Range<u64> = 2_000..7_000;
-/// Longest incarnation and pause of a store that comes and goes.
+/// Maximum uptime and downtime of a flapping store.
 pub(crate) const FLICKER_MS: u64 = 150;
-/// Longest pause before a process starts again.
+/// Maximum downtime before a restart.
 pub(crate) const RESTART_MS: u64 = 2_500;
-/// A store counts as lost so long after it is back.
+/// Time after a recovery during which a store still counts as failed.
 pub(crate) const CATCH_UP_MS: u64 = 3_000;
-/// Runs that one store has under way at most.
+/// Maximum number of concurrent runs of a store.
 pub(crate) const RUNS: usize = 4;
 
-/// How many troubles of each kind, and the share of messages that are lost, doubled and late.
+/// Number of faults of each kind, and the fraction of messages that are lost, duplicated and late.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Faults {
     pub kills: u32,
@@ -40,18 +40,18 @@
     pub wipes: u32,
     /// Planned changes of the group.
     pub exchanges: u32,
-    /// A store hears nobody and is heard by nobody for seconds.
+    /// Partitions of one store from all others for seconds.
     pub long_partitions: u32,
-    /// A store is killed again and again, each time while it catches up.
+    /// Flapping: a store is killed repeatedly, each time while it synchronizes.
     pub flickers: u32,
-    /// The stores are cut into two halves for seconds; the core lies in one of them, or reaches both.
+    /// Partitions into two halves for seconds; the core is in one of them, or reaches both.
     pub halves: u32,
-    /// One disk is lost in the middle of a cut into halves.
+    /// Whether one disk is lost during a partition into halves.
     pub wipe_in_halves: bool,
     pub loss: f64,
 }
 
-/// What was played.
+/// Totals of simulation runs.
 #[derive(Debug, Default)]
 pub(crate) struct Totals {
     pub accepted: u64,
@@ -75,7 +75,7 @@
     }
 }
 
-/// Something that happens.
+/// A scheduled event.
 pub(crate) enum Event {
     ToSlot {
         slot: usize,
@@ -155,7 +155,7 @@
     Heal,
 }
 
-/// What a store reports at a poll.
+/// Status that a store reports at a poll.
 pub(crate) type PollStatus = alderhollow_batch::api::GroupStatus;
 
 pub(crate) struct Simulation {
@@ -174,9 +174,9 @@
     pub oracle: Oracle,
     pub wiped: u64,
     pub exchanged: u64,
-    /// Something is in trouble, or catches up, until then.
+    /// Time until which a fault or the recovery from it lasts.
     pub fault_until_ms: u64,
-    /// A disk was lost: the tolerance is used up until then.
+    /// Time until which a lost disk uses up the tolerance.
     pub no_fault_until_ms: u64,
 }
 
@@ -210,7 +210,7 @@
         }
     }
 
-    /// Plays it all.
+    /// Runs the simulation to the end and names the seed if a rule is violated.
     pub(crate) fn run_to_end(mut self) -> Totals {
         let seed = self.seed;
         let played = std::panic::catch_unwind(std::panic::AssertUnwindSafe(|| self.run()));
@@ -268,7 +268,7 @@
         self.at(self.now_ms + delay_ms, event);
     }
 
-    /// Starts and troubles.
+    /// Schedules the starts and the faults.
     pub(crate) fn schedule(&mut self) {
         for slot in 0..STORES {
             let at_ms = self.random.rand_range(0..300);
@@ -392,7 +392,7 @@
         self.random.rand_range(1..if late { 800 } else { 15 })
     }
 
-    /// Sends something to a store, unless it gets lost; perhaps twice.
+    /// Sends an input to a store; it may be lost or duplicated.
     pub(crate) fn send(&mut self, slot: usize, disk: DiskId, what: ToProcess, may_double: bool) {
         if self.random.rand_float() < self.faults.loss {
             return;
@@ -421,7 +421,7 @@
         );
     }
 
-    /// Does what a client wants.
+    /// Carries out the next step of a client.
     pub(crate) fn client_steps(&mut self, client: usize, step: Step) {
         match step {
             Step::Nothing => {}
@@ -449,7 +449,7 @@
         }
     }
 
-    /// All acknowledged jobs are whole, and read.
+    /// Checks that all acknowledged jobs are complete and were read.
     pub(crate) fn check_end(&self) {
         for job in self.oracle.jobs.values().filter(|job| job.accepted) {
             job.check_complete();
--- a/batch/tests/simulation/main.rs
+++ b/batch/tests/simulation/main.rs
@@ -1,7 +1,7 @@
-//! Seeded simulation of several stores, a core that names the group, gateways, clients and backends, under loss, delay and
-//! doubling of messages, kills, losses of power, lost disks, frozen processes and cuts.
+//! Seeded simulation of several stores, a core that decides the group's configuration, gateways, clients and backends,
+//! under loss, delay and duplication of messages, kills, power losses, lost disks, frozen processes and partitions.
 //!
-//! The oracle is the rules for batch jobs, see `oracle.rs`.
+//! The oracle checks the rules for batch jobs, see `oracle.rs`.
 
 mod backends;
 mod clients;
@@ -15,10 +15,10 @@
 
 use harness::{Faults, Simulation};
 
-/// Seeds that one test plays.
+/// Number of seeds per test.
 const SEEDS: u64 = 220;
 
-/// Plays seeds one after the other; the first broken rule ends the test, naming its seed.
+/// Runs the seeds in order; the first violated rule fails the test and names its seed.
 fn run(first: u64, faults: Faults) -> harness::Totals {
     let mut totals = harness::Totals::default();
     for seed in first..first + SEEDS {
--- a/batch/tests/simulation/oracle.rs
+++ b/batch/tests/simulation/oracle.rs
@@ -1,17 +1,17 @@
-//! The rules for batch jobs, as seen from outside: what clients were told, and what reached the backends.
+//! Oracle: the rules for batch jobs, checked on the answers to clients and on the requests that reach backends.
 
 use crate::backends;
 use alderhollow_batch::api::RunEnd;
 use alderhollow_batch::job::{JobId, NewJob, ResultState};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Tokens that may wait.
+/// Limit of queued tokens.
 pub(crate) const LIMIT: u64 = 500;
-/// Answers of 500 after which an item may be given up.
+/// Number of answers of 500 after which an item may be abandoned.
 pub(crate) const MAX_ATTEMPTS: u32 = 2;
-/// An item may be given up so long after its job was first sent.
+/// Time after the first send of a job after which its items may be abandoned.
 pub(crate) const RETENTION_MS: u64 = 8_000;
-/// Nothing of an ended job may reach a backend so long after the end was acknowledged.
+/// Time after the acknowledged end of a job after which none of its items may reach a backend.
 const CANCEL_MS: u64 = 3_000;
 
 /// A result as a client read it.
@@ -22,7 +22,7 @@
     pub text: String,
 }
 
-/// What became of an item at the backends.
+/// Ground truth of an item at the backends.
 #[derive(Debug, Default)]
 struct ItemTruth {
     finished: bool,
@@ -30,14 +30,14 @@
     failures: u32,
 }
 
-/// What is true of a job.
+/// Ground truth of a job.
 #[derive(Debug)]
 pub(crate) struct JobTruth {
     pub job: NewJob,
     pub first_sent_ms: u64,
-    /// A 202 was given.
+    /// Whether the acceptance was acknowledged with 202.
     pub accepted: bool,
-    /// Every try was answered 429 or 503, and no other comes.
+    /// Whether every attempt was answered with 429 or 503, and none follows.
     pub refused: bool,
     pub end_requested: bool,
     pub end_acknowledged_ms: Option<u64>,
@@ -47,7 +47,7 @@
     items: BTreeMap<String, ItemTruth>,
 }
 
-/// All that happened.
+/// The recorded history of all jobs.
 #[derive(Debug, Default)]
 pub(crate) struct Oracle {
     pub jobs: BTreeMap<JobId, JobTruth>,
@@ -118,14 +118,15 @@
         }
     }
 
-    /// REFUSED: the last try of a job was refused.
+    /// REFUSED: the last attempt of a job was rejected.
     pub(crate) fn refused(&mut self, id: &JobId) {
         let job = self.job(id);
         assert!(!job.accepted && !job.ran, "REFUSED: an item of {id} ran");
         job.refused = true;
     }
 
-    /// LOST, TWICE, MIXED, ORDER: a client reads results from a position on, having known so many when it asked.
+    /// LOST, TWICE, MIXED, ORDER: a client reads results from a position on, with the number that it knew when it sent
+    /// the read.
     pub(crate) fn read(
         &mut self,
         now_ms: u64,
@@ -155,7 +156,7 @@
 }
 
 impl JobTruth {
-    /// Tokens of its items that no backend has finished, that are not dead, and whose end was not asked for.
+    /// Tokens of its items that no backend has finished, that are not dead, and whose end was not requested.
     fn waiting(&self, now_ms: u64) -> u64 {
         if !self.accepted || self.end_requested || now_ms >= self.first_sent_ms + RETENTION_MS {
             return 0;
@@ -206,7 +207,7 @@
         }
     }
 
-    /// After all trouble: the job is whole.
+    /// After all faults: the job is complete.
     pub(crate) fn check_complete(&self) {
         let id = &self.job.id;
         if self.end_requested {
--- a/batch/tests/simulation/processes.rs
+++ b/batch/tests/simulation/processes.rs
@@ -1,4 +1,4 @@
-//! What happens to the processes of stores, and what they do.
+//! Inputs and outputs of the stores' processes.
 
 use crate::backends;
 use crate::harness::{Event, PollStatus, Simulation, POLL_MS, RUNS, TICK_MS, VALIDATED_MS};
@@ -8,7 +8,7 @@
 use alderhollow_model::identity::DiskId;
 
 impl Simulation {
-    /// Something happens to a process; `incarnation`: only to that one.
+    /// Delivers an input to a process; if `incarnation` is set, only to that one.
     pub(crate) fn reach(
         &mut self,
         slot: usize,
@@ -168,7 +168,7 @@
         self.answer(caller, answer);
     }
 
-    /// An answer goes back to a client's gateway.
+    /// Sends an answer to a client's gateway.
     pub(crate) fn answer(&mut self, caller: Caller, answer: Answer) {
         if self.random.rand_float() >= self.faults.loss {
             let delay_ms = self.delay();
@@ -176,7 +176,7 @@
         }
     }
 
-    /// Carries out what a process wants.
+    /// Applies the outputs of a process.
     pub(crate) fn pump(&mut self, slot: usize) {
         let Some(process) = &mut self.slots[slot].process else {
             return;
@@ -289,7 +289,7 @@
         );
     }
 
-    /// An item reaches a backend, unless its run was cancelled on the way.
+    /// Delivers an item to a backend, unless its run was cancelled before.
     pub(crate) fn run_arrives(
         &mut self,
         slot: usize,
--- a/batch/tests/simulation/stores.rs
+++ b/batch/tests/simulation/stores.rs
@@ -21,10 +21,10 @@
     pub disk: SimDisk,
     pub process: Option<Process>,
     pub frozen: bool,
-    /// What waits for a frozen process.
+    /// Inputs that wait for a frozen process.
     pub pending_inputs: Vec<(Option<u64>, ToProcess)>,
     pub partitioned_from_core: bool,
-    /// Longest sync.
+    /// Maximum duration of a sync.
     pub sync_ms: u64,
 }
 
@@ -32,22 +32,22 @@
 pub(crate) struct Process {
     pub incarnation: u64,
     pub engine: Engine,
-    /// Its steady clock is ahead of the simulation's by so much.
+    /// Offset of its monotonic clock from the simulated time.
     pub clock_ahead_ms: u64,
-    /// Calls that wait for a token.
+    /// Pending calls by token.
     pub waiting: HashMap<Token, Vec<Caller>>,
-    /// Runs under way: the job and item.
+    /// Runs in progress, with job and item.
     pub runs: HashMap<RunId, (JobId, String)>,
 }
 
-/// Who waits for an answer.
+/// Caller that waits for an answer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Caller {
     pub client: usize,
     pub call: u64,
 }
 
-/// Something that happens to a process.
+/// Input of a process.
 #[derive(Debug, Clone)]
 pub(crate) enum ToProcess {
     Message {
@@ -75,7 +75,7 @@
     },
 }
 
-/// A client's call, as a gateway passes it on.
+/// A client's call as forwarded by a gateway.
 #[derive(Debug, Clone)]
 pub(crate) enum Call {
     Submit {
@@ -96,15 +96,15 @@
     },
 }
 
-/// What a store answers to a call.
+/// Answer of a store to a call.
 #[derive(Debug, Clone)]
 pub(crate) enum Answer {
     /// 202 or 200.
     Done,
     OverQuota,
-    /// Surely nothing was done.
+    /// Nothing was done.
     NotHere,
-    /// It can't be known.
+    /// The outcome is unknown.
     Unknown,
     NotFound,
     Results {
@@ -128,7 +128,7 @@
         }
     }
 
-    /// Starts a process on what the disk holds.
+    /// Starts a process with the records on the disk.
     pub(crate) fn start(&mut self, incarnation: u64, now_ms: u64, clock_ahead_ms: u64) {
         let clock = now_ms + clock_ahead_ms;
         let (snapshot, records) = (self.disk.snapshot.as_deref(), &self.disk.records);
@@ -160,7 +160,7 @@
     BTreeMap::from([(ROUTE.to_owned(), terms)])
 }
 
-/// A read's answer, as it goes to the client.
+/// The outcome of a read as sent to the client.
 pub(crate) fn read_answer(answer: ReadOutcome<'_>, after: u32, known: usize) -> Answer {
     match answer {
         ReadOutcome::Results {
