--- a/batch/src/codec.rs
+++ b/batch/src/codec.rs
@@ -102,7 +102,7 @@
 fn decode<T: for<'b> Decode<'b, ()>>(bytes: &[u8]) -> Result<T, DecodeError> {
     let content = check_version(bytes)?;
     let mut decoder = minicbor::Decoder::new(content);
-    let value = decoder.decode().map_err(malformed)?;
+    let value = decoder.decode().map_err(|error| malformed(&error))?;
     if decoder.position() != content.len() {
         return Err(DecodeError::Malformed("bytes after its end".to_owned()));
     }
@@ -118,7 +118,7 @@
     let mut decoder = minicbor::Decoder::new(content);
     let mut entries = Vec::new();
     while decoder.position() < content.len() {
-        entries.push(decoder.decode().map_err(malformed)?);
+        entries.push(decoder.decode().map_err(|error| malformed(&error))?);
     }
     Ok(entries)
 }
@@ -142,7 +142,7 @@
 }
 
 /// Converts an error of the decoder.
-fn malformed(error: minicbor::decode::Error) -> DecodeError {
+fn malformed(error: &minicbor::decode::Error) -> DecodeError {
     DecodeError::Malformed(error.to_string())
 }
 
--- a/batch/src/engine/runs.rs
+++ b/batch/src/engine/runs.rs
@@ -106,8 +106,8 @@
             self.work.record_completed(lasted_ms);
         }
         match end {
-            RunEnd::Completed { text } => self.list_one(key, ResultState::Completed, text),
-            RunEnd::Rejected => self.list_one(key, ResultState::DeadLetter, String::new()),
+            RunEnd::Completed { text } => self.list_one(&key, ResultState::Completed, text),
+            RunEnd::Rejected => self.list_one(&key, ResultState::DeadLetter, String::new()),
             RunEnd::Failed => self.attempt_failed(key),
             RunEnd::NotRun { retry_after_ms } => self.work.pause(key, now_ms + retry_after_ms),
             RunEnd::Interrupted {
@@ -131,7 +131,7 @@
         item.failures += 1;
         let failures = item.failures;
         if max_attempts.is_some_and(|max_attempts| failures >= max_attempts) {
-            return self.list_one(key, ResultState::DeadLetter, String::new());
+            return self.list_one(&key, ResultState::DeadLetter, String::new());
         }
         self.work
             .pause(key, self.now_ms + FAILURE_PAUSE_MS * u64::from(failures));
@@ -149,7 +149,7 @@
     }
 
     /// Appends the result of one item.
-    fn list_one(&mut self, key: ItemKey, state: ResultState, text: String) {
+    fn list_one(&mut self, key: &ItemKey, state: ResultState, text: String) {
         let result = ItemResult {
             item: key.item,
             state,
--- a/batch/src/group.rs
+++ b/batch/src/group.rs
@@ -110,20 +110,22 @@
     /// Applies the group configuration decided by the core. An epoch that is not above the known one is ignored,
     /// except by a store that has just started and has no configuration yet.
     pub fn set_group(&mut self, group: Arc<BatchGroup>) -> Changes {
-        let is_news = self
+        let is_newer = self
             .group
             .as_ref()
             .is_none_or(|known| group.epoch > known.epoch);
-        if !is_news || group.epoch < self.known_epoch {
+        if !is_newer || group.epoch < self.known_epoch {
             return Changes::default();
         }
         self.known_epoch = group.epoch;
-        self.group = Some(group.clone());
-        if group.primary != self.disk {
-            return self.step_down();
-        }
-        self.lead(&group);
-        Changes::default()
+        let changes = if group.primary == self.disk {
+            self.lead(&group);
+            Changes::default()
+        } else {
+            self.step_down()
+        };
+        self.group = Some(group);
+        changes
     }
 
     /// Starts a session as the primary.
