--- a/alderhollow/src/metrics/store.rs
+++ b/alderhollow/src/metrics/store.rs
@@ -201,7 +201,7 @@
             Message::Entries { .. } => MessageKind::Entries,
             Message::Acknowledge { .. } => MessageKind::Acknowledge,
             Message::NotFollowing { .. } => MessageKind::NotFollowing,
-            Message::Refused { .. } => MessageKind::Refused,
+            Message::Rejected { .. } => MessageKind::Refused,
         }
     }
 }
--- a/alderhollow/src/status/server.rs
+++ b/alderhollow/src/status/server.rs
@@ -138,7 +138,7 @@
             is_primary: status.primary,
             is_active: status.active,
             is_synced: status.synced,
-            is_sure: engine.is_sure(now_ms),
+            is_sure: engine.is_validated_primary(now_ms),
             jobs: engine.jobs() as u64,
             waiting_items: waiting_items as u64,
             running_items: running_items as u64,
--- a/alderhollow/src/store/group_quota.rs
+++ b/alderhollow/src/store/group_quota.rs
@@ -574,7 +574,7 @@
         } = self;
         let answered = match outcome {
             QuotaOutcome::Fits => submit_now(engine, now_ms, waiting, try_id, job),
-            QuotaOutcome::OverQuota => Answered::without_end(engine.refuse(now_ms, try_id, &job)),
+            QuotaOutcome::OverQuota => Answered::without_end(engine.reject(now_ms, try_id, &job)),
             QuotaOutcome::Unsure => Answered::without_end(SubmitOutcome::NotSure),
         };
         let _ = answer.send(answered);
@@ -590,7 +590,7 @@
         };
         let offered = match outcome {
             QuotaOutcome::Fits => engine.offer(now_ms, self.try_id, &offer),
-            QuotaOutcome::OverQuota => engine.refuse_offer(now_ms, self.try_id, &offer),
+            QuotaOutcome::OverQuota => engine.reject_offer(now_ms, self.try_id, &offer),
             QuotaOutcome::Unsure => OfferOutcome::NotSure,
         };
         let _ = self.answer.send(offered);
--- a/alderhollow/src/store/group_quota/tests.rs
+++ b/alderhollow/src/store/group_quota/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 use alderhollow_batch::api::Output;
 use alderhollow_batch::job::{Item, ItemRequest, JobId};
-use alderhollow_batch::quota::account::{REFUSAL_PAUSE_MS, SUBMISSION_TIMEOUT_MS};
+use alderhollow_batch::quota::account::{MIN_REJECTION_DELAY_MS, SUBMISSION_TIMEOUT_MS};
 use alderhollow_batch::quota::Decision;
 use alderhollow_model::identity::{Address, DiskId, Incarnation, NodeInfo, Role};
 use alderhollow_model::snapshot::{BatchGroup, GroupMember};
@@ -286,17 +286,17 @@
 #[test]
 fn an_offer_over_the_routes_limit_is_refused_and_its_try_with_it() {
     let mut line = OfferInLine::new(10);
-    line.grant(REFUSAL_PAUSE_MS, 0, 0);
+    line.grant(MIN_REJECTION_DELAY_MS, 0, 0);
     assert_eq!(line.answer.try_recv(), Ok(OfferOutcome::OverQuota));
     on_offer(10, |offer| {
         assert_eq!(
-            line.engine.offer(REFUSAL_PAUSE_MS, OFFER_TRY, offer),
+            line.engine.offer(MIN_REJECTION_DELAY_MS, OFFER_TRY, offer),
             OfferOutcome::OverQuota
         );
     });
     let late = submit_now(
         &mut line.engine,
-        REFUSAL_PAUSE_MS,
+        MIN_REJECTION_DELAY_MS,
         &Waiting::default(),
         OFFER_TRY,
         job(1, 10),
--- a/alderhollow/src/store/node.rs
+++ b/alderhollow/src/store/node.rs
@@ -155,7 +155,7 @@
 
     /// Whether this store may start a run of an item of the group at this moment.
     pub fn may_start(&self, group: &GroupEngine) -> bool {
-        self.look(group, |engine, now_ms| engine.is_sure(now_ms))
+        self.look(group, |engine, now_ms| engine.is_validated_primary(now_ms))
     }
 
     /// Whether the newest tables name this store the primary of any group.
--- a/alderhollow/src/store/quota_exchange.rs
+++ b/alderhollow/src/store/quota_exchange.rs
@@ -149,7 +149,9 @@
         let control = self.control.borrow().clone();
         let group = self.group(home_of(&control, &report.route))?;
         let session = self.look(&group, |engine, now_ms| {
-            engine.session().filter(|_| engine.is_sure(now_ms))
+            engine
+                .session()
+                .filter(|_| engine.is_validated_primary(now_ms))
         })?;
         let is_in_tables = control
             .group(group.id)
--- a/alderhollow/src/store/replication.rs
+++ b/alderhollow/src/store/replication.rs
@@ -46,6 +46,6 @@
         Message::Differences { .. }
         | Message::Acknowledge { .. }
         | Message::NotFollowing { .. }
-        | Message::Refused { .. } => false,
+        | Message::Rejected { .. } => false,
     }
 }
--- a/alderhollow/tests/compatibility.rs
+++ b/alderhollow/tests/compatibility.rs
@@ -270,7 +270,7 @@
         id,
         used: 1000,
         wanted: vec![30],
-        refused_total: 7,
+        rejected_total: 7,
     };
     let calls = [
         (
--- a/batch/src/engine.rs
+++ b/batch/src/engine.rs
@@ -62,7 +62,7 @@
     windows: Windows,
     newest_token: u64,
     /// Submission attempts that were rejected as over quota, with the time at which each entry expires.
-    refused: BTreeMap<SubmissionAttemptId, u64>,
+    rejected_attempts: BTreeMap<SubmissionAttemptId, u64>,
     next_sweep_ms: u64,
     outputs: Vec<Output>,
     items_listed: u64,
@@ -99,7 +99,7 @@
             newest_commit_ms: 0,
             windows: Windows::default(),
             newest_token: 0,
-            refused: BTreeMap::new(),
+            rejected_attempts: BTreeMap::new(),
             next_sweep_ms: 0,
             outputs: Vec::new(),
             items_listed: 0,
@@ -174,7 +174,8 @@
         self.now_ms = now_ms;
         self.work.wake(now_ms);
         self.adapt_windows();
-        self.refused.retain(|_, until_ms| *until_ms > now_ms);
+        self.rejected_attempts
+            .retain(|_, until_ms| *until_ms > now_ms);
         if now_ms >= self.next_sweep_ms {
             self.next_sweep_ms = now_ms + SWEEP_MS;
             self.sweep();
@@ -183,8 +184,8 @@
 
     /// Time at which [`Engine::on_timer`] is next needed if no other input arrives before.
     pub fn next_timer_ms(&self) -> Option<u64> {
-        let sweep =
-            (!self.views.is_empty() || !self.refused.is_empty()).then_some(self.next_sweep_ms);
+        let sweep = (!self.views.is_empty() || !self.rejected_attempts.is_empty())
+            .then_some(self.next_sweep_ms);
         [self.node.next_retry_ms(), self.work.next_wake_ms(), sweep]
             .into_iter()
             .flatten()
@@ -261,7 +262,7 @@
 
     /// Whether this store is the active primary and its epoch is validated at this time. The driver also checks this
     /// immediately before it sends the first byte of a run.
-    pub fn is_sure(&self, now_ms: u64) -> bool {
+    pub fn is_validated_primary(&self, now_ms: u64) -> bool {
         self.node.is_active() && now_ms < self.validated_until_ms
     }
 
--- a/batch/src/engine/calls.rs
+++ b/batch/src/engine/calls.rs
@@ -39,8 +39,8 @@
         if let Some(answer) = self.answer_before_quota(now_ms, &job) {
             return answer;
         }
-        if self.refused.contains_key(&attempt_id) {
-            return self.remember_refusal(attempt_id);
+        if self.rejected_attempts.contains_key(&attempt_id) {
+            return self.remember_rejection(attempt_id);
         }
         if self.would_fit(&job.route, job.tokens()) {
             job.config_version = self.config_version;
@@ -49,12 +49,12 @@
         if self.quota_limits.contains_key(&job.route) {
             return SubmitOutcome::NotSure;
         }
-        self.remember_refusal(attempt_id)
+        self.remember_rejection(attempt_id)
     }
 
     /// Rejects a submitted job as decided by the route's coordinator and remembers the attempt, unless the job was
     /// accepted in the meantime or this store is no longer the validated primary.
-    pub fn refuse(
+    pub fn reject(
         &mut self,
         now_ms: u64,
         attempt_id: SubmissionAttemptId,
@@ -63,7 +63,7 @@
         self.now_ms = now_ms;
         match self.answer_before_quota(now_ms, job) {
             Some(answer) => answer,
-            None => self.remember_refusal(attempt_id),
+            None => self.remember_rejection(attempt_id),
         }
     }
 
@@ -88,8 +88,8 @@
     fn may_decide(&self, now_ms: u64, route: &str) -> bool {
         let may_accept = self.disk_ready
             && !self.is_overloaded(now_ms)
-            && self.refused.len() < MAX_REJECTED_ATTEMPTS;
-        self.is_sure(now_ms) && may_accept && self.routes.contains_key(route)
+            && self.rejected_attempts.len() < MAX_REJECTED_ATTEMPTS;
+        self.is_validated_primary(now_ms) && may_accept && self.routes.contains_key(route)
     }
 
     /// Answers a gateway's question whether a job would be accepted, before the gateway sends the job with its large
@@ -105,8 +105,8 @@
         if let Some(answer) = self.answer_offer_before_quota(offer) {
             return answer;
         }
-        if self.refused.contains_key(&attempt_id) {
-            self.remember_refusal(attempt_id);
+        if self.rejected_attempts.contains_key(&attempt_id) {
+            self.remember_rejection(attempt_id);
             return OfferOutcome::OverQuota;
         }
         if offer.tokens == 0 || self.would_fit(offer.route, offer.tokens) {
@@ -115,12 +115,12 @@
         if self.quota_limits.contains_key(offer.route) {
             return OfferOutcome::BeyondLimit;
         }
-        self.remember_refusal(attempt_id);
+        self.remember_rejection(attempt_id);
         OfferOutcome::OverQuota
     }
 
-    /// Rejects an offered job as decided by the route's coordinator; see [`Engine::refuse`].
-    pub fn refuse_offer(
+    /// Rejects an offered job as decided by the route's coordinator; see [`Engine::reject`].
+    pub fn reject_offer(
         &mut self,
         now_ms: u64,
         attempt_id: SubmissionAttemptId,
@@ -130,7 +130,7 @@
         if let Some(answer) = self.answer_offer_before_quota(offer) {
             return answer;
         }
-        self.remember_refusal(attempt_id);
+        self.remember_rejection(attempt_id);
         OfferOutcome::OverQuota
     }
 
@@ -151,8 +151,8 @@
     }
 
     /// Remembers a rejected attempt, so that no delayed copy of it is accepted.
-    fn remember_refusal(&mut self, attempt_id: SubmissionAttemptId) -> SubmitOutcome {
-        self.refused
+    fn remember_rejection(&mut self, attempt_id: SubmissionAttemptId) -> SubmitOutcome {
+        self.rejected_attempts
             .insert(attempt_id, self.now_ms + REJECTION_RETENTION_MS);
         SubmitOutcome::OverQuota
     }
@@ -188,14 +188,14 @@
             return ReadOutcome::NotPrimary;
         }
         let Some((view, job)) = self.accepted(job) else {
-            let unknown = self.is_sure(now_ms) && !self.views.contains_key(job);
+            let unknown = self.is_validated_primary(now_ms) && !self.views.contains_key(job);
             return if unknown {
                 ReadOutcome::NotFound
             } else {
                 ReadOutcome::NotSure
             };
         };
-        if after >= view.visible && !self.is_sure(now_ms) {
+        if after >= view.visible && !self.is_validated_primary(now_ms) {
             return ReadOutcome::NotSure;
         }
         let results = listed(view, job, after, max_bytes);
@@ -215,7 +215,7 @@
             return BodyOutcome::NotPrimary;
         }
         let Some((_, job)) = self.accepted(job) else {
-            let unknown = self.is_sure(now_ms) && !self.views.contains_key(job);
+            let unknown = self.is_validated_primary(now_ms) && !self.views.contains_key(job);
             return if unknown {
                 BodyOutcome::NotFound
             } else {
@@ -236,7 +236,7 @@
             return EndOutcome::NotPrimary;
         }
         let Some(view) = self.views.get(job) else {
-            return if self.is_sure(now_ms) {
+            return if self.is_validated_primary(now_ms) {
                 EndOutcome::NotFound
             } else {
                 EndOutcome::NotSure
--- a/batch/src/engine/runs.rs
+++ b/batch/src/engine/runs.rs
@@ -11,7 +11,7 @@
 use crate::work::{EndedRun, ItemKey, Turn};
 
 /// Backoff after a failed attempt, multiplied by the number of failures.
-const FAILURE_PAUSE_MS: u64 = 200;
+const FAILURE_BACKOFF_MS: u64 = 200;
 /// Margin added to an age limit before an item is abandoned or a job forgotten, for rounding of clocks.
 const AGE_MARGIN_MS: u64 = 100;
 
@@ -19,7 +19,7 @@
     /// Configured routes with items that are ready to run.
     pub fn routes_with_work(&mut self, now_ms: u64) -> Vec<String> {
         self.work.wake(now_ms);
-        if !self.is_sure(now_ms) {
+        if !self.is_validated_primary(now_ms) {
             return Vec::new();
         }
         self.work
@@ -41,7 +41,7 @@
         self.now_ms = now_ms;
         self.work.wake(now_ms);
         let mut starts = Vec::new();
-        if !self.is_sure(now_ms) || !self.routes.contains_key(route) {
+        if !self.is_validated_primary(now_ms) || !self.routes.contains_key(route) {
             return starts;
         }
         self.adapt_windows();
@@ -106,16 +106,16 @@
             self.work.record_completed(lasted_ms);
         }
         match end {
-            RunEnd::Completed { text } => self.list_one(&key, ResultState::Completed, text),
-            RunEnd::Rejected => self.list_one(&key, ResultState::DeadLetter, String::new()),
+            RunEnd::Completed { text } => self.append_result(&key, ResultState::Completed, text),
+            RunEnd::Rejected => self.append_result(&key, ResultState::DeadLetter, String::new()),
             RunEnd::Failed => self.attempt_failed(key),
-            RunEnd::NotRun { retry_after_ms } => self.work.pause(key, now_ms + retry_after_ms),
+            RunEnd::NotRun { retry_after_ms } => self.work.back_off(key, now_ms + retry_after_ms),
             RunEnd::Interrupted {
                 resume,
                 retry_after_ms,
             } => {
                 self.record_resume(&key, resume);
-                self.work.pause(key, now_ms + retry_after_ms);
+                self.work.back_off(key, now_ms + retry_after_ms);
             }
         }
     }
@@ -131,10 +131,10 @@
         item.failures += 1;
         let failures = item.failures;
         if max_attempts.is_some_and(|max_attempts| failures >= max_attempts) {
-            return self.list_one(&key, ResultState::DeadLetter, String::new());
+            return self.append_result(&key, ResultState::DeadLetter, String::new());
         }
         self.work
-            .pause(key, self.now_ms + FAILURE_PAUSE_MS * u64::from(failures));
+            .back_off(key, self.now_ms + FAILURE_BACKOFF_MS * u64::from(failures));
     }
 
     /// Records the furthest resume position of an item's runs.
@@ -149,17 +149,17 @@
     }
 
     /// Appends the result of one item.
-    fn list_one(&mut self, key: &ItemKey, state: ResultState, text: String) {
+    fn append_result(&mut self, key: &ItemKey, state: ResultState, text: String) {
         let result = ItemResult {
             item: key.item,
             state,
             text,
         };
-        self.list(&key.job, vec![result]);
+        self.append_results(&key.job, vec![result]);
     }
 
     /// Appends results of a job at the next positions and cancels the runs of these items.
-    fn list(&mut self, id: &JobId, results: Vec<ItemResult>) {
+    fn append_results(&mut self, id: &JobId, results: Vec<ItemResult>) {
         for result in &results {
             let run = self.work.finish(&ItemKey {
                 job: id.clone(),
@@ -194,7 +194,7 @@
 
     /// Abandons the items of jobs whose retention has passed or whose route was removed, and forgets old jobs.
     pub(super) fn sweep(&mut self) {
-        if !self.is_sure(self.now_ms) {
+        if !self.is_validated_primary(self.now_ms) {
             return;
         }
         let accepted = self.views.iter().filter(|(_, view)| view.accepted);
@@ -209,7 +209,7 @@
                     text: String::new(),
                 };
                 let results = self.work.open_items(&id).into_iter().map(give_up).collect();
-                self.list(&id, results);
+                self.append_results(&id, results);
             }
         }
     }
--- a/batch/src/group.rs
+++ b/batch/src/group.rs
@@ -242,7 +242,8 @@
                 epoch: self.known_epoch,
                 ..StreamId::default()
             };
-            self.outbox.push((from, Message::Refused { stream, known }));
+            self.outbox
+                .push((from, Message::Rejected { stream, known }));
             return None;
         }
         if stream.epoch > self.known_epoch {
--- a/batch/src/group/follower.rs
+++ b/batch/src/group/follower.rs
@@ -53,7 +53,7 @@
     ) -> Message {
         let stream = request.stream;
         if stream < state.progress.following {
-            return Message::Refused {
+            return Message::Rejected {
                 stream,
                 known: state.progress.following,
             };
@@ -87,7 +87,7 @@
         writes: &mut WriteQueue,
     ) -> Option<Message> {
         if stream < state.progress.following {
-            return Some(Message::Refused {
+            return Some(Message::Rejected {
                 stream,
                 known: state.progress.following,
             });
--- a/batch/src/group/leader.rs
+++ b/batch/src/group/leader.rs
@@ -172,8 +172,8 @@
             Message::NotFollowing { stream } => {
                 (stream == peer.stream()).then(|| peer.begin(now_ms, state, &self.log))
             }
-            Message::Refused { known, .. } => {
-                self.refused(known);
+            Message::Rejected { known, .. } => {
+                self.on_rejected(known);
                 None
             }
             Message::Compare { .. } | Message::Entries { .. } => None,
@@ -181,7 +181,7 @@
     }
 
     /// Handles a rejection: another store knows a greater stream or epoch.
-    fn refused(&mut self, known: StreamId) {
+    fn on_rejected(&mut self, known: StreamId) {
         if known.epoch > self.session.epoch {
             self.superseded = true;
         }
--- a/batch/src/job.rs
+++ b/batch/src/job.rs
@@ -206,7 +206,7 @@
     /// Appends results starting at a position. Results at occupied positions are skipped, so that the call is
     /// idempotent. Returns `false` and appends none if there is a gap, an unknown item, or an item that already has a
     /// result at another position.
-    pub fn list(&mut self, position: u32, results: Vec<ItemResult>) -> bool {
+    pub fn append_results(&mut self, position: u32, results: Vec<ItemResult>) -> bool {
         let Some(taken) = self.results.len().checked_sub(position as usize) else {
             return false;
         };
--- a/batch/src/message.rs
+++ b/batch/src/message.rs
@@ -106,7 +106,7 @@
     },
     /// The sender rejects the stream, because it knows a greater stream or epoch.
     #[n(5)]
-    Refused {
+    Rejected {
         /// The rejected stream.
         #[n(0)]
         stream: StreamId,
--- a/batch/src/quota/account.rs
+++ b/batch/src/quota/account.rs
@@ -19,7 +19,7 @@
 pub const SUBMISSION_TIMEOUT_MS: u64 = 600;
 /// Minimum time before a submission that is within the route's limit is rejected: by then the other groups have
 /// reported the tokens that became free before.
-pub const REFUSAL_PAUSE_MS: u64 = 300;
+pub const MIN_REJECTION_DELAY_MS: u64 = 300;
 /// Maximum number of submissions in one report.
 const MAX_REPORTED_SUBMISSIONS: usize = 256;
 /// Minimum backoff before the next request for capacity.
@@ -75,14 +75,14 @@
 
 /// A report whose answer is pending.
 #[derive(Debug, Clone, Copy)]
-struct UnderWay {
+struct PendingReport {
     id: ReportId,
     coordinator: CoordinatorId,
 }
 
 /// A submission that waits for capacity.
 #[derive(Debug)]
-struct Waiting {
+struct WaitingSubmission {
     submission: SubmissionId,
     tokens: u64,
     since_ms: u64,
@@ -100,7 +100,7 @@
     coordinator: CoordinatorId,
     max: u64,
     limit: u64,
-    under_way: Option<UnderWay>,
+    pending_report: Option<PendingReport>,
     sent_ms: u64,
     reported_used: u64,
     /// Whether the newest report was answered with [`Decision::Counted`].
@@ -109,8 +109,8 @@
     is_contended: bool,
     /// Time of an early report, for waiting submissions or a new coordinator.
     report_at_ms: Option<u64>,
-    waiting: VecDeque<Waiting>,
-    refused_total: u64,
+    waiting: VecDeque<WaitingSubmission>,
+    rejected_total: u64,
     counters: AccountCounters,
 }
 
@@ -139,14 +139,14 @@
             },
             max: 0,
             limit: 0,
-            under_way: None,
+            pending_report: None,
             sent_ms: 0,
             reported_used: 0,
             is_counted: false,
             is_contended: false,
             report_at_ms: Some(0),
             waiting: VecDeque::new(),
-            refused_total: 0,
+            rejected_total: 0,
             counters: AccountCounters::default(),
         }
     }
@@ -183,7 +183,7 @@
         self.max = max;
         self.limit = 0;
         // The pending answer may be based on the earlier limit.
-        self.under_way = None;
+        self.pending_report = None;
         self.schedule_report(now_ms);
     }
 
@@ -217,7 +217,7 @@
     /// Adds a submission that waits for capacity.
     pub fn request(&mut self, now_ms: u64, submission: SubmissionId, tokens: u64) {
         let until_ms = now_ms.saturating_add(SUBMISSION_TIMEOUT_MS);
-        self.waiting.push_back(Waiting {
+        self.waiting.push_back(WaitingSubmission {
             submission,
             tokens,
             since_ms: now_ms,
@@ -239,7 +239,7 @@
             return None;
         }
         self.abandon_late_answer(now_ms);
-        if self.under_way.is_some() || now_ms < self.next_report_ms(used) {
+        if self.pending_report.is_some() || now_ms < self.next_report_ms(used) {
             return None;
         }
         self.newest.sequence += 1;
@@ -251,7 +251,7 @@
         self.sent_ms = now_ms;
         self.is_counted = false;
         self.report_at_ms = None;
-        self.under_way = Some(UnderWay {
+        self.pending_report = Some(PendingReport {
             id: self.newest,
             coordinator: self.coordinator,
         });
@@ -269,17 +269,17 @@
         used: u64,
         grant: &QuotaGrant,
     ) -> Vec<ResolvedSubmission> {
-        let Some(under_way) = self
-            .under_way
-            .filter(|under_way| under_way.id == grant.report)
+        let Some(pending_report) = self
+            .pending_report
+            .filter(|pending_report| pending_report.id == grant.report)
         else {
             self.counters.ignored += 1;
             return Vec::new();
         };
-        self.under_way = None;
-        if grant.coordinator != under_way.coordinator {
+        self.pending_report = None;
+        if grant.coordinator != pending_report.coordinator {
             self.counters.ignored += 1;
-            self.pause(now_ms);
+            self.schedule_retry(now_ms);
             self.adopt(now_ms, grant.coordinator);
             return Vec::new();
         }
@@ -289,7 +289,7 @@
             is_contended,
         } = grant.decision
         else {
-            self.pause(now_ms);
+            self.schedule_retry(now_ms);
             return Vec::new();
         };
         self.limit = limit;
@@ -298,19 +298,19 @@
         let mut resolved = self.resolve_fitting(used);
         let taken = self.tokens_left_to(&resolved, available);
         resolved.extend(self.reject_exceeding(now_ms, taken));
-        self.pause(now_ms);
+        self.schedule_retry(now_ms);
         resolved.into_iter().map(|(resolved, _)| resolved).collect()
     }
 
     /// Handles the loss of the answer to a report.
     pub fn on_answer_lost(&mut self, now_ms: u64, report: ReportId) {
         if self
-            .under_way
-            .is_some_and(|under_way| under_way.id == report)
+            .pending_report
+            .is_some_and(|pending_report| pending_report.id == report)
         {
-            self.under_way = None;
+            self.pending_report = None;
             self.counters.lost += 1;
-            self.pause(now_ms);
+            self.schedule_retry(now_ms);
         }
     }
 
@@ -321,7 +321,7 @@
             .into_iter()
             .map(|(resolved, _)| resolved);
         let mut resolved: Vec<ResolvedSubmission> = fitting.collect();
-        let is_late = |waiting: &Waiting| now_ms >= waiting.until_ms;
+        let is_late = |waiting: &WaitingSubmission| now_ms >= waiting.until_ms;
         let late: Vec<SubmissionId> = self
             .waiting
             .iter()
@@ -342,7 +342,7 @@
     /// before.
     pub fn next_due_ms(&self, used: u64) -> Option<u64> {
         let late_ms = self.waiting.iter().map(|waiting| waiting.until_ms).min();
-        let report_ms = match self.under_way {
+        let report_ms = match self.pending_report {
             _ if self.max == 0 => None,
             Some(_) => Some(self.sent_ms.saturating_add(ANSWER_TIMEOUT_MS)),
             None => Some(self.next_report_ms(used)),
@@ -377,14 +377,14 @@
                 .take(MAX_REPORTED_SUBMISSIONS)
                 .map(|waiting| waiting.tokens)
                 .collect(),
-            refused_total: self.refused_total,
+            rejected_total: self.rejected_total,
         }
     }
 
     fn abandon_late_answer(&mut self, now_ms: u64) {
         let is_late = now_ms >= self.sent_ms.saturating_add(ANSWER_TIMEOUT_MS);
-        if let Some(under_way) = self.under_way.filter(|_| is_late) {
-            self.on_answer_lost(now_ms, under_way.id);
+        if let Some(pending_report) = self.pending_report.filter(|_| is_late) {
+            self.on_answer_lost(now_ms, pending_report.id);
             // The time-out has served as the backoff.
             self.schedule_report(now_ms);
         }
@@ -395,7 +395,7 @@
     fn adopt(&mut self, now_ms: u64, coordinator: CoordinatorId) {
         if coordinator > self.coordinator {
             self.coordinator = coordinator;
-            self.under_way = None;
+            self.pending_report = None;
             self.schedule_report(now_ms);
         }
     }
@@ -406,15 +406,15 @@
 
     /// Schedules the next report after an answer or its loss: at once if a waiting submission was not included,
     /// otherwise after a backoff.
-    fn pause(&mut self, now_ms: u64) {
+    fn schedule_retry(&mut self, now_ms: u64) {
         let is_reported = self.waiting.iter().all(|waiting| waiting.is_reported);
-        let pause_ms = if is_reported { self.pause_ms() } else { 0 };
+        let backoff_ms = if is_reported { self.backoff_ms() } else { 0 };
         let asks = !self.waiting.is_empty() || self.report_at_ms.is_some();
-        self.report_at_ms = asks.then_some(now_ms.saturating_add(pause_ms));
+        self.report_at_ms = asks.then_some(now_ms.saturating_add(backoff_ms));
     }
 
     /// Backoff with a jitter that differs between groups and reports.
-    fn pause_ms(&self) -> u64 {
+    fn backoff_ms(&self) -> u64 {
         let mixed =
             (self.newest.sequence + u64::from(self.group)).wrapping_mul(JITTER_MULTIPLIER) >> 32;
         MIN_BACKOFF_MS + mixed % BACKOFF_JITTER_MS
@@ -452,13 +452,13 @@
     fn reject_exceeding(&mut self, now_ms: u64, available: u64) -> Vec<(ResolvedSubmission, u64)> {
         let mut resolved = Vec::new();
         for waiting in std::mem::take(&mut self.waiting) {
-            let is_young = now_ms < waiting.since_ms.saturating_add(REFUSAL_PAUSE_MS);
+            let is_young = now_ms < waiting.since_ms.saturating_add(MIN_REJECTION_DELAY_MS);
             let may_yet_fit = is_young && waiting.tokens <= self.max;
             if !waiting.is_reported || may_yet_fit || waiting.tokens <= available {
                 self.waiting.push_back(waiting);
                 continue;
             }
-            self.refused_total = self.refused_total.saturating_add(waiting.tokens);
+            self.rejected_total = self.rejected_total.saturating_add(waiting.tokens);
             self.counters.over_quota += 1;
             let refused = ResolvedSubmission {
                 submission: waiting.submission,
--- a/batch/src/quota/coordinator.rs
+++ b/batch/src/quota/coordinator.rs
@@ -10,7 +10,7 @@
 /// Time after a report that was not fully granted during which no headroom is granted.
 pub const CONTENTION_MS: u64 = 1_000;
 /// The headroom of a grant is the remaining tokens divided by the number of groups and by this.
-const HEADROOM_PARTS: u128 = 4;
+const HEADROOM_DIVISOR: u128 = 4;
 
 /// Event counts of a coordinator, for metrics.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
@@ -34,7 +34,7 @@
     used: u64,
     /// Upper bound of the tokens that the group counts: `used` plus the grant.
     counted: u64,
-    refused_total: u64,
+    rejected_total: u64,
     /// Decision on the report, returned again for a duplicate.
     decision: Decision,
 }
@@ -99,7 +99,7 @@
             .routes
             .get(&report.route)
             .and_then(|counts| counts.groups.get(&report.group));
-        let refused_before = known.map(|known| (known.report, known.refused_total));
+        let rejected_before = known.map(|known| (known.report, known.rejected_total));
         if let Some(known) = known.filter(|known| known.report >= report.id) {
             self.counters.ignored += 1;
             let is_copy = known.report == report.id;
@@ -111,7 +111,7 @@
             return self.answer(report, decision, None);
         }
         let decision = self.decide(now_ms, max, report);
-        let reading = self.read_meter(now_ms, report, refused_before);
+        let reading = self.read_meter(now_ms, report, rejected_before);
         if max == 0 {
             // Without a limit, a group may count more tokens without a report, so that its count must not be used
             // under a later limit.
@@ -162,7 +162,7 @@
         // At the first report of a session it is unknown which part of the total was already metered.
         let beyond = match before {
             Some((known, total)) if is_same_session(&known) => {
-                report.refused_total.saturating_sub(total)
+                report.rejected_total.saturating_sub(total)
             }
             _ => 0,
         };
@@ -236,7 +236,7 @@
             report: report.id,
             used: report.used,
             counted: report.used,
-            refused_total: report.refused_total,
+            rejected_total: report.rejected_total,
             decision: Decision::Unsure,
         };
         self.groups.insert(report.group, count);
@@ -258,7 +258,7 @@
         if self.is_contended(now_ms) || !limits.is_limited {
             return granted;
         }
-        let headroom = (left - granted.tokens) / (HEADROOM_PARTS * group_count.max(1) as u128);
+        let headroom = (left - granted.tokens) / (HEADROOM_DIVISOR * group_count.max(1) as u128);
         Granted {
             tokens: granted.tokens + headroom,
             ..granted
--- a/batch/src/quota/message.rs
+++ b/batch/src/quota/message.rs
@@ -52,7 +52,7 @@
     pub wanted: Vec<u64>,
     /// Total tokens of the submissions rejected as over quota in this session.
     #[n(6)]
-    pub refused_total: u64,
+    pub rejected_total: u64,
 }
 
 /// Decision of a coordinator.
--- a/batch/src/state.rs
+++ b/batch/src/state.rs
@@ -85,7 +85,7 @@
                 let Some(known) = self.jobs.get_mut(&job) else {
                     return Ok(());
                 };
-                if !known.list(position, results) {
+                if !known.append_results(position, results) {
                     return Err(DecodeError::Inconsistent(job));
                 }
             }
--- a/batch/src/work.rs
+++ b/batch/src/work.rs
@@ -52,7 +52,7 @@
 
 /// Key of an item in backoff, ordered by the end of the backoff.
 #[derive(Debug, Clone, PartialEq, Eq, PartialOrd, Ord)]
-struct PausedKey {
+struct BackoffKey {
     until_ms: u64,
     item: ItemKey,
 }
@@ -61,7 +61,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum Phase {
     Ready,
-    Paused { until_ms: u64 },
+    Backoff { until_ms: u64 },
     Running(RunId),
 }
 
@@ -88,7 +88,7 @@
 pub struct WorkQueue {
     jobs: HashMap<JobId, OpenJob>,
     ready: BTreeMap<String, BTreeSet<ReadyKey>>,
-    paused: BTreeSet<PausedKey>,
+    in_backoff: BTreeSet<BackoffKey>,
     runs: HashMap<RunId, Run>,
     newest_run: u64,
     /// Moving average of the duration of completed runs in milliseconds; `None` before the first.
@@ -136,14 +136,14 @@
 
     /// Makes the items ready whose backoff has ended.
     pub fn wake(&mut self, now_ms: u64) {
-        while let Some(paused) = self
-            .paused
+        while let Some(in_backoff) = self
+            .in_backoff
             .first()
-            .filter(|paused| paused.until_ms <= now_ms)
+            .filter(|in_backoff| in_backoff.until_ms <= now_ms)
             .cloned()
         {
-            self.paused.remove(&paused);
-            self.set_ready(paused.item);
+            self.in_backoff.remove(&in_backoff);
+            self.set_ready(in_backoff.item);
         }
     }
 
@@ -240,7 +240,7 @@
         Some((run, item))
     }
 
-    /// Removes a run that ended. The caller must then call [`WorkQueue::pause`] or [`WorkQueue::finish`] for its item.
+    /// Removes a run that ended. The caller must then call [`WorkQueue::back_off`] or [`WorkQueue::finish`] for its item.
     pub fn end_run(&mut self, run: RunId, now_ms: u64) -> Option<EndedRun> {
         let Run { item, started_ms } = self.runs.remove(&run)?;
         Some(EndedRun {
@@ -255,10 +255,10 @@
     }
 
     /// Puts an item whose run has ended into backoff until `until_ms`.
-    pub fn pause(&mut self, key: ItemKey, until_ms: u64) {
+    pub fn back_off(&mut self, key: ItemKey, until_ms: u64) {
         if let Some(item) = self.item_mut(&key) {
-            item.phase = Phase::Paused { until_ms };
-            self.paused.insert(PausedKey {
+            item.phase = Phase::Backoff { until_ms };
+            self.in_backoff.insert(BackoffKey {
                 until_ms,
                 item: key,
             });
@@ -284,8 +284,8 @@
                 });
                 None
             }
-            Phase::Paused { until_ms } => {
-                self.paused.remove(&PausedKey {
+            Phase::Backoff { until_ms } => {
+                self.in_backoff.remove(&BackoffKey {
                     until_ms,
                     item: key.clone(),
                 });
@@ -322,18 +322,20 @@
         let runs = self.runs.drain().map(|(run, _)| run).collect();
         self.jobs.clear();
         self.ready.clear();
-        self.paused.clear();
+        self.in_backoff.clear();
         runs
     }
 
     /// Number of waiting items, including those in backoff, and of running items.
     pub fn load(&self) -> (usize, usize) {
         let ready: usize = self.ready.values().map(BTreeSet::len).sum();
-        (ready + self.paused.len(), self.runs.len())
+        (ready + self.in_backoff.len(), self.runs.len())
     }
 
     /// End of the next backoff.
     pub fn next_wake_ms(&self) -> Option<u64> {
-        self.paused.first().map(|paused| paused.until_ms)
+        self.in_backoff
+            .first()
+            .map(|in_backoff| in_backoff.until_ms)
     }
 }
--- a/batch/tests/codec.rs
+++ b/batch/tests/codec.rs
@@ -132,7 +132,7 @@
         }),
         (stream(), any::<u64>()).prop_map(|(stream, next)| Message::Acknowledge { stream, next }),
         stream().prop_map(|stream| Message::NotFollowing { stream }),
-        (stream(), stream()).prop_map(|(stream, known)| Message::Refused { stream, known }),
+        (stream(), stream()).prop_map(|(stream, known)| Message::Rejected { stream, known }),
     ]
 }
 
@@ -153,14 +153,14 @@
 fn quota_report() -> impl Strategy<Value = QuotaReport> {
     let tokens = (any::<u64>(), vec(any::<u64>(), 0..4), any::<u64>());
     (coordinator(), ".{0,9}", any::<u32>(), report_id(), tokens).prop_map(
-        |(coordinator, route, group, id, (used, wanted, refused_total))| QuotaReport {
+        |(coordinator, route, group, id, (used, wanted, rejected_total))| QuotaReport {
             coordinator,
             route,
             group,
             id,
             used,
             wanted,
-            refused_total,
+            rejected_total,
         },
     )
 }
--- a/batch/tests/compatibility.rs
+++ b/batch/tests/compatibility.rs
@@ -153,7 +153,7 @@
         ("not_following", Message::NotFollowing { stream }),
         (
             "refused",
-            Message::Refused {
+            Message::Rejected {
                 stream,
                 known: StreamId {
                     epoch: 4,
@@ -220,7 +220,7 @@
         id,
         used: 1000,
         wanted: vec![30, 20],
-        refused_total: 7,
+        rejected_total: 7,
     };
     let reading = QuotaReading {
         period: 8,
--- a/batch/tests/engine/acceptance.rs
+++ b/batch/tests/engine/acceptance.rs
@@ -350,7 +350,7 @@
     assert_eq!(
         cluster
             .engine(1)
-            .refuse_offer(now_ms, SubmissionAttemptId(1), &offer),
+            .reject_offer(now_ms, SubmissionAttemptId(1), &offer),
         OfferOutcome::OverQuota
     );
     assert_eq!(
@@ -522,7 +522,7 @@
     assert_eq!(
         cluster
             .engine(1)
-            .refuse(now_ms, SubmissionAttemptId(7), &job("a", 1, 200)),
+            .reject(now_ms, SubmissionAttemptId(7), &job("a", 1, 200)),
         SubmitOutcome::OverQuota
     );
     cluster.engine(1).set_quota_limit(ROUTE, Some(500));
@@ -548,20 +548,20 @@
     assert_eq!(
         cluster
             .engine(1)
-            .refuse(now_ms, SubmissionAttemptId(7), &job("a", 1, 200)),
+            .reject(now_ms, SubmissionAttemptId(7), &job("a", 1, 200)),
         SubmitOutcome::AlreadyAccepted
     );
     assert_eq!(
         cluster
             .engine(2)
-            .refuse(now_ms, SubmissionAttemptId(7), &job("b", 1, 200)),
+            .reject(now_ms, SubmissionAttemptId(7), &job("b", 1, 200)),
         SubmitOutcome::NotPrimary
     );
     let later_ms = now_ms + 1_000;
     assert_eq!(
         cluster
             .engine(1)
-            .refuse(later_ms, SubmissionAttemptId(7), &job("b", 1, 200)),
+            .reject(later_ms, SubmissionAttemptId(7), &job("b", 1, 200)),
         SubmitOutcome::NotSure
     );
     assert!(matches!(
--- a/batch/tests/engine/link_ceiling/clients.rs
+++ b/batch/tests/engine/link_ceiling/clients.rs
@@ -9,7 +9,7 @@
 const BODY_BYTES: usize = 1_600;
 /// Capacity of the link in jobs per second, given all that a job sends: bodies and texts to three members, runs, and
 /// texts to readers.
-const CEILING_JOBS_PER_S: f64 = 15.6;
+const CAPACITY_JOBS_PER_S: f64 = 15.6;
 /// Time-out of a client for the acceptance of its job, over all attempts.
 pub(super) const ACCEPTANCE_TIMEOUT_MS: u64 = 1_000;
 /// Delay of a retry after a rejection.
@@ -46,7 +46,7 @@
     /// Clients that submit `load` times the capacity of the link.
     pub(super) fn new(now_ms: u64, load: u32) -> Clients {
         Clients {
-            pause_ms: 1_000.0 / (CEILING_JOBS_PER_S * f64::from(load)),
+            pause_ms: 1_000.0 / (CAPACITY_JOBS_PER_S * f64::from(load)),
             next_job_ms: now_ms as f64,
             by_job: BTreeMap::new(),
             by_token: BTreeMap::new(),
--- a/batch/tests/engine/replication.rs
+++ b/batch/tests/engine/replication.rs
@@ -45,7 +45,7 @@
     assert!(jobs_on_disk(&cluster, 3).is_empty());
     assert!(matches!(
         sent(&cluster, 3, 1).last(),
-        Some(Message::Refused { .. })
+        Some(Message::Rejected { .. })
     ));
     assert!(
         !cluster.engine(1).status(now_ms).active,
@@ -140,7 +140,7 @@
     assert_eq!(jobs_on_disk(&cluster, 2).len(), 1);
     assert!(matches!(
         sent(&cluster, 2, 1).last(),
-        Some(Message::Refused { .. })
+        Some(Message::Rejected { .. })
     ));
 }
 
@@ -364,11 +364,14 @@
         large.items[0].request.as_mut().unwrap().body = vec![number; 50_000];
         cluster.submit(1, large);
     }
-    let under_way: usize = sent(&cluster, 1, 2)
+    let in_flight_bytes: usize = sent(&cluster, 1, 2)
         .iter()
         .map(|message| message.to_bytes().len())
         .sum();
-    assert!((200_000..400_000).contains(&under_way), "{under_way}");
+    assert!(
+        (200_000..400_000).contains(&in_flight_bytes),
+        "{in_flight_bytes}"
+    );
 }
 
 #[test]
--- a/batch/tests/engine/runs.rs
+++ b/batch/tests/engine/runs.rs
@@ -33,7 +33,7 @@
     cluster.now_ms += 1_000;
     assert_eq!(cluster.work(1, 9), []);
     let now_ms = cluster.now_ms;
-    assert!(!cluster.engine(1).is_sure(now_ms));
+    assert!(!cluster.engine(1).is_validated_primary(now_ms));
     cluster.validate(1);
     assert_eq!(cluster.work(1, 9).len(), 2);
     assert_eq!(cluster.work(2, 9), []);
--- a/batch/tests/quota/account.rs
+++ b/batch/tests/quota/account.rs
@@ -3,7 +3,8 @@
 use crate::coordinator::{ID, MAX};
 use alderhollow_batch::quota::account::SUBMISSION_TIMEOUT_MS;
 use alderhollow_batch::quota::account::{
-    ACTIVE_PERIOD_MS, ANSWER_TIMEOUT_MS, CONTENDED_PERIOD_MS, IDLE_PERIOD_MS, REFUSAL_PAUSE_MS,
+    ACTIVE_PERIOD_MS, ANSWER_TIMEOUT_MS, CONTENDED_PERIOD_MS, IDLE_PERIOD_MS,
+    MIN_REJECTION_DELAY_MS,
 };
 use alderhollow_batch::quota::{
     Account, Coordinator, CoordinatorId, Decision, QuotaGrant, QuotaOutcome, QuotaReport,
@@ -244,10 +245,10 @@
     assert!((12 + 30..12 + 60).contains(&due_ms), "{due_ms}");
     let again = account.next_report(due_ms, 300).expect("due");
     assert_eq!(
-        (again.wanted.as_slice(), again.refused_total),
+        (again.wanted.as_slice(), again.rejected_total),
         ([500, 700].as_slice(), 0)
     );
-    let late_ms = 10 + REFUSAL_PAUSE_MS;
+    let late_ms = 10 + MIN_REJECTION_DELAY_MS;
     let refused = [resolved(C, QuotaOutcome::OverQuota)];
     assert_eq!(
         account.on_grant(late_ms, 300, &counted(&again, 300, 500)),
@@ -255,7 +256,7 @@
     );
     let last = account.next_report(late_ms + 100, 300).expect("due");
     assert_eq!(
-        (last.wanted.as_slice(), last.refused_total),
+        (last.wanted.as_slice(), last.rejected_total),
         ([500].as_slice(), 700)
     );
     let refused = [resolved(B, QuotaOutcome::OverQuota)];
@@ -272,7 +273,7 @@
     account.request(10, B, MAX + 1);
     let report = account.next_report(10, 0).expect("at once");
     let refused = [resolved(B, QuotaOutcome::OverQuota)];
-    let just_before_ms = 9 + REFUSAL_PAUSE_MS;
+    let just_before_ms = 9 + MIN_REJECTION_DELAY_MS;
     assert_eq!(
         account.on_grant(just_before_ms, 0, &counted(&report, 0, 0)),
         refused
@@ -285,7 +286,7 @@
     account.request(10, A, 300);
     let report = account.next_report(10, 0).expect("at once");
     account.request(11, B, 900);
-    let late_ms = 11 + REFUSAL_PAUSE_MS;
+    let late_ms = 11 + MIN_REJECTION_DELAY_MS;
     let ends = [resolved(A, QuotaOutcome::OverQuota)];
     assert_eq!(
         account.on_grant(late_ms, 0, &counted(&report, 0, 100)),
--- a/batch/tests/quota/coordinator.rs
+++ b/batch/tests/quota/coordinator.rs
@@ -27,7 +27,7 @@
         } else {
             vec![wanted]
         },
-        refused_total: 0,
+        rejected_total: 0,
     }
 }
 
@@ -333,13 +333,13 @@
     );
     coordinator.report(0, MAX, &report(1, 1, 200, 0));
     let refused = QuotaReport {
-        refused_total: 70,
+        rejected_total: 70,
         ..report(0, 2, 100, 0)
     };
     coordinator.report(300, MAX, &refused);
     coordinator.report(301, MAX, &refused);
     let more = QuotaReport {
-        refused_total: 90,
+        rejected_total: 90,
         ..report(0, 3, 150, 0)
     };
     let reading = coordinator
--- a/batch/tests/quota/simulation/harness.rs
+++ b/batch/tests/quota/simulation/harness.rs
@@ -10,7 +10,7 @@
 
 const STEP_MS: u64 = 5;
 /// With split partitions enabled, one starts on average every so many steps.
-const STEPS_BETWEEN_CUTS: u32 = 300;
+const STEPS_BETWEEN_PARTITIONS: u32 = 300;
 /// Duration of a split partition.
 const PARTITION_MS: std::ops::Range<u32> = 500..4_000;
 
@@ -228,7 +228,7 @@
             .halves
             .take()
             .filter(|halves| self.now_ms < halves.until_ms);
-        if self.halves.is_some() || self.random.rand_range(0..STEPS_BETWEEN_CUTS) > 0 {
+        if self.halves.is_some() || self.random.rand_range(0..STEPS_BETWEEN_PARTITIONS) > 0 {
             return;
         }
         let until_ms = self.now_ms + u64::from(self.random.rand_range(PARTITION_MS));
@@ -242,10 +242,10 @@
     }
 
     fn are_apart(&self, first: usize, second: usize) -> bool {
-        let is_cut = |halves: &Halves| {
+        let is_partitioned = |halves: &Halves| {
             halves.without_core.contains(&first) != halves.without_core.contains(&second)
         };
-        self.halves.as_ref().is_some_and(is_cut)
+        self.halves.as_ref().is_some_and(is_partitioned)
     }
 
     /// Restarts or replaces the primary of a group, preferably of the home group.
--- a/batch/tests/quota/simulation/oracle.rs
+++ b/batch/tests/quota/simulation/oracle.rs
@@ -6,11 +6,11 @@
 use std::collections::VecDeque;
 
 /// Without faults, a job within the limit must be accepted within this time.
-const TAKEN_WITHIN_MS: u64 = 400;
+const ACCEPTED_WITHIN_MS: u64 = 400;
 /// A job that was not accepted must have exceeded the limit at some time since this long before its submission.
 const MEMORY_MS: u64 = 1_000;
 /// A job that fits with this fraction of the limit to spare must always be accepted.
-const AMPLE_PART: u64 = 20;
+const AMPLE_DIVISOR: u64 = 20;
 /// Time until all processes have communicated.
 const WARM_UP_MS: u64 = 1_500;
 
@@ -88,8 +88,8 @@
         let left = self
             .max
             .saturating_sub(self.highest_since(client.since_ms - MEMORY_MS));
-        let is_taken = outcome == QuotaOutcome::Fits && waited_ms <= TAKEN_WITHIN_MS;
-        let amply_fitted = client.tokens + self.max / AMPLE_PART <= left;
+        let is_taken = outcome == QuotaOutcome::Fits && waited_ms <= ACCEPTED_WITHIN_MS;
+        let amply_fitted = client.tokens + self.max / AMPLE_DIVISOR <= left;
         assert!(
             is_taken || !amply_fitted,
             "seed {}, {now_ms} ms: {outcome:?} after {waited_ms} ms for {client:?}, where {left} were left",
