--- a/batch/tests/engine/replication.rs
+++ b/batch/tests/engine/replication.rs
@@ -34,9 +34,9 @@
 fn a_store_rejects_streams_below_the_epoch_decided_by_the_core() {
     let mut cluster = Cluster::active(3);
     cluster.partitioned.insert(1);
-    let told = Arc::new(group(2, 2, &[2, 3], &[]));
+    let next_group = Arc::new(group(2, 2, &[2, 3], &[]));
     let now_ms = cluster.now_ms;
-    cluster.engine(3).set_group(now_ms, told);
+    cluster.engine(3).set_group(now_ms, next_group);
     cluster.partitioned.remove(&1);
     let SubmitOutcome::Pending(_) = cluster.submit(1, job("a", 1, 1)) else {
         panic!("not taken")
@@ -56,9 +56,9 @@
 #[test]
 fn a_superseded_primary_schedules_no_timer() {
     let mut cluster = Cluster::active(3);
-    let told = Arc::new(group(2, 2, &[2, 3], &[]));
+    let next_group = Arc::new(group(2, 2, &[2, 3], &[]));
     let now_ms = cluster.now_ms;
-    cluster.engine(3).set_group(now_ms, told);
+    cluster.engine(3).set_group(now_ms, next_group);
     let SubmitOutcome::Pending(_) = cluster.submit(1, job("a", 1, 1)) else {
         panic!("not taken")
     };
@@ -177,7 +177,7 @@
             _ => None,
         });
     let entries: Vec<Entry> = entries.flatten().collect();
-    let whole = entries
+    let full_jobs = entries
         .iter()
         .filter(|entry| matches!(entry, Entry::FullJob(_)))
         .count();
@@ -185,7 +185,7 @@
         .iter()
         .filter(|entry| matches!(entry, Entry::JobForgotten(_)))
         .collect();
-    assert_eq!(whole, 2, "the new one and the one with a result");
+    assert_eq!(full_jobs, 2, "the new one and the one with a result");
     assert_eq!(dropped, [&Entry::JobForgotten("lost".into())]);
     let now_ms = cluster.now_ms;
     assert_eq!(cluster.engine(2).status(now_ms).in_sync, [DiskId(1)]);
--- a/batch/tests/quota/account.rs
+++ b/batch/tests/quota/account.rs
@@ -177,7 +177,7 @@
     assert_eq!(account.next_report(late_ms - 1, 0), None);
     let second = account
         .next_report(late_ms, 0)
-        .expect("the first is given up");
+        .expect("the first report timed out");
     assert_eq!(second.id.sequence, first.id.sequence + 1);
     assert_eq!(account.counters().lost, 1);
 }
@@ -295,7 +295,7 @@
     assert_eq!(
         account.next_due_ms(0),
         Some(late_ms),
-        "it is asked for at once"
+        "it is reported at once"
     );
 }
 
--- a/batch/tests/simulation/clients.rs
+++ b/batch/tests/simulation/clients.rs
@@ -226,7 +226,7 @@
             Answer::NotHere if !*unknown && now_ms >= *until_ms => return self.refused(oracle),
             Answer::NotHere => {}
             Answer::Unknown => *unknown = true,
-            other => panic!("no answer to a job handed in: {other:?}"),
+            other => panic!("unexpected answer to a submission: {other:?}"),
         }
         if now_ms < *until_ms {
             return Step::Wait(100);
--- a/batch/tests/simulation/fault_injection.rs
+++ b/batch/tests/simulation/fault_injection.rs
@@ -69,7 +69,7 @@
             Event::RejoinHalves { half } => self.rejoin_halves(half),
             Event::SlowDisk => self.slots[slot].sync_ms = 600,
             Event::Heal => self.heal(),
-            _ => unreachable!("not a trouble"),
+            _ => unreachable!("not a fault"),
         }
     }
 
--- a/batch/tests/simulation/oracle.rs
+++ b/batch/tests/simulation/oracle.rs
@@ -188,8 +188,8 @@
         );
         match result.state {
             ResultState::Completed => {
-                let whole = backends::text(&result.id, usize::MAX);
-                assert_eq!(result.text, whole, "MIXED: not the whole output");
+                let complete = backends::text(&result.id, usize::MAX);
+                assert_eq!(result.text, complete, "MIXED: incomplete output");
                 assert!(
                     item.finished,
                     "MIXED: completed without a run that was finished"
@@ -200,7 +200,7 @@
                 let is_dead = item.rejected || item.failures >= MAX_ATTEMPTS;
                 assert!(
                     is_old || is_dead || self.end_requested,
-                    "MIXED: {} of {id} was given up early",
+                    "MIXED: {} of {id} was abandoned early",
                     result.id
                 );
             }
