--- a/alderhollow/src/store/replication.rs
+++ b/alderhollow/src/store/replication.rs
@@ -34,7 +34,7 @@
     };
     entries.iter().filter_map(|entry| match entry {
         Entry::JobAccepted(job) => Some(&job.id),
-        Entry::WholeJob(job) => Some(&job.accepted.id),
+        Entry::FullJob(job) => Some(&job.accepted.id),
         _ => None,
     })
 }
@@ -46,6 +46,6 @@
         Message::Differences { .. }
         | Message::Acknowledge { .. }
         | Message::NotFollowing { .. }
-        | Message::Refused { .. } => false,
+        | Message::Rejected { .. } => false,
     }
 }
--- a/batch/src/counts.rs
+++ b/batch/src/counts.rs
@@ -1,16 +1,17 @@
-//! Counts of what an engine did in its life, for its driver to publish. They steer nothing.
+//! Event counts of an engine since its process started, which the driver publishes as metrics. No decision depends on
+//! them.
 
 use std::ops::{Add, Sub};
 
-/// What replication did.
+/// Event counts of replication.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct ReplicationCounts {
-    /// Times that a store's answer was late and the primary began to send again.
+    /// Number of retransmissions because a store's answer was late.
     pub retries: u64,
-    /// Comparisons of all jobs with another store that were begun.
+    /// Number of full comparisons of all jobs with another store that were started.
     pub comparisons: u64,
-    /// Streams to stores that held back too many records.
-    pub streams_given_up: u64,
+    /// Number of streams abandoned because the log retained too many records for the lagging store.
+    pub streams_abandoned: u64,
 }
 
 impl Add for ReplicationCounts {
@@ -20,7 +21,7 @@
         ReplicationCounts {
             retries: self.retries + other.retries,
             comparisons: self.comparisons + other.comparisons,
-            streams_given_up: self.streams_given_up + other.streams_given_up,
+            streams_abandoned: self.streams_abandoned + other.streams_abandoned,
         }
     }
 }
@@ -32,19 +33,19 @@
         ReplicationCounts {
             retries: self.retries.saturating_sub(earlier.retries),
             comparisons: self.comparisons.saturating_sub(earlier.comparisons),
-            streams_given_up: self
-                .streams_given_up
-                .saturating_sub(earlier.streams_given_up),
+            streams_abandoned: self
+                .streams_abandoned
+                .saturating_sub(earlier.streams_abandoned),
         }
     }
 }
 
-/// What an engine did.
+/// Event counts of an engine.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct EngineCounts {
-    /// Items that got a result here, whether it was committed or not.
+    /// Items for which this store appended a result, whether it was committed or not.
     pub items_listed: u64,
-    /// Its part in replication.
+    /// Event counts of its replication.
     pub replication: ReplicationCounts,
 }
 
--- a/batch/src/engine/calls.rs
+++ b/batch/src/engine/calls.rs
@@ -1,145 +1,172 @@
-//! What clients ask for.
+//! Operations of clients: submit or offer a job, read results, fetch an item's body, end a job.
+//!
+//! Invariant: a submission attempt that was rejected as over quota is never accepted later, also if a delayed copy of
+//! it arrives after capacity became free.
 
 use super::commits::{Change, JobView};
 use super::Engine;
 use crate::api::{
-    BodyAnswer, EndAnswer, JobOffer, ListedResult, Offered, Output, ReadAnswer, Submitted, TryId,
+    BodyOutcome, EndOutcome, JobOffer, ListedResult, OfferOutcome, Output, ReadOutcome,
+    SubmissionAttemptId, SubmitOutcome,
 };
 use crate::job::{Job, JobId, NewJob};
 use crate::records::Entry;
 use std::collections::HashSet;
 
-/// Most items of a job.
-pub(super) const MOST_ITEMS: usize = 200;
-/// Longest id of a job or an item.
-pub(super) const LONGEST_ID: usize = 256;
-/// How long a refused try is remembered: longer than any copy of it can be late.
-const REFUSED_MEMORY_MS: u64 = 60_000;
-/// Most refused tries that are remembered.
-const REFUSED_TRIES: usize = 20_000;
-/// Bytes of a result in JSON beside its id and text.
+/// Maximum number of items in a job.
+pub(super) const MAX_ITEMS: usize = 200;
+/// Maximum length of the id of a job or an item, in bytes.
+pub(super) const MAX_ID_BYTES: usize = 256;
+/// How long a rejected submission attempt is remembered. It exceeds the maximum delay of a copy of the attempt.
+const REJECTION_RETENTION_MS: u64 = 60_000;
+/// Maximum number of remembered rejected attempts. No new job is decided on beyond it.
+const MAX_REJECTED_ATTEMPTS: usize = 20_000;
+/// Bytes of a result in JSON apart from its id and text.
 const RESULT_JSON_BYTES: usize = 48;
 
 impl Engine {
-    /// A client hands in a job, at a try that the gateway has named.
+    /// Submits a job under an attempt id chosen by the gateway.
     ///
-    /// The same job is told by its id alone. Under a limit of [`Engine::set_quota_limit`], a job that does not fit is
-    /// answered [`Submitted::NotSure`]: only the route's coordinator can tell whether it is over quota.
-    pub fn submit(&mut self, now_ms: u64, try_id: TryId, mut job: NewJob) -> Submitted {
+    /// Jobs are identified by their id alone. If a limit of [`Engine::set_quota_limit`] applies, a job that exceeds it
+    /// is answered with [`SubmitOutcome::NotSure`]: only the route's coordinator can decide that it is over quota.
+    pub fn submit(
+        &mut self,
+        now_ms: u64,
+        attempt_id: SubmissionAttemptId,
+        mut job: NewJob,
+    ) -> SubmitOutcome {
         self.now_ms = now_ms;
         if let Some(answer) = self.answer_before_quota(now_ms, &job) {
             return answer;
         }
-        if self.refused.contains_key(&try_id) {
-            return self.remember_refusal(try_id);
+        if self.rejected_attempts.contains_key(&attempt_id) {
+            return self.remember_rejection(attempt_id);
         }
         if self.would_fit(&job.route, job.tokens()) {
             job.config_version = self.config_version;
             return self.accept(job);
         }
         if self.quota_limits.contains_key(&job.route) {
-            return Submitted::NotSure;
+            return SubmitOutcome::NotSure;
         }
-        self.remember_refusal(try_id)
+        self.remember_rejection(attempt_id)
     }
 
-    /// The route's coordinator refused a job that a client handed in: it is answered as over quota and the try is
-    /// remembered, unless the job has become known in the meantime or this store is not sure any more.
-    pub fn refuse(&mut self, now_ms: u64, try_id: TryId, job: &NewJob) -> Submitted {
+    /// Rejects a submitted job as decided by the route's coordinator and remembers the attempt, unless the job was
+    /// accepted in the meantime or this store is no longer the validated primary.
+    pub fn reject(
+        &mut self,
+        now_ms: u64,
+        attempt_id: SubmissionAttemptId,
+        job: &NewJob,
+    ) -> SubmitOutcome {
         self.now_ms = now_ms;
         match self.answer_before_quota(now_ms, job) {
             Some(answer) => answer,
-            None => self.remember_refusal(try_id),
+            None => self.remember_rejection(attempt_id),
         }
     }
 
-    /// The answer to a job that does not depend on the tokens that wait, if there is one.
-    fn answer_before_quota(&self, now_ms: u64, job: &NewJob) -> Option<Submitted> {
+    /// Outcome of a submission that does not depend on the queued tokens, if there is one.
+    fn answer_before_quota(&self, now_ms: u64, job: &NewJob) -> Option<SubmitOutcome> {
         if !self.node.is_leader() {
-            return Some(Submitted::NotPrimary);
+            return Some(SubmitOutcome::NotPrimary);
         }
         if let Some(view) = self.views.get(&job.id) {
             return Some(
                 view.accept_token
-                    .map_or(Submitted::AlreadyAccepted, Submitted::Pending),
+                    .map_or(SubmitOutcome::AlreadyAccepted, SubmitOutcome::Pending),
             );
         }
         if !is_valid(job) {
-            return Some(Submitted::Invalid);
+            return Some(SubmitOutcome::Invalid);
         }
-        (!self.may_decide(now_ms, &job.route)).then_some(Submitted::NotSure)
+        (!self.may_decide(now_ms, &job.route)).then_some(SubmitOutcome::NotSure)
     }
 
-    /// Whether a job of a route can be taken or refused now.
+    /// Whether a job of this route can be accepted or rejected now.
     fn may_decide(&self, now_ms: u64, route: &str) -> bool {
-        let may_accept =
-            self.disk_ready && !self.is_overloaded(now_ms) && self.refused.len() < REFUSED_TRIES;
-        self.is_sure(now_ms) && may_accept && self.routes.contains_key(route)
+        let may_accept = self.disk_ready
+            && !self.is_overloaded(now_ms)
+            && self.rejected_attempts.len() < MAX_REJECTED_ATTEMPTS;
+        self.is_validated_primary(now_ms) && may_accept && self.routes.contains_key(route)
     }
 
-    /// A gateway asks whether a job would be taken, before it sends the job itself, which is large. An offer without tokens
-    /// asks only whether the job is known: it is never refused for want of room, so that nothing is remembered of it.
-    pub fn offer(&mut self, now_ms: u64, try_id: TryId, offer: &JobOffer) -> Offered {
+    /// Answers a gateway's question whether a job would be accepted, before the gateway sends the job with its large
+    /// bodies. An offer of 0 tokens asks only whether the job is known: it is never rejected as over quota, and its
+    /// attempt is not remembered.
+    pub fn offer(
+        &mut self,
+        now_ms: u64,
+        attempt_id: SubmissionAttemptId,
+        offer: &JobOffer,
+    ) -> OfferOutcome {
         self.now_ms = now_ms;
         if let Some(answer) = self.answer_offer_before_quota(offer) {
             return answer;
         }
-        if self.refused.contains_key(&try_id) {
-            self.remember_refusal(try_id);
-            return Offered::OverQuota;
+        if self.rejected_attempts.contains_key(&attempt_id) {
+            self.remember_rejection(attempt_id);
+            return OfferOutcome::OverQuota;
         }
         if offer.tokens == 0 || self.would_fit(offer.route, offer.tokens) {
-            return Offered::Welcome;
+            return OfferOutcome::Welcome;
         }
         if self.quota_limits.contains_key(offer.route) {
-            return Offered::BeyondLimit;
+            return OfferOutcome::BeyondLimit;
         }
-        self.remember_refusal(try_id);
-        Offered::OverQuota
+        self.remember_rejection(attempt_id);
+        OfferOutcome::OverQuota
     }
 
-    /// The route's coordinator refused a job that was offered; as [`Engine::refuse`].
-    pub fn refuse_offer(&mut self, now_ms: u64, try_id: TryId, offer: &JobOffer) -> Offered {
+    /// Rejects an offered job as decided by the route's coordinator; see [`Engine::reject`].
+    pub fn reject_offer(
+        &mut self,
+        now_ms: u64,
+        attempt_id: SubmissionAttemptId,
+        offer: &JobOffer,
+    ) -> OfferOutcome {
         self.now_ms = now_ms;
         if let Some(answer) = self.answer_offer_before_quota(offer) {
             return answer;
         }
-        self.remember_refusal(try_id);
-        Offered::OverQuota
+        self.remember_rejection(attempt_id);
+        OfferOutcome::OverQuota
     }
 
-    /// The answer to an offer that does not depend on the tokens that wait, if there is one.
-    fn answer_offer_before_quota(&self, offer: &JobOffer) -> Option<Offered> {
+    /// Outcome of an offer that does not depend on the queued tokens, if there is one.
+    fn answer_offer_before_quota(&self, offer: &JobOffer) -> Option<OfferOutcome> {
         if !self.node.is_leader() {
-            return Some(Offered::NotPrimary);
+            return Some(OfferOutcome::NotPrimary);
         }
         if let Some(view) = self.views.get(offer.id) {
             let is_accepted = view.accept_token.is_none();
             return Some(if is_accepted {
-                Offered::AlreadyAccepted
+                OfferOutcome::AlreadyAccepted
             } else {
-                Offered::NotSure
+                OfferOutcome::NotSure
             });
         }
-        (!self.may_decide(self.now_ms, offer.route)).then_some(Offered::NotSure)
+        (!self.may_decide(self.now_ms, offer.route)).then_some(OfferOutcome::NotSure)
     }
 
-    /// A try was refused: no late copy of it is accepted.
-    fn remember_refusal(&mut self, try_id: TryId) -> Submitted {
-        self.refused.insert(try_id, self.now_ms + REFUSED_MEMORY_MS);
-        Submitted::OverQuota
+    /// Remembers a rejected attempt, so that no delayed copy of it is accepted.
+    fn remember_rejection(&mut self, attempt_id: SubmissionAttemptId) -> SubmitOutcome {
+        self.rejected_attempts
+            .insert(attempt_id, self.now_ms + REJECTION_RETENTION_MS);
+        SubmitOutcome::OverQuota
     }
 
-    /// Takes a job that fits.
-    fn accept(&mut self, job: NewJob) -> Submitted {
+    /// Appends a job that is within the limit. The outcome is pending until the record is committed.
+    fn accept(&mut self, job: NewJob) -> SubmitOutcome {
         let id = job.id.clone();
         let entry = Entry::JobAccepted(job);
         let bytes = entry.approximate_bytes();
         let Some(index) = self.node.append(self.now_ms, entry) else {
-            return Submitted::NotSure;
+            return SubmitOutcome::NotSure;
         };
         if let Some(job) = self.node.state().jobs.get(&id) {
-            self.ledger.add(job);
+            self.token_counts.add(job);
         }
         let token = self.new_token();
         self.views.insert(
@@ -149,31 +176,32 @@
                 ..JobView::default()
             },
         );
-        self.note_job_taken(bytes);
+        self.record_job_accepted(bytes);
         self.await_commit(index, id, Change::Accepted { bytes });
-        Submitted::Pending(token)
+        SubmitOutcome::Pending(token)
     }
 
-    /// A client reads results from a position on; at most `max_bytes` of JSON, or one result.
-    pub fn read(&self, now_ms: u64, job: &JobId, after: u32, max_bytes: usize) -> ReadAnswer<'_> {
+    /// Reads committed results from position `after` on: at most `max_bytes` of JSON, but at least one result if there
+    /// is one.
+    pub fn read(&self, now_ms: u64, job: &JobId, after: u32, max_bytes: usize) -> ReadOutcome<'_> {
         if !self.node.is_leader() {
-            return ReadAnswer::NotPrimary;
+            return ReadOutcome::NotPrimary;
         }
         let Some((view, job)) = self.accepted(job) else {
-            let unknown = self.is_sure(now_ms) && !self.views.contains_key(job);
+            let unknown = self.is_validated_primary(now_ms) && !self.views.contains_key(job);
             return if unknown {
-                ReadAnswer::NotFound
+                ReadOutcome::NotFound
             } else {
-                ReadAnswer::NotSure
+                ReadOutcome::NotSure
             };
         };
-        if after >= view.visible && !self.is_sure(now_ms) {
-            return ReadAnswer::NotSure;
+        if after >= view.visible && !self.is_validated_primary(now_ms) {
+            return ReadOutcome::NotSure;
         }
         let results = listed(view, job, after, max_bytes);
         let total = job.accepted.items.len() as u32;
         let next = after.saturating_add(results.len() as u32);
-        ReadAnswer::Results {
+        ReadOutcome::Results {
             total,
             next,
             results,
@@ -181,50 +209,50 @@
         }
     }
 
-    /// A client asks for the body of an item.
-    pub fn body(&self, now_ms: u64, job: &JobId, item_id: &str) -> BodyAnswer<'_> {
+    /// Reads the request body of an item that has no result yet.
+    pub fn body(&self, now_ms: u64, job: &JobId, item_id: &str) -> BodyOutcome<'_> {
         if !self.node.is_leader() {
-            return BodyAnswer::NotPrimary;
+            return BodyOutcome::NotPrimary;
         }
         let Some((_, job)) = self.accepted(job) else {
-            let unknown = self.is_sure(now_ms) && !self.views.contains_key(job);
+            let unknown = self.is_validated_primary(now_ms) && !self.views.contains_key(job);
             return if unknown {
-                BodyAnswer::NotFound
+                BodyOutcome::NotFound
             } else {
-                BodyAnswer::NotSure
+                BodyOutcome::NotSure
             };
         };
         let item = job.accepted.items.iter().find(|item| item.id == item_id);
         match item.and_then(|item| item.request.as_ref()) {
-            Some(request) => BodyAnswer::Body(&request.body),
-            None => BodyAnswer::NotFound,
+            Some(request) => BodyOutcome::Body(&request.body),
+            None => BodyOutcome::NotFound,
         }
     }
 
-    /// A client ends a job. Nothing more of it is started from now on.
-    pub fn end(&mut self, now_ms: u64, job: &JobId) -> EndAnswer {
+    /// Ends a job: cancels its runs and starts no more. The outcome is pending until the record is committed.
+    pub fn end(&mut self, now_ms: u64, job: &JobId) -> EndOutcome {
         self.now_ms = now_ms;
         if !self.node.is_leader() {
-            return EndAnswer::NotPrimary;
+            return EndOutcome::NotPrimary;
         }
         let Some(view) = self.views.get(job) else {
-            return if self.is_sure(now_ms) {
-                EndAnswer::NotFound
+            return if self.is_validated_primary(now_ms) {
+                EndOutcome::NotFound
             } else {
-                EndAnswer::NotSure
+                EndOutcome::NotSure
             };
         };
         if view.ended {
-            return EndAnswer::AlreadyEnded;
+            return EndOutcome::AlreadyEnded;
         }
         if let Some(token) = view.end_token {
-            return EndAnswer::Pending(token);
+            return EndOutcome::Pending(token);
         }
         let entry = Entry::JobEnded(job.clone());
         let Some(index) = self.node.append(now_ms, entry) else {
-            return EndAnswer::NotSure;
+            return EndOutcome::NotSure;
         };
-        self.ledger.remove(job);
+        self.token_counts.remove(job);
         let runs = self.work.close(job);
         self.outputs.extend(runs.into_iter().map(Output::CancelRun));
         let token = self.new_token();
@@ -232,29 +260,29 @@
             view.end_token = Some(token);
         }
         self.await_commit(index, job.clone(), Change::Ended);
-        EndAnswer::Pending(token)
+        EndOutcome::Pending(token)
     }
 
-    /// A job whose acceptance is committed.
+    /// Looks up a job whose acceptance is committed.
     fn accepted(&self, id: &JobId) -> Option<(&JobView, &Job)> {
         let view = self.views.get(id).filter(|view| view.accepted)?;
         Some((view, self.node.state().jobs.get(id)?))
     }
 }
 
-/// Whether a job keeps the bounds.
+/// Whether a job has between 1 and [`MAX_ITEMS`] items with valid, distinct ids and requests.
 fn is_valid(job: &NewJob) -> bool {
     let count = job.items.len();
     let ids: HashSet<&str> = job.items.iter().map(|item| item.id.as_str()).collect();
-    let is_id = |id: &str| !id.is_empty() && id.len() <= LONGEST_ID;
+    let is_id = |id: &str| !id.is_empty() && id.len() <= MAX_ID_BYTES;
     let items_valid = job
         .items
         .iter()
         .all(|item| is_id(&item.id) && item.request.is_some());
-    is_id(&job.id.0) && (1..=MOST_ITEMS).contains(&count) && ids.len() == count && items_valid
+    is_id(&job.id.0) && (1..=MAX_ITEMS).contains(&count) && ids.len() == count && items_valid
 }
 
-/// The readable results of a job from a position on, up to a size in JSON.
+/// Committed results of a job from position `after` on, up to `max_bytes` of JSON but at least one.
 fn listed<'a>(view: &JobView, job: &'a Job, after: u32, max_bytes: usize) -> Vec<ListedResult<'a>> {
     let mut listed = Vec::new();
     let mut bytes = 0;
@@ -280,7 +308,7 @@
     listed
 }
 
-/// Bytes of a text as a JSON string, at most.
+/// Upper bound of the size of a text as a JSON string, in bytes.
 fn json_bytes(text: &str) -> usize {
     let escaped = |byte: u8| match byte {
         b'\n' | b'\r' | b'\t' | b'"' | b'\\' => 2,
--- a/batch/src/engine/runs.rs
+++ b/batch/src/engine/runs.rs
@@ -1,22 +1,25 @@
-//! Runs of items, and what ends an item without one.
+//! Runs of items at backends, and items that end without a run: abandoned by retention, by a removed route or by too
+//! many failures.
+//!
+//! Invariant: a run starts only while this store is the validated active primary, and an item gets exactly one result.
 
 use super::commits::Change;
 use super::Engine;
 use crate::api::{ItemStart, Output, Resume, RunEnd, RunId};
 use crate::job::{ItemResult, JobId, ResultState};
 use crate::records::Entry;
-use crate::work::{ItemKey, OverRun, Turn};
+use crate::work::{EndedRun, ItemKey, Turn};
 
-/// Pause after a failed attempt; it grows with each one.
-const FAILURE_PAUSE_MS: u64 = 200;
-/// How much older than needed something must be before it is given up or forgotten, for what clocks round.
+/// Backoff after a failed attempt, multiplied by the number of failures.
+const FAILURE_BACKOFF_MS: u64 = 200;
+/// Margin added to an age limit before an item is abandoned or a job forgotten, for rounding of clocks.
 const AGE_MARGIN_MS: u64 = 100;
 
 impl Engine {
-    /// Routes with items that wait for a run.
+    /// Configured routes with items that are ready to run.
     pub fn routes_with_work(&mut self, now_ms: u64) -> Vec<String> {
         self.work.wake(now_ms);
-        if !self.is_sure(now_ms) {
+        if !self.is_validated_primary(now_ms) {
             return Vec::new();
         }
         self.work
@@ -26,40 +29,44 @@
             .collect()
     }
 
-    /// The turn of the next of the ready items of a route, on the steady clock.
+    /// Priority of the ready item of a route that runs next; times are on the monotonic clock of this process.
     pub fn first_turn(&self, now_ms: u64, route: &str) -> Option<Turn> {
         self.work.first_turn(route, now_ms)
     }
 
-    /// Items of a route to start now, at most `max` and what the congestion window leaves, in the order of their turns. They
-    /// count as running from now on; each must come back by [`Engine::run_ended`] unless it is cancelled.
+    /// Takes items of a route to start now, in order of priority: at most `max`, and at most what the congestion
+    /// window allows. They count as running from now on. The driver must call [`Engine::run_ended`] for each that is
+    /// not cancelled.
     pub fn take_work(&mut self, now_ms: u64, route: &str, max: usize) -> Vec<ItemStart> {
         self.now_ms = now_ms;
         self.work.wake(now_ms);
         let mut starts = Vec::new();
-        if !self.is_sure(now_ms) || !self.routes.contains_key(route) {
+        if !self.is_validated_primary(now_ms) || !self.routes.contains_key(route) {
             return starts;
         }
         self.adapt_windows();
-        let room = self.windows.runs.room(self.in_flight());
-        while starts.len() < max.min(room) {
+        let available = self.windows.runs.available(self.in_flight());
+        while starts.len() < max.min(available) {
             let Some(key) = self.work.first_ready(route, now_ms).cloned() else {
                 break;
             };
             match self.start(&key) {
                 Some(start) => starts.push(start),
-                // Without a request there is nothing to run; it must not stand in the way of the others.
+                // An item without a request cannot run, and must not block the others.
                 None => drop(self.work.finish(&key)),
             }
         }
-        self.windows.runs.note_begun(starts.len());
-        if starts.len() == room && room < max && self.work.first_ready(route, now_ms).is_some() {
-            self.windows.runs.note_limit();
+        self.windows.runs.record_started(starts.len());
+        if starts.len() == available
+            && available < max
+            && self.work.first_ready(route, now_ms).is_some()
+        {
+            self.windows.runs.record_limited();
         }
         starts
     }
 
-    /// Starts a run of an item.
+    /// Starts a run of an item; `None` if its request or its route is missing.
     fn start(&mut self, key: &ItemKey) -> Option<ItemStart> {
         let job = self.node.state().jobs.get(&key.job)?;
         let item = job.accepted.items.get(key.item as usize)?;
@@ -78,17 +85,17 @@
             due_ms: job
                 .first_sent_ms
                 .saturating_add_unsigned(terms.run_target_ms),
-            given_up_ms: job
+            abandon_at_ms: job
                 .first_sent_ms
                 .saturating_add_unsigned(terms.retention_ms),
             resume: open.resume.clone(),
         })
     }
 
-    /// A run has ended. Runs that were cancelled are ignored.
+    /// Handles the end of a run. Cancelled runs are ignored.
     pub fn run_ended(&mut self, now_ms: u64, run: RunId, end: RunEnd) {
         self.now_ms = now_ms;
-        let Some(OverRun {
+        let Some(EndedRun {
             item: key,
             lasted_ms,
         }) = self.work.end_run(run, now_ms)
@@ -96,24 +103,24 @@
             return;
         };
         if matches!(end, RunEnd::Completed { .. }) {
-            self.work.note_completed(lasted_ms);
+            self.work.record_completed(lasted_ms);
         }
         match end {
-            RunEnd::Completed { text } => self.list_one(key, ResultState::Completed, text),
-            RunEnd::Rejected => self.list_one(key, ResultState::DeadLetter, String::new()),
+            RunEnd::Completed { text } => self.append_result(&key, ResultState::Completed, text),
+            RunEnd::Rejected => self.append_result(&key, ResultState::DeadLetter, String::new()),
             RunEnd::Failed => self.attempt_failed(key),
-            RunEnd::NotRun { retry_after_ms } => self.work.pause(key, now_ms + retry_after_ms),
-            RunEnd::Cut {
+            RunEnd::NotRun { retry_after_ms } => self.work.back_off(key, now_ms + retry_after_ms),
+            RunEnd::Interrupted {
                 resume,
                 retry_after_ms,
             } => {
-                self.note_resume(&key, resume);
-                self.work.pause(key, now_ms + retry_after_ms);
+                self.record_resume(&key, resume);
+                self.work.back_off(key, now_ms + retry_after_ms);
             }
         }
     }
 
-    /// A backend answered 500.
+    /// Handles a failed attempt: schedules a retry, or abandons the item at the route's limit of attempts.
     fn attempt_failed(&mut self, key: ItemKey) {
         let job = self.node.state().jobs.get(&key.job);
         let terms = job.and_then(|job| self.routes.get(&job.accepted.route));
@@ -124,14 +131,14 @@
         item.failures += 1;
         let failures = item.failures;
         if max_attempts.is_some_and(|max_attempts| failures >= max_attempts) {
-            return self.list_one(key, ResultState::DeadLetter, String::new());
+            return self.append_result(&key, ResultState::DeadLetter, String::new());
         }
         self.work
-            .pause(key, self.now_ms + FAILURE_PAUSE_MS * u64::from(failures));
+            .back_off(key, self.now_ms + FAILURE_BACKOFF_MS * u64::from(failures));
     }
 
-    /// Keeps the furthest position of an item's runs.
-    fn note_resume(&mut self, key: &ItemKey, resume: Option<Resume>) {
+    /// Records the furthest resume position of an item's runs.
+    fn record_resume(&mut self, key: &ItemKey, resume: Option<Resume>) {
         let Some(item) = self.work.item_mut(key) else {
             return;
         };
@@ -141,25 +148,25 @@
         }
     }
 
-    /// Lists the result of one item.
-    fn list_one(&mut self, key: ItemKey, state: ResultState, text: String) {
+    /// Appends the result of one item.
+    fn append_result(&mut self, key: &ItemKey, state: ResultState, text: String) {
         let result = ItemResult {
             item: key.item,
             state,
             text,
         };
-        self.list(&key.job, vec![result]);
+        self.append_results(&key.job, vec![result]);
     }
 
-    /// Lists results of a job, at the next positions. Runs of these items are cancelled.
-    fn list(&mut self, id: &JobId, results: Vec<ItemResult>) {
+    /// Appends results of a job at the next positions and cancels the runs of these items.
+    fn append_results(&mut self, id: &JobId, results: Vec<ItemResult>) {
         for result in &results {
             let run = self.work.finish(&ItemKey {
                 job: id.clone(),
                 item: result.item,
             });
             self.outputs.extend(run.map(Output::CancelRun));
-            self.ledger.finish(id, result.item);
+            self.token_counts.finish(id, result.item);
         }
         let Some(job) = self.node.state().jobs.get(id).filter(|job| !job.ended) else {
             return;
@@ -185,9 +192,9 @@
         }
     }
 
-    /// Gives items up whose time or route is over, and forgets jobs.
+    /// Abandons the items of jobs whose retention has passed or whose route was removed, and forgets old jobs.
     pub(super) fn sweep(&mut self) {
-        if !self.is_sure(self.now_ms) {
+        if !self.is_validated_primary(self.now_ms) {
             return;
         }
         let accepted = self.views.iter().filter(|(_, view)| view.accepted);
@@ -195,20 +202,21 @@
         for id in ids {
             if self.may_forget(&id) {
                 self.forget(&id);
-            } else if self.must_give_up(&id) {
+            } else if self.must_abandon(&id) {
                 let give_up = |item| ItemResult {
                     item,
                     state: ResultState::DeadLetter,
                     text: String::new(),
                 };
                 let results = self.work.open_items(&id).into_iter().map(give_up).collect();
-                self.list(&id, results);
+                self.append_results(&id, results);
             }
         }
     }
 
-    /// Whether a job's open items are to be given up: it is too old, or its route was removed after its acceptance.
-    fn must_give_up(&self, id: &JobId) -> bool {
+    /// Whether a job's open items must be abandoned: its retention has passed, or its route was removed after its
+    /// acceptance.
+    fn must_abandon(&self, id: &JobId) -> bool {
         let Some(job) = self.node.state().jobs.get(id) else {
             return false;
         };
@@ -220,7 +228,7 @@
         }
     }
 
-    /// Whether a job's time is over, with all that was to come of it committed.
+    /// Whether a job is older than the status time and all of its results, or its end, are committed.
     fn may_forget(&self, id: &JobId) -> bool {
         let Some((view, job)) = self.views.get(id).zip(self.node.state().jobs.get(id)) else {
             return false;
@@ -230,12 +238,12 @@
         is_old && is_closed
     }
 
-    /// Forgets a job.
+    /// Deletes a job from this store and, by a record, from the others.
     fn forget(&mut self, id: &JobId) {
         self.node
             .append(self.now_ms, Entry::JobForgotten(id.clone()));
         self.views.remove(id);
-        self.ledger.remove(id);
+        self.token_counts.remove(id);
         let runs = self.work.close(id);
         self.outputs.extend(runs.into_iter().map(Output::CancelRun));
     }
--- a/batch/src/state.rs
+++ b/batch/src/state.rs
@@ -1,37 +1,38 @@
-//! The fold of a store's entries: its jobs, and its marks in the replication.
+//! State of a store: its jobs and its replication progress, built by applying the entries of the journal. Owned by
+//! [`GroupNode`](crate::group::GroupNode).
 
+use crate::codec::{append_to_snapshot, decode_snapshot, DecodeError};
 use crate::job::{Job, JobId};
-use crate::message::StreamId;
-use crate::records::{decode_all, encode_next, DecodeError, Entry, SessionId};
+use crate::records::{Entry, SessionId, StreamId};
 use std::collections::BTreeMap;
 
-/// What a store must remember of the replication over restarts.
+/// Replication state that a store must not lose on a restart. Each value only increases.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
-pub struct Marks {
-    /// The greatest stream that it followed.
+pub struct ReplicationProgress {
+    /// Greatest stream that this store followed.
     pub following: StreamId,
-    /// Its newest session as a primary.
+    /// Newest session of this store as a primary.
     pub session: SessionId,
-    /// The newest epoch in which it equalled the primary.
+    /// Newest epoch in which this store was in sync with the primary.
     pub synced_epoch: u64,
-    /// The newest epoch that it knows to have been active.
+    /// Newest epoch that this store knows to have been active.
     pub active_epoch: u64,
 }
 
-/// A store's jobs and marks.
+/// The jobs of a store and its replication progress.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct State {
-    /// The jobs by id.
+    /// Jobs by id.
     pub jobs: BTreeMap<JobId, Job>,
-    /// See [`Marks`].
-    pub marks: Marks,
+    /// See [`ReplicationProgress`].
+    pub progress: ReplicationProgress,
 }
 
 impl State {
-    /// The state in a snapshot and the records after it.
+    /// Restores the state from a snapshot and the records after it.
     ///
     /// # Errors
-    /// The snapshot or a record cannot be read.
+    /// The snapshot or a record cannot be decoded.
     pub fn restore(
         now_ms: u64,
         snapshot: Option<&[u8]>,
@@ -39,7 +40,7 @@
     ) -> Result<State, DecodeError> {
         let mut state = State::default();
         if let Some(bytes) = snapshot {
-            for entry in decode_all(bytes)? {
+            for entry in decode_snapshot(bytes)? {
                 state.apply_and_release(now_ms, entry)?;
             }
         }
@@ -49,24 +50,25 @@
         Ok(state)
     }
 
-    /// All that is needed to restore the state.
+    /// Encodes the state as a snapshot for [`State::restore`].
     pub fn snapshot(&self, now_ms: u64) -> Vec<u8> {
         let mut bytes = Vec::new();
-        encode_next(&mut bytes, &Entry::Following(self.marks.following));
-        encode_next(&mut bytes, &Entry::SessionStarted(self.marks.session));
-        encode_next(&mut bytes, &Entry::Synced(self.marks.synced_epoch));
-        encode_next(&mut bytes, &Entry::Active(self.marks.active_epoch));
+        append_to_snapshot(&mut bytes, &Entry::Following(self.progress.following));
+        append_to_snapshot(&mut bytes, &Entry::SessionStarted(self.progress.session));
+        append_to_snapshot(&mut bytes, &Entry::Synced(self.progress.synced_epoch));
+        append_to_snapshot(&mut bytes, &Entry::Active(self.progress.active_epoch));
         for job in self.jobs.values() {
-            encode_next(&mut bytes, &whole_job(job, now_ms));
+            append_to_snapshot(&mut bytes, &full_job_entry(job, now_ms));
         }
         bytes
     }
 
-    /// Applies one entry, or nothing of it if it can't follow. What was applied before changes nothing, and what concerns an unknown job is passed over: a
-    /// primary streams whole jobs and then the records since, some of which the whole jobs contain already.
+    /// Applies an entry. An entry that was applied before has no effect, and one about an unknown job is ignored: a
+    /// primary streams full copies of jobs and then the records since the start of the stream, some of which are
+    /// already part of the full copies.
     ///
     /// # Errors
-    /// The entry cannot follow what was applied; nothing of it is.
+    /// The entry contradicts the state. The state is then unchanged.
     pub fn apply(&mut self, now_ms: u64, entry: Entry) -> Result<(), DecodeError> {
         match entry {
             Entry::JobAccepted(accepted) => {
@@ -83,7 +85,7 @@
                 let Some(known) = self.jobs.get_mut(&job) else {
                     return Ok(());
                 };
-                if !known.list(position, results) {
+                if !known.append_results(position, results) {
                     return Err(DecodeError::Inconsistent(job));
                 }
             }
@@ -96,29 +98,38 @@
             Entry::JobForgotten(job) => {
                 self.jobs.remove(&job);
             }
-            Entry::WholeJob(mut job) => {
+            Entry::FullJob(mut job) => {
                 if !job.after_decoding(now_ms) {
                     return Err(DecodeError::Inconsistent(job.accepted.id));
                 }
                 self.jobs.insert(job.accepted.id.clone(), job);
             }
-            Entry::Following(stream) => self.marks.following = self.marks.following.max(stream),
-            Entry::SessionStarted(session) => self.marks.session = self.marks.session.max(session),
-            Entry::Synced(epoch) => self.marks.synced_epoch = self.marks.synced_epoch.max(epoch),
-            Entry::Active(epoch) => self.marks.active_epoch = self.marks.active_epoch.max(epoch),
+            Entry::Following(stream) => {
+                self.progress.following = self.progress.following.max(stream);
+            }
+            Entry::SessionStarted(session) => {
+                self.progress.session = self.progress.session.max(session);
+            }
+            Entry::Synced(epoch) => {
+                self.progress.synced_epoch = self.progress.synced_epoch.max(epoch);
+            }
+            Entry::Active(epoch) => {
+                self.progress.active_epoch = self.progress.active_epoch.max(epoch);
+            }
         }
         Ok(())
     }
 
-    /// Applies one entry and drops the requests of the items that it lists. A primary must keep these until the results
-    /// are committed; the others give them up at once, as whoever leads later has the results.
+    /// Applies an entry and drops the requests of the items that got a result. Only the primary must keep these
+    /// requests until the results are committed; other stores drop them at once, because a later primary has the
+    /// results.
     ///
     /// # Errors
-    /// The entry cannot follow what was applied; nothing of it is.
+    /// The entry contradicts the state. The state is then unchanged.
     pub fn apply_and_release(&mut self, now_ms: u64, entry: Entry) -> Result<(), DecodeError> {
         let listing = match &entry {
             Entry::ItemResults { job, position, .. } => Some((job.clone(), *position as usize)),
-            Entry::WholeJob(job) => Some((job.accepted.id.clone(), 0)),
+            Entry::FullJob(job) => Some((job.accepted.id.clone(), 0)),
             _ => None,
         };
         self.apply(now_ms, entry)?;
@@ -130,15 +141,18 @@
         Ok(())
     }
 
-    /// The newest epoch that stands in the marks.
+    /// Newest epoch that this store followed or led.
     pub fn newest_epoch(&self) -> u64 {
-        self.marks.following.epoch.max(self.marks.session.epoch)
+        self.progress
+            .following
+            .epoch
+            .max(self.progress.session.epoch)
     }
 }
 
-/// A job as an entry, with its age at this moment.
-pub fn whole_job(job: &Job, now_ms: u64) -> Entry {
+/// Entry with a full copy of a job and its age at `now_ms`.
+pub fn full_job_entry(job: &Job, now_ms: u64) -> Entry {
     let mut copy = job.clone();
     copy.accepted.age_ms = job.age_ms(now_ms);
-    Entry::WholeJob(copy)
+    Entry::FullJob(copy)
 }
--- a/batch/tests/codec.rs
+++ b/batch/tests/codec.rs
@@ -1,13 +1,14 @@
-//! Entries and messages as bytes: what is encoded comes back, and no bytes end the process.
+//! Binary format of entries and messages: values round-trip, and no input panics.
 
+use alderhollow_batch::codec::{append_to_snapshot, decode_snapshot, DecodeError};
 use alderhollow_batch::job::{
     Header, Item, ItemRequest, ItemResult, Job, JobId, NewJob, ResultState,
 };
-use alderhollow_batch::message::{JobAge, JobDigest, Message, StreamId};
+use alderhollow_batch::message::{JobAge, JobDigest, Message};
 use alderhollow_batch::quota::{
     CoordinatorId, Decision, QuotaGrant, QuotaReading, QuotaReport, ReportId,
 };
-use alderhollow_batch::records::{decode_all, encode_next, DecodeError, Entry, SessionId};
+use alderhollow_batch::records::{Entry, SessionId, StreamId};
 use alderhollow_batch::state::State;
 use proptest::collection::vec;
 use proptest::prelude::*;
@@ -77,7 +78,7 @@
         }),
         job_id().prop_map(Entry::JobEnded),
         job_id().prop_map(Entry::JobForgotten),
-        new_job().prop_map(|job| Entry::WholeJob(Job::new(0, job))),
+        new_job().prop_map(|job| Entry::FullJob(Job::new(0, job))),
         stream().prop_map(Entry::Following),
         (0..4u64, 0..4u64)
             .prop_map(|(epoch, session)| Entry::SessionStarted(SessionId { epoch, session })),
@@ -131,7 +132,7 @@
         }),
         (stream(), any::<u64>()).prop_map(|(stream, next)| Message::Acknowledge { stream, next }),
         stream().prop_map(|stream| Message::NotFollowing { stream }),
-        (stream(), stream()).prop_map(|(stream, known)| Message::Refused { stream, known }),
+        (stream(), stream()).prop_map(|(stream, known)| Message::Rejected { stream, known }),
     ]
 }
 
@@ -152,14 +153,14 @@
 fn quota_report() -> impl Strategy<Value = QuotaReport> {
     let tokens = (any::<u64>(), vec(any::<u64>(), 0..4), any::<u64>());
     (coordinator(), ".{0,9}", any::<u32>(), report_id(), tokens).prop_map(
-        |(coordinator, route, group, id, (used, wanted, refused_total))| QuotaReport {
+        |(coordinator, route, group, id, (used, wanted, rejected_total))| QuotaReport {
             coordinator,
             route,
             group,
             id,
             used,
             wanted,
-            refused_total,
+            rejected_total,
         },
     )
 }
@@ -167,10 +168,10 @@
 fn quota_grant() -> impl Strategy<Value = QuotaGrant> {
     let decision = prop_oneof![
         Just(Decision::Unsure),
-        (any::<u64>(), any::<u64>(), any::<bool>()).prop_map(|(limit, room, is_contended)| {
+        (any::<u64>(), any::<u64>(), any::<bool>()).prop_map(|(limit, available, is_contended)| {
             Decision::Counted {
                 limit,
-                room,
+                available,
                 is_contended,
             }
         }),
@@ -196,30 +197,30 @@
         })
 }
 
-/// An entry without what is not encoded.
+/// An entry without the fields that are not encoded.
 fn as_decoded(entry: Entry) -> Entry {
     Entry::from_bytes(&entry.to_bytes()).expect("what was encoded")
 }
 
 proptest! {
     #[test]
-    fn an_entry_comes_back(entry in entry()) {
+    fn an_entry_round_trips(entry in entry()) {
         let bytes = entry.to_bytes();
         let decoded = Entry::from_bytes(&bytes).unwrap();
         prop_assert_eq!(decoded.to_bytes(), bytes);
-        if !matches!(entry, Entry::WholeJob(_)) {
+        if !matches!(entry, Entry::FullJob(_)) {
             prop_assert_eq!(decoded, entry);
         }
     }
 
     #[test]
-    fn a_message_comes_back(message in message()) {
+    fn a_message_round_trips(message in message()) {
         let bytes = message.to_bytes();
         prop_assert_eq!(Message::from_bytes(&bytes).unwrap().to_bytes(), bytes);
     }
 
     #[test]
-    fn a_quota_report_and_a_grant_come_back(report in quota_report(), grant in quota_grant()) {
+    fn a_quota_report_and_a_grant_round_trip(report in quota_report(), grant in quota_grant()) {
         let bytes = minicbor::to_vec(&report).unwrap();
         prop_assert_eq!(minicbor::decode::<QuotaReport>(&bytes).unwrap(), report);
         let bytes = minicbor::to_vec(&grant).unwrap();
@@ -227,27 +228,27 @@
     }
 
     #[test]
-    fn any_bytes_are_a_quota_message_or_an_error(bytes in vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_decode_to_a_quota_message_or_an_error(bytes in vec(any::<u8>(), 0..200)) {
         let _ = minicbor::decode::<QuotaReport>(&bytes);
         let _ = minicbor::decode::<QuotaGrant>(&bytes);
     }
 
     #[test]
-    fn a_cut_quota_message_is_an_error(report in quota_report(), place in any::<prop::sample::Index>()) {
+    fn a_truncated_quota_message_is_an_error(report in quota_report(), place in any::<prop::sample::Index>()) {
         let bytes = minicbor::to_vec(&report).unwrap();
         prop_assert!(minicbor::decode::<QuotaReport>(&bytes[..place.index(bytes.len())]).is_err());
     }
 
     #[test]
-    fn entries_of_a_snapshot_come_back(entries in vec(entry(), 1..6)) {
+    fn entries_of_a_snapshot_round_trip(entries in vec(entry(), 1..6)) {
         let mut bytes = Vec::new();
-        entries.iter().for_each(|entry| encode_next(&mut bytes, entry));
+        entries.iter().for_each(|entry| append_to_snapshot(&mut bytes, entry));
         let expected: Vec<Entry> = entries.into_iter().map(as_decoded).collect();
-        prop_assert_eq!(decode_all(&bytes).unwrap(), expected);
+        prop_assert_eq!(decode_snapshot(&bytes).unwrap(), expected);
     }
 
     #[test]
-    fn any_bytes_are_an_entry_or_an_error(mut bytes in vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_decode_to_an_entry_or_an_error(mut bytes in vec(any::<u8>(), 0..200)) {
         let _ = Entry::from_bytes(&bytes);
         let _ = Message::from_bytes(&bytes);
         if let Some(first) = bytes.first_mut() {
@@ -259,7 +260,7 @@
     }
 
     #[test]
-    fn a_changed_or_cut_message_is_a_message_or_an_error(
+    fn a_corrupted_or_truncated_message_decodes_or_is_an_error(
         message in message(), place in any::<prop::sample::Index>(), byte in any::<u8>(),
     ) {
         let mut bytes = message.to_bytes();
@@ -270,14 +271,14 @@
     }
 
     #[test]
-    fn bytes_after_the_end_are_an_error(entry in entry(), more in vec(any::<u8>(), 1..9)) {
+    fn trailing_bytes_are_an_error(entry in entry(), more in vec(any::<u8>(), 1..9)) {
         let mut bytes = entry.to_bytes();
         bytes.extend(more);
         prop_assert!(matches!(Entry::from_bytes(&bytes), Err(DecodeError::Malformed(_))));
     }
 
     #[test]
-    fn any_entries_apply_or_are_an_error_and_apply_twice(entries in vec(entry(), 0..20)) {
+    fn entries_apply_idempotently_or_are_an_error(entries in vec(entry(), 0..20)) {
         let mut state = State::default();
         for entry in entries.into_iter().map(as_decoded) {
             let before = state.clone();
@@ -293,7 +294,7 @@
         let restored = State::restore(5, Some(&snapshot), &[]).unwrap();
         let digests = |state: &State| -> Vec<u64> { state.jobs.values().map(Job::digest).collect() };
         prop_assert_eq!(digests(&restored), digests(&state));
-        prop_assert_eq!(&restored.marks, &state.marks);
+        prop_assert_eq!(&restored.progress, &state.progress);
     }
 }
 
--- a/batch/tests/compatibility.rs
+++ b/batch/tests/compatibility.rs
@@ -1,13 +1,14 @@
-//! Entries on disk and messages between stores have the bytes that earlier builds wrote.
+//! Compatibility: entries on disk and messages between stores have the same bytes as those of earlier builds.
 
+use alderhollow_batch::codec::append_to_snapshot;
 use alderhollow_batch::job::{
     Header, Item, ItemRequest, ItemResult, Job, JobId, NewJob, ResultState,
 };
-use alderhollow_batch::message::{JobAge, JobDigest, Message, StreamId};
+use alderhollow_batch::message::{JobAge, JobDigest, Message};
 use alderhollow_batch::quota::{
     CoordinatorId, Decision, QuotaGrant, QuotaReading, QuotaReport, ReportId,
 };
-use alderhollow_batch::records::{encode_next, Entry, SessionId};
+use alderhollow_batch::records::{Entry, SessionId, StreamId};
 use alderhollow_batch::state::State;
 use alderhollow_recorded_bytes::{is_recording, RecordedBytes};
 
@@ -152,7 +153,7 @@
         ("not_following", Message::NotFollowing { stream }),
         (
             "refused",
-            Message::Refused {
+            Message::Rejected {
                 stream,
                 known: StreamId {
                     epoch: 4,
@@ -175,9 +176,9 @@
             Entry::from_bytes(bytes).ok()
         });
     }
-    // A decoded job lacks what a store derives from it once it is in its state, so its bytes are compared.
-    let whole_job = Entry::WholeJob(Job::new(0, new_job("whole"))).to_bytes();
-    recorded.check("whole_job", &whole_job, Vec::clone, |bytes| {
+    // A decoded job lacks the fields that are derived when it is applied to a state, so its bytes are compared.
+    let full_job_entry = Entry::FullJob(Job::new(0, new_job("whole"))).to_bytes();
+    recorded.check("whole_job", &full_job_entry, Vec::clone, |bytes| {
         Some(Entry::from_bytes(bytes).ok()?.to_bytes())
     });
     recorded.finish();
@@ -219,7 +220,7 @@
         id,
         used: 1000,
         wanted: vec![30, 20],
-        refused_total: 7,
+        rejected_total: 7,
     };
     let reading = QuotaReading {
         period: 8,
@@ -230,7 +231,7 @@
     };
     let counted = Decision::Counted {
         limit: 2000,
-        room: 500,
+        available: 500,
         is_contended: true,
     };
     let grant = |decision| QuotaGrant {
@@ -286,7 +287,7 @@
     .split_at(5);
     let mut snapshot = Vec::new();
     for name in in_snapshot {
-        encode_next(
+        append_to_snapshot(
             &mut snapshot,
             &Entry::from_bytes(recorded.bytes(name)).expect("an entry"),
         );
--- a/batch/tests/engine/acceptance.rs
+++ b/batch/tests/engine/acceptance.rs
@@ -1,8 +1,9 @@
-//! Acceptance, the count of waiting tokens, and ends.
+//! Acceptance of jobs, the count of queued tokens, and ends of jobs.
 
 use crate::cluster::{job, routes, terms, Cluster, ROUTE};
 use alderhollow_batch::api::{
-    EndAnswer, JobOffer, Offered, Outcome, RouteTerms, RunEnd, Submitted, TryId,
+    EndOutcome, JobOffer, OfferOutcome, Outcome, RouteTerms, RunEnd, SubmissionAttemptId,
+    SubmitOutcome,
 };
 use alderhollow_batch::job::JobId;
 
@@ -10,13 +11,13 @@
 fn a_job_is_accepted_once_every_member_has_it_on_disk() {
     let mut cluster = Cluster::active(3);
     cluster.stores.get_mut(&3).unwrap().holds_writes = true;
-    let Submitted::Pending(token) = cluster.submit(1, job("a", 2, 10)) else {
+    let SubmitOutcome::Pending(token) = cluster.submit(1, job("a", 2, 10)) else {
         panic!("not taken")
     };
     assert_eq!(cluster.resolved, []);
     assert_eq!(
         cluster.submit(1, job("a", 2, 10)),
-        Submitted::Pending(token),
+        SubmitOutcome::Pending(token),
         "the same job, the same token"
     );
     assert_eq!(
@@ -26,34 +27,34 @@
     );
 
     cluster.release_writes(3);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(cluster.resolved, [(token, Outcome::Committed)]);
     assert_eq!(
         cluster.submit(1, job("a", 2, 10)),
-        Submitted::AlreadyAccepted
+        SubmitOutcome::AlreadyAccepted
     );
     assert_eq!(cluster.engine(1).waiting_tokens(ROUTE), 20);
 }
 
 #[test]
-fn the_primary_waits_for_its_own_disk_too() {
+fn commits_wait_for_the_primarys_own_disk() {
     let mut cluster = Cluster::active(2);
     cluster.stores.get_mut(&1).unwrap().holds_writes = true;
     assert!(matches!(
         cluster.submit(1, job("a", 1, 10)),
-        Submitted::Pending(_)
+        SubmitOutcome::Pending(_)
     ));
     assert_eq!(cluster.resolved, []);
     cluster.release_writes(1);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(cluster.resolved.len(), 1);
 }
 
 #[test]
-fn a_pending_acceptance_ends_as_unknown_when_the_role_is_lost() {
+fn a_pending_acceptance_resolves_as_unknown_on_loss_of_leadership() {
     let mut cluster = Cluster::active(3);
     cluster.stores.get_mut(&3).unwrap().holds_writes = true;
-    let Submitted::Pending(token) = cluster.submit(1, job("a", 1, 10)) else {
+    let SubmitOutcome::Pending(token) = cluster.submit(1, job("a", 1, 10)) else {
         panic!("not taken")
     };
     cluster.set_group(2, 2, &[1, 2], &[]);
@@ -61,16 +62,16 @@
     cluster.validate(2);
     assert_eq!(
         cluster.submit(2, job("a", 1, 10)),
-        Submitted::AlreadyAccepted,
+        SubmitOutcome::AlreadyAccepted,
         "it stood at the new primary"
     );
 }
 
 #[test]
-fn a_pending_acceptance_goes_on_in_the_same_primarys_next_epoch() {
+fn a_pending_acceptance_continues_in_the_next_epoch_of_the_same_primary() {
     let mut cluster = Cluster::active(3);
     cluster.stores.get_mut(&3).unwrap().holds_writes = true;
-    let Submitted::Pending(token) = cluster.submit(1, job("a", 1, 10)) else {
+    let SubmitOutcome::Pending(token) = cluster.submit(1, job("a", 1, 10)) else {
         panic!("not taken")
     };
     cluster.set_group(2, 1, &[1, 2], &[]);
@@ -78,16 +79,19 @@
 }
 
 #[test]
-fn what_does_not_fit_is_refused_and_what_fits_is_taken() {
+fn jobs_over_quota_are_rejected_and_others_accepted() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 3, 300));
-    assert_eq!(cluster.submit(1, job("b", 1, 101)), Submitted::OverQuota);
+    assert_eq!(
+        cluster.submit(1, job("b", 1, 101)),
+        SubmitOutcome::OverQuota
+    );
     cluster.accept(1, job("c", 1, 100));
-    assert_eq!(cluster.submit(1, job("d", 1, 1)), Submitted::OverQuota);
+    assert_eq!(cluster.submit(1, job("d", 1, 1)), SubmitOutcome::OverQuota);
 }
 
 #[test]
-fn no_limit_takes_all() {
+fn an_unlimited_route_accepts_everything() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_routes(
@@ -103,18 +107,21 @@
 }
 
 #[test]
-fn pending_jobs_count() {
+fn pending_jobs_count_as_queued() {
     let mut cluster = Cluster::active(2);
     cluster.stores.get_mut(&2).unwrap().holds_writes = true;
     assert!(matches!(
         cluster.submit(1, job("a", 1, 600)),
-        Submitted::Pending(_)
+        SubmitOutcome::Pending(_)
     ));
-    assert_eq!(cluster.submit(1, job("b", 1, 600)), Submitted::OverQuota);
+    assert_eq!(
+        cluster.submit(1, job("b", 1, 600)),
+        SubmitOutcome::OverQuota
+    );
 }
 
 #[test]
-fn an_item_leaves_the_count_once() {
+fn an_item_is_subtracted_from_the_count_once() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 2, 300));
     cluster.accept(1, job("b", 1, 400));
@@ -140,16 +147,16 @@
         },
     );
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(cluster.engine(1).waiting_tokens(ROUTE), 700);
     let now_ms = cluster.now_ms;
     cluster.engine(1).end(now_ms, &JobId::from("a"));
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(cluster.engine(1).waiting_tokens(ROUTE), 400);
 }
 
 #[test]
-fn a_successor_counts_anew() {
+fn a_successor_recounts_queued_tokens() {
     let mut cluster = Cluster::active(3);
     cluster.accept(1, job("a", 2, 300));
     let starts = cluster.work(1, 1);
@@ -167,77 +174,83 @@
 }
 
 #[test]
-fn a_late_copy_of_a_refused_try_is_refused() {
+fn a_late_copy_of_a_rejected_attempt_is_rejected() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 900));
     let now_ms = cluster.now_ms;
     assert_eq!(
-        cluster.engine(1).submit(now_ms, TryId(7), job("b", 1, 200)),
-        Submitted::OverQuota
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(7), job("b", 1, 200)),
+        SubmitOutcome::OverQuota
     );
     cluster.engine(1).end(now_ms, &JobId::from("a"));
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(
-        cluster.engine(1).submit(now_ms, TryId(7), job("b", 1, 200)),
-        Submitted::OverQuota
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(7), job("b", 1, 200)),
+        SubmitOutcome::OverQuota
     );
     assert!(matches!(
-        cluster.engine(1).submit(now_ms, TryId(8), job("b", 1, 200)),
-        Submitted::Pending(_)
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(8), job("b", 1, 200)),
+        SubmitOutcome::Pending(_)
     ));
 }
 
 #[test]
-fn who_is_not_validated_refuses_nothing_and_accepts_nothing() {
+fn an_unvalidated_primary_neither_rejects_nor_accepts() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 900));
     cluster.now_ms += 1_000;
-    assert_eq!(cluster.submit(1, job("b", 1, 900)), Submitted::NotSure);
-    assert_eq!(cluster.submit(1, job("c", 1, 1)), Submitted::NotSure);
+    assert_eq!(cluster.submit(1, job("b", 1, 900)), SubmitOutcome::NotSure);
+    assert_eq!(cluster.submit(1, job("c", 1, 1)), SubmitOutcome::NotSure);
     assert_eq!(
         cluster.submit(1, job("a", 1, 900)),
-        Submitted::AlreadyAccepted,
+        SubmitOutcome::AlreadyAccepted,
         "what is committed stays so"
     );
-    assert_eq!(cluster.submit(2, job("c", 1, 1)), Submitted::NotPrimary);
+    assert_eq!(cluster.submit(2, job("c", 1, 1)), SubmitOutcome::NotPrimary);
 }
 
 #[test]
-fn a_disk_in_trouble_or_an_unknown_route_takes_nothing() {
+fn no_job_is_accepted_with_an_unready_disk_or_for_an_unknown_route() {
     let mut cluster = Cluster::active(2);
     let mut elsewhere = job("a", 1, 1);
     elsewhere.route = "other".to_owned();
-    assert_eq!(cluster.submit(1, elsewhere), Submitted::NotSure);
+    assert_eq!(cluster.submit(1, elsewhere), SubmitOutcome::NotSure);
     cluster.engine(1).set_disk_ready(false);
-    assert_eq!(cluster.submit(1, job("a", 1, 1)), Submitted::NotSure);
+    assert_eq!(cluster.submit(1, job("a", 1, 1)), SubmitOutcome::NotSure);
 }
 
 #[test]
-fn nothing_is_taken_while_the_members_are_far_behind() {
+fn no_job_is_accepted_while_members_lag_far_behind() {
     let mut cluster = Cluster::active(2);
     cluster.stores.get_mut(&2).unwrap().holds_writes = true;
     assert!(matches!(
         cluster.submit(1, job("a", 1, 1)),
-        Submitted::Pending(_)
+        SubmitOutcome::Pending(_)
     ));
     cluster.pass(1_900, 1);
     assert!(matches!(
         cluster.submit(1, job("b", 1, 1)),
-        Submitted::Pending(_)
+        SubmitOutcome::Pending(_)
     ));
     cluster.pass(100, 1);
-    assert_eq!(cluster.submit(1, job("c", 1, 1)), Submitted::NotSure);
+    assert_eq!(cluster.submit(1, job("c", 1, 1)), SubmitOutcome::NotSure);
     assert!(
-        matches!(cluster.submit(1, job("a", 1, 1)), Submitted::Pending(_)),
+        matches!(cluster.submit(1, job("a", 1, 1)), SubmitOutcome::Pending(_)),
         "what was taken goes on"
     );
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     cluster.accept(1, job("c", 1, 1));
 }
 
 #[test]
-fn an_offer_says_what_handing_in_would_and_keeps_nothing_but_a_refused_try() {
+fn an_offer_predicts_the_submission_and_stores_only_rejected_attempts() {
     let mut cluster = Cluster::active(2);
     let id = JobId::from("a");
     let offer = |tokens| JobOffer {
@@ -247,35 +260,51 @@
     };
     let now_ms = cluster.now_ms;
     assert_eq!(
-        cluster.engine(2).offer(now_ms, TryId(1), &offer(1_000)),
-        Offered::NotPrimary
+        cluster
+            .engine(2)
+            .offer(now_ms, SubmissionAttemptId(1), &offer(1_000)),
+        OfferOutcome::NotPrimary
     );
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(1), &offer(1_000)),
-        Offered::Welcome
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(1), &offer(1_000)),
+        OfferOutcome::Welcome
     );
     assert_eq!(cluster.engine(1).waiting_tokens(ROUTE), 0);
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(2), &offer(1_001)),
-        Offered::OverQuota
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(2), &offer(1_001)),
+        OfferOutcome::OverQuota
+    );
+    let late = cluster
+        .engine(1)
+        .submit(now_ms, SubmissionAttemptId(2), job("a", 1, 1));
+    assert_eq!(
+        late,
+        SubmitOutcome::OverQuota,
+        "a late copy of a refused try"
     );
-    let late = cluster.engine(1).submit(now_ms, TryId(2), job("a", 1, 1));
-    assert_eq!(late, Submitted::OverQuota, "a late copy of a refused try");
     cluster.stores.get_mut(&2).unwrap().holds_writes = true;
     assert!(matches!(
         cluster.submit(1, job("a", 1, 1_000)),
-        Submitted::Pending(_)
+        SubmitOutcome::Pending(_)
     ));
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(3), &offer(1_000)),
-        Offered::NotSure,
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(3), &offer(1_000)),
+        OfferOutcome::NotSure,
         "under way"
     );
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(3), &offer(1_000)),
-        Offered::AlreadyAccepted
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(3), &offer(1_000)),
+        OfferOutcome::AlreadyAccepted
     );
     let later_ms = now_ms + 1_000;
     let other = JobId::from("b");
@@ -285,14 +314,16 @@
         tokens: 1,
     };
     assert_eq!(
-        cluster.engine(1).offer(later_ms, TryId(4), &other),
-        Offered::NotSure,
+        cluster
+            .engine(1)
+            .offer(later_ms, SubmissionAttemptId(4), &other),
+        OfferOutcome::NotSure,
         "not validated"
     );
 }
 
 #[test]
-fn an_offer_beyond_a_groups_limit_is_for_the_coordinator_to_refuse() {
+fn an_offer_beyond_the_group_limit_is_decided_by_the_coordinator() {
     let mut cluster = Cluster::active(2);
     let id = JobId::from("a");
     let offer = JobOffer {
@@ -303,32 +334,42 @@
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_quota_limit(ROUTE, Some(10));
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(1), &offer),
-        Offered::BeyondLimit
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(1), &offer),
+        OfferOutcome::BeyondLimit
     );
     cluster.engine(1).set_quota_limit(ROUTE, Some(20));
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(1), &offer),
-        Offered::Welcome,
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(1), &offer),
+        OfferOutcome::Welcome,
         "nothing was remembered"
     );
     assert_eq!(
-        cluster.engine(1).refuse_offer(now_ms, TryId(1), &offer),
-        Offered::OverQuota
+        cluster
+            .engine(1)
+            .reject_offer(now_ms, SubmissionAttemptId(1), &offer),
+        OfferOutcome::OverQuota
     );
     assert_eq!(
-        cluster.engine(1).offer(now_ms, TryId(1), &offer),
-        Offered::OverQuota,
+        cluster
+            .engine(1)
+            .offer(now_ms, SubmissionAttemptId(1), &offer),
+        OfferOutcome::OverQuota,
         "from now on"
     );
     assert_eq!(
-        cluster.engine(1).submit(now_ms, TryId(1), job("a", 1, 11)),
-        Submitted::OverQuota
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(1), job("a", 1, 11)),
+        SubmitOutcome::OverQuota
     );
 }
 
 #[test]
-fn an_offer_without_tokens_asks_only_whether_the_job_is_known() {
+fn an_offer_of_no_tokens_only_checks_whether_the_job_is_known() {
     let mut cluster = Cluster::active(2);
     let (known, other) = (JobId::from("a"), JobId::from("b"));
     let offer = |id| JobOffer {
@@ -341,45 +382,51 @@
     for limit in [0, 10, 11] {
         cluster.engine(1).set_quota_limit(ROUTE, Some(limit));
         assert_eq!(
-            cluster.engine(1).offer(now_ms, TryId(90), &offer(&known)),
-            Offered::AlreadyAccepted
+            cluster
+                .engine(1)
+                .offer(now_ms, SubmissionAttemptId(90), &offer(&known)),
+            OfferOutcome::AlreadyAccepted
         );
         assert_eq!(
-            cluster.engine(1).offer(now_ms, TryId(90), &offer(&other)),
-            Offered::Welcome
+            cluster
+                .engine(1)
+                .offer(now_ms, SubmissionAttemptId(90), &offer(&other)),
+            OfferOutcome::Welcome
         );
     }
     cluster.engine(1).set_quota_limit(ROUTE, Some(1_000));
-    let submitted = cluster.engine(1).submit(now_ms, TryId(90), job("b", 1, 1));
+    let submitted = cluster
+        .engine(1)
+        .submit(now_ms, SubmissionAttemptId(90), job("b", 1, 1));
     assert!(
-        matches!(submitted, Submitted::Pending(_)),
+        matches!(submitted, SubmitOutcome::Pending(_)),
         "no refusal was remembered: {submitted:?}"
     );
 }
 
 #[test]
-fn jobs_out_of_bounds_are_invalid() {
+fn jobs_that_exceed_the_limits_are_invalid() {
     let mut cluster = Cluster::active(1);
-    assert_eq!(cluster.submit(1, job("a", 0, 1)), Submitted::Invalid);
-    assert_eq!(cluster.submit(1, job("a", 201, 1)), Submitted::Invalid);
-    assert_eq!(cluster.submit(1, job("", 1, 1)), Submitted::Invalid);
+    assert_eq!(cluster.submit(1, job("a", 0, 1)), SubmitOutcome::Invalid);
+    assert_eq!(cluster.submit(1, job("a", 201, 1)), SubmitOutcome::Invalid);
+    assert_eq!(cluster.submit(1, job("", 1, 1)), SubmitOutcome::Invalid);
     let mut twice = job("a", 2, 1);
     twice.items[1].id = twice.items[0].id.clone();
-    assert_eq!(cluster.submit(1, twice), Submitted::Invalid);
+    assert_eq!(cluster.submit(1, twice), SubmitOutcome::Invalid);
     cluster.accept(1, job("a", 200, 1));
 }
 
 #[test]
-fn an_end_stops_runs_at_once_and_is_acknowledged_when_committed() {
+fn ending_a_job_cancels_runs_at_once_and_is_acknowledged_when_committed() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 3, 10));
     let starts = cluster.work(1, 2);
     cluster.stores.get_mut(&2).unwrap().holds_writes = true;
     let now_ms = cluster.now_ms;
-    let EndAnswer::Pending(token) = cluster.engine(1).end(now_ms, &JobId::from("a")) else {
+    let EndOutcome::Pending(token) = cluster.engine(1).end(now_ms, &JobId::from("a")) else {
         panic!()
     };
-    cluster.settle();
+    cluster.run_until_idle();
     let mut cancelled = cluster.cancelled.clone();
     cancelled.sort();
     assert_eq!(cancelled, [starts[0].run, starts[1].run]);
@@ -387,15 +434,15 @@
     assert!(!cluster.resolved.contains(&(token, Outcome::Committed)));
     assert_eq!(
         cluster.engine(1).end(now_ms, &JobId::from("a")),
-        EndAnswer::Pending(token)
+        EndOutcome::Pending(token)
     );
 
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     assert!(cluster.resolved.contains(&(token, Outcome::Committed)));
     assert_eq!(
         cluster.engine(1).end(now_ms, &JobId::from("a")),
-        EndAnswer::AlreadyEnded
+        EndOutcome::AlreadyEnded
     );
     cluster.end_run(
         1,
@@ -408,41 +455,43 @@
 }
 
 #[test]
-fn an_ended_job_stays_ended_at_a_successor() {
+fn an_ended_job_remains_ended_at_a_successor() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 3, 10));
     let now_ms = cluster.now_ms;
     cluster.engine(1).end(now_ms, &JobId::from("a"));
-    cluster.settle();
+    cluster.run_until_idle();
     cluster.set_group(2, 2, &[1, 2], &[]);
     cluster.validate(2);
     assert_eq!(cluster.work(2, 9), []);
     assert_eq!(
         cluster.engine(2).end(now_ms, &JobId::from("a")),
-        EndAnswer::AlreadyEnded
+        EndOutcome::AlreadyEnded
     );
     assert_eq!(
         cluster.engine(2).end(now_ms, &JobId::from("b")),
-        EndAnswer::NotFound
+        EndOutcome::NotFound
     );
 }
 
 #[test]
-fn a_limit_of_its_own_stands_in_for_the_routes_and_refuses_nothing() {
+fn a_group_limit_replaces_the_routes_limit_and_rejects_nothing() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_quota_limit(ROUTE, Some(150));
     assert!(cluster.engine(1).would_fit(ROUTE, 150) && !cluster.engine(1).would_fit(ROUTE, 151));
     assert_eq!(
-        cluster.engine(1).submit(now_ms, TryId(7), job("a", 1, 151)),
-        Submitted::NotSure
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(7), job("a", 1, 151)),
+        SubmitOutcome::NotSure
     );
     assert!(!cluster.engine(1).would_fit("other", 1));
 
     cluster.engine(1).set_quota_limit(ROUTE, Some(0));
     assert_eq!(
         cluster.submit(1, job("b", 1, 1)),
-        Submitted::NotSure,
+        SubmitOutcome::NotSure,
         "0 is a limit here"
     );
     cluster.engine(1).set_quota_limit(ROUTE, Some(u64::MAX));
@@ -451,72 +500,80 @@
     assert!(!cluster.engine(1).would_fit(ROUTE, 1));
     assert_eq!(
         cluster.submit(1, job("d", 1, 1)),
-        Submitted::OverQuota,
+        SubmitOutcome::OverQuota,
         "the terms' own limit again"
     );
 
     cluster.engine(1).set_quota_limit(ROUTE, Some(u64::MAX));
-    let submitted = cluster.engine(1).submit(now_ms, TryId(7), job("a", 1, 151));
+    let submitted = cluster
+        .engine(1)
+        .submit(now_ms, SubmissionAttemptId(7), job("a", 1, 151));
     assert!(
-        matches!(submitted, Submitted::Pending(_)),
+        matches!(submitted, SubmitOutcome::Pending(_)),
         "the try was not refused before: {submitted:?}"
     );
 }
 
 #[test]
-fn what_the_coordinator_refuses_is_remembered() {
+fn rejections_by_the_coordinator_are_remembered() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_quota_limit(ROUTE, Some(150));
     assert_eq!(
         cluster
             .engine(1)
-            .refuse(now_ms, TryId(7), &job("a", 1, 200)),
-        Submitted::OverQuota
+            .reject(now_ms, SubmissionAttemptId(7), &job("a", 1, 200)),
+        SubmitOutcome::OverQuota
     );
     cluster.engine(1).set_quota_limit(ROUTE, Some(500));
     assert_eq!(
-        cluster.engine(1).submit(now_ms, TryId(7), job("a", 1, 200)),
-        Submitted::OverQuota
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(7), job("a", 1, 200)),
+        SubmitOutcome::OverQuota
     );
     assert!(matches!(
-        cluster.engine(1).submit(now_ms, TryId(8), job("a", 1, 200)),
-        Submitted::Pending(_)
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(8), job("a", 1, 200)),
+        SubmitOutcome::Pending(_)
     ));
 }
 
 #[test]
-fn a_refusal_that_comes_too_late_refuses_nothing() {
+fn a_late_rejection_has_no_effect() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 200));
     let now_ms = cluster.now_ms;
     assert_eq!(
         cluster
             .engine(1)
-            .refuse(now_ms, TryId(7), &job("a", 1, 200)),
-        Submitted::AlreadyAccepted
+            .reject(now_ms, SubmissionAttemptId(7), &job("a", 1, 200)),
+        SubmitOutcome::AlreadyAccepted
     );
     assert_eq!(
         cluster
             .engine(2)
-            .refuse(now_ms, TryId(7), &job("b", 1, 200)),
-        Submitted::NotPrimary
+            .reject(now_ms, SubmissionAttemptId(7), &job("b", 1, 200)),
+        SubmitOutcome::NotPrimary
     );
     let later_ms = now_ms + 1_000;
     assert_eq!(
         cluster
             .engine(1)
-            .refuse(later_ms, TryId(7), &job("b", 1, 200)),
-        Submitted::NotSure
+            .reject(later_ms, SubmissionAttemptId(7), &job("b", 1, 200)),
+        SubmitOutcome::NotSure
     );
     assert!(matches!(
-        cluster.engine(1).submit(now_ms, TryId(7), job("b", 1, 200)),
-        Submitted::Pending(_)
+        cluster
+            .engine(1)
+            .submit(now_ms, SubmissionAttemptId(7), job("b", 1, 200)),
+        SubmitOutcome::Pending(_)
     ));
 }
 
 #[test]
-fn the_session_rises_with_each_start_within_an_epoch() {
+fn the_session_increases_with_each_start_within_an_epoch() {
     let mut cluster = Cluster::active(2);
     assert_eq!(cluster.engine(2).session(), None);
     let before = cluster.engine(1).session().expect("a primary");
--- a/batch/tests/engine/cluster.rs
+++ b/batch/tests/engine/cluster.rs
@@ -1,9 +1,9 @@
-//! Stores wired without delay or loss, whose disks and links a test may hold.
+//! Test cluster: stores connected without delay or loss, whose disk writes and links a test can block.
 
 use alderhollow_batch::api::{
-    ItemStart, Output, RouteTerms, RunId, Submitted, Token, TryId, WriteTicket,
+    ItemStart, Output, RouteTerms, RunId, SubmissionAttemptId, SubmitOutcome, Token, WriteTicket,
 };
-use alderhollow_batch::api::{Outcome, ReadAnswer, RunEnd};
+use alderhollow_batch::api::{Outcome, ReadOutcome, RunEnd};
 use alderhollow_batch::engine::Engine;
 use alderhollow_batch::job::{Item, ItemRequest, JobId, NewJob, ResultState};
 use alderhollow_batch::message::Message;
@@ -16,46 +16,46 @@
 /// The route of all jobs.
 pub(crate) const ROUTE: &str = "route";
 
-/// A store.
+/// A store of the test cluster.
 pub(crate) struct Store {
     pub engine: Engine,
-    /// What is on disk.
+    /// Records on disk.
     pub records: Vec<Vec<u8>>,
-    /// What is held before the disk.
-    held: Vec<(WriteTicket, Vec<Vec<u8>>)>,
+    /// Writes that are blocked before the disk.
+    held_back: Vec<(WriteTicket, Vec<Vec<u8>>)>,
     pub holds_writes: bool,
 }
 
-/// Some stores.
+/// A test cluster.
 pub(crate) struct Cluster {
     pub now_ms: u64,
     pub stores: BTreeMap<u64, Store>,
-    /// Stores that nothing reaches nor leaves.
-    pub cut: BTreeSet<u64>,
+    /// Stores that are partitioned from all others.
+    pub partitioned: BTreeSet<u64>,
     pub resolved: Vec<(Token, Outcome)>,
     pub cancelled: Vec<RunId>,
-    /// Every message that was sent: sender, receiver, message.
+    /// Every sent message, with its sender and receiver.
     pub sent: Vec<(u64, u64, Message)>,
-    tries: u64,
+    attempts: u64,
 }
 
 impl Cluster {
-    /// Stores 1 to `count`, which know the route but no group.
+    /// Starts stores 1 to `count`, which know the route but no group.
     pub(crate) fn new(count: u64) -> Cluster {
         let mut cluster = Cluster {
             now_ms: 1_000,
             stores: BTreeMap::new(),
-            cut: BTreeSet::new(),
+            partitioned: BTreeSet::new(),
             resolved: Vec::new(),
             cancelled: Vec::new(),
             sent: Vec::new(),
-            tries: 0,
+            attempts: 0,
         };
         (1..=count).for_each(|store| cluster.start(store, Vec::new()));
         cluster
     }
 
-    /// Stores 1 to `count` as members of epoch 1 under store 1, which is validated.
+    /// Starts stores 1 to `count` as members of epoch 1 with store 1 as validated primary.
     pub(crate) fn active(count: u64) -> Cluster {
         let mut cluster = Cluster::new(count);
         let members: Vec<u64> = (1..=count).collect();
@@ -66,7 +66,7 @@
         cluster
     }
 
-    /// Starts a store on what its disk holds.
+    /// Starts a store with the records on its disk.
     pub(crate) fn start(&mut self, store: u64, records: Vec<Vec<u8>>) {
         let mut engine = Engine::restore(DiskId(store), self.now_ms, None, &records)
             .expect("a disk that can be read");
@@ -76,13 +76,13 @@
             Store {
                 engine,
                 records,
-                held: Vec::new(),
+                held_back: Vec::new(),
                 holds_writes: false,
             },
         );
     }
 
-    /// Ends a store's process and starts it anew; what is held before the disk is lost.
+    /// Restarts a store's process; writes that are blocked before the disk are lost.
     pub(crate) fn restart(&mut self, store: u64) {
         let records = self.stores.remove(&store).expect("a store").records;
         self.start(store, records);
@@ -92,7 +92,7 @@
         &mut self.stores.get_mut(&store).expect("a store").engine
     }
 
-    /// Tells every store that isn't cut of the group.
+    /// Applies a group configuration at every store that is not partitioned.
     pub(crate) fn set_group(
         &mut self,
         epoch: u64,
@@ -106,21 +106,21 @@
             .stores
             .keys()
             .copied()
-            .filter(|store| !self.cut.contains(store))
+            .filter(|store| !self.partitioned.contains(store))
             .collect();
         reached
             .into_iter()
             .for_each(|store| self.engine(store).set_group(now_ms, group.clone()));
-        self.settle();
+        self.run_until_idle();
     }
 
-    /// The core validates a store for the next second.
+    /// Validates a store's epoch for the next second.
     pub(crate) fn validate(&mut self, store: u64) {
         let until_ms = self.now_ms + 1_000;
         self.engine(store).set_validated_until(until_ms);
     }
 
-    /// Lets time pass, validating a store.
+    /// Advances the time in steps and keeps a store validated.
     pub(crate) fn pass(&mut self, span_ms: u64, validated: u64) {
         let end_ms = self.now_ms + span_ms;
         while self.now_ms < end_ms {
@@ -129,13 +129,13 @@
             let now_ms = self.now_ms;
             self.stores
                 .values_mut()
-                .for_each(|store| store.engine.tick(now_ms));
-            self.settle();
+                .for_each(|store| store.engine.on_timer(now_ms));
+            self.run_until_idle();
         }
     }
 
-    /// Carries out all outputs until there are none.
-    pub(crate) fn settle(&mut self) {
+    /// Applies all outputs until there are none.
+    pub(crate) fn run_until_idle(&mut self) {
         loop {
             let mut outputs = Vec::new();
             for (id, store) in &mut self.stores {
@@ -160,13 +160,13 @@
         match output {
             Output::Send { to, message } => {
                 self.sent.push((from, to.0, message.clone()));
-                if !self.cut.contains(&from) && !self.cut.contains(&to.0) {
+                if !self.partitioned.contains(&from) && !self.partitioned.contains(&to.0) {
                     self.deliver(from, to.0, message);
                 }
             }
             Output::Write { ticket, records } => {
                 let store = self.stores.get_mut(&from).expect("a store");
-                store.held.push((ticket, records));
+                store.held_back.push((ticket, records));
                 if !store.holds_writes {
                     self.release_writes(from);
                 }
@@ -177,38 +177,38 @@
         }
     }
 
-    /// Hands a message to a store.
+    /// Delivers a message to a store.
     pub(crate) fn deliver(&mut self, from: u64, to: u64, message: Message) {
         let now_ms = self.now_ms;
         if let Some(store) = self.stores.get_mut(&to) {
-            store.engine.receive(now_ms, DiskId(from), message);
+            store.engine.on_message(now_ms, DiskId(from), message);
         }
     }
 
-    /// Lets a store's disk do what it held.
+    /// Completes the blocked writes of a store.
     pub(crate) fn release_writes(&mut self, store: u64) {
         let now_ms = self.now_ms;
         let store = self.stores.get_mut(&store).expect("a store");
         store.holds_writes = false;
-        for (ticket, records) in store.held.drain(..) {
+        for (ticket, records) in store.held_back.drain(..) {
             store.records.extend(records);
-            store.engine.written(now_ms, ticket);
+            store.engine.on_written(now_ms, ticket);
         }
     }
 
-    /// Hands a job in at a store, and lets everything happen.
-    pub(crate) fn submit(&mut self, store: u64, job: NewJob) -> Submitted {
+    /// Submits a job at a store and applies all outputs.
+    pub(crate) fn submit(&mut self, store: u64, job: NewJob) -> SubmitOutcome {
         let now_ms = self.now_ms;
-        self.tries += 1;
-        let try_id = TryId(1_000_000 + self.tries);
-        let submitted = self.engine(store).submit(now_ms, try_id, job);
-        self.settle();
+        self.attempts += 1;
+        let attempt_id = SubmissionAttemptId(1_000_000 + self.attempts);
+        let submitted = self.engine(store).submit(now_ms, attempt_id, job);
+        self.run_until_idle();
         submitted
     }
 
-    /// Hands a job in at a store, which must come to accept it.
+    /// Submits a job at a store and asserts that it is accepted.
     pub(crate) fn accept(&mut self, store: u64, job: NewJob) {
-        let Submitted::Pending(token) = self.submit(store, job) else {
+        let SubmitOutcome::Pending(token) = self.submit(store, job) else {
             panic!("not taken")
         };
         assert!(self.resolved.contains(&(token, Outcome::Committed)));
@@ -220,11 +220,11 @@
         self.engine(store).take_work(now_ms, ROUTE, max)
     }
 
-    /// Ends a run, and lets everything happen.
+    /// Ends a run and applies all outputs.
     pub(crate) fn end_run(&mut self, store: u64, run: RunId, end: RunEnd) {
         let now_ms = self.now_ms;
         self.engine(store).run_ended(now_ms, run, end);
-        self.settle();
+        self.run_until_idle();
     }
 
     /// The readable results of a job at a store: item id, state, text.
@@ -234,7 +234,7 @@
             .engine(store)
             .read(now_ms, &JobId::from(job), 0, 1 << 20)
         {
-            ReadAnswer::Results { results, .. } => {
+            ReadOutcome::Results { results, .. } => {
                 let owned = results
                     .into_iter()
                     .map(|result| (result.id.to_owned(), result.state, result.text.to_owned()));
@@ -245,7 +245,7 @@
     }
 }
 
-/// What the route says.
+/// Configuration of the route.
 pub(crate) fn terms() -> RouteTerms {
     RouteTerms {
         run_target_ms: 2_000,
@@ -255,7 +255,7 @@
     }
 }
 
-/// The one route, with terms.
+/// The only route, with these terms.
 pub(crate) fn routes(terms: RouteTerms) -> BTreeMap<String, RouteTerms> {
     BTreeMap::from([(ROUTE.to_owned(), terms)])
 }
--- a/batch/tests/engine/link_ceiling/clients.rs
+++ b/batch/tests/engine/link_ceiling/clients.rs
@@ -1,35 +1,35 @@
-//! Clients that hand jobs in at a steady rate, come again after a refusal and give up after a second.
+//! Clients that submit jobs at a constant rate, retry after a rejection, and time out after a second.
 
 use crate::cluster::job;
-use alderhollow_batch::api::{Submitted, Token};
+use alderhollow_batch::api::{SubmitOutcome, Token};
 use alderhollow_batch::job::{JobId, NewJob};
 use std::collections::BTreeMap;
 
 const ITEMS_PER_JOB: usize = 20;
 const BODY_BYTES: usize = 1_600;
-/// What the link passes of such jobs in a second, with all that they send: bodies and texts to three members, runs, and
+/// Capacity of the link in jobs per second, given all that a job sends: bodies and texts to three members, runs, and
 /// texts to readers.
-const CEILING_JOBS_PER_S: f64 = 15.6;
-/// How long a client waits for its acceptance, all tries together.
-pub(super) const PATIENCE_MS: u64 = 1_000;
-/// Pause after a refusal.
+const CAPACITY_JOBS_PER_S: f64 = 15.6;
+/// Time-out of a client for the acceptance of its job, over all attempts.
+pub(super) const ACCEPTANCE_TIMEOUT_MS: u64 = 1_000;
+/// Delay of a retry after a rejection.
 const RETRY_MS: u64 = 300;
 
-/// A client's view of its job.
+/// State of a client and its job.
 struct Client {
     first_sent_ms: u64,
-    /// When it tries again; `None` while it waits for an answer, or once it is done.
-    next_try_ms: Option<u64>,
-    /// The store's promise of an answer, and when it was given.
+    /// Time of the next attempt; `None` while an answer is pending, or when it is done.
+    next_attempt_ms: Option<u64>,
+    /// Token of the pending acceptance, and when it was returned.
     taken: Option<(Token, u64)>,
     answered_ms: Option<u64>,
-    /// Position behind the results that it has.
+    /// Position after the last result that it has read.
     read: u32,
 }
 
 impl Client {
-    fn has_given_up(&self, now_ms: u64) -> bool {
-        self.answered_ms.is_none() && now_ms >= self.first_sent_ms + PATIENCE_MS
+    fn has_timed_out(&self, now_ms: u64) -> bool {
+        self.answered_ms.is_none() && now_ms >= self.first_sent_ms + ACCEPTANCE_TIMEOUT_MS
     }
 }
 
@@ -43,10 +43,10 @@
 }
 
 impl Clients {
-    /// Clients that hand in `load` times what the link can pass.
+    /// Clients that submit `load` times the capacity of the link.
     pub(super) fn new(now_ms: u64, load: u32) -> Clients {
         Clients {
-            pause_ms: 1_000.0 / (CEILING_JOBS_PER_S * f64::from(load)),
+            pause_ms: 1_000.0 / (CAPACITY_JOBS_PER_S * f64::from(load)),
             next_job_ms: now_ms as f64,
             by_job: BTreeMap::new(),
             by_token: BTreeMap::new(),
@@ -54,14 +54,14 @@
         }
     }
 
-    /// The jobs to hand in now: new ones, and those whose pause after a refusal is over.
+    /// Jobs to submit now: new ones, and retries that are due.
     pub(super) fn due(&mut self, now_ms: u64) -> Vec<NewJob> {
         while self.next_job_ms <= now_ms as f64 {
             self.next_job_ms += self.pause_ms;
             let id = JobId(format!("job-{:06}", self.by_job.len()));
             let client = Client {
                 first_sent_ms: now_ms,
-                next_try_ms: Some(now_ms),
+                next_attempt_ms: Some(now_ms),
                 taken: None,
                 answered_ms: None,
                 read: 0,
@@ -69,28 +69,29 @@
             self.by_job.insert(id, client);
         }
         let is_due = |client: &Client| {
-            !client.has_given_up(now_ms) && client.next_try_ms.is_some_and(|at_ms| at_ms <= now_ms)
+            !client.has_timed_out(now_ms)
+                && client.next_attempt_ms.is_some_and(|at_ms| at_ms <= now_ms)
         };
         let due = self.by_job.iter().filter(|(_, client)| is_due(client));
         due.map(|(id, client)| new_job(id, now_ms - client.first_sent_ms))
             .collect()
     }
 
-    /// The answer to a job that was handed in.
-    pub(super) fn submitted(&mut self, now_ms: u64, id: &JobId, answer: Submitted) {
+    /// Handles the outcome of a submission.
+    pub(super) fn submitted(&mut self, now_ms: u64, id: &JobId, answer: SubmitOutcome) {
         let client = self.by_job.get_mut(id).expect("a client");
-        client.next_try_ms = None;
+        client.next_attempt_ms = None;
         match answer {
-            Submitted::Pending(token) => {
+            SubmitOutcome::Pending(token) => {
                 client.taken.get_or_insert((token, now_ms));
                 self.by_token.insert(token, id.clone());
             }
-            Submitted::AlreadyAccepted => client.answered_ms = Some(now_ms),
-            _ => client.next_try_ms = Some(now_ms + RETRY_MS),
+            SubmitOutcome::AlreadyAccepted => client.answered_ms = Some(now_ms),
+            _ => client.next_attempt_ms = Some(now_ms + RETRY_MS),
         }
     }
 
-    /// An acceptance is committed.
+    /// Handles a committed acceptance.
     pub(super) fn committed(&mut self, now_ms: u64, token: Token) {
         let Some(id) = self.by_token.get(&token) else {
             return;
@@ -98,26 +99,26 @@
         let client = self.by_job.get_mut(id).expect("a client");
         let (_, taken_ms) = client.taken.expect("a promise");
         self.longest_commit_ms = self.longest_commit_ms.max(now_ms - taken_ms);
-        if !client.has_given_up(now_ms) {
+        if !client.has_timed_out(now_ms) {
             client.answered_ms.get_or_insert(now_ms);
         }
         client.taken = None;
     }
 
-    /// Position from which on a client reads; `None` if it has given up.
+    /// Position from which a client reads; `None` if it has timed out.
     pub(super) fn reads_from(&self, id: &JobId) -> Option<u32> {
         let client = self.by_job.get(id)?;
         client.answered_ms.map(|_| client.read)
     }
 
-    /// A client has results up to this position.
+    /// Records that a client has read up to this position.
     pub(super) fn has_read(&mut self, id: &JobId, next: u32) {
         if let Some(client) = self.by_job.get_mut(id) {
             client.read = next;
         }
     }
 
-    /// The longest time between a job's being taken and its commit, or the present moment.
+    /// Longest time from the append of a job to its commit, or to now.
     pub(super) fn longest_commit_ms(&self, now_ms: u64) -> u64 {
         let open = self.by_job.values().filter_map(|client| client.taken);
         open.map(|(_, taken_ms)| now_ms - taken_ms)
--- a/batch/tests/engine/link_ceiling/group.rs
+++ b/batch/tests/engine/link_ceiling/group.rs
@@ -1,11 +1,11 @@
-//! A group of stores whose primary sends all that it sends over one narrow link, under the load of clients. The members'
-//! links and all disks are taken as fast, and so is the way to the primary.
+//! A group of stores under the load of clients, whose primary sends everything over one slow link. The links of the
+//! members, all disks and the links to the primary are modelled as fast.
 
 use super::clients::Clients;
 use super::link::{Link, Parcel};
 use crate::cluster::{group, routes, terms, ROUTE};
 use alderhollow_batch::api::{
-    ItemStart, Outcome, Output, ReadAnswer, RouteTerms, RunEnd, RunId, TryId,
+    ItemStart, Outcome, Output, ReadOutcome, RouteTerms, RunEnd, RunId, SubmissionAttemptId,
 };
 use alderhollow_batch::engine::Engine;
 use alderhollow_batch::job::JobId;
@@ -16,14 +16,14 @@
 const PRIMARY: u64 = 1;
 pub(super) const MEMBERS: [u64; 4] = [1, 2, 3, 4];
 const START_MS: u64 = 1_000;
-/// Items that run at once, more than enough for what the link passes.
-const MOST_RUNS: usize = 400;
-/// How long a backend takes for an item.
+/// Maximum number of concurrent runs, more than the link can sustain.
+const MAX_RUNS: usize = 400;
+/// Duration of a run.
 const RUN_MS: u64 = 500;
 const TEXT_BYTES: usize = 4_400;
-/// Time between two looks at the engine for work.
+/// Interval at which items are taken from the engine.
 const TICK_MS: u64 = 10;
-/// Most bytes of results in one answer.
+/// Maximum bytes of results in one read.
 const PAGE_BYTES: usize = 256 << 10;
 
 /// A run at a backend.
@@ -41,13 +41,13 @@
     running: VecDeque<Running>,
     /// Items on their way to a backend.
     starting: usize,
-    tries: u64,
-    /// Results that became readable to clients who had been told of their job's acceptance.
+    attempts: u64,
+    /// Results that became readable to clients whose acceptance had been acknowledged.
     useful_results: u64,
 }
 
 impl CongestedGroup {
-    /// An active group under `load` times what the link can pass.
+    /// Creates an active group under `load` times the capacity of the link.
     pub(super) fn new(load: u32) -> CongestedGroup {
         let terms = RouteTerms {
             run_target_ms: 60_000,
@@ -68,7 +68,7 @@
             link: Link::default(),
             running: VecDeque::new(),
             starting: 0,
-            tries: 0,
+            attempts: 0,
             useful_results: 0,
         };
         congested.set_group(1, &MEMBERS, &[]);
@@ -78,13 +78,13 @@
         congested
     }
 
-    /// Tells all stores of a new epoch of the same primary.
+    /// Applies a new epoch of the same primary at all stores.
     pub(super) fn set_group(&mut self, epoch: u64, members: &[u64], learners: &[u64]) {
         let group = Arc::new(group(epoch, PRIMARY, members, learners));
         for engine in self.engines.values_mut() {
             engine.set_group(self.now_ms, group.clone());
         }
-        self.carry_out();
+        self.apply_outputs();
     }
 
     /// Whether the primary's epoch is active.
@@ -93,7 +93,7 @@
         self.primary().status(now_ms).active
     }
 
-    /// Lets time pass under load; gives the useful results of that time.
+    /// Advances the time under load; returns the useful results of that time.
     pub(super) fn pass(&mut self, span_ms: u64) -> u64 {
         let before = self.useful_results;
         (0..span_ms).for_each(|_| {
@@ -118,28 +118,28 @@
         if now_ms.is_multiple_of(TICK_MS) {
             self.engines
                 .values_mut()
-                .for_each(|engine| engine.tick(now_ms));
+                .for_each(|engine| engine.on_timer(now_ms));
             self.start_runs();
         }
-        self.carry_out();
+        self.apply_outputs();
     }
 
     fn submit_due(&mut self) {
         let now_ms = self.now_ms;
         for job in self.clients.due(now_ms) {
-            self.tries += 1;
-            let (id, try_id) = (job.id.clone(), TryId(self.tries));
-            let answer = self.primary().submit(now_ms, try_id, job);
+            self.attempts += 1;
+            let (id, attempt_id) = (job.id.clone(), SubmissionAttemptId(self.attempts));
+            let answer = self.primary().submit(now_ms, attempt_id, job);
             self.clients.submitted(now_ms, &id, answer);
         }
-        self.carry_out();
+        self.apply_outputs();
     }
 
     fn deliver(&mut self, parcel: Parcel) {
         match parcel {
             Parcel::Replication { to, message } => {
                 let engine = self.engines.get_mut(&to).expect("a store");
-                engine.receive(self.now_ms, DiskId(PRIMARY), message);
+                engine.on_message(self.now_ms, DiskId(PRIMARY), message);
             }
             Parcel::Run(ItemStart { run, .. }) => {
                 self.starting -= 1;
@@ -170,16 +170,16 @@
 
     fn start_runs(&mut self) {
         let now_ms = self.now_ms;
-        let room = MOST_RUNS.saturating_sub(self.running.len() + self.starting);
-        let starts = self.primary().take_work(now_ms, ROUTE, room);
+        let capacity = MAX_RUNS.saturating_sub(self.running.len() + self.starting);
+        let starts = self.primary().take_work(now_ms, ROUTE, capacity);
         self.starting += starts.len();
         starts
             .into_iter()
             .for_each(|start| self.link.push(Parcel::Run(start)));
     }
 
-    /// Carries out all outputs until there are none.
-    fn carry_out(&mut self) {
+    /// Applies all outputs until there are none.
+    fn apply_outputs(&mut self) {
         loop {
             let outputs = self
                 .engines
@@ -193,12 +193,12 @@
             for (from, outputs) in outputs {
                 outputs
                     .into_iter()
-                    .for_each(|output| self.carry_out_one(from, output));
+                    .for_each(|output| self.apply_output(from, output));
             }
         }
     }
 
-    fn carry_out_one(&mut self, from: u64, output: Output) {
+    fn apply_output(&mut self, from: u64, output: Output) {
         let now_ms = self.now_ms;
         match output {
             Output::Send { to, message } if from == PRIMARY => {
@@ -206,11 +206,11 @@
             }
             Output::Send { to, message } => {
                 let engine = self.engines.get_mut(&to.0).expect("a store");
-                engine.receive(now_ms, DiskId(from), message);
+                engine.on_message(now_ms, DiskId(from), message);
             }
             Output::Write { ticket, .. } => {
                 let engine = self.engines.get_mut(&from).expect("a store");
-                engine.written(now_ms, ticket);
+                engine.on_written(now_ms, ticket);
             }
             Output::Resolved {
                 token,
@@ -225,14 +225,14 @@
         }
     }
 
-    /// A client reads what is new of its job.
+    /// Reads the new results of a job for its client.
     fn read(&mut self, id: &JobId) {
         let now_ms = self.now_ms;
         let Some(after) = self.clients.reads_from(id) else {
             return;
         };
         let answer = self.primary().read(now_ms, id, after, PAGE_BYTES);
-        let ReadAnswer::Results { next, results, .. } = answer else {
+        let ReadOutcome::Results { next, results, .. } = answer else {
             return;
         };
         let bytes = results.iter().map(|result| result.text.len()).sum();
--- a/batch/tests/engine/overload.rs
+++ b/batch/tests/engine/overload.rs
@@ -1,9 +1,9 @@
-//! What is taken and started while records wait for the members' disks.
+//! Admission of jobs and starts of items while records wait for the members' disks.
 
 use crate::cluster::{job, Cluster};
-use alderhollow_batch::api::{RunEnd, Submitted};
+use alderhollow_batch::api::{RunEnd, SubmitOutcome};
 
-/// Runs items, as many as there may be; their results are handed in.
+/// Runs up to `max` items and completes them; returns their number.
 fn run(cluster: &mut Cluster, max: usize) -> usize {
     let starts = cluster.work(1, max);
     for start in &starts {
@@ -20,16 +20,16 @@
 
 fn is_taken(cluster: &mut Cluster, id: &str) -> bool {
     match cluster.submit(1, job(id, 1, 1)) {
-        Submitted::Pending(_) => true,
-        Submitted::NotSure => false,
+        SubmitOutcome::Pending(_) => true,
+        SubmitOutcome::NotSure => false,
         other => panic!("{other:?} for a job that fits"),
     }
 }
 
 #[test]
-fn a_silent_member_holds_up_no_job_until_it_can_be_left_out() {
+fn jobs_are_accepted_until_an_unresponsive_member_can_be_removed() {
     let mut cluster = Cluster::active(2);
-    cluster.cut.insert(2);
+    cluster.partitioned.insert(2);
     assert!(is_taken(&mut cluster, "at-once"));
     cluster.pass(1_900, 1);
     assert!(is_taken(&mut cluster, "while-it-may-be-left-out"));
@@ -38,17 +38,17 @@
 }
 
 #[test]
-fn a_job_is_not_taken_while_others_are_committed_late() {
+fn no_job_is_accepted_while_commits_are_late() {
     let mut cluster = Cluster::active(2);
     cluster.stores.get_mut(&2).expect("a store").holds_writes = true;
     assert!(is_taken(&mut cluster, "first"));
-    cluster.cut.insert(2);
+    cluster.partitioned.insert(2);
     cluster.pass(300, 1);
     assert!(is_taken(&mut cluster, "second"));
     cluster.pass(400, 1);
-    cluster.cut.clear();
+    cluster.partitioned.clear();
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(cluster.resolved.len(), 1, "the first is committed");
     assert!(is_taken(&mut cluster, "third"));
     cluster.pass(100, 1);
@@ -71,7 +71,7 @@
 }
 
 #[test]
-fn late_results_hold_up_further_runs() {
+fn late_results_delay_further_runs() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 200, 1));
     cluster.stores.get_mut(&2).expect("a store").holds_writes = true;
@@ -84,7 +84,7 @@
         "as much is in flight as the window holds, and more"
     );
     cluster.release_writes(2);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(
         run(&mut cluster, 100),
         75,
--- a/batch/tests/engine/replication.rs
+++ b/batch/tests/engine/replication.rs
@@ -1,16 +1,16 @@
-//! Epochs, streams and repair.
+//! Epochs, streams and synchronization of stores.
 
 use crate::cluster::{group, job, routes, terms, Cluster};
-use alderhollow_batch::api::{RouteTerms, RunEnd, Submitted};
+use alderhollow_batch::api::{RouteTerms, RunEnd, SubmitOutcome};
 use alderhollow_batch::counts::ReplicationCounts;
 use alderhollow_batch::engine::Engine;
-use alderhollow_batch::message::{Message, StreamId, MESSAGE_BYTES};
-use alderhollow_batch::records::Entry;
+use alderhollow_batch::message::{Message, MESSAGE_BYTES};
+use alderhollow_batch::records::{Entry, StreamId};
 use alderhollow_batch::state::State;
 use alderhollow_model::identity::DiskId;
 use std::sync::Arc;
 
-/// What a store's disk folds to, without its marks.
+/// The jobs restored from a store's disk, without its replication progress.
 fn jobs_on_disk(cluster: &Cluster, store: u64) -> Vec<(String, u64)> {
     let state = State::restore(cluster.now_ms, None, &cluster.stores[&store].records)
         .expect("a disk that can be read");
@@ -31,21 +31,21 @@
 }
 
 #[test]
-fn a_store_takes_nothing_under_a_lower_epoch_than_the_core_told_it() {
+fn a_store_rejects_streams_below_the_epoch_decided_by_the_core() {
     let mut cluster = Cluster::active(3);
-    cluster.cut.insert(1);
-    let told = Arc::new(group(2, 2, &[2, 3], &[]));
+    cluster.partitioned.insert(1);
+    let next_group = Arc::new(group(2, 2, &[2, 3], &[]));
     let now_ms = cluster.now_ms;
-    cluster.engine(3).set_group(now_ms, told);
-    cluster.cut.remove(&1);
-    let Submitted::Pending(_) = cluster.submit(1, job("a", 1, 1)) else {
+    cluster.engine(3).set_group(now_ms, next_group);
+    cluster.partitioned.remove(&1);
+    let SubmitOutcome::Pending(_) = cluster.submit(1, job("a", 1, 1)) else {
         panic!("not taken")
     };
     assert_eq!(cluster.resolved, []);
     assert!(jobs_on_disk(&cluster, 3).is_empty());
     assert!(matches!(
         sent(&cluster, 3, 1).last(),
-        Some(Message::Refused { .. })
+        Some(Message::Rejected { .. })
     ));
     assert!(
         !cluster.engine(1).status(now_ms).active,
@@ -54,18 +54,18 @@
 }
 
 #[test]
-fn a_primary_that_knows_of_a_greater_epoch_waits_without_looking_again_and_again() {
+fn a_superseded_primary_schedules_no_timer() {
     let mut cluster = Cluster::active(3);
-    let told = Arc::new(group(2, 2, &[2, 3], &[]));
+    let next_group = Arc::new(group(2, 2, &[2, 3], &[]));
     let now_ms = cluster.now_ms;
-    cluster.engine(3).set_group(now_ms, told);
-    let Submitted::Pending(_) = cluster.submit(1, job("a", 1, 1)) else {
+    cluster.engine(3).set_group(now_ms, next_group);
+    let SubmitOutcome::Pending(_) = cluster.submit(1, job("a", 1, 1)) else {
         panic!("not taken")
     };
     cluster.pass(3_000, 1);
     let now_ms = cluster.now_ms;
     assert!(!cluster.engine(1).status(now_ms).active);
-    let next_ms = cluster.engine(1).next_tick_ms();
+    let next_ms = cluster.engine(1).next_timer_ms();
     assert!(
         next_ms.is_none_or(|at_ms| at_ms > now_ms),
         "{next_ms:?} is due at {now_ms} and stays so"
@@ -73,7 +73,7 @@
 }
 
 #[test]
-fn a_restarted_store_follows_no_stream_that_it_followed_before() {
+fn a_restarted_store_does_not_follow_its_earlier_streams() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 1));
     let stream = StreamId {
@@ -95,7 +95,7 @@
     cluster.restart(2);
     cluster.deliver(1, 2, compare);
     cluster.deliver(1, 2, drop_it);
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(jobs_on_disk(&cluster, 2).len(), 1);
     let answers = sent(&cluster, 2, 1);
     assert!(answers
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn late_messages_of_an_earlier_session_are_refused() {
+fn late_messages_of_an_earlier_session_are_rejected() {
     let mut cluster = Cluster::active(2);
     cluster.restart(1);
     cluster.set_group(1, 1, &[1, 2], &[]);
@@ -136,22 +136,22 @@
             entries: vec![Entry::JobForgotten("a".into())],
         },
     );
-    cluster.settle();
+    cluster.run_until_idle();
     assert_eq!(jobs_on_disk(&cluster, 2).len(), 1);
     assert!(matches!(
         sent(&cluster, 2, 1).last(),
-        Some(Message::Refused { .. })
+        Some(Message::Rejected { .. })
     ));
 }
 
 #[test]
-fn a_new_epoch_sends_only_what_differs_and_drops_what_the_primary_lacks() {
+fn a_new_epoch_sends_only_differing_jobs_and_deletes_jobs_the_primary_lacks() {
     let mut cluster = Cluster::active(3);
     for number in 0..20 {
         cluster.accept(1, job(&format!("same{number}"), 2, 1));
     }
-    // Store 1 takes a job that reaches nobody; store 2 leads meanwhile and takes others.
-    cluster.cut.insert(1);
+    // Store 1 appends a job that reaches no other store; meanwhile store 2 leads and accepts others.
+    cluster.partitioned.insert(1);
     cluster.submit(1, job("lost", 1, 1));
     cluster.set_group(2, 2, &[2, 3], &[]);
     cluster.validate(2);
@@ -165,7 +165,7 @@
             },
         );
     }
-    cluster.cut.remove(&1);
+    cluster.partitioned.remove(&1);
     cluster.sent.clear();
     cluster.set_group(3, 2, &[2, 3], &[1]);
     assert_eq!(jobs_on_disk(&cluster, 1), jobs_on_disk(&cluster, 2));
@@ -177,33 +177,33 @@
             _ => None,
         });
     let entries: Vec<Entry> = entries.flatten().collect();
-    let whole = entries
+    let full_jobs = entries
         .iter()
-        .filter(|entry| matches!(entry, Entry::WholeJob(_)))
+        .filter(|entry| matches!(entry, Entry::FullJob(_)))
         .count();
     let dropped: Vec<&Entry> = entries
         .iter()
         .filter(|entry| matches!(entry, Entry::JobForgotten(_)))
         .collect();
-    assert_eq!(whole, 2, "the new one and the one with a result");
+    assert_eq!(full_jobs, 2, "the new one and the one with a result");
     assert_eq!(dropped, [&Entry::JobForgotten("lost".into())]);
     let now_ms = cluster.now_ms;
     assert_eq!(cluster.engine(2).status(now_ms).in_sync, [DiskId(1)]);
 }
 
 #[test]
-fn a_learner_is_not_waited_for() {
+fn commits_do_not_wait_for_learners() {
     let mut cluster = Cluster::active(2);
     cluster.start(3, Vec::new());
     cluster.accept(1, job("a", 1, 1));
     cluster.set_group(2, 1, &[1, 2], &[3]);
     let now_ms = cluster.now_ms;
     assert_eq!(cluster.engine(1).status(now_ms).in_sync, [DiskId(3)]);
-    cluster.cut.insert(3);
+    cluster.partitioned.insert(3);
     cluster.accept(1, job("b", 1, 1));
     assert_eq!(cluster.engine(1).status(now_ms).in_sync, []);
     assert_eq!(cluster.engine(1).status(now_ms).silent, []);
-    cluster.cut.remove(&3);
+    cluster.partitioned.remove(&3);
     cluster.pass(3_000, 1);
     assert_eq!(jobs_on_disk(&cluster, 1), jobs_on_disk(&cluster, 3));
     let now_ms = cluster.now_ms;
@@ -211,7 +211,7 @@
 }
 
 #[test]
-fn a_store_reports_that_it_equals_the_primary_once_that_is_on_its_disk() {
+fn a_store_reports_synced_only_after_it_is_on_disk() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 1));
     let now_ms = cluster.now_ms;
@@ -234,9 +234,9 @@
 }
 
 #[test]
-fn a_member_that_does_not_answer_is_reported_and_waited_for() {
+fn an_unresponsive_member_is_reported_and_commits_wait_for_it() {
     let mut cluster = Cluster::active(3);
-    cluster.cut.insert(3);
+    cluster.partitioned.insert(3);
     cluster.submit(1, job("a", 1, 1));
     cluster.pass(800, 1);
     let now_ms = cluster.now_ms;
@@ -245,7 +245,7 @@
     let now_ms = cluster.now_ms;
     assert_eq!(cluster.engine(1).status(now_ms).silent, [DiskId(3)]);
     assert_eq!(cluster.resolved, []);
-    cluster.cut.remove(&3);
+    cluster.partitioned.remove(&3);
     cluster.pass(3_000, 1);
     assert_eq!(cluster.resolved.len(), 1);
     let now_ms = cluster.now_ms;
@@ -253,23 +253,23 @@
 }
 
 #[test]
-fn a_primary_that_may_lack_acknowledged_jobs_says_so_and_drops_none() {
+fn a_primary_that_may_lack_acknowledged_jobs_reports_it_and_deletes_none() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 1));
     cluster.start(3, Vec::new());
-    // Against the rule for the core, a store that was never brought up to date is named.
+    // The core violates its rule and appoints a store that was never in sync.
     cluster.set_group(2, 3, &[2, 3], &[]);
     cluster.validate(3);
     cluster.pass(2_000, 3);
     let now_ms = cluster.now_ms;
     let status = cluster.engine(3).status(now_ms);
     assert_eq!((status.behind, status.active), (Some(DiskId(2)), false));
-    assert_eq!(cluster.submit(3, job("b", 1, 1)), Submitted::NotSure);
+    assert_eq!(cluster.submit(3, job("b", 1, 1)), SubmitOutcome::NotSure);
     cluster.set_group(3, 2, &[2, 3], &[]);
     cluster.validate(2);
     assert_eq!(
         cluster.submit(2, job("a", 1, 1)),
-        Submitted::AlreadyAccepted
+        SubmitOutcome::AlreadyAccepted
     );
 }
 
@@ -285,23 +285,23 @@
     cluster.validate(1);
     assert_eq!(
         cluster.submit(1, job("a", 1, 1)),
-        Submitted::AlreadyAccepted
+        SubmitOutcome::AlreadyAccepted
     );
 }
 
 #[test]
-fn an_answer_that_comes_later_than_the_retry_of_a_comparison_counts() {
+fn an_answer_after_the_retry_of_a_comparison_is_accepted() {
     let mut cluster = Cluster::active(2);
     cluster.accept(1, job("a", 1, 1));
-    cluster.cut.insert(2);
+    cluster.partitioned.insert(2);
     cluster.sent.clear();
     cluster.set_group(2, 1, &[1, 2], &[]);
     cluster.pass(4_000, 1);
     let compares = sent(&cluster, 1, 2);
     assert!(compares.len() >= 3, "{compares:?}");
-    cluster.cut.remove(&2);
+    cluster.partitioned.remove(&2);
     cluster.deliver(1, 2, compares[0].clone());
-    cluster.settle();
+    cluster.run_until_idle();
     let now_ms = cluster.now_ms;
     assert!(
         cluster.engine(1).status(now_ms).active,
@@ -311,13 +311,13 @@
     compares
         .into_iter()
         .for_each(|compare| cluster.deliver(1, 2, compare));
-    cluster.settle();
+    cluster.run_until_idle();
     cluster.accept(1, job("c", 1, 1));
     assert_eq!(jobs_on_disk(&cluster, 1), jobs_on_disk(&cluster, 2));
 }
 
 #[test]
-fn large_states_go_in_bounded_messages() {
+fn large_states_are_sent_in_bounded_messages() {
     let mut cluster = Cluster::active(1);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_routes(
@@ -346,7 +346,7 @@
 }
 
 #[test]
-fn little_is_under_way_to_a_store_that_does_not_acknowledge() {
+fn the_send_window_bounds_unacknowledged_bytes() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_routes(
@@ -357,18 +357,21 @@
             ..terms()
         }),
     );
-    cluster.cut.insert(2);
+    cluster.partitioned.insert(2);
     cluster.sent.clear();
     for number in 0..40 {
         let mut large = job(&format!("large{number}"), 1, 1);
         large.items[0].request.as_mut().unwrap().body = vec![number; 50_000];
         cluster.submit(1, large);
     }
-    let under_way: usize = sent(&cluster, 1, 2)
+    let in_flight_bytes: usize = sent(&cluster, 1, 2)
         .iter()
         .map(|message| message.to_bytes().len())
         .sum();
-    assert!((200_000..400_000).contains(&under_way), "{under_way}");
+    assert!(
+        (200_000..400_000).contains(&in_flight_bytes),
+        "{in_flight_bytes}"
+    );
 }
 
 #[test]
@@ -401,7 +404,7 @@
 }
 
 #[test]
-fn what_a_dead_learner_holds_back_is_bounded() {
+fn the_log_retained_for_a_dead_learner_is_bounded() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_routes(
@@ -414,13 +417,13 @@
     );
     cluster.start(3, Vec::new());
     cluster.set_group(2, 1, &[1, 2], &[3]);
-    cluster.cut.insert(3);
+    cluster.partitioned.insert(3);
     for number in 0..30 {
         let mut large = job(&format!("large{number}"), 1, 1);
         large.items[0].request.as_mut().unwrap().body = vec![number; 1 << 20];
         cluster.accept(1, large);
     }
-    cluster.cut.remove(&3);
+    cluster.partitioned.remove(&3);
     cluster.pass(5_000, 1);
     assert_eq!(jobs_on_disk(&cluster, 1), jobs_on_disk(&cluster, 3));
 }
@@ -469,7 +472,7 @@
             ..ReplicationCounts::default()
         }
     );
-    cluster.cut.insert(3);
+    cluster.partitioned.insert(3);
     cluster.submit(1, job("a", 1, 1));
     cluster.pass(600, 1);
     assert_eq!(
@@ -477,7 +480,7 @@
         1,
         "after 500 ms without an answer"
     );
-    cluster.cut.remove(&3);
+    cluster.partitioned.remove(&3);
     cluster.pass(3_000, 1);
     let before = cluster.engine(1).counts().replication;
     cluster.set_group(2, 1, &[1, 2], &[]);
@@ -499,7 +502,7 @@
 }
 
 #[test]
-fn a_stream_that_is_given_up_is_counted() {
+fn an_abandoned_stream_is_counted() {
     let mut cluster = Cluster::active(2);
     let now_ms = cluster.now_ms;
     cluster.engine(1).set_routes(
@@ -512,11 +515,11 @@
     );
     cluster.start(3, Vec::new());
     cluster.set_group(2, 1, &[1, 2], &[3]);
-    cluster.cut.insert(3);
+    cluster.partitioned.insert(3);
     for number in 0..17 {
         let mut large = job(&format!("large{number}"), 1, 1);
         large.items[0].request.as_mut().unwrap().body = vec![number; 1 << 20];
         cluster.accept(1, large);
     }
-    assert!(cluster.engine(1).counts().replication.streams_given_up >= 1);
+    assert!(cluster.engine(1).counts().replication.streams_abandoned >= 1);
 }
--- a/batch/tests/quota/simulation/world.rs
+++ b/batch/tests/quota/simulation/harness.rs
@@ -1,20 +1,20 @@
-//! All processes, the core's word on the groups, the clients, and the troubles.
+//! The simulation: all processes, the group configuration of the core, the clients, and fault injection.
 
 use super::jobs::Jobs;
 use super::network::{Envelope, Network, Packet, Quality};
 use super::oracle::{Oracle, Tally};
 use super::process::{due, Client, Process, ROUTE};
-use alderhollow_batch::quota::{home_group, QuotaOutcome, Settled, SubmissionId};
+use alderhollow_batch::quota::{home_group, QuotaOutcome, ResolvedSubmission, SubmissionId};
 use oorandom::Rand32;
 use std::collections::BTreeSet;
 
 const STEP_MS: u64 = 5;
-/// Where cuts into halves occur, one begins in one of so many steps.
-const STEPS_BETWEEN_CUTS: u32 = 300;
-/// Shortest and longest cut into halves.
-const CUT_MS: std::ops::Range<u32> = 500..4_000;
+/// With split partitions enabled, one starts on average every so many steps.
+const STEPS_BETWEEN_PARTITIONS: u32 = 300;
+/// Duration of a split partition.
+const PARTITION_MS: std::ops::Range<u32> = 500..4_000;
 
-/// What a play is like.
+/// Settings of a simulation run.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct Settings {
     pub groups: usize,
@@ -22,15 +22,15 @@
     pub end_ms: u64,
     pub quality: Quality,
     pub is_calm: bool,
-    /// Whether the processes are cut into two halves now and then.
+    /// Whether partitions into two halves occur.
     pub has_halves: bool,
-    /// Chance in 10,000 of a trouble in a step.
-    pub trouble: u32,
-    /// Chance in 1,000 of a submission in a step.
+    /// Probability of a fault in a step, in 1/10,000.
+    pub fault: u32,
+    /// Probability of a submission in a step, in 1/1,000.
     pub submissions: u32,
-    /// Chance in 1,000 that an accepted job ends in a step.
+    /// Probability that an accepted job ends in a step, in 1/1,000.
     pub ends: u32,
-    /// Most tokens of a job, nearly.
+    /// Exclusive maximum of the tokens of a job.
     pub tokens: u32,
 }
 
@@ -47,12 +47,12 @@
         Settings {
             quality,
             is_calm: false,
-            trouble: random.rand_range(1..150),
+            fault: random.rand_range(1..150),
             ..Settings::load(&mut random)
         }
     }
 
-    /// All troubles, and cuts into halves.
+    /// All faults, and partitions into two halves.
     pub(super) fn with_halves(seed: u64) -> Settings {
         Settings {
             has_halves: true,
@@ -73,7 +73,7 @@
         Settings {
             quality,
             is_calm: true,
-            trouble: 0,
+            fault: 0,
             ..Settings::load(&mut random)
         }
     }
@@ -93,7 +93,7 @@
             quality,
             is_calm: true,
             has_halves: false,
-            trouble: 0,
+            fault: 0,
             submissions: random.rand_range(50..1_000),
             ends: random.rand_range(2..40),
             tokens: [100, 500, 2_000, 8_000][random.rand_range(0..4) as usize],
@@ -101,20 +101,20 @@
     }
 }
 
-/// A cut into two halves. Processes that start meanwhile are in the half of the core.
+/// A partition into two halves. Processes that start during it are in the half of the core.
 struct Halves {
     until_ms: u64,
-    /// Processes of the half that the core is not in.
+    /// Processes of the half without the core.
     without_core: BTreeSet<usize>,
 }
 
-/// The whole.
-pub(super) struct World {
+/// A simulation run.
+pub(super) struct Simulation {
     settings: Settings,
     random: Rand32,
     now_ms: u64,
     home: usize,
-    /// The core's word: each group's epoch.
+    /// Epoch of each group, as decided by the core.
     epochs: Vec<u64>,
     /// The newest process of each group.
     newest: Vec<usize>,
@@ -126,10 +126,10 @@
     submissions: u64,
 }
 
-impl World {
-    pub(super) fn new(seed: u64, settings: Settings) -> World {
+impl Simulation {
+    pub(super) fn new(seed: u64, settings: Settings) -> Simulation {
         let home = home_group(ROUTE, settings.groups as u32) as usize;
-        let mut world = World {
+        let mut harness = Simulation {
             settings,
             random: Rand32::new(seed),
             now_ms: 0,
@@ -144,13 +144,13 @@
             submissions: 0,
         };
         for group in 0..settings.groups {
-            world.newest.push(group);
-            world.start_process(group, 1, 0);
+            harness.newest.push(group);
+            harness.start_process(group, 1, 0);
         }
-        world
+        harness
     }
 
-    /// Plays to the end; gives what came of it.
+    /// Runs to the end and returns the tally.
     pub(super) fn run(mut self) -> Tally {
         while self.now_ms < self.settings.end_ms {
             self.now_ms += STEP_MS;
@@ -161,14 +161,14 @@
     }
 
     fn step(&mut self) {
-        if self.random.rand_range(0..10_000) < self.settings.trouble {
-            self.make_trouble();
+        if self.random.rand_range(0..10_000) < self.settings.fault {
+            self.inject_fault();
         }
         if self.settings.has_halves {
-            self.cut_or_join();
+            self.split_or_rejoin();
         }
         for index in 0..self.processes.len() {
-            self.processes[index].read_news(self.now_ms, self.home);
+            self.processes[index].read_core_update(self.now_ms, self.home);
             self.activate_if_due(index);
         }
         self.deliver();
@@ -191,7 +191,7 @@
         process.is_active && process.is_alive(self.now_ms)
     }
 
-    /// A group's primary starts, with the core's state of this moment.
+    /// Starts a group's primary with the current state of the core.
     fn start_process(&mut self, group: usize, session: u64, recovery_ms: u64) {
         let active_from_ms = self.now_ms + recovery_ms;
         let mut process = Process::new(
@@ -222,16 +222,16 @@
         self.oracle.check_sum(self.now_ms, self.jobs.waiting());
     }
 
-    /// Half of the processes, by chance, hear neither the others nor the core for a while.
-    fn cut_or_join(&mut self) {
+    /// Sometimes partitions half of the processes from the others and the core for a while.
+    fn split_or_rejoin(&mut self) {
         self.halves = self
             .halves
             .take()
             .filter(|halves| self.now_ms < halves.until_ms);
-        if self.halves.is_some() || self.random.rand_range(0..STEPS_BETWEEN_CUTS) > 0 {
+        if self.halves.is_some() || self.random.rand_range(0..STEPS_BETWEEN_PARTITIONS) > 0 {
             return;
         }
-        let until_ms = self.now_ms + u64::from(self.random.rand_range(CUT_MS));
+        let until_ms = self.now_ms + u64::from(self.random.rand_range(PARTITION_MS));
         let without_core = (0..self.processes.len())
             .filter(|_| self.random.rand_range(0..2) == 0)
             .collect();
@@ -242,14 +242,14 @@
     }
 
     fn are_apart(&self, first: usize, second: usize) -> bool {
-        let is_cut = |halves: &Halves| {
+        let is_partitioned = |halves: &Halves| {
             halves.without_core.contains(&first) != halves.without_core.contains(&second)
         };
-        self.halves.as_ref().is_some_and(is_cut)
+        self.halves.as_ref().is_some_and(is_partitioned)
     }
 
-    /// Ends or replaces a group's primary, in favour of the home group.
-    fn make_trouble(&mut self) {
+    /// Restarts or replaces the primary of a group, preferably of the home group.
+    fn inject_fault(&mut self) {
         let group = match self.random.rand_range(0..3) {
             0 => self.home,
             _ => self.random.rand_range(0..self.settings.groups as u32) as usize,
@@ -264,7 +264,7 @@
         }
     }
 
-    /// The same process starts again within its epoch.
+    /// Restarts the same process within its epoch.
     fn restart(&mut self, group: usize) {
         let index = self.newest[group];
         let session = self.processes[index].session + 1;
@@ -273,7 +273,7 @@
         self.start_process(group, session, recovery_ms);
     }
 
-    /// The core names another primary; the replaced one goes on for a while without knowing.
+    /// The core appoints another primary; the replaced one continues for a while without knowing.
     fn replace(&mut self, group: usize, goes_on_ms: u64) {
         let index = self.newest[group];
         self.processes[index].ends_ms = Some(self.now_ms + goes_on_ms);
@@ -285,7 +285,9 @@
                 .filter(|halves| halves.without_core.contains(&index));
             let from_ms = cut.map_or(self.now_ms, |halves| halves.until_ms);
             let delay_ms = u64::from(self.random.rand_range(0..1_500));
-            process.news.insert(from_ms + delay_ms, self.epochs.clone());
+            process
+                .core_update
+                .insert(from_ms + delay_ms, self.epochs.clone());
         }
         let recovery_ms = u64::from(self.random.rand_range(20..500));
         self.start_process(group, 1, recovery_ms);
@@ -312,8 +314,8 @@
             }
             Packet::Grant(grant) => {
                 let used = process.used();
-                let settled = process.account.take_answer(self.now_ms, used, &grant);
-                self.settle(to, settled);
+                let resolved = process.account.on_grant(self.now_ms, used, &grant);
+                self.on_resolved(to, resolved);
             }
         }
     }
@@ -331,7 +333,7 @@
         );
     }
 
-    /// A client hands a job in, mostly at the newest primary of its group.
+    /// A client submits a job, mostly at the newest primary of its group.
     fn submit(&mut self) {
         let group = self.random.rand_range(0..self.settings.groups as u32) as usize;
         let stray = self.random.rand_range(0..self.processes.len() as u32) as usize;
@@ -352,37 +354,39 @@
         let process = &mut self.processes[index];
         process.clients.insert(submission, client);
         if process.account.fits(process.used(), client.tokens) {
-            self.settle(
+            self.on_resolved(
                 index,
-                vec![Settled {
+                vec![ResolvedSubmission {
                     submission,
                     outcome: QuotaOutcome::Fits,
                 }],
             );
         } else {
-            process.account.want(self.now_ms, submission, client.tokens);
+            process
+                .account
+                .request(self.now_ms, submission, client.tokens);
         }
     }
 
-    fn settle(&mut self, index: usize, settled: Vec<Settled>) {
-        for Settled {
+    fn on_resolved(&mut self, index: usize, resolved: Vec<ResolvedSubmission>) {
+        for ResolvedSubmission {
             submission,
             outcome,
-        } in settled
+        } in resolved
         {
             let process = &mut self.processes[index];
             let client = process
                 .clients
                 .remove(&submission)
                 .expect("a client that waits");
-            self.oracle.settled(self.now_ms, STEP_MS, client, outcome);
+            self.oracle.resolved(self.now_ms, STEP_MS, client, outcome);
             if outcome == QuotaOutcome::Fits {
                 self.accept(index, client.tokens);
             }
         }
     }
 
-    /// A primary takes a job; it is committed later.
+    /// A primary accepts a job, which is committed later.
     fn accept(&mut self, index: usize, tokens: u64) {
         let process = &mut self.processes[index];
         assert!(
@@ -391,12 +395,12 @@
         );
         let job = self.jobs.add(process.group, tokens, process.is_fenced);
         process.counted.insert(job, tokens);
-        process.account.note_accepted(process.used());
+        process.account.record_accepted(process.used());
         let commit_ms = self.now_ms + u64::from(self.random.rand_range(1..60));
         process.accepting.entry(commit_ms).or_default().push(job);
     }
 
-    /// All that a primary does by itself.
+    /// Runs the periodic work of a primary.
     fn run_process(&mut self, index: usize) {
         self.commit(index);
         self.end_jobs(index);
@@ -404,8 +408,8 @@
         let process = &mut self.processes[index];
         let used = process.used();
         let due_ms = process.account.next_due_ms(used);
-        let settled = process.account.settle(now_ms, used);
-        self.settle(index, settled);
+        let resolved = process.account.resolve_waiting(now_ms, used);
+        self.on_resolved(index, resolved);
         self.report(index, due_ms);
         let clients = self.processes[index].clients.values();
         clients.for_each(|client| self.oracle.still_waits(now_ms, STEP_MS, *client));
@@ -427,11 +431,11 @@
             Some(addressee) => self.send(index, addressee, Packet::Report(report)),
             None => self.processes[index]
                 .account
-                .answer_lost(self.now_ms, report.id),
+                .on_answer_lost(self.now_ms, report.id),
         }
     }
 
-    /// What has come to every member's disk.
+    /// Commits what has reached every member's disk.
     fn commit(&mut self, index: usize) {
         let process = &mut self.processes[index];
         let accepted = due(&mut process.accepting, self.now_ms);
--- a/batch/tests/simulation/clients.rs
+++ b/batch/tests/simulation/clients.rs
@@ -1,42 +1,42 @@
-//! Clients, each with one job, and the gateways that they meet.
+//! Clients with one job each, and the gateways that they use.
 
 use crate::oracle::Oracle;
 use crate::stores::{Answer, Call, ROUTE};
-use alderhollow_batch::api::TryId;
+use alderhollow_batch::api::SubmissionAttemptId;
 use alderhollow_batch::job::{Header, Item, ItemRequest, JobId, NewJob};
 use oorandom::Rand64;
 
-/// How long a gateway looks for a clear answer to one try.
-const TRY_MS: u64 = 2_500;
-/// How long a gateway waits for a store's answer.
+/// Time-out of a gateway for a final outcome of one attempt.
+const RETRY_DELAY_MS: u64 = 2_500;
+/// Time-out of a gateway for a store's answer.
 pub(crate) const CALL_MS: u64 = 700;
-/// Tries of a client.
-const TRIES: u32 = 6;
-/// Pause between two tries, and between two reads.
+/// Maximum number of attempts of a client.
+const MAX_ATTEMPTS: u32 = 6;
+/// Delay between two attempts, and between two reads.
 const PAUSE_MS: u64 = 400;
 
-/// Where a client is.
+/// Stage of a client.
 #[derive(Debug, Clone, PartialEq, Eq)]
 enum Stage {
-    /// Handing in.
-    Trying {
-        try_id: TryId,
+    /// Submitting.
+    Submitting {
+        attempt_id: SubmissionAttemptId,
         until_ms: u64,
         unknown: bool,
     },
-    /// Between two tries.
+    /// Between two attempts.
     Pausing,
     /// Reading.
     Reading,
-    /// No try was accepted.
+    /// No attempt was accepted.
     GaveUp,
 }
 
-/// A client, with the gateway that it meets.
+/// A client and its gateway.
 pub(crate) struct Client {
     pub job: NewJob,
     stage: Stage,
-    tries_left: u32,
+    attempts_left: u32,
     all_refused: bool,
     newest_call: u64,
     ends_at_ms: Option<u64>,
@@ -46,7 +46,7 @@
 pub(crate) enum Step {
     /// Call a store; the call's number.
     Call(u64, Call),
-    /// Come again later.
+    /// Continue later.
     Wait(u64),
     Nothing,
 }
@@ -66,11 +66,11 @@
             items,
         };
         let ends_at_ms = (random.rand_float() < 0.25).then(|| random.rand_range(1_000..12_000));
-        let tries_left = TRIES;
+        let attempts_left = MAX_ATTEMPTS;
         Client {
             job,
             stage: Stage::Pausing,
-            tries_left,
+            attempts_left,
             all_refused: true,
             newest_call: 0,
             ends_at_ms,
@@ -82,19 +82,19 @@
         self.stage == Stage::Reading
     }
 
-    /// Its turn.
+    /// Takes the next step.
     pub(crate) fn step(&mut self, now_ms: u64, oracle: &mut Oracle, random: &mut Rand64) -> Step {
         match &self.stage {
-            Stage::Trying { .. } => self.submit(),
+            Stage::Submitting { .. } => self.submit(),
             Stage::Pausing => {
-                if self.tries_left == TRIES {
+                if self.attempts_left == MAX_ATTEMPTS {
                     oracle.sent(now_ms, &self.job);
                 }
-                self.tries_left -= 1;
-                let try_id = TryId(random.rand_u64());
-                self.stage = Stage::Trying {
-                    try_id,
-                    until_ms: now_ms + TRY_MS,
+                self.attempts_left -= 1;
+                let attempt_id = SubmissionAttemptId(random.rand_u64());
+                self.stage = Stage::Submitting {
+                    attempt_id,
+                    until_ms: now_ms + RETRY_DELAY_MS,
                     unknown: false,
                 };
                 self.submit()
@@ -104,13 +104,13 @@
         }
     }
 
-    /// Hands the job in.
+    /// Submits the job.
     fn submit(&mut self) -> Step {
-        let Stage::Trying { try_id, .. } = self.stage else {
+        let Stage::Submitting { attempt_id, .. } = self.stage else {
             return Step::Nothing;
         };
         self.call(Call::Submit {
-            try_id,
+            attempt_id,
             job: self.job.clone(),
         })
     }
@@ -122,7 +122,7 @@
         if truth.end_acknowledged_ms.is_none()
             && self.ends_at_ms.is_some_and(|at_ms| now_ms >= at_ms)
         {
-            truth.end_asked = true;
+            truth.end_requested = true;
             return self.call(Call::End { job: id });
         }
         let known = truth.seen.len();
@@ -151,19 +151,19 @@
         Step::Call(self.newest_call, call)
     }
 
-    /// No answer came in time.
+    /// Handles a time-out of a call.
     pub(crate) fn timed_out(&mut self, now_ms: u64, call: u64, oracle: &mut Oracle) -> Step {
         if call != self.newest_call {
             return Step::Nothing;
         }
         self.newest_call += 1;
-        if let Stage::Trying { .. } = self.stage {
+        if let Stage::Submitting { .. } = self.stage {
             return self.submitted(now_ms, Answer::Unknown, oracle);
         }
         Step::Wait(PAUSE_MS)
     }
 
-    /// A store answered.
+    /// Handles the answer of a store.
     pub(crate) fn answered(
         &mut self,
         now_ms: u64,
@@ -175,7 +175,7 @@
             return Step::Nothing;
         }
         self.newest_call += 1;
-        if let Stage::Trying { .. } = self.stage {
+        if let Stage::Submitting { .. } = self.stage {
             return self.submitted(now_ms, answer, oracle);
         }
         let id = &self.job.id;
@@ -201,16 +201,16 @@
                     "MIXED: other bytes than those of {id}"
                 );
             }
-            // An item may be listed or its job ended; whether a body may be missing is looked at where it is answered.
+            // The item may have a result or its job may have ended; a missing body is checked where it is answered.
             Answer::NotFound | Answer::NotHere | Answer::Unknown => {}
             Answer::OverQuota => panic!("no answer to a read"),
         }
         Step::Wait(PAUSE_MS)
     }
 
-    /// The gateway has an answer of a store to the job handed in.
+    /// Handles a store's answer to the submission.
     fn submitted(&mut self, now_ms: u64, answer: Answer, oracle: &mut Oracle) -> Step {
-        let Stage::Trying {
+        let Stage::Submitting {
             until_ms, unknown, ..
         } = &mut self.stage
         else {
@@ -226,23 +226,23 @@
             Answer::NotHere if !*unknown && now_ms >= *until_ms => return self.refused(oracle),
             Answer::NotHere => {}
             Answer::Unknown => *unknown = true,
-            other => panic!("no answer to a job handed in: {other:?}"),
+            other => panic!("unexpected answer to a submission: {other:?}"),
         }
         if now_ms < *until_ms {
             return Step::Wait(100);
         }
-        // 504: nothing is promised.
+        // 504: the outcome is unknown.
         self.all_refused = false;
-        self.next_try(oracle)
+        self.next_attempt(oracle)
     }
 
-    /// The gateway answers 429 or 503.
+    /// Handles a rejection: the gateway answers 429 or 503.
     fn refused(&mut self, oracle: &mut Oracle) -> Step {
-        self.next_try(oracle)
+        self.next_attempt(oracle)
     }
 
-    fn next_try(&mut self, oracle: &mut Oracle) -> Step {
-        if self.tries_left > 0 {
+    fn next_attempt(&mut self, oracle: &mut Oracle) -> Step {
+        if self.attempts_left > 0 {
             self.stage = Stage::Pausing;
             return Step::Wait(PAUSE_MS);
         }
--- a/batch/tests/simulation/stores.rs
+++ b/batch/tests/simulation/stores.rs
@@ -1,7 +1,9 @@
 //! Store machines and the processes on them.
 
 use crate::disk::SimDisk;
-use alderhollow_batch::api::{ReadAnswer, RouteTerms, RunEnd, RunId, Token, TryId, WriteTicket};
+use alderhollow_batch::api::{
+    ReadOutcome, RouteTerms, RunEnd, RunId, SubmissionAttemptId, Token, WriteTicket,
+};
 use alderhollow_batch::engine::Engine;
 use alderhollow_batch::job::{JobId, NewJob};
 use alderhollow_model::identity::DiskId;
@@ -19,33 +21,33 @@
     pub disk: SimDisk,
     pub process: Option<Process>,
     pub frozen: bool,
-    /// What waits for a frozen process.
-    pub mailbox: Vec<(Option<u64>, ToProcess)>,
-    pub cut_from_core: bool,
-    /// Longest sync.
+    /// Inputs that wait for a frozen process.
+    pub pending_inputs: Vec<(Option<u64>, ToProcess)>,
+    pub partitioned_from_core: bool,
+    /// Maximum duration of a sync.
     pub sync_ms: u64,
 }
 
-/// One life of a process.
+/// One incarnation of a process.
 pub(crate) struct Process {
-    pub life: u64,
+    pub incarnation: u64,
     pub engine: Engine,
-    /// Its steady clock is ahead of the simulation's by so much.
+    /// Offset of its monotonic clock from the simulated time.
     pub clock_ahead_ms: u64,
-    /// Calls that wait for a token.
+    /// Pending calls by token.
     pub waiting: HashMap<Token, Vec<Caller>>,
-    /// Runs under way: the job and item.
+    /// Runs in progress, with job and item.
     pub runs: HashMap<RunId, (JobId, String)>,
 }
 
-/// Who waits for an answer.
+/// Caller that waits for an answer.
 #[derive(Debug, Clone, Copy)]
 pub(crate) struct Caller {
     pub client: usize,
     pub call: u64,
 }
 
-/// Something that happens to a process.
+/// Input of a process.
 #[derive(Debug, Clone)]
 pub(crate) enum ToProcess {
     Message {
@@ -73,11 +75,11 @@
     },
 }
 
-/// A client's call, as a gateway passes it on.
+/// A client's call as forwarded by a gateway.
 #[derive(Debug, Clone)]
 pub(crate) enum Call {
     Submit {
-        try_id: TryId,
+        attempt_id: SubmissionAttemptId,
         job: NewJob,
     },
     Read {
@@ -94,15 +96,15 @@
     },
 }
 
-/// What a store answers to a call.
+/// Answer of a store to a call.
 #[derive(Debug, Clone)]
 pub(crate) enum Answer {
     /// 202 or 200.
     Done,
     OverQuota,
-    /// Surely nothing was done.
+    /// Nothing was done.
     NotHere,
-    /// It can't be known.
+    /// The outcome is unknown.
     Unknown,
     NotFound,
     Results {
@@ -120,14 +122,14 @@
             disk: SimDisk::new(id),
             process: None,
             frozen: false,
-            mailbox: Vec::new(),
-            cut_from_core: false,
+            pending_inputs: Vec::new(),
+            partitioned_from_core: false,
             sync_ms: 5,
         }
     }
 
-    /// Starts a process on what the disk holds.
-    pub(crate) fn start(&mut self, life: u64, now_ms: u64, clock_ahead_ms: u64) {
+    /// Starts a process with the records on the disk.
+    pub(crate) fn start(&mut self, incarnation: u64, now_ms: u64, clock_ahead_ms: u64) {
         let clock = now_ms + clock_ahead_ms;
         let (snapshot, records) = (self.disk.snapshot.as_deref(), &self.disk.records);
         let mut engine = Engine::restore(self.disk.id, clock, snapshot, records)
@@ -136,14 +138,14 @@
         engine.set_status_ms(1_000_000);
         let (waiting, runs) = (HashMap::new(), HashMap::new());
         self.process = Some(Process {
-            life,
+            incarnation,
             engine,
             clock_ahead_ms,
             waiting,
             runs,
         });
         self.frozen = false;
-        self.mailbox.clear();
+        self.pending_inputs.clear();
     }
 }
 
@@ -158,10 +160,10 @@
     BTreeMap::from([(ROUTE.to_owned(), terms)])
 }
 
-/// A read's answer, as it goes to the client.
-pub(crate) fn read_answer(answer: ReadAnswer<'_>, after: u32, known: usize) -> Answer {
+/// The outcome of a read as sent to the client.
+pub(crate) fn read_answer(answer: ReadOutcome<'_>, after: u32, known: usize) -> Answer {
     match answer {
-        ReadAnswer::Results {
+        ReadOutcome::Results {
             total,
             next,
             results,
@@ -181,7 +183,7 @@
                 results,
             }
         }
-        ReadAnswer::NotFound => Answer::NotFound,
-        ReadAnswer::NotPrimary | ReadAnswer::NotSure => Answer::NotHere,
+        ReadOutcome::NotFound => Answer::NotFound,
+        ReadOutcome::NotPrimary | ReadOutcome::NotSure => Answer::NotHere,
     }
 }
