--- a/alderhollow/examples/scale-run/main.rs
+++ b/alderhollow/examples/scale-run/main.rs
@@ -31,7 +31,7 @@
     #[arg(long, default_value = "target/tier/alderhollow")]
     binary: PathBuf,
     /// Numbers of hollow gateways.
-    #[arg(long, value_delimiter = ',', default_values_t = [10, 30, 100, 300])]
+    #[arg(long, alias = "doors", value_delimiter = ',', default_values_t = [10, 30, 100, 300])]
     gateways: Vec<usize>,
     /// Number of backends in the platform's list.
     #[arg(long, default_value_t = 1_600)]
--- a/placement-model/src/settings.rs
+++ b/placement-model/src/settings.rs
@@ -57,7 +57,8 @@
 #[derive(Debug, Clone, Copy, PartialEq, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct Senders {
-    /// Those that pass on what clients ask for.
+    /// Those that pass on what clients ask for; `doors` in the file.
+    #[serde(rename = "doors")]
     pub gateways: usize,
     /// Those that run items.
     pub stores: usize,
