--- a/alderhollow/src/batch_api/document.rs
+++ b/alderhollow/src/batch_api/document.rs
@@ -1,28 +1,28 @@
-//! The JSON of batch calls: a batch job as a client hands it in, and results as a client reads them.
+//! The JSON of batch calls: a batch job as a client submits it, and results as a client reads them.
 
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use serde::{Deserialize, Serialize};
 use std::collections::{BTreeMap, BTreeSet};
 
-/// Most items of one batch job.
-pub const MOST_ITEMS: usize = 200;
+/// Maximum number of items of one batch job.
+pub const MAX_ITEMS: usize = 200;
 
-/// One item as it was handed in, its body decoded.
+/// One item as it was submitted, its body decoded.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub struct HandedItem {
-    /// Its id, which goes to backends as `Request-Id`.
+pub struct SubmittedItem {
+    /// Identity of the item, sent to backends as `Request-Id`.
     pub id: String,
-    /// Path of its request.
+    /// Path of the request to a backend.
     pub path: String,
-    /// Headers of its request.
+    /// Headers of the request to a backend.
     pub headers: Vec<(String, String)>,
-    /// Body of its request.
+    /// Body of the request to a backend.
     pub body: Vec<u8>,
-    /// Tokens of the prompt and most out, summed.
+    /// Tokens of the prompt plus the maximum number of output tokens.
     pub tokens: u64,
 }
 
-/// Why a batch job can't be taken: it will never be valid, so the client gets 400.
+/// Why a batch job is rejected. A repetition fails the same way, so the client gets 400.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DocumentError {
     /// Not JSON, or not of this shape.
@@ -31,8 +31,8 @@
     /// There is no item.
     #[error("`requests` is empty")]
     Empty,
-    /// More than [`MOST_ITEMS`].
-    #[error("{0} items, where {MOST_ITEMS} are the most")]
+    /// More than [`MAX_ITEMS`].
+    #[error("{0} items, where {MAX_ITEMS} are the most")]
     TooMany(usize),
     /// An item without an id, or two with one.
     #[error("item {0} has an id that is empty, badly written or not its own")]
@@ -69,14 +69,14 @@
 ///
 /// # Errors
 /// The body is no batch job: no JSON, empty, or an item is invalid.
-pub fn read(body: &[u8]) -> Result<Vec<HandedItem>, DocumentError> {
+pub fn read(body: &[u8]) -> Result<Vec<SubmittedItem>, DocumentError> {
     let document: Document =
         serde_json::from_slice(body).map_err(|error| DocumentError::Json(error.to_string()))?;
     let count = document.requests.len();
     if count == 0 {
         return Err(DocumentError::Empty);
     }
-    if count > MOST_ITEMS {
+    if count > MAX_ITEMS {
         return Err(DocumentError::TooMany(count));
     }
     let mut ids = BTreeSet::new();
@@ -85,7 +85,7 @@
         if !is_id(&item.id) || !ids.insert(item.id.clone()) {
             return Err(DocumentError::Id(index));
         }
-        items.push(check(index, item)?);
+        items.push(check_item(index, item)?);
     }
     Ok(items)
 }
@@ -95,7 +95,7 @@
     !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_graphic())
 }
 
-fn check(index: usize, item: Item) -> Result<HandedItem, DocumentError> {
+fn check_item(index: usize, item: Item) -> Result<SubmittedItem, DocumentError> {
     let parsed = item.path.parse::<http::uri::PathAndQuery>();
     if !item.path.starts_with('/') || parsed.is_err() {
         return Err(DocumentError::Path(index));
@@ -107,7 +107,7 @@
     let body = BASE64_STANDARD
         .decode(&item.body)
         .map_err(|_| DocumentError::Body(index))?;
-    Ok(HandedItem {
+    Ok(SubmittedItem {
         id: item.id,
         path: item.path,
         headers,
@@ -125,9 +125,9 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResultState {
-    /// Its text is whole.
+    /// The response to the item is complete.
     Completed,
-    /// It will not be done.
+    /// The item is not run again.
     DeadLetter,
 }
 
@@ -138,7 +138,7 @@
     pub id: &'a str,
     /// How it ended.
     pub state: ResultState,
-    /// The data of all events in order, parted by line feeds.
+    /// The data of all events in order, separated by line feeds.
     pub text: &'a str,
 }
 
--- a/alderhollow/src/batch_api/document/tests.rs
+++ b/alderhollow/src/batch_api/document/tests.rs
@@ -1,10 +1,10 @@
-//! JSON of batch calls.
+//! Tests of reading batch jobs and writing results as JSON.
 
 use super::*;
 use proptest::prelude::*;
 use serde_json::json;
 
-fn one(change: impl Fn(&mut serde_json::Value)) -> Result<Vec<HandedItem>, DocumentError> {
+fn one(change: impl Fn(&mut serde_json::Value)) -> Result<Vec<SubmittedItem>, DocumentError> {
     let mut item = json!({"id": "i1", "path": "/p/1", "headers": {"Model": "m"}, "body": "q83v", "tokens": 940});
     change(&mut item);
     read(json!({ "requests": [item] }).to_string().as_bytes())
@@ -15,7 +15,7 @@
     insta::assert_debug_snapshot!(one(|_| ()), @r#"
     Ok(
         [
-            HandedItem {
+            SubmittedItem {
                 id: "i1",
                 path: "/p/1",
                 headers: [
@@ -37,12 +37,12 @@
 }
 
 #[test]
-fn fields_that_are_not_known_are_passed_over() {
+fn unknown_fields_are_ignored() {
     assert!(one(|item| item["later"] = json!([1])).is_ok());
 }
 
 #[test]
-fn what_cannot_be_sent_is_refused() {
+fn an_item_that_cannot_be_sent_to_a_backend_is_rejected() {
     assert_eq!(
         one(|item| item["id"] = json!("")),
         Err(DocumentError::Id(0))
@@ -79,24 +79,24 @@
 }
 
 #[test]
-fn two_items_with_one_id_are_refused() {
+fn two_items_with_the_same_id_are_rejected() {
     let item = json!({"id": "i1", "path": "/p", "body": "", "tokens": 1});
     let body = json!({ "requests": [item, item] }).to_string();
     assert_eq!(read(body.as_bytes()), Err(DocumentError::Id(1)));
 }
 
 #[test]
-fn the_most_items_fit_and_one_more_does_not() {
+fn more_than_the_maximum_number_of_items_is_rejected() {
     let items = |count: usize| {
         let items: Vec<_> = (0..count)
             .map(|n| json!({"id": n.to_string(), "path": "/p"}))
             .collect();
         read(json!({ "requests": items }).to_string().as_bytes()).map(|items| items.len())
     };
-    assert_eq!(items(MOST_ITEMS), Ok(MOST_ITEMS));
+    assert_eq!(items(MAX_ITEMS), Ok(MAX_ITEMS));
     assert_eq!(
-        items(MOST_ITEMS + 1),
-        Err(DocumentError::TooMany(MOST_ITEMS + 1))
+        items(MAX_ITEMS + 1),
+        Err(DocumentError::TooMany(MAX_ITEMS + 1))
     );
 }
 
--- a/alderhollow/src/batch_api/endpoints.rs
+++ b/alderhollow/src/batch_api/endpoints.rs
@@ -1,7 +1,7 @@
 //! Serves clients' calls about batch jobs through the primary of the group of stores.
 
 use super::admission::Admission;
-use super::document::{self, HandedItem};
+use super::document::{self, SubmittedItem};
 use super::path::{self, Target};
 use super::store_calls::{
     ask_primary, is_accepted, CallEnd, KnownJobQuestion, Patience, StoreLink,
@@ -277,7 +277,7 @@
     }
 }
 
-fn to_item(item: HandedItem) -> Item {
+fn to_item(item: SubmittedItem) -> Item {
     let headers = item
         .headers
         .into_iter()
--- a/coordination/src/replica/campaign/pre_vote.rs
+++ b/coordination/src/replica/campaign/pre_vote.rs
@@ -48,7 +48,7 @@
             answers: BTreeMap::new(),
         };
         self.campaign = Some(Campaign::PreVoting(pre_voting));
-        for member in record.everyone() {
+        for member in record.voters() {
             self.send(member.clone(), Message::PreVote(PreVote { attempt }));
         }
     }
--- a/coordination/src/replica/campaign/prepare.rs
+++ b/coordination/src/replica/campaign/prepare.rs
@@ -46,7 +46,7 @@
 
     /// Whether all members that the new epoch may name have promised.
     fn has_all_promises(&self, base: &EpochRecord) -> bool {
-        base.everyone()
+        base.voters()
             .all(|member| self.promises.contains_key(&member.id))
     }
 }
@@ -69,7 +69,7 @@
         };
         preparing
             .voters
-            .extend(record.everyone().map(|member| (member.id, member.clone())));
+            .extend(record.voters().map(|member| (member.id, member.clone())));
         self.campaign = Some(Campaign::Preparing(preparing));
         self.check_campaign();
     }
@@ -85,7 +85,7 @@
         if preparing.number != promise.number {
             return;
         }
-        let named = promise.record.iter().flat_map(EpochRecord::everyone);
+        let named = promise.record.iter().flat_map(EpochRecord::voters);
         let others = named.filter(|member| !preparing.voters.contains_key(&member.id));
         let others: Vec<Member> = others.cloned().collect();
         if !others.is_empty() {
--- a/coordination/src/replica/epoch_rules.rs
+++ b/coordination/src/replica/epoch_rules.rs
@@ -43,10 +43,10 @@
         return new_ones;
     }
     let dropped = base
-        .everyone()
+        .voters()
         .filter(|member| record.member(member.id).is_none());
     record
-        .everyone()
+        .voters()
         .chain(dropped)
         .filter(lacks_it)
         .cloned()
--- a/coordination/src/replica/epoch_rules/model/state.rs
+++ b/coordination/src/replica/epoch_rules/model/state.rs
@@ -229,7 +229,7 @@
         own.into_iter()
             .chain(promised_disk)
             .fold(0, |voters, number| {
-                voters | set_of(self.epoch_record(number).everyone())
+                voters | set_of(self.epoch_record(number).voters())
             })
     }
 
--- a/coordination/src/replica/epoch_rules/model/transitions.rs
+++ b/coordination/src/replica/epoch_rules/model/transitions.rs
@@ -12,7 +12,7 @@
     ) -> MemberSet {
         let has_it = |id: MemberId| installed & bit(id_of(id)) != 0;
         match self.disabled_rules.new_members_first {
-            true => set_of(record.everyone().chain(base.everyone())) & !installed,
+            true => set_of(record.voters().chain(base.voters())) & !installed,
             false => set_of(&recipients(record, base, has_it)),
         }
     }
--- a/coordination/src/replica/primary.rs
+++ b/coordination/src/replica/primary.rs
@@ -142,9 +142,7 @@
         if self.hand_over.is_some() {
             return 0;
         }
-        let granted = self
-            .record
-            .quorum_moment(|id| self.granted.get(&id).copied());
+        let granted = self.record.quorum_time(|id| self.granted.get(&id).copied());
         granted.map_or(0, |sent_at| sent_at + lease_ms)
     }
 
@@ -342,7 +340,7 @@
             committed,
         };
         let joiners = primary.joiners.values().map(|joiner| &joiner.member);
-        let recipients: Vec<Member> = primary.record.everyone().chain(joiners).cloned().collect();
+        let recipients: Vec<Member> = primary.record.voters().chain(joiners).cloned().collect();
         for member in recipients {
             self.send(member, Message::Heartbeat(heartbeat.clone()));
         }
--- a/coordination/src/replica/record.rs
+++ b/coordination/src/replica/record.rs
@@ -30,11 +30,11 @@
 
     /// The member with this identity, including members that a membership change removes.
     pub fn member(&self, id: MemberId) -> Option<&Member> {
-        self.everyone().find(|member| member.id == id)
+        self.voters().find(|member| member.id == id)
     }
 
     /// All members that have a vote, including those that a membership change removes; each once.
-    pub fn everyone(&self) -> impl Iterator<Item = &Member> {
+    pub fn voters(&self) -> impl Iterator<Item = &Member> {
         let leaving = self
             .former_witnesses
             .iter()
@@ -53,18 +53,18 @@
             && (self.former_witnesses.is_empty() || majority(&self.former_witnesses))
     }
 
-    /// The latest time `t` such that `moment_of(member) >= t` for a quorum; `None` if too few members have a time.
-    pub(super) fn quorum_moment(
+    /// The latest time `t` such that `time_of(member) >= t` for a quorum; `None` if too few members have a time.
+    pub(super) fn quorum_time(
         &self,
-        moment_of: impl Fn(MemberId) -> Option<Millis>,
+        time_of: impl Fn(MemberId) -> Option<Millis>,
     ) -> Option<Millis> {
         let reached = |members: &[Member]| {
-            let mut moments: Vec<Millis> = members
+            let mut times: Vec<Millis> = members
                 .iter()
-                .filter_map(|member| moment_of(member.id))
+                .filter_map(|member| time_of(member.id))
                 .collect();
-            moments.sort_unstable_by(|one, other| other.cmp(one));
-            moments.get(majority_of(members.len()) - 1).copied()
+            times.sort_unstable_by(|one, other| other.cmp(one));
+            times.get(majority_of(members.len()) - 1).copied()
         };
         let now = reached(&self.witnesses)?;
         if self.former_witnesses.is_empty() {
--- a/quota-gateway/src/bin/quota-gateway/clients/phase.rs
+++ b/quota-gateway/src/bin/quota-gateway/clients/phase.rs
@@ -1,4 +1,4 @@
-//! Whether the door takes clients: serving, sending them away at the word of staff, or ending.
+//! Whether the gateway accepts clients: serving, draining at the operators' `standby`, handed over, or shutting down.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,18 +15,18 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum Phase {
     Serving,
-    /// Clients still come; each answer closes its connection.
+    /// Clients are accepted; each answer closes its connection.
     Leaving,
-    /// Idle connections are closed. Who comes nonetheless is served and sent off.
+    /// Idle connections are closed. A new client is served, and its connection closed after the answer.
     Emptying,
-    /// Another process has taken over. None is accepted here, and idle connections are closed.
+    /// Another process has taken over: no client is accepted here, and idle connections are closed.
     HandedOver,
-    /// No more are accepted, and idle connections are closed. From here there is no way back.
+    /// No client is accepted, and idle connections are closed. The last phase.
     Closing,
 }
 
 impl Phase {
-    /// As staff read it.
+    /// The phase as operators read it.
     pub(crate) fn word(self) -> &'static str {
         match self {
             Phase::Serving => "serving",
@@ -37,7 +37,7 @@
     }
 }
 
-/// Why clients cannot be sent away or taken again.
+/// Why the phase cannot be changed by operators.
 #[derive(Error, Debug, Clone, Copy, PartialEq, Eq)]
 pub(crate) enum PhaseError {
     #[error("another process has taken over; call that one at its own admin_addr")]
@@ -48,8 +48,8 @@
 
 pub(crate) struct PhaseControl {
     phase: watch::Sender<Phase>,
-    /// Counts the changes: a timer of an earlier one has no say.
-    turn: Cell<u64>,
+    /// Number of changes of phase so far. A timer that an earlier change started does nothing.
+    change_count: Cell<u64>,
     ending: Cell<bool>,
 }
 
@@ -57,13 +57,15 @@
     pub(crate) fn new() -> Rc<PhaseControl> {
         Rc::new(PhaseControl {
             phase: watch::Sender::new(Phase::Serving),
-            turn: Cell::new(0),
+            change_count: Cell::new(0),
             ending: Cell::new(false),
         })
     }
+
     pub(crate) fn phase(&self) -> Phase {
         *self.phase.borrow()
     }
+
     pub(crate) fn watch(&self) -> watch::Receiver<Phase> {
         self.phase.subscribe()
     }
@@ -71,18 +73,18 @@
     /// Sends clients away. A second call while that goes on changes nothing.
     ///
     /// # Errors
-    /// Clients are another process's already.
+    /// Another process accepts the clients already.
     pub(crate) fn stand_by(self: &Rc<Self>) -> Result<(), PhaseError> {
         match self.phase() {
             Phase::HandedOver => return Err(PhaseError::HandedOver),
             Phase::Serving => {}
             Phase::Leaving | Phase::Emptying | Phase::Closing => return Ok(()),
         }
-        let turn = self.change(Phase::Leaving);
+        let change_count = self.change(Phase::Leaving);
         let phase_control = self.clone();
         spawn_local(async move {
             sleep(EMPTY_AFTER).await;
-            if phase_control.turn.get() == turn {
+            if phase_control.change_count.get() == change_count {
                 phase_control.change(Phase::Emptying);
             }
         });
@@ -92,7 +94,7 @@
     /// Takes clients again.
     ///
     /// # Errors
-    /// Clients are another process's already, or this one is ending, which nothing takes back.
+    /// Another process accepts the clients already, or this one is shutting down, which cannot be undone.
     pub(crate) fn take_up(&self) -> Result<(), PhaseError> {
         if self.phase() == Phase::HandedOver {
             return Err(PhaseError::HandedOver);
@@ -106,37 +108,39 @@
         Ok(())
     }
 
-    /// Whether staff have clients sent away, and no end is under way.
+    /// Whether the gateway is draining at the operators' request and is not shutting down.
     pub(crate) fn stands_by(&self) -> bool {
         !self.ending.get() && matches!(self.phase(), Phase::Leaving | Phase::Emptying)
     }
 
-    /// Another process takes clients from here on.
+    /// Records that another process accepts clients from now on.
     pub(crate) fn hand_over(&self) {
         self.change(Phase::HandedOver);
     }
-    /// There is no other process any more.
+
+    /// Serves again once the other process has gone, unless this one is shutting down.
     pub(crate) fn resume(&self) {
         if !self.ending.get() && self.phase() == Phase::HandedOver {
             self.change(Phase::Serving);
         }
     }
 
-    /// The process is told to end. What `standby` has closed already stays so.
+    /// Begins the shutdown of the process. What `standby` has closed already stays closed.
     pub(crate) fn end(&self) {
         self.ending.set(true);
         if self.phase() == Phase::Serving {
             self.change(Phase::Leaving);
         }
     }
+
     pub(crate) fn close(&self) {
         self.change(Phase::Closing);
     }
 
     fn change(&self, phase: Phase) -> u64 {
-        self.turn.set(self.turn.get() + 1);
+        self.change_count.set(self.change_count.get() + 1);
         self.phase.send_replace(phase);
-        self.turn.get()
+        self.change_count.get()
     }
 }
 
--- a/quota-gateway/src/bin/quota-gateway/clients/phase/tests.rs
+++ b/quota-gateway/src/bin/quota-gateway/clients/phase/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use tokio::task::LocalSet;
 
-/// Under a paused clock, which leaps to the next timer.
+/// Runs a test under a paused clock, which advances to the next timer at once.
 fn run(test: impl std::future::Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -11,14 +11,16 @@
 }
 
 #[test]
-fn standby_empties_the_door_unless_active_comes_first() {
+fn standby_drains_the_gateway_unless_active_comes_first() {
     run(async {
         let phase_control = PhaseControl::new();
         phase_control.stand_by().expect("it serves");
         sleep(EMPTY_AFTER / 2).await;
-        phase_control.stand_by().expect("twice is once");
+        phase_control
+            .stand_by()
+            .expect("a second call changes nothing");
         assert_eq!(phase_control.phase(), Phase::Leaving);
-        phase_control.take_up().expect("it goes on");
+        phase_control.take_up().expect("it serves again");
         assert_eq!(phase_control.phase(), Phase::Serving);
         phase_control.stand_by().expect("it serves");
         assert!(phase_control.stands_by());
@@ -26,13 +28,16 @@
         assert_eq!(
             phase_control.phase(),
             Phase::Leaving,
-            "the first call's timer has no say"
+            "the timer of the first call does nothing"
         );
         sleep(EMPTY_AFTER / 2).await;
         assert_eq!(phase_control.phase(), Phase::Emptying);
         phase_control.end();
         assert_eq!(phase_control.phase(), Phase::Emptying);
-        assert!(!phase_control.stands_by(), "a successor is to serve");
+        assert!(
+            !phase_control.stands_by(),
+            "a successor is expected to serve"
+        );
         assert_eq!(phase_control.take_up(), Err(PhaseError::Ending));
         phase_control.close();
         sleep(EMPTY_AFTER * 2).await;
@@ -41,7 +46,7 @@
 }
 
 #[test]
-fn one_that_has_handed_over_takes_no_clients_until_it_is_alone_again() {
+fn a_process_that_has_handed_over_accepts_no_clients_until_it_resumes() {
     run(async {
         let phase_control = PhaseControl::new();
         phase_control.hand_over();
@@ -58,12 +63,12 @@
         assert_eq!(
             phase_control.phase(),
             Phase::HandedOver,
-            "it is ending all the same"
+            "it is still shutting down"
         );
         assert_eq!(
             phase_control.take_up(),
             Err(PhaseError::HandedOver),
-            "which process has clients says more"
+            "the hand-over takes precedence over the shutdown"
         );
     });
 }
--- a/quota-gateway/tests/wire.rs
+++ b/quota-gateway/tests/wire.rs
@@ -6,21 +6,22 @@
 use std::process::{Command, Stdio};
 
 /// An event record under construction: code, instance, then fields at their positions.
-struct Rec([u8; EVENT]);
+struct EventRecord([u8; EVENT]);
 
-impl Rec {
-    fn new(code: u8, instance: u16) -> Rec {
-        Rec([0; EVENT])
+impl EventRecord {
+    fn new(code: u8, instance: u16) -> EventRecord {
+        EventRecord([0; EVENT])
             .put(0, &[code])
             .put(1, &instance.to_be_bytes())
     }
-    fn put(mut self, at: usize, bytes: &[u8]) -> Rec {
+
+    fn put(mut self, at: usize, bytes: &[u8]) -> EventRecord {
         self.0[at..at + bytes.len()].copy_from_slice(bytes);
         self
     }
 }
 
-fn frame(clock: f64, records: &[Rec], tail: &[u8]) -> Vec<u8> {
+fn frame(clock: f64, records: &[EventRecord], tail: &[u8]) -> Vec<u8> {
     let mut body = (records.len() as u32).to_be_bytes().to_vec();
     records.iter().for_each(|record| body.extend(record.0));
     body.extend(tail);
@@ -34,11 +35,11 @@
     Batch::read(&mut &bytes[..]).map(|batch| batch.expect("not at the end"))
 }
 
-fn decode(record: Rec, tail: &[u8]) -> Result<(u16, WireEvent), WireError> {
+fn decode(record: EventRecord, tail: &[u8]) -> Result<(u16, WireEvent), WireError> {
     read(&frame(1.5, &[record], tail))?.event(0)
 }
 
-fn event(record: Rec) -> Event {
+fn event(record: EventRecord) -> Event {
     match decode(record, &[]) {
         Ok((3, WireEvent::Event(event))) => event,
         other => panic!("{other:?}"),
@@ -117,7 +118,7 @@
 
 #[test]
 fn accept_is_decoded() {
-    let record = Rec::new(18, 3)
+    let record = EventRecord::new(18, 3)
         .put(3, &77u64.to_be_bytes())
         .put(11, &2f32.to_be_bytes())
         .put(15, &1u32.to_be_bytes())
@@ -155,7 +156,7 @@
     ];
     for (code, outcome, never_ran) in outcomes {
         for (wire, used) in [(0u16, None), (1, Some(0.0)), (251, Some(2.5))] {
-            let record = Rec::new(16, 3)
+            let record = EventRecord::new(16, 3)
                 .put(3, &9u64.to_be_bytes())
                 .put(11, &33.5f64.to_be_bytes())
                 .put(19, &[1])
@@ -181,7 +182,7 @@
         }
         assert_eq!(outcome.never_ran(), never_ran);
     }
-    assert!(decode(Rec::new(16, 3).put(29, &999u16.to_be_bytes()), &[]).is_err());
+    assert!(decode(EventRecord::new(16, 3).put(29, &999u16.to_be_bytes()), &[]).is_err());
 }
 
 #[test]
@@ -195,7 +196,7 @@
     tail.extend(1.25f32.to_be_bytes());
     tail.extend(640.0f64.to_be_bytes());
     let at = |count: u32| {
-        Rec::new(20, 3)
+        EventRecord::new(20, 3)
             .put(12, &1u32.to_be_bytes())
             .put(16, &count.to_be_bytes())
     };
@@ -226,21 +227,27 @@
 #[test]
 fn the_other_events_are_decoded() {
     let id = 5u64.to_be_bytes();
-    assert_eq!(event(Rec::new(17, 3).put(3, &id)), Event::Timer(5));
-    assert_eq!(event(Rec::new(24, 3).put(3, &id)), Event::Started(5));
-    assert_eq!(event(Rec::new(26, 3).put(3, &id)), Event::ClientGone(5));
+    assert_eq!(event(EventRecord::new(17, 3).put(3, &id)), Event::Timer(5));
+    assert_eq!(
+        event(EventRecord::new(24, 3).put(3, &id)),
+        Event::Started(5)
+    );
     assert_eq!(
-        decode(Rec::new(23, 3), &[]).expect("readable"),
+        event(EventRecord::new(26, 3).put(3, &id)),
+        Event::ClientGone(5)
+    );
+    assert_eq!(
+        decode(EventRecord::new(23, 3), &[]).expect("readable"),
         (3, WireEvent::Detach)
     );
     for code in [21, 22, 25] {
         assert_eq!(
-            decode(Rec::new(code, 3), &[]).expect("readable"),
+            decode(EventRecord::new(code, 3), &[]).expect("readable"),
             (3, WireEvent::Unused)
         );
     }
     let text = params();
-    let born = Rec::new(19, 3)
+    let born = EventRecord::new(19, 3)
         .put(3, &id)
         .put(15, &(text.len() as u32).to_be_bytes());
     let expected = WireEvent::Born {
@@ -255,7 +262,7 @@
 
 #[test]
 fn broken_frames_are_named_and_nothing_panics() {
-    let whole = frame(1.0, &[Rec::new(17, 3)], &[]);
+    let whole = frame(1.0, &[EventRecord::new(17, 3)], &[]);
     for cut in 1..whole.len() {
         assert!(read(&whole[..cut]).is_err(), "cut after {cut} bytes");
     }
@@ -269,11 +276,15 @@
     crowded[12..16].copy_from_slice(&2u32.to_be_bytes());
     assert!(read(&crowded).is_err());
     assert!(read(&frame(f64::NAN, &[], &[])).is_err());
-    assert!(decode(Rec::new(99, 3), &[])
+    assert!(decode(EventRecord::new(99, 3), &[])
         .expect_err("unknown")
         .to_string()
         .contains("99"));
-    assert!(decode(Rec::new(18, 3).put(28, &f64::INFINITY.to_be_bytes()), &[]).is_err());
+    assert!(decode(
+        EventRecord::new(18, 3).put(28, &f64::INFINITY.to_be_bytes()),
+        &[]
+    )
+    .is_err());
 }
 
 #[test]
@@ -353,13 +364,13 @@
 fn the_adapter_answers_each_batch_and_ends_with_its_input() {
     let mut input = frame(0.0, &[], &[]);
     let text = params();
-    let born = Rec::new(19, 3).put(15, &(text.len() as u32).to_be_bytes());
+    let born = EventRecord::new(19, 3).put(15, &(text.len() as u32).to_be_bytes());
     input.extend(frame(
         1.0,
-        &[born, Rec::new(20, 3).put(3, &[2])],
+        &[born, EventRecord::new(20, 3).put(3, &[2])],
         text.as_bytes(),
     ));
-    let accept = Rec::new(18, 3)
+    let accept = EventRecord::new(18, 3)
         .put(3, &1u64.to_be_bytes())
         .put(28, &500f64.to_be_bytes());
     input.extend(frame(2.0, &[accept.put(42, &1f32.to_be_bytes())], &[]));
@@ -377,11 +388,11 @@
 fn the_adapter_tells_what_is_wrong_and_exits_non_zero() {
     for (input, word) in [
         (frame(0.0, &[], &[])[..7].to_vec(), "cut short"),
-        (frame(0.0, &[Rec::new(99, 3)], &[]), "99"),
-        (frame(0.0, &[Rec::new(17, 3)], &[]), "not running"),
-        (frame(0.0, &[Rec::new(19, 3)], &[]), "classes.count"),
+        (frame(0.0, &[EventRecord::new(99, 3)], &[]), "99"),
+        (frame(0.0, &[EventRecord::new(17, 3)], &[]), "not running"),
+        (frame(0.0, &[EventRecord::new(19, 3)], &[]), "classes.count"),
         (
-            frame(0.0, &[Rec::new(19, 3).put(11, &[0xff; 8])], &[]),
+            frame(0.0, &[EventRecord::new(19, 3).put(11, &[0xff; 8])], &[]),
             "outside a tail",
         ),
     ] {
