--- a/quota-gateway/tests/standing.rs
+++ b/quota-gateway/tests/standing.rs
@@ -1,4 +1,5 @@
-//! What the standing test of hundreds of front doors asks of each: the built program against small scripted peers.
+//! Behaviour needed of each gateway in a large fleet, tested on the built program with scripted peers: discovery polls,
+//! late answers, shutdown.
 
 use fault_lab::scripted::{closed_port, config, get, list, read_message, target, Peer, Program};
 use serde_json::{json, Value};
@@ -11,122 +12,122 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const DOOR: Program = Program {
+const GATEWAY_PROGRAM: Program = Program {
     path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 
-/// The configuration of one of 300 front doors whose calls are work for discovery.
-fn one_of_many(discovery: &Peer) -> Value {
+/// The configuration of one of 300 gateways that fetch their server lists from discovery on request.
+fn config_in_large_fleet(discovery: &Peer) -> Value {
     let mut config = config(
         discovery.address,
         list(&[target("s-00000001", closed_port(), "ready")]),
     );
     config["settings"]["registryMode"] = json!("on_request");
     config["settings"]["balancers"] = json!(300);
-    // This seed's first call goes out late.
+    // With this seed, the first call is made late.
     config["seed"] = json!("8c1f30d27a5be96a");
     config
 }
 
 #[test]
-fn one_of_many_doors_opens_a_silent_watch_anew_before_what_it_missed_binds() {
+fn a_gateway_of_a_large_fleet_repeats_an_unanswered_poll_in_time() {
     let discovery = Peer::start();
-    let _front = DOOR.start(&one_of_many(&discovery));
+    let _gateway = GATEWAY_PROGRAM.start(&config_in_large_fleet(&discovery));
     discovery
         .next()
         .ok("{\"rev\":2,\"all\":false,\"targets\":[]}");
-    let silent = discovery.next();
-    let began = Instant::now();
+    let unanswered_poll = discovery.next();
+    let started_at = Instant::now();
     assert_eq!(
-        silent.request.line,
+        unanswered_poll.request.line,
         "GET /v1/servers?after=2&wait_ms=4000 HTTP/1.1"
     );
     discovery.next();
-    // 5.7 s are the most; with the back-off for what is turned away it would be 7 s at the least.
+    // Takes at most 5.7 s; with the back-off that follows a refusal it would take at least 7 s.
     assert!(
-        began.elapsed() < Duration::from_millis(6500),
-        "asked again after {:?}",
-        began.elapsed()
+        started_at.elapsed() < Duration::from_millis(6500),
+        "polled again after {:?}",
+        started_at.elapsed()
     );
 }
 
 #[test]
-fn what_the_own_machines_agent_has_is_asked_for_again_and_again_until_it_speaks() {
+fn a_local_discovery_agent_is_polled_until_it_answers() {
     let agent = Peer::start();
     let nothing_new = "{\"rev\":1,\"all\":false,\"targets\":[]}";
     let backend = target("s-00000001", closed_port(), "ready");
-    let front = DOOR.start(&config(agent.address, list(&[backend])));
-    let (glance, watch) = ["200", "4000"]
+    let gateway = GATEWAY_PROGRAM.start(&config(agent.address, list(&[backend])));
+    let (short_poll, long_poll) = ["200", "4000"]
         .map(|ms| format!("GET /v1/servers?after=1&wait_ms={ms} HTTP/1.1"))
         .into();
-    // What it has may have changed before this process began.
+    // The list may have changed before this process started, so the first poll is short.
     let call = agent.next();
-    assert_eq!(call.request.line, glance);
+    assert_eq!(call.request.line, short_poll);
     call.ok(nothing_new);
     let call = agent.next();
-    assert_eq!(call.request.line, watch);
+    assert_eq!(call.request.line, long_poll);
     call.break_off("");
-    // It comes back, says nothing, and answers none of the calls that it had while it was silent.
-    let _silent: Vec<_> = (0..8)
+    // The agent accepts connections again but never answers these calls.
+    let _unanswered: Vec<_> = (0..8)
         .map(|_| {
             let call = agent.next();
-            assert_eq!(call.request.line, glance);
+            assert_eq!(call.request.line, short_poll);
             call
         })
         .collect();
     agent.next().ok(&list(&[]).to_string());
-    assert_eq!(agent.next().request.line, watch);
+    assert_eq!(agent.next().request.line, long_poll);
     assert!(
-        front.call("status").starts_with("error"),
-        "the list has been taken in"
+        gateway.call("status").starts_with("error"),
+        "the empty list has been applied"
     );
 }
 
 #[test]
-fn sighup_ends_the_wait_for_the_next_call() {
+fn sighup_ends_the_wait_before_the_next_discovery_call() {
     let (old, new, newest) = (Peer::start(), Peer::start(), Peer::start());
-    let mut config = one_of_many(&old);
-    let front = DOOR.start(&config);
-    // Left alone, it would call some 2 s later, now as after a refusal.
+    let mut config = config_in_large_fleet(&old);
+    let gateway = GATEWAY_PROGRAM.start(&config);
+    // Without SIGHUP, each call would be made some 2 s later: the first wait is the start delay, the next the back-off.
     for next in [&new, &newest] {
-        assert!(old.exchanges.try_recv().is_err(), "it still waits");
+        assert!(old.exchanges.try_recv().is_err(), "the gateway still waits");
         config["discovery"] = json!(next.address.to_string());
-        front.replace_config(&config.to_string());
-        let told = Instant::now();
+        gateway.replace_config(&config.to_string());
+        let replaced_at = Instant::now();
         let call = next.next();
         assert!(
-            told.elapsed() < Duration::from_millis(1500),
+            replaced_at.elapsed() < Duration::from_millis(1500),
             "called after {:?}",
-            told.elapsed()
+            replaced_at.elapsed()
         );
-        let mut left = call.stream.try_clone().expect("a second handle");
+        let mut connection = call.stream.try_clone().expect("a second handle");
         call.answer("503 Service Unavailable", "", "");
-        // The refusal has been read once its connection is closed.
-        let _ = left.read(&mut [0]);
+        // Once its connection is closed, the gateway has read the refusal.
+        let _ = connection.read(&mut [0]);
     }
 }
 
-/// A backend that writes each answer of 200 twice, the second 5 ms later.
+/// A backend that writes each 200 answer twice, the second one 5 ms after the first.
 #[derive(Default)]
-struct Twice {
-    /// The longest that the system held a second one up for, in microseconds from the first.
-    latest: AtomicU64,
+struct DuplicateAnswerBackend {
+    /// The longest time between the first answer and the end of writing the second, in microseconds.
+    longest_delay_us: AtomicU64,
 }
 
-impl Twice {
-    fn start() -> (Arc<Twice>, SocketAddr) {
+impl DuplicateAnswerBackend {
+    fn start() -> (Arc<DuplicateAnswerBackend>, SocketAddr) {
         let listener = TcpListener::bind((Ipv4Addr::LOCALHOST, 0)).expect("a free port");
         let address = listener.local_addr().expect("an address");
-        let twice = Arc::new(Twice::default());
-        let backend = twice.clone();
+        let duplicating = Arc::new(DuplicateAnswerBackend::default());
+        let backend = duplicating.clone();
         thread::spawn(move || {
             for stream in listener.incoming().map_while(Result::ok) {
                 let backend = backend.clone();
                 thread::spawn(move || backend.serve(stream));
             }
         });
-        (twice, address)
+        (duplicating, address)
     }
     fn serve(&self, mut stream: TcpStream) {
         while let Ok(Some(request)) = read_message(&stream) {
@@ -135,20 +136,20 @@
                 "HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{path}",
                 path.len()
             );
-            let began = Instant::now();
+            let started_at = Instant::now();
             let _ = stream.write_all(answer.as_bytes());
             thread::sleep(Duration::from_millis(5));
             let _ = stream.write_all(answer.as_bytes());
-            self.latest
-                .fetch_max(began.elapsed().as_micros() as u64, Ordering::SeqCst);
+            self.longest_delay_us
+                .fetch_max(started_at.elapsed().as_micros() as u64, Ordering::SeqCst);
         }
     }
 }
 
-/// Two customers' requests by turns. The first answer that is not its request's own, if there is one.
-fn not_its_own(backend: SocketAddr) -> Option<String> {
-    let front = DOOR.before(&[backend]);
-    let mut clients = [front.client(), front.client()];
+/// Sends requests of two customers in turn and describes the first answer that belongs to another request, if any.
+fn first_mismatched_answer(backend: SocketAddr) -> Option<String> {
+    let gateway = GATEWAY_PROGRAM.before(&[backend]);
+    let mut clients = [gateway.client(), gateway.client()];
     (0..20).find_map(|round| {
         let (client, customer) = (
             &mut clients[round % 2],
@@ -166,25 +167,25 @@
 }
 
 #[test]
-fn a_second_answer_that_comes_late_is_never_the_answer_to_the_next_request() {
+fn a_late_duplicate_answer_is_never_used_for_the_next_request() {
     for _ in 0..10 {
-        let (twice, backend) = Twice::start();
-        let Some(wrong) = not_its_own(backend) else {
+        let (duplicating, backend) = DuplicateAnswerBackend::start();
+        let Some(wrong) = first_mismatched_answer(backend) else {
             return;
         };
-        // A busy system may hold the second one up for so long that nobody could have waited for it: once more, then.
+        // A busy system may delay the second answer for longer than the gateway can wait for it; the test then retries.
         thread::sleep(Duration::from_secs(1));
-        let latest = twice.latest.load(Ordering::SeqCst);
+        let longest_delay_us = duplicating.longest_delay_us.load(Ordering::SeqCst);
         assert!(
-            latest > 15_000,
-            "{wrong}, each second answer within {latest} us"
+            longest_delay_us > 15_000,
+            "{wrong}, though each second answer was written within {longest_delay_us} us"
         );
     }
-    panic!("this machine is too slow to tell");
+    panic!("the machine is too slow for this test: second answers were delayed in every round");
 }
 
 #[test]
-fn what_comes_after_the_last_words_of_a_closing_process_is_refused_at_once() {
+fn a_request_received_late_in_shutdown_is_refused_at_once() {
     let backend = Peer::start();
     let known = list(&[target("s-00000001", backend.address, "ready")]);
     let mut config = config(closed_port(), known);
@@ -194,43 +195,43 @@
     {
         class["deadline"] = json!(1000.0);
     }
-    let front = DOOR.start(&config);
-    front.terminate();
-    let mut late = front.client();
-    // New ones are taken for 0.6 s, what is in hand fails 0.9 s later, and a silent connection stays for 2.6 s.
+    let gateway = GATEWAY_PROGRAM.start(&config);
+    gateway.terminate();
+    let mut client = gateway.client();
+    // New requests are accepted for 0.6 s, those in flight fail 0.9 s later, and idle connections stay open for 2.6 s.
     thread::sleep(Duration::from_millis(2000));
-    late.send(&get(""));
-    let answer = late.read();
+    client.send(&get(""));
+    let answer = client.read();
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (429, "close")
     );
     assert!(
         backend.exchanges.try_recv().is_err(),
-        "it went on to nobody"
+        "the request was sent to no backend"
     );
 }
 
 #[test]
-fn sigterm_while_the_configuration_is_read_ends_it_in_order() {
+fn sigterm_while_the_configuration_is_read_ends_the_process_cleanly() {
     let config = config(closed_port(), list(&[]));
-    let path = DOOR.write(&config);
+    let path = GATEWAY_PROGRAM.write(&config);
     std::fs::remove_file(&path).expect("it was written");
     assert!(Command::new("mkfifo")
         .arg(&path)
         .status()
         .expect("mkfifo runs")
         .success());
-    let mut door = DOOR.spawn(&path, Stdio::inherit());
-    // This returns once the process reads there.
+    let mut process = GATEWAY_PROGRAM.spawn(&path, Stdio::inherit());
+    // Opening the pipe returns once the process has it open for reading.
     let mut pipe = File::options().write(true).open(&path).expect("a pipe");
     assert!(Command::new("kill")
-        .arg(door.id().to_string())
+        .arg(process.id().to_string())
         .status()
         .expect("kill runs")
         .success());
     let written = pipe.write_all(config.to_string().as_bytes());
     drop(pipe);
-    let status = door.wait().expect("it ends");
+    let status = process.wait().expect("the process exits");
     assert!(written.is_ok() && status.success(), "{status}");
 }
--- a/quota-gateway/tests/wire.rs
+++ b/quota-gateway/tests/wire.rs
@@ -1,11 +1,11 @@
-//! The codec: each record, and input that breaks the layout.
+//! Codec of the simulator adapter: every record type and malformed input.
 
 use quota_gateway::wire::{settings, Batch, Reply, WireError, WireEvent, ACTION, EVENT};
 use quota_gateway::*;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
-/// An event record under construction: code, instance, then fields at their positions.
+/// Builder of an event record: code, instance, then fields at their byte offsets.
 struct EventRecord([u8; EVENT]);
 
 impl EventRecord {
@@ -60,7 +60,7 @@
 }
 
 #[test]
-fn settings_are_read_and_unknown_keys_skipped() {
+fn settings_are_read_and_unknown_keys_ignored() {
     let read = settings(&params()).expect("readable");
     assert_eq!(
         (
@@ -93,7 +93,7 @@
 }
 
 #[test]
-fn a_missing_or_unreadable_setting_is_named() {
+fn a_missing_or_unreadable_setting_is_named_in_the_error() {
     for line in params().lines().filter(|line| !line.starts_with("some.")) {
         let key = line.split('=').next().expect("a key");
         let without: Vec<_> = params()
@@ -103,8 +103,8 @@
             .collect();
         let error = settings(&without.join("\n")).expect_err(key).to_string();
         assert!(error.contains(key), "{key}: {error}");
-        let broken = params().replace(line, &format!("{key}=?"));
-        let error = settings(&broken).expect_err(key).to_string();
+        let malformed = params().replace(line, &format!("{key}=?"));
+        let error = settings(&malformed).expect_err(key).to_string();
         assert!(error.contains(key), "{key}: {error}");
     }
     for (good, bad) in [
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn accept_is_decoded() {
+fn a_request_event_is_decoded() {
     let record = EventRecord::new(18, 3)
         .put(3, &77u64.to_be_bytes())
         .put(11, &2f32.to_be_bytes())
@@ -195,7 +195,7 @@
     tail.push(2);
     tail.extend(1.25f32.to_be_bytes());
     tail.extend(640.0f64.to_be_bytes());
-    let at = |count: u32| {
+    let list_event = |count: u32| {
         EventRecord::new(20, 3)
             .put(12, &1u32.to_be_bytes())
             .put(16, &count.to_be_bytes())
@@ -212,15 +212,21 @@
         kind: ListKind::Delta,
         entries: vec![entry],
     });
-    assert_eq!(decode(at(1), &tail).expect("readable"), (3, expected));
-    assert!(decode(at(2), &tail).is_err(), "a list beyond the tail");
+    assert_eq!(
+        decode(list_event(1), &tail).expect("readable"),
+        (3, expected)
+    );
     assert!(
-        decode(at(u32::MAX), &tail).is_err(),
-        "a list beyond all bounds"
+        decode(list_event(2), &tail).is_err(),
+        "a list longer than the tail"
     );
     assert!(
-        decode(at(1).put(3, &[9]), &tail).is_err(),
-        "an unknown form"
+        decode(list_event(u32::MAX), &tail).is_err(),
+        "a list length of u32::MAX"
+    );
+    assert!(
+        decode(list_event(1).put(3, &[9]), &tail).is_err(),
+        "an unknown list kind"
     );
 }
 
@@ -247,7 +253,7 @@
         );
     }
     let text = params();
-    let born = EventRecord::new(19, 3)
+    let start_instance = EventRecord::new(19, 3)
         .put(3, &id)
         .put(15, &(text.len() as u32).to_be_bytes());
     let expected = WireEvent::Born {
@@ -255,26 +261,26 @@
         settings: Box::new(settings(&text).expect("readable")),
     };
     assert_eq!(
-        decode(born, text.as_bytes()).expect("readable"),
+        decode(start_instance, text.as_bytes()).expect("readable"),
         (3, expected)
     );
 }
 
 #[test]
-fn broken_frames_are_named_and_nothing_panics() {
-    let whole = frame(1.0, &[EventRecord::new(17, 3)], &[]);
-    for cut in 1..whole.len() {
-        assert!(read(&whole[..cut]).is_err(), "cut after {cut} bytes");
+fn malformed_frames_are_rejected_without_a_panic() {
+    let valid = frame(1.0, &[EventRecord::new(17, 3)], &[]);
+    for cut in 1..valid.len() {
+        assert!(read(&valid[..cut]).is_err(), "cut after {cut} bytes");
     }
     assert!(Batch::read(&mut &[][..])
-        .expect("the end is no error")
+        .expect("the end of input is not an error")
         .is_none());
-    let mut oversized = whole.clone();
+    let mut oversized = valid.clone();
     oversized[8..12].copy_from_slice(&u32::MAX.to_be_bytes());
     assert!(read(&oversized).is_err());
-    let mut crowded = whole;
-    crowded[12..16].copy_from_slice(&2u32.to_be_bytes());
-    assert!(read(&crowded).is_err());
+    let mut too_many_records = valid;
+    too_many_records[12..16].copy_from_slice(&2u32.to_be_bytes());
+    assert!(read(&too_many_records).is_err());
     assert!(read(&frame(f64::NAN, &[], &[])).is_err());
     assert!(decode(EventRecord::new(99, 3), &[])
         .expect_err("unknown")
@@ -338,8 +344,8 @@
     assert_eq!(&bytes[8 + 8 * ACTION..], b"abcde");
 }
 
-/// Runs the adapter on some input; returns whether it succeeded, its output and its error text.
-fn adapter(input: &[u8]) -> (bool, Vec<u8>, String) {
+/// Runs the adapter on `input`; returns whether it succeeded, its standard output and its standard error.
+fn run_adapter(input: &[u8]) -> (bool, Vec<u8>, String) {
     let mut child = Command::new(env!("CARGO_BIN_EXE_simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
@@ -352,7 +358,7 @@
         .expect("piped")
         .write_all(input)
         .expect("written");
-    let output = child.wait_with_output().expect("it ends");
+    let output = child.wait_with_output().expect("the adapter exits");
     (
         output.status.success(),
         output.stdout,
@@ -361,23 +367,27 @@
 }
 
 #[test]
-fn the_adapter_answers_each_batch_and_ends_with_its_input() {
+fn the_adapter_answers_each_batch_and_exits_at_end_of_input() {
     let mut input = frame(0.0, &[], &[]);
     let text = params();
-    let born = EventRecord::new(19, 3).put(15, &(text.len() as u32).to_be_bytes());
+    let start_instance = EventRecord::new(19, 3).put(15, &(text.len() as u32).to_be_bytes());
     input.extend(frame(
         1.0,
-        &[born, EventRecord::new(20, 3).put(3, &[2])],
+        &[start_instance, EventRecord::new(20, 3).put(3, &[2])],
         text.as_bytes(),
     ));
-    let accept = EventRecord::new(18, 3)
+    let request_event = EventRecord::new(18, 3)
         .put(3, &1u64.to_be_bytes())
         .put(28, &500f64.to_be_bytes());
-    input.extend(frame(2.0, &[accept.put(42, &1f32.to_be_bytes())], &[]));
-    let (success, output, error) = adapter(&input);
+    input.extend(frame(
+        2.0,
+        &[request_event.put(42, &1f32.to_be_bytes())],
+        &[],
+    ));
+    let (success, output, error) = run_adapter(&input);
     assert!(success && error.is_empty(), "{error}");
     assert_eq!(output[..16], [0; 16], "two batches without actions");
-    // No server is listed: a timer, then a refusal.
+    // No server is listed: the reply holds a timer and a refusal.
     assert_eq!(
         (output[16 + 3], output[16 + 8], output[16 + 8 + ACTION]),
         (2, 82, 83)
@@ -385,8 +395,8 @@
 }
 
 #[test]
-fn the_adapter_tells_what_is_wrong_and_exits_non_zero() {
-    for (input, word) in [
+fn the_adapter_reports_errors_and_exits_with_nonzero_status() {
+    for (input, expected_text) in [
         (frame(0.0, &[], &[])[..7].to_vec(), "cut short"),
         (frame(0.0, &[EventRecord::new(99, 3)], &[]), "99"),
         (frame(0.0, &[EventRecord::new(17, 3)], &[]), "not running"),
@@ -396,10 +406,10 @@
             "outside a tail",
         ),
     ] {
-        let (success, _, error) = adapter(&input);
+        let (success, _, error) = run_adapter(&input);
         assert!(
-            !success && error.contains(word) && !error.contains("panicked"),
-            "{word}: {error}"
+            !success && error.contains(expected_text) && !error.contains("panicked"),
+            "{expected_text}: {error}"
         );
     }
 }
