--- a/quota-gateway/tests/attempts.rs
+++ b/quota-gateway/tests/attempts.rs
@@ -1,5 +1,5 @@
-//! Attempts whose moment has passed, or whose client has gone: the module's word on it, and the built program, held
-//! still where the bad order needs that.
+//! Attempts that start too late or whose client has disconnected, tested on the library and on the built program.
+//! The program is stopped with a signal where a test needs events to arrive in a certain order.
 
 mod common;
 
@@ -16,29 +16,34 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const DOOR: Program = Program {
+const GATEWAY_PROGRAM: Program = Program {
     path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 
-fn with_classes(discovery: SocketAddr, known: Value, set: &[(&str, Value)]) -> Value {
+fn config_with_class_fields(
+    discovery: SocketAddr,
+    known: Value,
+    class_fields: &[(&str, Value)],
+) -> Value {
     let mut config = config(discovery, known);
     config["settings"]["bounds"]["connectTimeout"] = json!(30_000.0);
     for class in config["settings"]["classes"]
         .as_array_mut()
         .expect("classes")
     {
-        set.iter()
+        class_fields
+            .iter()
             .for_each(|(name, value)| class[*name] = value.clone());
     }
     config
 }
 
-/// Waits until no request is in the front door's hands.
-fn wait_until_idle(front: &Front) -> Value {
+/// Waits until the gateway has no request in flight and returns its statistics.
+fn wait_until_idle(gateway: &Front) -> Value {
     let until = Instant::now() + PATIENCE;
     loop {
-        let stats = front.stats();
+        let stats = gateway.stats();
         if stats["in_flight"] == 0 {
             return stats;
         }
@@ -47,19 +52,20 @@
 }
 
 #[test]
-fn a_timer_that_is_served_before_the_clients_close_brings_no_further_attempt() {
+fn a_timer_processed_before_the_clients_close_starts_no_further_attempt() {
     let backends = [Peer::start(), Peer::start()];
     let known = backends.iter().enumerate();
     let known: Vec<_> = known
         .map(|(n, peer)| target(&format!("s-0000000{n}"), peer.address, "ready"))
         .collect();
-    let front = DOOR.start(&with_classes(
+    let gateway = GATEWAY_PROGRAM.start(&config_with_class_fields(
         closed_port(),
         list(&known),
         &[("slo", json!(3000.0))],
     ));
-    // Both have an idle connection, so that a further attempt waits for nothing: two at once, one each.
-    let mut clients = [front.client(), front.client()];
+    // Two concurrent requests, one per backend, leave each with an idle connection: a further attempt would be sent
+    // at once.
+    let mut clients = [gateway.client(), gateway.client()];
     for client in &mut clients {
         client.send(&get("/warm"));
     }
@@ -69,8 +75,8 @@
         .iter_mut()
         .for_each(|client| assert_eq!(client.read().status(), 200));
 
-    let mut gone = front.client();
-    gone.send(&get("/gone"));
+    let mut leaving_client = gateway.client();
+    leaving_client.send(&get("/gone"));
     let until = Instant::now() + PATIENCE;
     let mut first = loop {
         let next = backends
@@ -79,47 +85,47 @@
         if let Some(exchange) = next {
             break exchange;
         }
-        assert!(Instant::now() < until, "no request comes");
+        assert!(Instant::now() < until, "no request arrived");
     };
-    // What stands still, goes on and is told of a signal serves its timers before it looks at its sockets.
-    hold(front.child.id());
-    drop(gone);
+    // After SIGSTOP and SIGCONT the process runs its due timers before it polls its sockets.
+    hold(gateway.child.id());
+    drop(leaving_client);
     thread::sleep(Duration::from_millis(2200));
-    front.signal(Signal::CONT);
+    gateway.signal(Signal::CONT);
     first.wait_for_close();
     assert_eq!(
-        wait_until_idle(&front)["attempts"],
+        wait_until_idle(&gateway)["attempts"],
         3,
-        "none after the client had gone"
+        "no attempt after the client disconnected"
     );
 }
 
 #[test]
-fn a_client_that_wrote_and_left_while_the_process_stood_still_is_sent_nothing_for() {
+fn a_request_of_a_client_that_left_while_the_process_was_stopped_is_not_sent() {
     let backend = Peer::start();
-    let front = DOOR.before(&[backend.address]);
+    let gateway = GATEWAY_PROGRAM.before(&[backend.address]);
     for (request, close) in [
         (get("/gone"), "close"),
         (get("/gone"), "reset"),
         (post("gone"), "close"),
     ] {
-        let mut gone = front.client();
-        // An idle connection on either side: nothing has to be waited for.
-        gone.send(&get("/warm"));
+        let mut leaving_client = gateway.client();
+        // Leaves idle connections to the client and to the backend, so that the next request waits for neither.
+        leaving_client.send(&get("/warm"));
         backend.next().ok("warm");
-        assert_eq!(gone.read().status(), 200);
-        let before = wait_until_idle(&front)["attempts"].clone();
-        hold(front.child.id());
-        gone.send(&request);
+        assert_eq!(leaving_client.read().status(), 200);
+        let before = wait_until_idle(&gateway)["attempts"].clone();
+        hold(gateway.child.id());
+        leaving_client.send(&request);
         if close == "reset" {
-            socket2::SockRef::from(&gone.stream)
+            socket2::SockRef::from(&leaving_client.stream)
                 .set_linger(Some(Duration::ZERO))
                 .expect("an option");
         }
-        drop(gone);
-        front.signal(Signal::CONT);
-        // Who comes after it is served after it.
-        let mut client = front.client();
+        drop(leaving_client);
+        gateway.signal(Signal::CONT);
+        // A later client is served after it.
+        let mut client = gateway.client();
         client.send(&get("/marker"));
         let exchange = backend.next();
         assert_eq!(
@@ -128,7 +134,7 @@
         );
         exchange.ok("marker");
         assert_eq!(client.read().status(), 200);
-        let after = wait_until_idle(&front)["attempts"].clone();
+        let after = wait_until_idle(&gateway)["attempts"].clone();
         assert_eq!(
             after.as_u64(),
             before.as_u64().map(|n| n + 1),
@@ -138,30 +144,30 @@
 }
 
 #[test]
-fn a_connection_that_comes_up_right_before_the_clients_close_carries_nothing() {
+fn a_connection_established_right_before_the_clients_close_carries_no_request() {
     let stuck = Stuck::start();
     let known = list(&[target("s-00000001", stuck.address, "ready")]);
-    let front = DOOR.start(&with_classes(closed_port(), known, &[]));
-    let mut client = front.client();
+    let gateway = GATEWAY_PROGRAM.start(&config_with_class_fields(closed_port(), known, &[]));
+    let mut client = gateway.client();
     client.send(&post("a job"));
     stuck.wait_for_connect();
-    // Both are there when the process next looks, the connection first.
-    hold(front.child.id());
+    // Both events are ready at the next poll: first the backend connection, then the client's close.
+    hold(gateway.child.id());
     let (mut stream, mut bytes) = (stuck.accept(), Vec::new());
     drop(client);
-    front.signal(Signal::CONT);
+    gateway.signal(Signal::CONT);
     stream
         .read_to_end(&mut bytes)
-        .expect("the front door closes the connection");
+        .expect("the gateway closes the connection");
     assert_eq!(String::from_utf8_lossy(&bytes), "");
 }
 
 #[test]
-fn a_connection_that_comes_up_after_the_window_for_repeats_carries_nothing() {
+fn a_connection_established_after_the_deduplication_window_carries_no_request() {
     let (backend, stuck) = (Peer::start(), Stuck::start());
     let known = list(&[target("s-00000001", backend.address, "ready")]);
     let discovery = Discovery::start(known.clone());
-    // A busy machine has long enough to decide within it.
+    // Long enough for the decision to fall within the window on a busy machine.
     let window = Duration::from_secs(6);
     let guarded = [
         ("semantics", json!("guarded")),
@@ -169,30 +175,34 @@
         ("slo", json!(20_000.0)),
         ("deadline", json!(20_000.0)),
     ];
-    let front = DOOR.start(&with_classes(discovery.address, known, &guarded));
-    let mut client = front.client();
-    let began = Instant::now();
+    let gateway = GATEWAY_PROGRAM.start(&config_with_class_fields(
+        discovery.address,
+        known,
+        &guarded,
+    ));
+    let mut client = gateway.client();
+    let submitted_at = Instant::now();
     client.send(&post("a job").replace("X-Deadline: 4000m", "X-Deadline: 18000m"));
     let exchange = backend.next();
     discovery.tell(json!([
         target("s-00000001", backend.address, "draining"),
         target("s-00000002", stuck.address, "ready")
     ]));
-    // It may have run; the further attempt is decided on within the window.
+    // The first attempt may have run; the next one is decided on within the window.
     exchange.break_off("");
     stuck.wait_for_connect();
-    let decided = began.elapsed();
-    thread::sleep(window.saturating_sub(decided));
+    let decided_after = submitted_at.elapsed();
+    thread::sleep(window.saturating_sub(decided_after));
     assert_eq!(
         String::from_utf8_lossy(&stuck.open()),
         "",
-        "decided on after {decided:?}"
+        "decided on after {decided_after:?}"
     );
     assert_eq!(client.read().status(), 504);
 }
 
-/// By when each attempt sent has to begin.
-fn starts(actions: &[Action]) -> Vec<Option<Millis>> {
+/// The time by which each sent attempt has to start.
+fn start_deadlines(actions: &[Action]) -> Vec<Option<Millis>> {
     let start = |action: &Action| match action {
         Action::Send { start_by, .. } => Some(*start_by),
         _ => None,
@@ -201,31 +211,32 @@
 }
 
 #[test]
-fn an_attempt_that_may_be_a_repeat_is_sent_with_the_end_of_its_window() {
+fn an_attempt_that_may_be_a_repeat_must_start_before_its_window_ends() {
     let [free, once, keyed] = [0, 1, 2];
-    // Two calls of the host before the window of 1500 ms from the first attempt that may have run is over.
-    let over = Some(1500.0 - 8.0);
+    // Two ticks of the host before the end of the 1500 ms window, which starts with the first attempt that may have
+    // run.
+    let window_end = Some(1500.0 - 8.0);
     for (class, first, after_the_first, after_the_next) in [
         (free, Outcome::Reset, vec![None], vec![None]),
         (once, Outcome::NoConnection, vec![None], vec![None]),
         (once, Outcome::Reset, vec![], vec![]),
         (keyed, Outcome::NoConnection, vec![None], vec![None]),
-        (keyed, Outcome::Reset, vec![over], vec![over]),
+        (keyed, Outcome::Reset, vec![window_end], vec![window_end]),
     ] {
         let mut host = Host::new(settings(), &[server(1), server(2), server(3)]);
-        let (id, sent) = host.ask(1, 3, class);
-        assert_eq!(starts(&sent), [None], "class {class}");
+        let (id, sent) = host.submit(1, 3, class);
+        assert_eq!(start_deadlines(&sent), [None], "class {class}");
         host.now = 50.0;
-        let next = host.end(id, 0, first, None);
+        let next = host.end_attempt(id, 0, first, None);
         assert_eq!(
-            starts(&next),
+            start_deadlines(&next),
             after_the_first,
             "class {class} after {first:?}"
         );
         host.now = 300.0;
-        let next = host.end(id, 1, Outcome::NoConnection, None);
+        let next = host.end_attempt(id, 1, Outcome::NoConnection, None);
         assert_eq!(
-            starts(&next),
+            start_deadlines(&next),
             after_the_next,
             "class {class} after {first:?} and no connection"
         );
--- a/quota-gateway/tests/balance.rs
+++ b/quota-gateway/tests/balance.rs
@@ -1,4 +1,4 @@
-//! Which servers a gateway sends to, where many gateways share many servers.
+//! Subsetting: which servers a gateway sends to where many gateways share many servers.
 
 mod common;
 
@@ -8,7 +8,7 @@
 
 const GATEWAYS: u32 = 100;
 
-fn fleet(count: ServerId) -> Vec<ServerEntry> {
+fn server_list(count: ServerId) -> Vec<ServerEntry> {
     (1..=count)
         .map(|id| ServerEntry {
             zone: (id % 2) as u16,
@@ -29,29 +29,29 @@
     )
 }
 
-/// The servers that a gateway sends to first, each failing now and then, so that all of its part have their turn.
-fn used(host: &mut Host) -> BTreeSet<ServerId> {
-    let mut used = BTreeSet::new();
+/// The servers that a gateway sends first attempts to. Every attempt fails, so that the whole subset is tried.
+fn servers_used(host: &mut Host) -> BTreeSet<ServerId> {
+    let mut servers_used = BTreeSet::new();
     for _ in 0..30 {
         host.now += 10.0;
-        let (id, actions) = host.ask(1, 3, 1);
-        used.extend(sends(&actions));
-        host.end(id, 0, Outcome::Error, None);
+        let (id, actions) = host.submit(1, 3, 1);
+        servers_used.extend(send_targets(&actions));
+        host.end_attempt(id, 0, Outcome::Error, None);
     }
-    used
+    servers_used
 }
 
 #[test]
-fn each_of_many_gateways_keeps_to_a_part_of_each_zone_and_all_servers_are_in_as_many_parts() {
-    let servers = fleet(60);
-    let mut meets: BTreeMap<ServerId, usize> = BTreeMap::new();
+fn each_gateway_uses_a_subset_of_each_zone_and_servers_are_in_equally_many_subsets() {
+    let servers = server_list(60);
+    let mut gateways_per_server: BTreeMap<ServerId, usize> = BTreeMap::new();
     for ordinal in 0..GATEWAYS {
-        let used = used(&mut gateway(ordinal, GATEWAYS, &servers));
+        let servers_used = servers_used(&mut gateway(ordinal, GATEWAYS, &servers));
         let zones: Vec<usize> = (0..2)
             .map(|zone| {
                 servers
                     .iter()
-                    .filter(|s| s.zone == zone && used.contains(&s.id))
+                    .filter(|s| s.zone == zone && servers_used.contains(&s.id))
                     .count()
             })
             .collect();
@@ -59,94 +59,98 @@
             zones.iter().all(|zone| (5..=8).contains(zone)),
             "gateway {ordinal} sends to {zones:?} a zone"
         );
-        used.iter()
-            .for_each(|id| *meets.entry(*id).or_default() += 1);
+        servers_used
+            .iter()
+            .for_each(|id| *gateways_per_server.entry(*id).or_default() += 1);
     }
     assert!(
-        meets.len() == 60 && meets.values().all(|doors| (20..=30).contains(doors)),
-        "{meets:?}"
+        gateways_per_server.len() == 60
+            && gateways_per_server
+                .values()
+                .all(|count| (20..=30).contains(count)),
+        "{gateways_per_server:?}"
     );
 }
 
 #[test]
 fn few_gateways_send_to_all_servers() {
-    assert_eq!(used(&mut gateway(1, 4, &fleet(20))).len(), 20);
+    assert_eq!(servers_used(&mut gateway(1, 4, &server_list(20))).len(), 20);
 }
 
 #[test]
-fn a_change_of_the_list_leaves_most_of_a_part_as_it_was() {
-    let (before, after) = (fleet(60), fleet(58));
-    let mut moved = 0;
+fn a_change_of_the_server_list_leaves_most_of_a_subset_unchanged() {
+    let (before, after) = (server_list(60), server_list(58));
+    let mut added = 0;
     for ordinal in 0..GATEWAYS {
-        let was = used(&mut gateway(ordinal, GATEWAYS, &before));
-        let is = used(&mut gateway(ordinal, GATEWAYS, &after));
-        moved += is.difference(&was).count();
+        let used_before = servers_used(&mut gateway(ordinal, GATEWAYS, &before));
+        let used_after = servers_used(&mut gateway(ordinal, GATEWAYS, &after));
+        added += used_after.difference(&used_before).count();
     }
     assert!(
-        moved < 200,
-        "{moved} of {} backends are new to their gateways",
+        added < 200,
+        "{added} of {} backends were added to the subsets",
         15 * GATEWAYS
     );
 }
 
 #[test]
-fn a_gateway_whose_part_fails_turns_to_the_others() {
-    let mut host = gateway(3, GATEWAYS, &fleet(60));
-    let part = used(&mut host);
+fn a_gateway_whose_subset_fails_uses_other_servers() {
+    let mut host = gateway(3, GATEWAYS, &server_list(60));
+    let subset = servers_used(&mut host);
     let mut served = 0;
     host.now += 60_000.0;
     for _ in 0..400 {
         host.now += 100.0;
-        let (id, mut actions) = host.ask(1, 3, 0);
+        let (id, mut actions) = host.submit(1, 3, 0);
         for attempt in 0.. {
-            let Some(to) = sends(&actions).first().copied() else {
+            let Some(to) = send_targets(&actions).first().copied() else {
                 break;
             };
-            served += usize::from(!part.contains(&to));
-            let outcome = if part.contains(&to) {
+            served += usize::from(!subset.contains(&to));
+            let outcome = if subset.contains(&to) {
                 Outcome::NoConnection
             } else {
                 Outcome::Ok
             };
-            actions = host.end(id, attempt, outcome, None);
+            actions = host.end_attempt(id, attempt, outcome, None);
         }
     }
     assert!(served > 300, "{served} of 400 served");
 }
 
-/// A gateway that has learned the usual time of an answer, 50 ms.
-fn seasoned(gateways: u32) -> Host {
-    let mut host = gateway(0, gateways, &fleet(60));
+/// A gateway that has learned the usual answer time of 50 ms.
+fn host_with_learned_latency(gateways: u32) -> Host {
+    let mut host = gateway(0, gateways, &server_list(60));
     for _ in 0..400 {
         host.now += 10.0;
-        let (id, _) = host.ask(1, 3, 0);
-        host.end(id, 0, Outcome::Ok, None);
+        let (id, _) = host.submit(1, 3, 0);
+        host.end_attempt(id, 0, Outcome::Ok, None);
     }
     host
 }
 
 #[test]
-fn a_server_to_which_no_connection_comes_up_is_passed_over_at_once() {
-    let mut host = seasoned(2);
-    let (id, actions) = host.ask(1, 3, 0);
-    assert_eq!(sends(&actions).len(), 1);
-    host.end(id, 0, Outcome::NoConnection, None);
+fn a_server_that_refuses_a_connection_is_ejected_at_once() {
+    let mut host = host_with_learned_latency(2);
+    let (id, actions) = host.submit(1, 3, 0);
+    assert_eq!(send_targets(&actions).len(), 1);
+    host.end_attempt(id, 0, Outcome::NoConnection, None);
     assert_eq!(host.gateway.excluded(host.now), 1);
 }
 
 #[test]
-fn many_gateways_together_try_a_failing_server_as_seldom_as_few() {
-    let mut passed_over = Vec::new();
+fn many_gateways_together_probe_a_failing_server_as_rarely_as_few() {
+    let mut ejected_for = Vec::new();
     for gateways in [2, 100] {
-        let mut host = seasoned(gateways);
-        let (id, _) = host.ask(1, 3, 0);
-        host.end(id, 0, Outcome::NoConnection, None);
+        let mut host = host_with_learned_latency(gateways);
+        let (id, _) = host.submit(1, 3, 0);
+        host.end_attempt(id, 0, Outcome::NoConnection, None);
         let until = (1..2000).find(|n| host.gateway.excluded(host.now + f64::from(*n) * 10.0) == 0);
-        passed_over.push(until.expect("it is tried again"));
+        ejected_for.push(until.expect("the server is tried again"));
     }
-    // Of the hundred, 25 have it in their part.
+    // 25 of the hundred gateways have it in their subset.
     assert!(
-        (10..15).contains(&(passed_over[1] / passed_over[0])),
-        "passed over for {passed_over:?} times 10 ms"
+        (10..15).contains(&(ejected_for[1] / ejected_for[0])),
+        "ejected for {ejected_for:?} times 10 ms"
     );
 }
--- a/quota-gateway/tests/cold.rs
+++ b/quota-gateway/tests/cold.rs
@@ -1,6 +1,6 @@
-//! What all gateways together send to servers that have just started, against the budget that the settings
-//! name: N calls of mean work in any window, N being multiple x present capacity x window. Gateways share nothing;
-//! each has its own ordinal, seed and part of the traffic. The world here has no clock but its own.
+//! The load that all gateways together put on servers that have just started, compared with the budget from the
+//! settings: N calls of mean work in any window, where N is multiple x current capacity x window. Gateways share no
+//! state; each has its own ordinal, seed and part of the traffic. The simulation runs on simulated time only.
 
 mod common;
 
@@ -10,58 +10,58 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-/// Seeds in an ordinary run; `COLD_SEEDS` asks for more.
-const SEEDS: u64 = 1;
-const WINDOW: Millis = 1500.0;
-const COLD_FOR: Millis = 10_000.0;
+/// Number of seeds per run unless `COLD_SEEDS` sets another.
+const DEFAULT_SEEDS: u64 = 1;
+const WINDOW_MS: Millis = 1500.0;
+const WARM_UP_MS: Millis = 10_000.0;
 const COLD_FROM: f64 = 0.3;
-/// When the servers change, and how long the world goes on.
-const CHANGE: Millis = 5000.0;
-const END: Millis = 10_000.0;
+/// When the servers change, and when the simulation ends.
+const CHANGE_AT_MS: Millis = 5000.0;
+const END_AT_MS: Millis = 10_000.0;
 
 #[derive(Debug, Clone, Copy, PartialEq)]
-enum Trouble {
-    /// One of twelve starts anew.
+enum Scenario {
+    /// One of twelve servers restarts.
     One,
-    /// Half of them are replaced at once.
+    /// Half of the servers are replaced at once.
     Half,
-    /// All start anew.
+    /// All servers restart at once.
     All,
-    /// Seven of eight drain at once; the eighth has just started.
-    LastLeft,
-    /// A small and a large one start anew, in a fleet of both kinds.
-    Sizes,
-    /// As `Half`, and the gateways start anew as well.
+    /// Seven of eight servers start draining at once; the eighth has just started.
+    LastReady,
+    /// A small and a large server restart in a fleet of both sizes.
+    MixedSizes,
+    /// As `Half`, while the gateways restart as well.
     Restart,
-    /// As `LastLeft`, and the gateways start anew as well.
-    RestartLastLeft,
+    /// As `LastReady`, while the gateways restart as well.
+    RestartLastReady,
 }
 
 #[derive(Debug, Clone, Copy)]
 struct Case {
-    trouble: Trouble,
+    scenario: Scenario,
     gateways: u32,
     cores: f64,
-    /// Mean time of the work of a call, on a warm core.
+    /// Mean service time of a call on a warm core.
     work: Millis,
-    /// Calls against what all servers can do before the change.
+    /// Offered load relative to the capacity of all servers before the change.
     load: f64,
-    /// Part of the requests whose client leaves soon.
-    leave: f64,
+    /// Share of attempts after which the client disconnects early.
+    abandon_share: f64,
 }
 
-struct Machine {
+struct SimServer {
     entry: ServerEntry,
-    /// When each core is free.
+    /// When each core becomes free.
     cores: Vec<Millis>,
-    /// When it was sent what, lately.
+    /// Times of the calls sent to it within the last window.
     sent: VecDeque<Millis>,
 }
 
-impl Machine {
-    fn new(id: ServerId, size: f64, cores: f64, launched: Option<Millis>) -> Machine {
+impl SimServer {
+    fn new(id: ServerId, size: f64, cores: f64, launched: Option<Millis>) -> SimServer {
         let cores = vec![0.0; (cores * size).round().max(1.0) as usize];
-        Machine {
+        SimServer {
             entry: ServerEntry {
                 share: size,
                 launched,
@@ -72,71 +72,74 @@
         }
     }
 
-    fn warmth(&self, now: Millis) -> f64 {
+    fn relative_speed(&self, now: Millis) -> f64 {
         let age = self
             .entry
             .launched
-            .map_or(COLD_FOR, |at| now - at)
-            .clamp(0.0, COLD_FOR);
-        COLD_FROM + (1.0 - COLD_FROM) * age / COLD_FOR
+            .map_or(WARM_UP_MS, |at| now - at)
+            .clamp(0.0, WARM_UP_MS);
+        COLD_FROM + (1.0 - COLD_FROM) * age / WARM_UP_MS
     }
 }
 
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Happening {
-    Change,
+enum SimEvent {
+    ApplyScenario,
     Arrival(usize, bool),
     Done(usize, RequestId, u8),
     Timer(usize, u64),
-    Leave(usize, RequestId),
+    ClientLeaves(usize, RequestId),
 }
 
 #[derive(Debug, Default, Clone, Copy)]
-struct Tally {
-    /// The most that a window held beyond N, over 2 x root of N + 2; at 1 chance no longer excuses it.
-    worst: f64,
-    /// The same over 3 x root of N + 3: at 1 the server falls.
-    fall: f64,
-    /// Calls sent to cold servers, and the budget they had, by N over the window, from the change on.
+struct Totals {
+    /// Largest excess over N in any window, divided by 2 x sqrt(N) + 2; at 1, chance no longer explains it.
+    excess_over_chance: f64,
+    /// The same excess divided by 3 x sqrt(N) + 3; at 1 the server collapses.
+    excess_over_collapse: f64,
+    /// Calls sent to cold servers since the change, and their budget over that time at N calls per window.
     sent: f64,
     budget: f64,
-    least: f64,
-    asked: f64,
+    smallest_budget: f64,
+    submitted: f64,
     served: f64,
 }
 
-struct World {
+struct Simulation {
     case: Case,
     rng: Rand64,
     now: Millis,
     gateways: Vec<Gateway>,
     weights: Vec<f64>,
-    machines: BTreeMap<ServerId, Machine>,
-    events: BinaryHeap<Reverse<(u64, u64, Happening)>>,
+    servers: BTreeMap<ServerId, SimServer>,
+    events: BinaryHeap<Reverse<(u64, u64, SimEvent)>>,
     sequence: u64,
-    /// Attempts out, and requests that are waited for.
-    out: BTreeMap<(usize, RequestId, u8), Millis>,
-    open: BTreeMap<(usize, RequestId), (u8, bool)>,
+    /// Attempts in flight with their start times, and unanswered requests.
+    attempts_in_flight: BTreeMap<(usize, RequestId, u8), Millis>,
+    open_requests: BTreeMap<(usize, RequestId), (u8, bool)>,
     next: RequestId,
-    tally: Tally,
+    totals: Totals,
 }
 
-impl World {
-    fn new(case: Case, seed: u64) -> World {
+impl Simulation {
+    fn new(case: Case, seed: u64) -> Simulation {
         let mut rng = Rand64::new(u128::from(seed));
-        let count = if matches!(case.trouble, Trouble::LastLeft | Trouble::RestartLastLeft) {
+        let count = if matches!(
+            case.scenario,
+            Scenario::LastReady | Scenario::RestartLastReady
+        ) {
             8
         } else {
             12
         };
-        let size = |id: ServerId| match case.trouble {
-            Trouble::Sizes if id % 2 == 0 => 0.25,
+        let size = |id: ServerId| match case.scenario {
+            Scenario::MixedSizes if id % 2 == 0 => 0.25,
             _ => 1.0,
         };
-        let machines: BTreeMap<_, _> = (1..=count)
-            .map(|id| (id, Machine::new(id, size(id), case.cores, None)))
+        let servers: BTreeMap<_, _> = (1..=count)
+            .map(|id| (id, SimServer::new(id, size(id), case.cores, None)))
             .collect();
-        // Some gateways see several times the mean.
+        // Some gateways receive several times the mean traffic.
         let weights: Vec<f64> = (0..case.gateways)
             .map(|_| {
                 if rng.rand_float() < 0.2 {
@@ -146,29 +149,29 @@
                 }
             })
             .collect();
-        let mut world = World {
+        let mut simulation = Simulation {
             case,
             rng,
             now: 0.0,
             gateways: Vec::new(),
             weights,
-            machines,
+            servers,
             events: BinaryHeap::new(),
             sequence: 0,
-            out: BTreeMap::new(),
-            open: BTreeMap::new(),
+            attempts_in_flight: BTreeMap::new(),
+            open_requests: BTreeMap::new(),
             next: 1,
-            tally: Tally {
-                least: f64::MAX,
-                ..Tally::default()
+            totals: Totals {
+                smallest_budget: f64::MAX,
+                ..Totals::default()
             },
         };
-        world.start_gateways(seed);
-        world.at(CHANGE, Happening::Change);
-        for gateway in 0..world.weights.len() {
-            world.next_arrival(gateway);
+        simulation.start_gateways(seed);
+        simulation.schedule(CHANGE_AT_MS, SimEvent::ApplyScenario);
+        for gateway in 0..simulation.weights.len() {
+            simulation.next_arrival(gateway);
         }
-        world
+        simulation
     }
 
     fn start_gateways(&mut self, seed: u64) {
@@ -178,25 +181,25 @@
                     gateways: self.case.gateways,
                     ordinal,
                     cold_from: COLD_FROM,
-                    cold_for: COLD_FOR,
-                    tip_after: WINDOW,
+                    cold_for: WARM_UP_MS,
+                    tip_after: WINDOW_MS,
                     ..settings()
                 };
                 Gateway::new(settings, seed * 1000 + u64::from(ordinal), self.now)
-                    .expect("the settings make sense")
+                    .expect("valid settings")
             })
             .collect();
-        self.out.clear();
-        self.open.clear();
-        self.tell();
+        self.attempts_in_flight.clear();
+        self.open_requests.clear();
+        self.send_server_list();
     }
 
-    /// Tells all gateways of the servers.
-    fn tell(&mut self) {
+    /// Sends the full server list to all gateways.
+    fn send_server_list(&mut self) {
         let entries: Vec<_> = self
-            .machines
+            .servers
             .values()
-            .map(|machine| machine.entry)
+            .map(|server_state| server_state.entry)
             .collect();
         for gateway in 0..self.gateways.len() {
             self.event(
@@ -209,25 +212,25 @@
         }
     }
 
-    fn at(&mut self, at: Millis, happening: Happening) {
+    fn schedule(&mut self, at: Millis, sim_event: SimEvent) {
         self.sequence += 1;
         self.events
-            .push(Reverse(((at * 1000.0) as u64, self.sequence, happening)));
+            .push(Reverse(((at * 1000.0) as u64, self.sequence, sim_event)));
     }
 
     fn next_arrival(&mut self, gateway: usize) {
-        let cores: usize = match self.case.trouble {
-            Trouble::Sizes => {
+        let cores: usize = match self.case.scenario {
+            Scenario::MixedSizes => {
                 6 * (self.case.cores as usize)
                     + 6 * (self.case.cores * 0.25).round().max(1.0) as usize
             }
-            Trouble::LastLeft | Trouble::RestartLastLeft => 8 * self.case.cores as usize,
+            Scenario::LastReady | Scenario::RestartLastReady => 8 * self.case.cores as usize,
             _ => 12 * self.case.cores as usize,
         };
         let rate = self.case.load * cores as f64 / self.case.work;
-        let own = rate * self.weights[gateway] / self.weights.iter().sum::<f64>();
-        let wait = -(1.0 - self.rng.rand_float()).ln() / own;
-        self.at(self.now + wait, Happening::Arrival(gateway, true));
+        let gateway_rate = rate * self.weights[gateway] / self.weights.iter().sum::<f64>();
+        let wait = -(1.0 - self.rng.rand_float()).ln() / gateway_rate;
+        self.schedule(self.now + wait, SimEvent::Arrival(gateway, true));
     }
 
     fn event(&mut self, gateway: usize, event: Event) {
@@ -237,78 +240,94 @@
             match action {
                 Action::Send {
                     request, server, ..
-                } => self.sent(gateway, request, server),
+                } => self.on_send(gateway, request, server),
                 Action::Refuse { request, .. } => {
                     let first = self
-                        .open
+                        .open_requests
                         .remove(&(gateway, request))
                         .is_some_and(|(_, first)| first);
-                    // Half of the clients come again, once.
+                    // Half of the clients retry once.
                     if first && self.rng.rand_float() < 0.5 {
-                        self.at(self.now + 100.0, Happening::Arrival(gateway, false));
+                        self.schedule(self.now + 100.0, SimEvent::Arrival(gateway, false));
                     }
                 }
-                Action::Fail(request) => drop(self.open.remove(&(gateway, request))),
+                Action::Fail(request) => drop(self.open_requests.remove(&(gateway, request))),
                 Action::Cancel { request, attempt } => {
-                    self.ended(gateway, request, attempt, Outcome::Cancelled);
+                    self.on_attempt_end(gateway, request, attempt, Outcome::Cancelled);
                 }
                 Action::Timer { at, token } => {
-                    self.at(at.max(self.now), Happening::Timer(gateway, token));
+                    self.schedule(at.max(self.now), SimEvent::Timer(gateway, token));
                 }
                 Action::FollowServers | Action::Log(_) => {}
             }
         }
     }
 
-    fn sent(&mut self, gateway: usize, request: RequestId, to: ServerId) {
+    fn on_send(&mut self, gateway: usize, request: RequestId, to: ServerId) {
         let now = self.now;
         let attempt = {
             let (attempts, _) = self
-                .open
+                .open_requests
                 .get_mut(&(gateway, request))
-                .expect("a request that waits");
+                .expect("an unanswered request");
             *attempts += 1;
             *attempts - 1
         };
-        self.out.insert((gateway, request, attempt), now);
-        let (case, shape) = (self.case, self.rng.rand_float());
-        let machine = self.machines.get_mut(&to).expect("a server of the list");
-        if machine.warmth(now) < 1.0 {
-            machine.sent.push_back(now);
-            machine.sent.retain(|at| *at > now - WINDOW);
-            let cores = machine.cores.len() as f64;
-            let allowed =
-                settings().tip_multiple * machine.warmth(now - WINDOW) * cores * WINDOW / case.work;
-            let beyond = machine.sent.len() as f64 - allowed;
-            self.tally.worst = self.tally.worst.max(beyond / (2.0 * allowed.sqrt() + 2.0));
-            self.tally.fall = self.tally.fall.max(beyond / (3.0 * allowed.sqrt() + 3.0));
-            self.tally.least = self.tally.least.min(allowed);
-            self.tally.sent += 1.0;
+        self.attempts_in_flight
+            .insert((gateway, request, attempt), now);
+        let (case, work_factor) = (self.case, self.rng.rand_float());
+        let server_state = self.servers.get_mut(&to).expect("a listed server");
+        if server_state.relative_speed(now) < 1.0 {
+            server_state.sent.push_back(now);
+            server_state.sent.retain(|at| *at > now - WINDOW_MS);
+            let cores = server_state.cores.len() as f64;
+            let allowed = settings().tip_multiple
+                * server_state.relative_speed(now - WINDOW_MS)
+                * cores
+                * WINDOW_MS
+                / case.work;
+            let excess = server_state.sent.len() as f64 - allowed;
+            self.totals.excess_over_chance = self
+                .totals
+                .excess_over_chance
+                .max(excess / (2.0 * allowed.sqrt() + 2.0));
+            self.totals.excess_over_collapse = self
+                .totals
+                .excess_over_collapse
+                .max(excess / (3.0 * allowed.sqrt() + 3.0));
+            self.totals.smallest_budget = self.totals.smallest_budget.min(allowed);
+            self.totals.sent += 1.0;
         }
-        let speed = machine.warmth(now);
-        let core =
-            (0..machine.cores.len()).min_by(|a, b| machine.cores[*a].total_cmp(&machine.cores[*b]));
-        let core = &mut machine.cores[core.expect("a core")];
-        // Work spread evenly about its mean.
-        *core = core.max(now) + case.work * (0.5 + shape) / speed;
+        let speed = server_state.relative_speed(now);
+        let core = (0..server_state.cores.len())
+            .min_by(|a, b| server_state.cores[*a].total_cmp(&server_state.cores[*b]));
+        let core = &mut server_state.cores[core.expect("a core")];
+        // Service times are uniformly distributed around their mean.
+        *core = core.max(now) + case.work * (0.5 + work_factor) / speed;
         let done = *core;
-        self.at(done + 1.0, Happening::Done(gateway, request, attempt));
-        if self.rng.rand_float() < case.leave {
-            self.at(now + 5.0, Happening::Leave(gateway, request));
+        self.schedule(done + 1.0, SimEvent::Done(gateway, request, attempt));
+        if self.rng.rand_float() < case.abandon_share {
+            self.schedule(now + 5.0, SimEvent::ClientLeaves(gateway, request));
         }
     }
 
-    fn ended(&mut self, gateway: usize, request: RequestId, attempt: u8, outcome: Outcome) {
-        let Some(sent) = self.out.remove(&(gateway, request, attempt)) else {
+    fn on_attempt_end(
+        &mut self,
+        gateway: usize,
+        request: RequestId,
+        attempt: u8,
+        outcome: Outcome,
+    ) {
+        let Some(sent) = self.attempts_in_flight.remove(&(gateway, request, attempt)) else {
             return;
         };
         if outcome == Outcome::Ok
-            && self.open.remove(&(gateway, request)).is_some()
-            && self.now > CHANGE
+            && self.open_requests.remove(&(gateway, request)).is_some()
+            && self.now > CHANGE_AT_MS
         {
-            self.tally.served += 1.0;
+            self.totals.served += 1.0;
         }
-        let finished = !self.open.contains_key(&(gateway, request));
+        let finished = !self.open_requests.contains_key(&(gateway, request));
         let elapsed = self.now - sent;
         let end = AttemptEnd {
             request,
@@ -322,11 +341,11 @@
         self.event(gateway, Event::AttemptEnd(end));
     }
 
-    fn ask(&mut self, gateway: usize, first: bool) {
+    fn submit(&mut self, gateway: usize, first: bool) {
         let id = self.next;
         self.next += 1;
-        self.open.insert((gateway, id), (0, first));
-        self.tally.asked += if self.now > CHANGE { 1.0 } else { 0.0 };
+        self.open_requests.insert((gateway, id), (0, first));
+        self.totals.submitted += if self.now > CHANGE_AT_MS { 1.0 } else { 0.0 };
         let (spread, expires_in) = (self.case.gateways, 2000.0);
         let customer = id % 50;
         let (plan, class, units, repeat) = (3, 0, 1.0, !first);
@@ -344,80 +363,86 @@
         self.event(gateway, Event::Request(request));
     }
 
-    fn change(&mut self) {
+    fn apply_scenario(&mut self) {
         let (now, case) = (self.now, self.case);
-        match case.trouble {
-            Trouble::One => self.replace(&[6]),
-            Trouble::Half | Trouble::Restart => self.replace(&[1, 3, 5, 7, 9, 11]),
-            Trouble::All => self.replace(&[1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12]),
-            Trouble::Sizes => self.replace(&[3, 6]),
-            Trouble::LastLeft | Trouble::RestartLastLeft => {
-                for machine in self.machines.values_mut() {
-                    machine.entry.lifecycle = Lifecycle::Draining;
+        match case.scenario {
+            Scenario::One => self.replace(&[6]),
+            Scenario::Half | Scenario::Restart => self.replace(&[1, 3, 5, 7, 9, 11]),
+            Scenario::All => self.replace(&[1, 2, 3, 4, 5, 6, 7, 8, 9, 10, 11, 12]),
+            Scenario::MixedSizes => self.replace(&[3, 6]),
+            Scenario::LastReady | Scenario::RestartLastReady => {
+                for server_state in self.servers.values_mut() {
+                    server_state.entry.lifecycle = Lifecycle::Draining;
                 }
                 self.replace(&[8]);
-                self.machines
+                self.servers
                     .get_mut(&8)
-                    .expect("it is listed")
+                    .expect("a listed server")
                     .entry
                     .launched = Some(now - 300.0);
             }
         }
-        if matches!(case.trouble, Trouble::Restart | Trouble::RestartLastLeft) {
+        if matches!(
+            case.scenario,
+            Scenario::Restart | Scenario::RestartLastReady
+        ) {
             self.start_gateways(77);
         }
-        self.tell();
+        self.send_server_list();
     }
 
     fn replace(&mut self, ids: &[ServerId]) {
         for id in ids {
-            let size = self.machines[id].entry.share;
-            self.machines.insert(
+            let size = self.servers[id].entry.share;
+            self.servers.insert(
                 *id,
-                Machine::new(*id, size, self.case.cores, Some(self.now)),
+                SimServer::new(*id, size, self.case.cores, Some(self.now)),
             );
         }
     }
 
-    fn run(mut self) -> Tally {
-        while let Some(Reverse((at, _, happening))) = self.events.pop() {
+    fn run(mut self) -> Totals {
+        while let Some(Reverse((at, _, sim_event))) = self.events.pop() {
             self.now = at as f64 / 1000.0;
-            if self.now > END {
+            if self.now > END_AT_MS {
                 break;
             }
-            match happening {
-                Happening::Change => self.change(),
-                Happening::Arrival(gateway, first) => {
-                    self.ask(gateway, first);
+            match sim_event {
+                SimEvent::ApplyScenario => self.apply_scenario(),
+                SimEvent::Arrival(gateway, first) => {
+                    self.submit(gateway, first);
                     if first {
                         self.next_arrival(gateway);
                     }
                 }
-                Happening::Done(gateway, request, attempt) => {
-                    self.ended(gateway, request, attempt, Outcome::Ok);
+                SimEvent::Done(gateway, request, attempt) => {
+                    self.on_attempt_end(gateway, request, attempt, Outcome::Ok);
                 }
-                Happening::Timer(gateway, token) => self.event(gateway, Event::Timer(token)),
-                Happening::Leave(gateway, request) => {
-                    if self.open.remove(&(gateway, request)).is_some() {
+                SimEvent::Timer(gateway, token) => self.event(gateway, Event::Timer(token)),
+                SimEvent::ClientLeaves(gateway, request) => {
+                    if self.open_requests.remove(&(gateway, request)).is_some() {
                         self.event(gateway, Event::ClientGone(request));
                         for attempt in 0..4 {
-                            self.ended(gateway, request, attempt, Outcome::Cancelled);
+                            self.on_attempt_end(gateway, request, attempt, Outcome::Cancelled);
                         }
                     }
                 }
             }
         }
-        for machine in self
-            .machines
+        for server_state in self
+            .servers
             .values()
-            .filter(|machine| machine.entry.launched.is_some())
+            .filter(|server_state| server_state.entry.launched.is_some())
         {
-            let middle = machine.warmth(CHANGE + (END - CHANGE) / 2.0);
-            self.tally.budget +=
-                settings().tip_multiple * middle * machine.cores.len() as f64 * (END - CHANGE)
-                    / self.case.work;
+            let mean_speed =
+                server_state.relative_speed(CHANGE_AT_MS + (END_AT_MS - CHANGE_AT_MS) / 2.0);
+            self.totals.budget += settings().tip_multiple
+                * mean_speed
+                * server_state.cores.len() as f64
+                * (END_AT_MS - CHANGE_AT_MS)
+                / self.case.work;
         }
-        self.tally
+        self.totals
     }
 }
 
@@ -425,96 +450,99 @@
     std::env::var("COLD_SEEDS")
         .ok()
         .and_then(|seeds| seeds.parse().ok())
-        .unwrap_or(SEEDS)
+        .unwrap_or(DEFAULT_SEEDS)
 }
 
-/// Plays a trouble with fleets of all sizes and says what came of it.
-fn play(trouble: Trouble) {
-    let mut over = Vec::new();
+/// Runs a scenario for fleets of all sizes and prints the results.
+fn run_scenario(scenario: Scenario) {
+    let mut exceeded = Vec::new();
     for gateways in [2, 3, 7, 20, 30, 300] {
         for (cores, work) in [(1.0, 90.0), (1.0, 20.0), (4.0, 30.0)] {
-            if trouble == Trouble::Sizes && cores < 4.0 {
-                // A quarter of one core cannot be told from a whole one here.
+            if scenario == Scenario::MixedSizes && cores < 4.0 {
+                // Core counts are whole numbers here: a quarter of one core would be simulated as a whole one.
                 continue;
             }
-            for (load, leave) in [(0.7, 0.0), (0.95, 0.2)] {
+            for (load, abandon_share) in [(0.7, 0.0), (0.95, 0.2)] {
                 let case = Case {
-                    trouble,
+                    scenario,
                     gateways,
                     cores,
                     work,
                     load,
-                    leave,
+                    abandon_share,
                 };
-                let mut sum = Tally {
-                    least: f64::MAX,
-                    worst: f64::MIN,
-                    fall: f64::MIN,
-                    ..Tally::default()
+                let mut sum = Totals {
+                    smallest_budget: f64::MAX,
+                    excess_over_chance: f64::MIN,
+                    excess_over_collapse: f64::MIN,
+                    ..Totals::default()
                 };
-                let mut beyond = 0;
+                let mut runs_over = 0;
                 for seed in 1..=seeds() {
-                    let one = World::new(case, seed).run();
-                    beyond += u32::from(one.worst > 1.0);
-                    sum.worst = sum.worst.max(one.worst);
-                    sum.fall = sum.fall.max(one.fall);
-                    sum.least = sum.least.min(one.least);
-                    sum.sent += one.sent;
-                    sum.budget += one.budget;
-                    sum.asked += one.asked;
-                    sum.served += one.served;
+                    let run_totals = Simulation::new(case, seed).run();
+                    runs_over += u32::from(run_totals.excess_over_chance > 1.0);
+                    sum.excess_over_chance =
+                        sum.excess_over_chance.max(run_totals.excess_over_chance);
+                    sum.excess_over_collapse = sum
+                        .excess_over_collapse
+                        .max(run_totals.excess_over_collapse);
+                    sum.smallest_budget = sum.smallest_budget.min(run_totals.smallest_budget);
+                    sum.sent += run_totals.sent;
+                    sum.budget += run_totals.budget;
+                    sum.submitted += run_totals.submitted;
+                    sum.served += run_totals.served;
                 }
-                let (used, served) = (sum.sent / sum.budget, sum.served / sum.asked);
+                let (used, served) = (sum.sent / sum.budget, sum.served / sum.submitted);
                 println!(
-                    "{trouble:?} {gateways} gateways, {cores} cores, {work} ms, load {load}, N from {:.0}: most beyond N \
-                     {:.2} of chance ({:.2} of a fall), {beyond} runs beyond; {used:.2} of the budget used, {served:.2} served",
-                    sum.least, sum.worst, sum.fall
+                    "{scenario:?} {gateways} gateways, {cores} cores, {work} ms, load {load}, N from {:.0}: largest excess over N \
+                     {:.2} of the bound of chance ({:.2} of a collapse), {runs_over} runs exceed it; {used:.2} of the budget used, {served:.2} served",
+                    sum.smallest_budget, sum.excess_over_chance, sum.excess_over_collapse
                 );
-                if beyond > 0 {
-                    over.push((gateways, cores, work, load, sum.worst));
+                if runs_over > 0 {
+                    exceeded.push((gateways, cores, work, load, sum.excess_over_chance));
                 }
-                // Gateways that know nothing may leave the last one idle; it warms up all the same.
+                // Gateways without learned state may leave the last server idle; it warms up with time regardless.
                 assert!(
-                    used > 0.1 || trouble == Trouble::RestartLastLeft,
-                    "cold servers starve: {used}"
+                    used > 0.1 || scenario == Scenario::RestartLastReady,
+                    "cold servers received too little of their budget: {used}"
                 );
             }
         }
     }
-    assert!(over.is_empty(), "{over:?}");
+    assert!(exceeded.is_empty(), "{exceeded:?}");
 }
 
 #[test]
-fn one_cold_server_among_many_warm_ones_keeps_standing() {
-    play(Trouble::One);
+fn one_cold_server_among_warm_ones_stays_within_its_budget() {
+    run_scenario(Scenario::One);
 }
 
 #[test]
-fn half_of_the_servers_replaced_at_once_keep_standing() {
-    play(Trouble::Half);
+fn half_of_the_servers_replaced_at_once_stay_within_budget() {
+    run_scenario(Scenario::Half);
 }
 
 #[test]
-fn servers_all_cold_at_once_keep_standing() {
-    play(Trouble::All);
+fn servers_all_cold_at_once_stay_within_budget() {
+    run_scenario(Scenario::All);
 }
 
 #[test]
-fn a_cold_server_that_is_the_last_one_left_keeps_standing() {
-    play(Trouble::LastLeft);
+fn a_cold_server_that_is_the_only_ready_one_stays_within_its_budget() {
+    run_scenario(Scenario::LastReady);
 }
 
 #[test]
-fn cold_servers_of_unlike_sizes_keep_standing() {
-    play(Trouble::Sizes);
+fn cold_servers_of_different_sizes_stay_within_budget() {
+    run_scenario(Scenario::MixedSizes);
 }
 
 #[test]
-fn half_of_the_servers_replaced_while_the_gateways_start_anew_keep_standing() {
-    play(Trouble::Restart);
+fn half_of_the_servers_replaced_during_a_gateway_restart_stay_within_budget() {
+    run_scenario(Scenario::Restart);
 }
 
 #[test]
-fn the_last_cold_server_left_keeps_standing_while_the_gateways_start_anew() {
-    play(Trouble::RestartLastLeft);
+fn the_only_ready_cold_server_stays_within_its_budget_during_a_gateway_restart() {
+    run_scenario(Scenario::RestartLastReady);
 }
--- a/quota-gateway/tests/common/mod.rs
+++ b/quota-gateway/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A host for the tests: it drives the public interface and keeps what came out.
+//! Test host that drives a gateway through its public interface and records the resulting actions.
 #![allow(dead_code)]
 
 use quota_gateway::*;
@@ -91,7 +91,7 @@
     }
 
     pub(crate) fn with_seed(settings: Settings, servers: &[ServerEntry], seed: u64) -> Host {
-        let gateway = Gateway::new(settings, seed, 0.0).expect("the settings make sense");
+        let gateway = Gateway::new(settings, seed, 0.0).expect("valid settings");
         let mut host = Host {
             gateway,
             now: 0.0,
@@ -105,7 +105,7 @@
         host
     }
 
-    /// Hands over one event and returns what it led to.
+    /// Passes one event to the gateway and returns the resulting actions.
     pub(crate) fn event(&mut self, event: Event) -> Vec<Action> {
         let mut actions = Vec::new();
         self.gateway.handle(self.now, event, &mut actions);
@@ -113,7 +113,7 @@
         actions
     }
 
-    pub(crate) fn ask(
+    pub(crate) fn submit(
         &mut self,
         customer: CustomerId,
         plan: usize,
@@ -124,8 +124,8 @@
         (id, self.request(customer, plan, class, 4000.0, false, id))
     }
 
-    /// A client's further try with so much of its time left.
-    pub(crate) fn ask_again(
+    /// Submits a client's retry that expires in `expires_in`.
+    pub(crate) fn submit_retry(
         &mut self,
         customer: CustomerId,
         class: usize,
@@ -159,7 +159,7 @@
         self.event(Event::Request(request))
     }
 
-    pub(crate) fn end(
+    pub(crate) fn end_attempt(
         &mut self,
         request: RequestId,
         attempt: u8,
@@ -178,7 +178,7 @@
         }))
     }
 
-    /// Fires every timer set so far that is due by `until`, in order, and moves the clock there.
+    /// Fires all timers due by `until` in order of their due times, then advances the clock to `until`.
     pub(crate) fn run_timers(&mut self, until: Millis) -> Vec<Action> {
         let mut all = Vec::new();
         loop {
@@ -201,7 +201,7 @@
     }
 }
 
-pub(crate) fn sends(actions: &[Action]) -> Vec<ServerId> {
+pub(crate) fn send_targets(actions: &[Action]) -> Vec<ServerId> {
     let target = |action: &Action| match action {
         Action::Send { server, .. } => Some(*server),
         _ => None,
--- a/quota-gateway/tests/cost.rs
+++ b/quota-gateway/tests/cost.rs
@@ -1,4 +1,4 @@
-//! What the module costs, counted: allocations for each event, and what stays when a burst is over.
+//! Allocations per event, and memory that remains in use after a burst.
 
 mod common;
 
@@ -20,7 +20,7 @@
     }
 }
 
-fn ended(request: RequestId) -> Event {
+fn attempt_end(request: RequestId) -> Event {
     Event::AttemptEnd(AttemptEnd {
         request,
         attempt: 0,
@@ -32,13 +32,13 @@
     })
 }
 
-/// One of 300 gateways before 200 servers.
+/// One of 300 gateways, with 200 servers.
 fn gateway(actions: &mut Vec<Action>) -> Gateway {
     let settings = Settings {
         gateways: 300,
         ..settings()
     };
-    let mut gateway = Gateway::new(settings, 7, 0.0).expect("the settings make sense");
+    let mut gateway = Gateway::new(settings, 7, 0.0).expect("valid settings");
     let entries = (0..200).map(server).collect();
     gateway.handle(
         0.0,
@@ -52,10 +52,10 @@
 }
 
 #[test]
-fn a_request_takes_few_allocations_however_many_servers_and_customers_there_are() {
+fn a_request_takes_few_allocations_with_many_servers_and_customers() {
     let mut actions = Vec::new();
     let mut gateway = gateway(&mut actions);
-    let (mut asked, mut answered, mut answers) = (0, 0, 0);
+    let (mut request_allocations, mut answer_allocations, mut answers) = (0, 0, 0);
     for id in 0..3000 {
         actions.clear();
         let now = id as f64 * 5.0;
@@ -65,31 +65,32 @@
             .iter()
             .any(|action| matches!(action, Action::Send { .. }));
         actions.clear();
-        // What is learned of the customers and the servers for the first time takes room once.
-        asked += if id < 1000 { 0 } else { count };
+        // State for customers and servers seen for the first time is allocated once; the warm-up is not counted.
+        request_allocations += if id < 1000 { 0 } else { count };
         if sent {
-            let count = measure(|| gateway.handle(now + 1.0, ended(id), &mut actions)).count_total;
-            answered += if id < 1000 { 0 } else { count };
+            let count =
+                measure(|| gateway.handle(now + 1.0, attempt_end(id), &mut actions)).count_total;
+            answer_allocations += if id < 1000 { 0 } else { count };
             answers += u64::from(id >= 1000);
         }
     }
     assert!(answers > 1000, "only {answers} were sent on");
-    // One for the attempts of each, and now and then a map's or a queue's.
+    // One allocation for the attempts of each request, and occasional growth of a map or queue.
     assert!(
-        asked <= 2000 * 3 / 2,
-        "{asked} allocations for 2000 requests"
+        request_allocations <= 2000 * 3 / 2,
+        "{request_allocations} allocations for 2000 requests"
     );
     assert!(
-        answered <= answers / 4,
-        "{answered} allocations for {answers} answers"
+        answer_allocations <= answers / 4,
+        "{answer_allocations} allocations for {answers} answers"
     );
 }
 
 #[test]
-fn the_memory_of_a_burst_of_customers_comes_back() {
+fn memory_of_a_burst_of_customers_is_freed() {
     let mut actions = Vec::with_capacity(64);
     let mut gateway = gateway(&mut actions);
-    let mut during = 0;
+    let mut burst_bytes = 0;
     let after = measure(|| {
         let burst = measure(|| {
             for id in 0..10_000 {
@@ -102,21 +103,24 @@
                     .iter()
                     .any(|action| matches!(action, Action::Send { .. }))
                 {
-                    gateway.handle(id as f64 / 10.0, ended(id), &mut actions);
+                    gateway.handle(id as f64 / 10.0, attempt_end(id), &mut actions);
                 }
                 actions.clear();
             }
         });
-        during = burst.bytes_current;
-        // Long after, one request of one customer: its stores, and those of all others, are full.
+        burst_bytes = burst.bytes_current;
+        // One request long after the burst, when the buckets of all customers are full again.
         gateway.handle(1e6, Event::Request(request(20_000, 7)), &mut actions);
         gateway.handle(1e6, Event::ClientGone(20_000), &mut actions);
         actions.clear();
     });
-    assert!(during > 1_000_000, "the burst takes {during} bytes");
+    assert!(
+        burst_bytes > 1_000_000,
+        "the burst uses only {burst_bytes} bytes"
+    );
     assert!(
         after.bytes_current < 50_000,
-        "{} bytes of {during} stay",
+        "{} bytes of {burst_bytes} remain in use",
         after.bytes_current
     );
 }
--- a/quota-gateway/tests/customers.rs
+++ b/quota-gateway/tests/customers.rs
@@ -1,4 +1,4 @@
-//! What is known of one customer is used for no other, nor for the same number under another plan.
+//! Per-customer state is kept apart by customer and by plan.
 
 mod common;
 
@@ -8,9 +8,9 @@
 use quota_gateway::*;
 use std::collections::BTreeMap;
 
-/// Plans with a ceiling and no quota, so that no coin is tossed: a wide one, a narrow one, and one whose store
-/// is mostly slack.
-fn ceilings() -> Settings {
+/// Plans with a ceiling and without a quota, so that admission is not probabilistic: a large one, a small one, and
+/// one whose bucket is mostly slack.
+fn settings_with_ceilings() -> Settings {
     let plan = |ceiling_rate, ceiling_burst, ceiling_slack| Plan {
         price: 1.0,
         ceiling_rate,
@@ -28,13 +28,13 @@
     }
 }
 
-/// Bounds of all stores, kept apart by customer and plan: each fills from the gateway's birth.
-struct Bounds {
+/// Reference token buckets, one per customer and plan, each refilled from the start of the gateway.
+struct ReferenceBuckets {
     settings: Settings,
-    stores: BTreeMap<(CustomerId, usize), (f64, Millis)>,
+    buckets: BTreeMap<(CustomerId, usize), (f64, Millis)>,
 }
 
-impl Bounds {
+impl ReferenceBuckets {
     fn take(&mut self, customer: CustomerId, plan: usize, now: Millis) {
         let Plan {
             ceiling_rate,
@@ -42,9 +42,9 @@
             ceiling_slack,
             ..
         } = self.settings.plans[plan];
-        // The host names a spread of two.
+        // The test host submits requests with a spread of two.
         let (rate, most) = (ceiling_rate / 2.0, (ceiling_burst + ceiling_slack) / 2.0);
-        let (units, at) = self.stores.entry((customer, plan)).or_insert((0.0, 0.0));
+        let (units, at) = self.buckets.entry((customer, plan)).or_insert((0.0, 0.0));
         *units = (*units + (now - *at) / 1000.0 * rate).min(most) - 1.0;
         *at = now;
         assert!(
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn ceilings_hold_for_each_customer_and_plan_in_any_order_of_requests_and_after_any_pause() {
+fn ceilings_hold_per_customer_and_plan_for_any_order_and_pauses_of_requests() {
     let step = (
         0..2u64,
         0..3usize,
@@ -73,28 +73,28 @@
     let mut runner = TestRunner::new_with_rng(config, rng);
     runner
         .run(&prop::collection::vec(step, 1..60), |steps| {
-            let mut host = Host::new(ceilings(), &[server(1), server(2)]);
-            let mut bounds = Bounds {
-                settings: ceilings(),
-                stores: BTreeMap::new(),
+            let mut host = Host::new(settings_with_ceilings(), &[server(1), server(2)]);
+            let mut reference = ReferenceBuckets {
+                settings: settings_with_ceilings(),
+                buckets: BTreeMap::new(),
             };
             for (customer, plan, count, wait) in steps {
                 host.now += wait;
                 for _ in 0..count {
-                    let (id, actions) = host.ask(customer, plan, 0);
-                    if !sends(&actions).is_empty() {
-                        bounds.take(customer, plan, host.now);
-                        host.end(id, 0, Outcome::Ok, None);
+                    let (id, actions) = host.submit(customer, plan, 0);
+                    if !send_targets(&actions).is_empty() {
+                        reference.take(customer, plan, host.now);
+                        host.end_attempt(id, 0, Outcome::Ok, None);
                     }
                 }
             }
             Ok(())
         })
-        .expect("ceilings hold");
+        .expect("no ceiling is exceeded");
 }
 
 #[test]
-fn what_one_plan_uses_is_not_read_as_the_use_of_another_under_the_same_number() {
+fn usage_under_one_plan_does_not_count_for_another_plan_of_the_same_customer_id() {
     let plans = vec![
         Plan {
             rate: 10.0,
@@ -121,22 +121,22 @@
     let mut refusals = 0;
     for step in 0..200 {
         host.now += 100.0;
-        // The wide plan is far beyond its quota, the narrow one far inside.
+        // Usage of the large plan is far above its quota, that of the small plan far below.
         for _ in 0..4 {
-            let (id, _) = host.ask(7, 1, 0);
-            host.end(id, 0, Outcome::Ok, Some(6.0 + f64::from(step % 3)));
+            let (id, _) = host.submit(7, 1, 0);
+            host.end_attempt(id, 0, Outcome::Ok, Some(6.0 + f64::from(step % 3)));
         }
         if step % 4 == 0 {
-            let (id, actions) = host.ask(7, 0, 0);
+            let (id, actions) = host.submit(7, 0, 0);
             refusals += u32::from(step > 40 && refused(&actions));
-            host.end(id, 0, Outcome::Ok, Some(0.25));
+            host.end_attempt(id, 0, Outcome::Ok, Some(0.25));
         }
     }
-    assert_eq!(refusals, 0, "refused for the use of another plan");
+    assert_eq!(refusals, 0, "refused because of usage under another plan");
 }
 
 #[test]
-fn an_answer_under_one_plan_gives_back_no_place_of_another() {
+fn an_answer_under_one_plan_frees_no_concurrency_slot_of_another() {
     let mut plans = settings().plans;
     plans.push(plans[2]);
     let mut host = Host::new(
@@ -146,44 +146,52 @@
         },
         &[server(1), server(2)],
     );
-    let (first, actions) = host.ask(7, 2, 0);
-    assert_eq!(sends(&actions).len(), 1);
-    let (other, actions) = host.ask(7, 4, 0);
-    assert_eq!(sends(&actions).len(), 1, "the other plan's cap is its own");
-    let (waiting, actions) = host.ask(7, 2, 0);
+    let (first, actions) = host.submit(7, 2, 0);
+    assert_eq!(send_targets(&actions).len(), 1);
+    let (other, actions) = host.submit(7, 4, 0);
+    assert_eq!(
+        send_targets(&actions).len(),
+        1,
+        "each plan has its own concurrency limit"
+    );
+    let (waiting, actions) = host.submit(7, 2, 0);
     assert!(
-        sends(&actions).is_empty() && !refused(&actions),
-        "the cap of 2 gives each of two gateways one"
+        send_targets(&actions).is_empty() && !refused(&actions),
+        "the concurrency limit of 2 gives each of two gateways one"
+    );
+    assert_eq!(
+        host.gateway.open()[&7],
+        2,
+        "open requests of all plans are counted"
     );
-    assert_eq!(host.gateway.open()[&7], 2, "a successor counts them all");
-    assert!(sends(&host.end(other, 0, Outcome::Ok, None)).is_empty());
-    let actions = host.end(first, 0, Outcome::Ok, None);
+    assert!(send_targets(&host.end_attempt(other, 0, Outcome::Ok, None)).is_empty());
+    let actions = host.end_attempt(first, 0, Outcome::Ok, None);
     assert!(actions
         .iter()
         .any(|action| matches!(action, Action::Send { request, .. } if *request == waiting)));
 }
 
 #[test]
-fn a_successor_finds_each_plans_store_as_it_was_left() {
-    let mut first = Host::new(ceilings(), &[server(1)]);
+fn a_successor_takes_over_the_bucket_of_each_plan() {
+    let mut first = Host::new(settings_with_ceilings(), &[server(1)]);
     first.now = 10_000.0;
     let drained = (0..100)
-        .filter(|_| !sends(&first.ask(7, 1, 0).1).is_empty())
+        .filter(|_| !send_targets(&first.submit(7, 1, 0).1).is_empty())
         .count();
     assert_eq!(drained, 2);
-    let (_, wide) = first.ask(7, 0, 0);
-    assert_eq!(sends(&wide).len(), 1);
+    let (_, large_plan_send) = first.submit(7, 0, 0);
+    assert_eq!(send_targets(&large_plan_send).len(), 1);
     let state = first.gateway.hand_over();
-    let mut second = Host::new(ceilings(), &[server(1)]);
+    let mut second = Host::new(settings_with_ceilings(), &[server(1)]);
     second.now = first.now;
     second.gateway.take_over(second.now, state);
     assert!(
-        refused(&second.ask(7, 1, 0).1),
-        "the narrow store is drained"
+        refused(&second.submit(7, 1, 0).1),
+        "the bucket of the small plan is drained"
     );
     assert_eq!(
-        sends(&second.ask(7, 0, 0).1).len(),
+        send_targets(&second.submit(7, 0, 0).1).len(),
         1,
-        "the wide one is not"
+        "the bucket of the large plan is not"
     );
 }
--- a/quota-gateway/tests/hand_over_state.rs
+++ b/quota-gateway/tests/hand_over_state.rs
@@ -1,4 +1,4 @@
-//! What a gateway leaves to its successor has the form that earlier builds wrote.
+//! The handover state keeps the format that earlier builds wrote.
 
 mod common;
 
@@ -6,32 +6,32 @@
 use common::*;
 use quota_gateway::*;
 
-/// State as a gateway of an earlier build handed it over: a customer with sends, one with an attempt still out, and
-/// a backend of which something was learned.
+/// State written by a gateway of an earlier build: a customer with past requests, one with an open attempt, and a
+/// backend with learned data.
 const RECORDED: &str = include_str!("fixtures/hand_over_state.json");
 
-fn used_gateway() -> Host {
+fn host_with_state() -> Host {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
     host.now = 10_000.0;
     for plan in [0, 1] {
         for _ in 0..5 {
-            let (id, _) = host.ask(7 + plan as u64, plan, 0);
+            let (id, _) = host.submit(7 + plan as u64, plan, 0);
             host.now += 16.0;
-            host.end(id, 0, Outcome::Ok, Some(0.5));
+            host.end_attempt(id, 0, Outcome::Ok, Some(0.5));
         }
     }
-    host.ask(9, 2, 0);
+    host.submit(9, 2, 0);
     host
 }
 
 #[test]
-fn a_recorded_state_is_read_and_written_as_it_was() {
+fn a_recorded_state_is_read_and_written_unchanged() {
     if is_recording() {
-        let written =
-            serde_json::to_string(&used_gateway().gateway.hand_over()).expect("it can be written");
-        // The last digit of a number may change as it is read the first time.
-        let state: HandoverState = serde_json::from_str(&written).expect("it can be read");
-        let state = serde_json::to_string(&state).expect("it can be written");
+        let written = serde_json::to_string(&host_with_state().gateway.hand_over())
+            .expect("the state can be serialized");
+        // Parsing may change the last digit of a number, so the fixture is a state that has been parsed once.
+        let state: HandoverState = serde_json::from_str(&written).expect("the state can be parsed");
+        let state = serde_json::to_string(&state).expect("the state can be serialized");
         let path = concat!(
             env!("CARGO_MANIFEST_DIR"),
             "/tests/fixtures/hand_over_state.json"
@@ -42,23 +42,23 @@
     let state: HandoverState =
         serde_json::from_str(RECORDED).expect("a state of an earlier build is readable");
     assert_eq!(
-        serde_json::to_string(&state).expect("it can be written") + "\n",
+        serde_json::to_string(&state).expect("the state can be serialized") + "\n",
         RECORDED
     );
 }
 
 #[test]
-fn a_gateway_hands_over_the_same_keys_as_recorded() {
+fn a_gateway_writes_the_same_keys_as_recorded() {
     if is_recording() {
         return;
     }
     let recorded: serde_json::Value = serde_json::from_str(RECORDED).expect("JSON");
-    let state =
-        serde_json::to_value(used_gateway().gateway.hand_over()).expect("it can be written");
+    let state = serde_json::to_value(host_with_state().gateway.hand_over())
+        .expect("the state can be serialized");
     assert_eq!(keys(&state), keys(&recorded));
 }
 
-/// The keys of a document with its nesting, values left out.
+/// The keys of a JSON document as dotted paths, without values.
 fn keys(value: &serde_json::Value) -> Vec<String> {
     match value {
         serde_json::Value::Object(fields) => fields
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_successor_of_a_recorded_gateway_serves_under_what_was_left() {
+fn a_gateway_with_a_recorded_state_serves_requests() {
     if is_recording() {
         return;
     }
@@ -85,6 +85,6 @@
     let mut successor = Host::new(settings(), &[server(1), server(2)]);
     successor.now = 10_200.0;
     successor.gateway.take_over(successor.now, state);
-    let (_, actions) = successor.ask(7, 0, 0);
-    assert_eq!(sends(&actions).len(), 1);
+    let (_, actions) = successor.submit(7, 0, 0);
+    assert_eq!(send_targets(&actions).len(), 1);
 }
--- a/quota-gateway/tests/health.rs
+++ b/quota-gateway/tests/health.rs
@@ -1,4 +1,4 @@
-//! Servers that fail, hang or slow down, as one gateway can see them.
+//! Servers that fail, hang or slow down, as seen by one gateway.
 
 mod common;
 
@@ -6,48 +6,48 @@
 use quota_gateway::*;
 use std::collections::BTreeMap;
 
-/// Asks every 20 ms for a while, with some requests in hand at a time; `answer` tells for a server and
-/// the number of its attempt how that ends, `None` for never. Returns the sends to each server.
-fn run(
+/// Submits `rounds` requests, one every 20 ms, with a few in flight at a time. `answer` gives the outcome for a server
+/// and the number of the attempt on it; `None` means that no answer comes. Returns the number of sends per server.
+fn send_and_answer(
     host: &mut Host,
     rounds: usize,
     answer: impl Fn(ServerId, usize) -> Option<Outcome>,
 ) -> BTreeMap<ServerId, usize> {
-    run_with(host, rounds, 3, answer)
+    send_with_in_flight(host, rounds, 3, answer)
 }
 
-fn run_with(
+fn send_with_in_flight(
     host: &mut Host,
     rounds: usize,
-    in_hand: usize,
+    max_in_flight: usize,
     answer: impl Fn(ServerId, usize) -> Option<Outcome>,
 ) -> BTreeMap<ServerId, usize> {
     let mut sent = BTreeMap::new();
-    let mut hand = std::collections::VecDeque::new();
+    let mut in_flight = std::collections::VecDeque::new();
     for _ in 0..rounds {
         host.now += 20.0;
-        let (id, actions) = host.ask(1, 3, 1);
-        for target in sends(&actions) {
+        let (id, actions) = host.submit(1, 3, 1);
+        for target in send_targets(&actions) {
             *sent.entry(target).or_insert(0) += 1;
             if let Some(outcome) = answer(target, sent[&target]) {
-                hand.push_back((id, outcome));
+                in_flight.push_back((id, outcome));
             }
         }
-        if hand.len() > in_hand {
-            let (id, outcome) = hand.pop_front().expect("not empty");
-            host.end(id, 0, outcome, None);
+        if in_flight.len() > max_in_flight {
+            let (id, outcome) = in_flight.pop_front().expect("not empty");
+            host.end_attempt(id, 0, outcome, None);
         }
     }
     sent
 }
 
-fn fleet() -> Host {
+fn host_with_six_servers() -> Host {
     let servers: Vec<_> = (1..=6).map(server).collect();
     Host::new(settings(), &servers)
 }
 
 #[test]
-fn a_hung_server_soon_gets_nothing_new() {
+fn a_hung_server_soon_gets_no_new_requests() {
     let servers: Vec<_> = (1..=3).map(server).collect();
     let mut host = Host::new(
         Settings {
@@ -56,16 +56,16 @@
         },
         &servers,
     );
-    run_with(&mut host, 40, 9, |_, _| Some(Outcome::Ok));
-    let sent = run_with(&mut host, 600, 9, |server, _| {
+    send_with_in_flight(&mut host, 40, 9, |_, _| Some(Outcome::Ok));
+    let sent = send_with_in_flight(&mut host, 600, 9, |server, _| {
         (server != 1).then_some(Outcome::Ok)
     });
     assert!(sent[&1] <= 7 && sent[&2] > 100, "{sent:?}");
 }
 
 #[test]
-fn a_server_that_fails_at_once_draws_no_load() {
-    let sent = run(&mut fleet(), 600, |server, _| {
+fn a_server_that_fails_fast_attracts_no_load() {
+    let sent = send_and_answer(&mut host_with_six_servers(), 600, |server, _| {
         Some(if server == 1 {
             Outcome::Error
         } else {
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn a_server_that_fails_half_of_its_work_gets_less() {
+fn a_server_that_fails_half_of_its_requests_gets_fewer() {
     let flaky = |server, n: usize| {
         Some(if server == 1 && n % 2 == 0 {
             Outcome::Error
@@ -84,23 +84,23 @@
             Outcome::Ok
         })
     };
-    let sent = run(&mut fleet(), 600, flaky);
+    let sent = send_and_answer(&mut host_with_six_servers(), 600, flaky);
     let others = sent.values().sum::<usize>() - sent[&1];
     assert!(sent[&1] * 2 < others / 5, "{sent:?}");
 }
 
 #[test]
-fn a_fleet_that_looks_bad_as_a_whole_is_not_ejected() {
-    let mut host = fleet();
-    run(&mut host, 60, |_, _| Some(Outcome::Error));
-    let (_, actions) = host.ask(1, 3, 1);
-    assert_eq!(sends(&actions).len(), 1);
+fn servers_that_all_fail_are_not_all_ejected() {
+    let mut host = host_with_six_servers();
+    send_and_answer(&mut host, 60, |_, _| Some(Outcome::Error));
+    let (_, actions) = host.submit(1, 3, 1);
+    assert_eq!(send_targets(&actions).len(), 1);
 }
 
 #[test]
-fn ejection_and_return_are_logged() {
-    let mut host = fleet();
-    run(&mut host, 2000, |server, n| {
+fn ejection_and_recovery_are_logged() {
+    let mut host = host_with_six_servers();
+    send_and_answer(&mut host, 2000, |server, n| {
         Some(if server == 1 && n < 4 {
             Outcome::Error
         } else {
@@ -121,71 +121,73 @@
 #[test]
 fn without_any_server_requests_are_refused() {
     let mut host = Host::new(settings(), &[]);
-    assert!(refused(&host.ask(1, 3, 1).1));
+    assert!(refused(&host.submit(1, 3, 1).1));
 }
 
 #[test]
-fn a_server_that_was_bad_for_a_while_is_used_again() {
-    let mut host = fleet();
-    run(&mut host, 300, |server, n| {
+fn a_server_that_recovers_is_used_again() {
+    let mut host = host_with_six_servers();
+    send_and_answer(&mut host, 300, |server, n| {
         Some(if server == 1 && n < 40 {
             Outcome::Error
         } else {
             Outcome::Ok
         })
     });
-    let sent = run(&mut host, 3000, |_, _| Some(Outcome::Ok));
+    let sent = send_and_answer(&mut host, 3000, |_, _| Some(Outcome::Ok));
     assert!(sent[&1] > 100, "{sent:?}");
 }
 
 #[test]
 fn broken_connections_do_not_use_up_the_retry_budget() {
-    // One attempt in five breaks, on a network that does that to all servers alike.
-    let mut host = fleet();
-    let mut failed_for_good = 0;
+    // One attempt in five is reset by the network, regardless of the server.
+    let mut host = host_with_six_servers();
+    let mut requests_not_retried = 0;
     for n in 0..100 {
         host.now += 20.0;
-        let (id, _) = host.ask(1, 3, 0);
+        let (id, _) = host.submit(1, 3, 0);
         let outcome = if n % 5 == 0 {
             Outcome::Reset
         } else {
             Outcome::Ok
         };
         if outcome == Outcome::Reset {
-            failed_for_good += u32::from(sends(&host.end(id, 0, outcome, None)).is_empty());
+            requests_not_retried +=
+                u32::from(send_targets(&host.end_attempt(id, 0, outcome, None)).is_empty());
         }
-        host.end(id, u8::from(outcome == Outcome::Reset), Outcome::Ok, None);
+        host.end_attempt(id, u8::from(outcome == Outcome::Reset), Outcome::Ok, None);
     }
-    assert_eq!(failed_for_good, 0);
+    assert_eq!(requests_not_retried, 0);
 }
 
-/// Asks once of a single server, then every 50 ms of it for a while; `answers` tells whether these are answered.
-/// Returns how often the first one was sent again, and whether it was called off.
-fn what_becomes_of_a_long_one(settings: Settings, answers: bool) -> (usize, bool) {
+/// Sends a request to a single server that does not answer it, then others every 50 ms, which are answered if
+/// `answers` is true. Returns how often the first request was sent again and whether an attempt of it was cancelled.
+fn sends_and_cancellation_of_a_long_request(settings: Settings, answers: bool) -> (usize, bool) {
     let mut host = Host::new(settings, &[server(1)]);
     for _ in 0..100 {
         host.now += 50.0;
-        let (id, _) = host.ask(1, 3, 0);
-        host.end(id, 0, Outcome::Ok, None);
+        let (id, _) = host.submit(1, 3, 0);
+        host.end_attempt(id, 0, Outcome::Ok, None);
     }
-    let (long, _) = host.ask(1, 3, 0);
-    let mut seen = Vec::new();
+    let (long_request, _) = host.submit(1, 3, 0);
+    let mut later_actions = Vec::new();
     for _ in 0..16 {
-        seen.extend(host.run_timers(host.now + 50.0));
-        let (id, _) = host.ask(1, 3, 0);
+        later_actions.extend(host.run_timers(host.now + 50.0));
+        let (id, _) = host.submit(1, 3, 0);
         if answers {
-            host.end(id, 0, Outcome::Ok, None);
+            host.end_attempt(id, 0, Outcome::Ok, None);
         }
     }
-    let sent =
-        |action: &&Action| matches!(action, Action::Send { request, .. } if *request == long);
-    let off =
-        |action: &Action| matches!(action, Action::Cancel { request, .. } if *request == long);
-    (seen.iter().filter(sent).count(), seen.iter().any(off))
+    let is_resend = |action: &&Action| matches!(action, Action::Send { request, .. } if *request == long_request);
+    let is_cancel = |action: &Action| matches!(action, Action::Cancel { request, .. } if *request == long_request);
+    (
+        later_actions.iter().filter(is_resend).count(),
+        later_actions.iter().any(is_cancel),
+    )
 }
 
 #[test]
-fn an_attempt_is_left_alone_while_its_server_answers_others_and_called_off_once_that_is_silent() {
+fn an_attempt_is_cancelled_only_if_its_server_answers_no_other_requests() {
     for may_duplicate in [false, true] {
         let settings = Settings {
             gateways: 1,
@@ -193,12 +195,15 @@
             ..settings()
         };
         assert_eq!(
-            what_becomes_of_a_long_one(settings.clone(), true),
+            sends_and_cancellation_of_a_long_request(settings.clone(), true),
             (0, false)
         );
-        assert_eq!(what_becomes_of_a_long_one(settings, false), (0, true));
+        assert_eq!(
+            sends_and_cancellation_of_a_long_request(settings, false),
+            (0, true)
+        );
     }
-    // Where nothing may be called off, a copy is the way out.
+    // Where attempts must not be cancelled, a duplicate attempt is sent instead.
     let settings = Settings {
         gateways: 1,
         may_duplicate: true,
@@ -206,8 +211,8 @@
         ..settings()
     };
     assert_eq!(
-        what_becomes_of_a_long_one(settings.clone(), true),
+        sends_and_cancellation_of_a_long_request(settings.clone(), true),
         (0, false)
     );
-    assert!(what_becomes_of_a_long_one(settings, false).0 > 0);
+    assert!(sends_and_cancellation_of_a_long_request(settings, false).0 > 0);
 }
--- a/quota-gateway/tests/invariants.rs
+++ b/quota-gateway/tests/invariants.rs
@@ -2,7 +2,7 @@
 
 mod common;
 
-use common::{sends, server, settings, Host};
+use common::{send_targets, server, settings, Host};
 use proptest::prelude::*;
 use proptest::test_runner::{Config, RngAlgorithm, RngSeed, TestRng, TestRunner};
 use quota_gateway::*;
@@ -10,29 +10,29 @@
 
 #[derive(Debug, Clone)]
 enum Step {
-    Ask {
+    Submit {
         customer: u64,
         plan: usize,
         class: usize,
         units: f64,
         expires_in: f64,
     },
-    End {
-        pick: usize,
+    EndAttempt {
+        index: usize,
         outcome: usize,
         used: Option<f64>,
     },
-    Leave {
-        pick: usize,
+    ClientGone {
+        index: usize,
     },
-    List {
+    ServerList {
         kind: ListKind,
         servers: Vec<(ServerId, Lifecycle)>,
     },
     Wait {
         time: f64,
     },
-    Noise {
+    Stray {
         id: u64,
         attempt: u8,
         token: u64,
@@ -63,14 +63,14 @@
         Just(Lifecycle::Draining),
         Just(Lifecycle::Gone)
     ];
-    let ask = (
+    let submit = (
         0..4u64,
         0..5usize,
         0..4usize,
         0.0..2.0,
         prop_oneof![Just(4000.0), 0.0..4000.0],
     )
-        .prop_map(|(customer, plan, class, units, expires_in)| Step::Ask {
+        .prop_map(|(customer, plan, class, units, expires_in)| Step::Submit {
             customer,
             plan,
             class,
@@ -78,61 +78,61 @@
             expires_in,
         });
     let step = prop_oneof![
-        6 => ask,
-        5 => (any::<usize>(), 0..OUTCOMES.len(), used).prop_map(|(pick, outcome, used)| Step::End { pick, outcome, used }),
-        1 => any::<usize>().prop_map(|pick| Step::Leave { pick }),
+        6 => submit,
+        5 => (any::<usize>(), 0..OUTCOMES.len(), used).prop_map(|(index, outcome, used)| Step::EndAttempt { index, outcome, used }),
+        1 => any::<usize>().prop_map(|index| Step::ClientGone { index }),
         1 => (kinds, prop::collection::vec((1..6u32, state), 0..5))
-            .prop_map(|(kind, servers)| Step::List { kind, servers }),
+            .prop_map(|(kind, servers)| Step::ServerList { kind, servers }),
         4 => (0.0..400.0).prop_map(|time| Step::Wait { time }),
-        1 => (0..50u64, any::<u8>(), any::<u64>()).prop_map(|(id, attempt, token)| Step::Noise { id, attempt, token }),
+        1 => (0..50u64, any::<u8>(), any::<u64>()).prop_map(|(id, attempt, token)| Step::Stray { id, attempt, token }),
     ];
     prop::collection::vec(step, 1..250)
 }
 
-/// What a host knows of one request.
-struct Known {
+/// What the test host knows about one request.
+struct RequestRecord {
     plan: usize,
     class: usize,
     customer: u64,
     units: f64,
     deadline: f64,
-    answers: u32,
-    over: bool,
-    /// Time, outcome and zone of each attempt.
+    final_answers: u32,
+    closed: bool,
+    /// Start time, outcome and zone of each attempt.
     attempts: Vec<(f64, Option<Outcome>, u16)>,
 }
 
-struct World {
+struct TestHost {
     gateway: Gateway,
     settings: Settings,
     now: f64,
-    requests: BTreeMap<u64, Known>,
+    requests: BTreeMap<u64, RequestRecord>,
     listed: BTreeMap<ServerId, Lifecycle>,
     timers: Vec<(f64, u64)>,
-    out: Vec<(u64, u8)>,
-    ceiling_sent: BTreeMap<u64, f64>,
+    open_attempts: Vec<(u64, u8)>,
+    ceiling_units_sent: BTreeMap<u64, f64>,
     trace: Vec<Action>,
 }
 
-impl World {
-    fn new(duplicate: bool) -> World {
+impl TestHost {
+    fn new(may_duplicate: bool) -> TestHost {
         let settings = Settings {
-            may_duplicate: duplicate,
+            may_duplicate,
             ..settings()
         };
-        let gateway = Gateway::new(settings.clone(), 3, 0.0).expect("the settings make sense");
-        let mut world = World {
+        let gateway = Gateway::new(settings.clone(), 3, 0.0).expect("valid settings");
+        let mut test_host = TestHost {
             gateway,
             settings,
             now: 0.0,
             requests: BTreeMap::new(),
             listed: BTreeMap::new(),
             timers: Vec::new(),
-            out: Vec::new(),
-            ceiling_sent: BTreeMap::new(),
+            open_attempts: Vec::new(),
+            ceiling_units_sent: BTreeMap::new(),
             trace: Vec::new(),
         };
-        world.list(
+        test_host.update_servers(
             ListKind::Full,
             &[
                 (1, Lifecycle::Ready),
@@ -140,10 +140,10 @@
                 (3, Lifecycle::Ready),
             ],
         );
-        world
+        test_host
     }
 
-    fn list(&mut self, kind: ListKind, servers: &[(ServerId, Lifecycle)]) {
+    fn update_servers(&mut self, kind: ListKind, servers: &[(ServerId, Lifecycle)]) {
         if kind != ListKind::Failed {
             if kind != ListKind::Delta {
                 self.listed
@@ -180,54 +180,73 @@
                 assert_eq!(
                     self.listed.get(&server),
                     Some(&Lifecycle::Ready),
-                    "sent to a server not ready"
+                    "sent to a server that is not ready"
                 );
-                let known = self.requests.get_mut(&request).expect("a known request");
-                assert!(!known.over, "sent after the end");
+                let record = self
+                    .requests
+                    .get_mut(&request)
+                    .expect("a submitted request");
+                assert!(!record.closed, "sent after the final answer");
                 assert!(
-                    known.attempts.len() < self.settings.max_attempts as usize,
+                    record.attempts.len() < self.settings.max_attempts as usize,
                     "too many attempts"
                 );
-                let out = known.attempts.iter().any(|attempt| attempt.1.is_none());
-                assert!(self.settings.may_duplicate || !out, "two attempts at once");
-                let ran = known
+                let has_open_attempt = record.attempts.iter().any(|attempt| attempt.1.is_none());
+                assert!(
+                    self.settings.may_duplicate || !has_open_attempt,
+                    "two concurrent attempts without may_duplicate"
+                );
+                let first_possible_run = record
                     .attempts
                     .iter()
                     .find(|attempt| attempt.1.is_none_or(|end| !end.never_ran()));
-                match (self.settings.classes[known.class].effect, ran) {
-                    (Effect::Once, Some(_)) => panic!("an unsafe request was sent again"),
-                    (Effect::Keyed { window, .. }, Some(ran)) => {
+                match (
+                    self.settings.classes[record.class].effect,
+                    first_possible_run,
+                ) {
+                    (Effect::Once, Some(_)) => {
+                        panic!("a request that must run once was sent again")
+                    }
+                    (Effect::Keyed { window, .. }, Some(first_possible_run)) => {
                         assert!(
-                            self.now <= ran.0 + window,
-                            "a keyed request was sent again past its window"
+                            self.now <= first_possible_run.0 + window,
+                            "a keyed request was sent again after its window"
+                        );
+                        assert_eq!(
+                            first_possible_run.2,
+                            server as u16 % 2,
+                            "a keyed request was sent outside its group"
                         );
-                        assert_eq!(ran.2, server as u16 % 2, "a keyed request left its group");
                     }
                     _ => {}
                 }
-                let plan = self.settings.plans[known.plan];
-                if known.attempts.is_empty() && plan.ceiling_rate > 0.0 {
-                    let sent = self.ceiling_sent.entry(known.customer).or_insert(0.0);
-                    *sent += known.units;
+                let plan = self.settings.plans[record.plan];
+                if record.attempts.is_empty() && plan.ceiling_rate > 0.0 {
+                    let sent = self
+                        .ceiling_units_sent
+                        .entry(record.customer)
+                        .or_insert(0.0);
+                    *sent += record.units;
                     let share = plan.ceiling_rate / 2.0 * self.now / 1000.0;
                     assert!(
                         *sent <= share + 1e-6,
-                        "the ceiling's share is overdrawn: {sent} of {share}"
+                        "the share of the ceiling is exceeded: {sent} of {share}"
                     );
                 }
-                self.out.push((request, known.attempts.len() as u8));
-                known.attempts.push((self.now, None, server as u16 % 2));
+                self.open_attempts
+                    .push((request, record.attempts.len() as u8));
+                record.attempts.push((self.now, None, server as u16 % 2));
             }
             Action::Refuse { request, .. } => {
-                let known = self.requests.get(&request).expect("a known request");
-                let may_have_run = known
+                let record = self.requests.get(&request).expect("a submitted request");
+                let may_have_run = record
                     .attempts
                     .iter()
                     .any(|attempt| attempt.1.is_none_or(|end| !end.never_ran()));
                 let free = self
                     .settings
                     .classes
-                    .get(known.class)
+                    .get(record.class)
                     .is_none_or(|class| class.effect == Effect::Free);
                 assert!(
                     free || !may_have_run,
@@ -248,10 +267,16 @@
     }
 
     fn answer(&mut self, request: u64) {
-        let known = self.requests.get_mut(&request).expect("a known request");
-        known.answers += 1;
-        assert!(!known.over && known.answers == 1, "a second final answer");
-        known.over = true;
+        let record = self
+            .requests
+            .get_mut(&request)
+            .expect("a submitted request");
+        record.final_answers += 1;
+        assert!(
+            !record.closed && record.final_answers == 1,
+            "a second final answer"
+        );
+        record.closed = true;
     }
 
     fn wait(&mut self, until: f64) {
@@ -269,9 +294,9 @@
             self.event(Event::Timer(token));
         }
         self.now = self.now.max(until);
-        for (id, known) in &self.requests {
+        for (id, record) in &self.requests {
             assert!(
-                known.over || self.now <= known.deadline + self.settings.tick,
+                record.closed || self.now <= record.deadline + self.settings.tick,
                 "request {id} has no answer"
             );
         }
@@ -279,7 +304,7 @@
 
     fn step(&mut self, step: &Step) {
         match *step {
-            Step::Ask {
+            Step::Submit {
                 customer,
                 plan,
                 class,
@@ -289,17 +314,17 @@
                 let id = self.requests.len() as u64 + 1;
                 let deadline = self.now + expires_in;
                 let attempts = Vec::new();
-                let known = Known {
+                let record = RequestRecord {
                     plan,
                     class,
                     customer,
                     units,
                     deadline,
-                    answers: 0,
-                    over: false,
+                    final_answers: 0,
+                    closed: false,
                     attempts,
                 };
-                self.requests.insert(id, known);
+                self.requests.insert(id, record);
                 let repeat = id % 3 == 0;
                 let request = Request {
                     id,
@@ -314,21 +339,26 @@
                 };
                 self.event(Event::Request(request));
             }
-            Step::End {
-                pick,
+            Step::EndAttempt {
+                index,
                 outcome,
                 used,
-            } if !self.out.is_empty() => {
-                let (request, attempt) = self.out.swap_remove(pick % self.out.len());
+            } if !self.open_attempts.is_empty() => {
+                let (request, attempt) = self
+                    .open_attempts
+                    .swap_remove(index % self.open_attempts.len());
                 let outcome = OUTCOMES[outcome];
-                let known = self.requests.get_mut(&request).expect("a known request");
-                let sent = &mut known.attempts[usize::from(attempt)];
+                let record = self
+                    .requests
+                    .get_mut(&request)
+                    .expect("a submitted request");
+                let sent = &mut record.attempts[usize::from(attempt)];
                 sent.1 = Some(outcome);
                 let elapsed = self.now - sent.0;
-                if outcome == Outcome::Ok && !known.over {
-                    known.over = true;
+                if outcome == Outcome::Ok && !record.closed {
+                    record.closed = true;
                 }
-                let finished = known.over;
+                let finished = record.closed;
                 self.event(Event::AttemptEnd(AttemptEnd {
                     request,
                     attempt,
@@ -339,19 +369,19 @@
                     billed: used,
                 }));
             }
-            Step::Leave { pick } if !self.requests.is_empty() => {
-                let id = (pick % self.requests.len()) as u64 + 1;
-                if let Some(known) = self.requests.get_mut(&id) {
-                    known.over = true;
+            Step::ClientGone { index } if !self.requests.is_empty() => {
+                let id = (index % self.requests.len()) as u64 + 1;
+                if let Some(record) = self.requests.get_mut(&id) {
+                    record.closed = true;
                 }
                 self.event(Event::ClientGone(id));
             }
-            Step::List { kind, ref servers } => self.list(kind, servers),
+            Step::ServerList { kind, ref servers } => self.update_servers(kind, servers),
             Step::Wait { time } => self.wait(self.now + time),
-            Step::Noise { id, attempt, token } => {
+            Step::Stray { id, attempt, token } => {
                 self.event(Event::Timer(token));
-                if !self.out.contains(&(id, attempt)) {
-                    let noise = AttemptEnd {
+                if !self.open_attempts.contains(&(id, attempt)) {
+                    let stray_end = AttemptEnd {
                         request: id,
                         attempt,
                         outcome: Outcome::Error,
@@ -360,25 +390,25 @@
                         used: Some(f64::INFINITY),
                         billed: Some(f64::NAN),
                     };
-                    self.event(Event::AttemptEnd(noise));
+                    self.event(Event::AttemptEnd(stray_end));
                 }
             }
-            Step::End { .. } | Step::Leave { .. } => {}
+            Step::EndAttempt { .. } | Step::ClientGone { .. } => {}
         }
     }
 }
 
-fn play(steps: &[Step], duplicate: bool) -> Vec<Action> {
-    let mut world = World::new(duplicate);
+fn run_steps(steps: &[Step], may_duplicate: bool) -> Vec<Action> {
+    let mut test_host = TestHost::new(may_duplicate);
     for step in steps {
-        world.step(step);
+        test_host.step(step);
     }
-    world.wait(world.now + 5000.0);
-    world.trace
+    test_host.wait(test_host.now + 5000.0);
+    test_host.trace
 }
 
 #[test]
-fn the_rules_hold_under_any_sequence_of_events() {
+fn invariants_hold_for_any_sequence_of_events() {
     let config = Config {
         cases: 400,
         failure_persistence: None,
@@ -388,9 +418,9 @@
     let rng = TestRng::deterministic_rng(RngAlgorithm::ChaCha);
     let mut runner = TestRunner::new_with_rng(config, rng);
     let strategy = (steps(), any::<bool>());
-    let result = runner.run(&strategy, |(steps, duplicate)| {
-        let trace = play(&steps, duplicate);
-        prop_assert_eq!(trace, play(&steps, duplicate));
+    let result = runner.run(&strategy, |(steps, may_duplicate)| {
+        let trace = run_steps(&steps, may_duplicate);
+        prop_assert_eq!(trace, run_steps(&steps, may_duplicate));
         Ok(())
     });
     if let Err(error) = result {
@@ -399,8 +429,8 @@
 }
 
 #[test]
-fn customers_servers_and_requests_are_forgotten() {
-    let mut gateway = Gateway::new(settings(), 3, 0.0).expect("the settings make sense");
+fn state_of_old_customers_servers_and_requests_is_dropped() {
+    let mut gateway = Gateway::new(settings(), 3, 0.0).expect("valid settings");
     let mut actions = Vec::new();
     let mut largest = 0;
     for n in 1..=60_000u32 {
@@ -456,9 +486,9 @@
         for _ in 0..requests {
             host.now += 20.0;
             for plan in [0, 3] {
-                let (id, actions) = host.ask(plan as u64, plan, 0);
-                if !sends(&actions).is_empty() {
-                    host.end(id, 0, Outcome::Ok, Some(0.5));
+                let (id, actions) = host.submit(plan as u64, plan, 0);
+                if !send_targets(&actions).is_empty() {
+                    host.end_attempt(id, 0, Outcome::Ok, Some(0.5));
                 }
             }
         }
--- a/quota-gateway/tests/overload.rs
+++ b/quota-gateway/tests/overload.rs
@@ -1,19 +1,19 @@
-//! Overload within the quotas.
+//! Overload by customers that stay within their quotas.
 
 mod common;
 
 use common::*;
 use quota_gateway::*;
 
-/// Asks `count` times at once and returns how many went out and how many were refused.
-fn burst(host: &mut Host, count: usize, class: usize) -> (usize, usize) {
-    let replies: Vec<_> = (0..count).map(|_| host.ask(1, 3, class).1).collect();
-    let out = replies
+/// Submits `count` requests at the same time and returns how many were sent and how many were refused.
+fn submit_burst(host: &mut Host, count: usize, class: usize) -> (usize, usize) {
+    let replies: Vec<_> = (0..count).map(|_| host.submit(1, 3, class).1).collect();
+    let admitted_count = replies
         .iter()
-        .filter(|actions| !sends(actions).is_empty())
+        .filter(|actions| !send_targets(actions).is_empty())
         .count();
     (
-        out,
+        admitted_count,
         replies.iter().filter(|actions| refused(actions)).count(),
     )
 }
@@ -31,52 +31,59 @@
     }));
 }
 
-/// Asks every 10 ms for `seconds`, classes in turn, each answer coming after `elapsed`; returns how many of
-/// each class went out in the second half.
-fn answered_after(host: &mut Host, classes: &[usize], elapsed: f64, seconds: f64) -> Vec<usize> {
-    let mut out = vec![0; 3];
-    let mut hand = std::collections::VecDeque::new();
+/// Submits a request every 10 ms for `seconds`, cycling through `classes`; each answer takes `elapsed`. Returns the
+/// number of requests sent per class in the second half.
+fn submit_with_latency(
+    host: &mut Host,
+    classes: &[usize],
+    elapsed: f64,
+    seconds: f64,
+) -> Vec<usize> {
+    let mut admitted_count = vec![0; 3];
+    let mut in_flight = std::collections::VecDeque::new();
     let half = host.now + seconds * 500.0;
     for step in 0..(seconds * 100.0) as usize {
         host.now += 10.0;
-        while hand.front().is_some_and(|(_, at)| *at <= host.now) {
-            let (id, _) = hand.pop_front().expect("not empty");
+        while in_flight.front().is_some_and(|(_, at)| *at <= host.now) {
+            let (id, _) = in_flight.pop_front().expect("not empty");
             answer(host, id, elapsed);
         }
         let class = classes[step % classes.len()];
-        let (id, actions) = host.ask(1, 3, class);
-        if !sends(&actions).is_empty() {
-            out[class] += usize::from(host.now > half);
-            hand.push_back((id, host.now + elapsed));
+        let (id, actions) = host.submit(1, 3, class);
+        if !send_targets(&actions).is_empty() {
+            admitted_count[class] += usize::from(host.now > half);
+            in_flight.push_back((id, host.now + elapsed));
         }
     }
     host.now += elapsed;
-    for (id, _) in hand {
+    for (id, _) in in_flight {
         answer(host, id, elapsed);
     }
-    out
+    admitted_count
 }
 
 #[test]
-fn overload_ends_in_early_refusals() {
+fn overload_leads_to_early_refusals() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
-    let out = answered_after(&mut host, &[0], 900.0, 20.0)[0];
+    let admitted_count = submit_with_latency(&mut host, &[0], 900.0, 20.0)[0];
     assert!(
-        out > 0 && out < 100,
-        "{out} of 1000 let in though all answers are late"
+        admitted_count > 0 && admitted_count < 100,
+        "{admitted_count} of 1000 admitted though all answers are late"
     );
 }
 
 #[test]
-fn large_requests_that_take_their_time_are_no_overload() {
+fn long_answers_to_large_requests_are_not_taken_for_overload() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
-    // One request in three has six units and takes six times as long as the others: no work queues.
-    let mut hand: Vec<(RequestId, Millis, f64)> = Vec::new();
-    let (mut asked, mut out) = (0, 0);
+    // One request in three has six units and takes six times as long as the others; nothing queues.
+    let mut in_flight: Vec<(RequestId, Millis, f64)> = Vec::new();
+    let (mut submitted, mut admitted_count) = (0, 0);
     for id in 1..=2000 {
         host.now += 10.0;
-        let (due, rest) = hand.into_iter().partition(|(_, at, _)| *at <= host.now);
-        hand = rest;
+        let (due, rest) = in_flight
+            .into_iter()
+            .partition(|(_, at, _)| *at <= host.now);
+        in_flight = rest;
         for (request, _, units) in due {
             let (outcome, elapsed, billed) = (Outcome::Ok, 100.0 * units, Some(units));
             let (attempt, finished, used) = (0, true, None);
@@ -105,34 +112,43 @@
             expires_in,
             repeat,
         };
-        let sent = !sends(&host.event(Event::Request(request))).is_empty();
+        let sent = !send_targets(&host.event(Event::Request(request))).is_empty();
         if sent {
-            hand.push((id, host.now + 100.0 * units, units));
+            in_flight.push((id, host.now + 100.0 * units, units));
         }
-        asked += u32::from(id > 1000);
-        out += u32::from(sent && id > 1000);
+        submitted += u32::from(id > 1000);
+        admitted_count += u32::from(sent && id > 1000);
     }
-    assert!(out > asked * 9 / 10, "{out} of {asked} let in");
+    assert!(
+        admitted_count > submitted * 9 / 10,
+        "{admitted_count} of {submitted} admitted"
+    );
 }
 
 #[test]
 fn low_worth_is_refused_before_high_worth() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
-    let out = answered_after(&mut host, &[0, 1], 900.0, 20.0);
-    assert!(out[0] > 2 * out[1], "{out:?} of high and low worth let in");
+    let admitted_count = submit_with_latency(&mut host, &[0, 1], 900.0, 20.0);
+    assert!(
+        admitted_count[0] > 2 * admitted_count[1],
+        "{admitted_count:?} of high and low worth admitted"
+    );
 }
 
 #[test]
-fn a_surge_is_bounded_before_its_late_answers_are_in() {
+fn a_surge_is_limited_before_its_late_answers_arrive() {
     let servers: Vec<_> = (1..=4).map(server).collect();
     let mut host = Host::new(settings(), &servers);
-    answered_after(&mut host, &[0], 50.0, 5.0);
-    let (out, refused) = burst(&mut host, 1000, 0);
-    assert!(out > 8 && out < 60, "{out} out at once, {refused} refused");
+    submit_with_latency(&mut host, &[0], 50.0, 5.0);
+    let (admitted_count, refused) = submit_burst(&mut host, 1000, 0);
+    assert!(
+        admitted_count > 8 && admitted_count < 60,
+        "{admitted_count} sent at once, {refused} refused"
+    );
 }
 
 #[test]
-fn with_full_queues_few_of_thousands_of_retries_are_let_in() {
+fn full_backend_queues_limit_the_admitted_retries() {
     let servers: Vec<_> = (1..=4).map(server).collect();
     let mut host = Host::new(
         Settings {
@@ -141,56 +157,59 @@
         },
         &servers,
     );
-    let mut out = 0;
+    let mut admitted_count = 0;
     for step in 0..20_000 {
         host.now += 1.0;
-        let (id, actions) = host.ask(1, 3, 0);
-        if !sends(&actions).is_empty() {
-            out += u32::from(step > 10_000);
-            host.end(id, 0, Outcome::Full, None);
+        let (id, actions) = host.submit(1, 3, 0);
+        if !send_targets(&actions).is_empty() {
+            admitted_count += u32::from(step > 10_000);
+            host.end_attempt(id, 0, Outcome::Full, None);
         }
     }
-    assert!(out > 0 && out < 300, "{out} of 10000 sent to full queues");
+    assert!(
+        admitted_count > 0 && admitted_count < 300,
+        "{admitted_count} of 10000 sent to full queues"
+    );
 }
 
 #[test]
-fn a_surge_that_has_passed_does_not_keep_the_door_closed() {
+fn requests_are_admitted_again_after_a_surge() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
-    let mut taken = Vec::new();
+    let mut admitted = Vec::new();
     for _ in 0..30 {
-        let (id, actions) = host.ask(1, 3, 1);
-        if !sends(&actions).is_empty() {
-            taken.push(id);
+        let (id, actions) = host.submit(1, 3, 1);
+        if !send_targets(&actions).is_empty() {
+            admitted.push(id);
         }
     }
     host.now += 3000.0;
-    for id in taken {
+    for id in admitted {
         answer(&mut host, id, 3000.0);
     }
-    let mut out = 0;
+    let mut admitted_count = 0;
     for _ in 0..50 {
         host.now += 100.0;
-        let (id, actions) = host.ask(1, 3, 0);
-        out += sends(&actions).len();
-        host.end(id, 0, Outcome::Ok, None);
+        let (id, actions) = host.submit(1, 3, 0);
+        admitted_count += send_targets(&actions).len();
+        host.end_attempt(id, 0, Outcome::Ok, None);
     }
-    assert_eq!(out, 50);
+    assert_eq!(admitted_count, 50);
 }
 
 #[test]
-fn long_answers_alone_do_not_shut_the_door() {
+fn long_answers_alone_do_not_stop_admission() {
     let servers: Vec<_> = (1..=8).map(server).collect();
     let mut host = Host::new(settings(), &servers);
-    // 2.5 s in a jam are learned as the time of an answer; every new try would be past its aim of 1 s.
-    answered_after(&mut host, &[0], 2500.0, 60.0);
+    // The gateway learns 2.5 s as the answer time, so that every new attempt would miss the latency target of 1 s.
+    submit_with_latency(&mut host, &[0], 2500.0, 60.0);
     host.now += 5000.0;
-    // Two gateways, eight servers: an own part of eight attempts makes no queue.
-    assert!(burst(&mut host, 50, 0).0 >= 6);
+    // Two gateways, eight servers: eight attempts, this gateway's share, cause no queueing.
+    assert!(submit_burst(&mut host, 50, 0).0 >= 6);
 }
 
 #[test]
-fn a_door_opens_again_within_some_aims_once_answers_come_at_once() {
-    // One of many: three requests a second, one in hand at a time.
+fn admission_recovers_within_seconds_once_answers_are_fast() {
+    // One of many gateways: three requests per second, one in flight at a time.
     let servers: Vec<_> = (1..=20).map(server).collect();
     let mut host = Host::new(
         Settings {
@@ -199,28 +218,34 @@
         },
         &servers,
     );
-    let let_in = |host: &mut Host, seconds: u32, elapsed: f64| {
-        let mut out = 0;
+    let admitted_over = |host: &mut Host, seconds: u32, elapsed: f64| {
+        let mut admitted_count = 0;
         for _ in 0..3 * seconds {
-            let (id, actions) = host.ask(1, 3, 1);
+            let (id, actions) = host.submit(1, 3, 1);
             host.now += 333.0;
-            if !sends(&actions).is_empty() {
-                out += 1;
+            if !send_targets(&actions).is_empty() {
+                admitted_count += 1;
                 answer(host, id, elapsed);
             }
         }
-        out
+        admitted_count
     };
-    let_in(&mut host, 10, 900.0);
-    let out = let_in(&mut host, 10, 900.0);
-    assert!(out <= 18, "{out} of 30 let in while all answers are late");
-    let_in(&mut host, 4, 50.0);
-    let out = let_in(&mut host, 10, 50.0);
-    assert!(out >= 24, "{out} of 30 let in from the fifth second on");
+    admitted_over(&mut host, 10, 900.0);
+    let admitted_count = admitted_over(&mut host, 10, 900.0);
+    assert!(
+        admitted_count <= 18,
+        "{admitted_count} of 30 admitted while all answers are late"
+    );
+    admitted_over(&mut host, 4, 50.0);
+    let admitted_count = admitted_over(&mut host, 10, 50.0);
+    assert!(
+        admitted_count >= 24,
+        "{admitted_count} of 30 admitted from the fifth second on"
+    );
 }
 
 #[test]
-fn for_want_of_room_dearer_plans_are_refused_less_and_none_goes_empty() {
+fn under_overload_plans_of_higher_price_are_refused_less_and_no_plan_starves() {
     let plan = |price| Plan {
         price,
         ..Plan::default()
@@ -233,22 +258,24 @@
         },
         &[server(1), server(2)],
     );
-    let (mut out, mut hand) = ([0; 3], std::collections::VecDeque::new());
+    let (mut admitted_count, mut in_flight) = ([0; 3], std::collections::VecDeque::new());
     for step in 0..6000 {
         host.now += 10.0;
-        while hand.front().is_some_and(|(_, at)| *at <= host.now) {
-            let (id, _) = hand.pop_front().expect("not empty");
-            // Every second answer is late, so that the room stays between all and nothing.
+        while in_flight.front().is_some_and(|(_, at)| *at <= host.now) {
+            let (id, _) = in_flight.pop_front().expect("not empty");
+            // Every second answer is late, which keeps the admitted share between all and none.
             answer(&mut host, id, if id % 2 == 0 { 500.0 } else { 100.0 });
         }
-        let (id, actions) = host.ask(1, step % 3, 0);
-        if !sends(&actions).is_empty() {
-            out[step % 3] += 1;
-            hand.push_back((id, host.now + 300.0));
+        let (id, actions) = host.submit(1, step % 3, 0);
+        if !send_targets(&actions).is_empty() {
+            admitted_count[step % 3] += 1;
+            in_flight.push_back((id, host.now + 300.0));
         }
     }
     assert!(
-        out[0] > 20 && out[1] > out[0] * 5 / 4 && out[2] > out[1] * 5 / 4,
-        "{out:?} of 2000 each"
+        admitted_count[0] > 20
+            && admitted_count[1] > admitted_count[0] * 5 / 4
+            && admitted_count[2] > admitted_count[1] * 5 / 4,
+        "{admitted_count:?} of 2000 each"
     );
 }
--- a/quota-gateway/tests/rules.rs
+++ b/quota-gateway/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The five rules, each driven through the public interface.
+//! The five correctness rules, each tested through the public interface.
 
 mod common;
 
@@ -6,16 +6,16 @@
 use quota_gateway::*;
 
 #[test]
-fn a_request_without_an_answer_is_failed_before_its_client_gives_up() {
+fn a_request_without_an_answer_fails_before_its_deadline() {
     let mut host = Host::new(settings(), &[server(1)]);
-    let (_, actions) = host.ask(1, 3, 1);
-    assert_eq!(sends(&actions), [1]);
+    let (_, actions) = host.submit(1, 3, 1);
+    assert_eq!(send_targets(&actions), [1]);
     let actions = host.run_timers(4000.0);
     assert!(failed(&actions) && !refused(&actions));
 }
 
 #[test]
-fn an_unsafe_request_that_may_have_run_is_neither_sent_again_nor_refused() {
+fn a_non_idempotent_request_that_may_have_run_is_neither_retried_nor_refused() {
     for outcome in [
         Outcome::Error,
         Outcome::TimedOut,
@@ -23,48 +23,48 @@
         Outcome::Cancelled,
     ] {
         let mut host = Host::new(settings(), &[server(1), server(2)]);
-        let (id, _) = host.ask(1, 3, 1);
-        let actions = host.end(id, 0, outcome, None);
+        let (id, _) = host.submit(1, 3, 1);
+        let actions = host.end_attempt(id, 0, outcome, None);
         assert!(
-            sends(&actions).is_empty() && !refused(&actions) && failed(&actions),
+            send_targets(&actions).is_empty() && !refused(&actions) && failed(&actions),
             "{outcome:?}"
         );
     }
 }
 
 #[test]
-fn an_unsafe_request_known_not_to_have_run_is_sent_to_another_server() {
+fn a_non_idempotent_request_that_did_not_run_is_sent_to_another_server() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
-    let (id, first) = host.ask(1, 3, 1);
-    let again = sends(&host.end(id, 0, Outcome::Full, None));
-    assert_eq!(again.len(), 1);
-    assert_ne!(again, sends(&first));
+    let (id, first) = host.submit(1, 3, 1);
+    let resent_to = send_targets(&host.end_attempt(id, 0, Outcome::Full, None));
+    assert_eq!(resent_to.len(), 1);
+    assert_ne!(resent_to, send_targets(&first));
 }
 
 #[test]
 fn a_keyed_request_that_may_have_run_stays_in_its_group_and_window() {
-    let far = ServerEntry {
+    let other_zone = ServerEntry {
         zone: 1,
         ..server(2)
     };
-    let mut host = Host::new(settings(), &[server(1), far]);
-    let (id, first) = host.ask(1, 3, 2);
-    assert_eq!(sends(&first), [1]);
-    let again = sends(&host.end(id, 0, Outcome::Reset, None));
+    let mut host = Host::new(settings(), &[server(1), other_zone]);
+    let (id, first) = host.submit(1, 3, 2);
+    assert_eq!(send_targets(&first), [1]);
+    let resent_to = send_targets(&host.end_attempt(id, 0, Outcome::Reset, None));
     assert!(
-        again.iter().all(|server| *server == 1),
-        "left the zone: {again:?}"
+        resent_to.iter().all(|server| *server == 1),
+        "sent outside the zone: {resent_to:?}"
     );
-    let (id, _) = host.ask(1, 3, 2);
+    let (id, _) = host.submit(1, 3, 2);
     host.now += 1600.0;
     assert!(
-        sends(&host.end(id, 0, Outcome::Reset, None)).is_empty(),
+        send_targets(&host.end_attempt(id, 0, Outcome::Reset, None)).is_empty(),
         "sent again after the window"
     );
 }
 
 #[test]
-fn a_draining_server_gets_nothing_from_the_moment_it_is_told() {
+fn a_server_gets_no_requests_once_it_is_reported_as_draining() {
     let mut host = Host::new(settings(), &[server(1), server(2)]);
     let entries = vec![ServerEntry {
         lifecycle: Lifecycle::Draining,
@@ -75,9 +75,9 @@
         entries,
     });
     for _ in 0..50 {
-        let (id, actions) = host.ask(1, 3, 0);
-        assert_eq!(sends(&actions), [2]);
-        host.end(id, 0, Outcome::Ok, None);
+        let (id, actions) = host.submit(1, 3, 0);
+        assert_eq!(send_targets(&actions), [2]);
+        host.end_attempt(id, 0, Outcome::Ok, None);
     }
 }
 
@@ -89,53 +89,56 @@
     };
     let mut host = Host::new(settings(), &[server(1), server(2), server(3), cold]);
     let (mut to_cold, mut to_warm) = (0, 0);
-    let mut in_hand = std::collections::VecDeque::new();
-    let mut at_cold = std::collections::VecDeque::new();
+    let mut in_flight_warm = std::collections::VecDeque::new();
+    let mut in_flight_cold = std::collections::VecDeque::new();
     for _ in 0..300 {
         host.now += 10.0;
-        let (id, actions) = host.ask(1, 3, 0);
-        for target in sends(&actions) {
+        let (id, actions) = host.submit(1, 3, 0);
+        for target in send_targets(&actions) {
             if target == 9 {
                 to_cold += 1;
             } else {
                 to_warm += 1;
             }
         }
-        // The cold one answers in 50 ms and looks better than the busy warm ones, which take 120.
-        if at_cold.front().is_some_and(|(_, at)| *at <= host.now) {
-            let (oldest, _) = at_cold.pop_front().expect("not empty");
-            host.end(oldest, 0, Outcome::Ok, None);
+        // The cold server answers in 50 ms and appears faster than the busy warm ones, which take 120 ms.
+        if in_flight_cold
+            .front()
+            .is_some_and(|(_, at)| *at <= host.now)
+        {
+            let (oldest, _) = in_flight_cold.pop_front().expect("not empty");
+            host.end_attempt(oldest, 0, Outcome::Ok, None);
         }
-        if sends(&actions) == [9] {
-            at_cold.push_back((id, host.now + 50.0));
+        if send_targets(&actions) == [9] {
+            in_flight_cold.push_back((id, host.now + 50.0));
             continue;
         }
-        in_hand.push_back(id);
-        if in_hand.len() > 12 {
-            let oldest = in_hand.pop_front().expect("not empty");
-            host.end(oldest, 0, Outcome::Ok, None);
+        in_flight_warm.push_back(id);
+        if in_flight_warm.len() > 12 {
+            let oldest = in_flight_warm.pop_front().expect("not empty");
+            host.end_attempt(oldest, 0, Outcome::Ok, None);
         }
     }
-    assert!(to_cold > 0, "never warmed up");
-    // Three warm servers took `to_warm`; at 0.25 to 0.48 of capacity, twice that is the limit.
+    assert!(to_cold > 0, "the cold server received no requests");
+    // Three warm servers took `to_warm`. The cold server is at 0.25 to 0.48 of its capacity; the limit is twice that.
     assert!(
         f64::from(to_cold) < 2.0 * 0.48 * f64::from(to_warm) / 3.0,
-        "{to_cold} to the cold one of {to_warm}"
+        "{to_cold} to the cold server, {to_warm} to the warm ones"
     );
 }
 
 #[test]
-fn the_share_of_a_ceiling_fills_from_birth_and_is_never_overdrawn() {
+fn the_share_of_a_ceiling_refills_from_the_gateway_start_and_is_never_exceeded() {
     let mut host = Host::new(settings(), &[server(1)]);
     let mut sent = 0.0;
     for step in 1..=4000 {
         host.now = f64::from(step) * 2.0;
-        let (id, actions) = host.ask(1, 1, 0);
-        if !sends(&actions).is_empty() {
+        let (id, actions) = host.submit(1, 1, 0);
+        if !send_targets(&actions).is_empty() {
             sent += 1.0;
-            host.end(id, 0, Outcome::Ok, Some(0.1));
+            host.end_attempt(id, 0, Outcome::Ok, Some(0.1));
         }
-        // Half of the ceiling's 20 units a second, for a spread of two.
+        // Half of the ceiling of 20 units per second, for a spread of two.
         assert!(
             sent <= 10.0 * host.now / 1000.0,
             "{sent} sent after {} ms",
@@ -146,9 +149,9 @@
 }
 
 #[test]
-fn a_request_handed_over_twice_is_sent_and_answered_once() {
+fn a_request_submitted_twice_is_sent_and_answered_once() {
     let mut host = Host::new(settings(), &[server(1), server(2), server(3), server(4)]);
-    let (id, first) = host.ask(1, 3, 1);
+    let (id, first) = host.submit(1, 3, 1);
     let request = Request {
         id,
         customer: 1,
@@ -160,35 +163,35 @@
         expires_in: 4000.0,
         repeat: false,
     };
-    assert_eq!(sends(&first).len(), 1);
+    assert_eq!(send_targets(&first).len(), 1);
     assert!(host.event(Event::Request(request)).is_empty());
-    host.end(id, 0, Outcome::Reset, None);
-    let finals = host
+    host.end_attempt(id, 0, Outcome::Reset, None);
+    let final_answers = host
         .actions
         .iter()
         .filter(|action| matches!(action, Action::Fail(_) | Action::Refuse { .. }));
-    assert_eq!(finals.count(), 1);
+    assert_eq!(final_answers.count(), 1);
 }
 
 #[test]
-fn requests_beyond_the_open_cap_wait_for_an_attempt_to_end() {
+fn requests_above_the_concurrency_limit_wait_for_an_attempt_to_end() {
     let mut host = Host::new(
         settings(),
         &[server(1), server(2), server(3), server(4), server(5)],
     );
-    let (first, _) = host.ask(1, 2, 0);
-    let (second, actions) = host.ask(1, 2, 0);
-    assert!(sends(&actions).is_empty() && !refused(&actions));
-    let actions = host.end(first, 0, Outcome::Ok, None);
+    let (first, _) = host.submit(1, 2, 0);
+    let (second, actions) = host.submit(1, 2, 0);
+    assert!(send_targets(&actions).is_empty() && !refused(&actions));
+    let actions = host.end_attempt(first, 0, Outcome::Ok, None);
     assert!(actions
         .iter()
         .any(|action| matches!(action, Action::Send { request, .. } if *request == second)));
 }
 
 #[test]
-fn the_open_cap_holds_over_all_gateways_of_the_customer() {
-    // Four gateways, of which the last and the first are the customer's: neither knows of the other, and both
-    // are asked for more than the plan lets a customer have out.
+fn the_concurrency_limit_holds_over_all_gateways_of_the_customer() {
+    // Of four gateways, the customer uses the last and the first. Neither knows of the other, and both receive more
+    // requests than the plan allows a customer to have open.
     let fleet: Vec<_> = (0..8).map(server).collect();
     let mut plans = settings().plans;
     plans[2].open = 3;
@@ -203,7 +206,7 @@
             &fleet,
         );
         let (customer, plan, class, units, spread, first) = (1, 2, 0, 1.0, 2, 3);
-        let ask = |id| {
+        let submit = |id| {
             let request = Request {
                 id,
                 customer,
@@ -215,16 +218,16 @@
                 expires_in: 4000.0,
                 repeat: false,
             };
-            sends(&host.event(Event::Request(request))).len()
+            send_targets(&host.event(Event::Request(request))).len()
         };
-        (1..=4).map(ask).sum::<usize>()
+        (1..=4).map(submit).sum::<usize>()
     };
     assert_eq!((sent(3), sent(0)), (2, 1));
 }
 
 #[test]
-fn settings_without_sense_are_named() {
-    let broken: [(&str, Settings); 4] = [
+fn invalid_settings_are_named_in_the_error() {
+    let invalid: [(&str, Settings); 4] = [
         (
             "gateways",
             Settings {
@@ -257,7 +260,7 @@
             },
         ),
     ];
-    for (field, settings) in broken {
+    for (field, settings) in invalid {
         assert_eq!(
             Gateway::new(settings, 1, 0.0).expect_err(field).field,
             field
@@ -265,9 +268,9 @@
     }
 }
 
-/// Two hundred gateways, each of which has seen what ten warm servers do, and then has five requests in hand for a
-/// fleet of ten of which `cold` just started; returns how many went to cold servers and to warm ones.
-fn sends_of_two_hundred(cold: u32) -> (usize, usize) {
+/// Runs two hundred gateways, each of which first learns the latency of ten warm servers and then has five requests
+/// in flight for a fleet of ten of which `cold` have just started. Returns the numbers sent to cold and warm servers.
+fn sends_from_two_hundred_gateways(cold: u32) -> (usize, usize) {
     let warm: Vec<_> = (0..10).map(server).collect();
     let (mut to_cold, mut to_warm) = (0, 0);
     for ordinal in 0..200 {
@@ -279,8 +282,8 @@
         let mut host = Host::with_seed(settings, &warm, u64::from(ordinal));
         for _ in 0..50 {
             host.now += 100.0;
-            let (id, _) = host.ask(1, 3, 0);
-            host.end(id, 0, Outcome::Ok, None);
+            let (id, _) = host.submit(1, 3, 0);
+            host.end_attempt(id, 0, Outcome::Ok, None);
         }
         host.now += 100.0;
         let launched = |id: ServerId| (id < cold).then_some(host.now);
@@ -295,7 +298,7 @@
             entries,
         });
         for customer in 1..=5 {
-            let targets = sends(&host.ask(customer, 3, 0).1);
+            let targets = send_targets(&host.submit(customer, 3, 0).1);
             to_cold += targets.iter().filter(|id| **id < cold).count();
             to_warm += targets.iter().filter(|id| **id >= cold).count();
         }
@@ -304,20 +307,20 @@
 }
 
 #[test]
-fn hundreds_of_gateways_together_send_a_cold_server_the_part_that_it_is_warm() {
-    let (cold, warm) = sends_of_two_hundred(1);
-    // At a quarter of its capacity; twice that would tip it over.
+fn hundreds_of_gateways_together_send_a_cold_server_load_by_its_capacity() {
+    let (cold, warm) = sends_from_two_hundred_gateways(1);
+    // The cold server is at a quarter of its capacity; twice that load would overload it.
     assert!(
         cold > 0 && (cold as f64) < 0.4 * warm as f64 / 9.0,
-        "{cold} to the cold one, {warm} to nine"
+        "{cold} to the cold server, {warm} to nine warm ones"
     );
 }
 
 #[test]
-fn a_fleet_all_cold_gets_a_part_and_the_rest_is_refused() {
-    let (_, usual) = sends_of_two_hundred(0);
-    let (cold, _) = sends_of_two_hundred(10);
-    // The servers do a quarter of what they do warm, and tip over at half.
+fn an_all_cold_fleet_gets_part_of_the_load_and_the_rest_is_refused() {
+    let (_, usual) = sends_from_two_hundred_gateways(0);
+    let (cold, _) = sends_from_two_hundred_gateways(10);
+    // The servers have a quarter of their warm capacity and collapse at half of the warm load.
     assert!(
         cold > usual / 5 && cold < usual / 2,
         "{cold} sent to a cold fleet, {usual} to a warm one"
