--- a/quota-gateway/tests/batch_admission.rs
+++ b/quota-gateway/tests/batch_admission.rs
@@ -170,15 +170,15 @@
             now += pause;
             if is_reading {
                 period += 1;
-                let new_reading = MeterReading { began: now - PERIOD_MS, ended: now, ..reading(period, tokens, beyond) };
-                admission.read(now, TENANT, new_reading);
-                last_reading = Some(new_reading);
+                let latest = MeterReading { began: now - PERIOD_MS, ended: now, ..reading(period, tokens, beyond) };
+                admission.read(now, TENANT, latest);
+                last_reading = Some(latest);
                 continue;
             }
             let probability = admission.chance(TENANT);
             let decision = admission.decide(now, TENANT, tokens, QUOTA, draw);
-            let no_room = last_reading.is_some_and(|new_reading| {
-                now - new_reading.ended <= options.fresh && new_reading.waiting + tokens > QUOTA
+            let no_room = last_reading.is_some_and(|latest| {
+                now - latest.ended <= options.fresh && latest.waiting + tokens > QUOTA
             });
             let expected =
                 if no_room && draw >= probability { BatchDecision::Refuse } else { BatchDecision::PassOn };
--- a/quota-gateway/tests/cold.rs
+++ b/quota-gateway/tests/cold.rs
@@ -494,8 +494,9 @@
                 }
                 let (used, served) = (sum.sent / sum.budget, sum.served / sum.submitted);
                 println!(
-                    "{scenario:?} {gateways} gateways, {cores} cores, {work} ms, load {load}, N from {:.0}: largest excess over N \
-                     {:.2} of the bound of chance ({:.2} of a collapse), {runs_over} runs exceed it; {used:.2} of the budget used, {served:.2} served",
+                    "{scenario:?} {gateways} gateways, {cores} cores, {work} ms, load {load}, N from {:.0}: \
+                     largest excess over N {:.2} of the bound of chance ({:.2} of a collapse), \
+                     {runs_over} runs exceed it; {used:.2} of the budget used, {served:.2} served",
                     sum.smallest_budget, sum.excess_over_chance, sum.excess_over_collapse
                 );
                 if runs_over > 0 {
