--- a/alderhollow/src/batch_api/admission.rs
+++ b/alderhollow/src/batch_api/admission.rs
@@ -31,7 +31,7 @@
         let now = self.clock.now_ms() as f64;
         let mut coin = self.coin.borrow_mut();
         coin.decide(now, &route.name, tokens, route.max_queued_tokens, draw)
-            == BatchDecision::PassOn
+            == BatchDecision::Forward
     }
 
     /// Takes in what the primary read.
--- a/quota-gateway/src/batch_admission.rs
+++ b/quota-gateway/src/batch_admission.rs
@@ -35,19 +35,19 @@
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BatchAdmissionOptions {
     /// Lowest chance.
-    pub floor: f64,
+    pub min_probability: f64,
     /// Age up to which a reading is fresh, in milliseconds.
-    pub fresh: Millis,
+    pub max_reading_age: Millis,
     /// Time after which an entry without jobs and readings is forgotten, in milliseconds.
-    pub idle: Millis,
+    pub idle_timeout: Millis,
 }
 
 impl Default for BatchAdmissionOptions {
     fn default() -> BatchAdmissionOptions {
         BatchAdmissionOptions {
-            floor: CHANCE_FLOOR,
-            fresh: 300.0,
-            idle: 60_000.0,
+            min_probability: CHANCE_FLOOR,
+            max_reading_age: 300.0,
+            idle_timeout: 60_000.0,
         }
     }
 }
@@ -73,7 +73,7 @@
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchDecision {
     /// The count decides.
-    PassOn,
+    Forward,
     /// It is refused, and nothing of it has been handed over.
     Refuse,
 }
@@ -165,7 +165,7 @@
     /// Takes in a reading. One of a period that was used before, or of an older one, changes nothing.
     pub fn read(&mut self, now: Millis, tenant: &str, reading: MeterReading) {
         self.sweep(now);
-        let floor = self.options.floor.clamp(0.0, 1.0);
+        let floor = self.options.min_probability.clamp(0.0, 1.0);
         let entry = self.entry(now, tenant);
         if entry
             .reading
@@ -188,23 +188,23 @@
         draw: f64,
     ) -> BatchDecision {
         self.sweep(now);
-        let fresh = self.options.fresh;
+        let fresh = self.options.max_reading_age;
         let entry = self.entry(now, tenant);
         let may_refuse = quota > 0 && entry.shows_no_room(now, tokens, quota, fresh);
         if may_refuse && draw >= entry.chance {
             BatchDecision::Refuse
         } else {
-            BatchDecision::PassOn
+            BatchDecision::Forward
         }
     }
 
     /// The chance that the next batch job of a tenant is taken.
-    pub fn chance(&self, tenant: &str) -> f64 {
+    pub fn admission_probability(&self, tenant: &str) -> f64 {
         self.tenants.get(tenant).map_or(1.0, |entry| entry.chance)
     }
 
     /// Tenants that are known.
-    pub fn known(&self) -> usize {
+    pub fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
 
@@ -218,7 +218,7 @@
     }
 
     fn sweep(&mut self, now: Millis) {
-        let idle = self.options.idle;
+        let idle = self.options.idle_timeout;
         if now - self.swept < idle / SWEEPS {
             return;
         }
--- a/quota-gateway/src/bin/quota-gateway/door.rs
+++ b/quota-gateway/src/bin/quota-gateway/door.rs
@@ -365,7 +365,7 @@
         self.inner.borrow_mut().gateway.hand_over()
     }
     pub(crate) fn open(&self) -> BTreeMap<CustomerId, u32> {
-        self.inner.borrow().gateway.open()
+        self.inner.borrow().gateway.in_flight()
     }
     /// The successor is gone.
     pub(crate) fn alone(self: &Rc<Self>) {
--- a/quota-gateway/src/bin/simulator-adapter.rs
+++ b/quota-gateway/src/bin/simulator-adapter.rs
@@ -76,7 +76,7 @@
             gateways.remove(&instance);
             let text = cause.downcast_ref::<String>().map(String::as_str);
             let text = text.or_else(|| cause.downcast_ref::<&str>().copied());
-            reply.die(instance, text.unwrap_or("the decision module panicked"));
+            reply.report_failure(instance, text.unwrap_or("the decision module panicked"));
         }
     }
     Ok(())
--- a/quota-gateway/src/control.rs
+++ b/quota-gateway/src/control.rs
@@ -862,7 +862,7 @@
     }
 
     /// Own attempts out, by customer.
-    pub fn open(&self) -> BTreeMap<CustomerId, u32> {
+    pub fn in_flight(&self) -> BTreeMap<CustomerId, u32> {
         let mut open = BTreeMap::new();
         for ((id, _), customer) in self
             .customers
--- a/quota-gateway/src/wire.rs
+++ b/quota-gateway/src/wire.rs
@@ -10,9 +10,9 @@
 use std::io::{self, Read};
 
 /// Size of an event record.
-pub const EVENT: usize = 48;
+pub const EVENT_BYTES: usize = 48;
 /// Size of an action record.
-pub const ACTION: usize = 24;
+pub const ACTION_BYTES: usize = 24;
 /// A frame longer than this is taken for garbage.
 const FRAME_LIMIT: u32 = 1 << 30;
 
@@ -95,7 +95,7 @@
             ));
         }
         let count = Record(&body).u32(0) as usize;
-        if count > (body.len() - 4) / EVENT {
+        if count > (body.len() - 4) / EVENT_BYTES {
             return malformed(format!(
                 "{count} records do not fit a frame of {length} bytes"
             ));
@@ -108,9 +108,9 @@
     /// # Errors
     /// On an unknown code or a reference outside the tail.
     pub fn event(&self, index: usize) -> Result<(u16, WireEvent), WireError> {
-        let start = 4 + index * EVENT;
-        let tail = &self.body[4 + self.count * EVENT..];
-        decode(&self.body[start..start + EVENT], tail)
+        let start = 4 + index * EVENT_BYTES;
+        let tail = &self.body[4 + self.count * EVENT_BYTES..];
+        decode(&self.body[start..start + EVENT_BYTES], tail)
     }
 }
 
@@ -460,7 +460,7 @@
     }
 
     /// Declares that the decision code of an instance failed.
-    pub fn die(&mut self, instance: u16, text: &str) {
+    pub fn report_failure(&mut self, instance: u16, text: &str) {
         self.text(92, instance, text);
     }
 
@@ -478,7 +478,7 @@
         self.records.push(code);
         self.records.extend(instance.to_be_bytes());
         fields(&mut self.records);
-        self.records.resize(self.count as usize * ACTION, 0);
+        self.records.resize(self.count as usize * ACTION_BYTES, 0);
     }
 
     /// The frame.
--- a/quota-gateway/tests/batch_admission.rs
+++ b/quota-gateway/tests/batch_admission.rs
@@ -29,10 +29,10 @@
 #[test]
 fn the_chance_starts_at_one_and_all_are_passed_on_without_a_reading() {
     let mut coin = coin();
-    assert_eq!(coin.chance(TENANT), 1.0);
+    assert_eq!(coin.admission_probability(TENANT), 1.0);
     assert_eq!(
         coin.decide(0.0, TENANT, 10 * QUOTA, QUOTA, 1.0),
-        BatchDecision::PassOn
+        BatchDecision::Forward
     );
 }
 
@@ -40,19 +40,19 @@
 fn a_period_is_used_once() {
     let mut coin = coin();
     coin.read(100.0, TENANT, reading(1, QUOTA, QUOTA));
-    assert_eq!(coin.chance(TENANT), 0.5);
+    assert_eq!(coin.admission_probability(TENANT), 0.5);
     coin.read(110.0, TENANT, reading(1, QUOTA, 9 * QUOTA));
     coin.read(120.0, TENANT, reading(0, 0, 0));
-    assert_eq!(coin.chance(TENANT), 0.5);
+    assert_eq!(coin.admission_probability(TENANT), 0.5);
 }
 
 #[test]
 fn a_reading_at_or_below_the_quota_brings_the_chance_back() {
     let mut coin = coin();
     coin.read(100.0, TENANT, reading(1, QUOTA, 3 * QUOTA));
-    assert_eq!(coin.chance(TENANT), 0.25);
+    assert_eq!(coin.admission_probability(TENANT), 0.25);
     coin.read(200.0, TENANT, reading(2, QUOTA / 10, 0));
-    assert_eq!(coin.chance(TENANT), 1.0);
+    assert_eq!(coin.admission_probability(TENANT), 1.0);
 }
 
 #[test]
@@ -64,8 +64,8 @@
     late.read(150.0, TENANT, reading(1, QUOTA, QUOTA));
     coin.read(200.0, TENANT, reading(2, QUOTA, QUOTA));
     late.read(200.0, TENANT, reading(2, QUOTA, QUOTA));
-    assert!((coin.chance(TENANT) - 0.25).abs() < 1e-9);
-    assert!((late.chance(TENANT) - 0.375).abs() < 1e-9);
+    assert!((coin.admission_probability(TENANT) - 0.25).abs() < 1e-9);
+    assert!((late.admission_probability(TENANT) - 0.375).abs() < 1e-9);
 }
 
 #[test]
@@ -78,7 +78,10 @@
             reading(period, QUOTA, 100 * QUOTA),
         );
     }
-    assert_eq!(coin.chance(TENANT), BatchAdmissionOptions::default().floor);
+    assert_eq!(
+        coin.admission_probability(TENANT),
+        BatchAdmissionOptions::default().min_probability
+    );
 }
 
 #[test]
@@ -92,32 +95,35 @@
             ..reading(1, QUOTA, QUOTA)
         },
     );
-    assert_eq!(coin.chance(TENANT), 1.0);
+    assert_eq!(coin.admission_probability(TENANT), 1.0);
     assert_eq!(
         coin.decide(100.0, TENANT, u64::MAX, 0, 1.0),
-        BatchDecision::PassOn
+        BatchDecision::Forward
     );
 }
 
 #[test]
 fn idle_tenants_are_forgotten() {
     let mut coin = coin();
-    let idle = BatchAdmissionOptions::default().idle;
+    let idle = BatchAdmissionOptions::default().idle_timeout;
     coin.read(0.0, TENANT, reading(1, QUOTA, QUOTA));
     coin.decide(idle / 2.0, "another", 1, QUOTA, 0.0);
-    assert_eq!(coin.known(), 2);
+    assert_eq!(coin.tenant_count(), 2);
     coin.decide(idle * 1.3, "another", 1, QUOTA, 0.0);
-    assert_eq!((coin.known(), coin.chance(TENANT)), (1, 1.0));
+    assert_eq!(
+        (coin.tenant_count(), coin.admission_probability(TENANT)),
+        (1, 1.0)
+    );
 }
 
 #[test]
 fn tenants_do_not_touch_each_other() {
     let mut coin = coin();
     coin.read(100.0, TENANT, reading(1, QUOTA, 9 * QUOTA));
-    assert_eq!(coin.chance("another"), 1.0);
+    assert_eq!(coin.admission_probability("another"), 1.0);
     assert_eq!(
         coin.decide(100.0, "another", 2 * QUOTA, QUOTA, 1.0),
-        BatchDecision::PassOn
+        BatchDecision::Forward
     );
 }
 
@@ -149,8 +155,8 @@
         for reading in &readings {
             coin.read(reading.ended, TENANT, *reading);
         }
-        let expected = chance_by_formula(&readings, BatchAdmissionOptions::default().floor);
-        prop_assert!((coin.chance(TENANT) - expected).abs() < 1e-9);
+        let expected = chance_by_formula(&readings, BatchAdmissionOptions::default().min_probability);
+        prop_assert!((coin.admission_probability(TENANT) - expected).abs() < 1e-9);
     }
 
     #[test]
@@ -172,13 +178,13 @@
                 newest = Some(told);
                 continue;
             }
-            let chance = coin.chance(TENANT);
+            let chance = coin.admission_probability(TENANT);
             let decision = coin.decide(now, TENANT, tokens, QUOTA, draw);
             let no_room = newest.is_some_and(|told| {
-                now - told.ended <= options.fresh && told.waiting + tokens > QUOTA
+                now - told.ended <= options.max_reading_age && told.waiting + tokens > QUOTA
             });
             let expected =
-                if no_room && draw >= chance { BatchDecision::Refuse } else { BatchDecision::PassOn };
+                if no_room && draw >= chance { BatchDecision::Refuse } else { BatchDecision::Forward };
             prop_assert_eq!(decision, expected);
         }
     }
@@ -188,7 +194,7 @@
         let mut coin = coin();
         let mut passed = 0.0;
         for period in 1..20u64 {
-            passed = coin.chance(TENANT) * offered * QUOTA as f64;
+            passed = coin.admission_probability(TENANT) * offered * QUOTA as f64;
             let waiting = passed.min(QUOTA as f64);
             let beyond = passed - waiting;
             coin.read(period as f64 * PERIOD_MS, TENANT, reading(period, waiting as u64, beyond as u64));
--- a/quota-gateway/tests/customers.rs
+++ b/quota-gateway/tests/customers.rs
@@ -155,7 +155,11 @@
         sends(&actions).is_empty() && !refused(&actions),
         "the cap of 2 gives each of two gateways one"
     );
-    assert_eq!(host.gateway.open()[&7], 2, "a successor counts them all");
+    assert_eq!(
+        host.gateway.in_flight()[&7],
+        2,
+        "a successor counts them all"
+    );
     assert!(sends(&host.end(other, 0, Outcome::Ok, None)).is_empty());
     let actions = host.end(first, 0, Outcome::Ok, None);
     assert!(actions
--- a/quota-gateway/tests/daily.rs
+++ b/quota-gateway/tests/daily.rs
@@ -164,9 +164,9 @@
         "the first sends nothing more under a cap"
     );
     first.end(running, 0, Outcome::Ok, None);
-    assert!(first.gateway.open().is_empty());
+    assert!(first.gateway.in_flight().is_empty());
     assert_eq!(
-        sends(&second.event(Event::PredecessorInFlight(first.gateway.open()))),
+        sends(&second.event(Event::PredecessorInFlight(first.gateway.in_flight()))),
         [1]
     );
 }
@@ -192,7 +192,7 @@
         billed: None,
     };
     host.event(Event::ResponseStarted(told(Outcome::Ok)));
-    assert_eq!(host.gateway.open()[&9], 1, "it is still out");
+    assert_eq!(host.gateway.in_flight()[&9], 1, "it is still out");
     let (_, actions) = host.ask(9, 2, 0);
     assert!(sends(&actions).is_empty(), "the cap is 1 here");
     assert!(host
@@ -201,7 +201,7 @@
         .all(|action| !matches!(action, Action::Cancel { .. })));
     // A break is not held against the server: it was judged when the answer began.
     host.event(Event::AttemptEnd(told(Outcome::Reset)));
-    assert!(host.gateway.open().is_empty(), "the place is free");
+    assert!(host.gateway.in_flight().is_empty(), "the place is free");
     let (_, actions) = host.ask(10, 2, 0);
     assert_eq!(sends(&actions).len(), 1);
 }
--- a/quota-gateway/tests/wire.rs
+++ b/quota-gateway/tests/wire.rs
@@ -1,16 +1,18 @@
 //! The codec: each record, and input that breaks the layout.
 
-use quota_gateway::wire::{settings, Batch, Reply, WireError, WireEvent, ACTION, EVENT};
+use quota_gateway::wire::{
+    settings, Batch, Reply, WireError, WireEvent, ACTION_BYTES, EVENT_BYTES,
+};
 use quota_gateway::*;
 use std::io::Write;
 use std::process::{Command, Stdio};
 
 /// An event record under construction: code, instance, then fields at their positions.
-struct EventRecord([u8; EVENT]);
+struct EventRecord([u8; EVENT_BYTES]);
 
 impl EventRecord {
     fn new(code: u8, instance: u16) -> EventRecord {
-        EventRecord([0; EVENT])
+        EventRecord([0; EVENT_BYTES])
             .put(0, &[code])
             .put(1, &instance.to_be_bytes())
     }
@@ -318,11 +320,14 @@
     );
     reply.push(3, &Action::FollowServers);
     reply.push(3, &Action::Log("ab".into()));
-    reply.die(4, "cde");
+    reply.report_failure(4, "cde");
     let bytes = reply.into_bytes();
-    assert_eq!(bytes.len(), 8 + 8 * ACTION + 5);
-    assert_eq!(bytes[..8], [0, 0, 0, 8, 0, 0, 0, (8 * ACTION + 5) as u8]);
-    let record = |index: usize| &bytes[8 + index * ACTION..8 + (index + 1) * ACTION];
+    assert_eq!(bytes.len(), 8 + 8 * ACTION_BYTES + 5);
+    assert_eq!(
+        bytes[..8],
+        [0, 0, 0, 8, 0, 0, 0, (8 * ACTION_BYTES + 5) as u8]
+    );
+    let record = |index: usize| &bytes[8 + index * ACTION_BYTES..8 + (index + 1) * ACTION_BYTES];
     let codes: Vec<_> = (0..8).map(|index| record(index)[0]).collect();
     assert_eq!(codes, [91, 82, 83, 88, 86, 81, 84, 92]);
     assert_eq!(record(0)[1..3], [0, 3]);
@@ -335,7 +340,7 @@
     assert_eq!(record(4)[11], 1);
     assert_eq!(record(5)[3], 1);
     assert_eq!(record(7)[3..11], [0, 0, 0, 2, 0, 0, 0, 3]);
-    assert_eq!(&bytes[8 + 8 * ACTION..], b"abcde");
+    assert_eq!(&bytes[8 + 8 * ACTION_BYTES..], b"abcde");
 }
 
 /// Runs the adapter on some input; returns whether it succeeded, its output and its error text.
@@ -379,7 +384,11 @@
     assert_eq!(output[..16], [0; 16], "two batches without actions");
     // No server is listed: a timer, then a refusal.
     assert_eq!(
-        (output[16 + 3], output[16 + 8], output[16 + 8 + ACTION]),
+        (
+            output[16 + 3],
+            output[16 + 8],
+            output[16 + 8 + ACTION_BYTES]
+        ),
         (2, 82, 83)
     );
 }
