--- a/quota-gateway/src/control.rs
+++ b/quota-gateway/src/control.rs
@@ -1,8 +1,9 @@
-//! All decisions. The types, events and actions that this module speaks in are in `src/interface.rs`.
+//! Admission control, retries and load balancing of one gateway. The types, events and actions are defined
+//! in `src/interface.rs`.
 //!
 //! Admission follows the random refusal of "Stochastic breakdown model for an unreliable web server
-//! system": each gateway refuses a customer's requests with chance 1 - quota / offered, where the offered
-//! rate of all gateways is taken from the meter, and the class of the lowest worth goes first.
+//! system": each gateway refuses a customer's requests with probability 1 - quota / offered. The offered
+//! rate over all gateways is taken from the meter, and classes of the lowest worth are refused first.
 
 use crate::balance::{Errand, Fleet};
 use crate::interface::{
@@ -15,104 +16,114 @@
 
 // ---- Constants. All are dimensionless; times and rates come from the settings. ----
 
-/// A customer idle for so many times its burst's filling time is forgotten.
-const IDLE_FILLS: f64 = 20.0;
-/// Weight of a new sample in averages over requests and answers: about the last 20 of them.
-const SAMPLE: f64 = 0.1;
-/// Room of a new gateway: slow start, as hundreds may be born at once and none knows of the others.
-const START_ROOM: f64 = 0.5;
-/// Most that one answer counts for, in wanted times: where few come, one late one is still only one.
-const MOST_WEIGHT: f64 = 0.2;
-/// Least room: retries may come at a hundred times what the servers can do.
-const LEAST_ROOM: f64 = 0.01;
-/// An answer that took more than this part of the wanted time, or is out for longer, is late: work queues.
-const LATE: f64 = 0.35;
-/// Part of the room that a wanted time full of late answers takes away ...
-const CUT: f64 = 0.7;
-/// ... and that one of answers that come at once gives, with `PROBE` more; nearly late ones give nothing.
-const GROWTH: f64 = 1.2;
-const PROBE: f64 = 0.1;
-/// Attempts a server, of all gateways, that make no queue whatever the answers take: up to an own part of
-/// that the room is not asked, for idle servers tell nothing and a door once shut would stay shut.
-const IDLE: f64 = 2.0;
-/// Shrinks the limit on work in flight at each late answer; a timely one grows it by `STEP` attempts, doubled
-/// at a limit of `CREW`: a fair share for each gateway while it is small, one late in five at any size.
-const SHRINK: f64 = 0.95;
-const STEP: f64 = 0.05;
-const CREW: f64 = 5.0;
-/// Most that a request's size, against the mean one, bears on the time that it is given.
-const MOST_SIZE: f64 = 4.0;
-/// An attempt out for so many mean answer times may get a further one.
-const PATIENCE: f64 = 3.0;
-/// Further attempts for each first one: the retry budget.
-const RETRY_SHARE: f64 = 0.15;
-/// The part of the wanted time within which a further attempt or a held request must start to be of use.
-const USEFUL: f64 = 0.5;
-const DEADLINE: u64 = 0;
-const REVIEW: u64 = 1;
-const LIST: u64 = 2;
+/// A customer is forgotten after being idle for this many times the fill time of its buckets.
+const IDLE_FILL_TIMES: f64 = 20.0;
+/// Weight of a new sample in moving averages over requests and answers: about the last 20 of them.
+const SAMPLE_WEIGHT: f64 = 0.1;
+/// Admitted fraction of a new gateway. It starts low because hundreds of gateways may start at once
+/// without knowing of each other.
+const INITIAL_ADMITTED_FRACTION: f64 = 0.5;
+/// Upper bound on the weight of one answer, in latency targets, so that a single late answer at low traffic
+/// does not dominate.
+const MAX_ANSWER_WEIGHT: f64 = 0.2;
+/// Lower bound of the admitted fraction: retries may arrive at a hundred times the servers' capacity.
+const MIN_ADMITTED_FRACTION: f64 = 0.01;
+/// Fraction of the latency target after which an answer, or an attempt in flight, counts as late: a sign
+/// that requests queue.
+const LATE_FRACTION: f64 = 0.35;
+/// Fraction by which late answers over one latency target reduce the admitted fraction ...
+const DECREASE: f64 = 0.7;
+/// ... and the growth factor for immediate answers over the same time, applied to the admitted fraction
+/// plus `INCREASE_OFFSET`. Answers that are nearly late add nothing.
+const INCREASE: f64 = 1.2;
+const INCREASE_OFFSET: f64 = 0.1;
+/// Attempts in flight per server, over all gateways, that cause no queueing whatever the answer times. Up to
+/// its own part of these a gateway admits regardless of the admitted fraction: idle servers give no
+/// feedback, so a gateway that refused everything would never recover.
+const UNQUEUED_PER_SERVER: f64 = 2.0;
+/// Factor on the limit on attempts in flight at each late answer. A timely answer raises the limit by
+/// `LIMIT_INCREASE`, and by twice that at a limit of `LIMIT_DOUBLING`: small limits converge to a fair share
+/// for each gateway, and one late answer in five is tolerated at any size.
+const LIMIT_DECREASE: f64 = 0.95;
+const LIMIT_INCREASE: f64 = 0.05;
+const LIMIT_DOUBLING: f64 = 5.0;
+/// Bound on the size of a request relative to the mean when its expected answer time is scaled.
+const MAX_RELATIVE_SIZE: f64 = 4.0;
+/// Mean answer times after which an attempt in flight may be followed by a retry.
+const RETRY_AFTER_MEANS: f64 = 3.0;
+/// Retry budget earned by each first attempt.
+const RETRY_RATIO: f64 = 0.15;
+/// Fraction of the latency target within which a retry or a queued request must start to be useful.
+const USEFUL_FRACTION: f64 = 0.5;
+// Kinds of timers, in the two lowest bits of a timer token.
+const DEADLINE_TIMER: u64 = 0;
+const REVIEW_TIMER: u64 = 1;
+const SERVER_LIST_TIMER: u64 = 2;
 
 #[derive(Debug)]
 struct Attempt {
     to: ServerEntry,
     sent: Millis,
-    out: bool,
-    /// Whether its answer has begun, by which it was judged.
-    begun: bool,
+    in_flight: bool,
+    /// Whether its response has started. The attempt has then already been recorded as a success or failure.
+    response_started: bool,
     may_have_run: bool,
 }
 
 #[derive(Debug)]
-struct Open {
+struct PendingRequest {
     request: Request,
     arrived: Millis,
     attempts: Vec<Attempt>,
-    held: bool,
-    done: bool,
+    /// Whether it is queued because its customer has reached its concurrency limit.
+    queued: bool,
+    answered: bool,
 }
 
-/// The decisions of one gateway.
+/// Admission control, retries and load balancing of one gateway.
 #[derive(Debug)]
 pub struct Gateway {
     settings: Settings,
     rng: Rand64,
-    born: Millis,
+    started: Millis,
     now: Millis,
     customers: BTreeMap<Account, Customer>,
-    /// Whether another has taken this one's place: its stores fill no more.
-    succeeded: bool,
-    /// A moment at which the meter told of a new period, as near as answers show.
-    tick: Option<Millis>,
-    swept: Millis,
-    /// Refusals since then for want of room, and for want of a server.
-    no_room: u32,
-    pressed_before: bool,
-    no_server: u32,
-    requests: BTreeMap<RequestId, Open>,
+    /// Whether a successor has taken over. Concurrency and ceiling limits then admit nothing more here.
+    handed_over: bool,
+    /// A time at which the meter published a new period, as closely as readings show.
+    meter_update: Option<Millis>,
+    last_sweep: Millis,
+    /// Refusals since the last sweep for lack of server capacity.
+    capacity_refusals: u32,
+    was_overloaded: bool,
+    /// Refusals since the last sweep because no server was available.
+    no_server_refusals: u32,
+    requests: BTreeMap<RequestId, PendingRequest>,
     fleet: Fleet,
-    /// The classes from the highest worth down.
+    /// Class indexes in order of descending worth.
     class_order: Vec<usize>,
     load: LoadEstimates,
-    room_at: Millis,
-    /// Own part of what leaves the servers idle, and when one was last turned away.
-    idle_part: f64,
-    full_at: Millis,
+    admitted_fraction_updated: Millis,
+    /// This gateway's part of the attempts in flight that cause no queueing at the servers.
+    unqueued_limit: f64,
+    /// When a server last refused a request as overloaded.
+    last_overload: Millis,
     retry_budget: f64,
 }
 
-/// Moves an average towards a sample.
+/// Updates an exponential moving average.
 pub(crate) fn blend(average: &mut f64, sample: f64, weight: f64) {
     *average += weight * (sample - *average);
 }
 
-/// The chance of one kind when a share of the whole is admitted, the kinds in `order` first.
-fn ordered_chance(share: f64, mix: &[f64], order: &[usize], kind: usize) -> f64 {
+/// Admission probability of one class when a share of all requests is admitted, in the priority `order`.
+fn class_probability(share: f64, mix: &[f64], order: &[usize], class: usize) -> f64 {
     let total: f64 = mix.iter().sum();
     let mut left = share * total;
     for &other in order {
-        if other == kind {
-            return if mix[kind] > 0.0 {
-                (left / mix[kind]).clamp(0.0, 1.0)
+        if other == class {
+            return if mix[class] > 0.0 {
+                (left / mix[class]).clamp(0.0, 1.0)
             } else {
                 share
             };
@@ -126,7 +137,7 @@
     /// A gateway that starts at `now` with an empty server list.
     ///
     /// # Errors
-    /// Names the first setting that makes no sense.
+    /// Names the first invalid setting.
     pub fn new(settings: Settings, seed: u64, now: Millis) -> Result<Gateway, InvalidSetting> {
         settings.validate()?;
         let classes = settings.classes.len();
@@ -138,15 +149,15 @@
         });
         Ok(Gateway {
             rng: Rand64::new(u128::from(seed)),
-            born: now,
+            started: now,
             now,
             customers: BTreeMap::new(),
-            succeeded: false,
-            tick: None,
-            swept: now,
-            no_room: 0,
-            pressed_before: false,
-            no_server: 0,
+            handed_over: false,
+            meter_update: None,
+            last_sweep: now,
+            capacity_refusals: 0,
+            was_overloaded: false,
+            no_server_refusals: 0,
             requests: BTreeMap::new(),
             fleet: Fleet::new(&settings, now),
             class_order,
@@ -155,51 +166,57 @@
                 answer_time: settings
                     .classes
                     .iter()
-                    .map(|class| class.aim / (2.0 * PATIENCE))
+                    .map(|class| class.aim / (2.0 * RETRY_AFTER_MEANS))
                     .collect(),
                 mean_units: vec![1.0; classes],
-                first_wait: vec![0.0; classes],
-                room: START_ROOM,
-                limit: 1.0,
+                first_try_timeout: vec![0.0; classes],
+                admitted_fraction: INITIAL_ADMITTED_FRACTION,
+                in_flight_limit: 1.0,
                 slow_start: true,
             },
-            room_at: now,
-            idle_part: 0.0,
-            full_at: f64::NEG_INFINITY,
+            admitted_fraction_updated: now,
+            unqueued_limit: 0.0,
+            last_overload: f64::NEG_INFINITY,
             retry_budget: 1.0,
             settings,
         })
     }
 
-    /// The request that a timer is for: once that is over, its timers need not come back.
+    /// The request that a timer belongs to. Its timers need not fire once the request is finished.
     pub fn timer_request(token: u64) -> Option<RequestId> {
-        (token % 4 != LIST).then_some(token / 4)
+        (token % 4 != SERVER_LIST_TIMER).then_some(token / 4)
     }
 
-    /// Takes one event and appends what is to be done, in order.
+    /// Handles one event and appends the resulting actions in order.
     pub fn handle(&mut self, now: Millis, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
-            Event::Request(request) => self.arrive(request, actions),
+            Event::Request(request) => self.handle_request(request, actions),
             Event::AttemptEnd(end) => self.attempt_ended(end, false, actions),
             Event::ResponseStarted(end) => self.attempt_ended(end, true, actions),
-            Event::StreamStarted(request) | Event::ClientGone(request) => self.close(request),
+            Event::StreamStarted(request) | Event::ClientGone(request) => {
+                self.mark_answered(request)
+            }
             Event::Timer(token) => match (token % 4, token / 4) {
-                (DEADLINE, request) => self.give_up(request, actions),
-                (REVIEW, request) => self.review(request, actions),
+                (DEADLINE_TIMER, request) => self.finish_unserved(request, actions),
+                (REVIEW_TIMER, request) => self.review(request, actions),
                 _ => actions.push(Action::FollowServers),
             },
-            Event::Servers { kind, entries } => self.roster(kind, entries, actions),
-            Event::ServerDisabled(id) => self.take_out(id, None),
-            Event::PredecessorInFlight(open) => self.count_elsewhere(&open, actions),
-            Event::HandoverAborted => self.succeeded = false,
-            Event::ServerEnabled { server, at } => self.take_out(server, Some(at.min(self.now))),
+            Event::Servers { kind, entries } => self.update_servers(kind, entries, actions),
+            Event::ServerDisabled(id) => self.set_server_disabled(id, None),
+            Event::PredecessorInFlight(in_flight) => {
+                self.update_predecessor_in_flight(&in_flight, actions)
+            }
+            Event::HandoverAborted => self.handed_over = false,
+            Event::ServerEnabled { server, at } => {
+                self.set_server_disabled(server, Some(at.min(self.now)))
+            }
         }
     }
 
     // ---- Admission. ----
 
-    fn arrive(&mut self, request: Request, actions: &mut Vec<Action>) {
+    fn handle_request(&mut self, request: Request, actions: &mut Vec<Action>) {
         let expires_in = if request.expires_in.is_finite() {
             request.expires_in.max(0.0)
         } else {
@@ -208,19 +225,19 @@
         if self.requests.contains_key(&request.id) {
             return;
         }
-        let open = Open {
+        let pending = PendingRequest {
             request,
             arrived: self.now,
             attempts: Vec::new(),
-            held: false,
-            done: false,
+            queued: false,
+            answered: false,
         };
-        self.requests.insert(request.id, open);
-        // Answer before the client gives up; two calls of the host are the margin for the way back.
+        self.requests.insert(request.id, pending);
+        // Answer before the client times out. Two ticks of the host are the margin for the response's way back.
         let at = self.now + (expires_in - 2.0 * self.settings.tick).max(0.0);
         actions.push(Action::Timer {
             at,
-            token: (request.id << 2) + DEADLINE,
+            token: (request.id << 2) + DEADLINE_TIMER,
         });
         let known =
             request.class < self.settings.classes.len() && request.plan < self.settings.plans.len();
@@ -229,115 +246,130 @@
             return;
         }
         self.sweep(actions);
-        let waited = self.waited(&request, expires_in);
-        if let Some(open) = self.requests.get_mut(&request.id) {
-            open.arrived -= waited;
+        let waited = self.already_waited(&request, expires_in);
+        if let Some(pending) = self.requests.get_mut(&request.id) {
+            pending.arrived -= waited;
         }
         for (class, share) in self.load.class_mix.iter_mut().enumerate() {
             blend(
                 share,
                 f64::from(u8::from(class == request.class)),
-                SAMPLE / 2.0,
+                SAMPLE_WEIGHT / 2.0,
             );
         }
-        let share = self.within_quota(&request);
+        let share = self.quota_probability(&request);
         blend(
             &mut self.load.mean_units[request.class],
             request.units,
-            SAMPLE / 5.0,
+            SAMPLE_WEIGHT / 5.0,
         );
         let (class, answer) = (
             self.settings.classes[request.class],
-            self.usual_time(&request),
+            self.expected_time(&request),
         );
-        let full = self.now < self.full_at + class.aim;
-        let flight = self.young(class.aim);
-        let idle = !full && self.rng.rand_float() < self.idle_part - self.young(f64::INFINITY);
-        // Guards against a surge that is in before its late answers are: beyond the limit on work in flight
-        // the chance falls, to nothing at two deviations more, so that few in hand are not refused by chance.
-        let slack = 2.0 * self.load.limit.sqrt() + 1.0;
-        let open = if idle {
+        let overloaded = self.now < self.last_overload + class.aim;
+        let in_flight = self.recent_in_flight(class.aim);
+        let unqueued = !overloaded
+            && self.rng.rand_float() < self.unqueued_limit - self.recent_in_flight(f64::INFINITY);
+        // Guards against a surge that is admitted before its late answers return: above the limit on attempts in
+        // flight the probability falls, reaching zero two standard deviations above it. The slack keeps normal
+        // variation at low concurrency from causing refusals.
+        let slack = 2.0 * self.load.in_flight_limit.sqrt() + 1.0;
+        let fraction = if unqueued {
             1.0
         } else {
-            ((self.load.limit + slack - flight) / slack).clamp(0.0, self.load.room)
+            ((self.load.in_flight_limit + slack - in_flight) / slack)
+                .clamp(0.0, self.load.admitted_fraction)
         };
-        // Of what there is room for the dearer plans get more, though none goes empty.
+        // Higher-priced plans get more of the available capacity, but no plan is starved.
         let prices: f64 = self.settings.plans.iter().map(|plan| plan.price).sum();
         let price = self.settings.plans[request.plan].price * self.settings.plans.len() as f64;
-        let open = if price > 0.0 {
-            open.powf(prices / price)
+        let fraction = if price > 0.0 {
+            fraction.powf(prices / price)
         } else {
-            open
+            fraction
         };
         let (mix, order) = (&self.load.class_mix, &self.class_order);
-        // The floor shrinks with the room: of thousands of retries a second, a fixed part would feed a jam.
-        let chance = |open: f64| {
-            ordered_chance(share * open, mix, order, request.class).max(CHANCE_FLOOR * open)
+        // The minimum scales with the admitted fraction: with thousands of retries a second, a fixed minimum
+        // would sustain the overload.
+        let probability = |fraction: f64| {
+            class_probability(share * fraction, mix, order, request.class)
+                .max(CHANCE_FLOOR * fraction)
         };
-        let (quota, room, coin) = (chance(1.0), chance(open), self.rng.rand_float());
-        // Guards against a further try past its aim that takes quota for the worth of a late answer. A long
-        // answer time alone is no ground: with nothing sent none would shorten it again.
+        let (quota, capacity, draw) = (
+            probability(1.0),
+            probability(fraction),
+            self.rng.rand_float(),
+        );
+        // Guards against a client's retry that would miss its latency target and spend quota on an answer of
+        // reduced worth. A long answer time alone is no reason to refuse: with nothing sent, the estimate would
+        // never fall again.
         let late = if waited > 0.0 && waited + answer > class.aim {
             class.late_share.min(1.0)
         } else {
             1.0
         };
-        if share <= 0.0 || coin >= quota * late {
+        if share <= 0.0 || draw >= quota * late {
             self.refuse(request.id, 0.0, actions);
-        } else if coin >= room * late {
-            self.no_room += 1;
+        } else if draw >= capacity * late {
+            self.capacity_refusals += 1;
             self.refuse(request.id, self.settings.max_retry_after, actions);
         } else {
             self.dispatch(request.id, actions);
         }
     }
 
-    /// How long a client has been trying before this try, where it shows: a further try with less time left
-    /// than first tries get is bounded by what remains of the class's deadline.
-    fn waited(&mut self, request: &Request, expires_in: Millis) -> Millis {
-        let most = &mut self.load.first_wait[request.class];
+    /// Estimates how long the client has already waited in earlier tries. A retry with less time left than
+    /// first tries get is taken to have used up the rest of the class's deadline.
+    fn already_waited(&mut self, request: &Request, expires_in: Millis) -> Millis {
+        let max_wait = &mut self.load.first_try_timeout[request.class];
         if !request.repeat {
-            *most = most.max(expires_in);
-        } else if expires_in < *most - self.settings.tick {
+            *max_wait = max_wait.max(expires_in);
+        } else if expires_in < *max_wait - self.settings.tick {
             return (self.settings.classes[request.class].deadline - expires_in).max(0.0);
         }
         0.0
     }
 
-    /// The coin: once per meter period its chance is set to what the quota and the estimated store allow over
-    /// the offered rate.
-    fn within_quota(&mut self, request: &Request) -> f64 {
-        let (now, born, period) = (self.now, self.born, self.settings.meter_period);
+    /// Returns the admission probability under the customer's quota, 0 if the local token bucket is exhausted.
+    /// Once per meter period the probability is set to the rate that the quota and the estimated bucket level
+    /// allow, divided by the offered rate.
+    fn quota_probability(&mut self, request: &Request) -> f64 {
+        let (now, started, period) = (self.now, self.started, self.settings.meter_period);
         let plan = self.settings.plans[request.plan];
         let customer = self.customers.entry(request.account());
-        let customer = customer.or_insert_with(|| Customer::new(&plan, request, born, now, period));
+        let customer =
+            customer.or_insert_with(|| Customer::new(&plan, request, started, now, period));
         customer.seen = now;
         customer.spread = f64::from(request.spread.max(1));
         if plan.rate <= 0.0 {
             return 1.0;
         }
         customer.fade(&plan, now, period);
-        let most = customer.refill(&plan, self.settings.max_units, now);
+        let capacity = customer.refill(&plan, self.settings.max_units, now);
         if now >= customer.chance_set + period {
             customer.set_chance(&plan, self.settings.max_units, now, period);
         }
-        // Counted after the chance is set: that a request came says nothing of how many others did.
+        // Counted after the probability is set, because conditioning on an arrival would bias the offered rate.
         customer.own.units += request.units;
-        // Guards against a burst within a period, which would only cost; the last half is for high worth.
+        // Guards against a burst within a period, which would only incur the cost of exceeding the quota. The last
+        // half of the bucket is reserved for classes of higher worth.
         let rank = self
             .class_order
             .iter()
             .position(|class| *class == request.class)
             .unwrap_or(0) as f64;
-        let kept = (most / 2.0 * rank / (self.class_order.len() - 1).max(1) as f64)
-            .min(most - request.units);
-        let spent = customer.share.units < request.units + kept && plan.over_cost > plan.over_worth;
-        // What lack of room leaves unused is not to be lent.
-        customer.short |= spent && !self.pressed_before && self.no_room == 0;
-        customer.chance * f64::from(u8::from(!spent))
+        let reserved = (capacity / 2.0 * rank / (self.class_order.len() - 1).max(1) as f64)
+            .min(capacity - request.units);
+        let exhausted =
+            customer.share.units < request.units + reserved && plan.over_cost > plan.over_worth;
+        // Quota left unused because of overload is not available for lending.
+        customer.short |= exhausted && !self.was_overloaded && self.capacity_refusals == 0;
+        customer.chance * f64::from(u8::from(!exhausted))
     }
 
-    /// Takes a reading of the meter. Periods are told apart by when figures change, all customers' at once.
+    /// Processes a meter reading. A new period is recognized by a changed reading; the readings of all customers
+    /// change at the same time.
     fn read_meter(&mut self, account: Account, used: f64) {
         let (now, period) = (self.now, self.settings.meter_period);
         let Some(customer) = self.customers.get_mut(&account) else {
@@ -347,16 +379,16 @@
         if plan.rate <= 0.0 || period <= 0.0 || !used.is_finite() {
             return;
         }
-        let mut tick = self
-            .tick
-            .map_or(now, |tick| now - (now - tick).rem_euclid(period));
+        let mut updated = self
+            .meter_update
+            .map_or(now, |updated| now - (now - updated).rem_euclid(period));
         let changed = used != customer.reading && customer.read_at > NEVER;
-        if changed && (self.tick.is_none() || tick <= customer.read_at) {
-            tick = now;
-            self.tick = Some(now);
+        if changed && (self.meter_update.is_none() || updated <= customer.read_at) {
+            updated = now;
+            self.meter_update = Some(now);
         }
         customer.read_at = now;
-        let end = tick - METER_LAG * period;
+        let end = updated - METER_LAG * period;
         if end < customer.told_to + period / 2.0 {
             return;
         }
@@ -364,77 +396,83 @@
         customer.set_chance(&plan, self.settings.max_units, now, period);
     }
 
-    /// Adapts the room to one answer, or one overdue: additive growth, multiplicative cut, in proportion to
-    /// the time since the last, so that few gateways and many move alike; and growth by the answer's ease, so
-    /// that idle servers are found out soon. Guards against overload within the quotas, from a surge or from
-    /// lost or slow servers: the paper's coin, with the servers' limit for the quota's, ends it in early
-    /// refusals of the cheap. Hurts if answers are slow without a queue.
-    fn adapt(&mut self, class: usize, elapsed: Millis) {
+    /// Updates the admitted fraction and the limit on attempts in flight after one answer, or one overdue.
+    /// It follows additive increase and multiplicative decrease, weighted by the time since the last update so
+    /// that few and many gateways react alike. The increase is larger the faster the answer, so that idle
+    /// servers are found quickly. This guards against overload within the quotas, from a surge or from lost or
+    /// slow servers: random refusal as in the paper, with the servers' capacity in place of the quota, gives
+    /// early refusals of the classes of lowest worth. It refuses needlessly if answers are slow without a queue.
+    fn update_capacity(&mut self, class: usize, elapsed: Millis) {
         let aim = self.settings.classes[class].aim;
-        let weight = ((self.now - self.room_at) / aim).min(MOST_WEIGHT);
-        self.room_at = self.now;
-        let ease = 1.0 - elapsed / (LATE * aim);
-        if ease >= 0.0 {
-            self.load.room =
-                (self.load.room + GROWTH * ease * (self.load.room + PROBE) * weight).min(1.0);
-            if 2.0 * (self.young(aim) + 1.0) >= self.load.limit {
-                self.load.limit += if self.load.slow_start {
+        let weight = ((self.now - self.admitted_fraction_updated) / aim).min(MAX_ANSWER_WEIGHT);
+        self.admitted_fraction_updated = self.now;
+        let earliness = 1.0 - elapsed / (LATE_FRACTION * aim);
+        if earliness >= 0.0 {
+            self.load.admitted_fraction = (self.load.admitted_fraction
+                + INCREASE * earliness * (self.load.admitted_fraction + INCREASE_OFFSET) * weight)
+                .min(1.0);
+            if 2.0 * (self.recent_in_flight(aim) + 1.0) >= self.load.in_flight_limit {
+                self.load.in_flight_limit += if self.load.slow_start {
                     1.0
                 } else {
-                    STEP * (1.0 + self.load.limit / CREW)
+                    LIMIT_INCREASE * (1.0 + self.load.in_flight_limit / LIMIT_DOUBLING)
                 };
             }
         } else {
             self.load.slow_start = false;
-            self.load.limit = (self.load.limit * SHRINK).max(self.idle_part).max(1.0);
-            self.load.room = (self.load.room * (1.0 - CUT * weight)).max(LEAST_ROOM);
+            self.load.in_flight_limit = (self.load.in_flight_limit * LIMIT_DECREASE)
+                .max(self.unqueued_limit)
+                .max(1.0);
+            self.load.admitted_fraction = (self.load.admitted_fraction * (1.0 - DECREASE * weight))
+                .max(MIN_ADMITTED_FRACTION);
         }
     }
 
-    /// Own attempts in hand that can still be in time: hung servers must not close the door.
-    fn young(&self, aim: Millis) -> f64 {
+    /// Attempts in flight that can still meet the target. Older ones are left out so that hung servers do not
+    /// block admission.
+    fn recent_in_flight(&self, aim: Millis) -> f64 {
         self.fleet.out_since(self.now - aim) as f64
     }
 
-    /// Once a second: reports refusals that are not the coin's, and forgets customers whose stores are full.
+    /// Once a second, logs refusals for lack of capacity or servers and forgets idle customers with full buckets.
     fn sweep(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
-        if now < self.swept + 1000.0 {
+        if now < self.last_sweep + 1000.0 {
             return;
         }
-        self.swept = now;
-        if (self.no_room > 0) != self.pressed_before {
-            self.pressed_before = self.no_room > 0;
-            let text = if self.pressed_before {
-                "pressed"
+        self.last_sweep = now;
+        if (self.capacity_refusals > 0) != self.was_overloaded {
+            self.was_overloaded = self.capacity_refusals > 0;
+            let text = if self.was_overloaded {
+                "overloaded"
             } else {
-                "pressed no more"
+                "no longer overloaded"
             };
-            let room = self.load.room;
+            let fraction = self.load.admitted_fraction;
             actions.push(Action::Log(format!(
-                "{text}: room for {room:.2} of what the quotas admit"
+                "{text}: the servers have capacity for {fraction:.2} of the load that the quotas admit"
             )));
         }
-        if self.no_server > 0 {
+        if self.no_server_refusals > 0 {
             actions.push(Action::Log(format!(
-                "no server to send to: {} refused",
-                self.no_server
+                "no server available: {} requests refused",
+                self.no_server_refusals
             )));
         }
-        (self.no_room, self.no_server) = (0, 0);
+        (self.capacity_refusals, self.no_server_refusals) = (0, 0);
         self.customers.retain(|_, customer| {
-            let fills = Customer::filled_within(&self.settings.plans[customer.plan]);
+            let fill_time = Customer::filled_within(&self.settings.plans[customer.plan]);
             customer.open > 0
                 || !customer.held.is_empty()
-                || now < customer.seen + IDLE_FILLS * fills
+                || now < customer.seen + IDLE_FILL_TIMES * fill_time
         });
     }
 
-    // ---- Ceiling guard. ----
+    // ---- Hard ceiling. ----
 
-    /// Takes a first attempt's units from this gateway's share of the ceiling. The share holds with no word
-    /// from others. It fills from the gateway's birth, for what an earlier life spent is not known.
-    fn under_ceiling(&mut self, request: &Request) -> bool {
+    /// Takes a first attempt's units from this gateway's share of the ceiling. The share is enforced without
+    /// coordination. Its bucket fills from the gateway's start, because what an earlier process spent is unknown.
+    fn take_ceiling_units(&mut self, request: &Request) -> bool {
         let plan = &self.settings.plans[request.plan];
         if plan.ceiling_rate <= 0.0 {
             return true;
@@ -442,14 +480,14 @@
         let customer = self
             .customers
             .get_mut(&request.account())
-            .filter(|_| !self.succeeded);
+            .filter(|_| !self.handed_over);
         customer.is_some_and(|customer| customer.take_from_ceiling(plan, request.units, self.now))
     }
 
-    // ---- Balancing and health. ----
+    // ---- Load balancing and health. ----
 
-    /// Mean time of an answer over the classes, by their recent mix.
-    fn mean_answer(&self) -> f64 {
+    /// Mean answer time over the classes, weighted by their recent mix.
+    fn mean_answer_time(&self) -> f64 {
         self.load
             .answer_time
             .iter()
@@ -458,44 +496,48 @@
             .sum()
     }
 
-    /// Size of a request against the mean one of its class: work goes by the units, and so does its time.
-    fn size(&self, request: &Request, billed: Option<f64>) -> f64 {
+    /// Size of a request relative to the mean of its class. Answer time is taken to be proportional to units.
+    fn relative_size(&self, request: &Request, billed: Option<f64>) -> f64 {
         let units = billed
             .filter(|units| units.is_finite())
             .unwrap_or(request.units);
         (units / self.load.mean_units[request.class].max(f64::MIN_POSITIVE))
-            .clamp(1.0 / MOST_SIZE, MOST_SIZE)
+            .clamp(1.0 / MAX_RELATIVE_SIZE, MAX_RELATIVE_SIZE)
     }
 
-    /// Usual time of an answer to a request of this class and size.
-    fn usual_time(&self, request: &Request) -> Millis {
-        self.load.answer_time[request.class] * self.size(request, None)
+    /// Expected answer time of a request of this class and size.
+    fn expected_time(&self, request: &Request) -> Millis {
+        self.load.answer_time[request.class] * self.relative_size(request, None)
     }
 
-    /// How many servers of the list get nothing, by order of staff or for their failures.
+    /// Number of listed servers that get no requests because an operator disabled them or they failed.
     pub fn excluded(&self, now: Millis) -> usize {
         self.fleet.excluded(now)
     }
 
-    fn choose(&mut self, request: RequestId) -> Option<ServerId> {
-        let open = &self.requests[&request];
+    fn choose_server(&mut self, request: RequestId) -> Option<ServerId> {
+        let pending = &self.requests[&request];
         let errand = Errand {
             settings: &self.settings,
             now: self.now,
-            mean: self.mean_answer(),
-            effect: self.settings.classes[open.request.class].effect,
-            home: open
+            mean: self.mean_answer_time(),
+            effect: self.settings.classes[pending.request.class].effect,
+            home: pending
                 .attempts
                 .iter()
                 .find(|attempt| attempt.may_have_run)
                 .map(|attempt| attempt.to),
-            tried: open.attempts.iter().map(|attempt| attempt.to.id).collect(),
+            tried: pending
+                .attempts
+                .iter()
+                .map(|attempt| attempt.to.id)
+                .collect(),
         };
         self.fleet.choose(&errand, &mut self.rng)
     }
 
-    /// Learns from the end of an attempt.
-    fn judge(
+    /// Updates the load estimates and the server's health from the outcome of an attempt.
+    fn record_outcome(
         &mut self,
         request: &Request,
         id: ServerId,
@@ -503,31 +545,38 @@
         actions: &mut Vec<Action>,
     ) {
         let (now, class, outcome) = (self.now, request.class, end.outcome);
-        // As if it had been a request of the mean size.
+        // Normalized to a warm server and a request of the mean size.
         let elapsed = if end.elapsed.is_finite() {
             end.elapsed.max(0.0)
         } else {
             0.0
         };
         let warmth = self.fleet.warmth(id, &self.settings, now);
-        let elapsed = elapsed * warmth.unwrap_or(1.0) / self.size(request, end.billed);
+        let elapsed = elapsed * warmth.unwrap_or(1.0) / self.relative_size(request, end.billed);
         match outcome {
-            Outcome::Ok => self.adapt(class, elapsed),
+            Outcome::Ok => self.update_capacity(class, elapsed),
             Outcome::Overloaded | Outcome::TimedOut => {
-                self.full_at = if outcome == Outcome::Overloaded {
+                self.last_overload = if outcome == Outcome::Overloaded {
                     now
                 } else {
-                    self.full_at
+                    self.last_overload
                 };
-                self.adapt(class, f64::INFINITY);
+                self.update_capacity(class, f64::INFINITY);
             }
             _ => {}
         }
-        let (mean, mean_of_class) = (self.mean_answer(), self.load.answer_time[class].max(1.0));
+        let (mean, mean_of_class) = (
+            self.mean_answer_time(),
+            self.load.answer_time[class].max(1.0),
+        );
         if outcome == Outcome::Ok && warmth.is_some() {
-            blend(&mut self.load.answer_time[class], elapsed, SAMPLE / 5.0);
+            blend(
+                &mut self.load.answer_time[class],
+                elapsed,
+                SAMPLE_WEIGHT / 5.0,
+            );
         }
-        let told = self.fleet.judge(
+        let log_line = self.fleet.judge(
             id,
             now,
             outcome,
@@ -535,12 +584,12 @@
             mean_of_class,
             mean,
         );
-        actions.extend(told.map(Action::Log));
+        actions.extend(log_line.map(Action::Log));
     }
 
     // ---- Attempts. ----
 
-    /// Sends a first attempt, or holds the request while its customer has all attempts out that it may have.
+    /// Sends a first attempt, or queues the request while its customer is at its concurrency limit.
     fn dispatch(&mut self, id: RequestId, actions: &mut Vec<Action>) {
         let request = self.requests[&id].request;
         let plan = self.settings.plans[request.plan];
@@ -548,39 +597,39 @@
         let Some(customer) = self.customers.get_mut(&request.account()) else {
             return;
         };
-        // Guards the cap over all gateways: each keeps to its part of it, with no word from the others. The
-        // first of the customer's set take what does not go even, and each has one at the least.
-        let place = (self.settings.ordinal + self.settings.gateways).wrapping_sub(request.first);
-        let (even, odd) = (
+        // Enforces the concurrency limit over all gateways: each keeps to its part without coordination. The
+        // first gateways of the customer's set take the remainder, and each has at least one.
+        let position = (self.settings.ordinal + self.settings.gateways).wrapping_sub(request.first);
+        let (even, remainder) = (
             plan.open / request.spread.max(1),
             plan.open % request.spread.max(1),
         );
-        let part = (even + u32::from(place % self.settings.gateways < odd)).max(1);
-        if plan.open > 0 && self.succeeded {
+        let part = (even + u32::from(position % self.settings.gateways < remainder)).max(1);
+        if plan.open > 0 && self.handed_over {
             self.refuse(id, self.settings.max_retry_after, actions);
             return;
         }
         if plan.open > 0 && customer.open + customer.elsewhere >= part {
             customer.held.push_back(id);
-            if let Some(open) = self.requests.get_mut(&id) {
-                open.held = true;
+            if let Some(pending) = self.requests.get_mut(&id) {
+                pending.queued = true;
             }
             actions.push(Action::Timer {
-                at: self.now + USEFUL * aim,
-                token: (id << 2) + REVIEW,
+                at: self.now + USEFUL_FRACTION * aim,
+                token: (id << 2) + REVIEW_TIMER,
             });
             return;
         }
-        match self.choose(id) {
+        match self.choose_server(id) {
             None => {
-                self.no_server += 1;
+                self.no_server_refusals += 1;
                 self.refuse(id, self.settings.max_retry_after, actions);
             }
-            Some(_) if !self.under_ceiling(&request) => {
+            Some(_) if !self.take_ceiling_units(&request) => {
                 self.refuse(id, self.settings.max_retry_after, actions);
             }
             Some(server) => {
-                // Without a rate nothing reads these, and nothing would take them off again.
+                // Without a rate these are never read, and would never be removed.
                 if let Some(customer) = self
                     .customers
                     .get_mut(&request.account())
@@ -590,7 +639,7 @@
                     customer.share.units -= request.units;
                 }
                 self.retry_budget =
-                    (self.retry_budget + RETRY_SHARE).min(self.fleet.known() as f64);
+                    (self.retry_budget + RETRY_RATIO).min(self.fleet.known() as f64);
                 self.send(id, server, actions);
             }
         }
@@ -600,25 +649,25 @@
         let start_by = self
             .requests
             .get(&id)
-            .and_then(|open| self.forbidden_from(open));
-        let Some(open) = self.requests.get_mut(&id) else {
+            .and_then(|pending| self.retry_forbidden_from(pending));
+        let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
         let Some(to) = self.fleet.sent(to, self.now) else {
             return;
         };
-        open.held = false;
-        open.attempts.push(Attempt {
+        pending.queued = false;
+        pending.attempts.push(Attempt {
             to,
             sent: self.now,
-            out: true,
-            begun: false,
+            in_flight: true,
+            response_started: false,
             may_have_run: true,
         });
-        if let Some(customer) = self.customers.get_mut(&open.request.account()) {
+        if let Some(customer) = self.customers.get_mut(&pending.request.account()) {
             customer.open += 1;
         }
-        let capped = self.settings.plans[open.request.plan].open > 0;
+        let capped = self.settings.plans[pending.request.plan].open > 0;
         actions.push(Action::Send {
             request: id,
             server: to.id,
@@ -626,19 +675,22 @@
             expire_at: None,
             capped,
         });
-        let request = open.request;
-        let patience = PATIENCE * self.usual_time(&request);
-        let patience = patience.min(USEFUL * self.settings.classes[request.class].aim);
+        let request = pending.request;
+        let delay = RETRY_AFTER_MEANS * self.expected_time(&request);
+        let delay = delay.min(USEFUL_FRACTION * self.settings.classes[request.class].aim);
         actions.push(Action::Timer {
-            at: self.now + patience,
-            token: (id << 2) + REVIEW,
+            at: self.now + delay,
+            token: (id << 2) + REVIEW_TIMER,
         });
     }
 
-    /// From when on the class forbids that a further attempt begins.
-    fn forbidden_from(&self, open: &Open) -> Option<Millis> {
-        let ran = open.attempts.iter().find(|attempt| attempt.may_have_run)?;
-        match self.settings.classes[open.request.class].effect {
+    /// The time from which the class forbids a retry to start.
+    fn retry_forbidden_from(&self, pending: &PendingRequest) -> Option<Millis> {
+        let ran = pending
+            .attempts
+            .iter()
+            .find(|attempt| attempt.may_have_run)?;
+        match self.settings.classes[pending.request.class].effect {
             Effect::Idempotent => None,
             Effect::NonIdempotent => Some(NEVER),
             Effect::Deduplicated { window, .. } => {
@@ -647,66 +699,75 @@
         }
     }
 
-    /// Whether a further attempt is allowed by the class, the settings and the retry budget, and of use.
-    fn may_try_again(&self, open: &Open) -> bool {
-        let class = &self.settings.classes[open.request.class];
-        let out = open.attempts.iter().any(|attempt| attempt.out);
-        self.forbidden_from(open).is_none_or(|from| self.now < from)
-            && (self.settings.may_duplicate || !out)
-            && open.attempts.len() < self.settings.max_attempts as usize
+    /// Whether a retry is useful and allowed by the class, the settings and the retry budget.
+    fn may_retry(&self, pending: &PendingRequest) -> bool {
+        let class = &self.settings.classes[pending.request.class];
+        let any_in_flight = pending.attempts.iter().any(|attempt| attempt.in_flight);
+        self.retry_forbidden_from(pending)
+            .is_none_or(|from| self.now < from)
+            && (self.settings.may_duplicate || !any_in_flight)
+            && pending.attempts.len() < self.settings.max_attempts as usize
             && self.retry_budget >= 1.0
-            && self.now < open.arrived + class.aim
+            && self.now < pending.arrived + class.aim
     }
 
-    /// An attempt has been out for long, or a request held: tries another server, or gives up in time.
+    /// Handles a review timer: retries an attempt that has been in flight for long, or refuses a request that
+    /// has been queued too long.
     fn review(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get(&id).filter(|open| !open.done) else {
+        let Some(pending) = self.requests.get(&id).filter(|pending| !pending.answered) else {
             return;
         };
-        let class = open.request.class;
-        let due = self.now - LATE * self.settings.classes[class].aim;
-        if open
+        let class = pending.request.class;
+        let late_if_sent_by = self.now - LATE_FRACTION * self.settings.classes[class].aim;
+        if pending
             .attempts
             .last()
-            .is_some_and(|last| last.out && last.sent <= due)
+            .is_some_and(|last| last.in_flight && last.sent <= late_if_sent_by)
         {
-            self.adapt(class, f64::INFINITY);
-        }
-        let open = &self.requests[&id];
-        if open.held {
-            if self.now >= open.arrived + USEFUL * self.settings.classes[open.request.class].aim {
+            self.update_capacity(class, f64::INFINITY);
+        }
+        let pending = &self.requests[&id];
+        if pending.queued {
+            if self.now
+                >= pending.arrived
+                    + USEFUL_FRACTION * self.settings.classes[pending.request.class].aim
+            {
                 self.refuse(id, self.settings.max_retry_after, actions);
             }
             return;
         }
-        let Some(last) = open.attempts.last().filter(|last| last.out) else {
+        let Some(last) = pending.attempts.last().filter(|last| last.in_flight) else {
             return;
         };
-        let useful = self.now < open.arrived + self.settings.classes[class].aim;
-        let more =
-            open.attempts.len() < self.settings.max_attempts as usize && self.retry_budget >= 1.0;
+        let useful = self.now < pending.arrived + self.settings.classes[class].aim;
+        let more = pending.attempts.len() < self.settings.max_attempts as usize
+            && self.retry_budget >= 1.0;
         let free = self.settings.classes[class].effect == Effect::Idempotent;
-        // An attempt is left alone while its server says something: a copy is work for one that is no
-        // less pressed, and rarely the first. Then it is given up first, and its end brings the next one.
+        // An attempt is not duplicated while its server answers other requests: the copy would load a server that
+        // is just as busy and would rarely finish first. If the server hangs, an idempotent attempt is cancelled
+        // first, and its end triggers the retry.
         if !useful || !more {
-        } else if !self.fleet.hangs(last.to.id, self.now, self.mean_answer()) {
-            let again = self.now + PATIENCE * self.mean_answer() / 2.0;
+        } else if !self
+            .fleet
+            .hangs(last.to.id, self.now, self.mean_answer_time())
+        {
+            let next_review = self.now + RETRY_AFTER_MEANS * self.mean_answer_time() / 2.0;
             actions.push(Action::Timer {
-                at: again,
-                token: (id << 2) + REVIEW,
+                at: next_review,
+                token: (id << 2) + REVIEW_TIMER,
             });
         } else if free && self.settings.may_cancel {
             actions.push(Action::Cancel {
                 request: id,
-                attempt: (open.attempts.len() - 1) as u8,
+                attempt: (pending.attempts.len() - 1) as u8,
             });
-        } else if self.may_try_again(open) {
-            self.further(id, actions);
+        } else if self.may_retry(pending) {
+            self.retry(id, actions);
         }
     }
 
-    fn further(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
-        let Some(server) = self.choose(id) else {
+    fn retry(&mut self, id: RequestId, actions: &mut Vec<Action>) -> bool {
+        let Some(server) = self.choose_server(id) else {
             return false;
         };
         self.retry_budget -= 1.0;
@@ -714,25 +775,25 @@
         true
     }
 
-    /// An attempt has ended, or its answer has begun and there is `more` to come.
+    /// Handles the end of an attempt, or the start of its response if `more` is to come.
     fn attempt_ended(&mut self, end: AttemptEnd, more: bool, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get_mut(&end.request) else {
+        let Some(pending) = self.requests.get_mut(&end.request) else {
             return;
         };
-        let Some(attempt) = open.attempts.get_mut(usize::from(end.attempt)) else {
+        let Some(attempt) = pending.attempts.get_mut(usize::from(end.attempt)) else {
             return;
         };
-        if !attempt.out {
+        if !attempt.in_flight {
             return;
         }
-        attempt.out = more;
-        let judged = std::mem::replace(&mut attempt.begun, more);
+        attempt.in_flight = more;
+        let already_recorded = std::mem::replace(&mut attempt.response_started, more);
         attempt.may_have_run = !end.outcome.never_ran();
-        let (server, sent, request) = (attempt.to.id, attempt.sent, open.request);
-        open.done |= end.finished;
-        if !judged {
+        let (server, sent, request) = (attempt.to.id, attempt.sent, pending.request);
+        pending.answered |= end.finished;
+        if !already_recorded {
             self.fleet.ended(server, sent);
-            self.judge(&request, server, &end, actions);
+            self.record_outcome(&request, server, &end, actions);
         }
         let next = self
             .customers
@@ -745,54 +806,54 @@
         if let Some(used) = end.used {
             self.read_meter(request.account(), used);
         }
-        // A connection that broke says nothing of load: what replaces the attempt is not charged.
-        if !judged && matches!(end.outcome, Outcome::Reset | Outcome::NoConnection) {
+        // A broken connection is no sign of load, so its replacement is not charged to the retry budget.
+        if !already_recorded && matches!(end.outcome, Outcome::Reset | Outcome::NoConnection) {
             self.retry_budget += 1.0;
         }
-        let open = &self.requests[&end.request];
-        let out = open.attempts.iter().any(|attempt| attempt.out);
-        if open.done {
+        let pending = &self.requests[&end.request];
+        let any_in_flight = pending.attempts.iter().any(|attempt| attempt.in_flight);
+        if pending.answered {
             if self.settings.may_cancel && end.outcome == Outcome::Ok {
-                let losers = open
+                let cancelled = pending
                     .attempts
                     .iter()
                     .enumerate()
-                    .filter(|(_, other)| other.out && !other.begun);
-                actions.extend(losers.map(|(n, _)| Action::Cancel {
+                    .filter(|(_, other)| other.in_flight && !other.response_started);
+                actions.extend(cancelled.map(|(n, _)| Action::Cancel {
                     request: end.request,
                     attempt: n as u8,
                 }));
             }
-        } else if !(out || self.may_try_again(open) && self.further(end.request, actions)) {
-            self.give_up(end.request, actions);
+        } else if !(any_in_flight || self.may_retry(pending) && self.retry(end.request, actions)) {
+            self.finish_unserved(end.request, actions);
         }
-        self.forget_if_over(end.request);
+        self.remove_if_finished(end.request);
         if let Some(next) = next.filter(|next| self.requests.contains_key(next)) {
             self.dispatch(next, actions);
         }
     }
 
-    /// Final answer without an answer of a server: a refusal where nothing can have run, else a failure.
-    fn give_up(&mut self, id: RequestId, actions: &mut Vec<Action>) {
-        let Some(open) = self.requests.get(&id).filter(|open| !open.done) else {
+    /// Sends a final answer without a server's response: a refusal if no attempt can have run, else a failure.
+    fn finish_unserved(&mut self, id: RequestId, actions: &mut Vec<Action>) {
+        let Some(pending) = self.requests.get(&id).filter(|pending| !pending.answered) else {
             return;
         };
-        if open.attempts.iter().all(|attempt| !attempt.may_have_run) {
+        if pending.attempts.iter().all(|attempt| !attempt.may_have_run) {
             self.refuse(id, 0.0, actions);
         } else {
             actions.push(Action::Fail(id));
-            let out = open
+            let in_flight = pending
                 .attempts
                 .iter()
                 .enumerate()
-                .filter(|(_, attempt)| attempt.out);
+                .filter(|(_, attempt)| attempt.in_flight);
             if self.settings.may_cancel {
-                actions.extend(out.map(|(n, _)| Action::Cancel {
+                actions.extend(in_flight.map(|(n, _)| Action::Cancel {
                     request: id,
                     attempt: n as u8,
                 }));
             }
-            self.close(id);
+            self.mark_answered(id);
         }
     }
 
@@ -802,40 +863,38 @@
             request: id,
             retry_after,
         });
-        self.close(id);
+        self.mark_answered(id);
     }
 
-    fn close(&mut self, id: RequestId) {
-        let Some(open) = self.requests.get_mut(&id) else {
+    fn mark_answered(&mut self, id: RequestId) {
+        let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        open.done = true;
-        if open.held {
-            if let Some(customer) = self.customers.get_mut(&open.request.account()) {
+        pending.answered = true;
+        if pending.queued {
+            if let Some(customer) = self.customers.get_mut(&pending.request.account()) {
                 customer.held.retain(|other| *other != id);
             }
         }
-        self.forget_if_over(id);
+        self.remove_if_finished(id);
     }
 
-    fn forget_if_over(&mut self, id: RequestId) {
-        if self
-            .requests
-            .get(&id)
-            .is_some_and(|open| open.done && open.attempts.iter().all(|a| !a.out))
-        {
+    fn remove_if_finished(&mut self, id: RequestId) {
+        if self.requests.get(&id).is_some_and(|pending| {
+            pending.answered && pending.attempts.iter().all(|a| !a.in_flight)
+        }) {
             self.requests.remove(&id);
         }
     }
 
-    // ---- Taking over from another gateway. ----
+    // ---- Handover. ----
 
-    /// Leaves all but a rest of the stores to the gateway that takes this one's place.
+    /// Exports the state for a successor and keeps only a small reserve of each bucket.
     pub fn hand_over(&mut self) -> HandoverState {
-        self.succeeded = true;
+        self.handed_over = true;
         HandoverState {
-            born: self.born,
-            tick: self.tick,
+            started: self.started,
+            meter_update: self.meter_update,
             customers: self
                 .customers
                 .iter_mut()
@@ -846,55 +905,65 @@
         }
     }
 
-    /// Takes the place of the gateway that left this. A state of other plans or classes is left alone.
+    /// Continues from the state of a predecessor. State for other plans or classes is ignored.
     pub fn take_over(&mut self, now: Millis, handover: HandoverState) {
         if !handover.fits(&self.settings) {
             return;
         }
-        (self.now, self.born, self.tick) = (self.now.max(now), handover.born, handover.tick);
+        (self.now, self.started, self.meter_update) =
+            (self.now.max(now), handover.started, handover.meter_update);
         self.customers = handover
             .customers
             .into_iter()
             .map(|(id, own)| ((id, own.plan), own))
             .collect();
-        (self.load, self.room_at) = (handover.load, self.now);
+        (self.load, self.admitted_fraction_updated) = (handover.load, self.now);
         self.fleet.take_over(handover.servers);
     }
 
-    /// Own attempts out, by customer.
+    /// Attempts of this gateway in flight, by customer.
     pub fn in_flight(&self) -> BTreeMap<CustomerId, u32> {
-        let mut open = BTreeMap::new();
+        let mut in_flight = BTreeMap::new();
         for ((id, _), customer) in self
             .customers
             .iter()
             .filter(|(_, customer)| customer.open > 0)
         {
-            *open.entry(*id).or_default() += customer.open;
+            *in_flight.entry(*id).or_default() += customer.open;
         }
-        open
+        in_flight
     }
 
-    /// Takes in what the predecessor still has out. What that leaves room for goes on.
-    fn count_elsewhere(&mut self, open: &BTreeMap<CustomerId, u32>, actions: &mut Vec<Action>) {
+    /// Updates the predecessor's attempts in flight and dispatches the queued requests that now fit.
+    fn update_predecessor_in_flight(
+        &mut self,
+        in_flight: &BTreeMap<CustomerId, u32>,
+        actions: &mut Vec<Action>,
+    ) {
         let mut next = Vec::new();
         for ((id, _), customer) in &mut self.customers {
-            next.extend(customer.free(open.get(id).copied().unwrap_or(0)));
+            next.extend(customer.free(in_flight.get(id).copied().unwrap_or(0)));
         }
         for id in next {
             self.dispatch(id, actions);
         }
     }
 
-    // ---- Roster. ----
+    // ---- Server list. ----
 
-    /// Follows the server list. A server that drains or is gone gets nothing from this moment on.
-    fn roster(&mut self, kind: ListKind, entries: Vec<ServerEntry>, actions: &mut Vec<Action>) {
+    /// Applies a server list update. Draining and removed servers get no new attempts from now on.
+    fn update_servers(
+        &mut self,
+        kind: ListKind,
+        entries: Vec<ServerEntry>,
+        actions: &mut Vec<Action>,
+    ) {
         if self.settings.list_on_request {
             match kind {
                 ListKind::Cached => actions.push(Action::FollowServers),
                 ListKind::Failed => actions.push(Action::Timer {
                     at: self.now + 1000.0,
-                    token: LIST,
+                    token: SERVER_LIST_TIMER,
                 }),
                 _ => {}
             }
@@ -903,20 +972,21 @@
             return;
         }
         self.fleet.list(kind, entries, self.now);
-        self.count_ready();
+        self.update_server_count();
     }
 
-    /// Takes a server out by order of staff, or back in from a moment on.
-    fn take_out(&mut self, id: ServerId, back: Option<Millis>) {
+    /// Disables a server on an operator's request, or enables it as of a time.
+    fn set_server_disabled(&mut self, id: ServerId, enabled_at: Option<Millis>) {
         self.fleet
-            .take_out(id, back, self.now, self.settings.cold_for);
-        self.count_ready();
+            .take_out(id, enabled_at, self.now, self.settings.cold_for);
+        self.update_server_count();
     }
 
-    /// Sets what follows from the number of servers that take requests.
-    fn count_ready(&mut self) {
+    /// Updates the limits that depend on the number of ready servers.
+    fn update_server_count(&mut self) {
         self.fleet.part(&self.settings);
-        self.idle_part = IDLE * self.fleet.ready() as f64 / f64::from(self.settings.gateways);
-        self.load.limit = self.load.limit.max(self.idle_part);
+        self.unqueued_limit =
+            UNQUEUED_PER_SERVER * self.fleet.ready() as f64 / f64::from(self.settings.gateways);
+        self.load.in_flight_limit = self.load.in_flight_limit.max(self.unqueued_limit);
     }
 }
--- a/quota-gateway/src/interface.rs
+++ b/quota-gateway/src/interface.rs
@@ -433,27 +433,33 @@
     Log(String),
 }
 
-/// What a gateway has learned that its successor goes on from.
+/// Load estimates that a successor continues from.
 #[derive(Debug, Clone, Serialize, Deserialize)]
 pub(crate) struct LoadEstimates {
-    /// Recent share of each class in the offered units, mean time of an answer and mean size of a request.
+    /// For each class: its recent share of the requests, mean answer time and mean units of a request.
     pub(crate) class_mix: Vec<f64>,
     pub(crate) answer_time: Vec<f64>,
     pub(crate) mean_units: Vec<f64>,
-    /// Longest time that first tries of each class are given.
-    pub(crate) first_wait: Vec<f64>,
-    /// Share of what the quotas admit that the servers have room for.
-    pub(crate) room: f64,
-    /// Learned limit on own work in flight, and whether it still doubles as at the start.
-    pub(crate) limit: f64,
+    /// For each class, the longest time that clients allow for a first try.
+    #[serde(rename = "first_wait")]
+    pub(crate) first_try_timeout: Vec<f64>,
+    /// Fraction of the load admitted by the quotas that the servers have capacity for.
+    #[serde(rename = "room")]
+    pub(crate) admitted_fraction: f64,
+    /// Adaptive limit on this gateway's attempts in flight.
+    #[serde(rename = "limit")]
+    pub(crate) in_flight_limit: f64,
+    /// Whether the limit still grows by one attempt at each timely answer, as at the start.
     pub(crate) slow_start: bool,
 }
 
-/// What a gateway leaves to the one that takes its place. Moments are by the clock that both go by.
+/// State that a gateway hands over to its successor. Both use the same clock for its times.
 #[derive(Debug, Serialize, Deserialize)]
 pub struct HandoverState {
-    pub(crate) born: Millis,
-    pub(crate) tick: Option<Millis>,
+    #[serde(rename = "born")]
+    pub(crate) started: Millis,
+    #[serde(rename = "tick")]
+    pub(crate) meter_update: Option<Millis>,
     pub(crate) customers: Vec<(CustomerId, Customer)>,
     #[serde(flatten)]
     pub(crate) load: LoadEstimates,
@@ -461,16 +467,16 @@
 }
 
 impl HandoverState {
-    /// Whether it is of a gateway with as many classes and plans.
+    /// Whether the state matches the number of classes and plans.
     pub(crate) fn fits(&self, settings: &Settings) -> bool {
         let LoadEstimates {
             class_mix,
             answer_time,
             mean_units,
-            first_wait,
+            first_try_timeout,
             ..
         } = &self.load;
-        let averages = [class_mix, answer_time, mean_units, first_wait];
+        let averages = [class_mix, answer_time, mean_units, first_try_timeout];
         averages
             .iter()
             .all(|average| average.len() == settings.classes.len())
