--- a/quota-gateway/src/control.rs
+++ b/quota-gateway/src/control.rs
@@ -5,7 +5,7 @@
 //! system": each gateway refuses a customer's requests with probability 1 - quota / offered. The offered
 //! rate over all gateways is taken from the meter, and classes of the lowest worth are refused first.
 
-use crate::balance::{Errand, Fleet};
+use crate::balance::{Fleet, Selection};
 use crate::interface::{
     Account, Action, AttemptEnd, CustomerId, Effect, Event, HandoverState, InvalidSetting,
     ListKind, LoadEstimates, Millis, Outcome, Request, RequestId, ServerEntry, ServerId, Settings,
@@ -431,7 +431,7 @@
     /// Attempts in flight that can still meet the target. Older ones are left out so that hung servers do not
     /// block admission.
     fn recent_in_flight(&self, aim: Millis) -> f64 {
-        self.fleet.out_since(self.now - aim) as f64
+        self.fleet.in_flight_since(self.now - aim) as f64
     }
 
     /// Once a second, logs refusals for lack of capacity or servers and forgets idle customers with full buckets.
@@ -517,12 +517,12 @@
 
     fn choose_server(&mut self, request: RequestId) -> Option<ServerId> {
         let pending = &self.requests[&request];
-        let errand = Errand {
+        let selection = Selection {
             settings: &self.settings,
             now: self.now,
             mean: self.mean_answer_time(),
             effect: self.settings.classes[pending.request.class].effect,
-            home: pending
+            first_run_on: pending
                 .attempts
                 .iter()
                 .find(|attempt| attempt.may_have_run)
@@ -533,7 +533,7 @@
                 .map(|attempt| attempt.to.id)
                 .collect(),
         };
-        self.fleet.choose(&errand, &mut self.rng)
+        self.fleet.choose(&selection, &mut self.rng)
     }
 
     /// Updates the load estimates and the server's health from the outcome of an attempt.
@@ -576,7 +576,7 @@
                 SAMPLE_WEIGHT / 5.0,
             );
         }
-        let log_line = self.fleet.judge(
+        let log_line = self.fleet.record_outcome(
             id,
             now,
             outcome,
@@ -653,7 +653,7 @@
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
-        let Some(to) = self.fleet.sent(to, self.now) else {
+        let Some(to) = self.fleet.record_sent(to, self.now) else {
             return;
         };
         pending.queued = false;
@@ -792,7 +792,7 @@
         let (server, sent, request) = (attempt.to.id, attempt.sent, pending.request);
         pending.answered |= end.finished;
         if !already_recorded {
-            self.fleet.ended(server, sent);
+            self.fleet.record_ended(server, sent);
             self.record_outcome(&request, server, &end, actions);
         }
         let next = self
@@ -901,7 +901,7 @@
                 .map(|((id, _), customer)| (*id, customer.hand_over()))
                 .collect(),
             load: self.load.clone(),
-            servers: self.fleet.learned(),
+            servers: self.fleet.health(),
         }
     }
 
@@ -971,20 +971,20 @@
         if kind == ListKind::Failed {
             return;
         }
-        self.fleet.list(kind, entries, self.now);
+        self.fleet.update(kind, entries, self.now);
         self.update_server_count();
     }
 
     /// Disables a server on an operator's request, or enables it as of a time.
     fn set_server_disabled(&mut self, id: ServerId, enabled_at: Option<Millis>) {
         self.fleet
-            .take_out(id, enabled_at, self.now, self.settings.cold_for);
+            .set_disabled(id, enabled_at, self.now, self.settings.cold_for);
         self.update_server_count();
     }
 
     /// Updates the limits that depend on the number of ready servers.
     fn update_server_count(&mut self) {
-        self.fleet.part(&self.settings);
+        self.fleet.assign_subset(&self.settings);
         self.unqueued_limit =
             UNQUEUED_PER_SERVER * self.fleet.ready() as f64 / f64::from(self.settings.gateways);
         self.load.in_flight_limit = self.load.in_flight_limit.max(self.unqueued_limit);
--- a/quota-gateway/src/interface.rs
+++ b/quota-gateway/src/interface.rs
@@ -1,6 +1,6 @@
 //! The interface of the decision module: settings, events, actions and outcomes. It decides nothing.
 
-use crate::balance::Learned;
+use crate::balance::ServerHealth;
 use crate::quota::Customer;
 use serde::{Deserialize, Serialize};
 use std::collections::BTreeMap;
@@ -463,7 +463,7 @@
     pub(crate) customers: Vec<(CustomerId, Customer)>,
     #[serde(flatten)]
     pub(crate) load: LoadEstimates,
-    pub(crate) servers: Vec<Learned>,
+    pub(crate) servers: Vec<ServerHealth>,
 }
 
 impl HandoverState {
