--- a/quota-gateway/src/balance.rs
+++ b/quota-gateway/src/balance.rs
@@ -5,7 +5,7 @@
 use crate::interface::{
     Effect, Lifecycle, ListKind, Millis, Outcome, Scope, ServerEntry, ServerId, Settings,
 };
-use crate::quota::{Bucket, Pace, NEVER};
+use crate::quota::{Bucket, DecayingRate, DISTANT_PAST};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
@@ -109,14 +109,14 @@
     /// Capacity of this gateway's subset, in warm servers.
     capacity: f64,
     /// Recent successful answers per warm server.
-    throughput: Pace,
+    throughput: DecayingRate,
     /// Requests that a cold server may get for each unit of its capacity.
     cold_allowance: Bucket,
 }
 
 impl Fleet {
     pub(crate) fn new(settings: &Settings, now: Millis) -> Fleet {
-        let throughput = Pace {
+        let throughput = DecayingRate {
             units: 0.0,
             seconds: settings.tip_after / 4000.0,
             at: now,
@@ -294,8 +294,13 @@
             .get(&server.entry.id)
             .copied()
             .flatten()
-            .unwrap_or(NEVER);
-        match server.entry.launched.unwrap_or(NEVER).max(enabled_at) {
+            .unwrap_or(DISTANT_PAST);
+        match server
+            .entry
+            .launched
+            .unwrap_or(DISTANT_PAST)
+            .max(enabled_at)
+        {
             at if settings.cold_for > 0.0 && now < at + settings.cold_for => {
                 let ramp = ((now - at) / settings.cold_for).clamp(0.0, 1.0);
                 settings.cold_from + (1.0 - settings.cold_from) * ramp
@@ -338,7 +343,7 @@
         let allowance_seconds =
             (now - self.cold_allowance.at).max(ALLOWANCE_WINDOWS * settings.tip_after) / 1000.0;
         self.throughput
-            .fade(THROUGHPUT_WINDOWS * settings.tip_after, now);
+            .decay(THROUGHPUT_WINDOWS * settings.tip_after, now);
         let min_rate = 1000.0 * MIN_CORES / (self.gateways_per_subset * mean).max(1.0);
         let rate = COLD_MARGIN
             * settings.tip_multiple
--- a/quota-gateway/src/batch_admission.rs
+++ b/quota-gateway/src/batch_admission.rs
@@ -23,7 +23,7 @@
 //! known whether a job is known, or where the job's first try is certain.
 
 use crate::interface::Millis;
-use crate::quota::CHANCE_FLOOR;
+use crate::quota::MIN_ADMISSION_PROBABILITY;
 use std::collections::{BTreeMap, VecDeque};
 
 /// Parts of the idle time after which the entries are looked through.
@@ -45,7 +45,7 @@
 impl Default for BatchAdmissionOptions {
     fn default() -> BatchAdmissionOptions {
         BatchAdmissionOptions {
-            min_probability: CHANCE_FLOOR,
+            min_probability: MIN_ADMISSION_PROBABILITY,
             max_reading_age: 300.0,
             idle_timeout: 60_000.0,
         }
--- a/quota-gateway/src/control.rs
+++ b/quota-gateway/src/control.rs
@@ -10,7 +10,7 @@
     Account, Action, AttemptEnd, CustomerId, Effect, Event, HandoverState, InvalidSetting,
     ListKind, LoadEstimates, Millis, Outcome, Request, RequestId, ServerEntry, ServerId, Settings,
 };
-use crate::quota::{Customer, CHANCE_FLOOR, METER_LAG, NEVER};
+use crate::quota::{Customer, DISTANT_PAST, METER_LAG_PERIODS, MIN_ADMISSION_PROBABILITY};
 use oorandom::Rand64;
 use std::collections::BTreeMap;
 
@@ -294,7 +294,7 @@
         // would sustain the overload.
         let probability = |fraction: f64| {
             class_probability(share * fraction, mix, order, request.class)
-                .max(CHANCE_FLOOR * fraction)
+                .max(MIN_ADMISSION_PROBABILITY * fraction)
         };
         let (quota, capacity, draw) = (
             probability(1.0),
@@ -340,18 +340,18 @@
         let customer = self.customers.entry(request.account());
         let customer =
             customer.or_insert_with(|| Customer::new(&plan, request, started, now, period));
-        customer.seen = now;
-        customer.spread = f64::from(request.spread.max(1));
+        customer.last_request = now;
+        customer.gateways = f64::from(request.spread.max(1));
         if plan.rate <= 0.0 {
             return 1.0;
         }
-        customer.fade(&plan, now, period);
+        customer.decay(&plan, now, period);
         let capacity = customer.refill(&plan, self.settings.max_units, now);
-        if now >= customer.chance_set + period {
-            customer.set_chance(&plan, self.settings.max_units, now, period);
+        if now >= customer.probability_set + period {
+            customer.set_probability(&plan, self.settings.max_units, now, period);
         }
         // Counted after the probability is set, because conditioning on an arrival would bias the offered rate.
-        customer.own.units += request.units;
+        customer.own_offered.units += request.units;
         // Guards against a burst within a period, which would only incur the cost of exceeding the quota. The last
         // half of the bucket is reserved for classes of higher worth.
         let rank = self
@@ -361,11 +361,11 @@
             .unwrap_or(0) as f64;
         let reserved = (capacity / 2.0 * rank / (self.class_order.len() - 1).max(1) as f64)
             .min(capacity - request.units);
-        let exhausted =
-            customer.share.units < request.units + reserved && plan.over_cost > plan.over_worth;
+        let exhausted = customer.quota_bucket.units < request.units + reserved
+            && plan.over_cost > plan.over_worth;
         // Quota left unused because of overload is not available for lending.
-        customer.short |= exhausted && !self.was_overloaded && self.capacity_refusals == 0;
-        customer.chance * f64::from(u8::from(!exhausted))
+        customer.ran_short |= exhausted && !self.was_overloaded && self.capacity_refusals == 0;
+        customer.probability * f64::from(u8::from(!exhausted))
     }
 
     /// Processes a meter reading. A new period is recognized by a changed reading; the readings of all customers
@@ -382,18 +382,18 @@
         let mut updated = self
             .meter_update
             .map_or(now, |updated| now - (now - updated).rem_euclid(period));
-        let changed = used != customer.reading && customer.read_at > NEVER;
-        if changed && (self.meter_update.is_none() || updated <= customer.read_at) {
+        let changed = used != customer.reading && customer.reading_time > DISTANT_PAST;
+        if changed && (self.meter_update.is_none() || updated <= customer.reading_time) {
             updated = now;
             self.meter_update = Some(now);
         }
-        customer.read_at = now;
-        let end = updated - METER_LAG * period;
-        if end < customer.told_to + period / 2.0 {
+        customer.reading_time = now;
+        let end = updated - METER_LAG_PERIODS * period;
+        if end < customer.metered_until + period / 2.0 {
             return;
         }
-        customer.read(&plan, used, end, period, self.settings.max_units);
-        customer.set_chance(&plan, self.settings.max_units, now, period);
+        customer.apply_reading(&plan, used, end, period, self.settings.max_units);
+        customer.set_probability(&plan, self.settings.max_units, now, period);
     }
 
     /// Updates the admitted fraction and the limit on attempts in flight after one answer, or one overdue.
@@ -461,10 +461,10 @@
         }
         (self.capacity_refusals, self.no_server_refusals) = (0, 0);
         self.customers.retain(|_, customer| {
-            let fill_time = Customer::filled_within(&self.settings.plans[customer.plan]);
-            customer.open > 0
-                || !customer.held.is_empty()
-                || now < customer.seen + IDLE_FILL_TIMES * fill_time
+            let fill_time = Customer::fill_time(&self.settings.plans[customer.plan]);
+            customer.in_flight > 0
+                || !customer.queued.is_empty()
+                || now < customer.last_request + IDLE_FILL_TIMES * fill_time
         });
     }
 
@@ -609,8 +609,8 @@
             self.refuse(id, self.settings.max_retry_after, actions);
             return;
         }
-        if plan.open > 0 && customer.open + customer.elsewhere >= part {
-            customer.held.push_back(id);
+        if plan.open > 0 && customer.in_flight + customer.predecessor_in_flight >= part {
+            customer.queued.push_back(id);
             if let Some(pending) = self.requests.get_mut(&id) {
                 pending.queued = true;
             }
@@ -636,7 +636,7 @@
                     .filter(|_| plan.rate > 0.0)
                 {
                     customer.sends.push_back((self.now, request.units));
-                    customer.share.units -= request.units;
+                    customer.quota_bucket.units -= request.units;
                 }
                 self.retry_budget =
                     (self.retry_budget + RETRY_RATIO).min(self.fleet.known() as f64);
@@ -665,7 +665,7 @@
             may_have_run: true,
         });
         if let Some(customer) = self.customers.get_mut(&pending.request.account()) {
-            customer.open += 1;
+            customer.in_flight += 1;
         }
         let capped = self.settings.plans[pending.request.plan].open > 0;
         actions.push(Action::Send {
@@ -692,7 +692,7 @@
             .find(|attempt| attempt.may_have_run)?;
         match self.settings.classes[pending.request.class].effect {
             Effect::Idempotent => None,
-            Effect::NonIdempotent => Some(NEVER),
+            Effect::NonIdempotent => Some(DISTANT_PAST),
             Effect::Deduplicated { window, .. } => {
                 Some(ran.sent + window - 2.0 * self.settings.tick)
             }
@@ -800,8 +800,8 @@
             .get_mut(&request.account())
             .filter(|_| !more)
             .and_then(|customer| {
-                customer.open = customer.open.saturating_sub(1);
-                customer.held.pop_front()
+                customer.in_flight = customer.in_flight.saturating_sub(1);
+                customer.queued.pop_front()
             });
         if let Some(used) = end.used {
             self.read_meter(request.account(), used);
@@ -873,7 +873,7 @@
         pending.answered = true;
         if pending.queued {
             if let Some(customer) = self.customers.get_mut(&pending.request.account()) {
-                customer.held.retain(|other| *other != id);
+                customer.queued.retain(|other| *other != id);
             }
         }
         self.remove_if_finished(id);
@@ -927,9 +927,9 @@
         for ((id, _), customer) in self
             .customers
             .iter()
-            .filter(|(_, customer)| customer.open > 0)
+            .filter(|(_, customer)| customer.in_flight > 0)
         {
-            *in_flight.entry(*id).or_default() += customer.open;
+            *in_flight.entry(*id).or_default() += customer.in_flight;
         }
         in_flight
     }
@@ -942,7 +942,7 @@
     ) {
         let mut next = Vec::new();
         for ((id, _), customer) in &mut self.customers {
-            next.extend(customer.free(in_flight.get(id).copied().unwrap_or(0)));
+            next.extend(customer.release_queued(in_flight.get(id).copied().unwrap_or(0)));
         }
         for id in next {
             self.dispatch(id, actions);
--- a/quota-gateway/src/quota.rs
+++ b/quota-gateway/src/quota.rs
@@ -1,34 +1,38 @@
-//! What one gateway knows of one customer: its part of the quota's store, of the ceiling's and of the offered
-//! rate, and the chance that follows from them and the meter.
+//! Quota state of one customer at one gateway: its shares of the quota's bucket, of the ceiling's bucket and of
+//! the offered rate, and the admission probability that follows from them and the meter.
 
 use crate::control::blend;
 use crate::interface::{Millis, Plan, Request, RequestId};
 use serde::{Deserialize, Serialize};
 use std::collections::VecDeque;
 
-/// Lowest chance of admission: at nought no answer would bring a reading, and the chance would stay there.
-pub(crate) const CHANCE_FLOOR: f64 = 0.05;
-/// Time from the end of a period to when the meter tells of it, in periods.
-pub(crate) const METER_LAG: f64 = 0.4;
-/// Periods for which own sends are kept: until the meter has told of them, or will no more.
-const KEPT: f64 = 4.0;
-/// Own offered rate is averaged over so many units of an even share of the quota, or a period if longer.
-const OWN_UNITS: f64 = 4.0;
-/// Weight of a reading in this gateway's part, and periods at the quota, evenly split, that stand beside it.
-const LEARN: f64 = 0.5;
-const EVEN: f64 = 0.5;
-/// Part of what the meter shows unused that a gateway takes which ran short of its own meanwhile.
-const LEND: f64 = 0.5;
-/// Weight of what the meter shows of the offered rate beside own requests, and of an even part beside what
-/// own sends show, in units of the largest request; and periods after which a reading has faded to a third.
-const WORD: f64 = 1.0 / 6.0;
-const LEAST_EVEN: f64 = 0.5;
-const FRESH: f64 = 5.0;
-
-/// A moment before all others.
-pub(crate) const NEVER: Millis = -1e15;
-/// Part of the stores that a gateway keeps for what is on its way to it when another takes over.
-const REST: f64 = 0.05;
+/// Lower bound of the admission probability. At zero no answer would bring a meter reading, so the probability
+/// could never rise again.
+pub(crate) const MIN_ADMISSION_PROBABILITY: f64 = 0.05;
+/// Delay from the end of a meter period until the meter publishes it, in periods.
+pub(crate) const METER_LAG_PERIODS: f64 = 0.4;
+/// Periods for which this gateway's sends are kept. By then the meter has reported them or never will.
+const SENDS_KEPT_PERIODS: f64 = 4.0;
+/// Averaging window of this gateway's offered rate: the time in which its even share of the quota yields this
+/// many units, or one period if that is longer.
+const OWN_RATE_WINDOW_UNITS: f64 = 4.0;
+/// Weight of a new reading in the estimate of this gateway's share.
+const SHARE_WEIGHT: f64 = 0.5;
+/// Prior for that estimate: an even split of the quota over this many periods.
+const EVEN_SPLIT_PERIODS: f64 = 0.5;
+/// Fraction of the quota left unused by all gateways that a gateway which ran short adds to its share.
+const LENT_FRACTION: f64 = 0.5;
+/// Weight of the metered offered rate beside this gateway's own requests, in units of the largest request.
+const METERED_RATE_WEIGHT: f64 = 1.0 / 6.0;
+/// Minimum weight of the even split beside this gateway's own sends, in units of the largest request.
+const MIN_EVEN_SPLIT_WEIGHT: f64 = 0.5;
+/// Periods after which the weight of a reading has decayed to a third.
+const READING_DECAY_PERIODS: f64 = 5.0;
+
+/// A time before all others.
+pub(crate) const DISTANT_PAST: Millis = -1e15;
+/// Fraction of its buckets that a gateway keeps at handover for requests already on their way to it.
+const HANDOVER_RESERVE: f64 = 0.05;
 
 /// A token bucket.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
@@ -38,114 +42,139 @@
 }
 
 impl Bucket {
-    pub(crate) fn fill(&mut self, rate: f64, most: f64, now: Millis) {
-        self.units = (self.units + (now - self.at).max(0.0) / 1000.0 * rate).min(most);
+    pub(crate) fn fill(&mut self, rate: f64, capacity: f64, now: Millis) {
+        self.units = (self.units + (now - self.at).max(0.0) / 1000.0 * rate).min(capacity);
         self.at = now;
     }
 }
 
-/// Units lately, fading, and the seconds that they came in.
+/// An exponentially decaying sum of units and of the seconds in which they arrived.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
-pub(crate) struct Pace {
+pub(crate) struct DecayingRate {
     pub(crate) units: f64,
     pub(crate) seconds: f64,
     pub(crate) at: Millis,
 }
 
-impl Pace {
-    /// Fades what is longer ago than `memory`.
-    pub(crate) fn fade(&mut self, memory: Millis, now: Millis) {
-        let fade = (-(now - self.at) / memory.max(1.0)).exp();
-        self.units *= fade;
-        self.seconds = self.seconds * fade + memory / 1000.0 * (1.0 - fade);
+impl DecayingRate {
+    /// Applies the decay up to `now` with the time constant `memory`.
+    pub(crate) fn decay(&mut self, memory: Millis, now: Millis) {
+        let factor = (-(now - self.at) / memory.max(1.0)).exp();
+        self.units *= factor;
+        self.seconds = self.seconds * factor + memory / 1000.0 * (1.0 - factor);
         self.at = now;
     }
 }
 
+/// Quota state of one customer under one plan.
 #[derive(Debug, Default, Clone, Serialize, Deserialize)]
 #[serde(default)]
 pub(crate) struct Customer {
     pub(crate) plan: usize,
-    pub(crate) spread: f64,
-    pub(crate) seen: Millis,
-    /// This gateway's part of what all send on for the customer, and whether that ran short since it was set.
-    pub(crate) part: f64,
-    pub(crate) short: bool,
-    pub(crate) store: f64,
-    /// Its part of the quota's store, and an even one of the ceiling's.
-    pub(crate) share: Bucket,
-    pub(crate) ceiling: Bucket,
-    pub(crate) chance: f64,
-    pub(crate) chance_set: Millis,
-    /// The chance before that one, and what the meter shows that all were asked for, units a second.
-    pub(crate) chance_before: f64,
-    pub(crate) asked: f64,
-    /// Own sends that the meter may not have told of yet.
+    /// Number of gateways through which the customer's requests come.
+    #[serde(rename = "spread")]
+    pub(crate) gateways: f64,
+    #[serde(rename = "seen")]
+    pub(crate) last_request: Millis,
+    /// This gateway's share of the customer's requests over all gateways.
+    #[serde(rename = "part")]
+    pub(crate) gateway_share: f64,
+    /// Whether the share has run short since it was set.
+    #[serde(rename = "short")]
+    pub(crate) ran_short: bool,
+    /// Estimated level of the quota's bucket over all gateways, in units.
+    #[serde(rename = "store")]
+    pub(crate) total_level: f64,
+    /// This gateway's share of the quota's bucket.
+    #[serde(rename = "share")]
+    pub(crate) quota_bucket: Bucket,
+    /// This gateway's even share of the ceiling's bucket.
+    #[serde(rename = "ceiling")]
+    pub(crate) ceiling_bucket: Bucket,
+    /// Admission probability, and when it was set.
+    #[serde(rename = "chance")]
+    pub(crate) probability: f64,
+    #[serde(rename = "chance_set")]
+    pub(crate) probability_set: Millis,
+    #[serde(rename = "chance_before")]
+    pub(crate) previous_probability: f64,
+    /// Offered rate over all gateways according to the meter, in units a second.
+    #[serde(rename = "asked")]
+    pub(crate) metered_offered_rate: f64,
+    /// Sends of this gateway that the meter may not have reported yet.
     pub(crate) sends: VecDeque<(Millis, f64)>,
-    /// Own requests.
-    pub(crate) own: Pace,
+    /// Requests offered to this gateway.
+    #[serde(rename = "own")]
+    pub(crate) own_offered: DecayingRate,
     pub(crate) reading: f64,
-    pub(crate) read_at: Millis,
-    pub(crate) told_to: Millis,
-    /// Own attempts out, and those of the gateway that this one takes over from.
-    pub(crate) open: u32,
-    pub(crate) elsewhere: u32,
+    #[serde(rename = "read_at")]
+    pub(crate) reading_time: Millis,
+    /// End of the last period that the meter reported.
+    #[serde(rename = "told_to")]
+    pub(crate) metered_until: Millis,
+    /// Attempts of this gateway in flight.
+    #[serde(rename = "open")]
+    pub(crate) in_flight: u32,
+    /// Attempts of the predecessor still in flight.
+    #[serde(rename = "elsewhere")]
+    pub(crate) predecessor_in_flight: u32,
+    /// Requests that wait because the customer is at its concurrency limit.
     #[serde(skip)]
-    pub(crate) held: VecDeque<RequestId>,
+    pub(crate) queued: VecDeque<RequestId>,
 }
 
 impl Customer {
-    /// One that has sent nothing yet, at a gateway born at `born`.
+    /// State of a customer without sends, at a gateway started at `started`.
     pub(crate) fn new(
         plan: &Plan,
         request: &Request,
-        born: Millis,
+        started: Millis,
         now: Millis,
         period: Millis,
     ) -> Customer {
         Customer {
             plan: request.plan,
-            part: 1.0 / f64::from(request.spread.max(1)),
-            share: Bucket {
+            gateway_share: 1.0 / f64::from(request.spread.max(1)),
+            quota_bucket: Bucket {
                 units: plan.burst,
                 at: now,
             },
-            store: plan.burst,
-            ceiling: Bucket {
+            total_level: plan.burst,
+            ceiling_bucket: Bucket {
                 units: 0.0,
-                at: born,
+                at: started,
             },
-            chance: 1.0,
-            chance_before: 1.0,
-            chance_set: NEVER,
-            asked: plan.rate,
-            own: Pace {
+            probability: 1.0,
+            previous_probability: 1.0,
+            probability_set: DISTANT_PAST,
+            metered_offered_rate: plan.rate,
+            own_offered: DecayingRate {
                 at: now - period,
-                ..Pace::default()
+                ..DecayingRate::default()
             },
-            read_at: NEVER,
-            told_to: NEVER,
+            reading_time: DISTANT_PAST,
+            metered_until: DISTANT_PAST,
             ..Customer::default()
         }
     }
 
-    /// Brings the averages over own requests up to now, and forgets what the meter tells of no more.
-    pub(crate) fn fade(&mut self, plan: &Plan, now: Millis, period: Millis) {
-        self.own.fade(
-            (1000.0 * OWN_UNITS * self.spread / plan.rate).max(period),
+    /// Decays the offered rate up to now and drops sends that the meter will no longer report.
+    pub(crate) fn decay(&mut self, plan: &Plan, now: Millis, period: Millis) {
+        self.own_offered.decay(
+            (1000.0 * OWN_RATE_WINDOW_UNITS * self.gateways / plan.rate).max(period),
             now,
         );
         while self
             .sends
             .front()
-            .is_some_and(|(at, _)| *at < now - KEPT * period)
+            .is_some_and(|(at, _)| *at < now - SENDS_KEPT_PERIODS * period)
         {
             self.sends.pop_front();
         }
     }
 
-    /// Takes in the use in the period that ended at `end`.
-    pub(crate) fn read(
+    /// Applies the metered use of the period that ended at `end`.
+    pub(crate) fn apply_reading(
         &mut self,
         plan: &Plan,
         used: f64,
@@ -154,47 +183,53 @@
         largest: f64,
     ) {
         let (from, quota) = (end - period, plan.rate * period / 1000.0);
-        // Periods that no answer told of are taken to be like this one.
-        let missed = ((end - self.told_to) / period - 1.0).clamp(0.0, KEPT);
+        // Periods without a reading are taken to equal this one.
+        let missed = ((end - self.metered_until) / period - 1.0).clamp(0.0, SENDS_KEPT_PERIODS);
         let unused = (missed + 1.0) * (1.0 - used);
-        self.store = (self.store + quota * unused).clamp(0.0, plan.burst);
+        self.total_level = (self.total_level + quota * unused).clamp(0.0, plan.burst);
         self.reading = used;
-        self.told_to = end;
-        let held = ((end - self.chance_set) / period).clamp(0.0, 1.0);
-        let chance = held * self.chance + (1.0 - held) * self.chance_before;
-        self.asked = used * plan.rate / chance.max(CHANCE_FLOOR);
-        let told = self.sends.iter().filter(|(at, _)| *at > from && *at <= end);
-        let own: f64 = told.map(|(_, units)| units).sum();
-        let even = (EVEN * quota / self.spread).max(LEAST_EVEN * largest);
-        let part = (own + even) / ((used * quota).max(own) + even * self.spread);
-        let lent = if self.short {
-            LEND * (1.0 - used).max(0.0)
+        self.metered_until = end;
+        let current = ((end - self.probability_set) / period).clamp(0.0, 1.0);
+        let probability = current * self.probability + (1.0 - current) * self.previous_probability;
+        self.metered_offered_rate = used * plan.rate / probability.max(MIN_ADMISSION_PROBABILITY);
+        let reported = self.sends.iter().filter(|(at, _)| *at > from && *at <= end);
+        let own_units: f64 = reported.map(|(_, units)| units).sum();
+        let even_split =
+            (EVEN_SPLIT_PERIODS * quota / self.gateways).max(MIN_EVEN_SPLIT_WEIGHT * largest);
+        let share =
+            (own_units + even_split) / ((used * quota).max(own_units) + even_split * self.gateways);
+        let lent = if self.ran_short {
+            LENT_FRACTION * (1.0 - used).max(0.0)
         } else {
             0.0
         };
-        blend(&mut self.part, (part + lent).min(1.0), LEARN);
-        self.short = false;
+        blend(
+            &mut self.gateway_share,
+            (share + lent).min(1.0),
+            SHARE_WEIGHT,
+        );
+        self.ran_short = false;
     }
 
-    /// Takes units from an even part of the ceiling's store, if it holds them.
+    /// Takes units from the even share of the ceiling's bucket if it holds enough.
     pub(crate) fn take_from_ceiling(&mut self, plan: &Plan, units: f64, now: Millis) -> bool {
-        let most = (plan.ceiling_burst + plan.ceiling_slack) / self.spread;
-        self.ceiling
-            .fill(plan.ceiling_rate / self.spread, most, now);
-        let held = self.ceiling.units >= units;
-        self.ceiling.units -= if held { units } else { 0.0 };
-        held
+        let capacity = (plan.ceiling_burst + plan.ceiling_slack) / self.gateways;
+        self.ceiling_bucket
+            .fill(plan.ceiling_rate / self.gateways, capacity, now);
+        let sufficient = self.ceiling_bucket.units >= units;
+        self.ceiling_bucket.units -= if sufficient { units } else { 0.0 };
+        sufficient
     }
 
-    /// Notes what another gateway has out, and returns the requests that this leaves room for.
-    pub(crate) fn free(&mut self, elsewhere: u32) -> Vec<RequestId> {
-        let freed = self.elsewhere.saturating_sub(elsewhere) as usize;
-        self.elsewhere = elsewhere;
-        self.held.drain(..freed.min(self.held.len())).collect()
+    /// Updates the predecessor's attempts in flight and returns the queued requests that now fit.
+    pub(crate) fn release_queued(&mut self, in_flight: u32) -> Vec<RequestId> {
+        let freed = self.predecessor_in_flight.saturating_sub(in_flight) as usize;
+        self.predecessor_in_flight = in_flight;
+        self.queued.drain(..freed.min(self.queued.len())).collect()
     }
 
-    /// Time after which one that sends nothing has full stores.
-    pub(crate) fn filled_within(plan: &Plan) -> Millis {
+    /// Time after which the buckets of an idle customer are full.
+    pub(crate) fn fill_time(plan: &Plan) -> Millis {
         let fill = |burst: f64, rate: f64| {
             if rate > 0.0 {
                 burst / rate * 1000.0
@@ -210,44 +245,56 @@
             .max(1000.0)
     }
 
-    /// Leaves another what this gateway has of the customer's stores, but for a rest.
+    /// Exports the state for a successor and keeps a small reserve of the buckets.
     pub(crate) fn hand_over(&mut self) -> Customer {
-        let mut left = self.clone();
-        (left.elsewhere, left.open) = (self.open, 0);
-        left.held.clear();
-        for (own, left) in [
-            (&mut self.share, &mut left.share),
-            (&mut self.ceiling, &mut left.ceiling),
+        let mut exported = self.clone();
+        (exported.predecessor_in_flight, exported.in_flight) = (self.in_flight, 0);
+        exported.queued.clear();
+        for (kept, exported) in [
+            (&mut self.quota_bucket, &mut exported.quota_bucket),
+            (&mut self.ceiling_bucket, &mut exported.ceiling_bucket),
         ] {
-            own.units = REST * own.units.max(0.0);
-            left.units -= own.units;
+            kept.units = HANDOVER_RESERVE * kept.units.max(0.0);
+            exported.units -= kept.units;
         }
-        left
+        exported
     }
 
-    /// Brings this gateway's part of the store up to now, and returns what it can hold: a request of the
-    /// largest kind at the least, which would be refused for ever else.
+    /// Refills this gateway's share of the quota's bucket and returns its capacity. The capacity is at least one
+    /// request of the largest size, which could otherwise never be admitted.
     pub(crate) fn refill(&mut self, plan: &Plan, largest: f64, now: Millis) -> f64 {
-        let most = (plan.burst * self.part).max(largest);
-        self.share.fill(plan.rate * self.part, most, now);
-        most
+        let capacity = (plan.burst * self.gateway_share).max(largest);
+        self.quota_bucket
+            .fill(plan.rate * self.gateway_share, capacity, now);
+        capacity
     }
 
-    /// The quota, with what the store can spare, over the offered rate, both in this gateway's part.
-    pub(crate) fn set_chance(&mut self, plan: &Plan, largest: f64, now: Millis, period: Millis) {
-        let allowed = self.part * (plan.rate + self.store / (period.max(1.0) / 1000.0));
-        // Few own requests tell little: the meter's word stands beside them, until it is old.
-        let fresh = (-(now - self.told_to) / (FRESH * period.max(1.0))).exp();
-        let asked = (plan.rate + (self.asked - plan.rate) * fresh).max(CHANCE_FLOOR * plan.rate)
-            * self.part;
-        let weight = WORD * largest;
-        let offered = (weight + self.own.units) / (weight / asked + self.own.seconds);
-        self.chance_before = self.chance;
-        self.chance = if offered > allowed {
-            (allowed / offered).max(CHANCE_FLOOR)
+    /// Sets the admission probability: the quota plus the available bucket level, divided by the offered rate, both
+    /// for this gateway's share.
+    pub(crate) fn set_probability(
+        &mut self,
+        plan: &Plan,
+        largest: f64,
+        now: Millis,
+        period: Millis,
+    ) {
+        let allowed =
+            self.gateway_share * (plan.rate + self.total_level / (period.max(1.0) / 1000.0));
+        // A few requests are a poor estimate, so the metered rate is blended in until it is old.
+        let freshness =
+            (-(now - self.metered_until) / (READING_DECAY_PERIODS * period.max(1.0))).exp();
+        let metered = (plan.rate + (self.metered_offered_rate - plan.rate) * freshness)
+            .max(MIN_ADMISSION_PROBABILITY * plan.rate)
+            * self.gateway_share;
+        let weight = METERED_RATE_WEIGHT * largest;
+        let offered =
+            (weight + self.own_offered.units) / (weight / metered + self.own_offered.seconds);
+        self.previous_probability = self.probability;
+        self.probability = if offered > allowed {
+            (allowed / offered).max(MIN_ADMISSION_PROBABILITY)
         } else {
             1.0
         };
-        self.chance_set = now;
+        self.probability_set = now;
     }
 }
