--- a/quota-gateway/src/batch_admission.rs
+++ b/quota-gateway/src/batch_admission.rs
@@ -1,44 +1,46 @@
-//! The coin of batch admission: whether a batch job is passed on to the count that decides, or refused (429) at once.
+//! Probabilistic admission of batch jobs: a job is either forwarded to the queue's exact count, which decides, or
+//! refused (429) at once.
 //!
 //! It follows the random refusal of "Stochastic breakdown model for an unreliable web server system", as the design
-//! of the serving tier asks ("The design in the system"):
+//! of the serving tier requires ("The design in the system"):
 //!
-//! * **Chance.** For each tenant it holds the chance that the next batch job is taken, 1 at the start.
-//! * **Period.** Each new meter period, told apart by its number, is used once and sets the chance to
-//!   min(1, p' / u): u is the reading over the quota, p' the chance held during that period, averaged over its time. If
-//!   λ tokens are offered and the quota bears λ*, then u = p' λ / λ* and the new chance is λ* / λ, the paper's.
-//! * **Reading.** The tokens that wait, plus those that passed the coin in the period and did not fit. What the coin
-//!   itself refused is not in it: dividing by u would count it twice.
-//! * **Floor.** The chance stays at or above a floor: at nought nothing would be passed on, and no reading would show
-//!   that there is less load.
-//! * **Age.** Entries that see neither a job nor a reading are forgotten.
+//! * **Probability.** Each tenant has a probability that its next batch job is admitted, initially 1.
+//! * **Period.** Each new meter period, identified by its number, is used once and sets the probability to
+//!   min(1, p' / u). Here u is the reading divided by the quota, and p' the time average of the probability during that
+//!   period. If λ tokens are offered and the quota allows λ*, then u = p' λ / λ* and the new probability is λ* / λ, as in
+//!   the paper.
+//! * **Reading.** The queued tokens plus those admitted in the period that did not fit. Tokens refused here are not
+//!   included: dividing by u would count them twice.
+//! * **Minimum.** The probability never falls below a minimum. At zero nothing would be forwarded, and no reading
+//!   would show that the load has fallen.
+//! * **Expiry.** Entries without jobs and readings are dropped after an idle timeout.
 //!
-//! The paper's quota bounds a rate; this one bounds tokens that wait, and binds at each 202. A coin can't keep that: the
-//! count does, at one place. The coin only spares it what it would refuse. So on the ordinary path, where **each job
-//! that fits gets a 202**, the coin refuses only a job of which a fresh reading shows that it does not fit (tokens
-//! waiting and the job's own are above the quota). Without a fresh reading all are passed on.
+//! The paper's quota bounds a rate; this one bounds queued tokens and is binding at each 202. Random refusal cannot
+//! enforce that: the exact count does, in one place, and this module only spares it jobs that it would refuse. On the
+//! ordinary path **each job that fits gets a 202**, so a job is refused here only if a fresh reading shows that it does
+//! not fit (the queued tokens plus its own exceed the quota). Without a fresh reading all jobs are forwarded.
 //!
-//! The host must not ask the coin about a job that may have been handed over before (a try that got no clear answer
-//! comes again): it may have been accepted, and a 429 promises that it never runs. The coin therefore stands where it is
-//! known whether a job is known, or where the job's first try is certain.
+//! The host must not ask about a job that may have been handed over before (a retry after an unclear answer): it may
+//! have been accepted, and a 429 promises that it never runs. The check therefore belongs where it is known whether the
+//! job was last_used before, or where the attempt is certainly its first.
 
 use crate::interface::Millis;
 use crate::quota::MIN_ADMISSION_PROBABILITY;
 use std::collections::{BTreeMap, VecDeque};
 
-/// Parts of the idle time after which the entries are looked through.
-const SWEEPS: f64 = 4.0;
-/// Earlier chances that are kept: a reading is of a period that ended shortly before.
-const CHANCES_KEPT: usize = 8;
+/// Sweeps for idle entries per idle timeout.
+const SWEEPS_PER_IDLE_TIMEOUT: f64 = 4.0;
+/// Earlier probabilities that are kept, because a reading covers a period that ended shortly before.
+const PROBABILITIES_KEPT: usize = 8;
 
-/// Options of the coin.
+/// Options of batch admission.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct BatchAdmissionOptions {
-    /// Lowest chance.
+    /// Minimum admission probability.
     pub min_probability: f64,
-    /// Age up to which a reading is fresh, in milliseconds.
+    /// Age up to which a reading counts as fresh, in milliseconds.
     pub max_reading_age: Millis,
-    /// Time after which an entry without jobs and readings is forgotten, in milliseconds.
+    /// Time after which an entry without jobs and readings is dropped, in milliseconds.
     pub idle_timeout: Millis,
 }
 
@@ -52,90 +54,90 @@
     }
 }
 
-/// What the meter tells of one tenant after one period.
+/// Meter reading of one tenant for one period.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub struct MeterReading {
-    /// Number of the period, agreed among all who read.
+    /// Number of the period, the same for all readers.
     pub period: u64,
-    /// When the period began and ended, by the host's clock.
+    /// Start of the period by the host's clock.
     pub began: Millis,
-    /// See [`MeterReading::began`]; the count of waiting tokens is as of then.
+    /// End of the period by the host's clock; the count of queued tokens is as of this time.
     pub ended: Millis,
-    /// Tokens that wait.
+    /// Queued tokens.
     pub waiting: u64,
-    /// Tokens that passed the coins in the period and did not fit.
+    /// Tokens admitted by the gateways in the period that did not fit.
     pub beyond: u64,
-    /// Tokens that may wait; 0: no limit.
+    /// Maximum number of queued tokens; 0: no limit.
     pub quota: u64,
 }
 
-/// What becomes of a batch job.
+/// Decision on a batch job.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum BatchDecision {
-    /// The count decides.
+    /// Forward it; the exact count decides.
     Forward,
-    /// It is refused, and nothing of it has been handed over.
+    /// Refuse it; no part of it has been handed over.
     Refuse,
 }
 
-/// What is known of one tenant.
+/// Admission state of one tenant.
 #[derive(Debug)]
 struct Tenant {
-    chance: f64,
-    chance_since: Millis,
-    /// Earlier chances, the oldest first, each with the time at which it was replaced.
+    probability: f64,
+    probability_since: Millis,
+    /// Earlier probabilities, oldest first, each with the time at which it was replaced.
     earlier: VecDeque<(Millis, f64)>,
     reading: Option<MeterReading>,
-    seen: Millis,
+    last_used: Millis,
 }
 
 impl Tenant {
     fn new(now: Millis) -> Tenant {
         Tenant {
-            chance: 1.0,
-            chance_since: now,
+            probability: 1.0,
+            probability_since: now,
             earlier: VecDeque::new(),
             reading: None,
-            seen: now,
+            last_used: now,
         }
     }
 
-    /// The chance held from one moment to another, on average. Before the first one it was 1.
-    fn chance_held(&self, from: Millis, to: Millis) -> f64 {
+    /// Time average of the probability over an interval. Before the first entry it is 1.
+    fn average_probability(&self, from: Millis, to: Millis) -> f64 {
         if to <= from {
-            return self.chance_at(to);
+            return self.probability_at(to);
         }
         let mut sum = 0.0;
         let mut since = from;
-        for (until, chance) in self
+        for (until, probability) in self
             .earlier
             .iter()
             .copied()
-            .chain([(f64::INFINITY, self.chance)])
+            .chain([(f64::INFINITY, self.probability)])
         {
             let until = until.min(to);
-            sum += (until - since).max(0.0) * chance;
+            sum += (until - since).max(0.0) * probability;
             since = since.max(until);
         }
         sum / (to - from)
     }
 
-    fn chance_at(&self, moment: Millis) -> f64 {
-        let replaced_later = self.earlier.iter().find(|(until, _)| *until > moment);
-        replaced_later.map_or(self.chance, |(_, chance)| *chance)
+    fn probability_at(&self, time: Millis) -> f64 {
+        let replaced_later = self.earlier.iter().find(|(until, _)| *until > time);
+        replaced_later.map_or(self.probability, |(_, probability)| *probability)
     }
 
-    fn set_chance(&mut self, now: Millis, chance: f64) {
+    fn set_probability(&mut self, now: Millis, probability: f64) {
         self.earlier
-            .push_back((now.max(self.chance_since), self.chance));
-        if self.earlier.len() > CHANCES_KEPT {
+            .push_back((now.max(self.probability_since), self.probability));
+        if self.earlier.len() > PROBABILITIES_KEPT {
             self.earlier.pop_front();
         }
-        self.chance = chance;
-        self.chance_since = now;
+        self.probability = probability;
+        self.probability_since = now;
     }
 
-    /// Whether a fresh reading shows that so many tokens do not fit.
+    /// Whether a fresh reading shows that `tokens` more do not fit.
     fn shows_no_room(&self, now: Millis, tokens: u64, quota: u64, fresh: Millis) -> bool {
         let Some(reading) = &self.reading else {
             return false;
@@ -145,16 +147,16 @@
     }
 }
 
-/// The coin of one process, for all tenants.
+/// Batch admission of one process, for all tenants.
 #[derive(Debug, Default)]
 pub struct BatchAdmission {
     options: BatchAdmissionOptions,
     tenants: BTreeMap<String, Tenant>,
-    swept: Millis,
+    last_sweep: Millis,
 }
 
 impl BatchAdmission {
-    /// One that knows of no tenant yet.
+    /// Creates an instance without tenants.
     pub fn new(options: BatchAdmissionOptions) -> BatchAdmission {
         BatchAdmission {
             options,
@@ -162,10 +164,10 @@
         }
     }
 
-    /// Takes in a reading. One of a period that was used before, or of an older one, changes nothing.
+    /// Applies a reading. Readings of a period that was already used, or of an older one, are ignored.
     pub fn read(&mut self, now: Millis, tenant: &str, reading: MeterReading) {
         self.sweep(now);
-        let floor = self.options.min_probability.clamp(0.0, 1.0);
+        let minimum = self.options.min_probability.clamp(0.0, 1.0);
         let entry = self.entry(now, tenant);
         if entry
             .reading
@@ -174,11 +176,14 @@
             return;
         }
         entry.reading = Some(reading);
-        let chance = next_chance(entry.chance_held(reading.began, reading.ended), &reading);
-        entry.set_chance(now, chance.max(floor));
+        let probability = next_probability(
+            entry.average_probability(reading.began, reading.ended),
+            &reading,
+        );
+        entry.set_probability(now, probability.max(minimum));
     }
 
-    /// Decides about a batch job of so many tokens under a quota; `draw` is from 0 to 1.
+    /// Decides on a batch job of `tokens` under a quota; `draw` is a random number from 0 to 1.
     pub fn decide(
         &mut self,
         now: Millis,
@@ -191,19 +196,21 @@
         let fresh = self.options.max_reading_age;
         let entry = self.entry(now, tenant);
         let may_refuse = quota > 0 && entry.shows_no_room(now, tokens, quota, fresh);
-        if may_refuse && draw >= entry.chance {
+        if may_refuse && draw >= entry.probability {
             BatchDecision::Refuse
         } else {
             BatchDecision::Forward
         }
     }
 
-    /// The chance that the next batch job of a tenant is taken.
+    /// Probability that the next batch job of a tenant is admitted.
     pub fn admission_probability(&self, tenant: &str) -> f64 {
-        self.tenants.get(tenant).map_or(1.0, |entry| entry.chance)
+        self.tenants
+            .get(tenant)
+            .map_or(1.0, |entry| entry.probability)
     }
 
-    /// Tenants that are known.
+    /// Number of tenants with an entry.
     pub fn tenant_count(&self) -> usize {
         self.tenants.len()
     }
@@ -213,29 +220,29 @@
             .tenants
             .entry(tenant.to_string())
             .or_insert_with(|| Tenant::new(now));
-        entry.seen = now;
+        entry.last_used = now;
         entry
     }
 
     fn sweep(&mut self, now: Millis) {
         let idle = self.options.idle_timeout;
-        if now - self.swept < idle / SWEEPS {
+        if now - self.last_sweep < idle / SWEEPS_PER_IDLE_TIMEOUT {
             return;
         }
-        self.swept = now;
-        self.tenants.retain(|_, entry| now - entry.seen < idle);
+        self.last_sweep = now;
+        self.tenants.retain(|_, entry| now - entry.last_used < idle);
     }
 }
 
-/// min(1, p' / u).
-fn next_chance(held: f64, reading: &MeterReading) -> f64 {
+/// Returns min(1, p' / u).
+fn next_probability(average: f64, reading: &MeterReading) -> f64 {
     if reading.quota == 0 {
         return 1.0;
     }
     let used = reading.waiting.saturating_add(reading.beyond) as f64 / reading.quota as f64;
-    if used <= held {
+    if used <= average {
         1.0
     } else {
-        held / used
+        average / used
     }
 }
--- a/quota-gateway/src/wire.rs
+++ b/quota-gateway/src/wire.rs
@@ -1,5 +1,5 @@
-//! The codec of the simulator's wire: frames, records and settings to and from the types of
-//! [`crate::interface`]. It translates and decides nothing.
+//! Codec of the simulator's wire protocol: converts frames, records and settings to and from the types of
+//! [`crate::interface`].
 
 use crate::interface::{
     Action, AttemptEnd, Class, Effect, Event, Lifecycle, ListKind, Outcome, Plan, Request, Scope,
@@ -9,19 +9,19 @@
 use std::fmt;
 use std::io::{self, Read};
 
-/// Size of an event record.
+/// Size of an event record in bytes.
 pub const EVENT_BYTES: usize = 48;
-/// Size of an action record.
+/// Size of an action record in bytes.
 pub const ACTION_BYTES: usize = 24;
-/// A frame longer than this is taken for garbage.
-const FRAME_LIMIT: u32 = 1 << 30;
+/// Maximum frame length in bytes; a longer one is rejected as malformed.
+const MAX_FRAME_BYTES: u32 = 1 << 30;
 
-/// What is wrong with the input.
+/// Error in reading or decoding the input.
 #[derive(Debug)]
 pub enum WireError {
     /// The input could not be read.
     Io(io::Error),
-    /// The input breaks the layout; the text says where and how.
+    /// The input violates the format; the text says where and how.
     Malformed(String),
 }
 
@@ -43,7 +43,7 @@
 /// A batch of events.
 #[derive(Debug)]
 pub struct Batch {
-    /// The clock, milliseconds.
+    /// Clock in milliseconds.
     pub clock: f64,
     /// Number of records.
     pub count: usize,
@@ -54,7 +54,7 @@
     /// Reads one frame; `None` at the end of the input.
     ///
     /// # Errors
-    /// On a frame that is cut short or whose lengths do not fit together.
+    /// If a frame is truncated or its lengths are inconsistent.
     pub fn read(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
         let mut header = Vec::with_capacity(16);
         input
@@ -77,9 +77,9 @@
         if !clock.is_finite() {
             return malformed("the clock is not a finite number");
         }
-        if !(4..=FRAME_LIMIT).contains(&length) {
+        if !(4..=MAX_FRAME_BYTES).contains(&length) {
             return malformed(format!(
-                "frame length {length} is outside 4 to {FRAME_LIMIT}"
+                "frame length {length} is outside 4 to {MAX_FRAME_BYTES}"
             ));
         }
         let mut body = Vec::new();
@@ -106,7 +106,7 @@
     /// Decodes the record at `index`.
     ///
     /// # Errors
-    /// On an unknown code or a reference outside the tail.
+    /// If a code is unknown or a reference points outside the tail.
     pub fn event(&self, index: usize) -> Result<(u16, WireEvent), WireError> {
         let start = 4 + index * EVENT_BYTES;
         let tail = &self.body[4 + self.count * EVENT_BYTES..];
@@ -114,7 +114,7 @@
     }
 }
 
-/// An event as it stands on the wire.
+/// A decoded event record.
 #[derive(Debug, Clone, PartialEq)]
 pub enum WireEvent {
     /// An instance starts.
@@ -126,13 +126,14 @@
     },
     /// An instance was killed.
     Detach,
-    /// An event of the module's interface.
+    /// An event of the decision module.
     Event(Event),
-    /// An event that the module has no use for: probes, peers and the counter, which it never asks for.
+    /// An event that the decision module does not use: probes, peer messages and the counter, none of which it
+    /// requests.
     Unused,
 }
 
-/// Big-endian fields of a slice whose length was checked before.
+/// Big-endian fields of a slice whose length has been checked.
 struct Record<'a>(&'a [u8]);
 
 impl Record<'_> {
@@ -232,9 +233,9 @@
                 3 => ListKind::Failed,
                 other => return malformed(format!("ROSTER_CHANGE form {other} is unknown")),
             };
-            let entries = record.tail(12, ENTRY, tail, "ROSTER_CHANGE hosts")?;
+            let entries = record.tail(12, ENTRY_BYTES, tail, "ROSTER_CHANGE hosts")?;
             let entries = entries
-                .chunks_exact(ENTRY)
+                .chunks_exact(ENTRY_BYTES)
                 .map(server_entry)
                 .collect::<Result<_, _>>()?;
             WireEvent::Event(Event::Servers { kind, entries })
@@ -252,8 +253,8 @@
     Ok((record.u16(1), event))
 }
 
-/// Size of a line of the server list.
-const ENTRY: usize = 22;
+/// Size of a server list entry in bytes.
+const ENTRY_BYTES: usize = 22;
 
 fn server_entry(bytes: &[u8]) -> Result<ServerEntry, WireError> {
     let record = Record(bytes);
@@ -287,7 +288,7 @@
     })
 }
 
-/// Settings as path=value lines.
+/// Settings in the form of `path=value` lines.
 struct Params<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Params<'a> {
@@ -306,7 +307,7 @@
             None => malformed(format!("required setting {path} is missing")),
         }
     }
-    /// An object list gives its length under `.count`; its items are looked up one by one.
+    /// Reads a list of objects: its length is under `path.count`, its items under `path.0` and so on.
     fn list<T>(
         &self,
         path: &str,
@@ -319,10 +320,10 @@
     }
 }
 
-/// Reads the settings of a start; unknown keys are skipped.
+/// Parses the settings of an instance. Unknown keys are ignored.
 ///
 /// # Errors
-/// Names a required key that is missing, unreadable or out of range.
+/// Names the required key that is missing, malformed or out of range.
 pub fn settings(text: &str) -> Result<Settings, WireError> {
     let params = Params(
         text.lines()
@@ -362,20 +363,20 @@
         })
     })?;
     let plans = params.list("plans", |at| {
-        let figure = |name: &str| params.get(&format!("{at}.{name}"));
+        let number = |name: &str| params.get(&format!("{at}.{name}"));
         Ok(Plan {
-            rate: figure("unitsPerS")?,
-            burst: figure("storeSize")?,
+            rate: number("unitsPerS")?,
+            burst: number("storeSize")?,
             open: params.get(&format!("{at}.concurrency"))?,
-            price: figure("price")?,
-            over_worth: figure("excessWorth")?,
-            over_cost: figure("overrunCost")?,
-            ceiling_rate: figure("neverOverRate")?,
-            ceiling_burst: figure("capDepth")?,
-            ceiling_slack: figure("tolerance")?,
+            price: number("price")?,
+            over_worth: number("excessWorth")?,
+            over_cost: number("overrunCost")?,
+            ceiling_rate: number("neverOverRate")?,
+            ceiling_burst: number("capDepth")?,
+            ceiling_slack: number("tolerance")?,
         })
     })?;
-    let advice: bool = params.get("bounds.retryAfter")?;
+    let sends_retry_after: bool = params.get("bounds.retryAfter")?;
     let settings = Settings {
         gateways: params.get("balancers")?,
         ordinal: params.get("ordinal")?,
@@ -387,7 +388,7 @@
         max_attempts: params.get("bounds.maxAttempts")?,
         may_duplicate: params.get("bounds.mayDuplicate")?,
         may_cancel: params.get("bounds.cancel")?,
-        max_retry_after: if advice {
+        max_retry_after: if sends_retry_after {
             params.get("bounds.maxRetryAfter")?
         } else {
             0.0
@@ -414,7 +415,7 @@
     Ok(settings)
 }
 
-/// A reply in the making.
+/// A reply under construction.
 #[derive(Debug, Default)]
 pub struct Reply {
     count: u32,
@@ -423,7 +424,7 @@
 }
 
 impl Reply {
-    /// Adds an action of an instance.
+    /// Appends an action of an instance.
     pub fn push(&mut self, instance: u16, action: &Action) {
         match action {
             Action::Send {
@@ -459,7 +460,7 @@
         }
     }
 
-    /// Declares that the decision code of an instance failed.
+    /// Reports that the decision code of an instance failed.
     pub fn report_failure(&mut self, instance: u16, text: &str) {
         self.text(92, instance, text);
     }
@@ -481,7 +482,7 @@
         self.records.resize(self.count as usize * ACTION_BYTES, 0);
     }
 
-    /// The frame.
+    /// Returns the encoded frame.
     pub fn into_bytes(self) -> Vec<u8> {
         let mut frame = Vec::with_capacity(8 + self.records.len() + self.tail.len());
         frame.extend(self.count.to_be_bytes());
