--- a/quota-gateway/src/balance.rs
+++ b/quota-gateway/src/balance.rs
@@ -11,7 +11,7 @@
 
 /// Weight of a new sample in a server's slowness: about its last ten.
 const SAMPLE_WEIGHT: f64 = 0.1;
-/// A server with attempts of this gateway in flight that has not last_answer for this many mean answer times is
+/// A server with attempts of this gateway in flight that has not answered for this many mean answer times is
 /// taken to hang.
 const HANG_AFTER_MEANS: f64 = 4.0;
 /// Mean answer times after which a server's measured slowness has decayed to a third.
@@ -23,13 +23,13 @@
 /// Fraction of a cold server's allowance that is used. The rest covers differences between requests and
 /// between gateways.
 const COLD_MARGIN: f64 = 0.7;
-/// Collapse windows (`tip_after`) for which unused allowance accumulates.
+/// Collapse windows (settings `tip_after`) for which unused allowance accumulates.
 const ALLOWANCE_WINDOWS: f64 = 0.4;
 /// Collapse windows for which successful answers are remembered.
 const THROUGHPUT_WINDOWS: f64 = 4.0;
 /// Minimum throughput assumed for a warm server, as a fraction of one core.
 const MIN_CORES: f64 = 0.5;
-/// Cost factor of a server in another zone: it breaks in_subset ties only.
+/// Cost factor of a server in another zone: it breaks near ties only.
 const REMOTE_ZONE_COST: f64 = 1.1;
 /// Lower bound of a server's slowness: being faster than this does not count, so that a few lucky answers
 /// do not attract all requests.
@@ -165,8 +165,8 @@
         });
     }
 
-    /// Disables a server on an operator's request, or enables it as of a time.
-    pub(crate) fn set_disabled(
+    /// Records since when an operator has enabled a server again; `None` disables it.
+    pub(crate) fn set_enabled(
         &mut self,
         id: ServerId,
         enabled_at: Option<Millis>,
--- a/quota-gateway/src/batch_admission.rs
+++ b/quota-gateway/src/batch_admission.rs
@@ -22,7 +22,7 @@
 //!
 //! The host must not ask about a job that may have been handed over before (a retry after an unclear answer): it may
 //! have been accepted, and a 429 promises that it never runs. The check therefore belongs where it is known whether the
-//! job was last_used before, or where the attempt is certainly its first.
+//! job was seen before, or where the attempt is certainly its first.
 
 use crate::interface::Millis;
 use crate::quota::MIN_ADMISSION_PROBABILITY;
--- a/quota-gateway/src/control.rs
+++ b/quota-gateway/src/control.rs
@@ -194,23 +194,17 @@
             Event::Request(request) => self.handle_request(request, actions),
             Event::AttemptEnd(end) => self.attempt_ended(end, false, actions),
             Event::ResponseStarted(end) => self.attempt_ended(end, true, actions),
-            Event::StreamStarted(request) | Event::ClientGone(request) => {
-                self.mark_answered(request)
-            }
+            Event::StreamStarted(request) | Event::ClientGone(request) => self.complete(request),
             Event::Timer(token) => match (token % 4, token / 4) {
                 (DEADLINE_TIMER, request) => self.finish_unserved(request, actions),
                 (REVIEW_TIMER, request) => self.review(request, actions),
                 _ => actions.push(Action::FollowServers),
             },
             Event::Servers { kind, entries } => self.update_servers(kind, entries, actions),
-            Event::ServerDisabled(id) => self.set_server_disabled(id, None),
-            Event::PredecessorInFlight(in_flight) => {
-                self.update_predecessor_in_flight(&in_flight, actions)
-            }
+            Event::ServerDisabled(id) => self.set_enabled(id, None),
+            Event::PredecessorInFlight(in_flight) => self.release_queued(&in_flight, actions),
             Event::HandoverAborted => self.handed_over = false,
-            Event::ServerEnabled { server, at } => {
-                self.set_server_disabled(server, Some(at.min(self.now)))
-            }
+            Event::ServerEnabled { server, at } => self.set_enabled(server, Some(at.min(self.now))),
         }
     }
 
@@ -444,9 +438,9 @@
         if (self.capacity_refusals > 0) != self.was_overloaded {
             self.was_overloaded = self.capacity_refusals > 0;
             let text = if self.was_overloaded {
-                "overloaded"
+                "pressed"
             } else {
-                "no longer overloaded"
+                "pressed no more"
             };
             let fraction = self.load.admitted_fraction;
             actions.push(Action::Log(format!(
@@ -853,7 +847,7 @@
                     attempt: n as u8,
                 }));
             }
-            self.mark_answered(id);
+            self.complete(id);
         }
     }
 
@@ -863,10 +857,10 @@
             request: id,
             retry_after,
         });
-        self.mark_answered(id);
+        self.complete(id);
     }
 
-    fn mark_answered(&mut self, id: RequestId) {
+    fn complete(&mut self, id: RequestId) {
         let Some(pending) = self.requests.get_mut(&id) else {
             return;
         };
@@ -935,11 +929,7 @@
     }
 
     /// Updates the predecessor's attempts in flight and dispatches the queued requests that now fit.
-    fn update_predecessor_in_flight(
-        &mut self,
-        in_flight: &BTreeMap<CustomerId, u32>,
-        actions: &mut Vec<Action>,
-    ) {
+    fn release_queued(&mut self, in_flight: &BTreeMap<CustomerId, u32>, actions: &mut Vec<Action>) {
         let mut next = Vec::new();
         for ((id, _), customer) in &mut self.customers {
             next.extend(customer.release_queued(in_flight.get(id).copied().unwrap_or(0)));
@@ -975,10 +965,10 @@
         self.update_server_count();
     }
 
-    /// Disables a server on an operator's request, or enables it as of a time.
-    fn set_server_disabled(&mut self, id: ServerId, enabled_at: Option<Millis>) {
+    /// Records since when an operator has enabled a server again; `None` disables it.
+    fn set_enabled(&mut self, id: ServerId, enabled_at: Option<Millis>) {
         self.fleet
-            .set_disabled(id, enabled_at, self.now, self.settings.cold_for);
+            .set_enabled(id, enabled_at, self.now, self.settings.cold_for);
         self.update_server_count();
     }
 
