--- a/quota-gateway/src/control.rs
+++ b/quota-gateway/src/control.rs
@@ -32,11 +32,11 @@
 /// that requests queue.
 const LATE_FRACTION: f64 = 0.35;
 /// Fraction by which late answers over one latency target reduce the admitted fraction ...
-const DECREASE: f64 = 0.7;
+const FRACTION_DECREASE: f64 = 0.7;
 /// ... and the growth factor for immediate answers over the same time, applied to the admitted fraction
-/// plus `INCREASE_OFFSET`. Answers that are nearly late add nothing.
-const INCREASE: f64 = 1.2;
-const INCREASE_OFFSET: f64 = 0.1;
+/// plus `FRACTION_INCREASE_OFFSET`. Answers that are nearly late add nothing.
+const FRACTION_INCREASE: f64 = 1.2;
+const FRACTION_INCREASE_OFFSET: f64 = 0.1;
 /// Attempts in flight per server, over all gateways, that cause no queueing whatever the answer times. Up to
 /// its own part of these a gateway admits regardless of the admitted fraction: idle servers give no
 /// feedback, so a gateway that refused everything would never recover.
@@ -403,7 +403,10 @@
         let earliness = 1.0 - elapsed / (LATE_FRACTION * aim);
         if earliness >= 0.0 {
             self.load.admitted_fraction = (self.load.admitted_fraction
-                + INCREASE * earliness * (self.load.admitted_fraction + INCREASE_OFFSET) * weight)
+                + FRACTION_INCREASE
+                    * earliness
+                    * (self.load.admitted_fraction + FRACTION_INCREASE_OFFSET)
+                    * weight)
                 .min(1.0);
             if 2.0 * (self.recent_in_flight(aim) + 1.0) >= self.load.in_flight_limit {
                 self.load.in_flight_limit += if self.load.slow_start {
@@ -417,7 +420,8 @@
             self.load.in_flight_limit = (self.load.in_flight_limit * LIMIT_DECREASE)
                 .max(self.unqueued_limit)
                 .max(1.0);
-            self.load.admitted_fraction = (self.load.admitted_fraction * (1.0 - DECREASE * weight))
+            self.load.admitted_fraction = (self.load.admitted_fraction
+                * (1.0 - FRACTION_DECREASE * weight))
                 .max(MIN_ADMITTED_FRACTION);
         }
     }
