--- a/alderhollow/src/balance/affinity.rs
+++ b/alderhollow/src/balance/affinity.rs
@@ -70,7 +70,7 @@
     }
 
     /// Part of the shared prefix that the backend at `place` is expected to read again.
-    pub(super) fn part_read(&self, place: usize) -> f64 {
+    pub(super) fn uncached_fraction(&self, place: usize) -> f64 {
         let is = |preferred: Option<(u64, usize)>| preferred.is_some_and(|(_, at)| at == place);
         if is(self.first) || (self.first.is_none() && is(self.elsewhere)) {
             READ_BY_FIRST
@@ -104,12 +104,12 @@
 
 impl Reuse<'_> {
     /// Part of the prefix that the backend at `place` is expected to read again.
-    pub(super) fn part_read(&self, place: usize, id_hash: u64) -> f64 {
+    pub(super) fn uncached_fraction(&self, place: usize, id_hash: u64) -> f64 {
         let Some(prefix) = self.prefix else {
             return READ_BY_FIRST;
         };
         let is_recent = self.sent.has(self.now, prefix, id_hash);
-        let by_order = self.preferred.part_read(place);
+        let by_order = self.preferred.uncached_fraction(place);
         match (self.is_placer, is_recent) {
             (true, true) => READ_BY_KNOWN,
             (true, false) => by_order.max(READ_BY_UNKNOWN),
--- a/alderhollow/src/balance/backends.rs
+++ b/alderhollow/src/balance/backends.rs
@@ -4,7 +4,7 @@
 use super::cold::{ColdBounds, SenderLists, StartLog};
 use super::hash::hash_name;
 use super::health::Health;
-use super::reading::{EngineSpeed, ReadingTimes};
+use super::prefill::{EngineSpeed, ReadingTimes};
 use super::Millis;
 use alderhollow_model::backend::{Backend, BackendState};
 use alderhollow_model::config::Service;
@@ -75,7 +75,7 @@
 
 impl UnderWay {
     /// How long the prompts of attempts that have not begun take to be read.
-    pub(super) fn reading_ms(&self) -> Millis {
+    pub(super) fn prefill_ms(&self) -> Millis {
         self.reading_us as f64 / 1000.0
     }
 }
--- a/alderhollow/src/balance/choice.rs
+++ b/alderhollow/src/balance/choice.rs
@@ -3,11 +3,11 @@
 use super::affinity::{Preferred, Reuse};
 use super::backends::{Member, Pool};
 use super::cold::SenderLists;
+use super::cost::{self, Cost, PoolState};
 use super::explanation::{Candidate, Explanation, Verdict};
 use super::health::Standing;
 use super::need::Need;
-use super::price::{self, PoolState, Price};
-use super::{Millis, NoBackend, Wanted};
+use super::{Millis, NoBackend, SelectionRequest};
 
 /// Random part of a cost, in milliseconds, so that equal backends share.
 const NOISE_MS: f64 = 0.5;
@@ -44,7 +44,7 @@
 pub(super) fn pick(
     now: Millis,
     pool: &mut Pool,
-    wanted: &Wanted,
+    wanted: &SelectionRequest,
     senders: &SenderLists,
     is_placer: bool,
     draw: &mut dyn FnMut() -> f64,
@@ -71,8 +71,9 @@
         }
         match admission(&state, member, &need, senders) {
             Admission::Open => {
-                let part_read = reuse.part_read(place, member.id_hash);
-                let cost = Price::of(&state, member, &need, part_read).total() + NOISE_MS * draw();
+                let uncached_fraction = reuse.uncached_fraction(place, member.id_hash);
+                let cost =
+                    Cost::of(&state, member, &need, uncached_fraction).total() + NOISE_MS * draw();
                 if best.is_none_or(|(least, _)| cost < least) {
                     best = Some((cost, place));
                 }
@@ -97,8 +98,9 @@
         (None, None, None) => return Err(NoBackend::NoneReady),
     };
     let wait_ms = members.get(place).map_or(0.0, |member| {
-        let part_read = reuse.part_read(place, member.id_hash);
-        price::wait_ahead(&state, member) + price::disturbance(&state, member, &need, part_read)
+        let uncached_fraction = reuse.uncached_fraction(place, member.id_hash);
+        cost::wait_ahead(&state, member)
+            + cost::interference(&state, member, &need, uncached_fraction)
     });
     let unread_tokens = note_sent(now, pool, preferred, &need, place, is_placer);
     Ok(Pick {
@@ -113,7 +115,7 @@
 pub(super) fn explain(
     now: Millis,
     pool: &mut Pool,
-    wanted: &Wanted,
+    wanted: &SelectionRequest,
     senders: &SenderLists,
     is_placer: bool,
 ) -> Explanation {
@@ -130,7 +132,7 @@
         is_placer,
     };
     let candidates = members.iter_mut().enumerate().map(|(place, member)| {
-        let part_read = reuse.part_read(place, member.id_hash);
+        let uncached_fraction = reuse.uncached_fraction(place, member.id_hash);
         let verdict = match admission(&state, member, &need, senders) {
             _ if !member.may_get_requests() => Verdict::Withdrawn,
             Admission::Open => Verdict::Open,
@@ -145,9 +147,9 @@
             backend: member.backend.id.clone(),
             zone: member.backend.zone.clone(),
             attempts: member.under_way.attempts,
-            part_read,
+            uncached_fraction,
             verdict,
-            price: Price::of(&state, member, &need, part_read),
+            cost: Cost::of(&state, member, &need, uncached_fraction),
         }
     });
     Explanation::new(wanted.service, candidates.collect())
@@ -158,7 +160,7 @@
 pub(super) fn pick_at(
     now: Millis,
     pool: &mut Pool,
-    wanted: &Wanted,
+    wanted: &SelectionRequest,
     senders: &SenderLists,
     backend: &str,
 ) -> Option<Pick> {
@@ -180,7 +182,7 @@
 pub(super) fn pick_told(
     now: Millis,
     pool: &mut Pool,
-    wanted: &Wanted,
+    wanted: &SelectionRequest,
     backend: &str,
     is_placer: bool,
 ) -> Option<Pick> {
@@ -218,11 +220,11 @@
         sent: &pool.sent,
         is_placer,
     };
-    let part_read = reuse.part_read(place, id_hash);
-    if let (Some(prefix), true) = (need.prefix, part_read > 0.0 && !is_placer) {
+    let uncached_fraction = reuse.uncached_fraction(place, id_hash);
+    if let (Some(prefix), true) = (need.prefix, uncached_fraction > 0.0 && !is_placer) {
         pool.sent.note(now, prefix, id_hash);
     }
-    need.unread_tokens(part_read)
+    need.unread_tokens(uncached_fraction)
 }
 
 fn preferred(pool: &Pool, need: &Need) -> Preferred {
--- a/alderhollow/src/balance/price.rs
+++ b/alderhollow/src/balance/cost.rs
@@ -3,14 +3,14 @@
 use super::backends::{Member, Pool, ServiceTerms};
 use super::cold::SenderLists;
 use super::need::Need;
-use super::reading::ReadingTimes;
+use super::prefill::ReadingTimes;
 use super::Millis;
 use minicbor::{Decode, Encode};
 
 /// Reading a shared part again is priced besides the time that it takes: as a part of that time.
 const READ_AGAIN_PRICE: f64 = 1.0;
 /// Sending to another zone: the bytes are priced.
-pub(crate) const OTHER_ZONE_ENGINE_MS: f64 = 60.0;
+pub(crate) const CROSS_ZONE_ENGINE_COST_MS: f64 = 60.0;
 /// At plain services, in usual times.
 const OTHER_ZONE_PLAIN: f64 = 0.25;
 /// What one own attempt under way at an engine counts for, to a sender that does not know the others'.
@@ -117,30 +117,30 @@
     }
 }
 
-/// The parts of a price. At plain services only `ahead_ms`, `other_zone_ms` and the last three are not 0.
+/// The parts of a price. At plain services only `queue_ms`, `cross_zone_ms` and the last three are not 0.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Encode, Decode)]
-pub struct Price {
+pub struct Cost {
     /// What is known to be ahead of the request: prompts to be read, and slots to become free.
     #[n(0)]
-    pub ahead_ms: Millis,
+    pub queue_ms: Millis,
     /// Reading its own prompt.
     #[n(1)]
-    pub reading_ms: Millis,
+    pub prefill_ms: Millis,
     /// The extra price of shared parts that are read again although another backend keeps them.
     #[n(2)]
-    pub read_again_ms: Millis,
+    pub duplicate_prefill_ms: Millis,
     /// Own attempts under way, to a sender that does not know the others'.
     #[n(3)]
-    pub running_ms: Millis,
+    pub in_flight_ms: Millis,
     /// The bytes to another zone.
     #[n(4)]
-    pub other_zone_ms: Millis,
+    pub cross_zone_ms: Millis,
     /// Too little memory.
     #[n(5)]
     pub memory_ms: Millis,
     /// Streams that come late because the prompt is read beside them.
     #[n(6)]
-    pub disturbance_ms: Millis,
+    pub interference_ms: Millis,
     /// Slower answers than expected.
     #[n(7)]
     pub slowness_ms: Millis,
@@ -152,17 +152,22 @@
     pub burst_ms: Millis,
 }
 
-impl Price {
+impl Cost {
     /// The price of a request at a backend that is expected to read this part of the shared prefix.
-    pub(super) fn of(state: &PoolState, member: &mut Member, need: &Need, part_read: f64) -> Price {
+    pub(super) fn of(
+        state: &PoolState,
+        member: &mut Member,
+        need: &Need,
+        uncached_fraction: f64,
+    ) -> Cost {
         let place = if state.is_engine() {
-            engine_price(state, member, need, part_read)
+            engine_price(state, member, need, uncached_fraction)
         } else {
             plain_price(state, member)
         };
         let slowness = member.health.slowness(state.now);
         let failing = (member.health.failure_share(state.now) - FEW_FAILURES).max(0.0);
-        Price {
+        Cost {
             slowness_ms: if slowness > SLOW {
                 (slowness - 1.0) * state.usual_ms
             } else {
@@ -176,19 +181,19 @@
 
     /// All parts together.
     pub fn total(&self) -> Millis {
-        self.parts().iter().map(|(_, part_ms)| part_ms).sum()
+        self.components().iter().map(|(_, part_ms)| part_ms).sum()
     }
 
     /// All parts with their names.
-    pub fn parts(&self) -> [(&'static str, Millis); 10] {
+    pub fn components(&self) -> [(&'static str, Millis); 10] {
         [
-            ("ahead", self.ahead_ms),
-            ("reading", self.reading_ms),
-            ("read again", self.read_again_ms),
-            ("running", self.running_ms),
-            ("other zone", self.other_zone_ms),
+            ("ahead", self.queue_ms),
+            ("reading", self.prefill_ms),
+            ("read again", self.duplicate_prefill_ms),
+            ("running", self.in_flight_ms),
+            ("other zone", self.cross_zone_ms),
             ("memory", self.memory_ms),
-            ("disturbance", self.disturbance_ms),
+            ("disturbance", self.interference_ms),
             ("slowness", self.slowness_ms),
             ("failures", self.failures_ms),
             ("burst", self.burst_ms),
@@ -197,69 +202,73 @@
 }
 
 /// Reading comes first: what is ahead of the prompt, and what of it is not kept there.
-fn engine_price(state: &PoolState, member: &Member, need: &Need, part_read: f64) -> Price {
-    let unread_ms = state.reading.expected(need.unread_tokens(part_read));
+fn engine_price(state: &PoolState, member: &Member, need: &Need, uncached_fraction: f64) -> Cost {
+    let unread_ms = state
+        .reading
+        .expected(need.unread_tokens(uncached_fraction));
     let again_ms = state
         .reading
-        .expected((need.shared_tokens() * part_read) as u64);
+        .expected((need.shared_tokens() * uncached_fraction) as u64);
     let held =
         member.under_way.tokens as f64 + state.others * state.mean_tokens + need.tokens as f64;
-    Price {
-        ahead_ms: wait_ahead(state, member),
-        reading_ms: member.speed.reading(unread_ms),
-        read_again_ms: again_ms * READ_AGAIN_PRICE,
-        running_ms: if state.is_placer {
+    Cost {
+        queue_ms: wait_ahead(state, member),
+        prefill_ms: member.speed.reading(unread_ms),
+        duplicate_prefill_ms: again_ms * READ_AGAIN_PRICE,
+        in_flight_ms: if state.is_placer {
             0.0
         } else {
             f64::from(member.under_way.attempts) * RUNNING_MS
         },
-        other_zone_ms: if member.own_zone {
+        cross_zone_ms: if member.own_zone {
             0.0
         } else {
-            OTHER_ZONE_ENGINE_MS
+            CROSS_ZONE_ENGINE_COST_MS
         },
         memory_ms: if held > state.capacity_tokens() {
             OUT_OF_MEMORY_MS
         } else {
             0.0
         },
-        disturbance_ms: disturbance(state, member, need, part_read),
-        ..Price::default()
+        interference_ms: interference(state, member, need, uncached_fraction),
+        ..Cost::default()
     }
 }
 
 /// The expected wait, with the other senders taken to have as much under way as this one has on average.
-fn plain_price(state: &PoolState, member: &Member) -> Price {
+fn plain_price(state: &PoolState, member: &Member) -> Cost {
     let attempts = f64::from(member.under_way.attempts) + state.others * state.mean_attempts;
     let filled = (attempts + 1.0) / f64::from(member.slots(&state.terms));
-    Price {
-        ahead_ms: filled * state.usual_ms,
-        other_zone_ms: if member.own_zone {
+    Cost {
+        queue_ms: filled * state.usual_ms,
+        cross_zone_ms: if member.own_zone {
             0.0
         } else {
             OTHER_ZONE_PLAIN * state.usual_ms
         },
-        ..Price::default()
+        ..Cost::default()
     }
 }
 
 /// What reading the prompt costs the streams that run there: while an engine reads, their events come late. Only a placer
 /// knows them all.
-pub(super) fn disturbance(
+pub(super) fn interference(
     state: &PoolState,
     member: &Member,
     need: &Need,
-    part_read: f64,
+    uncached_fraction: f64,
 ) -> Millis {
     if !state.is_placer {
         return 0.0;
     }
-    let own_ms = member
-        .speed
-        .reading(state.reading.expected(need.unread_tokens(part_read)));
-    let reading_ms = member.under_way.reading_ms() + own_ms;
+    let own_ms = member.speed.reading(
+        state
+            .reading
+            .expected(need.unread_tokens(uncached_fraction)),
+    );
+    let prefill_ms = member.under_way.prefill_ms() + own_ms;
     let gap_aim_ms = state.terms.gap_aim_ms;
-    let noticed_ms = reading_ms - gap_aim_ms * UNNOTICED_READING_PART;
+    let noticed_ms = prefill_ms - gap_aim_ms * UNNOTICED_READING_PART;
     let part_late = (noticed_ms / (gap_aim_ms * NOTICED_WITHIN_PART)).clamp(0.0, 1.0);
     f64::from(member.under_way.live) * part_late * LATE_STREAM_MS
 }
@@ -267,7 +276,7 @@
 /// What is known to be ahead of a request at an engine: prompts to be read, and slots to become free.
 pub(super) fn wait_ahead(state: &PoolState, member: &Member) -> Millis {
     let queued = f64::from(member.under_way.attempts) + 1.0 - f64::from(member.slots(&state.terms));
-    member.under_way.reading_ms() + queued.max(0.0) * QUEUED_MS
+    member.under_way.prefill_ms() + queued.max(0.0) * QUEUED_MS
 }
 
 fn burst_price(state: &PoolState, member: &mut Member) -> Millis {
--- a/alderhollow/src/balance/explanation.rs
+++ b/alderhollow/src/balance/explanation.rs
@@ -1,6 +1,6 @@
 //! The reason of a choice: every backend of a service with the verdict on it and the parts of its price.
 
-use super::price::Price;
+use super::cost::Cost;
 use super::Millis;
 use minicbor::{Decode, Encode};
 
@@ -29,13 +29,13 @@
     pub attempts: u32,
     /// Part of the prompt's shared prefix that it is expected to read.
     #[n(3)]
-    pub part_read: f64,
+    pub uncached_fraction: f64,
     /// Whether it may take the request.
     #[n(4)]
     pub verdict: Verdict,
     /// What the request would cost there.
     #[n(5)]
-    pub price: Price,
+    pub cost: Cost,
 }
 
 /// Whether a backend may take a request.
@@ -80,7 +80,7 @@
     pub(super) fn new(service: &str, mut candidates: Vec<Candidate>) -> Explanation {
         candidates.sort_by(|one, other| {
             let by_verdict = one.verdict.rank().cmp(&other.verdict.rank());
-            by_verdict.then(one.price.total().total_cmp(&other.price.total()))
+            by_verdict.then(one.cost.total().total_cmp(&other.cost.total()))
         });
         Explanation {
             service: service.to_string(),
@@ -96,13 +96,17 @@
     }
 
     /// The part of the price that speaks most for the chosen backend against the next one.
-    pub fn decisive_part(&self) -> Option<&'static str> {
+    pub fn decisive_component(&self) -> Option<&'static str> {
         let chosen = self.chosen()?;
         let next = self
             .candidates
             .get(1)
             .filter(|candidate| candidate.verdict == Verdict::Open)?;
-        let differences = chosen.price.parts().into_iter().zip(next.price.parts());
+        let differences = chosen
+            .cost
+            .components()
+            .into_iter()
+            .zip(next.cost.components());
         let gains =
             differences.map(|((name, chosen_ms), (_, next_ms))| (name, next_ms - chosen_ms));
         let (name, gain_ms) = gains.max_by(|(_, one), (_, other)| one.total_cmp(other))?;
--- a/alderhollow/src/balance/mod.rs
+++ b/alderhollow/src/balance/mod.rs
@@ -14,17 +14,17 @@
 mod backends;
 mod choice;
 mod cold;
+mod cost;
 mod explanation;
 pub(crate) mod hash;
 mod health;
 mod need;
-mod price;
-mod reading;
+mod prefill;
 
 pub use cold::ColdBounds;
+pub use cost::Cost;
+pub(crate) use cost::CROSS_ZONE_ENGINE_COST_MS;
 pub use explanation::{Candidate, Explanation, Verdict};
-pub use price::Price;
-pub(crate) use price::OTHER_ZONE_ENGINE_MS;
 
 use affinity::SharedPrefix;
 use alderhollow_model::backend::Backend;
@@ -53,7 +53,7 @@
 
 /// What a backend is wanted for.
 #[derive(Debug, Clone)]
-pub struct Wanted<'a> {
+pub struct SelectionRequest<'a> {
     /// The service.
     pub service: &'a str,
     /// The prompt, for model engines.
@@ -198,7 +198,7 @@
 
     /// One that chooses for all senders, among the backends of its zone alone. It is told of all attempts there; the
     /// allowances of cold backends bind at the senders.
-    pub fn of_zone(node: &str, zone: &str, seed: u64) -> Balancer {
+    pub fn placer_for_zone(node: &str, zone: &str, seed: u64) -> Balancer {
         Balancer {
             is_placer: true,
             ..Balancer::new(node, zone, seed)
@@ -283,7 +283,7 @@
     ///
     /// # Errors
     /// Says why there is none.
-    pub fn choose(&mut self, now: Millis, wanted: &Wanted) -> Result<Choice, NoBackend> {
+    pub fn choose(&mut self, now: Millis, wanted: &SelectionRequest) -> Result<Choice, NoBackend> {
         self.senders.expire(now);
         let rng = &mut self.rng;
         let pool = self
@@ -303,7 +303,7 @@
     }
 
     /// What [`Balancer::choose`] would weigh at this moment; `None` for a service that has no backend. Nothing is booked.
-    pub fn explain(&mut self, now: Millis, wanted: &Wanted) -> Option<Explanation> {
+    pub fn explain(&mut self, now: Millis, wanted: &SelectionRequest) -> Option<Explanation> {
         self.senders.expire(now);
         let pool = self.table.pools.get_mut(wanted.service)?;
         Some(choice::explain(
@@ -316,7 +316,12 @@
     }
 
     /// Takes the backend that a placer chose, if this process may send to it now.
-    pub fn choose_at(&mut self, now: Millis, wanted: &Wanted, backend: &str) -> Option<Choice> {
+    pub fn choose_at(
+        &mut self,
+        now: Millis,
+        wanted: &SelectionRequest,
+        backend: &str,
+    ) -> Option<Choice> {
         self.senders.expire(now);
         let pool = self.table.pools.get_mut(wanted.service)?;
         let pick = choice::pick_at(now, pool, wanted, &self.senders, backend)?;
@@ -324,21 +329,26 @@
     }
 
     /// Notes that a sender has just chosen a backend for itself, whatever would have spoken against it here.
-    pub fn note_choice(&mut self, now: Millis, wanted: &Wanted, backend: &str) -> Option<Choice> {
+    pub fn record_choice(
+        &mut self,
+        now: Millis,
+        wanted: &SelectionRequest,
+        backend: &str,
+    ) -> Option<Choice> {
         let pool = self.table.pools.get_mut(wanted.service)?;
         let pick = choice::pick_told(now, pool, wanted, backend, self.is_placer)?;
         self.book(now, wanted, pick)
     }
 
     /// Notes an attempt that a sender began at some time before. Its first event tells nothing of the time that it took.
-    pub fn note_earlier_choice(
+    pub fn record_earlier_choice(
         &mut self,
         now: Millis,
-        wanted: &Wanted,
+        wanted: &SelectionRequest,
         backend: &str,
         has_begun: bool,
     ) -> Option<Choice> {
-        let choice = self.note_choice(now, wanted, backend)?;
+        let choice = self.record_choice(now, wanted, backend)?;
         let under_way = self.attempts.get_mut(&choice.attempt)?;
         under_way.is_start_known = false;
         if has_begun {
@@ -385,7 +395,12 @@
             .is_some_and(|pool| pool.terms.capacity_tokens.is_some())
     }
 
-    fn book(&mut self, now: Millis, wanted: &Wanted, pick: choice::Pick) -> Option<Choice> {
+    fn book(
+        &mut self,
+        now: Millis,
+        wanted: &SelectionRequest,
+        pick: choice::Pick,
+    ) -> Option<Choice> {
         let pool = self.table.pools.get_mut(wanted.service)?;
         let need = Need::of(wanted);
         let member = pool.members.get_mut(pick.place)?;
@@ -396,10 +411,10 @@
         member.under_way.live += u32::from(!need.is_low_rank());
         member.under_way.tokens += need.tokens;
         let reads_at_once = member.under_way.reading_us == 0 && member.under_way.attempts <= slots;
-        let reading_ms = member
+        let prefill_ms = member
             .speed
             .reading(pool.reading.expected(pick.unread_tokens));
-        let reading_us = (reading_ms * 1000.0) as u64;
+        let reading_us = (prefill_ms * 1000.0) as u64;
         member.under_way.reading_us += reading_us;
         member.health.started(now, attempt, pick.expected);
         if pool.terms.cold_bound.is_some() {
@@ -431,7 +446,7 @@
     }
 
     /// Notes that the first event or the answer's head came.
-    pub fn began(&mut self, now: Millis, attempt: u64) {
+    pub fn response_started(&mut self, now: Millis, attempt: u64) {
         let Some(under_way) = self.attempts.get_mut(&attempt) else {
             return;
         };
@@ -487,7 +502,7 @@
     /// Notes how an attempt ended.
     pub fn ended(&mut self, now: Millis, attempt: u64, outcome: Outcome) {
         if outcome == Outcome::Served {
-            self.began(now, attempt);
+            self.response_started(now, attempt);
         }
         let Some(under_way) = self.attempts.remove(&attempt) else {
             return;
--- a/alderhollow/src/balance/need.rs
+++ b/alderhollow/src/balance/need.rs
@@ -1,7 +1,7 @@
 //! What one request needs of a backend.
 
 use super::affinity::SharedPrefix;
-use super::Wanted;
+use super::SelectionRequest;
 
 /// Part of a shared prefix that a request takes of the memory: requests that run together hold it once.
 const SHARED_MEMORY_PART: f64 = 0.5;
@@ -25,7 +25,7 @@
 
 impl Need {
     /// The need of a request.
-    pub(super) fn of(wanted: &Wanted) -> Need {
+    pub(super) fn of(wanted: &SelectionRequest) -> Need {
         let tokens_in = wanted
             .prompt
             .map_or(0, |prompt| u64::from(prompt.tokens_in));
@@ -64,8 +64,8 @@
     }
 
     /// Prompt tokens that are to be read where this part of the shared prefix is.
-    pub(super) fn unread_tokens(&self, part_read: f64) -> u64 {
-        let kept = self.shared_tokens() * (1.0 - part_read);
+    pub(super) fn unread_tokens(&self, uncached_fraction: f64) -> u64 {
+        let kept = self.shared_tokens() * (1.0 - uncached_fraction);
         (self.tokens_in as f64 - kept).max(0.0) as u64
     }
 }
--- a/alderhollow/src/exchange/attempt.rs
+++ b/alderhollow/src/exchange/attempt.rs
@@ -42,7 +42,7 @@
         self.exchange
             .balancer
             .borrow_mut()
-            .began(now, self.choice.attempt);
+            .response_started(now, self.choice.attempt);
         if let Some(told) = &self.told {
             told.client.began(told.number);
         }
--- a/alderhollow/src/exchange/mod.rs
+++ b/alderhollow/src/exchange/mod.rs
@@ -11,7 +11,7 @@
 pub mod prompt;
 pub mod tables;
 
-use crate::balance::{Balancer, Millis, NoBackend, Outcome, Wanted};
+use crate::balance::{Balancer, Millis, NoBackend, Outcome, SelectionRequest};
 use crate::placement::client::PlacementClient;
 use crate::routing::ServicePicker;
 use crate::SnapshotReceiver;
@@ -151,7 +151,7 @@
     ///
     /// # Errors
     /// There is none that may get the request now.
-    pub fn choose(self: &Rc<Self>, wanted: &Wanted) -> Result<Attempt, NoBackend> {
+    pub fn choose(self: &Rc<Self>, wanted: &SelectionRequest) -> Result<Attempt, NoBackend> {
         self.tables();
         let choice = self.balancer.borrow_mut().choose(self.now(), wanted)?;
         let told = self.placement.as_ref().and_then(|placement| {
--- a/alderhollow/src/exchange/placing.rs
+++ b/alderhollow/src/exchange/placing.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::{Attempt, Told};
 use super::Exchange;
-use crate::balance::{Explanation, NoBackend, Wanted};
+use crate::balance::{Explanation, NoBackend, SelectionRequest};
 use crate::placement::client::PlacementClient;
 use crate::placement::message::Demand;
 use crate::placement::offers::{zones_to_ask, NoOffer, Offer, Offers};
@@ -19,7 +19,10 @@
     ///
     /// # Errors
     /// There is none that may get the request now.
-    pub async fn place(self: &Rc<Self>, wanted: &Wanted<'_>) -> Result<Attempt, NoBackend> {
+    pub async fn place(
+        self: &Rc<Self>,
+        wanted: &SelectionRequest<'_>,
+    ) -> Result<Attempt, NoBackend> {
         let Some(placement) = &self.placement else {
             return self.choose(wanted);
         };
@@ -61,7 +64,7 @@
     }
 
     /// What is asked of a placer; `None` for requests that are not for a model engine.
-    pub(super) fn demand(&self, wanted: &Wanted) -> Option<Demand> {
+    pub(super) fn demand(&self, wanted: &SelectionRequest) -> Option<Demand> {
         let balancer = self.balancer.borrow();
         if !balancer.is_engine(wanted.service) {
             return None;
--- a/alderhollow/src/executor/mod.rs
+++ b/alderhollow/src/executor/mod.rs
@@ -12,7 +12,7 @@
 pub mod outbound;
 pub mod pacing;
 
-use crate::balance::{Millis, NoBackend, Wanted};
+use crate::balance::{Millis, NoBackend, SelectionRequest};
 use crate::clock::SteadyClock;
 use crate::exchange::patience::{Alternatives, Patience, Permission};
 use crate::exchange::{prompt, Exchange};
@@ -110,7 +110,7 @@
             }
         };
         let prompt = prompt::read(outbound.headers());
-        let wanted = Wanted {
+        let wanted = SelectionRequest {
             service: &service,
             prompt: prompt.as_ref(),
             priority: route.priority,
--- a/alderhollow/src/http_server/tries.rs
+++ b/alderhollow/src/http_server/tries.rs
@@ -3,7 +3,7 @@
 use super::body::AnswerBody;
 use super::intake::Gathered;
 use super::replies::{self, COME_AGAIN};
-use crate::balance::{NoBackend, Outcome, Prompt, Wanted};
+use crate::balance::{NoBackend, Outcome, Prompt, SelectionRequest};
 use crate::exchange::answer::Answer;
 use crate::exchange::attempt::Attempt;
 use crate::exchange::outbound::Outbound;
@@ -209,8 +209,8 @@
         }
     }
 
-    fn wanted(&self) -> Wanted<'_> {
-        Wanted {
+    fn wanted(&self) -> SelectionRequest<'_> {
+        SelectionRequest {
             service: &self.job.service,
             prompt: self.job.prompt.as_ref(),
             priority: self.job.route.priority,
--- a/alderhollow/src/placement/ledger.rs
+++ b/alderhollow/src/placement/ledger.rs
@@ -48,7 +48,7 @@
     /// One that knows of no attempt yet. `node` and `zone` are the placer's own.
     pub fn new(node: &str, zone: &str, seed: u64) -> Ledger {
         Ledger {
-            balancer: Balancer::of_zone(node, zone, seed),
+            balancer: Balancer::placer_for_zone(node, zone, seed),
             senders: BTreeMap::new(),
             looked_at: 0.0,
         }
@@ -133,7 +133,7 @@
             Event::Started(under_way) => self.start(now, sender, under_way, StartTime::JustNow),
             Event::Began(number) => {
                 if let Some(attempt) = self.number_of(sender, *number) {
-                    self.balancer.began(now, attempt);
+                    self.balancer.response_started(now, attempt);
                 }
             }
             Event::Ended(number, end) => self.end(now, sender, *number, Outcome::from(*end)),
@@ -163,17 +163,17 @@
     fn start(&mut self, now: Millis, sender: Incarnation, told: &UnderWay, start_time: StartTime) {
         if let Some(attempt) = self.number_of(sender, told.number) {
             if told.has_begun {
-                self.balancer.began(now, attempt);
+                self.balancer.response_started(now, attempt);
             }
             return;
         }
         let prompt = told.demand.prompt();
         let wanted = told.demand.wanted(&prompt);
         let choice = match start_time {
-            StartTime::JustNow => self.balancer.note_choice(now, &wanted, &told.backend),
+            StartTime::JustNow => self.balancer.record_choice(now, &wanted, &told.backend),
             StartTime::Earlier => {
                 self.balancer
-                    .note_earlier_choice(now, &wanted, &told.backend, told.has_begun)
+                    .record_earlier_choice(now, &wanted, &told.backend, told.has_begun)
             }
         };
         if let Some(choice) = choice {
--- a/alderhollow/src/placement/message.rs
+++ b/alderhollow/src/placement/message.rs
@@ -1,6 +1,6 @@
 //! Messages of [`ServiceId::Placement`](crate::internal::ServiceId).
 
-use crate::balance::{NoBackend, Outcome, Prompt, Wanted};
+use crate::balance::{NoBackend, Outcome, Prompt, SelectionRequest};
 use alderhollow_model::identity::Incarnation;
 use minicbor::{Decode, Encode};
 
@@ -51,7 +51,7 @@
 
 impl Demand {
     /// The demand of a request for tokens; `None` for one without a prompt.
-    pub fn of(wanted: &Wanted, except: Vec<String>) -> Option<Demand> {
+    pub fn of(wanted: &SelectionRequest, except: Vec<String>) -> Option<Demand> {
         let prompt = wanted.prompt?;
         let part = |&(id, tokens): &(u64, u32)| PromptPart { id, tokens };
         Some(Demand {
@@ -65,8 +65,8 @@
     }
 
     /// The same as it is put to a balancer, with its prompt.
-    pub fn wanted<'a>(&'a self, prompt: &'a Prompt) -> Wanted<'a> {
-        Wanted {
+    pub fn wanted<'a>(&'a self, prompt: &'a Prompt) -> SelectionRequest<'a> {
+        SelectionRequest {
             service: &self.service,
             prompt: Some(prompt),
             priority: self.priority,
--- a/alderhollow/src/placement/offers.rs
+++ b/alderhollow/src/placement/offers.rs
@@ -1,7 +1,7 @@
 //! Which zones' placers are asked for one request, and which of their offers is kept. No I/O.
 
 use super::message::Placement;
-use crate::balance::{Millis, OTHER_ZONE_ENGINE_MS};
+use crate::balance::{Millis, CROSS_ZONE_ENGINE_COST_MS};
 
 /// Besides the own zone, so many are asked where the own one has nothing good.
 const OTHER_ZONES_ASKED: usize = 2;
@@ -56,7 +56,7 @@
                 let other_zone_ms = if zone == self.own_zone {
                     0.0
                 } else {
-                    OTHER_ZONE_ENGINE_MS
+                    CROSS_ZONE_ENGINE_COST_MS
                 };
                 let offer = Offer {
                     zone: zone.to_string(),
@@ -89,7 +89,7 @@
     pub fn is_enough(&self) -> bool {
         self.best
             .as_ref()
-            .is_some_and(|best| best.wait_ms <= OTHER_ZONE_ENGINE_MS)
+            .is_some_and(|best| best.wait_ms <= CROSS_ZONE_ENGINE_COST_MS)
     }
 
     /// The best one.
--- a/alderhollow/src/status/choice_display.rs
+++ b/alderhollow/src/status/choice_display.rs
@@ -1,7 +1,7 @@
 //! The reason of a choice as text: the chosen backend, what decided, and each backend with its price.
 
 use super::message::ChoiceReport;
-use crate::balance::{Candidate, Explanation, Price, Verdict};
+use crate::balance::{Candidate, Cost, Explanation, Verdict};
 use std::fmt::{self, Display, Formatter};
 
 /// Parts of a price below this are not shown, in milliseconds.
@@ -18,7 +18,7 @@
     let Some(explanation) = explanation else {
         return writeln!(f, "{view}: knows no backend of the service");
     };
-    match (explanation.chosen(), explanation.decisive_part()) {
+    match (explanation.chosen(), explanation.decisive_component()) {
         (Some(chosen), Some(part)) => writeln!(f, "{view}: {}, decided by {part}", chosen.backend)?,
         (Some(chosen), None) => writeln!(
             f,
@@ -38,9 +38,9 @@
         backend,
         zone,
         attempts,
-        part_read,
+        uncached_fraction,
         verdict,
-        price,
+        cost,
     } = candidate;
     write!(f, "  {backend} in {zone}: ")?;
     match verdict {
@@ -52,14 +52,14 @@
     write!(
         f,
         ", {attempts} under way, reads {:.0}% of the shared prefix, ",
-        part_read * 100.0
+        uncached_fraction * 100.0
     )?;
-    show_price(f, price)
+    show_cost(f, cost)
 }
 
-fn show_price(f: &mut Formatter<'_>, price: &Price) -> fmt::Result {
-    write!(f, "price {:.1}", price.total())?;
-    let parts = price.parts();
+fn show_cost(f: &mut Formatter<'_>, cost: &Cost) -> fmt::Result {
+    write!(f, "price {:.1}", cost.total())?;
+    let parts = cost.components();
     let shown: Vec<String> = parts
         .iter()
         .filter(|(_, part_ms)| part_ms.abs() >= SHOWN_FROM_MS)
--- a/alderhollow/tests/balance_choice.rs
+++ b/alderhollow/tests/balance_choice.rs
@@ -2,7 +2,7 @@
 
 mod balance_support;
 
-use alderhollow::balance::{Balancer, NoBackend, Outcome, Wanted};
+use alderhollow::balance::{Balancer, NoBackend, Outcome, SelectionRequest};
 use alderhollow_model::backend::BackendState;
 use balance_support::{backend, node_name, prompt, wanted, Tables, ENGINES, PLAIN, ZONES};
 use proptest::prelude::*;
@@ -105,7 +105,7 @@
     let choice = balancer
         .choose(now, &wanted(ENGINES, Some(&prompt)))
         .expect("there is a backend");
-    balancer.began(now + 40.0, choice.attempt);
+    balancer.response_started(now + 40.0, choice.attempt);
     balancer.ended(now + 50.0, choice.attempt, Outcome::Served);
     choice.backend.id.clone()
 }
@@ -207,7 +207,7 @@
         let choice = balancer
             .choose(now, &wanted(ENGINES, Some(&prompt)))
             .expect("there is room");
-        balancer.began(now, choice.attempt);
+        balancer.response_started(now, choice.attempt);
         ends.push((now + 500.0, choice.attempt));
         *attempts.entry(choice.backend.id.clone()).or_insert(0) += 1;
     }
@@ -296,7 +296,7 @@
 fn low_ranks_are_refused_first() {
     let tables = Tables::new(ENGINES, 1, 1);
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
-    let low = Wanted {
+    let low = SelectionRequest {
         priority: 2,
         ..wanted(ENGINES, None)
     };
@@ -315,7 +315,7 @@
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     let mut tried = Vec::new();
     for _ in 0..3 {
-        let wanted = Wanted {
+        let wanted = SelectionRequest {
             tried: &tried,
             ..wanted(PLAIN, None)
         };
@@ -323,7 +323,7 @@
         assert!(!tried.contains(&choice.backend.id));
         tried.push(choice.backend.id.clone());
     }
-    let none = Wanted {
+    let none = SelectionRequest {
         tried: &tried,
         ..wanted(PLAIN, None)
     };
--- a/alderhollow/tests/balance_cold.rs
+++ b/alderhollow/tests/balance_cold.rs
@@ -42,7 +42,7 @@
             .entry(choice.backend.id.clone())
             .or_default()
             .push(now);
-        balancer.began(now, choice.attempt);
+        balancer.response_started(now, choice.attempt);
         balancer.ended(now, choice.attempt, Outcome::Served);
     }
 }
--- a/alderhollow/tests/balance_support/mod.rs
+++ b/alderhollow/tests/balance_support/mod.rs
@@ -1,7 +1,7 @@
 //! Tables and requests for the tests of the balancer.
 #![allow(dead_code)]
 
-use alderhollow::balance::{Balancer, ColdBounds, Millis, Prompt, Wanted};
+use alderhollow::balance::{Balancer, ColdBounds, Millis, Prompt, SelectionRequest};
 use alderhollow_model::backend::{Backend, BackendList, BackendState};
 use alderhollow_model::config::{Config, Engine, Route, Service};
 use alderhollow_model::identity::Address;
@@ -140,8 +140,8 @@
 }
 
 /// A request of the highest rank.
-pub(crate) fn wanted<'a>(service: &'a str, prompt: Option<&'a Prompt>) -> Wanted<'a> {
-    Wanted {
+pub(crate) fn wanted<'a>(service: &'a str, prompt: Option<&'a Prompt>) -> SelectionRequest<'a> {
+    SelectionRequest {
         service,
         prompt,
         priority: 0,
--- a/alderhollow/tests/choice_explanation.rs
+++ b/alderhollow/tests/choice_explanation.rs
@@ -75,7 +75,7 @@
     let explanation = explain(&mut ledger, 30.0, &demand(80_000, 0));
     let chosen = explanation.chosen().expect("one may take it");
     assert_ne!(chosen.backend, with_stream);
-    assert_eq!(explanation.decisive_part(), Some("disturbance"));
+    assert_eq!(explanation.decisive_component(), Some("disturbance"));
 }
 
 #[test]
@@ -180,7 +180,7 @@
             .candidates
             .iter()
             .find(|candidate| (candidate.backend == busy) == is_busy);
-        found.expect("both are told").price.ahead_ms
+        found.expect("both are told").cost.queue_ms
     };
     assert!(price_at(true) > price_at(false), "{explanation:?}");
 }
@@ -241,11 +241,11 @@
             prop_assert_eq!(&placed, &place(&mut silent, now, number, &demand));
             match placed {
                 Placement::At { backend, .. } => {
-                    let best = explanation.chosen().expect("one may take it").price.total();
+                    let best = explanation.chosen().expect("one may take it").cost.total();
                     let taken = explanation.candidates.iter().find(|candidate| candidate.backend == backend);
                     let taken = taken.expect("it is a candidate");
                     prop_assert!(taken.verdict == Verdict::Open);
-                    prop_assert!(taken.price.total() <= best + NOISE_MS, "{:?}", taken);
+                    prop_assert!(taken.cost.total() <= best + NOISE_MS, "{:?}", taken);
                 }
                 _ => prop_assert!(explanation.chosen().is_none(), "{:?}", explanation),
             }
--- a/alderhollow/tests/compatibility.rs
+++ b/alderhollow/tests/compatibility.rs
@@ -1,6 +1,6 @@
 //! Messages between processes and stored state have the bytes that earlier builds wrote.
 
-use alderhollow::balance::{Candidate, Explanation, Price, Verdict};
+use alderhollow::balance::{Candidate, Cost, Explanation, Verdict};
 use alderhollow::batch_protocol::{
     ReplicationNotice, StoreAnswer, StoreCall, StoreReply, TenantReading,
 };
@@ -580,14 +580,14 @@
         };
         check(&mut recorded, &format!("core_{name}"), &core);
     }
-    let price = Price {
-        ahead_ms: 1.0,
-        reading_ms: 2.0,
-        read_again_ms: 3.0,
-        running_ms: 4.0,
-        other_zone_ms: 5.0,
+    let cost = Cost {
+        queue_ms: 1.0,
+        prefill_ms: 2.0,
+        duplicate_prefill_ms: 3.0,
+        in_flight_ms: 4.0,
+        cross_zone_ms: 5.0,
         memory_ms: 6.0,
-        disturbance_ms: 7.0,
+        interference_ms: 7.0,
         slowness_ms: 8.0,
         failures_ms: 9.0,
         burst_ms: 10.0,
@@ -602,9 +602,9 @@
         backend: "b-1".into(),
         zone: "east".into(),
         attempts: 3,
-        part_read: 0.25,
+        uncached_fraction: 0.25,
         verdict,
-        price,
+        cost,
     });
     let explanation = Explanation {
         service: "llm".into(),
--- a/alderhollow/tests/http_server.rs
+++ b/alderhollow/tests/http_server.rs
@@ -514,14 +514,14 @@
 #[test]
 fn a_backend_that_drains_between_the_choice_and_the_first_byte_gets_nothing() {
     run(async {
-        use alderhollow::balance::{Outcome, Wanted};
+        use alderhollow::balance::{Outcome, SelectionRequest};
         use alderhollow::exchange::outbound::Outbound;
         use alderhollow::exchange::patience::Patience;
         use alderhollow::exchange::Unanswered;
         use hyper::header::{HeaderMap, HeaderValue};
 
         let gateway = Gateway::start(1).await;
-        let wanted = Wanted {
+        let wanted = SelectionRequest {
             service: "plain",
             prompt: None,
             priority: 0,
--- a/placement-model/src/policy.rs
+++ b/placement-model/src/policy.rs
@@ -2,7 +2,7 @@
 
 use crate::settings::Settings;
 use crate::traffic::Request;
-use alderhollow::balance::{Balancer, NoBackend, Outcome, Wanted};
+use alderhollow::balance::{Balancer, NoBackend, Outcome, SelectionRequest};
 use alderhollow::placement::ledger::Ledger;
 use alderhollow::placement::message::{AttemptId, Demand, End, Event, PlaceRequest, Report};
 use alderhollow::placement::offers::{zones_to_ask, Offers};
@@ -160,7 +160,7 @@
         priority: u32,
     ) -> Option<usize> {
         let prompt = &request.prompt;
-        let wanted = Wanted {
+        let wanted = SelectionRequest {
             service: SERVICE,
             prompt: Some(prompt),
             priority,
@@ -223,7 +223,7 @@
             return;
         };
         match &mut self.choosers {
-            Choosers::Senders(balancers) => balancers[place].began(now, attempt),
+            Choosers::Senders(balancers) => balancers[place].response_started(now, attempt),
             Choosers::Placers {
                 delay_ms, pending, ..
             } => {
