--- a/alderhollow/src/balance/affinity.rs
+++ b/alderhollow/src/balance/affinity.rs
@@ -31,36 +31,36 @@
 
 /// The first backends in rendezvous order, by their place in the table.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(super) struct Preferred {
+pub(super) struct RendezvousOrder {
     first: Option<(u64, usize)>,
     second: Option<(u64, usize)>,
-    elsewhere: Option<(u64, usize)>,
+    remote: Option<(u64, usize)>,
 }
 
 /// Part of a shared prefix that a backend is expected to read.
-const READ_BY_FIRST: f64 = 0.0;
-const READ_BY_SECOND: f64 = 0.8;
-const READ_BY_FIRST_ELSEWHERE: f64 = 0.9;
-const READ_BY_OTHERS: f64 = 1.0;
+const UNCACHED_AT_FIRST: f64 = 0.0;
+const UNCACHED_AT_SECOND: f64 = 0.8;
+const UNCACHED_AT_REMOTE_FIRST: f64 = 0.9;
+const UNCACHED_AT_OTHERS: f64 = 1.0;
 /// Of one that was sent the prefix lately, though it is not the first.
-const READ_BY_RECENT: f64 = 0.25;
+const UNCACHED_AT_RECENT: f64 = 0.25;
 /// To a placer: of one that read the prefix lately, and of all others at the least. It prefers the first in order a little,
 /// as senders do who choose for themselves.
-const READ_BY_KNOWN: f64 = 0.0;
-const READ_BY_UNKNOWN: f64 = 0.9;
+const UNCACHED_AT_KNOWN_HOLDER: f64 = 0.0;
+const UNCACHED_AT_NON_HOLDER: f64 = 0.9;
 
-impl Preferred {
+impl RendezvousOrder {
     /// Considers a backend.
-    pub(super) fn offer(
+    pub(super) fn insert(
         &mut self,
-        place: usize,
+        index: usize,
         id_hash: u64,
         prefix: SharedPrefix,
         own_zone: bool,
     ) {
-        let scored = Some((mix(prefix.hash, id_hash), place));
+        let scored = Some((mix(prefix.hash, id_hash), index));
         if !own_zone {
-            self.elsewhere = self.elsewhere.max(scored);
+            self.remote = self.remote.max(scored);
         } else if scored > self.first {
             self.second = self.first;
             self.first = scored;
@@ -70,50 +70,52 @@
     }
 
     /// Part of the shared prefix that the backend at `place` is expected to read again.
-    pub(super) fn uncached_fraction(&self, place: usize) -> f64 {
-        let is = |preferred: Option<(u64, usize)>| preferred.is_some_and(|(_, at)| at == place);
-        if is(self.first) || (self.first.is_none() && is(self.elsewhere)) {
-            READ_BY_FIRST
+    pub(super) fn uncached_fraction(&self, index: usize) -> f64 {
+        let is = |rendezvous_order: Option<(u64, usize)>| {
+            rendezvous_order.is_some_and(|(_, at)| at == index)
+        };
+        if is(self.first) || (self.first.is_none() && is(self.remote)) {
+            UNCACHED_AT_FIRST
         } else if is(self.second) {
-            READ_BY_SECOND
-        } else if is(self.elsewhere) {
-            READ_BY_FIRST_ELSEWHERE
+            UNCACHED_AT_SECOND
+        } else if is(self.remote) {
+            UNCACHED_AT_REMOTE_FIRST
         } else {
-            READ_BY_OTHERS
+            UNCACHED_AT_OTHERS
         }
     }
 }
 
 /// How long a backend that was sent a prefix is taken to hold it.
-const KEPT_MS: Millis = 15_000.0;
+const PREFIX_TTL_MS: Millis = 15_000.0;
 /// Most prefixes that are remembered.
-const MOST_PREFIXES: usize = 4096;
+const MAX_PREFIXES: usize = 4096;
 /// Shorter ones are read in no time, and are not remembered.
-const LEAST_TOKENS: u64 = 512;
+const MIN_PREFIX_TOKENS: u64 = 512;
 
 /// Where the shared prefix of one request is likely to be kept.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Reuse<'a> {
+pub(super) struct PrefixReuse<'a> {
     pub(super) now: Millis,
     pub(super) prefix: Option<SharedPrefix>,
-    pub(super) preferred: Preferred,
-    pub(super) sent: &'a SentPrefixes,
+    pub(super) rendezvous_order: RendezvousOrder,
+    pub(super) prefix_locations: &'a PrefixLocations,
     /// Whether all that the backends read is known here: then a prefix is kept where it was read, and only there.
     pub(super) is_placer: bool,
 }
 
-impl Reuse<'_> {
+impl PrefixReuse<'_> {
     /// Part of the prefix that the backend at `place` is expected to read again.
-    pub(super) fn uncached_fraction(&self, place: usize, id_hash: u64) -> f64 {
+    pub(super) fn uncached_fraction(&self, index: usize, id_hash: u64) -> f64 {
         let Some(prefix) = self.prefix else {
-            return READ_BY_FIRST;
+            return UNCACHED_AT_FIRST;
         };
-        let is_recent = self.sent.has(self.now, prefix, id_hash);
-        let by_order = self.preferred.uncached_fraction(place);
+        let is_recent = self.prefix_locations.contains(self.now, prefix, id_hash);
+        let by_order = self.rendezvous_order.uncached_fraction(index);
         match (self.is_placer, is_recent) {
-            (true, true) => READ_BY_KNOWN,
-            (true, false) => by_order.max(READ_BY_UNKNOWN),
-            (false, true) => by_order.min(READ_BY_RECENT),
+            (true, true) => UNCACHED_AT_KNOWN_HOLDER,
+            (true, false) => by_order.max(UNCACHED_AT_NON_HOLDER),
+            (false, true) => by_order.min(UNCACHED_AT_RECENT),
             (false, false) => by_order,
         }
     }
@@ -122,38 +124,43 @@
 /// Prefixes that backends were sent lately, and which. A placer notes all that were read; a sender notes those that it
 /// sends to others than the first in order.
 #[derive(Debug, Default)]
-pub(super) struct SentPrefixes {
+pub(super) struct PrefixLocations {
     /// By hash of the prefix: hashes of the backends' ids, and when.
-    sent: BTreeMap<u64, Vec<(u64, Millis)>>,
+    prefix_locations: BTreeMap<u64, Vec<(u64, Millis)>>,
 }
 
-impl SentPrefixes {
+impl PrefixLocations {
     /// Notes that a backend was sent a prefix, or that its first event showed that it had read it.
-    pub(super) fn note(&mut self, now: Millis, prefix: SharedPrefix, id_hash: u64) {
-        if prefix.tokens < LEAST_TOKENS {
+    pub(super) fn record(&mut self, now: Millis, prefix: SharedPrefix, id_hash: u64) {
+        if prefix.tokens < MIN_PREFIX_TOKENS {
             return;
         }
-        if self.sent.len() >= MOST_PREFIXES && !self.sent.contains_key(&prefix.hash) {
-            self.forget_old(now);
-            if self.sent.len() >= MOST_PREFIXES {
+        if self.prefix_locations.len() >= MAX_PREFIXES
+            && !self.prefix_locations.contains_key(&prefix.hash)
+        {
+            self.evict_expired(now);
+            if self.prefix_locations.len() >= MAX_PREFIXES {
                 return;
             }
         }
-        let backends = self.sent.entry(prefix.hash).or_default();
-        backends.retain(|(id, at)| *id != id_hash && now - at < KEPT_MS);
+        let backends = self.prefix_locations.entry(prefix.hash).or_default();
+        backends.retain(|(id, at)| *id != id_hash && now - at < PREFIX_TTL_MS);
         backends.push((id_hash, now));
     }
 
     /// Whether a backend was sent a prefix lately.
-    fn has(&self, now: Millis, prefix: SharedPrefix, id_hash: u64) -> bool {
-        let backends = self.sent.get(&prefix.hash).map_or(&[][..], Vec::as_slice);
+    fn contains(&self, now: Millis, prefix: SharedPrefix, id_hash: u64) -> bool {
+        let backends = self
+            .prefix_locations
+            .get(&prefix.hash)
+            .map_or(&[][..], Vec::as_slice);
         backends
             .iter()
-            .any(|(id, at)| *id == id_hash && now - at < KEPT_MS)
+            .any(|(id, at)| *id == id_hash && now - at < PREFIX_TTL_MS)
     }
 
-    fn forget_old(&mut self, now: Millis) {
-        self.sent
-            .retain(|_, backends| backends.iter().any(|(_, at)| now - at < KEPT_MS));
+    fn evict_expired(&mut self, now: Millis) {
+        self.prefix_locations
+            .retain(|_, backends| backends.iter().any(|(_, at)| now - at < PREFIX_TTL_MS));
     }
 }
--- a/alderhollow/src/balance/affinity/tests.rs
+++ b/alderhollow/src/balance/affinity/tests.rs
@@ -3,35 +3,38 @@
 fn prefix(hash: u64) -> SharedPrefix {
     SharedPrefix {
         hash,
-        tokens: LEAST_TOKENS,
+        tokens: MIN_PREFIX_TOKENS,
     }
 }
 
 #[test]
 fn no_more_prefixes_are_remembered_than_the_bound_whatever_comes() {
-    let mut sent = SentPrefixes::default();
-    (0..3 * MOST_PREFIXES as u64).for_each(|hash| sent.note(1.0, prefix(hash), 7));
-    assert_eq!(sent.sent.len(), MOST_PREFIXES);
-    assert!(sent.has(2.0, prefix(0), 7), "the known ones stay");
-    assert!(!sent.has(2.0, prefix(2 * MOST_PREFIXES as u64), 7));
+    let mut prefix_locations = PrefixLocations::default();
+    (0..3 * MAX_PREFIXES as u64).for_each(|hash| prefix_locations.record(1.0, prefix(hash), 7));
+    assert_eq!(prefix_locations.prefix_locations.len(), MAX_PREFIXES);
+    assert!(
+        prefix_locations.contains(2.0, prefix(0), 7),
+        "the known ones stay"
+    );
+    assert!(!prefix_locations.contains(2.0, prefix(2 * MAX_PREFIXES as u64), 7));
 }
 
 #[test]
 fn prefixes_that_nobody_keeps_any_more_make_room() {
-    let mut sent = SentPrefixes::default();
-    (0..MOST_PREFIXES as u64).for_each(|hash| sent.note(0.0, prefix(hash), 7));
-    sent.note(KEPT_MS + 1.0, prefix(u64::MAX), 7);
-    assert!(sent.has(KEPT_MS + 2.0, prefix(u64::MAX), 7));
-    assert_eq!(sent.sent.len(), 1);
+    let mut prefix_locations = PrefixLocations::default();
+    (0..MAX_PREFIXES as u64).for_each(|hash| prefix_locations.record(0.0, prefix(hash), 7));
+    prefix_locations.record(PREFIX_TTL_MS + 1.0, prefix(u64::MAX), 7);
+    assert!(prefix_locations.contains(PREFIX_TTL_MS + 2.0, prefix(u64::MAX), 7));
+    assert_eq!(prefix_locations.prefix_locations.len(), 1);
 }
 
 #[test]
 fn short_prefixes_are_not_remembered() {
-    let mut sent = SentPrefixes::default();
+    let mut prefix_locations = PrefixLocations::default();
     let short = SharedPrefix {
         hash: 1,
-        tokens: LEAST_TOKENS - 1,
+        tokens: MIN_PREFIX_TOKENS - 1,
     };
-    sent.note(0.0, short, 7);
-    assert!(!sent.has(1.0, short, 7));
+    prefix_locations.record(0.0, short, 7);
+    assert!(!prefix_locations.contains(1.0, short, 7));
 }
--- a/alderhollow/src/balance/backends.rs
+++ b/alderhollow/src/balance/backends.rs
@@ -1,10 +1,10 @@
 //! The table of backends: what the newest list says of each, and what this process has under way at it.
 
-use super::affinity::SentPrefixes;
+use super::affinity::PrefixLocations;
 use super::cold::{ColdBounds, SenderLists, StartLog};
 use super::hash::hash_name;
 use super::health::Health;
-use super::prefill::{EngineSpeed, ReadingTimes};
+use super::prefill::{EngineSpeed, PrefillTimes};
 use super::Millis;
 use alderhollow_model::backend::{Backend, BackendState};
 use alderhollow_model::config::Service;
@@ -14,15 +14,15 @@
 /// Beyond what the list says, a backend counts as cold for so long: the list is late, and clocks of requests differ.
 const COLD_MARGIN_MS: Millis = 500.0;
 /// Beyond `cold-start-s`, after a zone was taken back: the backend may have turned cold shortly before.
-const TAKEN_BACK_MARGIN_MS: Millis = 1000.0;
+const EVACUATION_END_MARGIN_MS: Millis = 1000.0;
 /// The longest pause that is in time where no route says one.
-const USUAL_GAP_AIM_MS: Millis = 300.0;
+const DEFAULT_GAP_AIM_MS: Millis = 300.0;
 /// Slots of a backend whose entry says none.
-const LEAST_SLOTS: u32 = 1;
+const MIN_SLOTS: u32 = 1;
 
 /// What of a service's configuration matters to the choice.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct ServiceTerms {
+pub(super) struct ServiceParams {
     pub(super) cold_start_ms: Millis,
     /// Requests that a cold backend may get within a second, from all senders; `None`: no bound.
     pub(super) cold_bound: Option<f64>,
@@ -33,10 +33,10 @@
     pub(super) gap_aim_ms: Millis,
 }
 
-impl ServiceTerms {
+impl ServiceParams {
     /// The terms for one who starts nothing itself.
-    pub(super) fn without_cold_bound(self) -> ServiceTerms {
-        ServiceTerms {
+    pub(super) fn without_cold_bound(self) -> ServiceParams {
+        ServiceParams {
             cold_bound: None,
             ..self
         }
@@ -47,36 +47,36 @@
         service: Option<&Service>,
         gap_aim_ms: Option<Millis>,
         bounds: ColdBounds,
-    ) -> ServiceTerms {
+    ) -> ServiceParams {
         let engine = service.and_then(|service| service.engine.as_ref());
         let cold_per_s = service.map_or(0.0, |service| service.cold_per_s);
-        ServiceTerms {
+        ServiceParams {
             cold_start_ms: service.map_or(0.0, |service| service.cold_start_s.max(0.0) * 1000.0),
             cold_bound: (cold_per_s > 0.0).then(|| bounds.per_second(cold_per_s)),
             capacity_tokens: engine.map(|engine| engine.kv_capacity_tokens.unwrap_or(u64::MAX)),
             engine_slots: engine.and_then(|engine| engine.slots),
-            gap_aim_ms: gap_aim_ms.unwrap_or(USUAL_GAP_AIM_MS),
+            gap_aim_ms: gap_aim_ms.unwrap_or(DEFAULT_GAP_AIM_MS),
         }
     }
 }
 
 /// What this process has under way at one backend.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub(super) struct UnderWay {
+pub(super) struct InFlight {
     /// Attempts.
     pub(super) attempts: u32,
     /// Those of them that somebody waits for: of a rank that is not low.
-    pub(super) live: u32,
+    pub(super) interactive: u32,
     /// Tokens of these, in and out.
     pub(super) tokens: u64,
     /// Microseconds that reading the prompts takes, of attempts that have not begun.
-    pub(super) reading_us: u64,
+    pub(super) prefill_us: u64,
 }
 
-impl UnderWay {
+impl InFlight {
     /// How long the prompts of attempts that have not begun take to be read.
     pub(super) fn prefill_ms(&self) -> Millis {
-        self.reading_us as f64 / 1000.0
+        self.prefill_us as f64 / 1000.0
     }
 }
 
@@ -87,7 +87,7 @@
     pub(super) id_hash: u64,
     pub(super) own_zone: bool,
     pub(super) evacuated: bool,
-    pub(super) under_way: UnderWay,
+    pub(super) in_flight: InFlight,
     pub(super) health: Health,
     pub(super) starts: StartLog,
     pub(super) speed: EngineSpeed,
@@ -103,7 +103,7 @@
             backend,
             own_zone,
             evacuated: false,
-            under_way: UnderWay::default(),
+            in_flight: InFlight::default(),
             health: Health::new(),
             starts: StartLog::default(),
             speed: EngineSpeed::default(),
@@ -118,13 +118,13 @@
     }
 
     /// Requests that it works on at once.
-    pub(super) fn slots(&self, terms: &ServiceTerms) -> u32 {
+    pub(super) fn slots(&self, params: &ServiceParams) -> u32 {
         let listed = if self.backend.slots > 0 {
             Some(self.backend.slots)
         } else {
-            terms.engine_slots
+            params.engine_slots
         };
-        listed.unwrap_or(LEAST_SLOTS).max(LEAST_SLOTS)
+        listed.unwrap_or(MIN_SLOTS).max(MIN_SLOTS)
     }
 
     /// Whether it is cold.
@@ -155,7 +155,7 @@
         allowance
     }
 
-    fn cold_at_least_until(&mut self, until: Millis) {
+    fn extend_cold_until(&mut self, until: Millis) {
         self.cold_until = self.cold_until.max(until);
     }
 }
@@ -163,24 +163,24 @@
 /// The backends of one service.
 #[derive(Debug)]
 pub(super) struct Pool {
-    pub(super) terms: ServiceTerms,
+    pub(super) params: ServiceParams,
     /// In the order of their ids.
     pub(super) members: Vec<Member>,
-    pub(super) usual: UsualTimes,
-    pub(super) reading: ReadingTimes,
-    pub(super) demand: Demand,
-    pub(super) sent: SentPrefixes,
+    pub(super) response_times: ResponseTimes,
+    pub(super) prefill: PrefillTimes,
+    pub(super) request_rate: RequestRate,
+    pub(super) prefix_locations: PrefixLocations,
 }
 
 impl Pool {
-    fn new(terms: ServiceTerms) -> Pool {
+    fn new(params: ServiceParams) -> Pool {
         Pool {
-            terms,
+            params,
             members: Vec::new(),
-            usual: UsualTimes::default(),
-            reading: ReadingTimes::default(),
-            demand: Demand::default(),
-            sent: SentPrefixes::default(),
+            response_times: ResponseTimes::default(),
+            prefill: PrefillTimes::default(),
+            request_rate: RequestRate::default(),
+            prefix_locations: PrefixLocations::default(),
         }
     }
 
@@ -191,52 +191,52 @@
 
     /// The member with an id.
     pub(super) fn member(&self, id: &str) -> Option<&Member> {
-        let place = self
+        let index = self
             .members
             .binary_search_by(|member| member.backend.id.as_str().cmp(id))
             .ok()?;
-        self.members.get(place)
+        self.members.get(index)
     }
 }
 
 /// The member with an id, of members in the order of their ids.
 pub(super) fn find_mut<'a>(members: &'a mut [Member], id: &str) -> Option<&'a mut Member> {
-    let place = members
+    let index = members
         .binary_search_by(|member| member.backend.id.as_str().cmp(id))
         .ok()?;
-    members.get_mut(place)
+    members.get_mut(index)
 }
 
 /// Weight of a new answer in the usual times.
-const USUAL_SAMPLE: f64 = 0.05;
+const RESPONSE_TIME_WEIGHT: f64 = 0.05;
 /// What an answer is expected to take before any has come.
-const FIRST_USUAL_MS: Millis = 50.0;
+const INITIAL_RESPONSE_MS: Millis = 50.0;
 
 /// Most that a request's size counts for, against the mean one.
-const MOST_SIZE: f64 = 8.0;
+const MAX_RELATIVE_SIZE: f64 = 8.0;
 
 /// What the first sign of an answer usually takes at a service.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct UsualTimes {
+pub(super) struct ResponseTimes {
     mean_ms: Millis,
     /// Mean prompt tokens; `None` before the first answer.
     mean_tokens: Option<f64>,
 }
 
-impl Default for UsualTimes {
-    fn default() -> UsualTimes {
-        UsualTimes {
-            mean_ms: FIRST_USUAL_MS,
+impl Default for ResponseTimes {
+    fn default() -> ResponseTimes {
+        ResponseTimes {
+            mean_ms: INITIAL_RESPONSE_MS,
             mean_tokens: None,
         }
     }
 }
 
-impl UsualTimes {
+impl ResponseTimes {
     /// Time to the first sign of a request with so many prompt tokens. Half of the usual time goes with the size.
     pub(super) fn expected(&self, tokens: u64) -> Millis {
         let size = match self.mean_tokens {
-            Some(mean) if mean >= 1.0 => (tokens as f64 / mean).min(MOST_SIZE),
+            Some(mean) if mean >= 1.0 => (tokens as f64 / mean).min(MAX_RELATIVE_SIZE),
             _ => 1.0,
         };
         self.mean_ms * (0.5 + 0.5 * size)
@@ -248,37 +248,37 @@
     }
 
     /// Takes in an answer.
-    pub(super) fn learn(&mut self, took: Millis, tokens: u64) {
+    pub(super) fn learn(&mut self, elapsed: Millis, tokens: u64) {
         // One slow backend must not make itself the measure of the others.
-        let bounded = took.clamp(0.0, 4.0 * self.mean_ms.max(1.0));
-        self.mean_ms += USUAL_SAMPLE * (bounded - self.mean_ms);
+        let bounded = elapsed.clamp(0.0, 4.0 * self.mean_ms.max(1.0));
+        self.mean_ms += RESPONSE_TIME_WEIGHT * (bounded - self.mean_ms);
         let mean = self.mean_tokens.get_or_insert(tokens as f64);
-        *mean += USUAL_SAMPLE * (tokens as f64 - *mean);
+        *mean += RESPONSE_TIME_WEIGHT * (tokens as f64 - *mean);
     }
 }
 
 /// Time over which the demand is averaged.
-const DEMAND_MEMORY_MS: Millis = 3000.0;
+const REQUEST_RATE_DECAY_MS: Millis = 3000.0;
 
 /// Requests a second for which this process asked for a backend, in the average of late.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Demand {
-    per_second: f64,
+pub(super) struct RequestRate {
+    request_rate: f64,
     at: Millis,
 }
 
-impl Demand {
+impl RequestRate {
     /// Notes a request and returns the rate.
-    pub(super) fn note(&mut self, now: Millis) -> f64 {
-        self.per_second = self.per_second(now) + 1000.0 / DEMAND_MEMORY_MS;
+    pub(super) fn record(&mut self, now: Millis) -> f64 {
+        self.request_rate = self.request_rate(now) + 1000.0 / REQUEST_RATE_DECAY_MS;
         self.at = now;
-        self.per_second
+        self.request_rate
     }
 
     /// The rate at a moment.
-    pub(super) fn per_second(&self, now: Millis) -> f64 {
-        let kept = (-(now - self.at).max(0.0) / DEMAND_MEMORY_MS).exp();
-        self.per_second * kept
+    pub(super) fn request_rate(&self, now: Millis) -> f64 {
+        let decay = (-(now - self.at).max(0.0) / REQUEST_RATE_DECAY_MS).exp();
+        self.request_rate * decay
     }
 }
 
@@ -289,7 +289,7 @@
     service_of: BTreeMap<String, String>,
     evacuated: BTreeSet<String>,
     /// Instances of which a 421 told that they are gone.
-    gone: BTreeSet<String>,
+    removed: BTreeSet<String>,
     has_list: bool,
 }
 
@@ -314,8 +314,8 @@
     }
 
     /// Takes an instance out for the rest of this incarnation.
-    pub(super) fn forget(&mut self, id: &str) {
-        self.gone.insert(id.to_string());
+    pub(super) fn remove_instance(&mut self, id: &str) {
+        self.removed.insert(id.to_string());
         let Some(service) = self.service_of.remove(id) else {
             return;
         };
@@ -329,19 +329,19 @@
         &mut self,
         now: Millis,
         tables: &NewTables,
-        terms_of: impl Fn(&str) -> ServiceTerms,
+        params_of: impl Fn(&str) -> ServiceParams,
     ) {
         let mut known = self.take_members();
         for backend in tables.backends {
-            if self.gone.contains(&backend.id) {
+            if self.removed.contains(&backend.id) {
                 continue;
             }
-            let terms = terms_of(&backend.service);
+            let params = params_of(&backend.service);
             let member = match known.remove(&backend.id) {
                 Some(member) if member.backend.service == backend.service => member,
-                _ => self.first_seen(now, backend, tables.own_zone, &terms),
+                _ => self.new_member(now, backend, tables.own_zone, &params),
             };
-            self.place(now, member, backend, tables, terms);
+            self.insert_member(now, member, backend, tables, params);
         }
         for pool in self.pools.values_mut() {
             pool.members
@@ -363,38 +363,38 @@
     }
 
     /// A backend that an earlier list did not have has started during traffic, and is cold.
-    fn first_seen(
+    fn new_member(
         &self,
         now: Millis,
         backend: &Backend,
         own_zone: &str,
-        terms: &ServiceTerms,
+        params: &ServiceParams,
     ) -> Member {
         let mut member = Member::new(Arc::new(backend.clone()), backend.zone == own_zone);
         if self.has_list {
-            member.cold_at_least_until(now + terms.cold_start_ms);
+            member.extend_cold_until(now + params.cold_start_ms);
         }
         member
     }
 
-    fn place(
+    fn insert_member(
         &mut self,
         now: Millis,
         mut member: Member,
         listed: &Backend,
         tables: &NewTables,
-        terms: ServiceTerms,
+        params: ServiceParams,
     ) {
         if *member.backend != *listed {
             member.backend = Arc::new(listed.clone());
         }
         if listed.cold_remaining_ms > 0 {
             let remaining = listed.cold_remaining_ms as f64;
-            member.cold_at_least_until(tables.listed_at + remaining + COLD_MARGIN_MS);
+            member.extend_cold_until(tables.listed_at + remaining + COLD_MARGIN_MS);
         }
         member.evacuated = tables.evacuated.contains(&listed.zone);
         if self.evacuated.contains(&listed.zone) && !member.evacuated {
-            member.cold_at_least_until(now + terms.cold_start_ms + TAKEN_BACK_MARGIN_MS);
+            member.extend_cold_until(now + params.cold_start_ms + EVACUATION_END_MARGIN_MS);
         }
         member.allowance = None;
         self.service_of
@@ -402,8 +402,8 @@
         let pool = self
             .pools
             .entry(listed.service.clone())
-            .or_insert_with(|| Pool::new(terms));
-        pool.terms = terms;
+            .or_insert_with(|| Pool::new(params));
+        pool.params = params;
         pool.members.push(member);
     }
 }
--- a/alderhollow/src/balance/cold.rs
+++ b/alderhollow/src/balance/cold.rs
@@ -37,17 +37,17 @@
 }
 
 /// Window over which a sender counts its own starts: a second, and what a start may be late on its way.
-pub(super) const WINDOW_MS: Millis = 1150.0;
+pub(super) const START_WINDOW_MS: Millis = 1150.0;
 /// Part of the bound that is given out at all.
-const GIVEN_OUT: f64 = 0.9;
+const ALLOCATED_FRACTION: f64 = 0.9;
 /// Fewest senders that share a backend's allowance, where there are so many.
-const FEWEST_SENDERS: usize = 6;
+const MIN_SENDERS_PER_BACKEND: usize = 6;
 /// Cold backends that each sender may use on average if all of a service's are cold.
 const BACKENDS_PER_SENDER: usize = 4;
 /// Fewest senders, beyond those picked, for which room is left because their lists differ.
-const FEWEST_STRAYS: usize = 2;
+const MIN_EXTRA_SENDERS: usize = 2;
 /// A larger part in the allowance counts only after this time: until then others may act on the older list.
-const HOLD_MS: Millis = 1500.0;
+const PREVIOUS_LIST_TTL_MS: Millis = 1500.0;
 
 /// How many senders share one backend's allowance, and how much each gets.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -59,28 +59,28 @@
 impl Shares {
     /// The shares for a bound on the sum, where `senders` processes serve `backends` backends.
     fn of(bound: f64, senders: usize, backends: usize) -> Shares {
-        let wanted = (BACKENDS_PER_SENDER * senders)
+        let request = (BACKENDS_PER_SENDER * senders)
             .div_ceil(backends.max(1))
-            .max(FEWEST_SENDERS);
-        let given_out = (bound * GIVEN_OUT).max(0.0) as usize;
-        let mut picked = wanted.min(senders).min(given_out);
-        while picked > 0 && Shares::with_strays(picked) > given_out {
-            picked -= 1;
+            .max(MIN_SENDERS_PER_BACKEND);
+        let allocated = (bound * ALLOCATED_FRACTION).max(0.0) as usize;
+        let mut selected = request.min(senders).min(allocated);
+        while selected > 0 && Shares::with_extra_senders(selected) > allocated {
+            selected -= 1;
         }
-        let starts = if picked == 0 {
+        let starts = if selected == 0 {
             0
         } else {
-            given_out / Shares::with_strays(picked)
+            allocated / Shares::with_extra_senders(selected)
         };
         Shares {
-            senders: picked,
+            senders: selected,
             starts,
         }
     }
 
     /// The senders for which there must be room if `picked` are picked from each list.
-    fn with_strays(picked: usize) -> usize {
-        picked + FEWEST_STRAYS.max(picked.div_ceil(2))
+    fn with_extra_senders(selected: usize) -> usize {
+        selected + MIN_EXTRA_SENDERS.max(selected.div_ceil(2))
     }
 }
 
@@ -122,10 +122,10 @@
 impl SenderLists {
     /// Before the first list: nothing may be sent to a cold backend.
     pub(super) fn new(node: &str) -> SenderLists {
-        let none = SenderHashes(Vec::new());
+        let empty = SenderHashes(Vec::new());
         SenderLists {
             own: hash_name(node),
-            current: none,
+            current: empty,
             previous: VecDeque::new(),
             generation: 0,
         }
@@ -142,7 +142,8 @@
             return;
         }
         let replaced = std::mem::replace(&mut self.current, newest);
-        self.previous.push_back((now + HOLD_MS, replaced));
+        self.previous
+            .push_back((now + PREVIOUS_LIST_TTL_MS, replaced));
         self.generation += 1;
     }
 
@@ -192,7 +193,7 @@
 
 impl StartLog {
     /// Notes a start.
-    pub(super) fn note(&mut self, now: Millis) {
+    pub(super) fn record(&mut self, now: Millis) {
         self.starts.push_back(now);
     }
 
@@ -201,7 +202,7 @@
         while self
             .starts
             .front()
-            .is_some_and(|start| *start <= now - WINDOW_MS)
+            .is_some_and(|start| *start <= now - START_WINDOW_MS)
         {
             self.starts.pop_front();
         }
@@ -209,7 +210,7 @@
     }
 
     /// When the oldest start leaves the window.
-    pub(super) fn oldest_leaves(&self) -> Option<Millis> {
-        self.starts.front().map(|start| start + WINDOW_MS)
+    pub(super) fn next_expiry(&self) -> Option<Millis> {
+        self.starts.front().map(|start| start + START_WINDOW_MS)
     }
 }
--- a/alderhollow/src/balance/cost.rs
+++ b/alderhollow/src/balance/cost.rs
@@ -1,62 +1,62 @@
 //! What a request would cost at one backend, in milliseconds of expected delay, or worth as much.
 
-use super::backends::{Member, Pool, ServiceTerms};
+use super::backends::{Member, Pool, ServiceParams};
 use super::cold::SenderLists;
-use super::need::Need;
-use super::prefill::ReadingTimes;
+use super::prefill::PrefillTimes;
+use super::requirements::Requirements;
 use super::Millis;
 use minicbor::{Decode, Encode};
 
 /// Reading a shared part again is priced besides the time that it takes: as a part of that time.
-const READ_AGAIN_PRICE: f64 = 1.0;
+const DUPLICATE_PREFILL_FACTOR: f64 = 1.0;
 /// Sending to another zone: the bytes are priced.
 pub(crate) const CROSS_ZONE_ENGINE_COST_MS: f64 = 60.0;
 /// At plain services, in usual times.
-const OTHER_ZONE_PLAIN: f64 = 0.25;
+const CROSS_ZONE_PLAIN_FACTOR: f64 = 0.25;
 /// What one own attempt under way at an engine counts for, to a sender that does not know the others'.
-const RUNNING_MS: f64 = 1.5;
+const IN_FLIGHT_ATTEMPT_MS: f64 = 1.5;
 /// What a failed answer costs, and the share of failures that is passed over.
-const FAILURE_MS: f64 = 500.0;
-const FEW_FAILURES: f64 = 0.1;
+const FAILURE_COST_MS: f64 = 500.0;
+const TOLERATED_FAILURE_SHARE: f64 = 0.1;
 /// A backend that is slower than this, in expected times, is avoided.
-const SLOW: f64 = 1.5;
+const TOLERATED_SLOWNESS: f64 = 1.5;
 /// An engine whose memory is full puts requests back.
-const OUT_OF_MEMORY_MS: f64 = 1000.0;
+const OUT_OF_MEMORY_COST_MS: f64 = 1000.0;
 /// Going beyond the own part of what a backend would bear if it turned cold.
-const BURST_MS: f64 = 2000.0;
+const BURST_COST_MS: f64 = 2000.0;
 /// Part of the bound on cold backends that is shared out while they are warm, ...
-const WARM_PART: f64 = 0.9;
+const WARM_SHARED_FRACTION: f64 = 0.9;
 /// ... the most of it that one sender takes, and what it takes beyond its even share.
-const WARM_MOST: f64 = 1.0 / 3.0;
-const WARM_FACTOR: f64 = 2.0;
-const WARM_EXTRA: f64 = 3.0;
+const WARM_MAX_SENDER_FRACTION: f64 = 1.0 / 3.0;
+const WARM_RATE_FACTOR: f64 = 2.0;
+const WARM_EXTRA_STARTS: f64 = 3.0;
 /// Reading for this part of the longest pause that is in time delays no event by more than that pause, ...
-const UNNOTICED_READING_PART: f64 = 0.7;
+const UNNOTICED_PREFILL_FRACTION: f64 = 0.7;
 /// ... and for this part more delays all of them by more.
-const NOTICED_WITHIN_PART: f64 = 1.0;
+const NOTICED_PREFILL_RANGE: f64 = 1.0;
 /// What a stream that comes late costs.
-const LATE_STREAM_MS: f64 = 400.0;
+const LATE_STREAM_COST_MS: f64 = 400.0;
 /// What each request costs that has to wait for a slot.
-const QUEUED_MS: f64 = 80.0;
+const QUEUED_REQUEST_COST_MS: f64 = 80.0;
 
 /// What all backends of a pool have in common at one moment.
 #[derive(Debug, Clone, Copy)]
 pub(super) struct PoolState {
     pub(super) now: Millis,
-    pub(super) terms: ServiceTerms,
+    pub(super) params: ServiceParams,
     pub(super) backends: usize,
     /// Senders besides this one.
-    others: f64,
+    other_senders: f64,
     /// Own attempts and their tokens under way at a backend, on average.
     mean_attempts: f64,
     mean_tokens: f64,
     /// Own starts within the window at one backend, beyond which others are preferred, and the most for lower ranks.
-    soft_starts: f64,
-    pub(super) most_starts: f64,
-    pub(super) usual_ms: Millis,
+    preferred_max_starts: f64,
+    pub(super) max_starts: f64,
+    pub(super) typical_response_ms: Millis,
     /// Whether all attempts at the backends are known here.
     pub(super) is_placer: bool,
-    reading: ReadingTimes,
+    prefill: PrefillTimes,
 }
 
 impl PoolState {
@@ -65,7 +65,7 @@
         now: Millis,
         pool: &Pool,
         senders: &SenderLists,
-        per_second: f64,
+        request_rate: f64,
     ) -> PoolState {
         let ready = pool
             .members
@@ -75,43 +75,43 @@
         for member in ready {
             backends += 1;
             own_zone += usize::from(member.own_zone);
-            attempts += u64::from(member.under_way.attempts);
-            tokens = tokens.saturating_add(member.under_way.tokens);
+            attempts += u64::from(member.in_flight.attempts);
+            tokens = tokens.saturating_add(member.in_flight.tokens);
         }
         let count = backends.max(1) as f64;
-        let near = if own_zone > 0 { own_zone as f64 } else { count };
-        let bound = pool.terms.cold_bound.unwrap_or(f64::INFINITY);
-        let most_starts = (bound * WARM_MOST).max(1.0);
-        let even = bound * WARM_PART / senders.count() as f64;
-        let soft_starts = even
-            .max(WARM_FACTOR * per_second / near + WARM_EXTRA)
-            .min(most_starts);
+        let local_backends = if own_zone > 0 { own_zone as f64 } else { count };
+        let bound = pool.params.cold_bound.unwrap_or(f64::INFINITY);
+        let max_starts = (bound * WARM_MAX_SENDER_FRACTION).max(1.0);
+        let even_share = bound * WARM_SHARED_FRACTION / senders.count() as f64;
+        let preferred_max_starts = even_share
+            .max(WARM_RATE_FACTOR * request_rate / local_backends + WARM_EXTRA_STARTS)
+            .min(max_starts);
         PoolState {
             now,
-            terms: pool.terms,
+            params: pool.params,
             backends: pool.members.len(),
-            others: (senders.count() - 1) as f64,
+            other_senders: (senders.count() - 1) as f64,
             mean_attempts: attempts as f64 / count,
             mean_tokens: tokens as f64 / count,
-            soft_starts,
-            most_starts,
-            usual_ms: pool.usual.mean_ms(),
+            preferred_max_starts,
+            max_starts,
+            typical_response_ms: pool.response_times.mean_ms(),
             is_placer: false,
-            reading: pool.reading,
+            prefill: pool.prefill,
         }
     }
 
     /// The same for one who knows all attempts at the backends, if `is_placer`.
-    pub(super) fn seen_by(self, is_placer: bool) -> PoolState {
+    pub(super) fn with_placer_view(self, is_placer: bool) -> PoolState {
         PoolState { is_placer, ..self }
     }
 
     fn is_engine(&self) -> bool {
-        self.terms.capacity_tokens.is_some()
+        self.params.capacity_tokens.is_some()
     }
 
     fn capacity_tokens(&self) -> f64 {
-        self.terms
+        self.params
             .capacity_tokens
             .map_or(f64::INFINITY, |capacity| capacity as f64)
     }
@@ -157,25 +157,25 @@
     pub(super) fn of(
         state: &PoolState,
         member: &mut Member,
-        need: &Need,
+        requirements: &Requirements,
         uncached_fraction: f64,
     ) -> Cost {
-        let place = if state.is_engine() {
-            engine_price(state, member, need, uncached_fraction)
+        let base = if state.is_engine() {
+            engine_cost(state, member, requirements, uncached_fraction)
         } else {
-            plain_price(state, member)
+            plain_cost(state, member)
         };
         let slowness = member.health.slowness(state.now);
-        let failing = (member.health.failure_share(state.now) - FEW_FAILURES).max(0.0);
+        let failing = (member.health.failure_share(state.now) - TOLERATED_FAILURE_SHARE).max(0.0);
         Cost {
-            slowness_ms: if slowness > SLOW {
-                (slowness - 1.0) * state.usual_ms
+            slowness_ms: if slowness > TOLERATED_SLOWNESS {
+                (slowness - 1.0) * state.typical_response_ms
             } else {
                 0.0
             },
-            failures_ms: failing * FAILURE_MS,
-            burst_ms: burst_price(state, member),
-            ..place
+            failures_ms: failing * FAILURE_COST_MS,
+            burst_ms: burst_cost(state, member),
+            ..base
         }
     }
 
@@ -202,49 +202,55 @@
 }
 
 /// Reading comes first: what is ahead of the prompt, and what of it is not kept there.
-fn engine_price(state: &PoolState, member: &Member, need: &Need, uncached_fraction: f64) -> Cost {
-    let unread_ms = state
-        .reading
-        .expected(need.unread_tokens(uncached_fraction));
-    let again_ms = state
-        .reading
-        .expected((need.shared_tokens() * uncached_fraction) as u64);
-    let held =
-        member.under_way.tokens as f64 + state.others * state.mean_tokens + need.tokens as f64;
+fn engine_cost(
+    state: &PoolState,
+    member: &Member,
+    requirements: &Requirements,
+    uncached_fraction: f64,
+) -> Cost {
+    let uncached_ms = state
+        .prefill
+        .expected(requirements.uncached_tokens(uncached_fraction));
+    let duplicate_ms = state
+        .prefill
+        .expected((requirements.shared_tokens() * uncached_fraction) as u64);
+    let memory_tokens = member.in_flight.tokens as f64
+        + state.other_senders * state.mean_tokens
+        + requirements.tokens as f64;
     Cost {
-        queue_ms: wait_ahead(state, member),
-        prefill_ms: member.speed.reading(unread_ms),
-        duplicate_prefill_ms: again_ms * READ_AGAIN_PRICE,
+        queue_ms: queue_wait(state, member),
+        prefill_ms: member.speed.prefill(uncached_ms),
+        duplicate_prefill_ms: duplicate_ms * DUPLICATE_PREFILL_FACTOR,
         in_flight_ms: if state.is_placer {
             0.0
         } else {
-            f64::from(member.under_way.attempts) * RUNNING_MS
+            f64::from(member.in_flight.attempts) * IN_FLIGHT_ATTEMPT_MS
         },
         cross_zone_ms: if member.own_zone {
             0.0
         } else {
             CROSS_ZONE_ENGINE_COST_MS
         },
-        memory_ms: if held > state.capacity_tokens() {
-            OUT_OF_MEMORY_MS
+        memory_ms: if memory_tokens > state.capacity_tokens() {
+            OUT_OF_MEMORY_COST_MS
         } else {
             0.0
         },
-        interference_ms: interference(state, member, need, uncached_fraction),
+        interference_ms: interference(state, member, requirements, uncached_fraction),
         ..Cost::default()
     }
 }
 
 /// The expected wait, with the other senders taken to have as much under way as this one has on average.
-fn plain_price(state: &PoolState, member: &Member) -> Cost {
-    let attempts = f64::from(member.under_way.attempts) + state.others * state.mean_attempts;
-    let filled = (attempts + 1.0) / f64::from(member.slots(&state.terms));
+fn plain_cost(state: &PoolState, member: &Member) -> Cost {
+    let attempts = f64::from(member.in_flight.attempts) + state.other_senders * state.mean_attempts;
+    let utilization = (attempts + 1.0) / f64::from(member.slots(&state.params));
     Cost {
-        queue_ms: filled * state.usual_ms,
+        queue_ms: utilization * state.typical_response_ms,
         cross_zone_ms: if member.own_zone {
             0.0
         } else {
-            OTHER_ZONE_PLAIN * state.usual_ms
+            CROSS_ZONE_PLAIN_FACTOR * state.typical_response_ms
         },
         ..Cost::default()
     }
@@ -255,37 +261,38 @@
 pub(super) fn interference(
     state: &PoolState,
     member: &Member,
-    need: &Need,
+    requirements: &Requirements,
     uncached_fraction: f64,
 ) -> Millis {
     if !state.is_placer {
         return 0.0;
     }
-    let own_ms = member.speed.reading(
+    let own_prefill_ms = member.speed.prefill(
         state
-            .reading
-            .expected(need.unread_tokens(uncached_fraction)),
+            .prefill
+            .expected(requirements.uncached_tokens(uncached_fraction)),
     );
-    let prefill_ms = member.under_way.prefill_ms() + own_ms;
-    let gap_aim_ms = state.terms.gap_aim_ms;
-    let noticed_ms = prefill_ms - gap_aim_ms * UNNOTICED_READING_PART;
-    let part_late = (noticed_ms / (gap_aim_ms * NOTICED_WITHIN_PART)).clamp(0.0, 1.0);
-    f64::from(member.under_way.live) * part_late * LATE_STREAM_MS
+    let prefill_ms = member.in_flight.prefill_ms() + own_prefill_ms;
+    let gap_aim_ms = state.params.gap_aim_ms;
+    let excess_ms = prefill_ms - gap_aim_ms * UNNOTICED_PREFILL_FRACTION;
+    let late_share = (excess_ms / (gap_aim_ms * NOTICED_PREFILL_RANGE)).clamp(0.0, 1.0);
+    f64::from(member.in_flight.interactive) * late_share * LATE_STREAM_COST_MS
 }
 
 /// What is known to be ahead of a request at an engine: prompts to be read, and slots to become free.
-pub(super) fn wait_ahead(state: &PoolState, member: &Member) -> Millis {
-    let queued = f64::from(member.under_way.attempts) + 1.0 - f64::from(member.slots(&state.terms));
-    member.under_way.prefill_ms() + queued.max(0.0) * QUEUED_MS
+pub(super) fn queue_wait(state: &PoolState, member: &Member) -> Millis {
+    let queued =
+        f64::from(member.in_flight.attempts) + 1.0 - f64::from(member.slots(&state.params));
+    member.in_flight.prefill_ms() + queued.max(0.0) * QUEUED_REQUEST_COST_MS
 }
 
-fn burst_price(state: &PoolState, member: &mut Member) -> Millis {
-    if state.terms.cold_bound.is_none() {
+fn burst_cost(state: &PoolState, member: &mut Member) -> Millis {
+    if state.params.cold_bound.is_none() {
         return 0.0;
     }
-    let beyond = member.starts.count(state.now) as f64 + 1.0 - state.soft_starts;
-    if beyond > 0.0 {
-        BURST_MS + beyond
+    let excess = member.starts.count(state.now) as f64 + 1.0 - state.preferred_max_starts;
+    if excess > 0.0 {
+        BURST_COST_MS + excess
     } else {
         0.0
     }
--- a/alderhollow/src/balance/health.rs
+++ b/alderhollow/src/balance/health.rs
@@ -5,36 +5,36 @@
 use std::collections::BTreeMap;
 
 /// First pause after a failed connection or a broken answer, and the longest; each further failure doubles it.
-const FIRST_PAUSE_MS: Millis = 300.0;
-const LONGEST_PAUSE_MS: Millis = 5000.0;
+const INITIAL_BACKOFF_MS: Millis = 300.0;
+const MAX_BACKOFF_MS: Millis = 5000.0;
 /// First pause after silence: a trial of a silent backend costs a client its time.
-const FIRST_PAUSE_AFTER_SILENCE_MS: Millis = 1500.0;
+const INITIAL_TIMEOUT_BACKOFF_MS: Millis = 1500.0;
 /// A pause varies by this part of it, so that senders do not try a backend in step.
-const JITTER: f64 = 0.3;
+const BACKOFF_JITTER: f64 = 0.3;
 /// First pause after a backend declined for want of room, and the longest.
-const FIRST_FULL_PAUSE_MS: Millis = 25.0;
-const LONGEST_FULL_PAUSE_MS: Millis = 400.0;
+const INITIAL_FULL_BACKOFF_MS: Millis = 25.0;
+const MAX_FULL_BACKOFF_MS: Millis = 400.0;
 /// An attempt without any sign for so many times what it was expected to take, and so much more, is silent.
-const SILENT_FACTOR: f64 = 4.0;
-const SILENT_FLOOR_MS: Millis = 200.0;
+const UNRESPONSIVE_FACTOR: f64 = 4.0;
+const UNRESPONSIVE_MARGIN_MS: Millis = 200.0;
 /// With so many attempts waiting and no sign since, half of that will do.
-const SILENT_TOGETHER: usize = 3;
+const UNRESPONSIVE_ATTEMPTS: usize = 3;
 /// Weight of a new sample in the averages of slowness and of failures, and the time in which they fade to a third.
-const SLOWNESS_SAMPLE: f64 = 0.1;
-const FAILURE_SAMPLE: f64 = 0.1;
-const FADE_MS: Millis = 8000.0;
+const SLOWNESS_WEIGHT: f64 = 0.1;
+const FAILURE_WEIGHT: f64 = 0.1;
+const AVERAGE_DECAY_MS: Millis = 8000.0;
 /// Most that one answer counts as slow, in expected times.
-const MOST_SLOWNESS: f64 = 5.0;
+const MAX_SLOWNESS: f64 = 5.0;
 
 /// Whether a backend may get a request, as far as its health goes.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) enum Standing {
+pub(super) enum HealthState {
     /// It may.
-    Up,
+    Healthy,
     /// Its pause is over: one request may try it.
-    Trial,
+    HalfOpen,
     /// Not before this moment, unless all are out.
-    Out(Millis),
+    Ejected(Millis),
 }
 
 /// What is known of one attempt when it ends.
@@ -44,7 +44,7 @@
     pub(super) started: Millis,
     /// Expected time to the first sign.
     pub(super) expected: Millis,
-    pub(super) began: bool,
+    pub(super) response_started: bool,
 }
 
 /// The health of one backend.
@@ -52,17 +52,17 @@
 pub(super) struct Health {
     failures: u32,
     failed_at: Millis,
-    out_until: Millis,
-    trial: Option<u64>,
+    ejected_until: Millis,
+    probe: Option<u64>,
     declines: u32,
     full_until: Millis,
-    full_pause: Millis,
-    sign_at: Millis,
+    full_backoff: Millis,
+    last_response_at: Millis,
     /// Attempts without a sign, in the order of their start.
     waiting: BTreeMap<u64, (Millis, Millis)>,
     slowness: f64,
     failure_share: f64,
-    averaged_at: Millis,
+    averages_updated_at: Millis,
 }
 
 impl Health {
@@ -71,80 +71,85 @@
         Health {
             failures: 0,
             failed_at: f64::NEG_INFINITY,
-            out_until: f64::NEG_INFINITY,
-            trial: None,
+            ejected_until: f64::NEG_INFINITY,
+            probe: None,
             declines: 0,
             full_until: f64::NEG_INFINITY,
-            full_pause: 0.0,
-            sign_at: f64::NEG_INFINITY,
+            full_backoff: 0.0,
+            last_response_at: f64::NEG_INFINITY,
             waiting: BTreeMap::new(),
             slowness: 1.0,
             failure_share: 0.0,
-            averaged_at: 0.0,
+            averages_updated_at: 0.0,
         }
     }
 
     /// Whether it may get a request.
-    pub(super) fn standing(&self, now: Millis) -> Standing {
-        if let Some(since) = self.silent_since(now) {
-            return Standing::Out(since + LONGEST_PAUSE_MS);
+    pub(super) fn state(&self, now: Millis) -> HealthState {
+        if let Some(since) = self.unresponsive_since(now) {
+            return HealthState::Ejected(since + MAX_BACKOFF_MS);
         }
         if self.failures == 0 {
-            Standing::Up
-        } else if now < self.out_until {
-            Standing::Out(self.out_until)
-        } else if self.trial.is_some() {
-            Standing::Out(now + FIRST_PAUSE_MS)
+            HealthState::Healthy
+        } else if now < self.ejected_until {
+            HealthState::Ejected(self.ejected_until)
+        } else if self.probe.is_some() {
+            HealthState::Ejected(now + INITIAL_BACKOFF_MS)
         } else {
-            Standing::Trial
+            HealthState::HalfOpen
         }
     }
 
     /// Since when it has answered nothing, if it is silent. An attempt counts if nothing at all came after its start.
-    fn silent_since(&self, now: Millis) -> Option<Millis> {
+    fn unresponsive_since(&self, now: Millis) -> Option<Millis> {
         let (started, expected) = *self
             .waiting
             .values()
-            .find(|(started, _)| *started >= self.sign_at)?;
-        let patience = SILENT_FACTOR * expected + SILENT_FLOOR_MS;
-        let together = if self.waiting.len() >= SILENT_TOGETHER {
+            .find(|(started, _)| *started >= self.last_response_at)?;
+        let timeout = UNRESPONSIVE_FACTOR * expected + UNRESPONSIVE_MARGIN_MS;
+        let factor = if self.waiting.len() >= UNRESPONSIVE_ATTEMPTS {
             0.5
         } else {
             1.0
         };
-        (now - started > patience * together).then_some(started)
+        (now - started > timeout * factor).then_some(started)
     }
 
     /// Until when it is full, for requests of a rank. Low ranks wait longer.
-    pub(super) fn full_until(&self, low_rank: bool) -> Millis {
-        self.full_until + if low_rank { self.full_pause } else { 0.0 }
+    pub(super) fn full_until(&self, low_priority: bool) -> Millis {
+        self.full_until + if low_priority { self.full_backoff } else { 0.0 }
     }
 
     /// Notes a start.
     pub(super) fn started(&mut self, now: Millis, attempt: u64, expected: Millis) {
         if self.failures > 0 {
-            self.trial = Some(attempt);
+            self.probe = Some(attempt);
         }
         self.waiting.insert(attempt, (now, expected));
     }
 
     /// Notes the first sign of an answer, and the time that it took where that is known.
-    pub(super) fn began(&mut self, now: Millis, record: AttemptRecord, took: Option<Millis>) {
+    pub(super) fn response_started(
+        &mut self,
+        now: Millis,
+        record: AttemptRecord,
+        elapsed: Option<Millis>,
+    ) {
         self.waiting.remove(&record.attempt);
-        self.sign_at = now;
-        self.fade(now);
-        if let Some(took) = took {
-            let slowness = (took / record.expected.max(1.0)).min(MOST_SLOWNESS);
-            self.slowness += SLOWNESS_SAMPLE * (slowness - self.slowness);
+        self.last_response_at = now;
+        self.decay_averages(now);
+        if let Some(elapsed) = elapsed {
+            let slowness = (elapsed / record.expected.max(1.0)).min(MAX_SLOWNESS);
+            self.slowness += SLOWNESS_WEIGHT * (slowness - self.slowness);
         }
         self.recover(record);
     }
 
     /// An attempt is known no more, without an end.
-    pub(super) fn withdrawn(&mut self, attempt: u64) {
+    pub(super) fn forget_attempt(&mut self, attempt: u64) {
         self.waiting.remove(&attempt);
-        if self.trial == Some(attempt) {
-            self.trial = None;
+        if self.probe == Some(attempt) {
+            self.probe = None;
         }
     }
 
@@ -154,39 +159,39 @@
         now: Millis,
         record: AttemptRecord,
         outcome: Outcome,
-        draw: f64,
+        random: f64,
     ) {
-        let was_silent = self
-            .silent_since(now)
+        let was_unresponsive = self
+            .unresponsive_since(now)
             .is_some_and(|since| record.started <= since);
         self.waiting.remove(&record.attempt);
-        if self.trial == Some(record.attempt) {
-            self.trial = None;
+        if self.probe == Some(record.attempt) {
+            self.probe = None;
         }
         match outcome {
             Outcome::Served => {
-                self.sign_at = now;
-                self.average_failure(now, 0.0);
+                self.last_response_at = now;
+                self.record_failure_sample(now, 0.0);
                 self.recover(record);
                 self.declines = 0;
             }
             Outcome::Failed => {
-                self.sign_at = now;
-                self.average_failure(now, 1.0);
+                self.last_response_at = now;
+                self.record_failure_sample(now, 1.0);
                 self.recover(record);
             }
-            Outcome::Declined => self.declined(now, record, draw),
-            Outcome::NoConnection => self.failed(now, record, FIRST_PAUSE_MS, draw),
+            Outcome::Declined => self.declined(now, record, random),
+            Outcome::NoConnection => self.failed(now, record, INITIAL_BACKOFF_MS, random),
             Outcome::Broken => {
                 if !self.is_same_failure(record) {
-                    self.average_failure(now, 1.0);
+                    self.record_failure_sample(now, 1.0);
                 }
-                self.failed(now, record, FIRST_PAUSE_MS, draw);
+                self.failed(now, record, INITIAL_BACKOFF_MS, random);
             }
-            Outcome::TimedOut if record.began => self.average_failure(now, 1.0),
-            Outcome::TimedOut => self.failed(now, record, FIRST_PAUSE_AFTER_SILENCE_MS, draw),
-            Outcome::Cancelled if was_silent && !record.began => {
-                self.failed(now, record, FIRST_PAUSE_AFTER_SILENCE_MS, draw);
+            Outcome::TimedOut if record.response_started => self.record_failure_sample(now, 1.0),
+            Outcome::TimedOut => self.failed(now, record, INITIAL_TIMEOUT_BACKOFF_MS, random),
+            Outcome::Cancelled if was_unresponsive && !record.response_started => {
+                self.failed(now, record, INITIAL_TIMEOUT_BACKOFF_MS, random);
             }
             Outcome::Cancelled | Outcome::OtherInstance => {}
         }
@@ -194,35 +199,35 @@
 
     /// What it is slower than expected, 1 if it is not, in the average of late.
     pub(super) fn slowness(&self, now: Millis) -> f64 {
-        1.0 + (self.slowness - 1.0) * self.kept(now)
+        1.0 + (self.slowness - 1.0) * self.decay(now)
     }
 
     /// Share of its answers of late that are failures.
     pub(super) fn failure_share(&self, now: Millis) -> f64 {
-        self.failure_share * self.kept(now)
+        self.failure_share * self.decay(now)
     }
 
-    fn declined(&mut self, now: Millis, record: AttemptRecord, draw: f64) {
-        self.sign_at = now;
+    fn declined(&mut self, now: Millis, record: AttemptRecord, random: f64) {
+        self.last_response_at = now;
         self.recover(record);
-        if record.started < self.full_until - self.full_pause {
+        if record.started < self.full_until - self.full_backoff {
             return;
         }
-        self.full_pause = pause(
-            FIRST_FULL_PAUSE_MS,
-            LONGEST_FULL_PAUSE_MS,
+        self.full_backoff = backoff(
+            INITIAL_FULL_BACKOFF_MS,
+            MAX_FULL_BACKOFF_MS,
             self.declines,
-            draw,
+            random,
         );
         self.declines = self.declines.saturating_add(1);
-        self.full_until = now + self.full_pause;
+        self.full_until = now + self.full_backoff;
     }
 
-    fn failed(&mut self, now: Millis, record: AttemptRecord, first_pause: Millis, draw: f64) {
+    fn failed(&mut self, now: Millis, record: AttemptRecord, initial_backoff: Millis, random: f64) {
         if self.is_same_failure(record) {
             return;
         }
-        self.out_until = now + pause(first_pause, LONGEST_PAUSE_MS, self.failures, draw);
+        self.ejected_until = now + backoff(initial_backoff, MAX_BACKOFF_MS, self.failures, random);
         self.failures = self.failures.saturating_add(1);
         self.failed_at = now;
     }
@@ -236,29 +241,29 @@
     fn recover(&mut self, record: AttemptRecord) {
         if record.started > self.failed_at {
             self.failures = 0;
-            self.trial = None;
+            self.probe = None;
         }
     }
 
-    fn average_failure(&mut self, now: Millis, sample: f64) {
-        self.fade(now);
-        self.failure_share += FAILURE_SAMPLE * (sample - self.failure_share);
+    fn record_failure_sample(&mut self, now: Millis, sample: f64) {
+        self.decay_averages(now);
+        self.failure_share += FAILURE_WEIGHT * (sample - self.failure_share);
     }
 
-    fn fade(&mut self, now: Millis) {
-        let kept = self.kept(now);
-        self.slowness = 1.0 + (self.slowness - 1.0) * kept;
-        self.failure_share *= kept;
-        self.averaged_at = now;
+    fn decay_averages(&mut self, now: Millis) {
+        let decay = self.decay(now);
+        self.slowness = 1.0 + (self.slowness - 1.0) * decay;
+        self.failure_share *= decay;
+        self.averages_updated_at = now;
     }
 
-    fn kept(&self, now: Millis) -> f64 {
-        (-(now - self.averaged_at).max(0.0) / FADE_MS).exp()
+    fn decay(&self, now: Millis) -> f64 {
+        (-(now - self.averages_updated_at).max(0.0) / AVERAGE_DECAY_MS).exp()
     }
 }
 
 /// A pause that doubles with each time before, with jitter.
-fn pause(first: Millis, longest: Millis, times_before: u32, draw: f64) -> Millis {
-    let doubled = first * f64::from(1u32 << times_before.min(10));
-    doubled.min(longest) * (1.0 + JITTER * (draw - 0.5))
+fn backoff(first: Millis, longest: Millis, previous_failures: u32, random: f64) -> Millis {
+    let doubled = first * f64::from(1u32 << previous_failures.min(10));
+    doubled.min(longest) * (1.0 + BACKOFF_JITTER * (random - 0.5))
 }
--- a/alderhollow/src/balance/mod.rs
+++ b/alderhollow/src/balance/mod.rs
@@ -18,8 +18,8 @@
 mod explanation;
 pub(crate) mod hash;
 mod health;
-mod need;
 mod prefill;
+mod requirements;
 
 pub use cold::ColdBounds;
 pub use cost::Cost;
@@ -29,11 +29,11 @@
 use affinity::SharedPrefix;
 use alderhollow_model::backend::Backend;
 use alderhollow_model::snapshot::Snapshot;
-use backends::{BackendTable, Member, NewTables, Pool, ServiceTerms, UnderWay};
+use backends::{BackendTable, InFlight, Member, NewTables, Pool, ServiceParams};
 use cold::SenderLists;
-use health::{AttemptRecord, Standing};
-use need::Need;
+use health::{AttemptRecord, HealthState};
 use oorandom::Rand64;
+use requirements::Requirements;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
@@ -109,16 +109,16 @@
 }
 
 /// A choice of a cold backend is void after this time: by then the allowance counts it no more.
-const COLD_CHOICE_VALID_MS: Millis = 100.0;
+const COLD_CHOICE_TTL_MS: Millis = 100.0;
 
 /// What of an attempt's prompt was not read at its start.
 #[derive(Debug, Default, Clone, Copy)]
-struct Unread {
+struct UncachedPrompt {
     tokens: u64,
     /// Microseconds that reading them was expected to take.
-    reading_us: u64,
+    prefill_us: u64,
     /// Whether no other prompt and no want of slots was known to hold it up.
-    reads_at_once: bool,
+    starts_immediately: bool,
 }
 
 /// An attempt that has not ended.
@@ -129,30 +129,32 @@
     expected: Millis,
     tokens_in: u64,
     tokens: u64,
-    unread: Unread,
+    uncached: UncachedPrompt,
     /// The shared parts of its prompt, for a placer.
     prefix: Option<SharedPrefix>,
-    is_live: bool,
+    is_interactive: bool,
     /// Whether `started` is when it was sent, and not when this process heard of it.
     is_start_known: bool,
-    began: bool,
+    response_started: bool,
 }
 
-impl UnderWay {
+impl InFlight {
     /// A prompt was read, or will not be.
-    fn finish_reading(&mut self, unread: Unread) {
-        self.reading_us = self.reading_us.saturating_sub(unread.reading_us);
+    fn finish_prefill(&mut self, uncached: UncachedPrompt) {
+        self.prefill_us = self.prefill_us.saturating_sub(uncached.prefill_us);
     }
 }
 
 impl Member {
     /// Gives back what an attempt took.
     fn release(&mut self, attempt: &Attempt) {
-        let load = &mut self.under_way;
+        let load = &mut self.in_flight;
         load.attempts = load.attempts.saturating_sub(1);
-        load.live = load.live.saturating_sub(u32::from(attempt.is_live));
+        load.interactive = load
+            .interactive
+            .saturating_sub(u32::from(attempt.is_interactive));
         load.tokens = load.tokens.saturating_sub(attempt.tokens);
-        load.finish_reading(attempt.unread);
+        load.finish_prefill(attempt.uncached);
     }
 }
 
@@ -162,7 +164,7 @@
             attempt,
             started: self.started,
             expected: self.expected,
-            began: self.began,
+            response_started: self.response_started,
         }
     }
 }
@@ -221,18 +223,18 @@
         let gap_aims = config.map(|config| config.gap_aims_by_service());
         let bounds = self.cold_bounds;
         let is_placer = self.is_placer;
-        let terms_of = |service: &str| {
+        let params_of = |service: &str| {
             let configured = services
                 .as_ref()
                 .and_then(|services| services.get(service).copied());
             let gap_aim_ms = gap_aims
                 .as_ref()
                 .and_then(|aims| aims.get(service).copied());
-            let terms = ServiceTerms::of(configured, gap_aim_ms, bounds);
+            let params = ServiceParams::of(configured, gap_aim_ms, bounds);
             if is_placer {
-                terms.without_cold_bound()
+                params.without_cold_bound()
             } else {
-                terms
+                params
             }
         };
         let in_zone: Vec<Backend>;
@@ -252,7 +254,7 @@
             evacuated: &snapshot.control.evacuated,
             own_zone: &self.zone,
         };
-        self.table.update(now, &tables, terms_of);
+        self.table.update(now, &tables, params_of);
     }
 
     /// The place of this process in a list of senders.
@@ -269,47 +271,47 @@
     /// asked last before the request is written, wherever time may pass between the choice and that. If it says no, the
     /// attempt ends as [`Outcome::Cancelled`] and a new choice is due.
     pub fn may_begin(&self, now: Millis, attempt: u64) -> bool {
-        let Some(under_way) = self.attempts.get(&attempt) else {
+        let Some(entry) = self.attempts.get(&attempt) else {
             return false;
         };
-        let Some(member) = self.table.member(&under_way.backend.id) else {
+        let Some(member) = self.table.member(&entry.backend.id) else {
             return false;
         };
-        let recent = now - under_way.started <= COLD_CHOICE_VALID_MS;
-        member.may_get_requests() && (recent || !member.is_cold(now))
+        let is_recent = now - entry.started <= COLD_CHOICE_TTL_MS;
+        member.may_get_requests() && (is_recent || !member.is_cold(now))
     }
 
     /// Chooses a backend.
     ///
     /// # Errors
     /// Says why there is none.
-    pub fn choose(&mut self, now: Millis, wanted: &SelectionRequest) -> Result<Choice, NoBackend> {
+    pub fn choose(&mut self, now: Millis, request: &SelectionRequest) -> Result<Choice, NoBackend> {
         self.senders.expire(now);
         let rng = &mut self.rng;
         let pool = self
             .table
             .pools
-            .get_mut(wanted.service)
+            .get_mut(request.service)
             .ok_or(NoBackend::NoneReady)?;
         let pick = choice::pick(
             now,
             pool,
-            wanted,
+            request,
             &self.senders,
             self.is_placer,
             &mut || rng.rand_float(),
         )?;
-        self.book(now, wanted, pick).ok_or(NoBackend::NoneReady)
+        self.book(now, request, pick).ok_or(NoBackend::NoneReady)
     }
 
     /// What [`Balancer::choose`] would weigh at this moment; `None` for a service that has no backend. Nothing is booked.
-    pub fn explain(&mut self, now: Millis, wanted: &SelectionRequest) -> Option<Explanation> {
+    pub fn explain(&mut self, now: Millis, request: &SelectionRequest) -> Option<Explanation> {
         self.senders.expire(now);
-        let pool = self.table.pools.get_mut(wanted.service)?;
+        let pool = self.table.pools.get_mut(request.service)?;
         Some(choice::explain(
             now,
             pool,
-            wanted,
+            request,
             &self.senders,
             self.is_placer,
         ))
@@ -319,38 +321,38 @@
     pub fn choose_at(
         &mut self,
         now: Millis,
-        wanted: &SelectionRequest,
+        request: &SelectionRequest,
         backend: &str,
     ) -> Option<Choice> {
         self.senders.expire(now);
-        let pool = self.table.pools.get_mut(wanted.service)?;
-        let pick = choice::pick_at(now, pool, wanted, &self.senders, backend)?;
-        self.book(now, wanted, pick)
+        let pool = self.table.pools.get_mut(request.service)?;
+        let pick = choice::pick_offered(now, pool, request, &self.senders, backend)?;
+        self.book(now, request, pick)
     }
 
     /// Notes that a sender has just chosen a backend for itself, whatever would have spoken against it here.
     pub fn record_choice(
         &mut self,
         now: Millis,
-        wanted: &SelectionRequest,
+        request: &SelectionRequest,
         backend: &str,
     ) -> Option<Choice> {
-        let pool = self.table.pools.get_mut(wanted.service)?;
-        let pick = choice::pick_told(now, pool, wanted, backend, self.is_placer)?;
-        self.book(now, wanted, pick)
+        let pool = self.table.pools.get_mut(request.service)?;
+        let pick = choice::pick_assigned(now, pool, request, backend, self.is_placer)?;
+        self.book(now, request, pick)
     }
 
     /// Notes an attempt that a sender began at some time before. Its first event tells nothing of the time that it took.
     pub fn record_earlier_choice(
         &mut self,
         now: Millis,
-        wanted: &SelectionRequest,
+        request: &SelectionRequest,
         backend: &str,
         has_begun: bool,
     ) -> Option<Choice> {
-        let choice = self.record_choice(now, wanted, backend)?;
-        let under_way = self.attempts.get_mut(&choice.attempt)?;
-        under_way.is_start_known = false;
+        let choice = self.record_choice(now, request, backend)?;
+        let entry = self.attempts.get_mut(&choice.attempt)?;
+        entry.is_start_known = false;
         if has_begun {
             self.began_before(choice.attempt);
         }
@@ -359,17 +361,17 @@
 
     /// The first event of an attempt came at some time before it was heard of.
     fn began_before(&mut self, attempt: u64) {
-        let Some(under_way) = self.attempts.get_mut(&attempt) else {
+        let Some(entry) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        under_way.began = true;
-        let unread = std::mem::take(&mut under_way.unread);
-        let pool = self.table.pools.get_mut(&under_way.backend.service);
-        let Some(member) = pool.and_then(|pool| pool.member_mut(&under_way.backend.id)) else {
+        entry.response_started = true;
+        let uncached = std::mem::take(&mut entry.uncached);
+        let pool = self.table.pools.get_mut(&entry.backend.service);
+        let Some(member) = pool.and_then(|pool| pool.member_mut(&entry.backend.id)) else {
             return;
         };
-        member.under_way.finish_reading(unread);
-        member.health.withdrawn(attempt);
+        member.in_flight.finish_prefill(uncached);
+        member.health.forget_attempt(attempt);
     }
 
     /// The backends of a service that this process finds down: it may be cut off from them alone.
@@ -379,7 +381,7 @@
             .pools
             .get(service)
             .map_or(&[][..], |pool| &pool.members);
-        let is_out = |member: &&Member| matches!(member.health.standing(now), Standing::Out(_));
+        let is_out = |member: &&Member| matches!(member.health.state(now), HealthState::Ejected(_));
         members
             .iter()
             .filter(is_out)
@@ -392,52 +394,53 @@
         self.table
             .pools
             .get(service)
-            .is_some_and(|pool| pool.terms.capacity_tokens.is_some())
+            .is_some_and(|pool| pool.params.capacity_tokens.is_some())
     }
 
     fn book(
         &mut self,
         now: Millis,
-        wanted: &SelectionRequest,
+        request: &SelectionRequest,
         pick: choice::Pick,
     ) -> Option<Choice> {
-        let pool = self.table.pools.get_mut(wanted.service)?;
-        let need = Need::of(wanted);
-        let member = pool.members.get_mut(pick.place)?;
+        let pool = self.table.pools.get_mut(request.service)?;
+        let requirements = Requirements::of(request);
+        let member = pool.members.get_mut(pick.index)?;
         self.last_attempt += 1;
         let attempt = self.last_attempt;
-        let slots = member.slots(&pool.terms);
-        member.under_way.attempts += 1;
-        member.under_way.live += u32::from(!need.is_low_rank());
-        member.under_way.tokens += need.tokens;
-        let reads_at_once = member.under_way.reading_us == 0 && member.under_way.attempts <= slots;
+        let slots = member.slots(&pool.params);
+        member.in_flight.attempts += 1;
+        member.in_flight.interactive += u32::from(!requirements.is_low_priority());
+        member.in_flight.tokens += requirements.tokens;
+        let starts_immediately =
+            member.in_flight.prefill_us == 0 && member.in_flight.attempts <= slots;
         let prefill_ms = member
             .speed
-            .reading(pool.reading.expected(pick.unread_tokens));
-        let reading_us = (prefill_ms * 1000.0) as u64;
-        member.under_way.reading_us += reading_us;
+            .prefill(pool.prefill.expected(pick.uncached_tokens));
+        let prefill_us = (prefill_ms * 1000.0) as u64;
+        member.in_flight.prefill_us += prefill_us;
         member.health.started(now, attempt, pick.expected);
-        if pool.terms.cold_bound.is_some() {
-            member.starts.note(now);
+        if pool.params.cold_bound.is_some() {
+            member.starts.record(now);
         }
         let backend = member.backend.clone();
-        let under_way = Attempt {
+        let entry = Attempt {
             backend: backend.clone(),
             started: now,
             expected: pick.expected,
-            tokens_in: need.tokens_in,
-            tokens: need.tokens,
-            unread: Unread {
-                tokens: pick.unread_tokens,
-                reading_us,
-                reads_at_once,
+            tokens_in: requirements.tokens_in,
+            tokens: requirements.tokens,
+            uncached: UncachedPrompt {
+                tokens: pick.uncached_tokens,
+                prefill_us,
+                starts_immediately,
             },
-            prefix: need.prefix.filter(|_| self.is_placer),
-            is_live: !need.is_low_rank(),
+            prefix: requirements.prefix.filter(|_| self.is_placer),
+            is_interactive: !requirements.is_low_priority(),
             is_start_known: true,
-            began: false,
+            response_started: false,
         };
-        self.attempts.insert(attempt, under_way);
+        self.attempts.insert(attempt, entry);
         Some(Choice {
             attempt,
             backend,
@@ -447,56 +450,56 @@
 
     /// Notes that the first event or the answer's head came.
     pub fn response_started(&mut self, now: Millis, attempt: u64) {
-        let Some(under_way) = self.attempts.get_mut(&attempt) else {
+        let Some(entry) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        if under_way.began {
+        if entry.response_started {
             return;
         }
-        let unread = std::mem::take(&mut under_way.unread);
-        let record = under_way.record(attempt);
-        under_way.began = true;
-        let Some(pool) = self.table.pools.get_mut(&under_way.backend.service) else {
+        let uncached = std::mem::take(&mut entry.uncached);
+        let record = entry.record(attempt);
+        entry.response_started = true;
+        let Some(pool) = self.table.pools.get_mut(&entry.backend.service) else {
             return;
         };
-        let took = under_way.is_start_known.then_some(now - under_way.started);
+        let elapsed = entry.is_start_known.then_some(now - entry.started);
         let Pool {
             members,
-            reading,
-            sent,
-            usual,
+            prefill,
+            prefix_locations,
+            response_times,
             ..
         } = pool;
-        if let Some(took) = took {
-            usual.learn(took, under_way.tokens_in);
+        if let Some(elapsed) = elapsed {
+            response_times.learn(elapsed, entry.tokens_in);
         }
-        let Some(member) = backends::find_mut(members, &under_way.backend.id) else {
+        let Some(member) = backends::find_mut(members, &entry.backend.id) else {
             return;
         };
-        match took {
-            Some(took) if unread.reads_at_once => {
-                reading.learn(unread.tokens, took, &mut member.speed);
+        match elapsed {
+            Some(elapsed) if uncached.starts_immediately => {
+                prefill.learn(uncached.tokens, elapsed, &mut member.speed);
             }
             _ => {}
         }
-        if let Some(prefix) = under_way.prefix {
-            sent.note(now, prefix, member.id_hash);
+        if let Some(prefix) = entry.prefix {
+            prefix_locations.record(now, prefix, member.id_hash);
         }
-        member.under_way.finish_reading(unread);
-        member.health.began(now, record, took);
+        member.in_flight.finish_prefill(uncached);
+        member.health.response_started(now, record, elapsed);
     }
 
     /// Forgets an attempt of which nobody tells any more: that says nothing of the backend.
     pub fn withdraw(&mut self, attempt: u64) {
-        let Some(under_way) = self.attempts.remove(&attempt) else {
+        let Some(entry) = self.attempts.remove(&attempt) else {
             return;
         };
-        let pool = self.table.pools.get_mut(&under_way.backend.service);
-        let Some(member) = pool.and_then(|pool| pool.member_mut(&under_way.backend.id)) else {
+        let pool = self.table.pools.get_mut(&entry.backend.service);
+        let Some(member) = pool.and_then(|pool| pool.member_mut(&entry.backend.id)) else {
             return;
         };
-        member.release(&under_way);
-        member.health.withdrawn(attempt);
+        member.release(&entry);
+        member.health.forget_attempt(attempt);
     }
 
     /// Notes how an attempt ended.
@@ -504,22 +507,22 @@
         if outcome == Outcome::Served {
             self.response_started(now, attempt);
         }
-        let Some(under_way) = self.attempts.remove(&attempt) else {
+        let Some(entry) = self.attempts.remove(&attempt) else {
             return;
         };
-        let id = &under_way.backend.id;
+        let id = &entry.backend.id;
         if outcome == Outcome::OtherInstance {
-            self.table.forget(id);
+            self.table.remove_instance(id);
             return;
         }
-        let draw = self.rng.rand_float();
-        let pool = self.table.pools.get_mut(&under_way.backend.service);
+        let random = self.rng.rand_float();
+        let pool = self.table.pools.get_mut(&entry.backend.service);
         let Some(member) = pool.and_then(|pool| pool.member_mut(id)) else {
             return;
         };
-        member.release(&under_way);
+        member.release(&entry);
         member
             .health
-            .ended(now, under_way.record(attempt), outcome, draw);
+            .ended(now, entry.record(attempt), outcome, random);
     }
 }
--- a/alderhollow/src/balance/need.rs
+++ b/alderhollow/src/balance/requirements.rs
@@ -4,15 +4,15 @@
 use super::SelectionRequest;
 
 /// Part of a shared prefix that a request takes of the memory: requests that run together hold it once.
-const SHARED_MEMORY_PART: f64 = 0.5;
+const SHARED_PREFIX_MEMORY_FACTOR: f64 = 0.5;
 /// Shares of a backend's slots and memory that requests of the highest, the middle and low rank may fill.
-const FILL_BY_RANK: [f64; 3] = [1.0, 0.95, 0.85];
+const FILL_LIMIT_BY_PRIORITY: [f64; 3] = [1.0, 0.95, 0.85];
 /// Ranks from this one on are low: the first to be refused.
-const LOW_RANK: u32 = 2;
+const LOW_PRIORITY: u32 = 2;
 
 /// What a request needs.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Need {
+pub(super) struct Requirements {
     /// Tokens of the prompt.
     pub(super) tokens_in: u64,
     /// Tokens that it takes of a backend's memory, in and out.
@@ -23,34 +23,34 @@
     pub(super) priority: u32,
 }
 
-impl Need {
+impl Requirements {
     /// The need of a request.
-    pub(super) fn of(wanted: &SelectionRequest) -> Need {
-        let tokens_in = wanted
+    pub(super) fn of(request: &SelectionRequest) -> Requirements {
+        let tokens_in = request
             .prompt
             .map_or(0, |prompt| u64::from(prompt.tokens_in));
-        let tokens_out = wanted
+        let tokens_out = request
             .prompt
             .map_or(0, |prompt| u64::from(prompt.tokens_out));
-        let prefix = wanted.prompt.and_then(SharedPrefix::of);
+        let prefix = request.prompt.and_then(SharedPrefix::of);
         let shared = prefix.map_or(0, |prefix| prefix.tokens.min(tokens_in));
-        let held_by_others = (shared as f64 * (1.0 - SHARED_MEMORY_PART)) as u64;
-        Need {
+        let shared_memory = (shared as f64 * (1.0 - SHARED_PREFIX_MEMORY_FACTOR)) as u64;
+        Requirements {
             tokens_in,
-            tokens: tokens_in + tokens_out - held_by_others,
+            tokens: tokens_in + tokens_out - shared_memory,
             prefix,
-            priority: wanted.priority,
+            priority: request.priority,
         }
     }
 
     /// Whether it is among the first to be refused.
-    pub(super) fn is_low_rank(&self) -> bool {
-        self.priority >= LOW_RANK
+    pub(super) fn is_low_priority(&self) -> bool {
+        self.priority >= LOW_PRIORITY
     }
 
     /// Share of a backend's slots and memory that requests of its rank may fill.
-    pub(super) fn fill(&self) -> f64 {
-        let [highest, middle, low] = FILL_BY_RANK;
+    pub(super) fn fill_limit(&self) -> f64 {
+        let [highest, middle, low] = FILL_LIMIT_BY_PRIORITY;
         match self.priority {
             0 => highest,
             1 => middle,
@@ -64,7 +64,7 @@
     }
 
     /// Prompt tokens that are to be read where this part of the shared prefix is.
-    pub(super) fn unread_tokens(&self, uncached_fraction: f64) -> u64 {
+    pub(super) fn uncached_tokens(&self, uncached_fraction: f64) -> u64 {
         let kept = self.shared_tokens() * (1.0 - uncached_fraction);
         (self.tokens_in as f64 - kept).max(0.0) as u64
     }
