--- a/alderhollow/src/cli/status.rs
+++ b/alderhollow/src/cli/status.rs
@@ -41,7 +41,7 @@
             tokens_in,
             tokens_out,
             parts: Vec::new(),
-            except: Vec::new(),
+            excluded_backends: Vec::new(),
         })
     }
 }
--- a/alderhollow/src/exchange/attempt.rs
+++ b/alderhollow/src/exchange/attempt.rs
@@ -44,7 +44,7 @@
             .borrow_mut()
             .response_started(now, self.choice.attempt);
         if let Some(told) = &self.told {
-            told.client.began(told.number);
+            told.client.response_started(told.number);
         }
     }
 
--- a/alderhollow/src/exchange/mod.rs
+++ b/alderhollow/src/exchange/mod.rs
@@ -157,7 +157,7 @@
         let told = self.placement.as_ref().and_then(|placement| {
             let demand = self.demand(wanted)?;
             let client = placement.client.clone();
-            let number = client.draw_number();
+            let number = client.next_attempt_number();
             client.started(
                 number,
                 &choice.backend.zone,
--- a/alderhollow/src/exchange/placing.rs
+++ b/alderhollow/src/exchange/placing.rs
@@ -42,7 +42,7 @@
             .borrow_mut()
             .choose_at(self.now(), wanted, &offer.backend);
         let Some(choice) = choice else {
-            placement.client.unused(offer.number, &offer.zone);
+            placement.client.release_unused(offer.number, &offer.zone);
             return self.choose(wanted);
         };
         placement
@@ -60,7 +60,7 @@
         self.tables();
         self.balancer
             .borrow_mut()
-            .explain(self.now(), &demand.wanted(&demand.prompt()))
+            .explain(self.now(), &demand.selection_request(&demand.prompt()))
     }
 
     /// What is asked of a placer; `None` for requests that are not for a model engine.
@@ -79,15 +79,19 @@
     /// Asks the own zone's placer, and where the request would wait or disturb there, others; the best offer is kept.
     async fn ask(&self, demand: &Demand) -> Result<Offer, NoOffer> {
         let mut offers = Offers::new(&self.zone);
-        for zone in zones_to_ask(self.client.zones(), &self.zone, self.client.draw_number()) {
-            let number = self.client.draw_number();
+        for zone in zones_to_ask(
+            self.client.zones(),
+            &self.zone,
+            self.client.next_attempt_number(),
+        ) {
+            let number = self.client.next_attempt_number();
             let Some(placement) = self.client.ask(&zone, number, demand).await else {
                 break;
             };
-            if let Some(unused) = offers.take(&zone, number, placement) {
-                self.client.unused(unused.number, &unused.zone);
+            if let Some(unused) = offers.add(&zone, number, placement) {
+                self.client.release_unused(unused.number, &unused.zone);
             }
-            if offers.is_enough() {
+            if offers.is_sufficient() {
                 break;
             }
         }
--- a/alderhollow/src/placement/client.rs
+++ b/alderhollow/src/placement/client.rs
@@ -1,4 +1,4 @@
-//! Asks the placers, and tells them what becomes of this sender's attempts.
+//! Requests placements from the placers and reports the progress of this sender's attempts to them.
 
 use super::message::{AttemptId, Demand, End, PlaceRequest, Placement};
 use super::reports::Reports;
@@ -14,43 +14,43 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// A placer that takes longer is not waited for: the sender chooses for itself.
+/// If a placer takes longer, the sender selects a backend by itself.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(30);
-/// A placer that did not answer is asked again after so long.
-const PAUSE_AFTER_SILENCE: Duration = Duration::from_millis(250);
-/// Events are gathered so long before they are sent.
-const GATHER: Duration = Duration::from_millis(8);
-/// Between two whole reports to each placer, and to a new one at once.
-const WHOLE_INTERVAL: Duration = Duration::from_millis(1_000);
-
-/// The placements of one sender. To be used in a `LocalSet`.
+/// A placer that did not answer is not asked again for this long.
+const UNRESPONSIVE_BACKOFF: Duration = Duration::from_millis(250);
+/// Events are batched for this long before they are sent.
+const EVENT_BATCH_DELAY: Duration = Duration::from_millis(8);
+/// Interval of the snapshots to each placer. A new placer gets one immediately.
+const SNAPSHOT_INTERVAL: Duration = Duration::from_millis(1_000);
+
+/// The placements of one sender. Must be used in a `LocalSet`.
 pub struct PlacementClient {
     network: Network,
     snapshots: SnapshotReceiver,
     reports: RefCell<Reports>,
     /// Placers that did not answer, and until when they are not asked.
-    paused: RefCell<BTreeMap<SocketAddr, Instant>>,
+    backoffs: RefCell<BTreeMap<SocketAddr, Instant>>,
     has_events: Notify,
 }
 
-/// A question whose answer was not used yet: dropped, it frees what the placer may have booked.
-struct Question<'a> {
+/// A placement request in progress. If dropped without a response, it releases what the placer may have recorded.
+struct PendingPlacement<'a> {
     client: &'a PlacementClient,
     number: u64,
     zone: &'a str,
     is_settled: bool,
 }
 
-impl Drop for Question<'_> {
+impl Drop for PendingPlacement<'_> {
     fn drop(&mut self) {
         if !self.is_settled {
-            self.client.unused(self.number, self.zone);
+            self.client.release_unused(self.number, self.zone);
         }
     }
 }
 
 impl PlacementClient {
-    /// A client of a sender in this incarnation; it starts the task that carries the reports.
+    /// Creates a client for a sender in this incarnation, and starts the tasks that send its reports.
     pub fn start(
         network: Network,
         snapshots: SnapshotReceiver,
@@ -60,17 +60,17 @@
             network,
             snapshots,
             reports: RefCell::new(Reports::new(sender)),
-            paused: RefCell::default(),
+            backoffs: RefCell::default(),
             has_events: Notify::new(),
         });
-        tokio::task::spawn_local(carry_events(client.clone()));
-        tokio::task::spawn_local(carry_whole_reports(client.clone()));
+        tokio::task::spawn_local(run_event_sender(client.clone()));
+        tokio::task::spawn_local(run_snapshot_sender(client.clone()));
         client
     }
 
-    /// Draws the number of an attempt.
-    pub fn draw_number(&self) -> u64 {
-        self.reports.borrow_mut().draw_number()
+    /// Assigns the number of a new attempt.
+    pub fn next_attempt_number(&self) -> u64 {
+        self.reports.borrow_mut().next_attempt_number()
     }
 
     /// The zones that have a placer.
@@ -84,12 +84,12 @@
             .collect()
     }
 
-    /// Asks a zone's placer; `None` if it gives no answer in time. An answer that is not used is to be told by
-    /// [`PlacementClient::unused`].
+    /// Requests a placement from a zone's placer; `None` if it does not answer in time. The caller must release an
+    /// unused placement with [`PlacementClient::release_unused`].
     pub async fn ask(&self, zone: &str, number: u64, demand: &Demand) -> Option<Placement> {
         let address = self.placer_of(zone)?;
         if self
-            .paused
+            .backoffs
             .borrow()
             .get(&address)
             .is_some_and(|until| Instant::now() < *until)
@@ -105,7 +105,7 @@
             demand: demand.clone(),
         })
         .ok()?;
-        let mut question = Question {
+        let mut pending = PendingPlacement {
             client: self,
             number,
             zone,
@@ -119,14 +119,14 @@
             .ok()
             .and_then(|answer| minicbor::decode::<Placement>(&answer).ok());
         match &placement {
-            Some(_) => question.is_settled = true,
-            None => self.pause(address),
+            Some(_) => pending.is_settled = true,
+            None => self.back_off(address),
         }
         metrics::get().placement.asked(placement.as_ref());
         placement
     }
 
-    /// An attempt starts at a backend of a zone.
+    /// Reports the start of an attempt at a backend of a zone.
     pub fn started(&self, number: u64, zone: &str, backend: &str, demand: Demand, is_placed: bool) {
         self.reports
             .borrow_mut()
@@ -134,19 +134,19 @@
         self.has_events.notify_one();
     }
 
-    /// What a zone's placer may have booked for an attempt is not used.
-    pub fn unused(&self, number: u64, zone: &str) {
-        self.reports.borrow_mut().unused(number, zone);
+    /// Releases a placement that a zone's placer may have recorded for an attempt.
+    pub fn release_unused(&self, number: u64, zone: &str) {
+        self.reports.borrow_mut().release_unused(number, zone);
         self.has_events.notify_one();
     }
 
-    /// The first event of an attempt came.
-    pub fn began(&self, number: u64) {
-        self.reports.borrow_mut().began(number);
+    /// Reports the first event of an attempt.
+    pub fn response_started(&self, number: u64) {
+        self.reports.borrow_mut().response_started(number);
         self.has_events.notify_one();
     }
 
-    /// An attempt ended.
+    /// Reports the end of an attempt.
     pub fn ended(&self, number: u64, end: End) {
         self.reports.borrow_mut().ended(number, end);
         self.has_events.notify_one();
@@ -162,10 +162,10 @@
         Some(placer.internal.0)
     }
 
-    fn pause(&self, address: SocketAddr) {
-        self.paused
+    fn back_off(&self, address: SocketAddr) {
+        self.backoffs
             .borrow_mut()
-            .insert(address, Instant::now() + PAUSE_AFTER_SILENCE);
+            .insert(address, Instant::now() + UNRESPONSIVE_BACKOFF);
     }
 
     fn send_events(&self) {
@@ -178,11 +178,11 @@
         }
     }
 
-    /// Tells each placer all that is under way at its zone's backends.
-    fn send_whole_reports(&self) {
+    /// Sends each placer a snapshot of the attempts in flight at its zone's backends.
+    fn send_snapshots(&self) {
         self.send_events();
         for zone in self.zones() {
-            let Some(report) = self.reports.borrow_mut().whole(&zone) else {
+            let Some(report) = self.reports.borrow_mut().snapshot(&zone) else {
                 continue;
             };
             if let (Some(address), Ok(payload)) = (self.placer_of(&zone), minicbor::to_vec(report))
@@ -204,29 +204,29 @@
     }
 }
 
-/// Sends events, those of some milliseconds together, until the future is dropped.
-async fn carry_events(client: Rc<PlacementClient>) {
+/// Sends pending events in batches until the future is dropped.
+async fn run_event_sender(client: Rc<PlacementClient>) {
     loop {
         client.has_events.notified().await;
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(EVENT_BATCH_DELAY).await;
         client.send_events();
     }
 }
 
-/// Sends whole reports at intervals, and when the placers change, until the future is dropped.
-async fn carry_whole_reports(client: Rc<PlacementClient>) {
+/// Sends snapshots at intervals, and when the placers change, until the future is dropped.
+async fn run_snapshot_sender(client: Rc<PlacementClient>) {
     let mut snapshots = client.snapshots.clone();
     let mut known = Vec::new();
-    let mut due = Instant::now() + WHOLE_INTERVAL;
+    let mut due = Instant::now() + SNAPSHOT_INTERVAL;
     loop {
         let is_due = tokio::time::timeout_at(due, snapshots.changed())
             .await
             .is_err();
         let placers = client.placers();
         if is_due || placers != known {
-            client.send_whole_reports();
+            client.send_snapshots();
             known = placers;
-            due = Instant::now() + WHOLE_INTERVAL;
+            due = Instant::now() + SNAPSHOT_INTERVAL;
         }
     }
 }
--- a/alderhollow/src/placement/ledger.rs
+++ b/alderhollow/src/placement/ledger.rs
@@ -1,65 +1,67 @@
 //! A placer's view of all senders' attempts at the backends of its zone. No I/O and no clock.
 //!
-//! A sender that is gone without a word is dropped after [`SENDER_SILENCE_MS`]; one that is cut off chooses for itself, and
-//! is heard of again by its next whole report. A placer that starts anew knows nothing until the senders' next whole reports.
+//! The attempts of a sender that disappears are removed after [`SENDER_TIMEOUT_MS`]. A partitioned sender selects
+//! backends by itself, and its next snapshot restores its attempts. A placer that restarts knows no attempts until the
+//! senders' next snapshots.
 
-use super::message::{AttemptId, Demand, Event, PlaceRequest, Placement, Report, UnderWay};
+use super::message::{AttemptId, AttemptInfo, Demand, Event, PlaceRequest, Placement, Report};
 use crate::balance::{Balancer, Explanation, Millis, Outcome};
 use alderhollow_model::identity::Incarnation;
 use alderhollow_model::snapshot::Snapshot;
 use std::collections::BTreeMap;
 
-/// A sender that said nothing for so long is gone, and its attempts with it. Whole reports come more often.
-pub const SENDER_SILENCE_MS: Millis = 2_200.0;
-/// Between two looks for silent senders.
-const LOOK_INTERVAL_MS: Millis = 250.0;
-/// Most senders, and most attempts of one, that are kept: a bound on memory whatever is sent.
+/// A sender without reports for this long is removed together with its attempts. Longer than the interval of
+/// snapshots.
+pub const SENDER_TIMEOUT_MS: Millis = 2_200.0;
+/// Interval between two checks for expired senders.
+const EXPIRY_CHECK_INTERVAL_MS: Millis = 250.0;
+/// Maximum numbers of senders, and of attempts per sender, to bound the memory for any input.
 const MAX_SENDERS: usize = 4_096;
 const MAX_ATTEMPTS: usize = 4_096;
 
-/// What is known of one sender.
+/// The state of one sender.
 #[derive(Debug, Default)]
 struct Sender {
-    heard_at: Millis,
-    /// Number of the newest whole report.
+    last_seen: Millis,
+    /// Sequence number of the newest snapshot.
     sequence: u64,
-    /// The balancer's numbers of its attempts, by the sender's own.
+    /// By the sender's attempt number: the balancer's attempt number.
     attempts: BTreeMap<u64, u64>,
 }
 
-/// When an attempt began that a sender tells of.
+/// When a reported attempt started.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 enum StartTime {
-    /// Some milliseconds ago: the sender tells of it as soon as it can.
+    /// A few milliseconds ago: senders report starts immediately.
     JustNow,
-    /// At any time before: it stands in a whole report.
+    /// At an unknown earlier time: the attempt is part of a snapshot.
     Earlier,
 }
 
-/// The view of one placer.
+/// The state of one placer.
 #[derive(Debug)]
 pub struct Ledger {
     balancer: Balancer,
     senders: BTreeMap<Incarnation, Sender>,
-    looked_at: Millis,
+    last_expiry_check: Millis,
 }
 
 impl Ledger {
-    /// One that knows of no attempt yet. `node` and `zone` are the placer's own.
+    /// Creates an empty ledger. `node` and `zone` are those of the placer.
     pub fn new(node: &str, zone: &str, seed: u64) -> Ledger {
         Ledger {
             balancer: Balancer::placer_for_zone(node, zone, seed),
             senders: BTreeMap::new(),
-            looked_at: 0.0,
+            last_expiry_check: 0.0,
         }
     }
 
-    /// Takes in newer tables.
+    /// Applies newer tables.
     pub fn update(&mut self, now: Millis, snapshot: &Snapshot) {
         self.balancer.update(now, snapshot);
     }
 
-    /// Attempts under way, of all senders.
+    /// Number of attempts in flight, of all senders.
     pub fn attempts(&self) -> usize {
         self.senders
             .values()
@@ -67,23 +69,25 @@
             .sum()
     }
 
-    /// Senders that are heard of.
+    /// Number of known senders.
     pub fn senders(&self) -> usize {
         self.senders.len()
     }
 
-    /// Chooses a backend and books it for the attempt.
+    /// Selects a backend and records the attempt.
     pub fn place(&mut self, now: Millis, request: &PlaceRequest) -> Placement {
-        self.drop_silent(now);
+        self.expire_senders(now);
         let AttemptId { sender, number } = request.attempt;
-        if !self.may_note(sender) {
+        if !self.can_track(sender) {
             return Placement::NoneReady;
         }
         let prompt = request.demand.prompt();
-        let chosen = self.balancer.choose(now, &request.demand.wanted(&prompt));
+        let chosen = self
+            .balancer
+            .choose(now, &request.demand.selection_request(&prompt));
         match chosen {
             Ok(choice) => {
-                self.book(now, sender, number, choice.attempt);
+                self.record_attempt(now, sender, number, choice.attempt);
                 Placement::At {
                     backend: choice.backend.id.clone(),
                     wait_ms: choice.wait_ms,
@@ -93,46 +97,47 @@
         }
     }
 
-    /// What [`Ledger::place`] would weigh at this moment; `None` where the zone has no backend of the service.
+    /// Explains what [`Ledger::place`] would select now; `None` if the zone has no backend of the service.
     pub fn explain(&mut self, now: Millis, demand: &Demand) -> Option<Explanation> {
-        self.drop_silent(now);
-        self.balancer.explain(now, &demand.wanted(&demand.prompt()))
+        self.expire_senders(now);
+        self.balancer
+            .explain(now, &demand.selection_request(&demand.prompt()))
     }
 
-    /// Takes in what a sender reports.
-    pub fn take_report(&mut self, now: Millis, report: &Report) {
-        self.drop_silent(now);
-        if !self.may_note(report.sender()) {
+    /// Applies a sender's report.
+    pub fn apply_report(&mut self, now: Millis, report: &Report) {
+        self.expire_senders(now);
+        if !self.can_track(report.sender()) {
             return;
         }
         match report {
             Report::Events { sender, events } => {
-                self.hear(now, *sender);
+                self.touch_sender(now, *sender);
                 events
                     .iter()
-                    .for_each(|event| self.take_event(now, *sender, event));
+                    .for_each(|event| self.apply_event(now, *sender, event));
             }
-            Report::Whole {
+            Report::Snapshot {
                 sender,
                 sequence,
-                newest,
-                under_way,
+                last_number,
+                in_flight,
             } => {
-                let known = self.hear(now, *sender);
+                let known = self.touch_sender(now, *sender);
                 if *sequence <= known.sequence {
                     return;
                 }
                 known.sequence = *sequence;
-                self.reconcile(now, *sender, *newest, under_way);
+                self.reconcile(now, *sender, *last_number, in_flight);
             }
         }
     }
 
-    fn take_event(&mut self, now: Millis, sender: Incarnation, event: &Event) {
+    fn apply_event(&mut self, now: Millis, sender: Incarnation, event: &Event) {
         match event {
-            Event::Started(under_way) => self.start(now, sender, under_way, StartTime::JustNow),
-            Event::Began(number) => {
-                if let Some(attempt) = self.number_of(sender, *number) {
+            Event::Started(in_flight) => self.start(now, sender, in_flight, StartTime::JustNow),
+            Event::ResponseStarted(number) => {
+                if let Some(attempt) = self.balancer_attempt(sender, *number) {
                     self.balancer.response_started(now, attempt);
                 }
             }
@@ -140,9 +145,16 @@
         }
     }
 
-    /// Makes the sender's attempts those that it tells. Later ones than `newest` may be on their way to it.
-    fn reconcile(&mut self, now: Millis, sender: Incarnation, newest: u64, under_way: &[UnderWay]) {
-        let is_told = |number: u64| under_way.iter().any(|told| told.number == number);
+    /// Replaces the sender's attempts by those of a snapshot. Attempts after `last_number` are kept, because the
+    /// snapshot does not cover them.
+    fn reconcile(
+        &mut self,
+        now: Millis,
+        sender: Incarnation,
+        last_number: u64,
+        in_flight: &[AttemptInfo],
+    ) {
+        let is_reported = |number: u64| in_flight.iter().any(|info| info.number == number);
         let known = self
             .senders
             .get(&sender)
@@ -150,34 +162,42 @@
         let known: Vec<u64> = known.unwrap_or_default();
         for number in known
             .into_iter()
-            .filter(|number| *number <= newest && !is_told(*number))
+            .filter(|number| *number <= last_number && !is_reported(*number))
         {
             self.withdraw(sender, number);
         }
-        for told in under_way {
-            self.start(now, sender, told, StartTime::Earlier);
+        for info in in_flight {
+            self.start(now, sender, info, StartTime::Earlier);
         }
     }
 
-    /// Notes an attempt that the sender began; nothing if it is known.
-    fn start(&mut self, now: Millis, sender: Incarnation, told: &UnderWay, start_time: StartTime) {
-        if let Some(attempt) = self.number_of(sender, told.number) {
-            if told.has_begun {
+    /// Records an attempt that the sender started, unless it is already known.
+    fn start(
+        &mut self,
+        now: Millis,
+        sender: Incarnation,
+        info: &AttemptInfo,
+        start_time: StartTime,
+    ) {
+        if let Some(attempt) = self.balancer_attempt(sender, info.number) {
+            if info.response_started {
                 self.balancer.response_started(now, attempt);
             }
             return;
         }
-        let prompt = told.demand.prompt();
-        let wanted = told.demand.wanted(&prompt);
+        let prompt = info.demand.prompt();
+        let selection = info.demand.selection_request(&prompt);
         let choice = match start_time {
-            StartTime::JustNow => self.balancer.record_choice(now, &wanted, &told.backend),
-            StartTime::Earlier => {
-                self.balancer
-                    .record_earlier_choice(now, &wanted, &told.backend, told.has_begun)
-            }
+            StartTime::JustNow => self.balancer.record_choice(now, &selection, &info.backend),
+            StartTime::Earlier => self.balancer.record_earlier_choice(
+                now,
+                &selection,
+                &info.backend,
+                info.response_started,
+            ),
         };
         if let Some(choice) = choice {
-            self.book(now, sender, told.number, choice.attempt);
+            self.record_attempt(now, sender, info.number, choice.attempt);
         }
     }
 
@@ -191,8 +211,8 @@
         }
     }
 
-    fn book(&mut self, now: Millis, sender: Incarnation, number: u64, attempt: u64) {
-        let known = self.hear(now, sender);
+    fn record_attempt(&mut self, now: Millis, sender: Incarnation, number: u64, attempt: u64) {
+        let known = self.touch_sender(now, sender);
         let replaced = known.attempts.insert(number, attempt);
         let oldest = match known.attempts.len() > MAX_ATTEMPTS {
             true => known.attempts.pop_first().map(|(_, oldest)| oldest),
@@ -201,7 +221,7 @@
         replaced
             .into_iter()
             .chain(oldest)
-            .for_each(|gone| self.balancer.withdraw(gone));
+            .for_each(|removed| self.balancer.withdraw(removed));
     }
 
     fn withdraw(&mut self, sender: Incarnation, number: u64) {
@@ -214,33 +234,33 @@
             .for_each(|attempt| self.balancer.withdraw(attempt));
     }
 
-    fn number_of(&self, sender: Incarnation, number: u64) -> Option<u64> {
+    fn balancer_attempt(&self, sender: Incarnation, number: u64) -> Option<u64> {
         self.senders.get(&sender)?.attempts.get(&number).copied()
     }
 
-    fn may_note(&self, sender: Incarnation) -> bool {
+    fn can_track(&self, sender: Incarnation) -> bool {
         self.senders.len() < MAX_SENDERS || self.senders.contains_key(&sender)
     }
 
-    fn hear(&mut self, now: Millis, sender: Incarnation) -> &mut Sender {
+    fn touch_sender(&mut self, now: Millis, sender: Incarnation) -> &mut Sender {
         let known = self.senders.entry(sender).or_default();
-        known.heard_at = now;
+        known.last_seen = now;
         known
     }
 
-    fn drop_silent(&mut self, now: Millis) {
-        if now - self.looked_at < LOOK_INTERVAL_MS {
+    fn expire_senders(&mut self, now: Millis) {
+        if now - self.last_expiry_check < EXPIRY_CHECK_INTERVAL_MS {
             return;
         }
-        self.looked_at = now;
-        let is_silent = |sender: &Sender| now - sender.heard_at > SENDER_SILENCE_MS;
-        let silent: Vec<Incarnation> = self
+        self.last_expiry_check = now;
+        let is_expired = |sender: &Sender| now - sender.last_seen > SENDER_TIMEOUT_MS;
+        let expired: Vec<Incarnation> = self
             .senders
             .iter()
-            .filter(|(_, sender)| is_silent(sender))
+            .filter(|(_, sender)| is_expired(sender))
             .map(|(incarnation, _)| *incarnation)
             .collect();
-        for incarnation in silent {
+        for incarnation in expired {
             let attempts = self
                 .senders
                 .remove(&incarnation)
--- a/alderhollow/src/placement/message.rs
+++ b/alderhollow/src/placement/message.rs
@@ -4,77 +4,77 @@
 use alderhollow_model::identity::Incarnation;
 use minicbor::{Decode, Encode};
 
-/// Names an attempt: numbers are drawn by its sender and never used again in one incarnation.
+/// Identifies an attempt. A sender assigns each number only once per incarnation.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash, Encode, Decode)]
 pub struct AttemptId {
     /// The sender.
     #[n(0)]
     pub sender: Incarnation,
-    /// The attempt among those of the sender.
+    /// The number of the attempt, unique for its sender.
     #[n(1)]
     pub number: u64,
 }
 
-/// A part of a prompt that requests share.
+/// A part of a prompt that several requests may share.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 pub struct PromptPart {
-    /// Hash of its identifier.
+    /// Hash of the part's identifier.
     #[n(0)]
     pub id: u64,
-    /// Its tokens.
+    /// Number of tokens.
     #[n(1)]
     pub tokens: u32,
 }
 
-/// What an attempt asks of a backend.
+/// The properties of a request that determine its placement.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct Demand {
-    /// The service.
+    /// The name of the service.
     #[n(0)]
     pub service: String,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     #[n(1)]
     pub priority: u32,
-    /// Tokens of the prompt.
+    /// Number of tokens in the prompt.
     #[n(2)]
     pub tokens_in: u32,
-    /// Most tokens that come out.
+    /// Maximum number of output tokens.
     #[n(3)]
     pub tokens_out: u32,
     /// The prompt's parts in order.
     #[n(4)]
     pub parts: Vec<PromptPart>,
-    /// Backends, by id, that it may not go to.
+    /// Ids of backends that must not be selected.
     #[n(5)]
-    pub except: Vec<String>,
+    pub excluded_backends: Vec<String>,
 }
 
 impl Demand {
-    /// The demand of a request for tokens; `None` for one without a prompt.
-    pub fn of(wanted: &SelectionRequest, except: Vec<String>) -> Option<Demand> {
-        let prompt = wanted.prompt?;
+    /// The demand of a token request; `None` if it has no prompt.
+    pub fn of(request: &SelectionRequest, excluded_backends: Vec<String>) -> Option<Demand> {
+        let prompt = request.prompt?;
         let part = |&(id, tokens): &(u64, u32)| PromptPart { id, tokens };
         Some(Demand {
-            service: wanted.service.to_string(),
-            priority: wanted.priority,
+            service: request.service.to_string(),
+            priority: request.priority,
             tokens_in: prompt.tokens_in,
             tokens_out: prompt.tokens_out,
             parts: prompt.parts.iter().map(part).collect(),
-            except,
+            excluded_backends,
         })
     }
 
-    /// The same as it is put to a balancer, with its prompt.
-    pub fn wanted<'a>(&'a self, prompt: &'a Prompt) -> SelectionRequest<'a> {
+    /// Converts the demand to a balancer's request.
+    pub fn selection_request<'a>(&'a self, prompt: &'a Prompt) -> SelectionRequest<'a> {
         SelectionRequest {
             service: &self.service,
             prompt: Some(prompt),
             priority: self.priority,
-            tried: &self.except,
+            tried: &self.excluded_backends,
         }
     }
 
-    /// Its prompt.
+    /// The prompt of the request.
     pub fn prompt(&self) -> Prompt {
         Prompt {
             parts: self
@@ -88,53 +88,53 @@
     }
 }
 
-/// A question of a sender.
+/// Asks a placer to place an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub struct PlaceRequest {
     /// The attempt.
     #[n(0)]
     pub attempt: AttemptId,
-    /// What it asks for.
+    /// The demand of the attempt.
     #[n(1)]
     pub demand: Demand,
 }
 
-/// A placer's answer.
+/// A placer's response.
 #[derive(Debug, Clone, PartialEq, Encode, Decode)]
 pub enum Placement {
-    /// A backend takes it, and is booked for it.
+    /// The backend that the placer selected. The placer counts the attempt as in flight there.
     #[n(0)]
     At {
-        /// Its id.
+        /// The backend's id.
         #[n(0)]
         backend: String,
-        /// Milliseconds of what is known to be ahead of the request there, and of what it would cost the streams that run
-        /// there.
+        /// Estimated queueing delay at the backend, plus the cost of delaying the streams that run there, in
+        /// milliseconds.
         #[n(1)]
         wait_ms: f64,
     },
-    /// Each backend of the zone has as much as it bears.
+    /// All backends of the zone are at capacity.
     #[n(1)]
     Full {
-        /// Milliseconds until it may be different.
+        /// Milliseconds until capacity may be available.
         #[n(0)]
         retry_after_ms: f64,
     },
-    /// The zone has no backend that may get it.
+    /// The zone has no backend that accepts the request.
     #[n(2)]
     NoneReady,
 }
 
 impl From<NoBackend> for Placement {
-    fn from(none: NoBackend) -> Placement {
-        match none {
+    fn from(error: NoBackend) -> Placement {
+        match error {
             NoBackend::NoneReady => Placement::NoneReady,
             NoBackend::AllFull { retry_after_ms } => Placement::Full { retry_after_ms },
         }
     }
 }
 
-/// How an attempt ended, as it goes over the wire.
+/// The encoded form of [`Outcome`].
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Encode, Decode)]
 #[cbor(index_only)]
 pub enum End {
@@ -194,73 +194,74 @@
     }
 }
 
-/// An attempt at one backend, as its sender tells it to a placer that may not know of it.
+/// An attempt at one backend, reported to a placer that may not know it.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
-pub struct UnderWay {
-    /// The attempt among those of the sender.
+pub struct AttemptInfo {
+    /// The number of the attempt, unique for its sender.
     #[n(0)]
     pub number: u64,
-    /// The backend.
+    /// The backend's id.
     #[n(1)]
     pub backend: String,
-    /// What it asked for.
+    /// The demand of the attempt.
     #[n(2)]
     pub demand: Demand,
-    /// Whether the first event came.
+    /// Whether the first event was received.
     #[n(3)]
-    pub has_begun: bool,
+    pub response_started: bool,
 }
 
-/// Something that became of an attempt.
+/// A change in the state of an attempt.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Event {
-    /// The sender began it at a backend of its own choice.
+    /// The sender started it at a backend that it selected by itself.
     #[n(0)]
-    Started(#[n(0)] UnderWay),
-    /// The first event came.
+    Started(#[n(0)] AttemptInfo),
+    /// The first event was received.
     #[n(1)]
-    Began(#[n(0)] u64),
-    /// It ended.
+    ResponseStarted(#[n(0)] u64),
+    /// The attempt ended.
     #[n(2)]
     Ended(#[n(0)] u64, #[n(1)] End),
 }
 
-/// What a sender tells a placer without a question. It may be lost, doubled or late: a [`Report::Whole`] mends that.
+/// An unsolicited report from a sender to a placer. Reports may be lost, duplicated or reordered; the next
+/// [`Report::Snapshot`] corrects the placer's state.
 #[derive(Debug, Clone, PartialEq, Eq, Encode, Decode)]
 pub enum Report {
-    /// What happened since the last report, in order.
+    /// Changes since the last report, in order.
     #[n(0)]
     Events {
         /// The sender.
         #[n(0)]
         sender: Incarnation,
-        /// The events.
+        /// The changes.
         #[n(1)]
         events: Vec<Event>,
     },
-    /// All that the sender has under way at backends of the placer's zone.
+    /// All attempts that the sender has in flight at backends of the placer's zone.
     #[n(1)]
-    Whole {
+    Snapshot {
         /// The sender.
         #[n(0)]
         sender: Incarnation,
-        /// Counts the sender's reports of this kind to any placer: an older one changes nothing.
+        /// Sequence number of the sender's snapshots, shared by all placers. Older snapshots are ignored.
         #[n(1)]
         sequence: u64,
-        /// Numbers up to this one had been drawn: a later attempt is not denied by its absence.
+        /// The last attempt number assigned before the snapshot. Attempts with higher numbers are not covered by it.
         #[n(2)]
-        newest: u64,
+        last_number: u64,
         /// The attempts.
         #[n(3)]
-        under_way: Vec<UnderWay>,
+        in_flight: Vec<AttemptInfo>,
     },
 }
 
 impl Report {
-    /// Who sent it.
+    /// The sender of the report.
     pub fn sender(&self) -> Incarnation {
         match self {
-            Report::Events { sender, .. } | Report::Whole { sender, .. } => *sender,
+            Report::Events { sender, .. } | Report::Snapshot { sender, .. } => *sender,
         }
     }
 }
--- a/alderhollow/src/placement/mod.rs
+++ b/alderhollow/src/placement/mod.rs
@@ -1,20 +1,22 @@
-//! Placement of requests for tokens, with sight of what all senders have under way.
+//! Placement of token requests by a process that knows the in-flight load of all senders.
 //!
-//! A sender alone knows only its own attempts: with dozens of senders before dozens of model engines it chooses blind, and
-//! long prompts meet other requests by chance. In each zone one process, the zone's *placer*, is asked which of the zone's
-//! backends takes a request, and is told what becomes of it. The core's primary names the placers (`distribution::placers`).
+//! A sender knows only its own attempts. With dozens of senders and dozens of model engines, it would select backends
+//! without knowing most of the load, and long prompts would collide with other requests by chance. In each zone one
+//! process, the zone's *placer*, selects a backend of its zone for each request, and receives reports on the progress
+//! of the attempts. The core's primary appoints the placers (`distribution::placers`).
 //!
-//! It is advice. The sender holds each answer against its own tables (drain, evacuation, allowance of cold backends) and
-//! chooses for itself where no answer comes in time. Two placers at once, or none, cost quality and break nothing.
+//! Placements are advisory. The sender checks each one against its own tables (drain, evacuation, rate limits of cold
+//! backends) and selects a backend by itself if no placement arrives in time. Two placers for a zone, or none, reduce
+//! the quality of the selection but not its correctness.
 //!
-//! | part | does |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`message`] | what senders and placers say to each other |
+//! | [`message`] | messages between senders and placers |
 //! | [`ledger`] | a placer's view of all senders' attempts; no I/O |
 //! | [`server`] | serves a ledger on the internal port |
-//! | [`offers`] | which placers are asked, and which offer is kept; no I/O |
-//! | [`reports`] | what a sender tells each placer of its attempts; no I/O |
-//! | [`client`] | asks placers, and carries the reports |
+//! | [`offers`] | selects the placers to ask and the best offer; no I/O |
+//! | [`reports`] | a sender's reports to the placers; no I/O |
+//! | [`client`] | requests placements and sends the reports |
 
 pub mod client;
 pub mod ledger;
--- a/alderhollow/src/placement/offers.rs
+++ b/alderhollow/src/placement/offers.rs
@@ -1,37 +1,37 @@
-//! Which zones' placers are asked for one request, and which of their offers is kept. No I/O.
+//! Selects the zones whose placers are asked for a request, and the best of their offers. No I/O.
 
 use super::message::Placement;
 use crate::balance::{Millis, CROSS_ZONE_ENGINE_COST_MS};
 
-/// Besides the own zone, so many are asked where the own one has nothing good.
-const OTHER_ZONES_ASKED: usize = 2;
+/// Maximum number of other zones to ask if the own zone has no good offer.
+const MAX_OTHER_ZONES: usize = 2;
 
 /// A backend that a placer offered.
 #[derive(Debug, Clone, PartialEq)]
 pub struct Offer {
     /// The placer's zone.
     pub zone: String,
-    /// Number of the attempt for which the placer booked the backend.
+    /// The attempt number for which the placer recorded the backend.
     pub number: u64,
-    /// The backend, by id.
+    /// The backend's id.
     pub backend: String,
-    /// What is ahead of the request there, and the price of another zone.
+    /// Estimated queueing delay at the backend, plus the cost of cross-zone traffic.
     wait_ms: Millis,
 }
 
 /// Why there is no offer.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum NoOffer {
-    /// No zone that answered has room.
+    /// No zone that answered has capacity.
     Full {
-        /// Milliseconds until it may be different.
+        /// Milliseconds until capacity may be available.
         retry_after_ms: f64,
     },
-    /// No placer answered, or none has a backend at all: the sender chooses for itself.
+    /// No placer answered, or none has a backend of the service. The sender selects a backend by itself.
     NoAnswer,
 }
 
-/// The offers for one request so far.
+/// The offers received so far for one request.
 #[derive(Debug)]
 pub struct Offers<'a> {
     own_zone: &'a str,
@@ -40,7 +40,7 @@
 }
 
 impl<'a> Offers<'a> {
-    /// None yet, for a sender of this zone.
+    /// Creates an empty set of offers for a sender of this zone.
     pub fn new(own_zone: &'a str) -> Offers<'a> {
         Offers {
             own_zone,
@@ -49,11 +49,11 @@
         }
     }
 
-    /// Takes in a placer's answer. Returns an offer that is not used: its placer is to be told.
-    pub fn take(&mut self, zone: &str, number: u64, placement: Placement) -> Option<Offer> {
+    /// Adds a placer's response. Returns an offer that is not used, which must be released at its placer.
+    pub fn add(&mut self, zone: &str, number: u64, placement: Placement) -> Option<Offer> {
         match placement {
             Placement::At { backend, wait_ms } => {
-                let other_zone_ms = if zone == self.own_zone {
+                let cross_zone_ms = if zone == self.own_zone {
                     0.0
                 } else {
                     CROSS_ZONE_ENGINE_COST_MS
@@ -62,7 +62,7 @@
                     zone: zone.to_string(),
                     number,
                     backend,
-                    wait_ms: wait_ms + other_zone_ms,
+                    wait_ms: wait_ms + cross_zone_ms,
                 };
                 let is_better = self
                     .best
@@ -85,36 +85,36 @@
         }
     }
 
-    /// Whether another zone would not be worth its price.
-    pub fn is_enough(&self) -> bool {
+    /// Whether the best offer is good enough that another zone could not compensate for the cross-zone cost.
+    pub fn is_sufficient(&self) -> bool {
         self.best
             .as_ref()
             .is_some_and(|best| best.wait_ms <= CROSS_ZONE_ENGINE_COST_MS)
     }
 
-    /// The best one.
+    /// Returns the best offer.
     ///
     /// # Errors
-    /// There is none.
+    /// Returns the reason if there is no offer.
     pub fn best(self) -> Result<Offer, NoOffer> {
-        let none = self
+        let error = self
             .retry_after_ms
             .map_or(NoOffer::NoAnswer, |retry_after_ms| NoOffer::Full {
                 retry_after_ms,
             });
-        self.best.ok_or(none)
+        self.best.ok_or(error)
     }
 }
 
-/// Zones in the order in which their placers are asked: the own one, then some others by `draw`.
-pub fn zones_to_ask(mut zones: Vec<String>, own: &str, draw: u64) -> Vec<String> {
+/// The zones whose placers are asked, in order: the own zone first, then a random selection of others.
+pub fn zones_to_ask(mut zones: Vec<String>, own: &str, random: u64) -> Vec<String> {
     let own = zones
         .iter()
         .position(|zone| zone == own)
         .map(|at| zones.swap_remove(at));
-    let first = draw.checked_rem(zones.len() as u64).unwrap_or(0);
+    let first = random.checked_rem(zones.len() as u64).unwrap_or(0);
     zones.rotate_left(first as usize);
     own.into_iter()
-        .chain(zones.into_iter().take(OTHER_ZONES_ASKED))
+        .chain(zones.into_iter().take(MAX_OTHER_ZONES))
         .collect()
 }
--- a/alderhollow/src/placement/reports.rs
+++ b/alderhollow/src/placement/reports.rs
@@ -1,41 +1,41 @@
-//! What a sender tells the placers of its attempts. No I/O and no clock.
+//! A sender's reports to the placers. No I/O and no clock.
 
-use super::message::{Demand, End, Event, Report, UnderWay};
+use super::message::{AttemptInfo, Demand, End, Event, Report};
 use alderhollow_model::identity::Incarnation;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// An attempt of this sender that a placer is told of.
+/// An attempt of this sender that is reported to a placer.
 #[derive(Debug)]
-struct Known {
+struct TrackedAttempt {
     zone: String,
     backend: String,
     demand: Demand,
-    has_begun: bool,
+    response_started: bool,
 }
 
-/// Keeps the attempts under way, by the zones of their backends.
+/// Tracks the attempts in flight and the pending events, by the zones of their backends.
 #[derive(Debug)]
 pub struct Reports {
     sender: Incarnation,
-    newest: u64,
+    last_number: u64,
     sequence: u64,
-    under_way: BTreeMap<u64, Known>,
-    /// Events that are not sent yet, by the zones of the backends.
+    in_flight: BTreeMap<u64, TrackedAttempt>,
+    /// Events that have not been sent, by the zones of the backends.
     events: BTreeMap<String, Vec<Event>>,
-    /// Zones whose last whole report told of nothing.
-    empty: BTreeSet<String>,
+    /// Zones whose last snapshot was empty.
+    reported_empty: BTreeSet<String>,
 }
 
 impl Reports {
-    /// None yet, for a sender in this incarnation.
+    /// Creates the reports of a sender in this incarnation.
     pub fn new(sender: Incarnation) -> Reports {
         Reports {
             sender,
-            newest: 0,
+            last_number: 0,
             sequence: 0,
-            under_way: BTreeMap::new(),
+            in_flight: BTreeMap::new(),
             events: BTreeMap::new(),
-            empty: BTreeSet::new(),
+            reported_empty: BTreeSet::new(),
         }
     }
 
@@ -44,13 +44,14 @@
         self.sender
     }
 
-    /// Draws the number of an attempt.
-    pub fn draw_number(&mut self) -> u64 {
-        self.newest += 1;
-        self.newest
+    /// Assigns the number of a new attempt.
+    pub fn next_attempt_number(&mut self) -> u64 {
+        self.last_number += 1;
+        self.last_number
     }
 
-    /// An attempt starts at a backend of a zone. `is_placed`: the zone's placer chose it, and knows.
+    /// Records the start of an attempt at a backend of a zone. `is_placed`: the zone's placer selected the backend,
+    /// and already knows the attempt.
     pub fn started(
         &mut self,
         number: u64,
@@ -60,48 +61,48 @@
         is_placed: bool,
     ) {
         if !is_placed {
-            let told = UnderWay {
+            let info = AttemptInfo {
                 number,
                 backend: backend.to_string(),
                 demand: demand.clone(),
-                has_begun: false,
+                response_started: false,
             };
-            self.push(zone, Event::Started(told));
+            self.push(zone, Event::Started(info));
         }
-        let known = Known {
+        let known = TrackedAttempt {
             zone: zone.to_string(),
             backend: backend.to_string(),
             demand,
-            has_begun: false,
+            response_started: false,
         };
-        self.under_way.insert(number, known);
+        self.in_flight.insert(number, known);
     }
 
-    /// The placer of a zone may have booked a backend for an attempt that did not start there.
-    pub fn unused(&mut self, number: u64, zone: &str) {
+    /// Releases a placement that the placer of a zone may have recorded for an attempt that did not start there.
+    pub fn release_unused(&mut self, number: u64, zone: &str) {
         self.push(zone, Event::Ended(number, End::Cancelled));
     }
 
-    /// The first event of an attempt came.
-    pub fn began(&mut self, number: u64) {
-        let Some(known) = self.under_way.get_mut(&number) else {
+    /// Records the first event of an attempt.
+    pub fn response_started(&mut self, number: u64) {
+        let Some(known) = self.in_flight.get_mut(&number) else {
             return;
         };
-        if std::mem::replace(&mut known.has_begun, true) {
+        if std::mem::replace(&mut known.response_started, true) {
             return;
         }
         let zone = known.zone.clone();
-        self.push(&zone, Event::Began(number));
+        self.push(&zone, Event::ResponseStarted(number));
     }
 
-    /// An attempt ended.
+    /// Records the end of an attempt.
     pub fn ended(&mut self, number: u64, end: End) {
-        if let Some(known) = self.under_way.remove(&number) {
+        if let Some(known) = self.in_flight.remove(&number) {
             self.push(&known.zone, Event::Ended(number, end));
         }
     }
 
-    /// Takes the events that are to be sent, by zones.
+    /// Takes the pending events, by zone.
     pub fn take_events(&mut self) -> Vec<(String, Report)> {
         let sender = self.sender;
         let events = std::mem::take(&mut self.events);
@@ -111,46 +112,46 @@
             .collect()
     }
 
-    /// Whether events wait to be sent.
+    /// Whether events are pending.
     pub fn has_events(&self) -> bool {
         !self.events.is_empty()
     }
 
-    /// All that is under way at a zone's backends; `None` if there is nothing, and the last time there was nothing either.
-    pub fn whole(&mut self, zone: &str) -> Option<Report> {
-        let is_empty = !self.under_way.values().any(|known| known.zone == zone);
+    /// A snapshot of all attempts in flight at a zone's backends; `None` if it is empty and the previous one was too.
+    pub fn snapshot(&mut self, zone: &str) -> Option<Report> {
+        let is_empty = !self.in_flight.values().any(|known| known.zone == zone);
         let was_empty = match is_empty {
-            true => !self.empty.insert(zone.to_string()),
-            false => self.empty.remove(zone),
+            true => !self.reported_empty.insert(zone.to_string()),
+            false => self.reported_empty.remove(zone),
         };
         if is_empty && was_empty {
             return None;
         }
         self.sequence += 1;
         let in_zone = self
-            .under_way
+            .in_flight
             .iter()
             .filter(|(_, known)| known.zone == zone);
-        let told = |(number, known): (&u64, &Known)| UnderWay {
+        let info = |(number, known): (&u64, &TrackedAttempt)| AttemptInfo {
             number: *number,
             backend: known.backend.clone(),
             demand: Demand {
                 parts: Vec::new(),
-                except: Vec::new(),
+                excluded_backends: Vec::new(),
                 ..known.demand.clone()
             },
-            has_begun: known.has_begun,
+            response_started: known.response_started,
         };
-        Some(Report::Whole {
+        Some(Report::Snapshot {
             sender: self.sender,
             sequence: self.sequence,
-            newest: self.newest,
-            under_way: in_zone.map(told).collect(),
+            last_number: self.last_number,
+            in_flight: in_zone.map(info).collect(),
         })
     }
 
     fn push(&mut self, zone: &str, event: Event) {
-        self.empty.remove(zone);
+        self.reported_empty.remove(zone);
         self.events.entry(zone.to_string()).or_default().push(event);
     }
 }
--- a/alderhollow/src/placement/server.rs
+++ b/alderhollow/src/placement/server.rs
@@ -1,4 +1,5 @@
-//! Serves a placer's ledger on the internal port of every process: any of them may be named placer at any time.
+//! Serves a placer's ledger on the internal port. Every process runs this server, because any of them may be appointed
+//! placer at any time.
 
 use super::ledger::Ledger;
 use super::message::{Demand, PlaceRequest, Report};
@@ -10,7 +11,7 @@
 use crate::SnapshotReceiver;
 use std::cell::RefCell;
 
-/// Puts a [`Ledger`] on the clock and the tables.
+/// Provides a [`Ledger`] with the current time and the newest tables.
 pub struct PlacementServer {
     ledger: RefCell<Ledger>,
     snapshots: RefCell<SnapshotReceiver>,
@@ -18,7 +19,7 @@
 }
 
 impl PlacementServer {
-    /// A server with an empty ledger.
+    /// Creates a server for a ledger.
     pub fn new(
         ledger: Ledger,
         mut snapshots: SnapshotReceiver,
@@ -32,7 +33,7 @@
         }
     }
 
-    /// The ledger with the newest tables, and the time.
+    /// Calls a function with the ledger, after applying the newest tables, and the current time.
     fn with_ledger<T>(&self, act: impl FnOnce(&mut Ledger, f64) -> T) -> T {
         let now = self.clock.now_ms() as f64;
         let mut ledger = self.ledger.borrow_mut();
@@ -44,7 +45,7 @@
         act(&mut ledger, now)
     }
 
-    /// Why a request would go where it would go now, of the backends of this process's zone.
+    /// Explains how a request would be placed now among the backends of this process's zone.
     pub fn explain(&self, demand: &Demand) -> Option<Explanation> {
         self.with_ledger(|ledger, now| ledger.explain(now, demand))
     }
@@ -65,8 +66,8 @@
 
     fn notice(&self, payload: Vec<u8>) {
         match minicbor::decode::<Report>(&payload) {
-            Ok(report) => self.with_ledger(|ledger, now| ledger.take_report(now, &report)),
-            Err(error) => log::debug!("a report of a sender can't be read: {error}"),
+            Ok(report) => self.with_ledger(|ledger, now| ledger.apply_report(now, &report)),
+            Err(error) => log::debug!("cannot decode a report from a sender: {error}"),
         }
     }
 }
--- a/alderhollow/tests/choice_explanation.rs
+++ b/alderhollow/tests/choice_explanation.rs
@@ -65,11 +65,11 @@
     else {
         panic!("no backend");
     };
-    ledger.take_report(
+    ledger.apply_report(
         20.0,
         &Report::Events {
             sender: SENDER,
-            events: vec![Event::Began(1)],
+            events: vec![Event::ResponseStarted(1)],
         },
     );
     let explanation = explain(&mut ledger, 30.0, &demand(80_000, 0));
@@ -102,14 +102,14 @@
     };
     // The second refuses a connection, the third is filled by items.
     let at_second = Demand {
-        except: only(&ids[1]),
+        excluded_backends: only(&ids[1]),
         ..demand(100, 0)
     };
     assert!(matches!(
         place(&mut ledger, 0.0, 1, &at_second),
         Placement::At { .. }
     ));
-    ledger.take_report(
+    ledger.apply_report(
         1.0,
         &Report::Events {
             sender: SENDER,
@@ -117,7 +117,7 @@
         },
     );
     let at_third = Demand {
-        except: only(&ids[2]),
+        excluded_backends: only(&ids[2]),
         ..demand(10, 2)
     };
     (10..100).for_each(|number| drop(place(&mut ledger, 2.0, number, &at_third)));
@@ -189,11 +189,11 @@
 fn the_text_names_the_choice_and_every_part_of_the_prices() {
     let mut ledger = ledger(&tables(2));
     place(&mut ledger, 0.0, 1, &demand(100, 0));
-    ledger.take_report(
+    ledger.apply_report(
         20.0,
         &Report::Events {
             sender: SENDER,
-            events: vec![Event::Began(1)],
+            events: vec![Event::ResponseStarted(1)],
         },
     );
     let as_placer = ledger.explain(30.0, &demand(80_000, 0));
@@ -251,8 +251,8 @@
             }
             if ends {
                 let report = Report::Events { sender: SENDER, events: vec![Event::Ended(number, End::Served)] };
-                asked.take_report(now + 5.0, &report);
-                silent.take_report(now + 5.0, &report);
+                asked.apply_report(now + 5.0, &report);
+                silent.apply_report(now + 5.0, &report);
             }
         }
     }
--- a/alderhollow/tests/compatibility.rs
+++ b/alderhollow/tests/compatibility.rs
@@ -25,7 +25,7 @@
 use alderhollow::internal::ServiceId;
 use alderhollow::placement::message as placement;
 use alderhollow::placement::message::{
-    AttemptId, Demand, End, PlaceRequest, Placement, PromptPart, UnderWay,
+    AttemptId, AttemptInfo, Demand, End, PlaceRequest, Placement, PromptPart,
 };
 use alderhollow::status::message as status;
 use alderhollow::status::message::{
@@ -430,7 +430,7 @@
             id: 0x1122,
             tokens: 200,
         }],
-        except: vec!["b-1".into()],
+        excluded_backends: vec!["b-1".into()],
     }
 }
 
@@ -465,11 +465,11 @@
         },
     );
     check(&mut recorded, "none_ready", &Placement::NoneReady);
-    let under_way = UnderWay {
+    let under_way = AttemptInfo {
         number: 9,
         backend: "b-2".into(),
         demand: demand(),
-        has_begun: true,
+        response_started: true,
     };
     let ends = [
         End::Served,
@@ -483,7 +483,7 @@
     ];
     let mut events = vec![
         placement::Event::Started(under_way.clone()),
-        placement::Event::Began(9),
+        placement::Event::ResponseStarted(9),
     ];
     events.extend(ends.map(|end| placement::Event::Ended(9, end)));
     check(
@@ -494,11 +494,11 @@
             events,
         },
     );
-    let whole = placement::Report::Whole {
+    let whole = placement::Report::Snapshot {
         sender: Incarnation(5),
         sequence: 3,
-        newest: 9,
-        under_way: vec![under_way],
+        last_number: 9,
+        in_flight: vec![under_way],
     };
     check(&mut recorded, "whole", &whole);
     recorded.finish();
--- a/alderhollow/tests/placement.rs
+++ b/alderhollow/tests/placement.rs
@@ -6,9 +6,9 @@
 use alderhollow::exchange::Exchange;
 use alderhollow::internal::Network;
 use alderhollow::placement::client::PlacementClient;
-use alderhollow::placement::ledger::{Ledger, SENDER_SILENCE_MS};
+use alderhollow::placement::ledger::{Ledger, SENDER_TIMEOUT_MS};
 use alderhollow::placement::message::{
-    AttemptId, Demand, End, Event, PlaceRequest, Placement, Report, UnderWay,
+    AttemptId, AttemptInfo, Demand, End, Event, PlaceRequest, Placement, Report,
 };
 use alderhollow::placement::reports::Reports;
 use alderhollow_model::identity::{Address, Incarnation};
@@ -91,9 +91,12 @@
         let chosen = backend_of(place(&mut ledger, 1.0, SECOND, number, &demand(500)));
         assert_ne!(chosen, busy);
     }
-    ledger.take_report(
+    ledger.apply_report(
         400.0,
-        &events(FIRST, vec![Event::Began(1), Event::Ended(1, End::Served)]),
+        &events(
+            FIRST,
+            vec![Event::ResponseStarted(1), Event::Ended(1, End::Served)],
+        ),
     );
     assert_eq!(
         backend_of(place(&mut ledger, 401.0, SECOND, 9, &demand(500))),
@@ -108,12 +111,18 @@
         .map(|number| backend_of(place(&mut ledger, 0.0, FIRST, number, &demand(500))))
         .collect();
     assert_eq!(streams.len(), 2);
-    ledger.take_report(50.0, &events(FIRST, vec![Event::Began(1), Event::Began(2)]));
+    ledger.apply_report(
+        50.0,
+        &events(
+            FIRST,
+            vec![Event::ResponseStarted(1), Event::ResponseStarted(2)],
+        ),
+    );
     // Items wait for nobody: the third backend stays the best although more runs there.
     for number in 1..=6 {
         let free = backend_of(place(&mut ledger, 60.0, SECOND, 100 + number, &item(500)));
         if streams.contains(&free) {
-            ledger.take_report(
+            ledger.apply_report(
                 60.0,
                 &events(SECOND, vec![Event::Ended(100 + number, End::Cancelled)]),
             );
@@ -126,8 +135,11 @@
 /// Has a request of a sender read alone at one backend of the first `backends` and ended; it took so long to begin.
 fn read_alone(ledger: &mut Ledger, now: f64, number: u64, demand: &Demand, took_ms: f64) -> String {
     let backend = backend_of(place(ledger, now, FIRST, number, demand));
-    ledger.take_report(now + took_ms, &events(FIRST, vec![Event::Began(number)]));
-    ledger.take_report(
+    ledger.apply_report(
+        now + took_ms,
+        &events(FIRST, vec![Event::ResponseStarted(number)]),
+    );
+    ledger.apply_report(
         now + took_ms,
         &events(FIRST, vec![Event::Ended(number, End::Served)]),
     );
@@ -172,19 +184,19 @@
 }
 
 /// A whole report of one attempt, a prompt of 20,000 tokens at the only backend.
-fn whole_report(sequence: u64, has_begun: bool) -> Report {
+fn whole_report(sequence: u64, response_started: bool) -> Report {
     let backend = "i-engines-0".to_string();
-    let told = UnderWay {
+    let told = AttemptInfo {
         number: 1,
         backend,
         demand: demand(20_000),
-        has_begun,
+        response_started,
     };
-    Report::Whole {
+    Report::Snapshot {
         sender: FIRST,
         sequence,
-        newest: 1,
-        under_way: vec![told],
+        last_number: 1,
+        in_flight: vec![told],
     }
 }
 
@@ -193,15 +205,18 @@
     let untaught = wait_behind_an_item(&mut ledger(1), 100.0);
     // The whole report tells of an attempt that has begun, ...
     let mut successor = ledger(1);
-    successor.take_report(0.0, &whole_report(1, true));
-    successor.take_report(50.0, &events(FIRST, vec![Event::Ended(1, End::Served)]));
+    successor.apply_report(0.0, &whole_report(1, true));
+    successor.apply_report(50.0, &events(FIRST, vec![Event::Ended(1, End::Served)]));
     assert_eq!(wait_behind_an_item(&mut successor, 100.0), untaught);
     // ... or of one whose first event comes right after it.
-    for tells in [whole_report(2, true), events(FIRST, vec![Event::Began(1)])] {
+    for tells in [
+        whole_report(2, true),
+        events(FIRST, vec![Event::ResponseStarted(1)]),
+    ] {
         let mut successor = ledger(1);
-        successor.take_report(0.0, &whole_report(1, false));
-        successor.take_report(1.0, &tells);
-        successor.take_report(50.0, &events(FIRST, vec![Event::Ended(1, End::Served)]));
+        successor.apply_report(0.0, &whole_report(1, false));
+        successor.apply_report(1.0, &tells);
+        successor.apply_report(50.0, &events(FIRST, vec![Event::Ended(1, End::Served)]));
         assert_eq!(wait_behind_an_item(&mut successor, 100.0), untaught);
     }
 }
@@ -244,7 +259,7 @@
             "i-engines-3"
         };
         let demand = Demand {
-            except: vec![other.to_string()],
+            excluded_backends: vec![other.to_string()],
             ..demand(20_000)
         };
         let took_ms = if is_slow(other) { 160.0 } else { 208.0 };
@@ -266,7 +281,7 @@
         let mut ledger = Ledger::new("placer", ZONES[0], 7);
         ledger.update(0.0, &tables.snapshot(0.0));
         place(&mut ledger, 0.0, FIRST, 1, &demand(10));
-        ledger.take_report(20.0, &events(FIRST, vec![Event::Began(1)]));
+        ledger.apply_report(20.0, &events(FIRST, vec![Event::ResponseStarted(1)]));
         match place(&mut ledger, 30.0, SECOND, 1, &demand(20_000)) {
             Placement::At { wait_ms, .. } => wait_ms,
             other => panic!("no backend: {other:?}"),
@@ -288,10 +303,10 @@
     for shared in 0..40 {
         let now = shared as f64 * 200.0;
         let except = backend_of(place(&mut ledger, now, FIRST, 1, &with_prefix(shared)));
-        ledger.take_report(now, &events(FIRST, vec![Event::Ended(1, End::Cancelled)]));
+        ledger.apply_report(now, &events(FIRST, vec![Event::Ended(1, End::Cancelled)]));
         // The second choice reads it: from then on it is the one that keeps it.
         let demand = Demand {
-            except: vec![except.clone()],
+            excluded_backends: vec![except.clone()],
             ..with_prefix(shared)
         };
         let reader = read_alone(&mut ledger, now, 2, &demand, 40.0);
@@ -304,7 +319,7 @@
             &with_prefix(shared),
         ));
         assert_eq!(next, reader);
-        ledger.take_report(
+        ledger.apply_report(
             now + 150.0,
             &events(SECOND, vec![Event::Ended(100 + shared, End::Served)]),
         );
@@ -315,7 +330,7 @@
 fn an_offer_that_was_not_taken_keeps_no_prefix() {
     let mut ledger = ledger(2);
     let offered = backend_of(place(&mut ledger, 0.0, FIRST, 1, &with_prefix(7)));
-    ledger.take_report(5.0, &events(FIRST, vec![Event::Ended(1, End::Cancelled)]));
+    ledger.apply_report(5.0, &events(FIRST, vec![Event::Ended(1, End::Cancelled)]));
     // A little work there is enough to go elsewhere, as nobody keeps the prefix.
     let other = if offered.ends_with('0') {
         "i-engines-3"
@@ -323,7 +338,7 @@
         "i-engines-0"
     };
     let elsewhere = Demand {
-        except: vec![other.to_string()],
+        excluded_backends: vec![other.to_string()],
         ..demand(6_000)
     };
     assert_eq!(
@@ -399,7 +414,7 @@
     let mut ledger = ledger(2);
     let dark = backend_of(place(&mut ledger, 0.0, FIRST, 1, &demand(100)));
     let lost = events(FIRST, vec![Event::Ended(1, End::NoConnection)]);
-    ledger.take_report(5.0, &lost);
+    ledger.apply_report(5.0, &lost);
     for number in 1..=8 {
         assert_ne!(
             backend_of(place(&mut ledger, 6.0, SECOND, number, &demand(100))),
@@ -413,7 +428,7 @@
     let mut ledger = ledger(2);
     let first = backend_of(place(&mut ledger, 0.0, FIRST, 1, &demand(100)));
     let without = Demand {
-        except: vec![first.clone()],
+        excluded_backends: vec![first.clone()],
         ..demand(100)
     };
     assert_ne!(
@@ -430,44 +445,47 @@
     }
     assert_eq!(ledger.attempts(), 3);
     // The ends of 1 and 2 were lost, and so was the start of 4, which the sender chose for itself.
-    let told = |number, backend: &str| UnderWay {
+    let told = |number, backend: &str| AttemptInfo {
         number,
         backend: backend.to_string(),
         demand: demand(100),
-        has_begun: true,
+        response_started: true,
     };
     let under_way = vec![told(3, "i-engines-0"), told(4, "i-engines-3")];
-    let whole = Report::Whole {
+    let whole = Report::Snapshot {
         sender: FIRST,
         sequence: 1,
-        newest: 4,
-        under_way,
+        last_number: 4,
+        in_flight: under_way,
     };
-    ledger.take_report(10.0, &whole);
+    ledger.apply_report(10.0, &whole);
     assert_eq!(ledger.attempts(), 2);
-    ledger.take_report(11.0, &whole);
+    ledger.apply_report(11.0, &whole);
     assert_eq!(ledger.attempts(), 2, "doubled, it changes nothing");
 }
 
 #[test]
 fn a_report_that_comes_late_takes_nothing_back() {
     let mut ledger = ledger(2);
-    let empty = |sequence, newest| Report::Whole {
+    let empty = |sequence, last_number| Report::Snapshot {
         sender: FIRST,
         sequence,
-        newest,
-        under_way: Vec::new(),
+        last_number,
+        in_flight: Vec::new(),
     };
     place(&mut ledger, 0.0, FIRST, 1, &demand(100));
-    ledger.take_report(1.0, &empty(2, 1));
+    ledger.apply_report(1.0, &empty(2, 1));
     place(&mut ledger, 2.0, FIRST, 2, &demand(100));
-    ledger.take_report(3.0, &empty(1, 2));
+    ledger.apply_report(3.0, &empty(1, 2));
     assert_eq!(ledger.attempts(), 1, "an older report");
-    ledger.take_report(4.0, &empty(3, 1));
+    ledger.apply_report(4.0, &empty(3, 1));
     assert_eq!(ledger.attempts(), 1, "made before the attempt");
-    ledger.take_report(
+    ledger.apply_report(
         5.0,
-        &events(FIRST, vec![Event::Ended(1, End::Served), Event::Began(1)]),
+        &events(
+            FIRST,
+            vec![Event::Ended(1, End::Served), Event::ResponseStarted(1)],
+        ),
     );
     assert_eq!(ledger.attempts(), 1, "of an attempt that is gone");
 }
@@ -477,12 +495,12 @@
     let mut ledger = ledger(1);
     place(&mut ledger, 0.0, FIRST, 1, &demand(50_000));
     place(&mut ledger, 10.0, SECOND, 1, &demand(100));
-    ledger.take_report(SENDER_SILENCE_MS + 5.0, &events(SECOND, Vec::new()));
+    ledger.apply_report(SENDER_TIMEOUT_MS + 5.0, &events(SECOND, Vec::new()));
     assert_eq!((ledger.senders(), ledger.attempts()), (1, 1));
     // Its restart is another incarnation, whose numbers begin anew.
     place(
         &mut ledger,
-        SENDER_SILENCE_MS + 6.0,
+        SENDER_TIMEOUT_MS + 6.0,
         Incarnation(3),
         1,
         &demand(100),
@@ -497,8 +515,8 @@
         .map(|number| backend_of(place(&mut ledger, 0.0, FIRST, number, &demand(5_000))))
         .collect();
     assert_eq!(waited_at.len(), 2);
-    let later = SENDER_SILENCE_MS + 300.0;
-    ledger.take_report(later, &events(SECOND, Vec::new()));
+    let later = SENDER_TIMEOUT_MS + 300.0;
+    ledger.apply_report(later, &events(SECOND, Vec::new()));
     assert_eq!(ledger.attempts(), 0);
     let used: BTreeSet<String> = (1..=4)
         .map(|number| {
@@ -517,11 +535,11 @@
 #[test]
 fn a_placer_that_starts_anew_learns_what_runs_from_whole_reports() {
     let mut reports = Reports::new(FIRST);
-    let number = reports.draw_number();
+    let number = reports.next_attempt_number();
     reports.started(number, ZONES[0], "i-engines-0", demand(50_000), true);
-    let whole = reports.whole(ZONES[0]).expect("something runs");
+    let whole = reports.snapshot(ZONES[0]).expect("something runs");
     let mut successor = ledger(2);
-    successor.take_report(0.0, &whole);
+    successor.apply_report(0.0, &whole);
     assert_eq!(
         backend_of(place(&mut successor, 1.0, SECOND, 1, &demand(100))),
         "i-engines-3"
@@ -531,11 +549,11 @@
 #[test]
 fn nothing_under_way_is_told_once_and_again_after_any_event() {
     let mut reports = Reports::new(FIRST);
-    assert!(reports.whole(ZONES[0]).is_some());
-    assert!(reports.whole(ZONES[0]).is_none());
-    reports.unused(7, ZONES[0]);
+    assert!(reports.snapshot(ZONES[0]).is_some());
+    assert!(reports.snapshot(ZONES[0]).is_none());
+    reports.release_unused(7, ZONES[0]);
     assert!(
-        reports.whole(ZONES[0]).is_some(),
+        reports.snapshot(ZONES[0]).is_some(),
         "the placer may have missed that event"
     );
 }
@@ -600,16 +618,16 @@
 
 fn any_event() -> impl Strategy<Value = Event> {
     let under_way = (0_u64..6, 0_usize..8, 0_u32..100_000, any::<bool>()).prop_map(
-        |(number, backend, tokens, has_begun)| UnderWay {
+        |(number, backend, tokens, response_started)| AttemptInfo {
             number,
             backend: format!("i-engines-{backend}"),
             demand: demand(tokens),
-            has_begun,
+            response_started,
         },
     );
     prop_oneof![
         under_way.prop_map(Event::Started),
-        (0_u64..6).prop_map(Event::Began),
+        (0_u64..6).prop_map(Event::ResponseStarted),
         (0_u64..6).prop_map(|number| Event::Ended(number, End::Served)),
         (0_u64..6).prop_map(|number| Event::Ended(number, End::TimedOut)),
     ]
@@ -628,16 +646,16 @@
         0_u64..6,
         prop::collection::vec(any_event(), 0..4),
     )
-        .prop_map(|(sender, sequence, newest, events)| {
+        .prop_map(|(sender, sequence, last_number, events)| {
             let under_way = events.into_iter().filter_map(|event| match event {
                 Event::Started(under_way) => Some(under_way),
-                Event::Began(_) | Event::Ended(..) => None,
+                Event::ResponseStarted(_) | Event::Ended(..) => None,
             });
-            Report::Whole {
+            Report::Snapshot {
                 sender,
                 sequence,
-                newest,
-                under_way: under_way.collect(),
+                last_number,
+                in_flight: under_way.collect(),
             }
         });
     prop_oneof![some, whole]
@@ -653,13 +671,13 @@
         let mut now = 0.0;
         for (index, (report, placed, wait)) in steps.into_iter().enumerate() {
             now += wait;
-            ledger.take_report(now, &report);
+            ledger.apply_report(now, &report);
             if let Some(tokens) = placed {
                 place(&mut ledger, now, Incarnation(1 + index as u64 % 3), 10 + index as u64, &demand(tokens));
             }
         }
-        now += SENDER_SILENCE_MS + 1_000.0;
-        ledger.take_report(now, &events(Incarnation(9), Vec::new()));
+        now += SENDER_TIMEOUT_MS + 1_000.0;
+        ledger.apply_report(now, &events(Incarnation(9), Vec::new()));
         prop_assert_eq!(ledger.attempts(), 0);
         // Nothing is known of the backends' load any more: a request finds nothing ahead of it. A backend that timed out may
         // still be avoided.
@@ -704,7 +722,10 @@
         wait_ms: 12.5,
     };
     let answer = minicbor::to_vec(answer).expect("bytes").len();
-    let ends = vec![Event::Began(100_000), Event::Ended(100_000, End::Served)];
+    let ends = vec![
+        Event::ResponseStarted(100_000),
+        Event::Ended(100_000, End::Served),
+    ];
     let report = minicbor::to_vec(events(Incarnation(u64::MAX), ends))
         .expect("bytes")
         .len();
--- a/alderhollow/tests/placement_offers.rs
+++ b/alderhollow/tests/placement_offers.rs
@@ -18,47 +18,47 @@
 #[test]
 fn a_good_offer_of_the_own_zone_is_enough() {
     let mut offers = Offers::new(OWN);
-    assert!(!offers.is_enough());
-    assert_eq!(offers.take(OWN, 1, at("near", 20.0)), None);
-    assert!(offers.is_enough());
+    assert!(!offers.is_sufficient());
+    assert_eq!(offers.add(OWN, 1, at("near", 20.0)), None);
+    assert!(offers.is_sufficient());
     assert_eq!(offers.best().expect("an offer").backend, "near");
 }
 
 #[test]
 fn another_zone_must_be_better_by_its_price_and_the_worse_offer_is_given_back() {
     let mut offers = Offers::new(OWN);
-    assert_eq!(offers.take(OWN, 1, at("near", 300.0)), None);
-    assert!(!offers.is_enough());
+    assert_eq!(offers.add(OWN, 1, at("near", 300.0)), None);
+    assert!(!offers.is_sufficient());
     let unused = offers
-        .take(OTHER, 2, at("a little better", 290.0))
+        .add(OTHER, 2, at("a little better", 290.0))
         .expect("it is not worth the price");
     assert_eq!((unused.zone.as_str(), unused.number), (OTHER, 2));
     let unused = offers
-        .take(OTHER, 3, at("free", 0.0))
+        .add(OTHER, 3, at("free", 0.0))
         .expect("the first one is worse");
     assert_eq!((unused.zone.as_str(), unused.number), (OWN, 1));
-    assert!(offers.is_enough());
+    assert!(offers.is_sufficient());
     assert_eq!(offers.best().expect("an offer").number, 3);
 }
 
 #[test]
 fn without_an_offer_the_soonest_hint_counts_and_silence_is_no_refusal() {
     let mut offers = Offers::new(OWN);
-    offers.take(
+    offers.add(
         OWN,
         1,
         Placement::Full {
             retry_after_ms: 80.0,
         },
     );
-    offers.take(
+    offers.add(
         OTHER,
         2,
         Placement::Full {
             retry_after_ms: 30.0,
         },
     );
-    offers.take(OTHER, 3, Placement::NoneReady);
+    offers.add(OTHER, 3, Placement::NoneReady);
     assert_eq!(
         offers.best(),
         Err(NoOffer::Full {
@@ -66,7 +66,7 @@
         })
     );
     let mut offers = Offers::new(OWN);
-    offers.take(OWN, 1, Placement::NoneReady);
+    offers.add(OWN, 1, Placement::NoneReady);
     assert_eq!(offers.best(), Err(NoOffer::NoAnswer));
 }
 
--- a/alderhollow/tests/processes.rs
+++ b/alderhollow/tests/processes.rs
@@ -117,7 +117,7 @@
             tokens_in: 100,
             tokens_out: 100,
             parts: Vec::new(),
-            except: Vec::new(),
+            excluded_backends: Vec::new(),
         };
         let choice = tier.choice(gateway, asked).await.expect("the door answers");
         let as_sender = choice
--- a/placement-model/src/policy.rs
+++ b/placement-model/src/policy.rs
@@ -195,7 +195,7 @@
                 let all = (0..*zones).map(zone_name).collect();
                 for name in zones_to_ask(all, &own, index as u64) {
                     let placement = ledgers.get_mut(place_of(&name)?)?.place(now, &question);
-                    if let Some(unused) = offers.take(&name, index as u64, placement) {
+                    if let Some(unused) = offers.add(&name, index as u64, placement) {
                         let zone = place_of(&unused.zone)?;
                         pending.push(report(
                             now,
@@ -204,7 +204,7 @@
                             Event::Ended(index as u64, End::Cancelled),
                         ));
                     }
-                    if offers.is_enough() {
+                    if offers.is_sufficient() {
                         break;
                     }
                 }
@@ -231,7 +231,7 @@
                     now + *delay_ms,
                     place,
                     request,
-                    Event::Began(attempt),
+                    Event::ResponseStarted(attempt),
                 ));
             }
         }
@@ -271,7 +271,7 @@
         *pending = later;
         let due: Vec<Pending> = due;
         for Pending { zone, report, .. } in due {
-            ledgers[zone].take_report(now, &report);
+            ledgers[zone].apply_report(now, &report);
         }
     }
 }
