--- a/alderhollow/tests/balance_choice.rs
+++ b/alderhollow/tests/balance_choice.rs
@@ -1,4 +1,5 @@
-//! Which backend is chosen: never a forbidden one, near the prompt's shared parts, with bounded load.
+//! Backend selection: constraints are always respected, requests prefer backends with a cached prefix, and load is
+//! bounded.
 
 mod balance_support;
 
@@ -8,7 +9,7 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// What a property test does to a balancer.
+/// An operation of the property test.
 #[derive(Debug, Clone)]
 enum Step {
     List(Vec<(usize, bool)>),
@@ -43,7 +44,7 @@
 
 proptest! {
     #[test]
-    fn no_request_goes_where_the_tables_forbid_it(steps in prop::collection::vec(step(), 1..120)) {
+    fn requests_never_go_to_excluded_backends(steps in prop::collection::vec(step(), 1..120)) {
         let mut tables = Tables::new(ENGINES, 6, 4);
         let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
         let mut now = 0.0;
@@ -99,7 +100,7 @@
     }
 }
 
-/// The backend that an idle balancer chooses for a prompt.
+/// The backend that an idle balancer selects for a prompt.
 fn chosen(balancer: &mut Balancer, now: f64, shared: u64) -> String {
     let prompt = prompt(shared, 1);
     let choice = balancer
@@ -111,7 +112,7 @@
 }
 
 #[test]
-fn gateways_of_a_zone_send_a_prefix_to_the_same_backend_of_their_zone() {
+fn gateways_in_a_zone_select_the_same_local_backend_for_a_prefix() {
     let tables = Tables::new(ENGINES, 9, 4);
     let mut one = tables.balancer(&node_name(0), ZONES[1], 0.0);
     let mut other = tables.balancer(&node_name(1), ZONES[1], 0.0);
@@ -136,7 +137,7 @@
 }
 
 #[test]
-fn only_the_prefixes_of_a_backend_that_goes_move() {
+fn removing_a_backend_moves_only_its_prefixes() {
     let mut tables = Tables::new(ENGINES, 9, 4);
     let mut balancer = tables.balancer(&node_name(0), ZONES[1], 0.0);
     let before: Vec<String> = (0..100)
@@ -158,7 +159,7 @@
 }
 
 #[test]
-fn other_zones_serve_when_the_own_zone_has_no_backend() {
+fn requests_go_to_other_zones_without_a_local_backend() {
     let mut tables = Tables::new(ENGINES, 9, 4);
     tables.evacuated.insert(ZONES[0].to_string());
     let mut one = tables.balancer(&node_name(0), ZONES[0], 0.0);
@@ -172,7 +173,7 @@
     }
 }
 
-/// Attempts at each backend after `requests` that do not end.
+/// Number of attempts at each backend after `requests` requests, none of which ends.
 fn attempts_by_backend(
     balancer: &mut Balancer,
     requests: u64,
@@ -183,14 +184,14 @@
         let prompt = prompt(request % prefixes, request);
         let choice = balancer
             .choose(0.0, &wanted(ENGINES, Some(&prompt)))
-            .expect("there is room");
+            .expect("a backend has capacity");
         *attempts.entry(choice.backend.id.clone()).or_insert(0) += 1;
     }
     attempts
 }
 
 #[test]
-fn many_prefixes_spread_with_bounded_load_over_the_own_zone() {
+fn many_prefixes_spread_over_the_own_zone_with_bounded_load() {
     let tables = Tables::new(ENGINES, 9, 4);
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     let mut attempts: BTreeMap<String, usize> = BTreeMap::new();
@@ -206,7 +207,7 @@
         let prompt = prompt(request * 7 % 60, request);
         let choice = balancer
             .choose(now, &wanted(ENGINES, Some(&prompt)))
-            .expect("there is room");
+            .expect("a backend has capacity");
         balancer.response_started(now, choice.attempt);
         ends.push((now + 500.0, choice.attempt));
         *attempts.entry(choice.backend.id.clone()).or_insert(0) += 1;
@@ -223,7 +224,7 @@
 }
 
 #[test]
-fn a_rush_of_many_prefixes_uses_other_zones_too() {
+fn a_burst_of_many_prefixes_spills_over_to_other_zones() {
     let tables = Tables::new(ENGINES, 9, 4);
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     let attempts = attempts_by_backend(&mut balancer, 180, 60);
@@ -232,13 +233,13 @@
 }
 
 #[test]
-fn a_single_prefix_spills_over_when_its_backend_has_clearly_more_to_read() {
+fn a_single_prefix_spills_over_when_its_backend_is_overloaded() {
     let tables = Tables::new(ENGINES, 9, 4);
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     assert_eq!(
         attempts_by_backend(&mut balancer, 3, 1).len(),
         1,
-        "few stay together"
+        "a few requests stay together"
     );
     let attempts = attempts_by_backend(&mut balancer, 180, 1);
     let most = attempts.values().max().copied().unwrap_or(0);
@@ -246,7 +247,7 @@
 }
 
 #[test]
-fn engines_are_not_filled_beyond_slots_and_memory() {
+fn engines_are_not_loaded_beyond_slots_and_memory() {
     let tables = Tables::new(ENGINES, 1, 1);
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     let large = alderhollow::balance::Prompt {
@@ -261,7 +262,7 @@
 }
 
 #[test]
-fn plain_requests_stay_in_the_own_zone_and_leave_it_as_it_fills() {
+fn plain_requests_spill_over_as_the_own_zone_fills() {
     let tables = Tables::new(PLAIN, 3, 1);
     let mut balancer = tables.balancer(&node_name(0), ZONES[2], 0.0);
     let mut zones = Vec::new();
@@ -269,18 +270,18 @@
         zones.push(choice.backend.zone.clone());
     }
     assert_eq!(zones[0], ZONES[2]);
-    assert_eq!(zones.len(), 18, "each backend works on six at once");
+    assert_eq!(zones.len(), 18, "each backend has six slots");
     assert!(zones[..9].iter().any(|zone| zone != ZONES[2]), "{zones:?}");
 }
 
 #[test]
-fn when_all_plain_backends_declined_the_answer_comes_early_with_a_hint() {
+fn a_retry_hint_is_returned_after_all_backends_rejected_requests() {
     let tables = Tables::new(PLAIN, 3, 4);
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     for _ in 0..3 {
         let choice = balancer
             .choose(10.0, &wanted(PLAIN, None))
-            .expect("not all have declined");
+            .expect("some backend has not rejected a request");
         balancer.ended(10.0, choice.attempt, Outcome::Declined);
     }
     let answer = balancer.choose(11.0, &wanted(PLAIN, None)).err();
@@ -293,7 +294,7 @@
 }
 
 #[test]
-fn low_ranks_are_refused_first() {
+fn low_priority_requests_are_rejected_first() {
     let tables = Tables::new(ENGINES, 1, 1);
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     let low = SelectionRequest {
@@ -310,7 +311,7 @@
 }
 
 #[test]
-fn backends_that_were_tried_are_passed_over() {
+fn tried_backends_are_excluded() {
     let tables = Tables::new(PLAIN, 3, 1);
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     let mut tried = Vec::new();
@@ -319,7 +320,9 @@
             tried: &tried,
             ..wanted(PLAIN, None)
         };
-        let choice = balancer.choose(0.0, &wanted).expect("one is left");
+        let choice = balancer
+            .choose(0.0, &wanted)
+            .expect("an untried backend remains");
         assert!(!tried.contains(&choice.backend.id));
         tried.push(choice.backend.id.clone());
     }
--- a/alderhollow/tests/balance_cold.rs
+++ b/alderhollow/tests/balance_cold.rs
@@ -1,4 +1,4 @@
-//! What all senders together send to cold backends, counted over every sliding second.
+//! The total rate of all senders to cold backends, measured over every sliding second.
 
 mod balance_support;
 
@@ -7,17 +7,17 @@
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
-/// The starts at each backend, by its id.
+/// Start times by backend id.
 type Starts = BTreeMap<String, Vec<Millis>>;
 
 const COLD_FOR_MS: u64 = 60_000;
 const ROUND_MS: Millis = 50.0;
 const SECOND_MS: Millis = 1000.0;
-/// Most senders in the half without the primary: half of the largest core.
-const MOST_CUT: usize = 4;
+/// Maximum number of senders partitioned from the primary: half of the largest core.
+const MAX_PARTITIONED: usize = 4;
 
-/// Most starts at one backend within one second.
-fn most_within_a_second(starts: &Starts) -> usize {
+/// Maximum number of starts at one backend within one second.
+fn max_starts_per_second(starts: &Starts) -> usize {
     let most_of = |times: &Vec<Millis>| {
         let mut sorted = times.clone();
         sorted.sort_by(f64::total_cmp);
@@ -32,7 +32,7 @@
     starts.values().map(most_of).max().unwrap_or(0)
 }
 
-/// Lets a sender start all that it may at one moment.
+/// Starts as many requests of one sender as it may at one moment.
 fn start_all(balancer: &mut Balancer, now: Millis, most: usize, starts: &mut Starts) {
     for _ in 0..most {
         let Ok(choice) = balancer.choose(now, &wanted(ENGINES, None)) else {
@@ -56,7 +56,7 @@
     tables
 }
 
-/// Runs greedy senders from `from` to `to`.
+/// Runs senders at their maximum rate from `from` to `to`.
 fn run(senders: &mut [Balancer], from: Millis, to: Millis, starts: &mut Starts) {
     let mut now = from;
     while now < to {
@@ -71,7 +71,7 @@
     #![proptest_config(ProptestConfig { cases: 24, ..ProptestConfig::default() })]
 
     #[test]
-    fn senders_whose_lists_differ_by_one_stay_within_the_bound(
+    fn senders_with_lists_that_differ_by_one_stay_within_the_limit(
         senders in 1usize..=100,
         backends in 1usize..20,
         cold_per_s in 1.0f64..60.0,
@@ -90,11 +90,11 @@
             .collect();
         let mut starts = Starts::new();
         run(&mut balancers, 0.0, 4000.0, &mut starts);
-        prop_assert!(most_within_a_second(&starts) as f64 <= COLD_BOUNDS.per_second(cold_per_s));
+        prop_assert!(max_starts_per_second(&starts) as f64 <= COLD_BOUNDS.per_second(cold_per_s));
     }
 
     #[test]
-    fn a_change_of_the_senders_list_that_comes_late_to_some_keeps_the_bound(
+    fn delayed_sender_list_updates_stay_within_the_limit(
         before in 1usize..40,
         after in 1usize..40,
         delays in prop::collection::vec(0u64..1000, 40),
@@ -118,19 +118,20 @@
             }
             now += ROUND_MS;
         }
-        prop_assert!(most_within_a_second(&starts) as f64 <= COLD_BOUNDS.per_second(30.0));
+        prop_assert!(max_starts_per_second(&starts) as f64 <= COLD_BOUNDS.per_second(30.0));
     }
 
-    /// The primary drops senders that a cut keeps from it; these go on by the list that they hold.
+    /// During a partition the primary removes the senders that it cannot reach, which continue to use their current
+    /// list.
     #[test]
-    fn senders_that_a_cut_into_halves_keeps_from_the_primary_stay_within_the_bound_with_the_others(
+    fn partitioned_senders_stay_within_the_limit_together_with_the_others(
         senders in 2usize..40,
         backends in 1usize..20,
         cold_per_s in 5.0f64..60.0,
-        chosen in prop::collection::vec(any::<prop::sample::Index>(), MOST_CUT),
+        chosen in prop::collection::vec(any::<prop::sample::Index>(), MAX_PARTITIONED),
     ) {
         let tables = cold_tables(backends, senders, cold_per_s);
-        let most = MOST_CUT.min(senders / 2);
+        let most = MAX_PARTITIONED.min(senders / 2);
         let cut: BTreeSet<usize> = chosen[..most].iter().map(|index| index.index(senders)).collect();
         let mut without = tables.clone();
         without.senders = (0..senders).filter(|index| !cut.contains(index)).map(node_name).collect();
@@ -145,12 +146,12 @@
             }
         }
         run(&mut balancers, 2500.0, 7000.0, &mut starts);
-        prop_assert!(most_within_a_second(&starts) as f64 <= COLD_BOUNDS.per_second(cold_per_s));
+        prop_assert!(max_starts_per_second(&starts) as f64 <= COLD_BOUNDS.per_second(cold_per_s));
     }
 }
 
 #[test]
-fn cold_backends_get_a_good_part_of_what_they_bear() {
+fn cold_backends_receive_most_of_their_limit() {
     let tables = cold_tables(3, 13, 31.0);
     let mut balancers: Vec<Balancer> = (0..13)
         .map(|index| tables.balancer(&node_name(index), ZONES[index % 3], 0.0))
@@ -163,10 +164,10 @@
 }
 
 #[test]
-fn one_that_is_not_among_the_senders_sends_nothing_to_a_cold_backend() {
+fn unlisted_senders_send_nothing_to_cold_backends() {
     let tables = cold_tables(1, 5, 31.0);
-    let mut stranger = tables.balancer("stranger", ZONES[0], 0.0);
-    let answer = stranger.choose(5000.0, &wanted(ENGINES, None));
+    let mut unlisted = tables.balancer("stranger", ZONES[0], 0.0);
+    let answer = unlisted.choose(5000.0, &wanted(ENGINES, None));
     assert!(
         matches!(answer, Err(NoBackend::AllFull { .. })),
         "{answer:?}"
@@ -174,7 +175,7 @@
 }
 
 #[test]
-fn a_process_that_has_just_started_leaves_cold_backends_to_the_others_at_first() {
+fn a_new_sender_initially_sends_nothing_to_cold_backends() {
     let tables = cold_tables(1, 1, 31.0);
     let mut newcomer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     assert!(newcomer.choose(100.0, &wanted(ENGINES, None)).is_err());
@@ -182,7 +183,7 @@
 }
 
 #[test]
-fn a_backend_that_was_not_on_the_list_before_counts_as_cold() {
+fn a_newly_listed_backend_counts_as_cold() {
     let mut tables = Tables::new(ENGINES, 1, 10);
     tables.cold_per_s = 10.0;
     let mut balancers: Vec<Balancer> = (0..10)
@@ -194,17 +195,17 @@
     }
     let mut starts = Starts::new();
     run(&mut balancers, 5000.0, 7900.0, &mut starts);
-    assert!(most_within_a_second(&starts) as f64 <= COLD_BOUNDS.per_second(10.0));
+    assert!(max_starts_per_second(&starts) as f64 <= COLD_BOUNDS.per_second(10.0));
     let mut later = Starts::new();
     run(&mut balancers, 8100.0, 8200.0, &mut later);
     assert!(
-        most_within_a_second(&later) as f64 > COLD_BOUNDS.per_second(10.0),
-        "cold no more"
+        max_starts_per_second(&later) as f64 > COLD_BOUNDS.per_second(10.0),
+        "the backend is no longer cold"
     );
 }
 
 #[test]
-fn backends_of_a_zone_that_is_taken_back_count_as_cold() {
+fn backends_count_as_cold_after_an_evacuation_ends() {
     let mut tables = Tables::new(ENGINES, 1, 10);
     tables.cold_per_s = 10.0;
     tables.evacuated.insert(ZONES[0].to_string());
@@ -221,11 +222,11 @@
     }
     let mut starts = Starts::new();
     run(&mut balancers, 5000.0, 8000.0, &mut starts);
-    assert!(most_within_a_second(&starts) as f64 <= COLD_BOUNDS.per_second(10.0));
+    assert!(max_starts_per_second(&starts) as f64 <= COLD_BOUNDS.per_second(10.0));
 }
 
 #[test]
-fn starts_from_before_a_backend_turned_cold_count() {
+fn starts_before_a_backend_turned_cold_count_towards_the_limit() {
     let mut tables = Tables::new(ENGINES, 1, 1);
     tables.cold_per_s = 10.0;
     let mut sender = tables.balancer(&node_name(0), ZONES[0], 0.0);
@@ -238,21 +239,21 @@
 }
 
 #[test]
-fn a_choice_of_a_cold_backend_does_not_keep() {
+fn a_choice_of_a_cold_backend_expires() {
     let mut tables = Tables::new(ENGINES, 1, 1);
     tables.cold_per_s = 10.0;
     tables.backends[0].cold_remaining_ms = COLD_FOR_MS;
     let mut sender = tables.balancer(&node_name(0), ZONES[0], 0.0);
     let choice = sender
         .choose(3000.0, &wanted(ENGINES, None))
-        .expect("its allowance is fresh");
+        .expect("the limit is not used up");
     assert!(sender.may_begin(3050.0, choice.attempt));
     assert!(!sender.may_begin(3500.0, choice.attempt));
     assert!(sender.may_send(&choice.backend.id));
 }
 
 #[test]
-fn a_warm_backend_gets_no_burst_while_others_have_had_less() {
+fn bursts_spread_across_warm_backends() {
     let mut tables = Tables::new(ENGINES, 9, 3);
     tables.cold_per_s = 31.0;
     let mut sender = tables.balancer(&node_name(0), ZONES[0], 0.0);
@@ -261,19 +262,19 @@
     for _ in 0..90 {
         let choice = sender
             .choose(5000.0, &wanted(ENGINES, Some(&shared)))
-            .expect("there is room");
+            .expect("a backend has capacity");
         starts
             .entry(choice.backend.id.clone())
             .or_default()
             .push(5000.0);
     }
-    assert!(most_within_a_second(&starts) as f64 <= COLD_BOUNDS.per_second(31.0) / 3.0 + 1.0);
+    assert!(max_starts_per_second(&starts) as f64 <= COLD_BOUNDS.per_second(31.0) / 3.0 + 1.0);
 }
 
 #[test]
-fn services_without_a_bound_are_not_limited_when_cold() {
+fn cold_backends_without_a_limit_are_not_limited() {
     let mut tables = Tables::new(PLAIN, 1, 10);
     tables.backends[0].cold_remaining_ms = COLD_FOR_MS;
-    let mut stranger = tables.balancer("stranger", ZONES[0], 0.0);
-    assert!(stranger.choose(10.0, &wanted(PLAIN, None)).is_ok());
+    let mut unlisted = tables.balancer("stranger", ZONES[0], 0.0);
+    assert!(unlisted.choose(10.0, &wanted(PLAIN, None)).is_ok());
 }
--- a/alderhollow/tests/balance_health.rs
+++ b/alderhollow/tests/balance_health.rs
@@ -1,4 +1,4 @@
-//! Backends that are down, dark, slow or failing lose their traffic, and get it back.
+//! Backends that are down, unresponsive, slow or failing lose their traffic, and get it back after recovery.
 
 mod balance_support;
 
@@ -6,20 +6,20 @@
 use balance_support::{node_name, prompt, wanted, Tables, ENGINES, PLAIN, ZONES};
 
 const STEP_MS: Millis = 20.0;
-const USUAL_MS: Millis = 40.0;
+const RESPONSE_MS: Millis = 40.0;
 
-/// How the backend under test behaves.
+/// Behaviour of the backend under test.
 #[derive(Debug, Clone, Copy, PartialEq)]
 enum Behaviour {
-    Well,
-    Refuses,
-    Silent,
+    Healthy,
+    RefusesConnections,
+    Unresponsive,
     Fails,
     Slow,
 }
 
-/// Plays one request every 20 ms, and returns how many went to the backend under test.
-fn play(
+/// Simulates one request every 20 ms, and returns the number of requests to the backend under test.
+fn simulate(
     balancer: &mut Balancer,
     from: Millis,
     to: Millis,
@@ -38,15 +38,15 @@
         });
         let choice = balancer
             .choose(now, &wanted(ENGINES, Some(prompt)))
-            .expect("others are well");
+            .expect("other backends are healthy");
         let is_tested = choice.backend.id == tested;
         count += usize::from(is_tested);
         let (took, outcome) = match behaviour {
-            Behaviour::Refuses if is_tested => (1.0, Outcome::NoConnection),
-            Behaviour::Silent if is_tested => (2000.0, Outcome::TimedOut),
-            Behaviour::Fails if is_tested => (USUAL_MS, Outcome::Failed),
-            Behaviour::Slow if is_tested => (8.0 * USUAL_MS, Outcome::Served),
-            _ => (USUAL_MS, Outcome::Served),
+            Behaviour::RefusesConnections if is_tested => (1.0, Outcome::NoConnection),
+            Behaviour::Unresponsive if is_tested => (2000.0, Outcome::TimedOut),
+            Behaviour::Fails if is_tested => (RESPONSE_MS, Outcome::Failed),
+            Behaviour::Slow if is_tested => (8.0 * RESPONSE_MS, Outcome::Served),
+            _ => (RESPONSE_MS, Outcome::Served),
         };
         ends.push((now + took, choice.attempt, outcome));
         now += STEP_MS;
@@ -57,61 +57,61 @@
     count
 }
 
-/// A balancer and the backend that a prompt is at home at.
-fn at_home() -> (Balancer, Prompt, String) {
+/// A balancer, a prompt, and the first backend in the prompt's rendezvous order.
+fn balancer_with_preferred_backend() -> (Balancer, Prompt, String) {
     let tables = Tables::new(ENGINES, 9, 4);
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     let prompt = prompt(3, 1);
     let choice = balancer
         .choose(0.0, &wanted(ENGINES, Some(&prompt)))
-        .expect("all are well");
-    balancer.ended(USUAL_MS, choice.attempt, Outcome::Served);
+        .expect("all backends are healthy");
+    balancer.ended(RESPONSE_MS, choice.attempt, Outcome::Served);
     let home = choice.backend.id.clone();
     assert!(
-        play(
+        simulate(
             &mut balancer,
             100.0,
             2000.0,
             &prompt,
             &home,
-            Behaviour::Well
+            Behaviour::Healthy
         ) > 80
     );
     (balancer, prompt, home)
 }
 
 #[test]
-fn a_backend_that_refuses_connections_gets_a_few_trials_only() {
-    let (mut balancer, prompt, home) = at_home();
-    let count = play(
+fn a_backend_that_refuses_connections_receives_only_probes() {
+    let (mut balancer, prompt, home) = balancer_with_preferred_backend();
+    let count = simulate(
         &mut balancer,
         3000.0,
         8000.0,
         &prompt,
         &home,
-        Behaviour::Refuses,
+        Behaviour::RefusesConnections,
     );
     assert!((2..=6).contains(&count), "{count} of 250");
 }
 
 #[test]
-fn a_dark_backend_loses_its_traffic_within_few_requests() {
-    let (mut balancer, prompt, home) = at_home();
-    let count = play(
+fn an_unresponsive_backend_is_ejected_within_a_few_requests() {
+    let (mut balancer, prompt, home) = balancer_with_preferred_backend();
+    let count = simulate(
         &mut balancer,
         3000.0,
         8000.0,
         &prompt,
         &home,
-        Behaviour::Silent,
+        Behaviour::Unresponsive,
     );
     assert!(count <= 16, "{count} of 250");
 }
 
 #[test]
-fn a_backend_that_fails_half_of_the_time_or_more_is_avoided() {
-    let (mut balancer, prompt, home) = at_home();
-    let count = play(
+fn a_backend_with_a_failure_rate_of_at_least_half_is_avoided() {
+    let (mut balancer, prompt, home) = balancer_with_preferred_backend();
+    let count = simulate(
         &mut balancer,
         3000.0,
         8000.0,
@@ -124,8 +124,8 @@
 
 #[test]
 fn a_slow_backend_is_avoided() {
-    let (mut balancer, prompt, home) = at_home();
-    let count = play(
+    let (mut balancer, prompt, home) = balancer_with_preferred_backend();
+    let count = simulate(
         &mut balancer,
         3000.0,
         8000.0,
@@ -137,43 +137,43 @@
 }
 
 #[test]
-fn traffic_returns_to_a_backend_that_is_well_again() {
+fn traffic_returns_to_a_recovered_backend() {
     for behaviour in [
-        Behaviour::Refuses,
-        Behaviour::Silent,
+        Behaviour::RefusesConnections,
+        Behaviour::Unresponsive,
         Behaviour::Fails,
         Behaviour::Slow,
     ] {
-        let (mut balancer, prompt, home) = at_home();
-        play(&mut balancer, 3000.0, 6000.0, &prompt, &home, behaviour);
-        play(
+        let (mut balancer, prompt, home) = balancer_with_preferred_backend();
+        simulate(&mut balancer, 3000.0, 6000.0, &prompt, &home, behaviour);
+        simulate(
             &mut balancer,
             8000.0,
             30_000.0,
             &prompt,
             &home,
-            Behaviour::Well,
+            Behaviour::Healthy,
         );
-        let count = play(
+        let count = simulate(
             &mut balancer,
             31_000.0,
             33_000.0,
             &prompt,
             &home,
-            Behaviour::Well,
+            Behaviour::Healthy,
         );
         assert!(count > 80, "{behaviour:?}: {count} of 100");
     }
 }
 
 #[test]
-fn attempts_that_break_together_are_one_failure() {
-    let (mut balancer, prompt, home) = at_home();
+fn concurrent_failures_count_as_one() {
+    let (mut balancer, prompt, home) = balancer_with_preferred_backend();
     let attempts: Vec<u64> = (0..3)
         .map(|_| {
             balancer
                 .choose(3000.0, &wanted(ENGINES, Some(&prompt)))
-                .expect("all are well")
+                .expect("all backends are healthy")
         })
         .filter(|choice| choice.backend.id == home)
         .map(|choice| choice.attempt)
@@ -182,51 +182,51 @@
     for attempt in attempts {
         balancer.ended(3010.0, attempt, Outcome::Broken);
     }
-    // The first pause is 300 ms with jitter; a failure counted anew each time would have doubled it.
+    // The initial backoff is 300 ms with jitter. Counting each failure separately would have doubled it.
     assert_eq!(
-        play(
+        simulate(
             &mut balancer,
             3020.0,
             3240.0,
             &prompt,
             &home,
-            Behaviour::Well
+            Behaviour::Healthy
         ),
         0
     );
     assert!(
-        play(
+        simulate(
             &mut balancer,
             3380.0,
             3480.0,
             &prompt,
             &home,
-            Behaviour::Well
+            Behaviour::Healthy
         ) > 0
     );
 }
 
 #[test]
-fn one_trial_at_a_time() {
-    let (mut balancer, prompt, home) = at_home();
+fn at_most_one_probe_is_in_flight() {
+    let (mut balancer, prompt, home) = balancer_with_preferred_backend();
     let choice = balancer
         .choose(3000.0, &wanted(ENGINES, Some(&prompt)))
-        .expect("all are well");
+        .expect("all backends are healthy");
     assert_eq!(choice.backend.id, home);
     balancer.ended(3001.0, choice.attempt, Outcome::Broken);
-    let at_home = (0..10)
+    let balancer_with_preferred_backend = (0..10)
         .map(|_| {
             balancer
                 .choose(3600.0, &wanted(ENGINES, Some(&prompt)))
-                .expect("others are well")
+                .expect("other backends are healthy")
         })
         .filter(|choice| choice.backend.id == home)
         .count();
-    assert_eq!(at_home, 1);
+    assert_eq!(balancer_with_preferred_backend, 1);
 }
 
 #[test]
-fn when_all_are_out_the_least_bad_is_used() {
+fn a_backend_is_selected_even_if_all_are_ejected() {
     let tables = Tables::new(PLAIN, 3, 4);
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     for _ in 0..20 {
--- a/alderhollow/tests/balance_support/mod.rs
+++ b/alderhollow/tests/balance_support/mod.rs
@@ -10,14 +10,14 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-/// The service of model engines.
+/// Name of the model engine service.
 pub(crate) const ENGINES: &str = "engines";
-/// The plain service.
+/// Name of the plain service.
 pub(crate) const PLAIN: &str = "plain";
 /// Zones of the deployment.
 pub(crate) const ZONES: [&str; 3] = ["zone-a", "zone-b", "zone-c"];
 
-/// The tables from which snapshots are made.
+/// The tables that snapshots are made from.
 #[derive(Clone)]
 pub(crate) struct Tables {
     pub backends: Vec<Backend>,
@@ -26,12 +26,12 @@
     pub placers: Vec<Placer>,
     pub cold_per_s: f64,
     pub cold_start_s: f64,
-    /// Longest pause that is in time on the route to the engines.
+    /// The longest acceptable pause between events on the route to the engines.
     pub gap_aim_ms: Option<f64>,
 }
 
 impl Tables {
-    /// Backends of one service, spread over the zones, and senders `node-0`, `node-1` and so on.
+    /// Creates backends of one service, spread over the zones, and senders `node-0`, `node-1` and so on.
     pub(crate) fn new(service: &str, backends: usize, senders: usize) -> Tables {
         Tables {
             backends: (0..backends).map(|index| backend(service, index)).collect(),
@@ -44,7 +44,7 @@
         }
     }
 
-    /// A snapshot that is got at `now`.
+    /// Creates a snapshot received at `now`.
     pub(crate) fn snapshot(&self, now: Millis) -> Snapshot {
         let config = Config {
             services: vec![self.service(ENGINES, true), self.service(PLAIN, false)],
@@ -73,7 +73,7 @@
         }
     }
 
-    /// A balancer that has taken them in.
+    /// Creates a balancer with these tables.
     pub(crate) fn balancer(&self, node: &str, zone: &str, now: Millis) -> Balancer {
         let mut balancer = Balancer::new(node, zone, 7);
         balancer.set_cold_bounds(COLD_BOUNDS);
@@ -106,7 +106,7 @@
     }
 }
 
-/// The bounds that the tests use.
+/// The cold limits of the tests.
 pub(crate) const COLD_BOUNDS: ColdBounds = ColdBounds {
     over: 1.5,
     slack: 5.0,
@@ -130,7 +130,7 @@
     }
 }
 
-/// A prompt with one shared part and one of its own.
+/// A prompt with one shared part and one unique part.
 pub(crate) fn prompt(shared: u64, own: u64) -> Prompt {
     Prompt {
         parts: vec![(shared, 5000), (own, 500)],
@@ -139,7 +139,7 @@
     }
 }
 
-/// A request of the highest rank.
+/// A request of the highest priority.
 pub(crate) fn wanted<'a>(service: &'a str, prompt: Option<&'a Prompt>) -> SelectionRequest<'a> {
     SelectionRequest {
         service,
--- a/alderhollow/tests/choice_explanation.rs
+++ b/alderhollow/tests/choice_explanation.rs
@@ -1,4 +1,4 @@
-//! The reason of a choice, as `status --choice` tells it: it is the choice itself, and telling it changes nothing.
+//! `status --choice`: the explanation matches the actual selection and does not affect it.
 
 mod balance_support;
 
@@ -14,7 +14,7 @@
 use proptest::prelude::*;
 
 const SENDER: Incarnation = Incarnation(1);
-/// The random part of a price, by which equal backends share: a choice may cost so much more than the least.
+/// The random component of the cost: the selected backend may cost up to this much more than the cheapest.
 const NOISE_MS: f64 = 0.5;
 
 fn tables(backends: usize) -> Tables {
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn a_running_stream_is_named_as_the_reason_to_read_a_long_prompt_elsewhere() {
+fn interference_with_a_running_stream_is_the_decisive_component() {
     let mut ledger = ledger(&tables(2));
     let Placement::At {
         backend: with_stream,
@@ -73,13 +73,13 @@
         },
     );
     let explanation = explain(&mut ledger, 30.0, &demand(80_000, 0));
-    let chosen = explanation.chosen().expect("one may take it");
+    let chosen = explanation.chosen().expect("a backend is eligible");
     assert_ne!(chosen.backend, with_stream);
     assert_eq!(explanation.decisive_component(), Some("disturbance"));
 }
 
 #[test]
-fn every_backend_is_told_with_what_speaks_against_it() {
+fn every_backend_is_listed_with_its_verdict() {
     let mut tables = tables(4);
     let ids: Vec<String> = tables
         .backends
@@ -100,7 +100,7 @@
             .cloned()
             .collect::<Vec<_>>()
     };
-    // The second refuses a connection, the third is filled by items.
+    // The second backend refuses a connection, and the third is filled with batch items.
     let at_second = Demand {
         excluded_backends: only(&ids[1]),
         ..demand(100, 0)
@@ -127,7 +127,7 @@
             .candidates
             .iter()
             .find(|candidate| candidate.backend == *id);
-        candidate.expect("each backend is told").verdict
+        candidate.expect("each backend is listed").verdict
     };
     assert_eq!(explanation.candidates.len(), ids.len());
     assert_eq!(verdict(&ids[0]), Verdict::Withdrawn);
@@ -164,7 +164,7 @@
 }
 
 #[test]
-fn a_sender_explains_plain_services_by_what_it_has_under_way() {
+fn a_sender_explains_plain_services_by_its_in_flight_load() {
     let mut balancer = Tables::new(PLAIN, 2, 1).balancer("node-0", ZONES[0], 0.0);
     let busy = balancer
         .choose(0.0, &wanted(PLAIN, None))
@@ -175,18 +175,18 @@
     let explanation = balancer
         .explain(1.0, &wanted(PLAIN, None))
         .expect("it has backends");
-    let price_at = |is_busy: bool| {
+    let cost_at = |is_busy: bool| {
         let found = explanation
             .candidates
             .iter()
             .find(|candidate| (candidate.backend == busy) == is_busy);
-        found.expect("both are told").cost.queue_ms
+        found.expect("both backends are listed").cost.queue_ms
     };
-    assert!(price_at(true) > price_at(false), "{explanation:?}");
+    assert!(cost_at(true) > cost_at(false), "{explanation:?}");
 }
 
 #[test]
-fn the_text_names_the_choice_and_every_part_of_the_prices() {
+fn the_text_contains_the_choice_and_all_cost_components() {
     let mut ledger = ledger(&tables(2));
     place(&mut ledger, 0.0, 1, &demand(100, 0));
     ledger.apply_report(
@@ -204,10 +204,11 @@
 }
 
 #[test]
-fn question_and_answer_survive_their_encoding() {
+fn request_and_response_round_trip() {
     let question = Request::Choice(demand(5, 2));
     let decoded: Request =
-        minicbor::decode(&minicbor::to_vec(&question).expect("it encodes")).expect("it decodes");
+        minicbor::decode(&minicbor::to_vec(&question).expect("encoding succeeds"))
+            .expect("decoding succeeds");
     assert_eq!(decoded, question);
     let mut ledger = ledger(&tables(3));
     let report = ChoiceReport {
@@ -215,11 +216,12 @@
         as_sender: None,
     };
     let decoded: ChoiceReport =
-        minicbor::decode(&minicbor::to_vec(&report).expect("it encodes")).expect("it decodes");
+        minicbor::decode(&minicbor::to_vec(&report).expect("encoding succeeds"))
+            .expect("decoding succeeds");
     assert_eq!(decoded, report);
 }
 
-/// One step at a placer: the tokens of a prompt, its rank, and whether it ends at once.
+/// Steps at a placer: the tokens of a prompt, its priority, and whether the attempt ends immediately.
 fn steps() -> impl Strategy<Value = Vec<(u32, u32, bool)>> {
     prop::collection::vec((1u32..40_000, 0u32..3, any::<bool>()), 1..60)
 }
@@ -227,10 +229,10 @@
 proptest! {
     #![proptest_config(ProptestConfig::with_cases(96))]
 
-    /// Whatever is under way, the backend that a request gets is the one that the explanation names, up to the random part,
-    /// and asking changes no later choice.
+    /// For any load, the explained backend is the selected one, up to the random component of the cost, and explaining
+    /// does not affect later selections.
     #[test]
-    fn the_explanation_is_the_choice(steps in steps()) {
+    fn the_explanation_matches_the_selection(steps in steps()) {
         let tables = tables(5);
         let (mut asked, mut silent) = (ledger(&tables), ledger(&tables));
         for (number, (tokens, priority, ends)) in steps.into_iter().enumerate() {
@@ -241,7 +243,7 @@
             prop_assert_eq!(&placed, &place(&mut silent, now, number, &demand));
             match placed {
                 Placement::At { backend, .. } => {
-                    let best = explanation.chosen().expect("one may take it").cost.total();
+                    let best = explanation.chosen().expect("a backend is eligible").cost.total();
                     let taken = explanation.candidates.iter().find(|candidate| candidate.backend == backend);
                     let taken = taken.expect("it is a candidate");
                     prop_assert!(taken.verdict == Verdict::Open);
@@ -257,9 +259,9 @@
         }
     }
 
-    /// Bytes that nobody wrote are refused or read, and never more than that.
+    /// Arbitrary bytes are decoded or rejected without a panic.
     #[test]
-    fn any_bytes_are_a_question_or_none(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn decoding_arbitrary_bytes_does_not_panic(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = minicbor::decode::<Request>(&bytes);
         let _ = minicbor::decode::<ChoiceReport>(&bytes);
     }
--- a/alderhollow/tests/placement.rs
+++ b/alderhollow/tests/placement.rs
@@ -1,4 +1,5 @@
-//! Placement: what a placer makes of the senders' words, and what a sender does without a placer. No bench, no waiting.
+//! Placement: how a placer handles the senders' reports, and how a sender works without a placer. Runs without real
+//! time.
 
 mod balance_support;
 
@@ -26,10 +27,10 @@
 
 const FIRST: Incarnation = Incarnation(1);
 const SECOND: Incarnation = Incarnation(2);
-/// Slots of a backend in the tests' tables.
+/// Slots per backend in the tests' tables.
 const SLOTS: u64 = 64;
 
-/// A placer of the first zone, with so many backends there.
+/// Creates a placer of the first zone with `backends` backends.
 fn ledger(backends: usize) -> Ledger {
     let mut ledger = Ledger::new("placer", ZONES[0], 7);
     ledger.update(
@@ -84,7 +85,7 @@
 }
 
 #[test]
-fn a_long_prompt_of_one_sender_keeps_anothers_requests_away() {
+fn requests_avoid_a_long_prompt_of_another_sender() {
     let mut ledger = ledger(2);
     let busy = backend_of(place(&mut ledger, 0.0, FIRST, 1, &demand(50_000)));
     for number in 1..=3 {
@@ -105,7 +106,7 @@
 }
 
 #[test]
-fn a_long_prompt_goes_where_no_stream_runs() {
+fn long_prompts_avoid_backends_with_running_streams() {
     let mut ledger = ledger(3);
     let streams: BTreeSet<String> = (1..=2)
         .map(|number| backend_of(place(&mut ledger, 0.0, FIRST, number, &demand(500))))
@@ -118,7 +119,7 @@
             vec![Event::ResponseStarted(1), Event::ResponseStarted(2)],
         ),
     );
-    // Items wait for nobody: the third backend stays the best although more runs there.
+    // No client waits for batch items: the third backend stays the cheapest although it runs more requests.
     for number in 1..=6 {
         let free = backend_of(place(&mut ledger, 60.0, SECOND, 100 + number, &item(500)));
         if streams.contains(&free) {
@@ -132,8 +133,14 @@
     assert!(!streams.contains(&chosen), "{chosen} has a running stream");
 }
 
-/// Has a request of a sender read alone at one backend of the first `backends` and ended; it took so long to begin.
-fn read_alone(ledger: &mut Ledger, now: f64, number: u64, demand: &Demand, took_ms: f64) -> String {
+/// Runs one request alone at one of the first `backends` backends; its first event arrives after `took_ms`.
+fn prefill_alone(
+    ledger: &mut Ledger,
+    now: f64,
+    number: u64,
+    demand: &Demand,
+    took_ms: f64,
+) -> String {
     let backend = backend_of(place(ledger, now, FIRST, number, demand));
     ledger.apply_report(
         now + took_ms,
@@ -146,12 +153,12 @@
     backend
 }
 
-/// What a placer tells of what is ahead of a short request at its only backend, which reads a prompt of 20,000 tokens, after
-/// it has seen such prompts begin after so long.
+/// The estimated wait of a short request at the only backend, which is prefilling a prompt of 20,000 tokens, after the
+/// placer has observed such prompts with `took_ms` to the first event.
 fn wait_behind_a_prompt(took_ms: f64) -> f64 {
     let mut ledger = ledger(1);
     for number in 1..=60 {
-        read_alone(
+        prefill_alone(
             &mut ledger,
             number as f64 * 5_000.0,
             number,
@@ -168,13 +175,13 @@
 }
 
 #[test]
-fn what_is_ahead_is_told_by_the_times_that_first_events_took() {
+fn wait_estimates_are_learned_from_times_to_first_event() {
     let (slow, fast) = (wait_behind_a_prompt(500.0), wait_behind_a_prompt(60.0));
     assert!((400.0..=1_000.0).contains(&slow), "{slow}");
     assert!((30.0..=75.0).contains(&fast), "{fast}");
 }
 
-/// What a placer tells of what is ahead of a short request at its only backend, which reads an item of 20,000 tokens.
+/// The estimated wait of a short request at the only backend, which is prefilling a batch item of 20,000 tokens.
 fn wait_behind_an_item(ledger: &mut Ledger, now: f64) -> f64 {
     backend_of(place(ledger, now, FIRST, 1_000, &item(20_000)));
     match place(ledger, now, SECOND, 1_000, &demand(100)) {
@@ -183,8 +190,8 @@
     }
 }
 
-/// A whole report of one attempt, a prompt of 20,000 tokens at the only backend.
-fn whole_report(sequence: u64, response_started: bool) -> Report {
+/// A snapshot with one attempt, a prompt of 20,000 tokens at the only backend.
+fn snapshot_report(sequence: u64, response_started: bool) -> Report {
     let backend = "i-engines-0".to_string();
     let told = AttemptInfo {
         number: 1,
@@ -201,37 +208,37 @@
 }
 
 #[test]
-fn a_successor_learns_no_times_from_attempts_that_began_before_it() {
+fn a_new_placer_learns_no_times_from_earlier_attempts() {
     let untaught = wait_behind_an_item(&mut ledger(1), 100.0);
-    // The whole report tells of an attempt that has begun, ...
+    // The snapshot contains an attempt with a response, ...
     let mut successor = ledger(1);
-    successor.apply_report(0.0, &whole_report(1, true));
+    successor.apply_report(0.0, &snapshot_report(1, true));
     successor.apply_report(50.0, &events(FIRST, vec![Event::Ended(1, End::Served)]));
     assert_eq!(wait_behind_an_item(&mut successor, 100.0), untaught);
-    // ... or of one whose first event comes right after it.
-    for tells in [
-        whole_report(2, true),
+    // ... or one whose first event arrives right after it.
+    for report in [
+        snapshot_report(2, true),
         events(FIRST, vec![Event::ResponseStarted(1)]),
     ] {
         let mut successor = ledger(1);
-        successor.apply_report(0.0, &whole_report(1, false));
-        successor.apply_report(1.0, &tells);
+        successor.apply_report(0.0, &snapshot_report(1, false));
+        successor.apply_report(1.0, &report);
         successor.apply_report(50.0, &events(FIRST, vec![Event::Ended(1, End::Served)]));
         assert_eq!(wait_behind_an_item(&mut successor, 100.0), untaught);
     }
 }
 
-/// Long prompts that a placer without any knowledge has seen when it knows the engines' reading times to a fifth.
+/// Number of long prompts after which a new placer knows the engines' prefill times to within a fifth.
 const PROMPTS_TO_LEARN: u64 = 12;
 
 #[test]
-fn a_successor_learns_the_reading_times_within_a_few_long_prompts() {
+fn a_new_placer_learns_prefill_times_from_a_few_long_prompts() {
     for took_ms in [60.0, 133.0, 500.0] {
         let mut successor = ledger(1);
         for number in 1..=PROMPTS_TO_LEARN {
-            // Every fourth meets something else that holds it up.
+            // Every fourth request is delayed by something else.
             let held_up = if number % 4 == 2 { 3.0 } else { 1.0 };
-            read_alone(
+            prefill_alone(
                 &mut successor,
                 number as f64 * 5_000.0,
                 number,
@@ -247,7 +254,7 @@
 }
 
 #[test]
-fn the_longest_prompts_go_to_the_faster_engine() {
+fn long_prompts_go_to_the_faster_engine() {
     let mut ledger = ledger(2);
     let is_slow = |backend: &str| backend.ends_with('0');
     let mut now = 0.0;
@@ -263,18 +270,18 @@
             ..demand(20_000)
         };
         let took_ms = if is_slow(other) { 160.0 } else { 208.0 };
-        read_alone(&mut ledger, now, number, &demand, took_ms);
+        prefill_alone(&mut ledger, now, number, &demand, took_ms);
     }
     for number in 100..110 {
         now += 5_000.0;
-        let backend = read_alone(&mut ledger, now, number, &demand(40_000), 400.0);
+        let backend = prefill_alone(&mut ledger, now, number, &demand(40_000), 400.0);
         assert!(!is_slow(&backend), "{backend}");
     }
 }
 
 #[test]
-fn reading_that_no_pause_shows_is_no_reason_to_go_elsewhere() {
-    // A backend reads 20,000 tokens in 133 ms before anything else is known.
+fn prefills_shorter_than_the_pause_limit_cause_no_interference() {
+    // Without samples, 20,000 tokens take 133 ms to prefill.
     let disturbance = |gap_aim_ms| {
         let mut tables = Tables::new(ENGINES, ZONES.len(), 4);
         tables.gap_aim_ms = Some(gap_aim_ms);
@@ -291,25 +298,25 @@
     assert!(disturbance(100.0) > 100.0, "{}", disturbance(100.0));
 }
 
-/// A request whose shared part has 5,000 tokens.
+/// A request with a shared prefix of 5,000 tokens.
 fn with_prefix(shared: u64) -> Demand {
     let prompt = balance_support::prompt(shared, 1);
     Demand::of(&wanted(ENGINES, Some(&prompt)), Vec::new()).expect("it has a prompt")
 }
 
 #[test]
-fn a_prefix_goes_where_it_was_read_whoever_sent_it_there() {
+fn a_prefix_goes_to_its_holder_regardless_of_the_sender() {
     let mut ledger = ledger(4);
     for shared in 0..40 {
         let now = shared as f64 * 200.0;
         let except = backend_of(place(&mut ledger, now, FIRST, 1, &with_prefix(shared)));
         ledger.apply_report(now, &events(FIRST, vec![Event::Ended(1, End::Cancelled)]));
-        // The second choice reads it: from then on it is the one that keeps it.
+        // The second choice prefills it, and is the holder of the prefix from then on.
         let demand = Demand {
             excluded_backends: vec![except.clone()],
             ..with_prefix(shared)
         };
-        let reader = read_alone(&mut ledger, now, 2, &demand, 40.0);
+        let reader = prefill_alone(&mut ledger, now, 2, &demand, 40.0);
         assert_ne!(reader, except);
         let next = backend_of(place(
             &mut ledger,
@@ -327,11 +334,11 @@
 }
 
 #[test]
-fn an_offer_that_was_not_taken_keeps_no_prefix() {
+fn unused_offers_record_no_prefix_location() {
     let mut ledger = ledger(2);
     let offered = backend_of(place(&mut ledger, 0.0, FIRST, 1, &with_prefix(7)));
     ledger.apply_report(5.0, &events(FIRST, vec![Event::Ended(1, End::Cancelled)]));
-    // A little work there is enough to go elsewhere, as nobody keeps the prefix.
+    // A little load there moves the request elsewhere, because no backend has the prefix cached.
     let other = if offered.ends_with('0') {
         "i-engines-3"
     } else {
@@ -352,10 +359,10 @@
 }
 
 #[test]
-fn more_prefixes_than_are_remembered_do_no_harm() {
+fn placement_works_with_more_prefixes_than_the_limit() {
     let mut ledger = ledger(2);
     for shared in 0..6_000 {
-        read_alone(
+        prefill_alone(
             &mut ledger,
             shared as f64,
             shared + 1,
@@ -363,13 +370,13 @@
             0.5,
         );
     }
-    let known = read_alone(&mut ledger, 6_001.0, 7_001, &with_prefix(17), 0.5);
-    let again = read_alone(&mut ledger, 6_002.0, 7_002, &with_prefix(17), 0.5);
+    let known = prefill_alone(&mut ledger, 6_001.0, 7_001, &with_prefix(17), 0.5);
+    let again = prefill_alone(&mut ledger, 6_002.0, 7_002, &with_prefix(17), 0.5);
     assert_eq!(known, again);
 }
 
 #[test]
-fn where_all_backends_read_long_prompts_a_request_still_gets_one() {
+fn requests_are_placed_while_all_backends_prefill_long_prompts() {
     let mut ledger = ledger(2);
     for number in 1..=4 {
         backend_of(place(&mut ledger, 0.0, FIRST, number, &demand(54_000)));
@@ -377,14 +384,11 @@
     let Placement::At { wait_ms, .. } = place(&mut ledger, 1.0, SECOND, 1, &demand(500)) else {
         panic!("no backend");
     };
-    assert!(
-        wait_ms > 300.0,
-        "the sender learns that much is ahead: {wait_ms}"
-    );
+    assert!(wait_ms > 300.0, "the estimated wait is reported: {wait_ms}");
 }
 
 #[test]
-fn a_prompt_larger_than_any_memory_goes_to_an_idle_backend_and_else_waits() {
+fn a_prompt_larger_than_memory_is_placed_only_at_an_idle_backend() {
     let mut ledger = ledger(1);
     backend_of(place(&mut ledger, 0.0, FIRST, 1, &demand(900_000)));
     let second = place(&mut ledger, 1.0, FIRST, 2, &demand(900_000));
@@ -392,7 +396,7 @@
 }
 
 #[test]
-fn items_of_all_senders_together_leave_room_for_streams() {
+fn batch_items_leave_capacity_for_streams() {
     let mut ledger = ledger(1);
     let mut running = 0;
     for number in 1..=SLOTS {
@@ -404,13 +408,13 @@
     }
     assert!(running < SLOTS, "{running} items fill the backend");
     let Placement::At { wait_ms, .. } = place(&mut ledger, 1.0, SECOND, 999, &demand(10)) else {
-        panic!("no room for a stream");
+        panic!("no capacity for a stream");
     };
     assert!(wait_ms < 50.0, "{wait_ms}");
 }
 
 #[test]
-fn a_backend_that_answers_nobody_is_left_by_all() {
+fn an_unresponsive_backend_is_avoided_for_all_senders() {
     let mut ledger = ledger(2);
     let dark = backend_of(place(&mut ledger, 0.0, FIRST, 1, &demand(100)));
     let lost = events(FIRST, vec![Event::Ended(1, End::NoConnection)]);
@@ -424,7 +428,7 @@
 }
 
 #[test]
-fn a_backend_that_the_sender_cannot_use_is_not_offered() {
+fn excluded_backends_are_not_offered() {
     let mut ledger = ledger(2);
     let first = backend_of(place(&mut ledger, 0.0, FIRST, 1, &demand(100)));
     let without = Demand {
@@ -438,13 +442,13 @@
 }
 
 #[test]
-fn a_whole_report_mends_what_was_lost() {
+fn a_snapshot_corrects_lost_events() {
     let mut ledger = ledger(2);
     for number in 1..=3 {
         place(&mut ledger, 0.0, FIRST, number, &demand(100));
     }
     assert_eq!(ledger.attempts(), 3);
-    // The ends of 1 and 2 were lost, and so was the start of 4, which the sender chose for itself.
+    // The ends of attempts 1 and 2 were lost, and so was the start of attempt 4, which the sender placed by itself.
     let told = |number, backend: &str| AttemptInfo {
         number,
         backend: backend.to_string(),
@@ -461,11 +465,11 @@
     ledger.apply_report(10.0, &whole);
     assert_eq!(ledger.attempts(), 2);
     ledger.apply_report(11.0, &whole);
-    assert_eq!(ledger.attempts(), 2, "doubled, it changes nothing");
+    assert_eq!(ledger.attempts(), 2, "a duplicate changes nothing");
 }
 
 #[test]
-fn a_report_that_comes_late_takes_nothing_back() {
+fn a_delayed_report_does_not_undo_newer_state() {
     let mut ledger = ledger(2);
     let empty = |sequence, last_number| Report::Snapshot {
         sender: FIRST,
@@ -479,7 +483,7 @@
     ledger.apply_report(3.0, &empty(1, 2));
     assert_eq!(ledger.attempts(), 1, "an older report");
     ledger.apply_report(4.0, &empty(3, 1));
-    assert_eq!(ledger.attempts(), 1, "made before the attempt");
+    assert_eq!(ledger.attempts(), 1, "a snapshot from before the attempt");
     ledger.apply_report(
         5.0,
         &events(
@@ -487,17 +491,17 @@
             vec![Event::Ended(1, End::Served), Event::ResponseStarted(1)],
         ),
     );
-    assert_eq!(ledger.attempts(), 1, "of an attempt that is gone");
+    assert_eq!(ledger.attempts(), 1, "events of a removed attempt");
 }
 
 #[test]
-fn a_sender_that_is_gone_without_a_word_is_forgotten() {
+fn a_sender_without_reports_expires() {
     let mut ledger = ledger(1);
     place(&mut ledger, 0.0, FIRST, 1, &demand(50_000));
     place(&mut ledger, 10.0, SECOND, 1, &demand(100));
     ledger.apply_report(SENDER_TIMEOUT_MS + 5.0, &events(SECOND, Vec::new()));
     assert_eq!((ledger.senders(), ledger.attempts()), (1, 1));
-    // Its restart is another incarnation, whose numbers begin anew.
+    // The restarted sender is a new incarnation, whose numbers start again.
     place(
         &mut ledger,
         SENDER_TIMEOUT_MS + 6.0,
@@ -509,7 +513,7 @@
 }
 
 #[test]
-fn a_sender_that_dies_says_nothing_of_its_backends() {
+fn an_expired_sender_does_not_affect_backend_health() {
     let mut ledger = ledger(2);
     let waited_at: BTreeSet<String> = (1..=2)
         .map(|number| backend_of(place(&mut ledger, 0.0, FIRST, number, &demand(5_000))))
@@ -529,15 +533,15 @@
             ))
         })
         .collect();
-    assert_eq!(used, waited_at, "none of them is taken for dark");
+    assert_eq!(used, waited_at, "no backend is considered unresponsive");
 }
 
 #[test]
-fn a_placer_that_starts_anew_learns_what_runs_from_whole_reports() {
+fn a_restarted_placer_learns_attempts_from_snapshots() {
     let mut reports = Reports::new(FIRST);
     let number = reports.next_attempt_number();
     reports.started(number, ZONES[0], "i-engines-0", demand(50_000), true);
-    let whole = reports.snapshot(ZONES[0]).expect("something runs");
+    let whole = reports.snapshot(ZONES[0]).expect("an attempt is in flight");
     let mut successor = ledger(2);
     successor.apply_report(0.0, &whole);
     assert_eq!(
@@ -547,7 +551,7 @@
 }
 
 #[test]
-fn nothing_under_way_is_told_once_and_again_after_any_event() {
+fn an_empty_snapshot_is_sent_once_and_again_after_any_event() {
     let mut reports = Reports::new(FIRST);
     assert!(reports.snapshot(ZONES[0]).is_some());
     assert!(reports.snapshot(ZONES[0]).is_none());
@@ -558,7 +562,7 @@
     );
 }
 
-/// A sender before the tables, and the client that asks placers.
+/// Creates a sender with these tables, and its placement client.
 async fn exchange(tables: &Tables) -> (Rc<Exchange>, Rc<PlacementClient>) {
     let (_, receiver) = watch::channel(Arc::new(tables.snapshot(0.0)));
     let client = PlacementClient::start(Network::new(7), receiver.clone(), FIRST);
@@ -583,7 +587,7 @@
 }
 
 #[test]
-fn a_sender_without_a_placer_chooses_for_itself() {
+fn a_sender_without_a_placer_selects_by_itself() {
     block_on(async {
         let (exchange, _) = exchange(&Tables::new(ENGINES, 3, 4)).await;
         let prompt = balance_support::prompt(1, 2);
@@ -595,7 +599,7 @@
 }
 
 #[test]
-fn a_sender_whose_placer_cannot_be_reached_chooses_for_itself() {
+fn a_sender_with_an_unreachable_placer_selects_by_itself() {
     block_on(async {
         let mut tables = Tables::new(ENGINES, 3, 4);
         let nobody = SocketAddr::from(([127, 0, 0, 1], 1));
@@ -662,9 +666,9 @@
 }
 
 proptest! {
-    /// Whatever comes, in whatever order: the books balance once all senders are gone.
+    /// For any reports in any order, no load remains once all senders have expired.
     #[test]
-    fn no_reports_leave_a_backend_booked_for_ever(
+    fn all_load_is_released_after_senders_expire(
         steps in prop::collection::vec((any_report(), prop::option::of(0_u32..60_000), 0.0..500.0_f64), 1..40),
     ) {
         let mut ledger = ledger(2);
@@ -679,30 +683,30 @@
         now += SENDER_TIMEOUT_MS + 1_000.0;
         ledger.apply_report(now, &events(Incarnation(9), Vec::new()));
         prop_assert_eq!(ledger.attempts(), 0);
-        // Nothing is known of the backends' load any more: a request finds nothing ahead of it. A backend that timed out may
-        // still be avoided.
+        // No load is known any more, so a request has an estimated wait of zero. A backend that timed out may still be
+        // avoided.
         let placement = place(&mut ledger, now + 10_000.0, Incarnation(9), 1, &demand(100));
         let is_free = matches!(placement, Placement::At { wait_ms, .. } if wait_ms == 0.0);
         prop_assert!(is_free, "{:?}", placement);
     }
 
     #[test]
-    fn any_bytes_are_a_message_or_none(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
+    fn arbitrary_bytes_do_not_panic_the_decoder(bytes in prop::collection::vec(any::<u8>(), 0..200)) {
         let _ = minicbor::decode::<Report>(&bytes);
         let _ = minicbor::decode::<PlaceRequest>(&bytes);
         let _ = minicbor::decode::<Placement>(&bytes);
     }
 
     #[test]
-    fn reports_come_back_as_they_were_written(report in any_report()) {
-        let bytes = minicbor::to_vec(&report).expect("it can be written");
-        prop_assert_eq!(minicbor::decode::<Report>(&bytes).expect("it can be read"), report);
+    fn reports_round_trip(report in any_report()) {
+        let bytes = minicbor::to_vec(&report).expect("encoding succeeds");
+        prop_assert_eq!(minicbor::decode::<Report>(&bytes).expect("decoding succeeds"), report);
     }
 }
 
-/// What goes over the wire for one request: `docs/CAPACITY.md` counts with these.
+/// Message sizes for one request; `docs/CAPACITY.md` is based on them.
 #[test]
-fn one_request_costs_few_bytes() {
+fn messages_of_one_request_are_small() {
     let prompt = Prompt {
         parts: vec![(u64::MAX, 512), (u64::MAX, 4_870), (u64::MAX, 6_610)],
         tokens_in: 11_992,
--- a/alderhollow/tests/placement_offers.rs
+++ b/alderhollow/tests/placement_offers.rs
@@ -1,4 +1,4 @@
-//! Which placers a sender asks for one request, and which offer it keeps. No bench, no waiting.
+//! The placers that a sender asks for one request, and the offer that it keeps. Runs without real time.
 
 use alderhollow::placement::message::Placement;
 use alderhollow::placement::offers::{zones_to_ask, NoOffer, Offers};
@@ -16,7 +16,7 @@
 }
 
 #[test]
-fn a_good_offer_of_the_own_zone_is_enough() {
+fn a_good_local_offer_is_sufficient() {
     let mut offers = Offers::new(OWN);
     assert!(!offers.is_sufficient());
     assert_eq!(offers.add(OWN, 1, at("near", 20.0)), None);
@@ -25,13 +25,13 @@
 }
 
 #[test]
-fn another_zone_must_be_better_by_its_price_and_the_worse_offer_is_given_back() {
+fn a_remote_offer_must_exceed_the_cross_zone_cost_and_the_worse_offer_is_released() {
     let mut offers = Offers::new(OWN);
     assert_eq!(offers.add(OWN, 1, at("near", 300.0)), None);
     assert!(!offers.is_sufficient());
     let unused = offers
         .add(OTHER, 2, at("a little better", 290.0))
-        .expect("it is not worth the price");
+        .expect("it does not exceed the cross-zone cost");
     assert_eq!((unused.zone.as_str(), unused.number), (OTHER, 2));
     let unused = offers
         .add(OTHER, 3, at("free", 0.0))
@@ -42,7 +42,7 @@
 }
 
 #[test]
-fn without_an_offer_the_soonest_hint_counts_and_silence_is_no_refusal() {
+fn without_an_offer_the_earliest_retry_hint_is_returned() {
     let mut offers = Offers::new(OWN);
     offers.add(
         OWN,
@@ -72,7 +72,7 @@
 
 proptest! {
     #[test]
-    fn the_own_zone_is_asked_first_and_none_twice(count in 0_usize..8, own in 0_usize..10, draw in any::<u64>()) {
+    fn the_own_zone_is_asked_first_and_no_zone_twice(count in 0_usize..8, own in 0_usize..10, draw in any::<u64>()) {
         let zones: Vec<String> = (0..count).map(|zone| format!("zone-{zone}")).collect();
         let own = format!("zone-{own}");
         let asked = zones_to_ask(zones.clone(), &own, draw);
