--- a/alderhollow/src/balance/affinity.rs
+++ b/alderhollow/src/balance/affinity.rs
@@ -71,9 +71,7 @@
 
     /// Fraction of the shared prefix that is expected to miss the cache of the backend at `index`.
     pub(super) fn uncached_fraction(&self, index: usize) -> f64 {
-        let is = |rendezvous_order: Option<(u64, usize)>| {
-            rendezvous_order.is_some_and(|(_, at)| at == index)
-        };
+        let is = |ranked: Option<(u64, usize)>| ranked.is_some_and(|(_, at)| at == index);
         if is(self.first) || (self.first.is_none() && is(self.remote)) {
             UNCACHED_AT_FIRST
         } else if is(self.second) {
@@ -126,7 +124,7 @@
 #[derive(Debug, Default)]
 pub(super) struct PrefixLocations {
     /// By prefix hash: the hashes of backend ids, with the time of the last use.
-    prefix_locations: BTreeMap<u64, Vec<(u64, Millis)>>,
+    backends_by_prefix: BTreeMap<u64, Vec<(u64, Millis)>>,
 }
 
 impl PrefixLocations {
@@ -135,15 +133,15 @@
         if prefix.tokens < MIN_PREFIX_TOKENS {
             return;
         }
-        if self.prefix_locations.len() >= MAX_PREFIXES
-            && !self.prefix_locations.contains_key(&prefix.hash)
+        if self.backends_by_prefix.len() >= MAX_PREFIXES
+            && !self.backends_by_prefix.contains_key(&prefix.hash)
         {
             self.evict_expired(now);
-            if self.prefix_locations.len() >= MAX_PREFIXES {
+            if self.backends_by_prefix.len() >= MAX_PREFIXES {
                 return;
             }
         }
-        let backends = self.prefix_locations.entry(prefix.hash).or_default();
+        let backends = self.backends_by_prefix.entry(prefix.hash).or_default();
         backends.retain(|(id, at)| *id != id_hash && now - at < PREFIX_TTL_MS);
         backends.push((id_hash, now));
     }
@@ -151,7 +149,7 @@
     /// Whether a backend was sent a prefix recently.
     fn contains(&self, now: Millis, prefix: SharedPrefix, id_hash: u64) -> bool {
         let backends = self
-            .prefix_locations
+            .backends_by_prefix
             .get(&prefix.hash)
             .map_or(&[][..], Vec::as_slice);
         backends
@@ -160,7 +158,7 @@
     }
 
     fn evict_expired(&mut self, now: Millis) {
-        self.prefix_locations
+        self.backends_by_prefix
             .retain(|_, backends| backends.iter().any(|(_, at)| now - at < PREFIX_TTL_MS));
     }
 }
--- a/alderhollow/src/balance/affinity/tests.rs
+++ b/alderhollow/src/balance/affinity/tests.rs
@@ -11,7 +11,7 @@
 fn tracked_prefixes_never_exceed_the_limit() {
     let mut prefix_locations = PrefixLocations::default();
     (0..3 * MAX_PREFIXES as u64).for_each(|hash| prefix_locations.record(1.0, prefix(hash), 7));
-    assert_eq!(prefix_locations.prefix_locations.len(), MAX_PREFIXES);
+    assert_eq!(prefix_locations.backends_by_prefix.len(), MAX_PREFIXES);
     assert!(
         prefix_locations.contains(2.0, prefix(0), 7),
         "tracked prefixes are not evicted before they expire"
@@ -25,7 +25,7 @@
     (0..MAX_PREFIXES as u64).for_each(|hash| prefix_locations.record(0.0, prefix(hash), 7));
     prefix_locations.record(PREFIX_TTL_MS + 1.0, prefix(u64::MAX), 7);
     assert!(prefix_locations.contains(PREFIX_TTL_MS + 2.0, prefix(u64::MAX), 7));
-    assert_eq!(prefix_locations.prefix_locations.len(), 1);
+    assert_eq!(prefix_locations.backends_by_prefix.len(), 1);
 }
 
 #[test]
--- a/alderhollow/src/placement/ledger.rs
+++ b/alderhollow/src/placement/ledger.rs
@@ -123,11 +123,11 @@
                 last_number,
                 in_flight,
             } => {
-                let known = self.touch_sender(now, *sender);
-                if *sequence <= known.sequence {
+                let entry = self.touch_sender(now, *sender);
+                if *sequence <= entry.sequence {
                     return;
                 }
-                known.sequence = *sequence;
+                entry.sequence = *sequence;
                 self.reconcile(now, *sender, *last_number, in_flight);
             }
         }
@@ -155,12 +155,12 @@
         in_flight: &[AttemptInfo],
     ) {
         let is_reported = |number: u64| in_flight.iter().any(|info| info.number == number);
-        let known = self
+        let known_numbers = self
             .senders
             .get(&sender)
-            .map(|known| known.attempts.keys().copied().collect());
-        let known: Vec<u64> = known.unwrap_or_default();
-        for number in known
+            .map(|entry| entry.attempts.keys().copied().collect());
+        let known_numbers: Vec<u64> = known_numbers.unwrap_or_default();
+        for number in known_numbers
             .into_iter()
             .filter(|number| *number <= last_number && !is_reported(*number))
         {
@@ -205,17 +205,17 @@
         let attempt = self
             .senders
             .get_mut(&sender)
-            .and_then(|known| known.attempts.remove(&number));
+            .and_then(|entry| entry.attempts.remove(&number));
         if let Some(attempt) = attempt {
             self.balancer.ended(now, attempt, outcome);
         }
     }
 
     fn record_attempt(&mut self, now: Millis, sender: Incarnation, number: u64, attempt: u64) {
-        let known = self.touch_sender(now, sender);
-        let replaced = known.attempts.insert(number, attempt);
-        let oldest = match known.attempts.len() > MAX_ATTEMPTS {
-            true => known.attempts.pop_first().map(|(_, oldest)| oldest),
+        let entry = self.touch_sender(now, sender);
+        let replaced = entry.attempts.insert(number, attempt);
+        let oldest = match entry.attempts.len() > MAX_ATTEMPTS {
+            true => entry.attempts.pop_first().map(|(_, oldest)| oldest),
             false => None,
         };
         replaced
@@ -228,7 +228,7 @@
         let attempt = self
             .senders
             .get_mut(&sender)
-            .and_then(|known| known.attempts.remove(&number));
+            .and_then(|entry| entry.attempts.remove(&number));
         attempt
             .into_iter()
             .for_each(|attempt| self.balancer.withdraw(attempt));
@@ -243,9 +243,9 @@
     }
 
     fn touch_sender(&mut self, now: Millis, sender: Incarnation) -> &mut Sender {
-        let known = self.senders.entry(sender).or_default();
-        known.last_seen = now;
-        known
+        let entry = self.senders.entry(sender).or_default();
+        entry.last_seen = now;
+        entry
     }
 
     fn expire_senders(&mut self, now: Millis) {
--- a/alderhollow/src/placement/reports.rs
+++ b/alderhollow/src/placement/reports.rs
@@ -69,13 +69,13 @@
             };
             self.push(zone, Event::Started(info));
         }
-        let known = TrackedAttempt {
+        let attempt = TrackedAttempt {
             zone: zone.to_string(),
             backend: backend.to_string(),
             demand,
             response_started: false,
         };
-        self.in_flight.insert(number, known);
+        self.in_flight.insert(number, attempt);
     }
 
     /// Releases a placement that the placer of a zone may have recorded for an attempt that did not start there.
@@ -85,20 +85,20 @@
 
     /// Records the first event of an attempt.
     pub fn response_started(&mut self, number: u64) {
-        let Some(known) = self.in_flight.get_mut(&number) else {
+        let Some(attempt) = self.in_flight.get_mut(&number) else {
             return;
         };
-        if std::mem::replace(&mut known.response_started, true) {
+        if std::mem::replace(&mut attempt.response_started, true) {
             return;
         }
-        let zone = known.zone.clone();
+        let zone = attempt.zone.clone();
         self.push(&zone, Event::ResponseStarted(number));
     }
 
     /// Records the end of an attempt.
     pub fn ended(&mut self, number: u64, end: End) {
-        if let Some(known) = self.in_flight.remove(&number) {
-            self.push(&known.zone, Event::Ended(number, end));
+        if let Some(attempt) = self.in_flight.remove(&number) {
+            self.push(&attempt.zone, Event::Ended(number, end));
         }
     }
 
@@ -119,7 +119,7 @@
 
     /// A snapshot of all attempts in flight at a zone's backends; `None` if it is empty and the previous one was too.
     pub fn snapshot(&mut self, zone: &str) -> Option<Report> {
-        let is_empty = !self.in_flight.values().any(|known| known.zone == zone);
+        let is_empty = !self.in_flight.values().any(|attempt| attempt.zone == zone);
         let was_empty = match is_empty {
             true => !self.reported_empty.insert(zone.to_string()),
             false => self.reported_empty.remove(zone),
@@ -131,16 +131,16 @@
         let in_zone = self
             .in_flight
             .iter()
-            .filter(|(_, known)| known.zone == zone);
-        let info = |(number, known): (&u64, &TrackedAttempt)| AttemptInfo {
+            .filter(|(_, attempt)| attempt.zone == zone);
+        let info = |(number, attempt): (&u64, &TrackedAttempt)| AttemptInfo {
             number: *number,
-            backend: known.backend.clone(),
+            backend: attempt.backend.clone(),
             demand: Demand {
                 parts: Vec::new(),
                 excluded_backends: Vec::new(),
-                ..known.demand.clone()
+                ..attempt.demand.clone()
             },
-            response_started: known.response_started,
+            response_started: attempt.response_started,
         };
         Some(Report::Snapshot {
             sender: self.sender,
--- a/alderhollow/tests/balance_choice.rs
+++ b/alderhollow/tests/balance_choice.rs
@@ -5,7 +5,9 @@
 
 use alderhollow::balance::{Balancer, NoBackend, Outcome, SelectionRequest};
 use alderhollow_model::backend::BackendState;
-use balance_support::{backend, node_name, prompt, wanted, Tables, ENGINES, PLAIN, ZONES};
+use balance_support::{
+    backend, node_name, prompt, selection_request, Tables, ENGINES, PLAIN, ZONES,
+};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -73,7 +75,7 @@
                         .filter(|listed| !gone.contains(&listed.id))
                         .map(|listed| listed.id.as_str())
                         .collect();
-                    match balancer.choose(now, &wanted(ENGINES, Some(&prompt))) {
+                    match balancer.choose(now, &selection_request(ENGINES, Some(&prompt))) {
                         Ok(choice) => {
                             prop_assert!(allowed.contains(choice.backend.id.as_str()));
                             prop_assert!(balancer.may_send(&choice.backend.id));
@@ -104,7 +106,7 @@
 fn chosen(balancer: &mut Balancer, now: f64, shared: u64) -> String {
     let prompt = prompt(shared, 1);
     let choice = balancer
-        .choose(now, &wanted(ENGINES, Some(&prompt)))
+        .choose(now, &selection_request(ENGINES, Some(&prompt)))
         .expect("there is a backend");
     balancer.response_started(now + 40.0, choice.attempt);
     balancer.ended(now + 50.0, choice.attempt, Outcome::Served);
@@ -114,17 +116,17 @@
 #[test]
 fn gateways_in_a_zone_select_the_same_local_backend_for_a_prefix() {
     let tables = Tables::new(ENGINES, 9, 4);
-    let mut one = tables.balancer(&node_name(0), ZONES[1], 0.0);
-    let mut other = tables.balancer(&node_name(1), ZONES[1], 0.0);
+    let mut first = tables.balancer(&node_name(0), ZONES[1], 0.0);
+    let mut second = tables.balancer(&node_name(1), ZONES[1], 0.0);
     let mut used = BTreeSet::new();
     for shared in 0..100 {
         let now = shared as f64 * 100.0;
-        let (by_one, by_other) = (
-            chosen(&mut one, now, shared),
-            chosen(&mut other, now, shared),
+        let (by_first, by_second) = (
+            chosen(&mut first, now, shared),
+            chosen(&mut second, now, shared),
         );
-        assert_eq!(by_one, by_other);
-        used.insert(by_one);
+        assert_eq!(by_first, by_second);
+        used.insert(by_first);
     }
     let own_zone = |id: &String| {
         tables
@@ -162,13 +164,13 @@
 fn requests_go_to_other_zones_without_a_local_backend() {
     let mut tables = Tables::new(ENGINES, 9, 4);
     tables.evacuated.insert(ZONES[0].to_string());
-    let mut one = tables.balancer(&node_name(0), ZONES[0], 0.0);
-    let mut other = tables.balancer(&node_name(1), ZONES[0], 0.0);
+    let mut first = tables.balancer(&node_name(0), ZONES[0], 0.0);
+    let mut second = tables.balancer(&node_name(1), ZONES[0], 0.0);
     for shared in 0..20 {
         let now = shared as f64 * 100.0;
         assert_eq!(
-            chosen(&mut one, now, shared),
-            chosen(&mut other, now, shared)
+            chosen(&mut first, now, shared),
+            chosen(&mut second, now, shared)
         );
     }
 }
@@ -183,7 +185,7 @@
     for request in 0..requests {
         let prompt = prompt(request % prefixes, request);
         let choice = balancer
-            .choose(0.0, &wanted(ENGINES, Some(&prompt)))
+            .choose(0.0, &selection_request(ENGINES, Some(&prompt)))
             .expect("a backend has capacity");
         *attempts.entry(choice.backend.id.clone()).or_insert(0) += 1;
     }
@@ -206,7 +208,7 @@
         });
         let prompt = prompt(request * 7 % 60, request);
         let choice = balancer
-            .choose(now, &wanted(ENGINES, Some(&prompt)))
+            .choose(now, &selection_request(ENGINES, Some(&prompt)))
             .expect("a backend has capacity");
         balancer.response_started(now, choice.attempt);
         ends.push((now + 500.0, choice.attempt));
@@ -256,7 +258,11 @@
         tokens_out: 10_000,
     };
     let taken = (0..20)
-        .filter(|_| balancer.choose(0.0, &wanted(ENGINES, Some(&large))).is_ok())
+        .filter(|_| {
+            balancer
+                .choose(0.0, &selection_request(ENGINES, Some(&large)))
+                .is_ok()
+        })
         .count();
     assert_eq!(taken, 5, "of 110,000 tokens each in 600,000");
 }
@@ -266,7 +272,7 @@
     let tables = Tables::new(PLAIN, 3, 1);
     let mut balancer = tables.balancer(&node_name(0), ZONES[2], 0.0);
     let mut zones = Vec::new();
-    while let Ok(choice) = balancer.choose(0.0, &wanted(PLAIN, None)) {
+    while let Ok(choice) = balancer.choose(0.0, &selection_request(PLAIN, None)) {
         zones.push(choice.backend.zone.clone());
     }
     assert_eq!(zones[0], ZONES[2]);
@@ -280,16 +286,16 @@
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     for _ in 0..3 {
         let choice = balancer
-            .choose(10.0, &wanted(PLAIN, None))
+            .choose(10.0, &selection_request(PLAIN, None))
             .expect("some backend has not rejected a request");
         balancer.ended(10.0, choice.attempt, Outcome::Declined);
     }
-    let answer = balancer.choose(11.0, &wanted(PLAIN, None)).err();
+    let answer = balancer.choose(11.0, &selection_request(PLAIN, None)).err();
     let Some(NoBackend::AllFull { retry_after_ms }) = answer else {
         panic!("{answer:?}")
     };
     assert!(balancer
-        .choose(11.0 + retry_after_ms, &wanted(PLAIN, None))
+        .choose(11.0 + retry_after_ms, &selection_request(PLAIN, None))
         .is_ok());
 }
 
@@ -299,13 +305,17 @@
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     let low = SelectionRequest {
         priority: 2,
-        ..wanted(ENGINES, None)
+        ..selection_request(ENGINES, None)
     };
     let low_taken = (0..100)
         .filter(|_| balancer.choose(0.0, &low).is_ok())
         .count();
     let high_taken = (0..100)
-        .filter(|_| balancer.choose(0.0, &wanted(ENGINES, None)).is_ok())
+        .filter(|_| {
+            balancer
+                .choose(0.0, &selection_request(ENGINES, None))
+                .is_ok()
+        })
         .count();
     assert_eq!((low_taken, low_taken + high_taken), (54, 64));
 }
@@ -316,19 +326,19 @@
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     let mut tried = Vec::new();
     for _ in 0..3 {
-        let wanted = SelectionRequest {
+        let selection_request = SelectionRequest {
             tried: &tried,
-            ..wanted(PLAIN, None)
+            ..selection_request(PLAIN, None)
         };
         let choice = balancer
-            .choose(0.0, &wanted)
+            .choose(0.0, &selection_request)
             .expect("an untried backend remains");
         assert!(!tried.contains(&choice.backend.id));
         tried.push(choice.backend.id.clone());
     }
     let none = SelectionRequest {
         tried: &tried,
-        ..wanted(PLAIN, None)
+        ..selection_request(PLAIN, None)
     };
     assert_eq!(
         balancer.choose(0.0, &none).err(),
--- a/alderhollow/tests/balance_cold.rs
+++ b/alderhollow/tests/balance_cold.rs
@@ -3,7 +3,9 @@
 mod balance_support;
 
 use alderhollow::balance::{Balancer, Millis, NoBackend, Outcome};
-use balance_support::{backend, node_name, wanted, Tables, COLD_BOUNDS, ENGINES, PLAIN, ZONES};
+use balance_support::{
+    backend, node_name, selection_request, Tables, COLD_BOUNDS, ENGINES, PLAIN, ZONES,
+};
 use proptest::prelude::*;
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -18,7 +20,7 @@
 
 /// Maximum number of starts at one backend within one second.
 fn max_starts_per_second(starts: &Starts) -> usize {
-    let most_of = |times: &Vec<Millis>| {
+    let max_of = |times: &Vec<Millis>| {
         let mut sorted = times.clone();
         sorted.sort_by(f64::total_cmp);
         let within = |(first, from): (usize, &Millis)| {
@@ -29,13 +31,13 @@
         };
         sorted.iter().enumerate().map(within).max().unwrap_or(0)
     };
-    starts.values().map(most_of).max().unwrap_or(0)
+    starts.values().map(max_of).max().unwrap_or(0)
 }
 
 /// Starts as many requests of one sender as it may at one moment.
 fn start_all(balancer: &mut Balancer, now: Millis, most: usize, starts: &mut Starts) {
     for _ in 0..most {
-        let Ok(choice) = balancer.choose(now, &wanted(ENGINES, None)) else {
+        let Ok(choice) = balancer.choose(now, &selection_request(ENGINES, None)) else {
             return;
         };
         starts
@@ -167,7 +169,7 @@
 fn unlisted_senders_send_nothing_to_cold_backends() {
     let tables = cold_tables(1, 5, 31.0);
     let mut unlisted = tables.balancer("stranger", ZONES[0], 0.0);
-    let answer = unlisted.choose(5000.0, &wanted(ENGINES, None));
+    let answer = unlisted.choose(5000.0, &selection_request(ENGINES, None));
     assert!(
         matches!(answer, Err(NoBackend::AllFull { .. })),
         "{answer:?}"
@@ -178,8 +180,12 @@
 fn a_new_sender_initially_sends_nothing_to_cold_backends() {
     let tables = cold_tables(1, 1, 31.0);
     let mut newcomer = tables.balancer(&node_name(0), ZONES[0], 0.0);
-    assert!(newcomer.choose(100.0, &wanted(ENGINES, None)).is_err());
-    assert!(newcomer.choose(3000.0, &wanted(ENGINES, None)).is_ok());
+    assert!(newcomer
+        .choose(100.0, &selection_request(ENGINES, None))
+        .is_err());
+    assert!(newcomer
+        .choose(3000.0, &selection_request(ENGINES, None))
+        .is_ok());
 }
 
 #[test]
@@ -213,7 +219,9 @@
         .map(|index| tables.balancer(&node_name(index), ZONES[0], 0.0))
         .collect();
     assert_eq!(
-        balancers[0].choose(4000.0, &wanted(ENGINES, None)).err(),
+        balancers[0]
+            .choose(4000.0, &selection_request(ENGINES, None))
+            .err(),
         Some(NoBackend::NoneReady)
     );
     tables.evacuated.clear();
@@ -234,8 +242,12 @@
     start_all(&mut sender, 3000.0, 20, &mut starts);
     tables.backends[0].cold_remaining_ms = 2000;
     sender.update(3100.0, &tables.snapshot(3100.0));
-    assert!(sender.choose(3200.0, &wanted(ENGINES, None)).is_err());
-    assert!(sender.choose(4300.0, &wanted(ENGINES, None)).is_ok());
+    assert!(sender
+        .choose(3200.0, &selection_request(ENGINES, None))
+        .is_err());
+    assert!(sender
+        .choose(4300.0, &selection_request(ENGINES, None))
+        .is_ok());
 }
 
 #[test]
@@ -245,7 +257,7 @@
     tables.backends[0].cold_remaining_ms = COLD_FOR_MS;
     let mut sender = tables.balancer(&node_name(0), ZONES[0], 0.0);
     let choice = sender
-        .choose(3000.0, &wanted(ENGINES, None))
+        .choose(3000.0, &selection_request(ENGINES, None))
         .expect("the limit is not used up");
     assert!(sender.may_begin(3050.0, choice.attempt));
     assert!(!sender.may_begin(3500.0, choice.attempt));
@@ -261,7 +273,7 @@
     let mut starts = Starts::new();
     for _ in 0..90 {
         let choice = sender
-            .choose(5000.0, &wanted(ENGINES, Some(&shared)))
+            .choose(5000.0, &selection_request(ENGINES, Some(&shared)))
             .expect("a backend has capacity");
         starts
             .entry(choice.backend.id.clone())
@@ -276,5 +288,7 @@
     let mut tables = Tables::new(PLAIN, 1, 10);
     tables.backends[0].cold_remaining_ms = COLD_FOR_MS;
     let mut unlisted = tables.balancer("stranger", ZONES[0], 0.0);
-    assert!(unlisted.choose(10.0, &wanted(PLAIN, None)).is_ok());
+    assert!(unlisted
+        .choose(10.0, &selection_request(PLAIN, None))
+        .is_ok());
 }
--- a/alderhollow/tests/balance_health.rs
+++ b/alderhollow/tests/balance_health.rs
@@ -3,7 +3,7 @@
 mod balance_support;
 
 use alderhollow::balance::{Balancer, Millis, Outcome, Prompt};
-use balance_support::{node_name, prompt, wanted, Tables, ENGINES, PLAIN, ZONES};
+use balance_support::{node_name, prompt, selection_request, Tables, ENGINES, PLAIN, ZONES};
 
 const STEP_MS: Millis = 20.0;
 const RESPONSE_MS: Millis = 40.0;
@@ -37,18 +37,18 @@
             *at > now
         });
         let choice = balancer
-            .choose(now, &wanted(ENGINES, Some(prompt)))
+            .choose(now, &selection_request(ENGINES, Some(prompt)))
             .expect("other backends are healthy");
         let is_tested = choice.backend.id == tested;
         count += usize::from(is_tested);
-        let (took, outcome) = match behaviour {
+        let (response_ms, outcome) = match behaviour {
             Behaviour::RefusesConnections if is_tested => (1.0, Outcome::NoConnection),
             Behaviour::Unresponsive if is_tested => (2000.0, Outcome::TimedOut),
             Behaviour::Fails if is_tested => (RESPONSE_MS, Outcome::Failed),
             Behaviour::Slow if is_tested => (8.0 * RESPONSE_MS, Outcome::Served),
             _ => (RESPONSE_MS, Outcome::Served),
         };
-        ends.push((now + took, choice.attempt, outcome));
+        ends.push((now + response_ms, choice.attempt, outcome));
         now += STEP_MS;
     }
     for (at, attempt, outcome) in ends {
@@ -63,32 +63,32 @@
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     let prompt = prompt(3, 1);
     let choice = balancer
-        .choose(0.0, &wanted(ENGINES, Some(&prompt)))
+        .choose(0.0, &selection_request(ENGINES, Some(&prompt)))
         .expect("all backends are healthy");
     balancer.ended(RESPONSE_MS, choice.attempt, Outcome::Served);
-    let home = choice.backend.id.clone();
+    let preferred = choice.backend.id.clone();
     assert!(
         simulate(
             &mut balancer,
             100.0,
             2000.0,
             &prompt,
-            &home,
+            &preferred,
             Behaviour::Healthy
         ) > 80
     );
-    (balancer, prompt, home)
+    (balancer, prompt, preferred)
 }
 
 #[test]
 fn a_backend_that_refuses_connections_receives_only_probes() {
-    let (mut balancer, prompt, home) = balancer_with_preferred_backend();
+    let (mut balancer, prompt, preferred) = balancer_with_preferred_backend();
     let count = simulate(
         &mut balancer,
         3000.0,
         8000.0,
         &prompt,
-        &home,
+        &preferred,
         Behaviour::RefusesConnections,
     );
     assert!((2..=6).contains(&count), "{count} of 250");
@@ -96,13 +96,13 @@
 
 #[test]
 fn an_unresponsive_backend_is_ejected_within_a_few_requests() {
-    let (mut balancer, prompt, home) = balancer_with_preferred_backend();
+    let (mut balancer, prompt, preferred) = balancer_with_preferred_backend();
     let count = simulate(
         &mut balancer,
         3000.0,
         8000.0,
         &prompt,
-        &home,
+        &preferred,
         Behaviour::Unresponsive,
     );
     assert!(count <= 16, "{count} of 250");
@@ -110,13 +110,13 @@
 
 #[test]
 fn a_backend_with_a_failure_rate_of_at_least_half_is_avoided() {
-    let (mut balancer, prompt, home) = balancer_with_preferred_backend();
+    let (mut balancer, prompt, preferred) = balancer_with_preferred_backend();
     let count = simulate(
         &mut balancer,
         3000.0,
         8000.0,
         &prompt,
-        &home,
+        &preferred,
         Behaviour::Fails,
     );
     assert!(count <= 25, "{count} of 250");
@@ -124,13 +124,13 @@
 
 #[test]
 fn a_slow_backend_is_avoided() {
-    let (mut balancer, prompt, home) = balancer_with_preferred_backend();
+    let (mut balancer, prompt, preferred) = balancer_with_preferred_backend();
     let count = simulate(
         &mut balancer,
         3000.0,
         8000.0,
         &prompt,
-        &home,
+        &preferred,
         Behaviour::Slow,
     );
     assert!(count <= 60, "{count} of 250");
@@ -144,14 +144,21 @@
         Behaviour::Fails,
         Behaviour::Slow,
     ] {
-        let (mut balancer, prompt, home) = balancer_with_preferred_backend();
-        simulate(&mut balancer, 3000.0, 6000.0, &prompt, &home, behaviour);
+        let (mut balancer, prompt, preferred) = balancer_with_preferred_backend();
+        simulate(
+            &mut balancer,
+            3000.0,
+            6000.0,
+            &prompt,
+            &preferred,
+            behaviour,
+        );
         simulate(
             &mut balancer,
             8000.0,
             30_000.0,
             &prompt,
-            &home,
+            &preferred,
             Behaviour::Healthy,
         );
         let count = simulate(
@@ -159,7 +166,7 @@
             31_000.0,
             33_000.0,
             &prompt,
-            &home,
+            &preferred,
             Behaviour::Healthy,
         );
         assert!(count > 80, "{behaviour:?}: {count} of 100");
@@ -168,14 +175,14 @@
 
 #[test]
 fn concurrent_failures_count_as_one() {
-    let (mut balancer, prompt, home) = balancer_with_preferred_backend();
+    let (mut balancer, prompt, preferred) = balancer_with_preferred_backend();
     let attempts: Vec<u64> = (0..3)
         .map(|_| {
             balancer
-                .choose(3000.0, &wanted(ENGINES, Some(&prompt)))
+                .choose(3000.0, &selection_request(ENGINES, Some(&prompt)))
                 .expect("all backends are healthy")
         })
-        .filter(|choice| choice.backend.id == home)
+        .filter(|choice| choice.backend.id == preferred)
         .map(|choice| choice.attempt)
         .collect();
     assert!(attempts.len() > 1);
@@ -189,7 +196,7 @@
             3020.0,
             3240.0,
             &prompt,
-            &home,
+            &preferred,
             Behaviour::Healthy
         ),
         0
@@ -200,7 +207,7 @@
             3380.0,
             3480.0,
             &prompt,
-            &home,
+            &preferred,
             Behaviour::Healthy
         ) > 0
     );
@@ -208,19 +215,19 @@
 
 #[test]
 fn at_most_one_probe_is_in_flight() {
-    let (mut balancer, prompt, home) = balancer_with_preferred_backend();
+    let (mut balancer, prompt, preferred) = balancer_with_preferred_backend();
     let choice = balancer
-        .choose(3000.0, &wanted(ENGINES, Some(&prompt)))
+        .choose(3000.0, &selection_request(ENGINES, Some(&prompt)))
         .expect("all backends are healthy");
-    assert_eq!(choice.backend.id, home);
+    assert_eq!(choice.backend.id, preferred);
     balancer.ended(3001.0, choice.attempt, Outcome::Broken);
     let balancer_with_preferred_backend = (0..10)
         .map(|_| {
             balancer
-                .choose(3600.0, &wanted(ENGINES, Some(&prompt)))
+                .choose(3600.0, &selection_request(ENGINES, Some(&prompt)))
                 .expect("other backends are healthy")
         })
-        .filter(|choice| choice.backend.id == home)
+        .filter(|choice| choice.backend.id == preferred)
         .count();
     assert_eq!(balancer_with_preferred_backend, 1);
 }
@@ -231,7 +238,7 @@
     let mut balancer = tables.balancer(&node_name(0), ZONES[0], 0.0);
     for _ in 0..20 {
         let choice = balancer
-            .choose(10.0, &wanted(PLAIN, None))
+            .choose(10.0, &selection_request(PLAIN, None))
             .expect("a backend is always offered");
         balancer.ended(11.0, choice.attempt, Outcome::Broken);
     }
--- a/alderhollow/tests/balance_support/mod.rs
+++ b/alderhollow/tests/balance_support/mod.rs
@@ -140,7 +140,10 @@
 }
 
 /// A request of the highest priority.
-pub(crate) fn wanted<'a>(service: &'a str, prompt: Option<&'a Prompt>) -> SelectionRequest<'a> {
+pub(crate) fn selection_request<'a>(
+    service: &'a str,
+    prompt: Option<&'a Prompt>,
+) -> SelectionRequest<'a> {
     SelectionRequest {
         service,
         prompt,
--- a/alderhollow/tests/choice_explanation.rs
+++ b/alderhollow/tests/choice_explanation.rs
@@ -10,7 +10,7 @@
 use alderhollow::status::message::{ChoiceReport, Request};
 use alderhollow_model::backend::BackendState;
 use alderhollow_model::identity::Incarnation;
-use balance_support::{wanted, Tables, ENGINES, PLAIN, ZONES};
+use balance_support::{selection_request, Tables, ENGINES, PLAIN, ZONES};
 use proptest::prelude::*;
 
 const SENDER: Incarnation = Incarnation(1);
@@ -33,7 +33,8 @@
         tokens_in,
         tokens_out: 300,
     };
-    let demand = Demand::of(&wanted(ENGINES, Some(&prompt)), Vec::new()).expect("it has a prompt");
+    let demand = Demand::of(&selection_request(ENGINES, Some(&prompt)), Vec::new())
+        .expect("it has a prompt");
     Demand { priority, ..demand }
 }
 
@@ -167,13 +168,13 @@
 fn a_sender_explains_plain_services_by_its_in_flight_load() {
     let mut balancer = Tables::new(PLAIN, 2, 1).balancer("node-0", ZONES[0], 0.0);
     let busy = balancer
-        .choose(0.0, &wanted(PLAIN, None))
+        .choose(0.0, &selection_request(PLAIN, None))
         .expect("one is open")
         .backend
         .id
         .clone();
     let explanation = balancer
-        .explain(1.0, &wanted(PLAIN, None))
+        .explain(1.0, &selection_request(PLAIN, None))
         .expect("it has backends");
     let cost_at = |is_busy: bool| {
         let found = explanation
@@ -205,11 +206,11 @@
 
 #[test]
 fn request_and_response_round_trip() {
-    let question = Request::Choice(demand(5, 2));
+    let request = Request::Choice(demand(5, 2));
     let decoded: Request =
-        minicbor::decode(&minicbor::to_vec(&question).expect("encoding succeeds"))
+        minicbor::decode(&minicbor::to_vec(&request).expect("encoding succeeds"))
             .expect("decoding succeeds");
-    assert_eq!(decoded, question);
+    assert_eq!(decoded, request);
     let mut ledger = ledger(&tables(3));
     let report = ChoiceReport {
         as_placer: ledger.explain(0.0, &demand(5, 2)),
@@ -234,13 +235,13 @@
     #[test]
     fn the_explanation_matches_the_selection(steps in steps()) {
         let tables = tables(5);
-        let (mut asked, mut silent) = (ledger(&tables), ledger(&tables));
+        let (mut explained, mut unexplained) = (ledger(&tables), ledger(&tables));
         for (number, (tokens, priority, ends)) in steps.into_iter().enumerate() {
             let (now, number) = (number as f64 * 7.0, number as u64 + 1);
             let demand = demand(tokens, priority);
-            let explanation = explain(&mut asked, now, &demand);
-            let placed = place(&mut asked, now, number, &demand);
-            prop_assert_eq!(&placed, &place(&mut silent, now, number, &demand));
+            let explanation = explain(&mut explained, now, &demand);
+            let placed = place(&mut explained, now, number, &demand);
+            prop_assert_eq!(&placed, &place(&mut unexplained, now, number, &demand));
             match placed {
                 Placement::At { backend, .. } => {
                     let best = explanation.chosen().expect("a backend is eligible").cost.total();
@@ -253,8 +254,8 @@
             }
             if ends {
                 let report = Report::Events { sender: SENDER, events: vec![Event::Ended(number, End::Served)] };
-                asked.apply_report(now + 5.0, &report);
-                silent.apply_report(now + 5.0, &report);
+                explained.apply_report(now + 5.0, &report);
+                unexplained.apply_report(now + 5.0, &report);
             }
         }
     }
--- a/alderhollow/tests/placement.rs
+++ b/alderhollow/tests/placement.rs
@@ -14,7 +14,7 @@
 use alderhollow::placement::reports::Reports;
 use alderhollow_model::identity::{Address, Incarnation};
 use alderhollow_model::snapshot::Placer;
-use balance_support::{node_name, wanted, Tables, ENGINES, ZONES};
+use balance_support::{node_name, selection_request, Tables, ENGINES, ZONES};
 use proptest::prelude::*;
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -46,10 +46,10 @@
         tokens_in,
         tokens_out: 300,
     };
-    Demand::of(&wanted(ENGINES, Some(&prompt)), Vec::new()).expect("it has a prompt")
+    Demand::of(&selection_request(ENGINES, Some(&prompt)), Vec::new()).expect("it has a prompt")
 }
 
-fn item(tokens_in: u32) -> Demand {
+fn batch_item(tokens_in: u32) -> Demand {
     Demand {
         priority: 2,
         ..demand(tokens_in)
@@ -121,7 +121,13 @@
     );
     // No client waits for batch items: the third backend stays the cheapest although it runs more requests.
     for number in 1..=6 {
-        let free = backend_of(place(&mut ledger, 60.0, SECOND, 100 + number, &item(500)));
+        let free = backend_of(place(
+            &mut ledger,
+            60.0,
+            SECOND,
+            100 + number,
+            &batch_item(500),
+        ));
         if streams.contains(&free) {
             ledger.apply_report(
                 60.0,
@@ -133,29 +139,29 @@
     assert!(!streams.contains(&chosen), "{chosen} has a running stream");
 }
 
-/// Runs one request alone at one of the first `backends` backends; its first event arrives after `took_ms`.
+/// Runs one request alone at one of the first `backends` backends; its first event arrives after `first_event_ms`.
 fn prefill_alone(
     ledger: &mut Ledger,
     now: f64,
     number: u64,
     demand: &Demand,
-    took_ms: f64,
+    first_event_ms: f64,
 ) -> String {
     let backend = backend_of(place(ledger, now, FIRST, number, demand));
     ledger.apply_report(
-        now + took_ms,
+        now + first_event_ms,
         &events(FIRST, vec![Event::ResponseStarted(number)]),
     );
     ledger.apply_report(
-        now + took_ms,
+        now + first_event_ms,
         &events(FIRST, vec![Event::Ended(number, End::Served)]),
     );
     backend
 }
 
 /// The estimated wait of a short request at the only backend, which is prefilling a prompt of 20,000 tokens, after the
-/// placer has observed such prompts with `took_ms` to the first event.
-fn wait_behind_a_prompt(took_ms: f64) -> f64 {
+/// placer has observed such prompts with `first_event_ms` to the first event.
+fn wait_behind_prompt(first_event_ms: f64) -> f64 {
     let mut ledger = ledger(1);
     for number in 1..=60 {
         prefill_alone(
@@ -163,7 +169,7 @@
             number as f64 * 5_000.0,
             number,
             &demand(20_000),
-            took_ms,
+            first_event_ms,
         );
     }
     let now = 400_000.0;
@@ -176,14 +182,14 @@
 
 #[test]
 fn wait_estimates_are_learned_from_times_to_first_event() {
-    let (slow, fast) = (wait_behind_a_prompt(500.0), wait_behind_a_prompt(60.0));
+    let (slow, fast) = (wait_behind_prompt(500.0), wait_behind_prompt(60.0));
     assert!((400.0..=1_000.0).contains(&slow), "{slow}");
     assert!((30.0..=75.0).contains(&fast), "{fast}");
 }
 
 /// The estimated wait of a short request at the only backend, which is prefilling a batch item of 20,000 tokens.
-fn wait_behind_an_item(ledger: &mut Ledger, now: f64) -> f64 {
-    backend_of(place(ledger, now, FIRST, 1_000, &item(20_000)));
+fn wait_behind_batch_item(ledger: &mut Ledger, now: f64) -> f64 {
+    backend_of(place(ledger, now, FIRST, 1_000, &batch_item(20_000)));
     match place(ledger, now, SECOND, 1_000, &demand(100)) {
         Placement::At { wait_ms, .. } => wait_ms,
         other => panic!("no backend: {other:?}"),
@@ -193,7 +199,7 @@
 /// A snapshot with one attempt, a prompt of 20,000 tokens at the only backend.
 fn snapshot_report(sequence: u64, response_started: bool) -> Report {
     let backend = "i-engines-0".to_string();
-    let told = AttemptInfo {
+    let info = AttemptInfo {
         number: 1,
         backend,
         demand: demand(20_000),
@@ -203,28 +209,34 @@
         sender: FIRST,
         sequence,
         last_number: 1,
-        in_flight: vec![told],
+        in_flight: vec![info],
     }
 }
 
 #[test]
 fn a_new_placer_learns_no_times_from_earlier_attempts() {
-    let untaught = wait_behind_an_item(&mut ledger(1), 100.0);
+    let without_samples = wait_behind_batch_item(&mut ledger(1), 100.0);
     // The snapshot contains an attempt with a response, ...
-    let mut successor = ledger(1);
-    successor.apply_report(0.0, &snapshot_report(1, true));
-    successor.apply_report(50.0, &events(FIRST, vec![Event::Ended(1, End::Served)]));
-    assert_eq!(wait_behind_an_item(&mut successor, 100.0), untaught);
+    let mut new_placer = ledger(1);
+    new_placer.apply_report(0.0, &snapshot_report(1, true));
+    new_placer.apply_report(50.0, &events(FIRST, vec![Event::Ended(1, End::Served)]));
+    assert_eq!(
+        wait_behind_batch_item(&mut new_placer, 100.0),
+        without_samples
+    );
     // ... or one whose first event arrives right after it.
     for report in [
         snapshot_report(2, true),
         events(FIRST, vec![Event::ResponseStarted(1)]),
     ] {
-        let mut successor = ledger(1);
-        successor.apply_report(0.0, &snapshot_report(1, false));
-        successor.apply_report(1.0, &report);
-        successor.apply_report(50.0, &events(FIRST, vec![Event::Ended(1, End::Served)]));
-        assert_eq!(wait_behind_an_item(&mut successor, 100.0), untaught);
+        let mut new_placer = ledger(1);
+        new_placer.apply_report(0.0, &snapshot_report(1, false));
+        new_placer.apply_report(1.0, &report);
+        new_placer.apply_report(50.0, &events(FIRST, vec![Event::Ended(1, End::Served)]));
+        assert_eq!(
+            wait_behind_batch_item(&mut new_placer, 100.0),
+            without_samples
+        );
     }
 }
 
@@ -233,23 +245,23 @@
 
 #[test]
 fn a_new_placer_learns_prefill_times_from_a_few_long_prompts() {
-    for took_ms in [60.0, 133.0, 500.0] {
-        let mut successor = ledger(1);
+    for first_event_ms in [60.0, 133.0, 500.0] {
+        let mut new_placer = ledger(1);
         for number in 1..=PROMPTS_TO_LEARN {
             // Every fourth request is delayed by something else.
-            let held_up = if number % 4 == 2 { 3.0 } else { 1.0 };
+            let delay_factor = if number % 4 == 2 { 3.0 } else { 1.0 };
             prefill_alone(
-                &mut successor,
+                &mut new_placer,
                 number as f64 * 5_000.0,
                 number,
                 &demand(20_000),
-                took_ms * held_up,
+                first_event_ms * delay_factor,
             );
         }
-        let wait_ms = wait_behind_an_item(&mut successor, 400_000.0);
-        let read_ms = took_ms - 10.0;
-        let is_near = (read_ms / 1.2..=read_ms * 1.2).contains(&wait_ms);
-        assert!(is_near, "{wait_ms} for {read_ms}");
+        let wait_ms = wait_behind_batch_item(&mut new_placer, 400_000.0);
+        let prefill_ms = first_event_ms - 10.0;
+        let is_close = (prefill_ms / 1.2..=prefill_ms * 1.2).contains(&wait_ms);
+        assert!(is_close, "{wait_ms} for {prefill_ms}");
     }
 }
 
@@ -269,8 +281,8 @@
             excluded_backends: vec![other.to_string()],
             ..demand(20_000)
         };
-        let took_ms = if is_slow(other) { 160.0 } else { 208.0 };
-        prefill_alone(&mut ledger, now, number, &demand, took_ms);
+        let first_event_ms = if is_slow(other) { 160.0 } else { 208.0 };
+        prefill_alone(&mut ledger, now, number, &demand, first_event_ms);
     }
     for number in 100..110 {
         now += 5_000.0;
@@ -282,7 +294,7 @@
 #[test]
 fn prefills_shorter_than_the_pause_limit_cause_no_interference() {
     // Without samples, 20,000 tokens take 133 ms to prefill.
-    let disturbance = |gap_aim_ms| {
+    let wait_ms_with_gap_aim = |gap_aim_ms| {
         let mut tables = Tables::new(ENGINES, ZONES.len(), 4);
         tables.gap_aim_ms = Some(gap_aim_ms);
         let mut ledger = Ledger::new("placer", ZONES[0], 7);
@@ -294,14 +306,18 @@
             other => panic!("no backend: {other:?}"),
         }
     };
-    assert_eq!(disturbance(300.0), 0.0);
-    assert!(disturbance(100.0) > 100.0, "{}", disturbance(100.0));
+    assert_eq!(wait_ms_with_gap_aim(300.0), 0.0);
+    assert!(
+        wait_ms_with_gap_aim(100.0) > 100.0,
+        "{}",
+        wait_ms_with_gap_aim(100.0)
+    );
 }
 
 /// A request with a shared prefix of 5,000 tokens.
 fn with_prefix(shared: u64) -> Demand {
     let prompt = balance_support::prompt(shared, 1);
-    Demand::of(&wanted(ENGINES, Some(&prompt)), Vec::new()).expect("it has a prompt")
+    Demand::of(&selection_request(ENGINES, Some(&prompt)), Vec::new()).expect("it has a prompt")
 }
 
 #[test]
@@ -309,15 +325,15 @@
     let mut ledger = ledger(4);
     for shared in 0..40 {
         let now = shared as f64 * 200.0;
-        let except = backend_of(place(&mut ledger, now, FIRST, 1, &with_prefix(shared)));
+        let excluded = backend_of(place(&mut ledger, now, FIRST, 1, &with_prefix(shared)));
         ledger.apply_report(now, &events(FIRST, vec![Event::Ended(1, End::Cancelled)]));
         // The second choice prefills it, and is the holder of the prefix from then on.
         let demand = Demand {
-            excluded_backends: vec![except.clone()],
+            excluded_backends: vec![excluded.clone()],
             ..with_prefix(shared)
         };
-        let reader = prefill_alone(&mut ledger, now, 2, &demand, 40.0);
-        assert_ne!(reader, except);
+        let holder = prefill_alone(&mut ledger, now, 2, &demand, 40.0);
+        assert_ne!(holder, excluded);
         let next = backend_of(place(
             &mut ledger,
             now + 100.0,
@@ -325,7 +341,7 @@
             100 + shared,
             &with_prefix(shared),
         ));
-        assert_eq!(next, reader);
+        assert_eq!(next, holder);
         ledger.apply_report(
             now + 150.0,
             &events(SECOND, vec![Event::Ended(100 + shared, End::Served)]),
@@ -402,7 +418,7 @@
     for number in 1..=SLOTS {
         let sender = Incarnation(1 + number % 5);
         running += u64::from(matches!(
-            place(&mut ledger, 0.0, sender, number, &item(10)),
+            place(&mut ledger, 0.0, sender, number, &batch_item(10)),
             Placement::At { .. }
         ));
     }
@@ -449,22 +465,22 @@
     }
     assert_eq!(ledger.attempts(), 3);
     // The ends of attempts 1 and 2 were lost, and so was the start of attempt 4, which the sender placed by itself.
-    let told = |number, backend: &str| AttemptInfo {
+    let info = |number, backend: &str| AttemptInfo {
         number,
         backend: backend.to_string(),
         demand: demand(100),
         response_started: true,
     };
-    let under_way = vec![told(3, "i-engines-0"), told(4, "i-engines-3")];
-    let whole = Report::Snapshot {
+    let in_flight = vec![info(3, "i-engines-0"), info(4, "i-engines-3")];
+    let snapshot = Report::Snapshot {
         sender: FIRST,
         sequence: 1,
         last_number: 4,
-        in_flight: under_way,
+        in_flight,
     };
-    ledger.apply_report(10.0, &whole);
+    ledger.apply_report(10.0, &snapshot);
     assert_eq!(ledger.attempts(), 2);
-    ledger.apply_report(11.0, &whole);
+    ledger.apply_report(11.0, &snapshot);
     assert_eq!(ledger.attempts(), 2, "a duplicate changes nothing");
 }
 
@@ -541,11 +557,11 @@
     let mut reports = Reports::new(FIRST);
     let number = reports.next_attempt_number();
     reports.started(number, ZONES[0], "i-engines-0", demand(50_000), true);
-    let whole = reports.snapshot(ZONES[0]).expect("an attempt is in flight");
-    let mut successor = ledger(2);
-    successor.apply_report(0.0, &whole);
+    let snapshot = reports.snapshot(ZONES[0]).expect("an attempt is in flight");
+    let mut new_placer = ledger(2);
+    new_placer.apply_report(0.0, &snapshot);
     assert_eq!(
-        backend_of(place(&mut successor, 1.0, SECOND, 1, &demand(100))),
+        backend_of(place(&mut new_placer, 1.0, SECOND, 1, &demand(100))),
         "i-engines-3"
     );
 }
@@ -592,7 +608,7 @@
         let (exchange, _) = exchange(&Tables::new(ENGINES, 3, 4)).await;
         let prompt = balance_support::prompt(1, 2);
         assert!(exchange
-            .place(&wanted(ENGINES, Some(&prompt)))
+            .place(&selection_request(ENGINES, Some(&prompt)))
             .await
             .is_ok());
     });
@@ -612,7 +628,7 @@
         let prompt = balance_support::prompt(1, 2);
         for _ in 0..3 {
             assert!(exchange
-                .place(&wanted(ENGINES, Some(&prompt)))
+                .place(&selection_request(ENGINES, Some(&prompt)))
                 .await
                 .is_ok());
         }
@@ -621,7 +637,7 @@
 }
 
 fn any_event() -> impl Strategy<Value = Event> {
-    let under_way = (0_u64..6, 0_usize..8, 0_u32..100_000, any::<bool>()).prop_map(
+    let in_flight = (0_u64..6, 0_usize..8, 0_u32..100_000, any::<bool>()).prop_map(
         |(number, backend, tokens, response_started)| AttemptInfo {
             number,
             backend: format!("i-engines-{backend}"),
@@ -630,7 +646,7 @@
         },
     );
     prop_oneof![
-        under_way.prop_map(Event::Started),
+        in_flight.prop_map(Event::Started),
         (0_u64..6).prop_map(Event::ResponseStarted),
         (0_u64..6).prop_map(|number| Event::Ended(number, End::Served)),
         (0_u64..6).prop_map(|number| Event::Ended(number, End::TimedOut)),
@@ -644,25 +660,25 @@
         prop::collection::vec(any_event(), 0..5),
     )
         .prop_map(|(sender, events)| Report::Events { sender, events });
-    let whole = (
+    let snapshot = (
         incarnation,
         0_u64..5,
         0_u64..6,
         prop::collection::vec(any_event(), 0..4),
     )
         .prop_map(|(sender, sequence, last_number, events)| {
-            let under_way = events.into_iter().filter_map(|event| match event {
-                Event::Started(under_way) => Some(under_way),
+            let in_flight = events.into_iter().filter_map(|event| match event {
+                Event::Started(in_flight) => Some(in_flight),
                 Event::ResponseStarted(_) | Event::Ended(..) => None,
             });
             Report::Snapshot {
                 sender,
                 sequence,
                 last_number,
-                in_flight: under_way.collect(),
+                in_flight: in_flight.collect(),
             }
         });
-    prop_oneof![some, whole]
+    prop_oneof![some, snapshot]
 }
 
 proptest! {
@@ -712,8 +728,8 @@
         tokens_in: 11_992,
         tokens_out: 391,
     };
-    let demand =
-        Demand::of(&wanted("dahu75a", Some(&prompt)), Vec::new()).expect("it has a prompt");
+    let demand = Demand::of(&selection_request("dahu75a", Some(&prompt)), Vec::new())
+        .expect("it has a prompt");
     let attempt = AttemptId {
         sender: Incarnation(u64::MAX),
         number: 100_000,
