--- a/alderhollow/src/balance/affinity.rs
+++ b/alderhollow/src/balance/affinity.rs
@@ -1,4 +1,4 @@
-//! Which backends are likely to hold the shared parts of a prompt.
+//! Estimates which backends have the shared prefix of a prompt cached.
 
 use super::hash::mix;
 use super::{Millis, Prompt};
@@ -7,17 +7,17 @@
 #[cfg(test)]
 mod tests;
 
-/// The shared parts of a prompt: all but the last, which is the request's own.
+/// The shared prefix of a prompt: all parts except the last, which is unique to the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub(super) struct SharedPrefix {
-    /// Hash of the parts, in their order.
+    /// Hash of the parts, in order.
     pub(super) hash: u64,
-    /// Their tokens.
+    /// Number of tokens in the prefix.
     pub(super) tokens: u64,
 }
 
 impl SharedPrefix {
-    /// The shared parts of a prompt; `None` if it has none.
+    /// The shared prefix of a prompt; `None` if it has no shared parts.
     pub(super) fn of(prompt: &Prompt) -> Option<SharedPrefix> {
         let (_, shared) = prompt.parts.split_last()?;
         if shared.is_empty() {
@@ -29,38 +29,38 @@
     }
 }
 
-/// The first backends in rendezvous order, by their place in the table.
+/// The highest-scoring backends in rendezvous order, each as its score and its index in the pool.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub(super) struct Preferred {
+pub(super) struct RendezvousOrder {
     first: Option<(u64, usize)>,
     second: Option<(u64, usize)>,
-    elsewhere: Option<(u64, usize)>,
+    remote: Option<(u64, usize)>,
 }
 
-/// Part of a shared prefix that a backend is expected to read.
-const READ_BY_FIRST: f64 = 0.0;
-const READ_BY_SECOND: f64 = 0.8;
-const READ_BY_FIRST_ELSEWHERE: f64 = 0.9;
-const READ_BY_OTHERS: f64 = 1.0;
-/// Of one that was sent the prefix lately, though it is not the first.
-const READ_BY_RECENT: f64 = 0.25;
-/// To a placer: of one that read the prefix lately, and of all others at the least. It prefers the first in order a little,
-/// as senders do who choose for themselves.
-const READ_BY_KNOWN: f64 = 0.0;
-const READ_BY_UNKNOWN: f64 = 0.9;
+/// Fraction of a shared prefix that is expected to miss the cache, by the backend's rendezvous rank.
+const UNCACHED_AT_FIRST: f64 = 0.0;
+const UNCACHED_AT_SECOND: f64 = 0.8;
+const UNCACHED_AT_REMOTE_FIRST: f64 = 0.9;
+const UNCACHED_AT_OTHERS: f64 = 1.0;
+/// For a backend that was sent the prefix recently, although it is not the first in rendezvous order.
+const UNCACHED_AT_RECENT: f64 = 0.25;
+/// In a placer: for a backend that processed the prefix recently, and the minimum for all others. The first in
+/// rendezvous order stays slightly cheaper, to match the choices of senders that select by themselves.
+const UNCACHED_AT_KNOWN_HOLDER: f64 = 0.0;
+const UNCACHED_AT_NON_HOLDER: f64 = 0.9;
 
-impl Preferred {
-    /// Considers a backend.
-    pub(super) fn offer(
+impl RendezvousOrder {
+    /// Adds a backend.
+    pub(super) fn insert(
         &mut self,
-        place: usize,
+        index: usize,
         id_hash: u64,
         prefix: SharedPrefix,
         own_zone: bool,
     ) {
-        let scored = Some((mix(prefix.hash, id_hash), place));
+        let scored = Some((mix(prefix.hash, id_hash), index));
         if !own_zone {
-            self.elsewhere = self.elsewhere.max(scored);
+            self.remote = self.remote.max(scored);
         } else if scored > self.first {
             self.second = self.first;
             self.first = scored;
@@ -69,91 +69,96 @@
         }
     }
 
-    /// Part of the shared prefix that the backend at `place` is expected to read again.
-    pub(super) fn part_read(&self, place: usize) -> f64 {
-        let is = |preferred: Option<(u64, usize)>| preferred.is_some_and(|(_, at)| at == place);
-        if is(self.first) || (self.first.is_none() && is(self.elsewhere)) {
-            READ_BY_FIRST
+    /// Fraction of the shared prefix that is expected to miss the cache of the backend at `index`.
+    pub(super) fn uncached_fraction(&self, index: usize) -> f64 {
+        let is = |ranked: Option<(u64, usize)>| ranked.is_some_and(|(_, at)| at == index);
+        if is(self.first) || (self.first.is_none() && is(self.remote)) {
+            UNCACHED_AT_FIRST
         } else if is(self.second) {
-            READ_BY_SECOND
-        } else if is(self.elsewhere) {
-            READ_BY_FIRST_ELSEWHERE
+            UNCACHED_AT_SECOND
+        } else if is(self.remote) {
+            UNCACHED_AT_REMOTE_FIRST
         } else {
-            READ_BY_OTHERS
+            UNCACHED_AT_OTHERS
         }
     }
 }
 
-/// How long a backend that was sent a prefix is taken to hold it.
-const KEPT_MS: Millis = 15_000.0;
-/// Most prefixes that are remembered.
-const MOST_PREFIXES: usize = 4096;
-/// Shorter ones are read in no time, and are not remembered.
-const LEAST_TOKENS: u64 = 512;
+/// A prefix is assumed to stay in a backend's cache for this long.
+const PREFIX_TTL_MS: Millis = 15_000.0;
+/// Maximum number of prefixes that are tracked.
+const MAX_PREFIXES: usize = 4096;
+/// Shorter prefixes are not tracked, because their prefill time is negligible.
+const MIN_PREFIX_TOKENS: u64 = 512;
 
-/// Where the shared prefix of one request is likely to be kept.
+/// Estimates where the shared prefix of one request is cached.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct Reuse<'a> {
+pub(super) struct PrefixReuse<'a> {
     pub(super) now: Millis,
     pub(super) prefix: Option<SharedPrefix>,
-    pub(super) preferred: Preferred,
-    pub(super) sent: &'a SentPrefixes,
-    /// Whether all that the backends read is known here: then a prefix is kept where it was read, and only there.
+    pub(super) rendezvous_order: RendezvousOrder,
+    pub(super) prefix_locations: &'a PrefixLocations,
+    /// Whether all attempts at the backends are known here. A prefix is then cached exactly where it was processed.
     pub(super) is_placer: bool,
 }
 
-impl Reuse<'_> {
-    /// Part of the prefix that the backend at `place` is expected to read again.
-    pub(super) fn part_read(&self, place: usize, id_hash: u64) -> f64 {
+impl PrefixReuse<'_> {
+    /// Fraction of the prefix that is expected to miss the cache of the backend at `index`.
+    pub(super) fn uncached_fraction(&self, index: usize, id_hash: u64) -> f64 {
         let Some(prefix) = self.prefix else {
-            return READ_BY_FIRST;
+            return UNCACHED_AT_FIRST;
         };
-        let is_recent = self.sent.has(self.now, prefix, id_hash);
-        let by_order = self.preferred.part_read(place);
+        let is_recent = self.prefix_locations.contains(self.now, prefix, id_hash);
+        let by_order = self.rendezvous_order.uncached_fraction(index);
         match (self.is_placer, is_recent) {
-            (true, true) => READ_BY_KNOWN,
-            (true, false) => by_order.max(READ_BY_UNKNOWN),
-            (false, true) => by_order.min(READ_BY_RECENT),
+            (true, true) => UNCACHED_AT_KNOWN_HOLDER,
+            (true, false) => by_order.max(UNCACHED_AT_NON_HOLDER),
+            (false, true) => by_order.min(UNCACHED_AT_RECENT),
             (false, false) => by_order,
         }
     }
 }
 
-/// Prefixes that backends were sent lately, and which. A placer notes all that were read; a sender notes those that it
-/// sends to others than the first in order.
+/// The backends that were sent each prefix recently. A placer records every prefix that was processed; a sender
+/// records the prefixes that it sends to backends other than the first in rendezvous order.
 #[derive(Debug, Default)]
-pub(super) struct SentPrefixes {
-    /// By hash of the prefix: hashes of the backends' ids, and when.
-    sent: BTreeMap<u64, Vec<(u64, Millis)>>,
+pub(super) struct PrefixLocations {
+    /// By prefix hash: the hashes of backend ids, with the time of the last use.
+    backends_by_prefix: BTreeMap<u64, Vec<(u64, Millis)>>,
 }
 
-impl SentPrefixes {
-    /// Notes that a backend was sent a prefix, or that its first event showed that it had read it.
-    pub(super) fn note(&mut self, now: Millis, prefix: SharedPrefix, id_hash: u64) {
-        if prefix.tokens < LEAST_TOKENS {
+impl PrefixLocations {
+    /// Records that a backend was sent a prefix, or that its first event showed that it has processed it.
+    pub(super) fn record(&mut self, now: Millis, prefix: SharedPrefix, id_hash: u64) {
+        if prefix.tokens < MIN_PREFIX_TOKENS {
             return;
         }
-        if self.sent.len() >= MOST_PREFIXES && !self.sent.contains_key(&prefix.hash) {
-            self.forget_old(now);
-            if self.sent.len() >= MOST_PREFIXES {
+        if self.backends_by_prefix.len() >= MAX_PREFIXES
+            && !self.backends_by_prefix.contains_key(&prefix.hash)
+        {
+            self.evict_expired(now);
+            if self.backends_by_prefix.len() >= MAX_PREFIXES {
                 return;
             }
         }
-        let backends = self.sent.entry(prefix.hash).or_default();
-        backends.retain(|(id, at)| *id != id_hash && now - at < KEPT_MS);
+        let backends = self.backends_by_prefix.entry(prefix.hash).or_default();
+        backends.retain(|(id, at)| *id != id_hash && now - at < PREFIX_TTL_MS);
         backends.push((id_hash, now));
     }
 
-    /// Whether a backend was sent a prefix lately.
-    fn has(&self, now: Millis, prefix: SharedPrefix, id_hash: u64) -> bool {
-        let backends = self.sent.get(&prefix.hash).map_or(&[][..], Vec::as_slice);
+    /// Whether a backend was sent a prefix recently.
+    fn contains(&self, now: Millis, prefix: SharedPrefix, id_hash: u64) -> bool {
+        let backends = self
+            .backends_by_prefix
+            .get(&prefix.hash)
+            .map_or(&[][..], Vec::as_slice);
         backends
             .iter()
-            .any(|(id, at)| *id == id_hash && now - at < KEPT_MS)
+            .any(|(id, at)| *id == id_hash && now - at < PREFIX_TTL_MS)
     }
 
-    fn forget_old(&mut self, now: Millis) {
-        self.sent
-            .retain(|_, backends| backends.iter().any(|(_, at)| now - at < KEPT_MS));
+    fn evict_expired(&mut self, now: Millis) {
+        self.backends_by_prefix
+            .retain(|_, backends| backends.iter().any(|(_, at)| now - at < PREFIX_TTL_MS));
     }
 }
--- a/alderhollow/src/balance/backends.rs
+++ b/alderhollow/src/balance/backends.rs
@@ -1,98 +1,98 @@
-//! The table of backends: what the newest list says of each, and what this process has under way at it.
+//! The table of backends: the newest listed state of each, and the in-flight load of this process.
 
-use super::affinity::SentPrefixes;
+use super::affinity::PrefixLocations;
 use super::cold::{ColdBounds, SenderLists, StartLog};
 use super::hash::hash_name;
 use super::health::Health;
-use super::reading::{EngineSpeed, ReadingTimes};
+use super::prefill::{EngineSpeed, PrefillTimes};
 use super::Millis;
 use alderhollow_model::backend::{Backend, BackendState};
 use alderhollow_model::config::Service;
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-/// Beyond what the list says, a backend counts as cold for so long: the list is late, and clocks of requests differ.
+/// A backend counts as cold for this long beyond the listed time, because the list is delayed and clocks differ.
 const COLD_MARGIN_MS: Millis = 500.0;
-/// Beyond `cold-start-s`, after a zone was taken back: the backend may have turned cold shortly before.
-const TAKEN_BACK_MARGIN_MS: Millis = 1000.0;
-/// The longest pause that is in time where no route says one.
-const USUAL_GAP_AIM_MS: Millis = 300.0;
-/// Slots of a backend whose entry says none.
-const LEAST_SLOTS: u32 = 1;
-
-/// What of a service's configuration matters to the choice.
+/// Added to `cold-start-s` after the evacuation of a zone ends, because a backend may have turned cold shortly before.
+const EVACUATION_END_MARGIN_MS: Millis = 1000.0;
+/// The longest acceptable pause between events if no route sets one.
+const DEFAULT_GAP_AIM_MS: Millis = 300.0;
+/// Slots of a backend whose entry sets none.
+const MIN_SLOTS: u32 = 1;
+
+/// The settings of a service that affect the selection.
 #[derive(Debug, Clone, Copy, PartialEq)]
-pub(super) struct ServiceTerms {
+pub(super) struct ServiceParams {
     pub(super) cold_start_ms: Millis,
-    /// Requests that a cold backend may get within a second, from all senders; `None`: no bound.
+    /// Maximum number of requests per second to a cold backend, from all senders; `None`: unlimited.
     pub(super) cold_bound: Option<f64>,
-    /// Tokens that running requests and cached parts share; `None`: not a model engine.
+    /// Capacity in tokens, shared by running requests and cached prefixes; `None`: not a model engine.
     pub(super) capacity_tokens: Option<u64>,
     engine_slots: Option<u32>,
-    /// The longest pause between two events that is in time on every route to the service.
+    /// The longest pause between two events that is acceptable on every route to the service.
     pub(super) gap_aim_ms: Millis,
 }
 
-impl ServiceTerms {
-    /// The terms for one who starts nothing itself.
-    pub(super) fn without_cold_bound(self) -> ServiceTerms {
-        ServiceTerms {
+impl ServiceParams {
+    /// The parameters for a placer, which sends no requests itself.
+    pub(super) fn without_cold_bound(self) -> ServiceParams {
+        ServiceParams {
             cold_bound: None,
             ..self
         }
     }
 
-    /// The terms of a service; of one that is not configured, those of a plain service without bounds.
+    /// The parameters of a service. A service without configuration is a plain service without limits.
     pub(super) fn of(
         service: Option<&Service>,
         gap_aim_ms: Option<Millis>,
         bounds: ColdBounds,
-    ) -> ServiceTerms {
+    ) -> ServiceParams {
         let engine = service.and_then(|service| service.engine.as_ref());
         let cold_per_s = service.map_or(0.0, |service| service.cold_per_s);
-        ServiceTerms {
+        ServiceParams {
             cold_start_ms: service.map_or(0.0, |service| service.cold_start_s.max(0.0) * 1000.0),
             cold_bound: (cold_per_s > 0.0).then(|| bounds.per_second(cold_per_s)),
             capacity_tokens: engine.map(|engine| engine.kv_capacity_tokens.unwrap_or(u64::MAX)),
             engine_slots: engine.and_then(|engine| engine.slots),
-            gap_aim_ms: gap_aim_ms.unwrap_or(USUAL_GAP_AIM_MS),
+            gap_aim_ms: gap_aim_ms.unwrap_or(DEFAULT_GAP_AIM_MS),
         }
     }
 }
 
-/// What this process has under way at one backend.
+/// The load that this process has in flight at one backend.
 #[derive(Debug, Default, Clone, Copy, PartialEq, Eq)]
-pub(super) struct UnderWay {
-    /// Attempts.
+pub(super) struct InFlight {
+    /// Number of attempts.
     pub(super) attempts: u32,
-    /// Those of them that somebody waits for: of a rank that is not low.
-    pub(super) live: u32,
-    /// Tokens of these, in and out.
+    /// Number of attempts that are not low priority: a client waits for them.
+    pub(super) interactive: u32,
+    /// Input and output tokens of these attempts.
     pub(super) tokens: u64,
-    /// Microseconds that reading the prompts takes, of attempts that have not begun.
-    pub(super) reading_us: u64,
+    /// Total expected prefill time of attempts without a first event, in microseconds.
+    pub(super) prefill_us: u64,
 }
 
-impl UnderWay {
-    /// How long the prompts of attempts that have not begun take to be read.
-    pub(super) fn reading_ms(&self) -> Millis {
-        self.reading_us as f64 / 1000.0
+impl InFlight {
+    /// Total expected prefill time of attempts without a first event.
+    pub(super) fn prefill_ms(&self) -> Millis {
+        self.prefill_us as f64 / 1000.0
     }
 }
 
-/// One backend.
+/// A backend in a pool.
 #[derive(Debug)]
 pub(super) struct Member {
     pub(super) backend: Arc<Backend>,
     pub(super) id_hash: u64,
     pub(super) own_zone: bool,
     pub(super) evacuated: bool,
-    pub(super) under_way: UnderWay,
+    pub(super) in_flight: InFlight,
     pub(super) health: Health,
     pub(super) starts: StartLog,
     pub(super) speed: EngineSpeed,
     cold_until: Millis,
-    /// The allowance while cold, and the generation of senders' lists that it was counted by.
+    /// The generation of the sender lists, and the rate limit while cold that was computed from it.
     allowance: Option<(u64, usize)>,
 }
 
@@ -103,7 +103,7 @@
             backend,
             own_zone,
             evacuated: false,
-            under_way: UnderWay::default(),
+            in_flight: InFlight::default(),
             health: Health::new(),
             starts: StartLog::default(),
             speed: EngineSpeed::default(),
@@ -112,32 +112,30 @@
         }
     }
 
-    /// Whether the list and the evacuations allow requests.
+    /// Whether the backend is ready and its zone not evacuated.
     pub(super) fn may_get_requests(&self) -> bool {
         self.backend.state == BackendState::Ready && !self.evacuated
     }
 
-    /// Requests that it works on at once.
-    pub(super) fn slots(&self, terms: &ServiceTerms) -> u32 {
+    /// Number of requests that it processes concurrently.
+    pub(super) fn slots(&self, params: &ServiceParams) -> u32 {
         let listed = if self.backend.slots > 0 {
             Some(self.backend.slots)
         } else {
-            terms.engine_slots
+            params.engine_slots
         };
-        listed.unwrap_or(LEAST_SLOTS).max(LEAST_SLOTS)
+        listed.unwrap_or(MIN_SLOTS).max(MIN_SLOTS)
     }
 
-    /// Whether it is cold.
     pub(super) fn is_cold(&self, now: Millis) -> bool {
         now < self.cold_until
     }
 
-    /// When it stops being cold.
     pub(super) fn cold_until(&self) -> Millis {
         self.cold_until
     }
 
-    /// Starts that this process may make within the window while it is cold.
+    /// Number of requests that this process may start within the window while the backend is cold.
     pub(super) fn cold_allowance(
         &mut self,
         senders: &SenderLists,
@@ -155,7 +153,7 @@
         allowance
     }
 
-    fn cold_at_least_until(&mut self, until: Millis) {
+    fn extend_cold_until(&mut self, until: Millis) {
         self.cold_until = self.cold_until.max(until);
     }
 }
@@ -163,159 +161,159 @@
 /// The backends of one service.
 #[derive(Debug)]
 pub(super) struct Pool {
-    pub(super) terms: ServiceTerms,
-    /// In the order of their ids.
+    pub(super) params: ServiceParams,
+    /// Sorted by backend id.
     pub(super) members: Vec<Member>,
-    pub(super) usual: UsualTimes,
-    pub(super) reading: ReadingTimes,
-    pub(super) demand: Demand,
-    pub(super) sent: SentPrefixes,
+    pub(super) response_times: ResponseTimes,
+    pub(super) prefill: PrefillTimes,
+    pub(super) request_rate: RequestRate,
+    pub(super) prefix_locations: PrefixLocations,
 }
 
 impl Pool {
-    fn new(terms: ServiceTerms) -> Pool {
+    fn new(params: ServiceParams) -> Pool {
         Pool {
-            terms,
+            params,
             members: Vec::new(),
-            usual: UsualTimes::default(),
-            reading: ReadingTimes::default(),
-            demand: Demand::default(),
-            sent: SentPrefixes::default(),
+            response_times: ResponseTimes::default(),
+            prefill: PrefillTimes::default(),
+            request_rate: RequestRate::default(),
+            prefix_locations: PrefixLocations::default(),
         }
     }
 
-    /// The member with an id.
+    /// Finds a member by backend id.
     pub(super) fn member_mut(&mut self, id: &str) -> Option<&mut Member> {
         find_mut(&mut self.members, id)
     }
 
-    /// The member with an id.
+    /// Finds a member by backend id.
     pub(super) fn member(&self, id: &str) -> Option<&Member> {
-        let place = self
+        let index = self
             .members
             .binary_search_by(|member| member.backend.id.as_str().cmp(id))
             .ok()?;
-        self.members.get(place)
+        self.members.get(index)
     }
 }
 
-/// The member with an id, of members in the order of their ids.
+/// Finds a member by backend id in a slice sorted by id.
 pub(super) fn find_mut<'a>(members: &'a mut [Member], id: &str) -> Option<&'a mut Member> {
-    let place = members
+    let index = members
         .binary_search_by(|member| member.backend.id.as_str().cmp(id))
         .ok()?;
-    members.get_mut(place)
+    members.get_mut(index)
 }
 
-/// Weight of a new answer in the usual times.
-const USUAL_SAMPLE: f64 = 0.05;
-/// What an answer is expected to take before any has come.
-const FIRST_USUAL_MS: Millis = 50.0;
+/// Weight of a new sample in the moving averages.
+const RESPONSE_TIME_WEIGHT: f64 = 0.05;
+/// Expected response time before the first sample.
+const INITIAL_RESPONSE_MS: Millis = 50.0;
 
-/// Most that a request's size counts for, against the mean one.
-const MOST_SIZE: f64 = 8.0;
+/// Maximum ratio of a request's size to the mean size.
+const MAX_RELATIVE_SIZE: f64 = 8.0;
 
-/// What the first sign of an answer usually takes at a service.
+/// Moving average of the time to the first event of a service's responses.
 #[derive(Debug, Clone, Copy)]
-pub(super) struct UsualTimes {
+pub(super) struct ResponseTimes {
     mean_ms: Millis,
-    /// Mean prompt tokens; `None` before the first answer.
+    /// Mean number of prompt tokens; `None` before the first sample.
     mean_tokens: Option<f64>,
 }
 
-impl Default for UsualTimes {
-    fn default() -> UsualTimes {
-        UsualTimes {
-            mean_ms: FIRST_USUAL_MS,
+impl Default for ResponseTimes {
+    fn default() -> ResponseTimes {
+        ResponseTimes {
+            mean_ms: INITIAL_RESPONSE_MS,
             mean_tokens: None,
         }
     }
 }
 
-impl UsualTimes {
-    /// Time to the first sign of a request with so many prompt tokens. Half of the usual time goes with the size.
+impl ResponseTimes {
+    /// Expected time to the first event for a prompt of `tokens` tokens. Half of the mean time scales with the size.
     pub(super) fn expected(&self, tokens: u64) -> Millis {
         let size = match self.mean_tokens {
-            Some(mean) if mean >= 1.0 => (tokens as f64 / mean).min(MOST_SIZE),
+            Some(mean) if mean >= 1.0 => (tokens as f64 / mean).min(MAX_RELATIVE_SIZE),
             _ => 1.0,
         };
         self.mean_ms * (0.5 + 0.5 * size)
     }
 
-    /// Mean time to the first sign.
+    /// Mean time to the first event.
     pub(super) fn mean_ms(&self) -> Millis {
         self.mean_ms
     }
 
-    /// Takes in an answer.
-    pub(super) fn learn(&mut self, took: Millis, tokens: u64) {
-        // One slow backend must not make itself the measure of the others.
-        let bounded = took.clamp(0.0, 4.0 * self.mean_ms.max(1.0));
-        self.mean_ms += USUAL_SAMPLE * (bounded - self.mean_ms);
+    /// Adds a sample.
+    pub(super) fn learn(&mut self, elapsed: Millis, tokens: u64) {
+        // Limits outliers, so that one slow backend does not set the expectation for the others.
+        let bounded = elapsed.clamp(0.0, 4.0 * self.mean_ms.max(1.0));
+        self.mean_ms += RESPONSE_TIME_WEIGHT * (bounded - self.mean_ms);
         let mean = self.mean_tokens.get_or_insert(tokens as f64);
-        *mean += USUAL_SAMPLE * (tokens as f64 - *mean);
+        *mean += RESPONSE_TIME_WEIGHT * (tokens as f64 - *mean);
     }
 }
 
-/// Time over which the demand is averaged.
-const DEMAND_MEMORY_MS: Millis = 3000.0;
+/// Time constant of the request rate's exponential decay.
+const REQUEST_RATE_DECAY_MS: Millis = 3000.0;
 
-/// Requests a second for which this process asked for a backend, in the average of late.
+/// Moving average of the selections per second in this process.
 #[derive(Debug, Clone, Copy, Default)]
-pub(super) struct Demand {
-    per_second: f64,
+pub(super) struct RequestRate {
+    request_rate: f64,
     at: Millis,
 }
 
-impl Demand {
-    /// Notes a request and returns the rate.
-    pub(super) fn note(&mut self, now: Millis) -> f64 {
-        self.per_second = self.per_second(now) + 1000.0 / DEMAND_MEMORY_MS;
+impl RequestRate {
+    /// Records a request and returns the updated rate.
+    pub(super) fn record(&mut self, now: Millis) -> f64 {
+        self.request_rate = self.request_rate(now) + 1000.0 / REQUEST_RATE_DECAY_MS;
         self.at = now;
-        self.per_second
+        self.request_rate
     }
 
-    /// The rate at a moment.
-    pub(super) fn per_second(&self, now: Millis) -> f64 {
-        let kept = (-(now - self.at).max(0.0) / DEMAND_MEMORY_MS).exp();
-        self.per_second * kept
+    /// The rate at `now`.
+    pub(super) fn request_rate(&self, now: Millis) -> f64 {
+        let decay = (-(now - self.at).max(0.0) / REQUEST_RATE_DECAY_MS).exp();
+        self.request_rate * decay
     }
 }
 
-/// All pools.
+/// The pools of all services.
 #[derive(Debug, Default)]
 pub(super) struct BackendTable {
     pub(super) pools: BTreeMap<String, Pool>,
     service_of: BTreeMap<String, String>,
     evacuated: BTreeSet<String>,
-    /// Instances of which a 421 told that they are gone.
-    gone: BTreeSet<String>,
+    /// Instances that no longer exist, as reported by a 421 response.
+    removed: BTreeSet<String>,
     has_list: bool,
 }
 
-/// What an update brings, besides the terms of the services.
+/// The tables of an update, without the parameters of the services.
 pub(super) struct NewTables<'a> {
     pub(super) backends: &'a [Backend],
-    /// When this process got the list.
+    /// When this process received the list.
     pub(super) listed_at: Millis,
     pub(super) evacuated: &'a BTreeSet<String>,
     pub(super) own_zone: &'a str,
 }
 
 impl BackendTable {
-    /// The pool member with an id.
+    /// Finds a pool member by backend id.
     pub(super) fn member(&self, id: &str) -> Option<&Member> {
         self.pools.get(self.service_of.get(id)?)?.member(id)
     }
 
-    /// Whether requests may go to an instance.
+    /// Whether an instance accepts requests.
     pub(super) fn may_send(&self, id: &str) -> bool {
         self.member(id).is_some_and(Member::may_get_requests)
     }
 
-    /// Takes an instance out for the rest of this incarnation.
-    pub(super) fn forget(&mut self, id: &str) {
-        self.gone.insert(id.to_string());
+    /// Removes an instance for the remaining lifetime of this process.
+    pub(super) fn remove_instance(&mut self, id: &str) {
+        self.removed.insert(id.to_string());
         let Some(service) = self.service_of.remove(id) else {
             return;
         };
@@ -324,24 +322,24 @@
         }
     }
 
-    /// Takes in newer tables.
+    /// Applies newer tables.
     pub(super) fn update(
         &mut self,
         now: Millis,
         tables: &NewTables,
-        terms_of: impl Fn(&str) -> ServiceTerms,
+        params_of: impl Fn(&str) -> ServiceParams,
     ) {
         let mut known = self.take_members();
         for backend in tables.backends {
-            if self.gone.contains(&backend.id) {
+            if self.removed.contains(&backend.id) {
                 continue;
             }
-            let terms = terms_of(&backend.service);
+            let params = params_of(&backend.service);
             let member = match known.remove(&backend.id) {
                 Some(member) if member.backend.service == backend.service => member,
-                _ => self.first_seen(now, backend, tables.own_zone, &terms),
+                _ => self.new_member(now, backend, tables.own_zone, &params),
             };
-            self.place(now, member, backend, tables, terms);
+            self.insert_member(now, member, backend, tables, params);
         }
         for pool in self.pools.values_mut() {
             pool.members
@@ -362,39 +360,39 @@
             .collect()
     }
 
-    /// A backend that an earlier list did not have has started during traffic, and is cold.
-    fn first_seen(
+    /// Creates a member. A backend that was not in an earlier list has just started, and counts as cold.
+    fn new_member(
         &self,
         now: Millis,
         backend: &Backend,
         own_zone: &str,
-        terms: &ServiceTerms,
+        params: &ServiceParams,
     ) -> Member {
         let mut member = Member::new(Arc::new(backend.clone()), backend.zone == own_zone);
         if self.has_list {
-            member.cold_at_least_until(now + terms.cold_start_ms);
+            member.extend_cold_until(now + params.cold_start_ms);
         }
         member
     }
 
-    fn place(
+    fn insert_member(
         &mut self,
         now: Millis,
         mut member: Member,
         listed: &Backend,
         tables: &NewTables,
-        terms: ServiceTerms,
+        params: ServiceParams,
     ) {
         if *member.backend != *listed {
             member.backend = Arc::new(listed.clone());
         }
         if listed.cold_remaining_ms > 0 {
             let remaining = listed.cold_remaining_ms as f64;
-            member.cold_at_least_until(tables.listed_at + remaining + COLD_MARGIN_MS);
+            member.extend_cold_until(tables.listed_at + remaining + COLD_MARGIN_MS);
         }
         member.evacuated = tables.evacuated.contains(&listed.zone);
         if self.evacuated.contains(&listed.zone) && !member.evacuated {
-            member.cold_at_least_until(now + terms.cold_start_ms + TAKEN_BACK_MARGIN_MS);
+            member.extend_cold_until(now + params.cold_start_ms + EVACUATION_END_MARGIN_MS);
         }
         member.allowance = None;
         self.service_of
@@ -402,8 +400,8 @@
         let pool = self
             .pools
             .entry(listed.service.clone())
-            .or_insert_with(|| Pool::new(terms));
-        pool.terms = terms;
+            .or_insert_with(|| Pool::new(params));
+        pool.params = params;
         pool.members.push(member);
     }
 }
--- a/alderhollow/src/balance/mod.rs
+++ b/alderhollow/src/balance/mod.rs
@@ -1,127 +1,128 @@
-//! Which backend a request goes to. No I/O and no clock: the host tells the time, the tables and the ends of attempts.
+//! Load balancing: selects the backend for each request. Sans I/O: the host passes in the time, the tables and the
+//! outcomes of attempts.
 //!
-//! * `backends`: the table, with what this process has under way at each backend;
-//! * `affinity`: who is likely to hold the shared parts of a prompt;
-//! * `cold`: what may be sent to a cold backend;
-//! * `health`: what the ends of attempts tell of a backend;
-//! * `reading`: how long engines take to read prompts;
-//! * `need`: what a request needs;
-//! * `price`: what it would cost at a backend;
-//! * `choice`: who may take it, and which of these is the cheapest;
-//! * `explanation`: why.
+//! * `backends`: the backend table, with the in-flight load of this process;
+//! * `affinity`: which backends are likely to have the shared prefix of a prompt cached;
+//! * `cold`: rate limits for cold backends;
+//! * `health`: passive health checks from the outcomes of attempts;
+//! * `prefill`: estimated prefill times of model engines;
+//! * `requirements`: the resources that a request needs;
+//! * `cost`: the cost of a request at a backend;
+//! * `choice`: filters the eligible backends and selects the cheapest;
+//! * `explanation`: the reasons for a selection.
 
 mod affinity;
 mod backends;
 mod choice;
 mod cold;
+mod cost;
 mod explanation;
 pub(crate) mod hash;
 mod health;
-mod need;
-mod price;
-mod reading;
+mod prefill;
+mod requirements;
 
 pub use cold::ColdBounds;
+pub use cost::Cost;
+pub(crate) use cost::CROSS_ZONE_ENGINE_COST_MS;
 pub use explanation::{Candidate, Explanation, Verdict};
-pub use price::Price;
-pub(crate) use price::OTHER_ZONE_ENGINE_MS;
 
 use affinity::SharedPrefix;
 use alderhollow_model::backend::Backend;
 use alderhollow_model::snapshot::Snapshot;
-use backends::{BackendTable, Member, NewTables, Pool, ServiceTerms, UnderWay};
+use backends::{BackendTable, InFlight, Member, NewTables, Pool, ServiceParams};
 use cold::SenderLists;
-use health::{AttemptRecord, Standing};
-use need::Need;
+use health::{AttemptRecord, HealthState};
 use oorandom::Rand64;
+use requirements::Requirements;
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// A moment of the host's steady clock, in milliseconds.
+/// A timestamp of the host's monotonic clock, in milliseconds.
 pub type Millis = f64;
 
-/// The prompt of a request for tokens, from `Prompt-Prefix` and `Token-Usage`.
+/// The prompt of a token request, from the `Prompt-Prefix` and `Token-Usage` headers.
 #[derive(Debug, Clone, Default, PartialEq)]
 pub struct Prompt {
-    /// The parts in order: a hash of the identifier, and its tokens.
+    /// The parts in order: the hash of each part's identifier, and its token count.
     pub parts: Vec<(u64, u32)>,
-    /// Tokens of the whole prompt.
+    /// Number of tokens in the whole prompt.
     pub tokens_in: u32,
-    /// Most tokens that come out.
+    /// Maximum number of output tokens.
     pub tokens_out: u32,
 }
 
-/// What a backend is wanted for.
+/// The properties of a request that determine which backend it may use.
 #[derive(Debug, Clone)]
-pub struct Wanted<'a> {
-    /// The service.
+pub struct SelectionRequest<'a> {
+    /// The name of the requested service.
     pub service: &'a str,
-    /// The prompt, for model engines.
+    /// The prompt, for requests to model engines.
     pub prompt: Option<&'a Prompt>,
-    /// Rank; 0 is the highest.
+    /// Priority; 0 is the highest.
     pub priority: u32,
-    /// Backends that the request has been at, by id.
+    /// Ids of backends that this request has already been sent to.
     pub tried: &'a [String],
 }
 
-/// A backend that was chosen. The host owes one [`Balancer::ended`] for it.
+/// A selected backend. The host must call [`Balancer::ended`] once for each choice.
 #[derive(Debug, Clone)]
 pub struct Choice {
-    /// Names the attempt.
+    /// Identifies the attempt.
     pub attempt: u64,
-    /// The backend.
+    /// The selected backend.
     pub backend: Arc<Backend>,
-    /// What is known to be ahead of the request there, and what it would cost the streams that run there.
+    /// Estimated queueing delay at the backend, plus the cost of delaying the streams that run there.
     pub wait_ms: Millis,
 }
 
-/// Why there is none.
+/// The reason why no backend could be selected.
 #[derive(Debug, Clone, Copy, PartialEq)]
 pub enum NoBackend {
-    /// The service has no backend that may get requests.
+    /// The service has no backend that accepts requests.
     NoneReady,
-    /// Each has as much as it bears. `retry_after_ms` is when it may be different.
+    /// All backends are at capacity.
     AllFull {
-        /// Milliseconds from now.
+        /// Milliseconds until capacity may be available.
         retry_after_ms: f64,
     },
 }
 
-/// How an attempt ended, as far as it tells something of the backend.
+/// How an attempt ended, from the backend's point of view.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Outcome {
-    /// The answer came whole.
+    /// The response was received completely.
     Served,
-    /// The backend answered 5xx and has run the request.
+    /// The backend executed the request and returned a 5xx status.
     Failed,
-    /// It declined: full, `Not-Executed`.
+    /// The backend rejected the request without executing it (at capacity, `Not-Executed`).
     Declined,
-    /// Another instance has the address (421).
+    /// Another instance now has this address (421).
     OtherInstance,
-    /// No connection came up.
+    /// The connection could not be established.
     NoConnection,
-    /// The connection broke, or the answer was none, after the request was sent.
+    /// The connection broke, or the response was invalid, after the request was sent.
     Broken,
-    /// Silence until the end.
+    /// The backend sent no response before the timeout.
     TimedOut,
-    /// Given up for reasons of the client, or never sent.
+    /// The client cancelled the request, or it was never sent.
     Cancelled,
 }
 
-/// A choice of a cold backend is void after this time: by then the allowance counts it no more.
-const COLD_CHOICE_VALID_MS: Millis = 100.0;
+/// A choice of a cold backend expires after this time, because the rate limit no longer counts it.
+const COLD_CHOICE_TTL_MS: Millis = 100.0;
 
-/// What of an attempt's prompt was not read at its start.
+/// The part of an attempt's prompt that was not cached when the attempt started.
 #[derive(Debug, Default, Clone, Copy)]
-struct Unread {
+struct UncachedPrompt {
     tokens: u64,
-    /// Microseconds that reading them was expected to take.
-    reading_us: u64,
-    /// Whether no other prompt and no want of slots was known to hold it up.
-    reads_at_once: bool,
+    /// Expected prefill time of these tokens, in microseconds.
+    prefill_us: u64,
+    /// Whether a slot was free and no other prefill was known to be queued.
+    starts_immediately: bool,
 }
 
-/// An attempt that has not ended.
+/// An attempt in flight.
 #[derive(Debug)]
 struct Attempt {
     backend: Arc<Backend>,
@@ -129,30 +130,32 @@
     expected: Millis,
     tokens_in: u64,
     tokens: u64,
-    unread: Unread,
-    /// The shared parts of its prompt, for a placer.
+    uncached: UncachedPrompt,
+    /// The shared prefix of its prompt. Set only in a placer.
     prefix: Option<SharedPrefix>,
-    is_live: bool,
-    /// Whether `started` is when it was sent, and not when this process heard of it.
+    is_interactive: bool,
+    /// Whether `started` is the time of sending, rather than the time when this process learned of the attempt.
     is_start_known: bool,
-    began: bool,
+    response_started: bool,
 }
 
-impl UnderWay {
-    /// A prompt was read, or will not be.
-    fn finish_reading(&mut self, unread: Unread) {
-        self.reading_us = self.reading_us.saturating_sub(unread.reading_us);
+impl InFlight {
+    /// Removes a prompt from the pending prefill work, because it was processed or never will be.
+    fn finish_prefill(&mut self, uncached: UncachedPrompt) {
+        self.prefill_us = self.prefill_us.saturating_sub(uncached.prefill_us);
     }
 }
 
 impl Member {
-    /// Gives back what an attempt took.
+    /// Releases the resources that an attempt held.
     fn release(&mut self, attempt: &Attempt) {
-        let load = &mut self.under_way;
+        let load = &mut self.in_flight;
         load.attempts = load.attempts.saturating_sub(1);
-        load.live = load.live.saturating_sub(u32::from(attempt.is_live));
+        load.interactive = load
+            .interactive
+            .saturating_sub(u32::from(attempt.is_interactive));
         load.tokens = load.tokens.saturating_sub(attempt.tokens);
-        load.finish_reading(attempt.unread);
+        load.finish_prefill(attempt.uncached);
     }
 }
 
@@ -162,16 +165,16 @@
             attempt,
             started: self.started,
             expected: self.expected,
-            began: self.began,
+            response_started: self.response_started,
         }
     }
 }
 
-/// Chooses backends for one process.
+/// Selects backends for one process.
 #[derive(Debug)]
 pub struct Balancer {
     zone: String,
-    /// Whether it places for all senders of its zone, at the zone's backends alone.
+    /// Whether it selects for all senders of its zone, using only the backends of that zone.
     is_placer: bool,
     rng: Rand64,
     cold_bounds: ColdBounds,
@@ -182,7 +185,7 @@
 }
 
 impl Balancer {
-    /// One that knows of no backend yet. `node` is the name of this machine, as in the list of senders.
+    /// Creates a balancer without backends. `node` is the name of this machine in the list of senders.
     pub fn new(node: &str, zone: &str, seed: u64) -> Balancer {
         Balancer {
             zone: zone.to_string(),
@@ -196,22 +199,22 @@
         }
     }
 
-    /// One that chooses for all senders, among the backends of its zone alone. It is told of all attempts there; the
-    /// allowances of cold backends bind at the senders.
-    pub fn of_zone(node: &str, zone: &str, seed: u64) -> Balancer {
+    /// Creates a balancer that selects for all senders, using only the backends of its zone. It learns of all attempts
+    /// there. The senders, not the placer, enforce the rate limits of cold backends.
+    pub fn placer_for_zone(node: &str, zone: &str, seed: u64) -> Balancer {
         Balancer {
             is_placer: true,
             ..Balancer::new(node, zone, seed)
         }
     }
 
-    /// Sets the operators' bounds on cold backends (`cold-over`, `cold-slack` of the settings file). Counts from the
-    /// next [`Balancer::update`] on.
+    /// Sets the configured limits for cold backends (`cold-over` and `cold-slack` in the settings file). They apply
+    /// from the next [`Balancer::update`].
     pub fn set_cold_bounds(&mut self, bounds: ColdBounds) {
         self.cold_bounds = bounds;
     }
 
-    /// Takes in newer tables.
+    /// Applies newer tables.
     pub fn update(&mut self, now: Millis, snapshot: &Snapshot) {
         if !snapshot.senders.nodes.is_empty() && !self.is_placer {
             self.senders.update(now, &snapshot.senders.nodes);
@@ -221,18 +224,18 @@
         let gap_aims = config.map(|config| config.gap_aims_by_service());
         let bounds = self.cold_bounds;
         let is_placer = self.is_placer;
-        let terms_of = |service: &str| {
+        let params_of = |service: &str| {
             let configured = services
                 .as_ref()
                 .and_then(|services| services.get(service).copied());
             let gap_aim_ms = gap_aims
                 .as_ref()
                 .and_then(|aims| aims.get(service).copied());
-            let terms = ServiceTerms::of(configured, gap_aim_ms, bounds);
+            let params = ServiceParams::of(configured, gap_aim_ms, bounds);
             if is_placer {
-                terms.without_cold_bound()
+                params.without_cold_bound()
             } else {
-                terms
+                params
             }
         };
         let in_zone: Vec<Backend>;
@@ -252,177 +255,198 @@
             evacuated: &snapshot.control.evacuated,
             own_zone: &self.zone,
         };
-        self.table.update(now, &tables, terms_of);
+        self.table.update(now, &tables, params_of);
     }
 
-    /// The place of this process in a list of senders.
+    /// The index of this process in a list of senders.
     pub fn rank_in(&self, senders: &[String]) -> Option<usize> {
         self.senders.rank_in(senders)
     }
 
-    /// Whether a backend may get a request now: to be asked last before one is written.
+    /// Whether a backend accepts requests now. Check this immediately before writing a request.
     pub fn may_send(&self, id: &str) -> bool {
         self.table.may_send(id)
     }
 
-    /// As [`Balancer::may_send`], for an attempt: also that the choice is not too old where its backend is cold. To be
-    /// asked last before the request is written, wherever time may pass between the choice and that. If it says no, the
-    /// attempt ends as [`Outcome::Cancelled`] and a new choice is due.
+    /// Like [`Balancer::may_send`], but for an attempt: also checks that the choice of a cold backend has not expired.
+    /// Check this immediately before writing the request if time may have passed since the choice. If it returns
+    /// false, end the attempt with [`Outcome::Cancelled`] and choose again.
     pub fn may_begin(&self, now: Millis, attempt: u64) -> bool {
-        let Some(under_way) = self.attempts.get(&attempt) else {
+        let Some(entry) = self.attempts.get(&attempt) else {
             return false;
         };
-        let Some(member) = self.table.member(&under_way.backend.id) else {
+        let Some(member) = self.table.member(&entry.backend.id) else {
             return false;
         };
-        let recent = now - under_way.started <= COLD_CHOICE_VALID_MS;
-        member.may_get_requests() && (recent || !member.is_cold(now))
+        let is_recent = now - entry.started <= COLD_CHOICE_TTL_MS;
+        member.may_get_requests() && (is_recent || !member.is_cold(now))
     }
 
-    /// Chooses a backend.
+    /// Selects a backend and records the attempt.
     ///
     /// # Errors
-    /// Says why there is none.
-    pub fn choose(&mut self, now: Millis, wanted: &Wanted) -> Result<Choice, NoBackend> {
+    /// Returns the reason if no backend can be selected.
+    pub fn choose(&mut self, now: Millis, request: &SelectionRequest) -> Result<Choice, NoBackend> {
         self.senders.expire(now);
         let rng = &mut self.rng;
         let pool = self
             .table
             .pools
-            .get_mut(wanted.service)
+            .get_mut(request.service)
             .ok_or(NoBackend::NoneReady)?;
         let pick = choice::pick(
             now,
             pool,
-            wanted,
+            request,
             &self.senders,
             self.is_placer,
             &mut || rng.rand_float(),
         )?;
-        self.book(now, wanted, pick).ok_or(NoBackend::NoneReady)
+        self.record_attempt(now, request, pick)
+            .ok_or(NoBackend::NoneReady)
     }
 
-    /// What [`Balancer::choose`] would weigh at this moment; `None` for a service that has no backend. Nothing is booked.
-    pub fn explain(&mut self, now: Millis, wanted: &Wanted) -> Option<Explanation> {
+    /// Explains what [`Balancer::choose`] would select now, without recording an attempt. Returns `None` if the
+    /// service has no backend.
+    pub fn explain(&mut self, now: Millis, request: &SelectionRequest) -> Option<Explanation> {
         self.senders.expire(now);
-        let pool = self.table.pools.get_mut(wanted.service)?;
+        let pool = self.table.pools.get_mut(request.service)?;
         Some(choice::explain(
             now,
             pool,
-            wanted,
+            request,
             &self.senders,
             self.is_placer,
         ))
     }
 
-    /// Takes the backend that a placer chose, if this process may send to it now.
-    pub fn choose_at(&mut self, now: Millis, wanted: &Wanted, backend: &str) -> Option<Choice> {
+    /// Selects the backend that a placer offered, if this process may send to it now.
+    pub fn choose_at(
+        &mut self,
+        now: Millis,
+        request: &SelectionRequest,
+        backend: &str,
+    ) -> Option<Choice> {
         self.senders.expire(now);
-        let pool = self.table.pools.get_mut(wanted.service)?;
-        let pick = choice::pick_at(now, pool, wanted, &self.senders, backend)?;
-        self.book(now, wanted, pick)
+        let pool = self.table.pools.get_mut(request.service)?;
+        let pick = choice::pick_offered(now, pool, request, &self.senders, backend)?;
+        self.record_attempt(now, request, pick)
     }
 
-    /// Notes that a sender has just chosen a backend for itself, whatever would have spoken against it here.
-    pub fn note_choice(&mut self, now: Millis, wanted: &Wanted, backend: &str) -> Option<Choice> {
-        let pool = self.table.pools.get_mut(wanted.service)?;
-        let pick = choice::pick_told(now, pool, wanted, backend, self.is_placer)?;
-        self.book(now, wanted, pick)
+    /// Records that a sender has just selected a backend by itself, regardless of the state of the backend here.
+    pub fn record_choice(
+        &mut self,
+        now: Millis,
+        request: &SelectionRequest,
+        backend: &str,
+    ) -> Option<Choice> {
+        let pool = self.table.pools.get_mut(request.service)?;
+        let pick = choice::pick_assigned(now, pool, request, backend, self.is_placer)?;
+        self.record_attempt(now, request, pick)
     }
 
-    /// Notes an attempt that a sender began at some time before. Its first event tells nothing of the time that it took.
-    pub fn note_earlier_choice(
+    /// Records an attempt that a sender started earlier. Its time to the first event is unknown and not used as a
+    /// sample.
+    pub fn record_earlier_choice(
         &mut self,
         now: Millis,
-        wanted: &Wanted,
+        request: &SelectionRequest,
         backend: &str,
-        has_begun: bool,
+        response_started: bool,
     ) -> Option<Choice> {
-        let choice = self.note_choice(now, wanted, backend)?;
-        let under_way = self.attempts.get_mut(&choice.attempt)?;
-        under_way.is_start_known = false;
-        if has_begun {
-            self.began_before(choice.attempt);
+        let choice = self.record_choice(now, request, backend)?;
+        let entry = self.attempts.get_mut(&choice.attempt)?;
+        entry.is_start_known = false;
+        if response_started {
+            self.mark_earlier_response(choice.attempt);
         }
         Some(choice)
     }
 
-    /// The first event of an attempt came at some time before it was heard of.
-    fn began_before(&mut self, attempt: u64) {
-        let Some(under_way) = self.attempts.get_mut(&attempt) else {
+    /// Records that the first event of an attempt arrived before this process learned of the attempt.
+    fn mark_earlier_response(&mut self, attempt: u64) {
+        let Some(entry) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        under_way.began = true;
-        let unread = std::mem::take(&mut under_way.unread);
-        let pool = self.table.pools.get_mut(&under_way.backend.service);
-        let Some(member) = pool.and_then(|pool| pool.member_mut(&under_way.backend.id)) else {
+        entry.response_started = true;
+        let uncached = std::mem::take(&mut entry.uncached);
+        let pool = self.table.pools.get_mut(&entry.backend.service);
+        let Some(member) = pool.and_then(|pool| pool.member_mut(&entry.backend.id)) else {
             return;
         };
-        member.under_way.finish_reading(unread);
-        member.health.withdrawn(attempt);
+        member.in_flight.finish_prefill(uncached);
+        member.health.forget_attempt(attempt);
     }
 
-    /// The backends of a service that this process finds down: it may be cut off from them alone.
+    /// The backends of a service that this process considers unhealthy. Only this process may have lost contact with
+    /// them.
     pub fn unhealthy(&self, now: Millis, service: &str) -> Vec<String> {
         let members = self
             .table
             .pools
             .get(service)
             .map_or(&[][..], |pool| &pool.members);
-        let is_out = |member: &&Member| matches!(member.health.standing(now), Standing::Out(_));
+        let is_ejected =
+            |member: &&Member| matches!(member.health.state(now), HealthState::Ejected(_));
         members
             .iter()
-            .filter(is_out)
+            .filter(is_ejected)
             .map(|member| member.backend.id.clone())
             .collect()
     }
 
-    /// Whether a service's backends are model engines.
+    /// Whether the service's backends are model engines.
     pub fn is_engine(&self, service: &str) -> bool {
         self.table
             .pools
             .get(service)
-            .is_some_and(|pool| pool.terms.capacity_tokens.is_some())
+            .is_some_and(|pool| pool.params.capacity_tokens.is_some())
     }
 
-    fn book(&mut self, now: Millis, wanted: &Wanted, pick: choice::Pick) -> Option<Choice> {
-        let pool = self.table.pools.get_mut(wanted.service)?;
-        let need = Need::of(wanted);
-        let member = pool.members.get_mut(pick.place)?;
+    fn record_attempt(
+        &mut self,
+        now: Millis,
+        request: &SelectionRequest,
+        pick: choice::Pick,
+    ) -> Option<Choice> {
+        let pool = self.table.pools.get_mut(request.service)?;
+        let requirements = Requirements::of(request);
+        let member = pool.members.get_mut(pick.index)?;
         self.last_attempt += 1;
         let attempt = self.last_attempt;
-        let slots = member.slots(&pool.terms);
-        member.under_way.attempts += 1;
-        member.under_way.live += u32::from(!need.is_low_rank());
-        member.under_way.tokens += need.tokens;
-        let reads_at_once = member.under_way.reading_us == 0 && member.under_way.attempts <= slots;
-        let reading_ms = member
+        let slots = member.slots(&pool.params);
+        member.in_flight.attempts += 1;
+        member.in_flight.interactive += u32::from(!requirements.is_low_priority());
+        member.in_flight.tokens += requirements.tokens;
+        let starts_immediately =
+            member.in_flight.prefill_us == 0 && member.in_flight.attempts <= slots;
+        let prefill_ms = member
             .speed
-            .reading(pool.reading.expected(pick.unread_tokens));
-        let reading_us = (reading_ms * 1000.0) as u64;
-        member.under_way.reading_us += reading_us;
+            .prefill(pool.prefill.expected(pick.uncached_tokens));
+        let prefill_us = (prefill_ms * 1000.0) as u64;
+        member.in_flight.prefill_us += prefill_us;
         member.health.started(now, attempt, pick.expected);
-        if pool.terms.cold_bound.is_some() {
-            member.starts.note(now);
+        if pool.params.cold_bound.is_some() {
+            member.starts.record(now);
         }
         let backend = member.backend.clone();
-        let under_way = Attempt {
+        let entry = Attempt {
             backend: backend.clone(),
             started: now,
             expected: pick.expected,
-            tokens_in: need.tokens_in,
-            tokens: need.tokens,
-            unread: Unread {
-                tokens: pick.unread_tokens,
-                reading_us,
-                reads_at_once,
+            tokens_in: requirements.tokens_in,
+            tokens: requirements.tokens,
+            uncached: UncachedPrompt {
+                tokens: pick.uncached_tokens,
+                prefill_us,
+                starts_immediately,
             },
-            prefix: need.prefix.filter(|_| self.is_placer),
-            is_live: !need.is_low_rank(),
+            prefix: requirements.prefix.filter(|_| self.is_placer),
+            is_interactive: !requirements.is_low_priority(),
             is_start_known: true,
-            began: false,
+            response_started: false,
         };
-        self.attempts.insert(attempt, under_way);
+        self.attempts.insert(attempt, entry);
         Some(Choice {
             attempt,
             backend,
@@ -430,81 +454,81 @@
         })
     }
 
-    /// Notes that the first event or the answer's head came.
-    pub fn began(&mut self, now: Millis, attempt: u64) {
-        let Some(under_way) = self.attempts.get_mut(&attempt) else {
+    /// Records that the response headers or the first event arrived.
+    pub fn response_started(&mut self, now: Millis, attempt: u64) {
+        let Some(entry) = self.attempts.get_mut(&attempt) else {
             return;
         };
-        if under_way.began {
+        if entry.response_started {
             return;
         }
-        let unread = std::mem::take(&mut under_way.unread);
-        let record = under_way.record(attempt);
-        under_way.began = true;
-        let Some(pool) = self.table.pools.get_mut(&under_way.backend.service) else {
+        let uncached = std::mem::take(&mut entry.uncached);
+        let record = entry.record(attempt);
+        entry.response_started = true;
+        let Some(pool) = self.table.pools.get_mut(&entry.backend.service) else {
             return;
         };
-        let took = under_way.is_start_known.then_some(now - under_way.started);
+        let elapsed = entry.is_start_known.then_some(now - entry.started);
         let Pool {
             members,
-            reading,
-            sent,
-            usual,
+            prefill,
+            prefix_locations,
+            response_times,
             ..
         } = pool;
-        if let Some(took) = took {
-            usual.learn(took, under_way.tokens_in);
+        if let Some(elapsed) = elapsed {
+            response_times.learn(elapsed, entry.tokens_in);
         }
-        let Some(member) = backends::find_mut(members, &under_way.backend.id) else {
+        let Some(member) = backends::find_mut(members, &entry.backend.id) else {
             return;
         };
-        match took {
-            Some(took) if unread.reads_at_once => {
-                reading.learn(unread.tokens, took, &mut member.speed);
+        match elapsed {
+            Some(elapsed) if uncached.starts_immediately => {
+                prefill.learn(uncached.tokens, elapsed, &mut member.speed);
             }
             _ => {}
         }
-        if let Some(prefix) = under_way.prefix {
-            sent.note(now, prefix, member.id_hash);
+        if let Some(prefix) = entry.prefix {
+            prefix_locations.record(now, prefix, member.id_hash);
         }
-        member.under_way.finish_reading(unread);
-        member.health.began(now, record, took);
+        member.in_flight.finish_prefill(uncached);
+        member.health.response_started(now, record, elapsed);
     }
 
-    /// Forgets an attempt of which nobody tells any more: that says nothing of the backend.
+    /// Removes an attempt that is no longer reported, without affecting the health of its backend.
     pub fn withdraw(&mut self, attempt: u64) {
-        let Some(under_way) = self.attempts.remove(&attempt) else {
+        let Some(entry) = self.attempts.remove(&attempt) else {
             return;
         };
-        let pool = self.table.pools.get_mut(&under_way.backend.service);
-        let Some(member) = pool.and_then(|pool| pool.member_mut(&under_way.backend.id)) else {
+        let pool = self.table.pools.get_mut(&entry.backend.service);
+        let Some(member) = pool.and_then(|pool| pool.member_mut(&entry.backend.id)) else {
             return;
         };
-        member.release(&under_way);
-        member.health.withdrawn(attempt);
+        member.release(&entry);
+        member.health.forget_attempt(attempt);
     }
 
-    /// Notes how an attempt ended.
+    /// Records the outcome of an attempt.
     pub fn ended(&mut self, now: Millis, attempt: u64, outcome: Outcome) {
         if outcome == Outcome::Served {
-            self.began(now, attempt);
+            self.response_started(now, attempt);
         }
-        let Some(under_way) = self.attempts.remove(&attempt) else {
+        let Some(entry) = self.attempts.remove(&attempt) else {
             return;
         };
-        let id = &under_way.backend.id;
+        let id = &entry.backend.id;
         if outcome == Outcome::OtherInstance {
-            self.table.forget(id);
+            self.table.remove_instance(id);
             return;
         }
-        let draw = self.rng.rand_float();
-        let pool = self.table.pools.get_mut(&under_way.backend.service);
+        let random = self.rng.rand_float();
+        let pool = self.table.pools.get_mut(&entry.backend.service);
         let Some(member) = pool.and_then(|pool| pool.member_mut(id)) else {
             return;
         };
-        member.release(&under_way);
+        member.release(&entry);
         member
             .health
-            .ended(now, under_way.record(attempt), outcome, draw);
+            .ended(now, entry.record(attempt), outcome, random);
     }
 }
--- a/alderhollow/src/exchange/placing.rs
+++ b/alderhollow/src/exchange/placing.rs
@@ -2,7 +2,7 @@
 
 use super::attempt::{Attempt, Told};
 use super::Exchange;
-use crate::balance::{Explanation, NoBackend, Wanted};
+use crate::balance::{Explanation, NoBackend, SelectionRequest};
 use crate::placement::client::PlacementClient;
 use crate::placement::message::Demand;
 use crate::placement::offers::{zones_to_ask, NoOffer, Offer, Offers};
@@ -19,7 +19,10 @@
     ///
     /// # Errors
     /// There is none that may get the request now.
-    pub async fn place(self: &Rc<Self>, wanted: &Wanted<'_>) -> Result<Attempt, NoBackend> {
+    pub async fn place(
+        self: &Rc<Self>,
+        wanted: &SelectionRequest<'_>,
+    ) -> Result<Attempt, NoBackend> {
         let Some(placement) = &self.placement else {
             return self.choose(wanted);
         };
@@ -39,7 +42,7 @@
             .borrow_mut()
             .choose_at(self.now(), wanted, &offer.backend);
         let Some(choice) = choice else {
-            placement.client.unused(offer.number, &offer.zone);
+            placement.client.release_unused(offer.number, &offer.zone);
             return self.choose(wanted);
         };
         placement
@@ -57,11 +60,11 @@
         self.tables();
         self.balancer
             .borrow_mut()
-            .explain(self.now(), &demand.wanted(&demand.prompt()))
+            .explain(self.now(), &demand.selection_request(&demand.prompt()))
     }
 
     /// What is asked of a placer; `None` for requests that are not for a model engine.
-    pub(super) fn demand(&self, wanted: &Wanted) -> Option<Demand> {
+    pub(super) fn demand(&self, wanted: &SelectionRequest) -> Option<Demand> {
         let balancer = self.balancer.borrow();
         if !balancer.is_engine(wanted.service) {
             return None;
@@ -76,15 +79,19 @@
     /// Asks the own zone's placer, and where the request would wait or disturb there, others; the best offer is kept.
     async fn ask(&self, demand: &Demand) -> Result<Offer, NoOffer> {
         let mut offers = Offers::new(&self.zone);
-        for zone in zones_to_ask(self.client.zones(), &self.zone, self.client.draw_number()) {
-            let number = self.client.draw_number();
+        for zone in zones_to_ask(
+            self.client.zones(),
+            &self.zone,
+            self.client.next_attempt_number(),
+        ) {
+            let number = self.client.next_attempt_number();
             let Some(placement) = self.client.ask(&zone, number, demand).await else {
                 break;
             };
-            if let Some(unused) = offers.take(&zone, number, placement) {
-                self.client.unused(unused.number, &unused.zone);
+            if let Some(unused) = offers.add(&zone, number, placement) {
+                self.client.release_unused(unused.number, &unused.zone);
             }
-            if offers.is_enough() {
+            if offers.is_sufficient() {
                 break;
             }
         }
--- a/alderhollow/tests/compatibility.rs
+++ b/alderhollow/tests/compatibility.rs
@@ -1,6 +1,6 @@
 //! Messages between processes and stored state have the bytes that earlier builds wrote.
 
-use alderhollow::balance::{Candidate, Explanation, Price, Verdict};
+use alderhollow::balance::{Candidate, Cost, Explanation, Verdict};
 use alderhollow::batch_protocol::{
     ReplicationNotice, StoreAnswer, StoreCall, StoreReply, TenantReading,
 };
@@ -25,7 +25,7 @@
 use alderhollow::internal::ServiceId;
 use alderhollow::placement::message as placement;
 use alderhollow::placement::message::{
-    AttemptId, Demand, End, PlaceRequest, Placement, PromptPart, UnderWay,
+    AttemptId, AttemptInfo, Demand, End, PlaceRequest, Placement, PromptPart,
 };
 use alderhollow::status::message as status;
 use alderhollow::status::message::{
@@ -430,7 +430,7 @@
             id: 0x1122,
             tokens: 200,
         }],
-        except: vec!["b-1".into()],
+        excluded_backends: vec!["b-1".into()],
     }
 }
 
@@ -465,11 +465,11 @@
         },
     );
     check(&mut recorded, "none_ready", &Placement::NoneReady);
-    let under_way = UnderWay {
+    let under_way = AttemptInfo {
         number: 9,
         backend: "b-2".into(),
         demand: demand(),
-        has_begun: true,
+        response_started: true,
     };
     let ends = [
         End::Served,
@@ -483,7 +483,7 @@
     ];
     let mut events = vec![
         placement::Event::Started(under_way.clone()),
-        placement::Event::Began(9),
+        placement::Event::ResponseStarted(9),
     ];
     events.extend(ends.map(|end| placement::Event::Ended(9, end)));
     check(
@@ -494,11 +494,11 @@
             events,
         },
     );
-    let whole = placement::Report::Whole {
+    let whole = placement::Report::Snapshot {
         sender: Incarnation(5),
         sequence: 3,
-        newest: 9,
-        under_way: vec![under_way],
+        last_number: 9,
+        in_flight: vec![under_way],
     };
     check(&mut recorded, "whole", &whole);
     recorded.finish();
@@ -580,14 +580,14 @@
         };
         check(&mut recorded, &format!("core_{name}"), &core);
     }
-    let price = Price {
-        ahead_ms: 1.0,
-        reading_ms: 2.0,
-        read_again_ms: 3.0,
-        running_ms: 4.0,
-        other_zone_ms: 5.0,
+    let cost = Cost {
+        queue_ms: 1.0,
+        prefill_ms: 2.0,
+        duplicate_prefill_ms: 3.0,
+        in_flight_ms: 4.0,
+        cross_zone_ms: 5.0,
         memory_ms: 6.0,
-        disturbance_ms: 7.0,
+        interference_ms: 7.0,
         slowness_ms: 8.0,
         failures_ms: 9.0,
         burst_ms: 10.0,
@@ -602,9 +602,9 @@
         backend: "b-1".into(),
         zone: "east".into(),
         attempts: 3,
-        part_read: 0.25,
+        uncached_fraction: 0.25,
         verdict,
-        price,
+        cost,
     });
     let explanation = Explanation {
         service: "llm".into(),
