--- a/alderhollow/src/exchange/events.rs
+++ b/alderhollow/src/exchange/events.rs
@@ -20,7 +20,7 @@
 
 /// Takes pieces cut anywhere, gives whole events.
 #[derive(Debug, Default)]
-pub struct EventCutter {
+pub struct EventSplitter {
     /// Bytes of the event that is not whole yet, and how many of them are lines that were looked at.
     partial: Vec<u8>,
     scanned: usize,
@@ -29,12 +29,12 @@
     last_id: Option<u64>,
 }
 
-impl EventCutter {
+impl EventSplitter {
     /// A stream whose reader has all events up to `last_id`.
-    pub fn after(last_id: Option<u64>) -> EventCutter {
-        EventCutter {
+    pub fn after(last_id: Option<u64>) -> EventSplitter {
+        EventSplitter {
             last_id,
-            ..EventCutter::default()
+            ..EventSplitter::default()
         }
     }
 
@@ -70,7 +70,7 @@
     }
 
     /// The stream was cut off: its partial event is dropped, and another run goes on behind the last whole one.
-    pub fn drop_partial(&mut self) {
+    pub fn discard_partial(&mut self) {
         self.drop_partial_into();
     }
 
--- a/alderhollow/src/exchange/events/tests.rs
+++ b/alderhollow/src/exchange/events/tests.rs
@@ -33,12 +33,12 @@
     ) {
         let whole = run(1, last);
         let first = &whole[..cut.min(whole.len())];
-        let mut cutter = EventCutter::after(None);
+        let mut cutter = EventSplitter::after(None);
         let mut got = Vec::new();
         for piece in pieces(first, &cuts) {
             got.extend_from_slice(&cutter.push(piece).expect("it is in order"));
         }
-        cutter.drop_partial();
+        cutter.discard_partial();
         let after = cutter.last_id().unwrap_or(0);
         prop_assert_eq!(&got, &run(1, after));
         for piece in pieces(&run(after + 1, last), &cuts) {
@@ -50,7 +50,7 @@
 
     #[test]
     fn no_bytes_make_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200), cuts in proptest::collection::vec(0usize..200, 0..5)) {
-        let mut cutter = EventCutter::after(Some(1));
+        let mut cutter = EventSplitter::after(Some(1));
         for piece in pieces(&bytes, &cuts) {
             let _ = cutter.push(piece);
         }
@@ -59,9 +59,9 @@
 
 #[test]
 fn a_run_that_begins_anew_is_seen() {
-    let mut cutter = EventCutter::after(Some(3));
+    let mut cutter = EventSplitter::after(Some(3));
     assert_eq!(cutter.push(Bytes::from(run(3, 4))), Err(EventError::Id));
-    let mut cutter = EventCutter::after(Some(3));
+    let mut cutter = EventSplitter::after(Some(3));
     assert_eq!(
         cutter.push(Bytes::from_static(b"id: x\n\n")),
         Err(EventError::Id)
@@ -70,7 +70,7 @@
 
 #[test]
 fn an_event_without_an_end_is_not_held_for_ever() {
-    let mut cutter = EventCutter::after(None);
+    let mut cutter = EventSplitter::after(None);
     let piece = Bytes::from(vec![b'x'; LARGEST_EVENT_BYTES]);
     assert_eq!(cutter.push(piece.clone()), Ok(Bytes::new()));
     assert_eq!(cutter.push(piece), Err(EventError::TooLarge));
--- a/alderhollow/src/exchange/mod.rs
+++ b/alderhollow/src/exchange/mod.rs
@@ -1,15 +1,15 @@
 //! Exchanges with backends: one is chosen, a connection to it is had from the pool or opened, the request is written and
 //! its answer judged. What a client or a batch item makes of an attempt's end is decided by those who use this.
 
-pub mod answer;
 pub mod attempt;
 pub mod events;
 pub mod outbound;
-pub mod patience;
 mod placing;
 pub mod pool;
 pub mod prompt;
+pub mod response;
 pub mod tables;
+pub mod wait_limits;
 
 use crate::balance::{Balancer, Millis, NoBackend, Outcome, Wanted};
 use crate::placement::client::PlacementClient;
@@ -18,23 +18,23 @@
 use alderhollow_dataplane::link::Failure;
 use alderhollow_model::config::Route;
 use alderhollow_model::snapshot::Snapshot;
-use answer::Answer;
 use attempt::{Attempt, Told};
 use hyper::body::Incoming;
 use hyper::Response;
 use outbound::Outbound;
-use patience::Patience;
 use placing::Placement;
 use pool::{Pool, Pooled};
+use response::BackendResponse;
 use std::cell::RefCell;
 use std::rc::Rc;
 use tables::Tables;
 use tokio::task::yield_now;
 use tokio::time::Instant;
+use wait_limits::WaitLimits;
 
 /// An attempt that brought no answer of the backend's work.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
-pub enum Unanswered {
+pub enum SendError {
     /// The backend has not run the request and never will.
     NotRun(Outcome),
     /// The request was written whole, and what became of it is unknown.
@@ -180,15 +180,15 @@
         attempt: Attempt,
         outbound: &Outbound,
         resume_after: Option<u64>,
-        patience: &Patience<'_>,
-    ) -> Result<Answer, Unanswered> {
+        patience: &WaitLimits<'_>,
+    ) -> Result<BackendResponse, SendError> {
         match self
             .try_send(attempt, outbound, resume_after, patience)
             .await
         {
             Ok(answer) => Ok(answer),
             Err((attempt, unanswered)) => {
-                let (Unanswered::NotRun(outcome) | Unanswered::MayHaveRun(outcome)) = unanswered;
+                let (SendError::NotRun(outcome) | SendError::MayHaveRun(outcome)) = unanswered;
                 attempt.end(outcome);
                 Err(unanswered)
             }
@@ -200,39 +200,39 @@
         attempt: Attempt,
         outbound: &Outbound,
         resume_after: Option<u64>,
-        patience: &Patience<'_>,
-    ) -> Result<Answer, (Attempt, Unanswered)> {
+        patience: &WaitLimits<'_>,
+    ) -> Result<BackendResponse, (Attempt, SendError)> {
         let mut pooled = match self.connection(&attempt, patience).await {
             Ok(pooled) => pooled,
-            Err(outcome) => return Err((attempt, Unanswered::NotRun(outcome))),
+            Err(outcome) => return Err((attempt, SendError::NotRun(outcome))),
         };
         // From here to the first byte nothing waits: what was looked at last still holds.
         let request = outbound.request(&attempt.backend().id, resume_after, patience.deadline);
         let response = match patience.wait(pooled.link.send(request)).await {
             Some(Ok(response)) => response,
             Some(Err(Failure::Unsent)) => {
-                return Err((attempt, Unanswered::NotRun(Outcome::NoConnection)))
+                return Err((attempt, SendError::NotRun(Outcome::NoConnection)))
             }
             Some(Err(Failure::Broken(_))) => {
-                return Err((attempt, Unanswered::MayHaveRun(Outcome::Broken)))
+                return Err((attempt, SendError::MayHaveRun(Outcome::Broken)))
             }
             None if pooled.link.is_written() => {
-                return Err((attempt, Unanswered::MayHaveRun(Outcome::TimedOut)))
+                return Err((attempt, SendError::MayHaveRun(Outcome::TimedOut)))
             }
-            None => return Err((attempt, Unanswered::NotRun(Outcome::TimedOut))),
+            None => return Err((attempt, SendError::NotRun(Outcome::TimedOut))),
         };
         match judge(&response, outbound, &pooled) {
             Verdict::Ran => {
                 pooled.heed(response.headers());
-                Ok(Answer::new(response, pooled, attempt))
+                Ok(BackendResponse::new(response, pooled, attempt))
             }
             Verdict::Declined => {
                 pooled.heed(response.headers());
                 self.pool.drain(pooled, response.into_body()).await;
-                Err((attempt, Unanswered::NotRun(Outcome::Declined)))
+                Err((attempt, SendError::NotRun(Outcome::Declined)))
             }
-            Verdict::OtherInstance => Err((attempt, Unanswered::NotRun(Outcome::OtherInstance))),
-            Verdict::Foreign => Err((attempt, Unanswered::MayHaveRun(Outcome::Broken))),
+            Verdict::OtherInstance => Err((attempt, SendError::NotRun(Outcome::OtherInstance))),
+            Verdict::Foreign => Err((attempt, SendError::MayHaveRun(Outcome::Broken))),
         }
     }
 
@@ -240,7 +240,7 @@
     async fn connection(
         &self,
         attempt: &Attempt,
-        patience: &Patience<'_>,
+        patience: &WaitLimits<'_>,
     ) -> Result<Pooled, Outcome> {
         let deadline = patience.deadline;
         let backend = attempt.backend();
@@ -271,7 +271,7 @@
 
     /// Acts on new tables while no request comes, and closes connections that have been idle for long. Runs until it is
     /// dropped.
-    pub async fn keep_in_order(&self) {
+    pub async fn run_maintenance(&self) {
         let mut snapshots = self.snapshots.borrow().clone();
         let follow = async {
             while snapshots.changed().await.is_ok() {
--- a/alderhollow/src/exchange/answer.rs
+++ b/alderhollow/src/exchange/response.rs
@@ -18,10 +18,10 @@
 /// The answer ended before it was whole.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 #[error("the backend's answer is not whole")]
-pub struct Incomplete;
+pub struct IncompleteResponse;
 
 /// A backend's answer, whose body is still to be read. Dropped, it ends the backend's work and the connection.
-pub struct Answer {
+pub struct BackendResponse {
     /// Its status.
     pub status: StatusCode,
     /// Its headers, without those of its connection.
@@ -33,14 +33,18 @@
     attempt: Attempt,
 }
 
-impl Answer {
-    pub(super) fn new(response: Response<Incoming>, pooled: Pooled, attempt: Attempt) -> Answer {
+impl BackendResponse {
+    pub(super) fn new(
+        response: Response<Incoming>,
+        pooled: Pooled,
+        attempt: Attempt,
+    ) -> BackendResponse {
         let (head, body) = response.into_parts();
         let delimited = body.is_end_stream()
             || body.size_hint().exact().is_some()
             || head.headers.contains_key(header::TRANSFER_ENCODING);
         let headers = pass_on(head.headers, &[]);
-        Answer {
+        BackendResponse {
             status: head.status,
             headers,
             body,
@@ -51,7 +55,7 @@
     }
 
     /// Whether it may be passed on: a success needs the backend's stamp, and a body as the backend made it.
-    pub fn is_sound(&self) -> bool {
+    pub fn is_valid(&self) -> bool {
         let stamped = self.headers.contains_key(RESPONSE_SEAL);
         let encoded = self.headers.contains_key(header::CONTENT_ENCODING);
         !self.status.is_success() || (stamped && !encoded)
@@ -78,18 +82,18 @@
     }
 
     /// The next piece of the body; `None` at its proper end.
-    pub async fn piece(&mut self) -> Option<Result<Bytes, Incomplete>> {
+    pub async fn next_chunk(&mut self) -> Option<Result<Bytes, IncompleteResponse>> {
         match self.pooled.link.piece(&mut self.body).await {
-            Some(piece) => Some(piece.map_err(|_| Incomplete)),
+            Some(piece) => Some(piece.map_err(|_| IncompleteResponse)),
             None if self.delimited => None,
-            None => Some(Err(Incomplete)),
+            None => Some(Err(IncompleteResponse)),
         }
     }
 
-    /// As [`Answer::piece`], if there is something to tell by now. The task is not woken when more comes.
-    pub fn piece_if_here(&mut self) -> Option<Option<Result<Bytes, Incomplete>>> {
+    /// As [`BackendResponse::piece`], if there is something to tell by now. The task is not woken when more comes.
+    pub fn try_next_chunk(&mut self) -> Option<Option<Result<Bytes, IncompleteResponse>>> {
         let mut context = Context::from_waker(Waker::noop());
-        match pin!(self.piece()).poll(&mut context) {
+        match pin!(self.next_chunk()).poll(&mut context) {
             Poll::Ready(piece) => Some(piece),
             Poll::Pending => None,
         }
@@ -97,7 +101,7 @@
 
     /// The body was read to its end: the connection goes back to the pool.
     pub async fn finish(self, outcome: Outcome) {
-        let Answer {
+        let BackendResponse {
             pooled, attempt, ..
         } = self;
         let exchange = attempt.exchange();
--- a/alderhollow/src/exchange/patience.rs
+++ b/alderhollow/src/exchange/wait_limits.rs
@@ -16,7 +16,7 @@
 
 /// Bounds on waiting for one backend.
 #[derive(Clone, Copy)]
-pub struct Patience<'a> {
+pub struct WaitLimits<'a> {
     /// Nothing is waited for beyond this.
     pub deadline: Instant,
     /// A backend that is silent for so long is left, if there is another one.
@@ -25,10 +25,10 @@
     pub permission: Option<Permission<'a>>,
 }
 
-impl Patience<'_> {
+impl WaitLimits<'_> {
     /// Waits until the deadline alone.
-    pub fn until(deadline: Instant) -> Patience<'static> {
-        Patience {
+    pub fn until(deadline: Instant) -> WaitLimits<'static> {
+        WaitLimits {
             deadline,
             silence: None,
             permission: None,
--- a/alderhollow/src/executor/attempt.rs
+++ b/alderhollow/src/executor/attempt.rs
@@ -2,8 +2,8 @@
 
 use super::events::{EventReader, Transcript};
 use crate::balance::Outcome;
-use crate::exchange::answer::{Answer, Incomplete};
-use crate::exchange::Unanswered;
+use crate::exchange::response::{BackendResponse, IncompleteResponse};
+use crate::exchange::SendError;
 use crate::metrics;
 use alderhollow_batch::api::{ItemStart, Resume, RunEnd};
 use hyper::body::Bytes;
@@ -24,20 +24,20 @@
 const PAUSE_AFTER_STRANGE_ANSWER_MS: u64 = 200;
 
 /// What an attempt without an answer means.
-pub fn unanswered(item: &ItemStart, unanswered: Unanswered) -> RunEnd {
+pub fn unanswered(item: &ItemStart, unanswered: SendError) -> RunEnd {
     match unanswered {
-        Unanswered::NotRun(Outcome::Declined | Outcome::Cancelled) => {
+        SendError::NotRun(Outcome::Declined | Outcome::Cancelled) => {
             not_run(PAUSE_AFTER_DECLINED_MS)
         }
-        Unanswered::NotRun(_) => not_run(PAUSE_AFTER_NO_CONNECTION_MS),
-        Unanswered::MayHaveRun(_) => cut(item, PAUSE_AFTER_CUT_MS),
+        SendError::NotRun(_) => not_run(PAUSE_AFTER_NO_CONNECTION_MS),
+        SendError::MayHaveRun(_) => cut(item, PAUSE_AFTER_CUT_MS),
     }
 }
 
 /// Reads an answer of the backend's work.
-pub async fn read(item: &ItemStart, answer: Answer) -> RunEnd {
+pub async fn read(item: &ItemStart, answer: BackendResponse) -> RunEnd {
     match answer.status {
-        StatusCode::OK if answer.is_sound() => read_events(item, answer).await,
+        StatusCode::OK if answer.is_valid() => read_events(item, answer).await,
         StatusCode::INTERNAL_SERVER_ERROR => {
             finish_failure(answer, Outcome::Failed).await;
             RunEnd::Failed
@@ -55,13 +55,13 @@
 }
 
 /// Reads the events of an answer. It is whole only if its framing says so and it ends between two events.
-async fn read_events(item: &ItemStart, mut answer: Answer) -> RunEnd {
+async fn read_events(item: &ItemStart, mut answer: BackendResponse) -> RunEnd {
     let mut reader = EventReader::after(transcript_of(item));
     let events_before = reader.transcript().events;
     let mut has_begun = false;
     let outcome = loop {
         let piece = match has_begun {
-            false => tokio::time::timeout(FIRST_EVENT_SILENCE, answer.piece())
+            false => tokio::time::timeout(FIRST_EVENT_SILENCE, answer.next_chunk())
                 .await
                 .ok(),
             true => gathered_piece(&mut answer).await,
@@ -96,10 +96,12 @@
 }
 
 /// The next piece of an answer, looked for every [`GATHER`]; `None` if none came for [`NEXT_EVENT_SILENCE`].
-async fn gathered_piece(answer: &mut Answer) -> Option<Option<Result<Bytes, Incomplete>>> {
+async fn gathered_piece(
+    answer: &mut BackendResponse,
+) -> Option<Option<Result<Bytes, IncompleteResponse>>> {
     let silent_at = Instant::now() + NEXT_EVENT_SILENCE;
     loop {
-        if let Some(piece) = answer.piece_if_here() {
+        if let Some(piece) = answer.try_next_chunk() {
             return Some(piece);
         }
         if Instant::now() >= silent_at {
@@ -110,9 +112,9 @@
 }
 
 /// Reads the rest of a failure's answer, so that its connection can be used again.
-async fn finish_failure(mut answer: Answer, outcome: Outcome) {
+async fn finish_failure(mut answer: BackendResponse, outcome: Outcome) {
     loop {
-        match tokio::time::timeout(NEXT_EVENT_SILENCE, answer.piece()).await {
+        match tokio::time::timeout(NEXT_EVENT_SILENCE, answer.next_chunk()).await {
             Ok(Some(Ok(piece))) => metrics::get().runs.received(piece.len()),
             Ok(None) => return answer.finish(outcome).await,
             Ok(Some(Err(_))) | Err(_) => return answer.abandon(outcome),
--- a/alderhollow/src/executor/mod.rs
+++ b/alderhollow/src/executor/mod.rs
@@ -14,7 +14,7 @@
 
 use crate::balance::{Millis, NoBackend, Wanted};
 use crate::clock::SteadyClock;
-use crate::exchange::patience::{Alternatives, Patience, Permission};
+use crate::exchange::wait_limits::{Alternatives, Permission, WaitLimits};
 use crate::exchange::{prompt, Exchange};
 use crate::metrics;
 use alderhollow_batch::api::{ItemStart, RunEnd};
@@ -125,7 +125,7 @@
                 );
             }
         };
-        let patience = Patience {
+        let patience = WaitLimits {
             deadline: Instant::now() + self.deadline(item),
             silence: Some((FIRST_EVENT_SILENCE, &AnyOther)),
             permission: Some(permission),
--- a/alderhollow/src/http_server/mod.rs
+++ b/alderhollow/src/http_server/mod.rs
@@ -101,7 +101,7 @@
         let mut connections = JoinSet::new();
         tokio::select! {
             () = self.accept(&listener, &mut connections, &phase) => {}
-            () = self.exchange.keep_in_order() => {}
+            () = self.exchange.run_maintenance() => {}
         }
         drop(listener);
         let last = (self.settings.grace.saturating_sub(GRACE_MARGIN)).saturating_sub(ACCEPTING_ON);
--- a/alderhollow/src/http_server/relay.rs
+++ b/alderhollow/src/http_server/relay.rs
@@ -5,7 +5,7 @@
 use super::stream;
 use super::tries::{Job, Tries, Wait};
 use crate::balance::Outcome;
-use crate::exchange::answer::Answer;
+use crate::exchange::response::BackendResponse;
 use crate::exchange::Exchange;
 use hyper::body::Bytes;
 use hyper::header::HeaderMap;
@@ -30,7 +30,7 @@
 enum Received {
     Whole(Whole),
     /// A success of which the beginning is here.
-    Begun(Answer, Vec<Bytes>),
+    Begun(BackendResponse, Vec<Bytes>),
     /// It ended before it was whole, or is none that may be passed on.
     Lost,
 }
@@ -60,8 +60,8 @@
 }
 
 /// Reads an answer as far as it is gathered.
-async fn receive(tries: &Tries, mut answer: Answer) -> Received {
-    if !answer.is_sound() {
+async fn receive(tries: &Tries, mut answer: BackendResponse) -> Received {
+    if !answer.is_valid() {
         answer.abandon(Outcome::Broken);
         return Received::Lost;
     }
@@ -92,7 +92,7 @@
 }
 
 /// An answer that has ended in order.
-async fn gathered(tries: &Tries, mut answer: Answer, pieces: Vec<Bytes>) -> Received {
+async fn gathered(tries: &Tries, mut answer: BackendResponse, pieces: Vec<Bytes>) -> Received {
     let status = answer.status;
     let headers = std::mem::take(&mut answer.headers);
     answer
@@ -132,7 +132,7 @@
 }
 
 /// Passes on what has begun.
-fn begun(tries: Tries, mut answer: Answer, pieces: Vec<Bytes>) -> Response<AnswerBody> {
+fn begun(tries: Tries, mut answer: BackendResponse, pieces: Vec<Bytes>) -> Response<AnswerBody> {
     let status = answer.status;
     let resumes = answer.is_event_stream() && tries.job().route.resumable;
     let headers = std::mem::take(&mut answer.headers);
--- a/alderhollow/src/http_server/stream.rs
+++ b/alderhollow/src/http_server/stream.rs
@@ -3,8 +3,8 @@
 use super::body::Slot;
 use super::tries::{Tries, Wait};
 use crate::balance::Outcome;
-use crate::exchange::answer::Answer;
-use crate::exchange::events::EventCutter;
+use crate::exchange::events::EventSplitter;
+use crate::exchange::response::BackendResponse;
 use alderhollow_dataplane::flow::Cut;
 use hyper::body::Bytes;
 use std::rc::Rc;
@@ -15,7 +15,7 @@
 /// The answer is not whole.
 pub(super) async fn pass_pieces(
     tries: Tries,
-    mut answer: Answer,
+    mut answer: BackendResponse,
     first: Bytes,
     slot: Rc<Slot>,
 ) -> Result<(), Cut> {
@@ -42,11 +42,11 @@
 /// No backend goes on: the stream is cut short.
 pub(super) async fn pass_events(
     mut tries: Tries,
-    mut answer: Answer,
+    mut answer: BackendResponse,
     first: Bytes,
     slot: Rc<Slot>,
 ) -> Result<(), Cut> {
-    let mut cutter = EventCutter::after(tries.job().outbound.last_event_id());
+    let mut cutter = EventSplitter::after(tries.job().outbound.last_event_id());
     let mut next = Ok(Some(first));
     loop {
         let lost = match next {
@@ -66,7 +66,7 @@
         };
         if let Some(outcome) = lost {
             answer.abandon(outcome);
-            cutter.drop_partial();
+            cutter.discard_partial();
             answer = resume(&mut tries, cutter.last_id()).await?;
             next = tries.next_piece(&mut answer, Wait::Beginning).await;
             answer.began();
@@ -77,10 +77,10 @@
 }
 
 /// A backend that goes on behind the event.
-async fn resume(tries: &mut Tries, last_id: Option<u64>) -> Result<Answer, Cut> {
+async fn resume(tries: &mut Tries, last_id: Option<u64>) -> Result<BackendResponse, Cut> {
     while tries.may_run_again() {
         let answer = tries.next_answer(last_id).await.map_err(|_| Cut)?;
-        if answer.is_sound() && answer.is_event_stream() {
+        if answer.is_valid() && answer.is_event_stream() {
             return Ok(answer);
         }
         let failed = answer.status.is_server_error();
--- a/alderhollow/src/http_server/tries.rs
+++ b/alderhollow/src/http_server/tries.rs
@@ -4,11 +4,11 @@
 use super::intake::Gathered;
 use super::replies::{self, COME_AGAIN};
 use crate::balance::{NoBackend, Outcome, Prompt, Wanted};
-use crate::exchange::answer::Answer;
 use crate::exchange::attempt::Attempt;
 use crate::exchange::outbound::Outbound;
-use crate::exchange::patience::{Alternatives, Patience};
-use crate::exchange::{Exchange, Unanswered};
+use crate::exchange::response::BackendResponse;
+use crate::exchange::wait_limits::{Alternatives, WaitLimits};
+use crate::exchange::{Exchange, SendError};
 use alderhollow_model::config::Route;
 use hyper::body::Bytes;
 use hyper::{Response, StatusCode};
@@ -155,7 +155,7 @@
     pub(super) async fn next_answer(
         &mut self,
         resume_after: Option<u64>,
-    ) -> Result<Answer, GivenUp> {
+    ) -> Result<BackendResponse, GivenUp> {
         loop {
             let attempt = self.next_attempt().await?;
             self.tried.push(attempt.backend().id.clone());
@@ -168,15 +168,15 @@
             };
             match sent {
                 Ok(answer) => return Ok(answer),
-                Err(Unanswered::NotRun(_)) => {
+                Err(SendError::NotRun(_)) => {
                     self.may_have_run -= 1;
                     self.declined += 1;
                     if self.declined >= MOST_DECLINED {
                         return Err(self.give_up());
                     }
                 }
-                Err(Unanswered::MayHaveRun(_)) if self.may_run_again() => {}
-                Err(Unanswered::MayHaveRun(_)) => return Err(self.give_up()),
+                Err(SendError::MayHaveRun(_)) if self.may_run_again() => {}
+                Err(SendError::MayHaveRun(_)) => return Err(self.give_up()),
             }
         }
     }
@@ -221,7 +221,7 @@
     /// Waits for the next piece of an answer that has begun; `Err` says how the attempt has ended.
     pub(super) async fn next_piece(
         &self,
-        answer: &mut Answer,
+        answer: &mut BackendResponse,
         wait: Wait,
     ) -> Result<Option<Bytes>, Outcome> {
         // The backend's own end at the deadline comes somewhat later.
@@ -229,9 +229,9 @@
         let patience = match wait {
             Wait::Beginning => self.patience(deadline, self.job.silence_before()),
             Wait::NextEvent => self.patience(deadline, self.job.silence_between()),
-            Wait::Rest => Patience::until(deadline),
+            Wait::Rest => WaitLimits::until(deadline),
         };
-        match patience.wait(answer.piece()).await {
+        match patience.wait(answer.next_chunk()).await {
             Some(Some(Ok(piece))) => Ok(Some(piece)),
             Some(None) => Ok(None),
             Some(Some(Err(_))) => Err(Outcome::Broken),
@@ -239,14 +239,14 @@
         }
     }
 
-    fn patience(&self, deadline: Instant, silence: Duration) -> Patience<'_> {
+    fn patience(&self, deadline: Instant, silence: Duration) -> WaitLimits<'_> {
         // Where the request may not run again there is nowhere to go.
         let silence = self
             .job
             .route
             .may_repeat()
             .then_some((silence, self as &dyn Alternatives));
-        Patience {
+        WaitLimits {
             deadline,
             silence,
             permission: None,
--- a/alderhollow/src/store/role.rs
+++ b/alderhollow/src/store/role.rs
@@ -82,7 +82,7 @@
     tokio::select! {
         () = NodeJournal(node.clone()).follow(write_ends) => Ok(()),
         () = node.clone().run() => Ok(()),
-        () = exchange.keep_in_order() => Ok(()),
+        () = exchange.run_maintenance() => Ok(()),
         () = reload::follow(shared.clone(), Role::Store, hangups) => Ok(()),
         result = ending(&node, &shared.poll_state, settings.bounds.grace) => Ok(result?),
     }
--- a/alderhollow/tests/http_server.rs
+++ b/alderhollow/tests/http_server.rs
@@ -516,8 +516,8 @@
     run(async {
         use alderhollow::balance::{Outcome, Wanted};
         use alderhollow::exchange::outbound::Outbound;
-        use alderhollow::exchange::patience::Patience;
-        use alderhollow::exchange::Unanswered;
+        use alderhollow::exchange::wait_limits::WaitLimits;
+        use alderhollow::exchange::SendError;
         use hyper::header::{HeaderMap, HeaderValue};
 
         let gateway = Gateway::start(1).await;
@@ -551,7 +551,7 @@
             }
             let before = gateway.backends.seen().len();
             let attempt = gateway.exchange.choose(&wanted).expect("a backend");
-            let patience = Patience::until(tokio::time::Instant::now() + Duration::from_secs(1));
+            let patience = WaitLimits::until(tokio::time::Instant::now() + Duration::from_secs(1));
             if warm {
                 gateway.drain_all();
             }
@@ -559,7 +559,7 @@
                 gateway.exchange.send(attempt, &outbound, None, &patience),
                 async { gateway.drain_all() }
             );
-            assert_eq!(sent.err(), Some(Unanswered::NotRun(Outcome::Cancelled)));
+            assert_eq!(sent.err(), Some(SendError::NotRun(Outcome::Cancelled)));
             assert_eq!(gateway.backends.seen().len(), before);
         }
     });
