--- a/alderhollow/src/exchange/attempt.rs
+++ b/alderhollow/src/exchange/attempt.rs
@@ -7,50 +7,54 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// An attempt of which a placer is told.
-pub(super) struct Told {
+/// Reports an attempt's progress to a placer.
+pub(super) struct PlacerReport {
     pub(super) client: Rc<PlacementClient>,
     pub(super) number: u64,
 }
 
-/// A backend that was chosen. Dropped, it counts as cancelled.
+/// A request's attempt at a chosen backend. Dropping it counts as cancellation.
 pub struct Attempt {
     exchange: Rc<Exchange>,
     choice: Choice,
-    told: Option<Told>,
+    placer_report: Option<PlacerReport>,
     ended: bool,
 }
 
 impl Attempt {
-    pub(super) fn new(exchange: Rc<Exchange>, choice: Choice, told: Option<Told>) -> Attempt {
+    pub(super) fn new(
+        exchange: Rc<Exchange>,
+        choice: Choice,
+        placer_report: Option<PlacerReport>,
+    ) -> Attempt {
         Attempt {
             exchange,
             choice,
-            told,
+            placer_report,
             ended: false,
         }
     }
 
-    /// The backend.
+    /// The chosen backend.
     pub fn backend(&self) -> &Arc<Backend> {
         &self.choice.backend
     }
 
-    /// Notes that the first event or the answer's head came.
+    /// Records that the first event or the head of the response has arrived.
     pub fn began(&self) {
         let now = self.exchange.now();
         self.exchange
             .balancer
             .borrow_mut()
             .began(now, self.choice.attempt);
-        if let Some(told) = &self.told {
-            told.client.began(told.number);
+        if let Some(placer_report) = &self.placer_report {
+            placer_report.client.began(placer_report.number);
         }
     }
 
-    /// Notes how it ended.
+    /// Records the outcome.
     pub fn end(mut self, outcome: Outcome) {
-        self.tell(outcome);
+        self.report_end(outcome);
     }
 
     pub(super) fn number(&self) -> u64 {
@@ -61,15 +65,17 @@
         self.exchange.clone()
     }
 
-    fn tell(&mut self, outcome: Outcome) {
+    fn report_end(&mut self, outcome: Outcome) {
         self.ended = true;
         let now = self.exchange.now();
         self.exchange
             .balancer
             .borrow_mut()
             .ended(now, self.choice.attempt, outcome);
-        if let Some(told) = &self.told {
-            told.client.ended(told.number, outcome.into());
+        if let Some(placer_report) = &self.placer_report {
+            placer_report
+                .client
+                .ended(placer_report.number, outcome.into());
         }
     }
 }
@@ -77,7 +83,7 @@
 impl Drop for Attempt {
     fn drop(&mut self) {
         if !self.ended {
-            self.tell(Outcome::Cancelled);
+            self.report_end(Outcome::Cancelled);
         }
     }
 }
--- a/alderhollow/src/exchange/events.rs
+++ b/alderhollow/src/exchange/events.rs
@@ -1,36 +1,37 @@
-//! Cuts a series of events (`text/event-stream`) into whole ones, for a stream that another backend may go on with: only
-//! whole events are passed on, and the bytes of each stay as they came.
+//! Splits server-sent events (`text/event-stream`) at event boundaries. Only complete events are forwarded, byte for
+//! byte, so that another backend can resume the stream.
 
 use hyper::body::Bytes;
 use thiserror::Error;
 
-/// Largest event that is held until it is whole; a longer one is no answer of a backend.
-pub const LARGEST_EVENT_BYTES: usize = 1024 * 1024;
+/// Maximum size of a buffered event; a backend never sends a larger one.
+pub const MAX_EVENT_BYTES: usize = 1024 * 1024;
 
-/// Why a piece can't belong to the stream.
+/// Why a chunk is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum EventError {
-    /// Larger than [`LARGEST_EVENT_BYTES`].
-    #[error("an event is too large")]
+    /// Larger than [`MAX_EVENT_BYTES`].
+    #[error("an event exceeds the maximum size")]
     TooLarge,
-    /// Its id is no number, or not above the last one.
-    #[error("an event's id does not rise")]
+    /// The id is not a number or not greater than the previous one.
+    #[error("an event id is not a number or does not increase")]
     Id,
 }
 
-/// Takes pieces cut anywhere, gives whole events.
+/// Turns chunks with arbitrary boundaries into complete events.
 #[derive(Debug, Default)]
 pub struct EventSplitter {
-    /// Bytes of the event that is not whole yet, and how many of them are lines that were looked at.
+    /// Bytes of the incomplete event.
     partial: Vec<u8>,
+    /// Length of the lines in `partial` that are already scanned.
     scanned: usize,
-    /// Id that the event which is not whole yet has named.
+    /// Id of the incomplete event, if its `id` line has been read.
     next_id: Option<u64>,
     last_id: Option<u64>,
 }
 
 impl EventSplitter {
-    /// A stream whose reader has all events up to `last_id`.
+    /// Starts after `last_id`, the last event that the reader has received.
     pub fn after(last_id: Option<u64>) -> EventSplitter {
         EventSplitter {
             last_id,
@@ -38,59 +39,59 @@
         }
     }
 
-    /// Id of the last whole event.
+    /// Id of the last complete event.
     pub fn last_id(&self) -> Option<u64> {
         self.last_id
     }
 
-    /// Takes the next piece and gives the events that are whole by now, perhaps none.
+    /// Consumes the next chunk and returns the events that are now complete, possibly none.
     ///
     /// # Errors
-    /// The stream is none that may be passed on. Events before the fault in this piece are lost, and not counted.
-    pub fn push(&mut self, piece: Bytes) -> Result<Bytes, EventError> {
-        // As a rule a piece holds whole events, and goes on as it is.
+    /// The stream must not be forwarded. Events before the error in this chunk are discarded and not counted.
+    pub fn push(&mut self, chunk: Bytes) -> Result<Bytes, EventError> {
+        // Usually a chunk holds complete events and is forwarded without a copy.
         if self.partial.is_empty() {
-            let (whole, scanned) = self.scan(&piece, 0)?;
-            self.scanned = scanned - whole;
+            let (complete, scanned) = self.scan(&chunk, 0)?;
+            self.scanned = scanned - complete;
             self.partial
-                .extend_from_slice(piece.get(whole..).unwrap_or_default());
-            return self.bounded(piece.slice(..whole));
+                .extend_from_slice(chunk.get(complete..).unwrap_or_default());
+            return self.check_size(chunk.slice(..complete));
         }
         let mut bytes = std::mem::take(&mut self.partial);
-        bytes.extend_from_slice(&piece);
-        let (whole, scanned) = self.scan(&bytes, self.scanned)?;
-        self.scanned = scanned - whole;
-        self.partial = bytes.split_off(whole);
-        self.bounded(bytes.into())
+        bytes.extend_from_slice(&chunk);
+        let (complete, scanned) = self.scan(&bytes, self.scanned)?;
+        self.scanned = scanned - complete;
+        self.partial = bytes.split_off(complete);
+        self.check_size(bytes.into())
     }
 
-    /// The stream has ended in order: what is left of it.
+    /// Returns the remaining bytes after the regular end of the stream.
     pub fn finish(&mut self) -> Bytes {
-        self.drop_partial_into()
+        self.take_partial()
     }
 
-    /// The stream was cut off: its partial event is dropped, and another run goes on behind the last whole one.
+    /// Discards the partial event of an interrupted stream; another run resumes after the last complete event.
     pub fn discard_partial(&mut self) {
-        self.drop_partial_into();
+        self.take_partial();
     }
 
-    fn drop_partial_into(&mut self) -> Bytes {
+    fn take_partial(&mut self) -> Bytes {
         self.scanned = 0;
         self.next_id = None;
         std::mem::take(&mut self.partial).into()
     }
 
-    fn bounded(&self, whole: Bytes) -> Result<Bytes, EventError> {
-        match self.partial.len() > LARGEST_EVENT_BYTES {
+    fn check_size(&self, complete: Bytes) -> Result<Bytes, EventError> {
+        match self.partial.len() > MAX_EVENT_BYTES {
             true => Err(EventError::TooLarge),
-            false => Ok(whole),
+            false => Ok(complete),
         }
     }
 
-    /// Looks at the lines from `at` on: where the last whole event ends, and where the last whole line does.
+    /// Scans the lines from `at` on; returns the end offsets of the last complete event and of the last complete line.
     fn scan(&mut self, bytes: &[u8], at: usize) -> Result<(usize, usize), EventError> {
         let mut line_start = at;
-        let mut whole = 0;
+        let mut complete = 0;
         let mut last_id = self.last_id;
         while let Some(rest) = bytes.get(line_start..) {
             let Some(length) = rest.iter().position(|byte| *byte == b'\n') else {
@@ -100,7 +101,7 @@
             let line = line.strip_suffix(b"\r").unwrap_or(line);
             line_start += length + 1;
             if line.is_empty() {
-                whole = line_start;
+                complete = line_start;
                 last_id = self.next_id.take().or(last_id);
             } else if let Some(value) = line.strip_prefix(b"id:") {
                 let id = read_id(value).filter(|id| last_id.is_none_or(|last| last < *id));
@@ -108,7 +109,7 @@
             }
         }
         self.last_id = last_id;
-        Ok((whole, line_start))
+        Ok((complete, line_start))
     }
 }
 
--- a/alderhollow/src/exchange/events/tests.rs
+++ b/alderhollow/src/exchange/events/tests.rs
@@ -1,7 +1,7 @@
 use super::*;
 use proptest::prelude::*;
 
-/// A run's events from one id up to another, with a line for the version and a comment.
+/// Events of one run with ids `from` to `to`, some with a `versions` line or a comment.
 fn run(from: u64, to: u64) -> Vec<u8> {
     let event = |id: u64| match id % 3 {
         0 => format!("versions: {id}\nid: {id}\ndata: a{id}\ndata: b\n\n"),
@@ -11,7 +11,7 @@
     (from..=to).map(event).collect::<String>().into_bytes()
 }
 
-fn pieces(bytes: &[u8], cuts: &[usize]) -> Vec<Bytes> {
+fn chunks(bytes: &[u8], cuts: &[usize]) -> Vec<Bytes> {
     let mut cuts: Vec<usize> = cuts.iter().map(|cut| cut % (bytes.len() + 1)).collect();
     cuts.sort_unstable();
     let ends = cuts.iter().copied().chain([bytes.len()]);
@@ -23,55 +23,54 @@
 }
 
 proptest! {
-    /// The oracle: whoever reads the first run up to any byte and the second behind its last whole event has it all,
-    /// each byte once.
+    /// Reading a first run up to any byte and a second run after its last complete event gives every byte exactly once.
     #[test]
-    fn a_run_that_is_cut_at_any_byte_goes_on_without_loss_or_doubling(
+    fn a_run_interrupted_at_any_byte_resumes_without_loss_or_duplication(
         cut in 0usize..400,
         cuts in proptest::collection::vec(0usize..1000, 0..12),
         last in 1u64..15,
     ) {
-        let whole = run(1, last);
-        let first = &whole[..cut.min(whole.len())];
-        let mut cutter = EventSplitter::after(None);
-        let mut got = Vec::new();
-        for piece in pieces(first, &cuts) {
-            got.extend_from_slice(&cutter.push(piece).expect("it is in order"));
+        let expected = run(1, last);
+        let first = &expected[..cut.min(expected.len())];
+        let mut splitter = EventSplitter::after(None);
+        let mut forwarded = Vec::new();
+        for chunk in chunks(first, &cuts) {
+            forwarded.extend_from_slice(&splitter.push(chunk).expect("a valid chunk"));
         }
-        cutter.discard_partial();
-        let after = cutter.last_id().unwrap_or(0);
-        prop_assert_eq!(&got, &run(1, after));
-        for piece in pieces(&run(after + 1, last), &cuts) {
-            got.extend_from_slice(&cutter.push(piece).expect("it is in order"));
+        splitter.discard_partial();
+        let after = splitter.last_id().unwrap_or(0);
+        prop_assert_eq!(&forwarded, &run(1, after));
+        for chunk in chunks(&run(after + 1, last), &cuts) {
+            forwarded.extend_from_slice(&splitter.push(chunk).expect("a valid chunk"));
         }
-        got.extend_from_slice(&cutter.finish());
-        prop_assert_eq!(got, whole);
+        forwarded.extend_from_slice(&splitter.finish());
+        prop_assert_eq!(forwarded, expected);
     }
 
     #[test]
-    fn no_bytes_make_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200), cuts in proptest::collection::vec(0usize..200, 0..5)) {
-        let mut cutter = EventSplitter::after(Some(1));
-        for piece in pieces(&bytes, &cuts) {
-            let _ = cutter.push(piece);
+    fn arbitrary_bytes_do_not_panic(bytes in proptest::collection::vec(any::<u8>(), 0..200), cuts in proptest::collection::vec(0usize..200, 0..5)) {
+        let mut splitter = EventSplitter::after(Some(1));
+        for chunk in chunks(&bytes, &cuts) {
+            let _ = splitter.push(chunk);
         }
     }
 }
 
 #[test]
-fn a_run_that_begins_anew_is_seen() {
-    let mut cutter = EventSplitter::after(Some(3));
-    assert_eq!(cutter.push(Bytes::from(run(3, 4))), Err(EventError::Id));
-    let mut cutter = EventSplitter::after(Some(3));
+fn ids_that_do_not_increase_are_rejected() {
+    let mut splitter = EventSplitter::after(Some(3));
+    assert_eq!(splitter.push(Bytes::from(run(3, 4))), Err(EventError::Id));
+    let mut splitter = EventSplitter::after(Some(3));
     assert_eq!(
-        cutter.push(Bytes::from_static(b"id: x\n\n")),
+        splitter.push(Bytes::from_static(b"id: x\n\n")),
         Err(EventError::Id)
     );
 }
 
 #[test]
-fn an_event_without_an_end_is_not_held_for_ever() {
-    let mut cutter = EventSplitter::after(None);
-    let piece = Bytes::from(vec![b'x'; LARGEST_EVENT_BYTES]);
-    assert_eq!(cutter.push(piece.clone()), Ok(Bytes::new()));
-    assert_eq!(cutter.push(piece), Err(EventError::TooLarge));
+fn an_event_beyond_the_maximum_size_is_rejected() {
+    let mut splitter = EventSplitter::after(None);
+    let chunk = Bytes::from(vec![b'x'; MAX_EVENT_BYTES]);
+    assert_eq!(splitter.push(chunk.clone()), Ok(Bytes::new()));
+    assert_eq!(splitter.push(chunk), Err(EventError::TooLarge));
 }
--- a/alderhollow/src/exchange/mod.rs
+++ b/alderhollow/src/exchange/mod.rs
@@ -1,5 +1,5 @@
-//! Exchanges with backends: one is chosen, a connection to it is had from the pool or opened, the request is written and
-//! its answer judged. What a client or a batch item makes of an attempt's end is decided by those who use this.
+//! HTTP exchanges with backends: chooses a backend, takes a connection from the pool or opens one, sends the request
+//! and classifies the response. Callers decide what the outcome of an attempt means for a client or a batch item.
 
 pub mod attempt;
 pub mod events;
@@ -18,7 +18,7 @@
 use alderhollow_dataplane::link::Failure;
 use alderhollow_model::config::Route;
 use alderhollow_model::snapshot::Snapshot;
-use attempt::{Attempt, Told};
+use attempt::{Attempt, PlacerReport};
 use hyper::body::Incoming;
 use hyper::Response;
 use outbound::Outbound;
@@ -32,16 +32,16 @@
 use tokio::time::Instant;
 use wait_limits::WaitLimits;
 
-/// An attempt that brought no answer of the backend's work.
+/// Why an attempt brought no response from a backend that ran the request.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum SendError {
-    /// The backend has not run the request and never will.
+    /// The backend has not run the request and will not run it.
     NotRun(Outcome),
-    /// The request was written whole, and what became of it is unknown.
+    /// The request was written completely, and whether it ran is unknown.
     MayHaveRun(Outcome),
 }
 
-/// All exchanges of one process.
+/// Sends all requests of one process to backends.
 pub struct Exchange {
     balancer: Rc<RefCell<Balancer>>,
     pool: Pool,
@@ -53,7 +53,7 @@
 }
 
 impl Exchange {
-    /// `started` is the zero of the process's steady clock, from which the balancer's times count.
+    /// `started` is the zero of the process's monotonic clock; the balancer's times are relative to it.
     pub fn new(
         started: Instant,
         seed: u64,
@@ -63,7 +63,7 @@
         Exchange::create(started, seed, snapshots, balancer, None)
     }
 
-    /// As [`Exchange::new`]; model engines are chosen by the placers of their zones, that of `zone` first.
+    /// Like [`Exchange::new`], but model engines are chosen by the placers of their zones, starting with `zone`.
     pub fn with_placement(
         started: Instant,
         seed: u64,
@@ -104,7 +104,8 @@
         Rc::new(exchange)
     }
 
-    /// The newest tables. Each call acts on a change at once, whoever else is told of it later.
+    /// Returns the current tables. If the snapshot has changed, the call first updates the balancer, the service weights
+    /// and the connection pool.
     pub fn tables(&self) -> Rc<Tables> {
         let mut snapshots = self.snapshots.borrow_mut();
         if snapshots.has_changed().unwrap_or(false) {
@@ -128,13 +129,13 @@
         }
     }
 
-    /// Whether a backend may get a request now.
+    /// Whether a request may be sent to the backend now.
     pub fn may_send(&self, id: &str) -> bool {
         self.tables();
         self.balancer.borrow().may_send(id)
     }
 
-    /// Whether the backend of an attempt may still get the request. Over time a choice of a cold backend is void.
+    /// Whether the request may still be sent to the attempt's backend. The choice of a cold backend expires.
     fn may_begin(&self, attempt: &Attempt) -> bool {
         self.tables();
         self.balancer
@@ -142,19 +143,19 @@
             .may_begin(self.now(), attempt.number())
     }
 
-    /// One of the route's services, by their weights.
+    /// Picks one of the route's services by weight.
     pub fn pick_service(&self, route: &Route) -> Option<String> {
         self.services.borrow_mut().pick(route)
     }
 
-    /// Chooses a backend by what this process knows alone.
+    /// Chooses a backend from local knowledge only, without asking a placer.
     ///
     /// # Errors
-    /// There is none that may get the request now.
+    /// No backend can take the request now.
     pub fn choose(self: &Rc<Self>, wanted: &Wanted) -> Result<Attempt, NoBackend> {
         self.tables();
         let choice = self.balancer.borrow_mut().choose(self.now(), wanted)?;
-        let told = self.placement.as_ref().and_then(|placement| {
+        let placer_report = self.placement.as_ref().and_then(|placement| {
             let demand = self.demand(wanted)?;
             let client = placement.client.clone();
             let number = client.draw_number();
@@ -165,27 +166,24 @@
                 demand,
                 false,
             );
-            Some(Told { client, number })
+            Some(PlacerReport { client, number })
         });
-        Ok(Attempt::new(self.clone(), choice, told))
+        Ok(Attempt::new(self.clone(), choice, placer_report))
     }
 
-    /// Sends a request to the backend that was chosen and waits until its answer begins. Dropping the future ends the
-    /// attempt and its connection.
+    /// Sends a request to the chosen backend and waits for the head of the response. Dropping the future cancels the
+    /// attempt and closes its connection.
     ///
     /// # Errors
-    /// No answer of the backend's work came; the attempt is over.
+    /// The backend did not respond as one that ran the request; the attempt has ended.
     pub async fn send(
         &self,
         attempt: Attempt,
         outbound: &Outbound,
         resume_after: Option<u64>,
-        patience: &WaitLimits<'_>,
+        limits: &WaitLimits<'_>,
     ) -> Result<BackendResponse, SendError> {
-        match self
-            .try_send(attempt, outbound, resume_after, patience)
-            .await
-        {
+        match self.try_send(attempt, outbound, resume_after, limits).await {
             Ok(answer) => Ok(answer),
             Err((attempt, unanswered)) => {
                 let (SendError::NotRun(outcome) | SendError::MayHaveRun(outcome)) = unanswered;
@@ -200,15 +198,15 @@
         attempt: Attempt,
         outbound: &Outbound,
         resume_after: Option<u64>,
-        patience: &WaitLimits<'_>,
+        limits: &WaitLimits<'_>,
     ) -> Result<BackendResponse, (Attempt, SendError)> {
-        let mut pooled = match self.connection(&attempt, patience).await {
+        let mut pooled = match self.connection(&attempt, limits).await {
             Ok(pooled) => pooled,
             Err(outcome) => return Err((attempt, SendError::NotRun(outcome))),
         };
-        // From here to the first byte nothing waits: what was looked at last still holds.
-        let request = outbound.request(&attempt.backend().id, resume_after, patience.deadline);
-        let response = match patience.wait(pooled.link.send(request)).await {
+        // There is no await point between the checks in `connection` and the first byte written, so they still hold.
+        let request = outbound.request(&attempt.backend().id, resume_after, limits.deadline);
+        let response = match limits.wait(pooled.link.send(request)).await {
             Some(Ok(response)) => response,
             Some(Err(Failure::Unsent)) => {
                 return Err((attempt, SendError::NotRun(Outcome::NoConnection)))
@@ -221,66 +219,67 @@
             }
             None => return Err((attempt, SendError::NotRun(Outcome::TimedOut))),
         };
-        match judge(&response, outbound, &pooled) {
+        match classify(&response, outbound, &pooled) {
             Verdict::Ran => {
-                pooled.heed(response.headers());
+                pooled.apply_keep_alive(response.headers());
                 Ok(BackendResponse::new(response, pooled, attempt))
             }
             Verdict::Declined => {
-                pooled.heed(response.headers());
+                pooled.apply_keep_alive(response.headers());
                 self.pool.drain(pooled, response.into_body()).await;
                 Err((attempt, SendError::NotRun(Outcome::Declined)))
             }
-            Verdict::OtherInstance => Err((attempt, SendError::NotRun(Outcome::OtherInstance))),
-            Verdict::Foreign => Err((attempt, SendError::MayHaveRun(Outcome::Broken))),
+            Verdict::WrongInstance => Err((attempt, SendError::NotRun(Outcome::OtherInstance))),
+            Verdict::Mismatched => Err((attempt, SendError::MayHaveRun(Outcome::Broken))),
         }
     }
 
-    /// A connection that stands silent, to a backend that may get a request in this very moment.
+    /// Returns a connection without unexpected input, to a backend that can take the request at this moment.
     async fn connection(
         &self,
         attempt: &Attempt,
-        patience: &WaitLimits<'_>,
+        limits: &WaitLimits<'_>,
     ) -> Result<Pooled, Outcome> {
-        let deadline = patience.deadline;
+        let deadline = limits.deadline;
         let backend = attempt.backend();
         loop {
-            let mut pooled = match self.pool.take(&backend.id) {
+            let mut pooled = match self.pool.take_idle(&backend.id) {
                 Some(pooled) => pooled,
                 None => {
-                    let most = self.tables().connections(&backend.service);
-                    let pooled = Box::pin(self.pool.connect(backend, most, deadline)).await?;
-                    // What the reactor finds in one more look is served before this goes on: a client that has gone
-                    // meanwhile, or a backend that resets what it does not take.
+                    let max_connections = self.tables().connections(&backend.service);
+                    let pooled =
+                        Box::pin(self.pool.connect(backend, max_connections, deadline)).await?;
+                    // Lets the reactor process pending I/O first: a client may have disconnected meanwhile, or the
+                    // backend may have reset a connection that it does not accept.
                     yield_now().await;
                     pooled
                 }
             };
-            if !patience.is_permitted() || !self.may_begin(attempt) || deadline <= Instant::now() {
+            if !limits.is_permitted() || !self.may_begin(attempt) || deadline <= Instant::now() {
                 return Err(Outcome::Cancelled);
             }
             if pooled.link.is_silent().await {
                 return Ok(pooled);
             }
-            // Another idle one may do, but none is opened anew for one that has just come up.
+            // Another idle connection may be usable, but a failed new connection is not replaced by another new one.
             if pooled.is_new() {
                 return Err(Outcome::NoConnection);
             }
         }
     }
 
-    /// Acts on new tables while no request comes, and closes connections that have been idle for long. Runs until it is
+    /// Applies new tables even while there are no requests, and closes idle connections that have expired. Runs until
     /// dropped.
     pub async fn run_maintenance(&self) {
         let mut snapshots = self.snapshots.borrow().clone();
-        let follow = async {
+        let follow_snapshots = async {
             while snapshots.changed().await.is_ok() {
                 self.tables();
             }
             std::future::pending::<()>().await;
         };
         tokio::select! {
-            () = follow => {}
+            () = follow_snapshots => {}
             () = self.pool.sweep() => {}
         }
     }
@@ -289,40 +288,41 @@
         self.started.elapsed().as_secs_f64() * 1000.0
     }
 
-    /// Puts a connection by whose answer was read to its end.
-    async fn park(&self, pooled: Pooled) {
+    /// Returns a connection to the pool after its response was read to the end.
+    async fn release(&self, pooled: Pooled) {
         if self.may_send(pooled.backend_id()) {
-            self.pool.park(pooled).await;
+            self.pool.put_idle(pooled).await;
         }
     }
 }
 
-/// What an answer's head says of the request.
+/// What the head of a response says about the request.
 #[derive(Debug, PartialEq, Eq)]
 enum Verdict {
-    /// The backend has run it, or is at it.
+    /// The backend has run it or is running it.
     Ran,
-    /// It has not run it.
+    /// The backend has not run it.
     Declined,
-    /// Another backend has the address, and has not run it.
-    OtherInstance,
-    /// It answers another request, or none.
-    Foreign,
+    /// Another instance answers at this address, and it has not run the request.
+    WrongInstance,
+    /// The response belongs to another request or to none.
+    Mismatched,
 }
 
-/// Judges an answer by its head (PROTOCOL.md, *Backends*). A surplus answer may stand in the place of the next one: only
-/// `Request-Id` tells. On a new connection nothing can be left over, and a backend that declines may leave the id out.
-fn judge(response: &Response<Incoming>, outbound: &Outbound, pooled: &Pooled) -> Verdict {
+/// Classifies a response by its head (PROTOCOL.md, *Backends*). Only `Request-Id` tells a surplus response to an earlier
+/// request from the response to this one. On a new connection nothing can be left over, so a backend that declines may
+/// omit the id.
+fn classify(response: &Response<Incoming>, outbound: &Outbound, pooled: &Pooled) -> Verdict {
     let headers = response.headers();
-    let other_instance = response.status() == hyper::StatusCode::MISDIRECTED_REQUEST;
-    let declined = headers.contains_key(outbound::NOT_EXECUTED) || other_instance;
-    let ours = match headers.get(outbound::REQUEST_ID) {
+    let wrong_instance = response.status() == hyper::StatusCode::MISDIRECTED_REQUEST;
+    let declined = headers.contains_key(outbound::NOT_EXECUTED) || wrong_instance;
+    let id_matches = match headers.get(outbound::REQUEST_ID) {
         Some(id) => id == outbound.request_id(),
         None => declined && pooled.is_new(),
     };
-    match (ours, other_instance, declined) {
-        (false, ..) => Verdict::Foreign,
-        (true, true, _) => Verdict::OtherInstance,
+    match (id_matches, wrong_instance, declined) {
+        (false, ..) => Verdict::Mismatched,
+        (true, true, _) => Verdict::WrongInstance,
         (true, false, true) => Verdict::Declined,
         (true, false, false) => Verdict::Ran,
     }
--- a/alderhollow/src/exchange/outbound.rs
+++ b/alderhollow/src/exchange/outbound.rs
@@ -1,4 +1,4 @@
-//! A request as it goes to a backend.
+//! Requests to backends.
 
 use alderhollow_dataplane::flow::Upload;
 use alderhollow_dataplane::headers::pass_on;
@@ -8,31 +8,32 @@
 use thiserror::Error;
 use tokio::time::Instant;
 
-/// Names a request; its answer repeats it.
+/// Identifies a request; its response repeats the value.
 pub const REQUEST_ID: HeaderName = HeaderName::from_static("request-id");
-/// Milliseconds that the sender waits.
+/// How long the sender waits, in milliseconds.
 pub const DEADLINE_MS: HeaderName = HeaderName::from_static("deadline-ms");
-/// The only backend that may run the request.
+/// Id of the only backend instance that may run the request.
 pub const TARGET_INSTANCE: HeaderName = HeaderName::from_static("target-instance");
-/// The last event that the sender has.
+/// Id of the last event that the sender has received.
 pub const LAST_EVENT_ID: HeaderName = HeaderName::from_static("last-event-id");
-/// States that the backend did not run the request.
+/// Marks a response of a backend that did not run the request.
 pub const NOT_EXECUTED: HeaderName = HeaderName::from_static("not-executed");
-/// A backend's stamp on its answer.
+/// Marks a response that the backend itself has made.
 pub const RESPONSE_SEAL: HeaderName = HeaderName::from_static("response-seal");
 
-/// What makes a request impossible to send on.
+/// Why a request cannot be forwarded.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
 pub enum OutboundError {
-    /// A backend would refuse it with 400.
+    /// A backend would reject the request with status 400.
     #[error("`Request-Id` is missing")]
     NoRequestId,
-    /// Its target is no path.
+    /// The request target is not a path.
     #[error("the request has no path")]
     NoPath,
 }
 
-/// A request that may go to one backend after the other. Method, path, query, body and `Request-Id` stay as they came.
+/// A request that can be sent to several backends in turn. Method, path, query, body and `Request-Id` are forwarded
+/// unchanged.
 #[derive(Debug, Clone)]
 pub struct Outbound {
     method: Method,
@@ -43,10 +44,10 @@
 }
 
 impl Outbound {
-    /// Takes over a request whose body is here whole, without the headers of its connection.
+    /// Makes an outbound request from one whose body is complete, without its hop-by-hop headers.
     ///
     /// # Errors
-    /// It names no id or no path.
+    /// The request has no id or no path.
     pub fn new(
         method: Method,
         uri: &Uri,
@@ -68,17 +69,17 @@
         })
     }
 
-    /// The id that the answer has to repeat.
+    /// The id that the response has to repeat.
     pub fn request_id(&self) -> &HeaderValue {
         &self.request_id
     }
 
-    /// The headers that go along.
+    /// The forwarded headers.
     pub fn headers(&self) -> &HeaderMap {
         &self.headers
     }
 
-    /// The event that the client has already.
+    /// Id of the last event that the client has received.
     pub fn last_event_id(&self) -> Option<u64> {
         self.headers
             .get(LAST_EVENT_ID)?
@@ -89,7 +90,7 @@
             .ok()
     }
 
-    /// The request for one backend, to be written now.
+    /// Builds the request for one backend, to be written immediately.
     pub(super) fn request(
         &self,
         instance: &str,
@@ -100,14 +101,15 @@
         *request.method_mut() = self.method.clone();
         *request.uri_mut() = self.target.clone();
         let mut headers = self.headers.clone();
-        let left = deadline
+        let remaining_ms = deadline
             .saturating_duration_since(Instant::now())
             .as_millis();
         headers.insert(
             DEADLINE_MS,
-            HeaderValue::from(u64::try_from(left).unwrap_or(u64::MAX).max(1)),
+            HeaderValue::from(u64::try_from(remaining_ms).unwrap_or(u64::MAX).max(1)),
         );
-        // An id that is no header value is no backend's: it stays out, and the backend at the address decides.
+        // An id that is not a valid header value belongs to no backend; without the header the backend at the address
+        // decides whether to run the request.
         if let Ok(instance) = HeaderValue::from_str(instance) {
             headers.insert(TARGET_INSTANCE, instance);
         }
--- a/alderhollow/src/exchange/placing.rs
+++ b/alderhollow/src/exchange/placing.rs
@@ -1,6 +1,6 @@
-//! The choice of backends with the placers' help.
+//! Backend selection with the help of placers.
 
-use super::attempt::{Attempt, Told};
+use super::attempt::{Attempt, PlacerReport};
 use super::Exchange;
 use crate::balance::{Explanation, NoBackend, Wanted};
 use crate::placement::client::PlacementClient;
@@ -8,17 +8,17 @@
 use crate::placement::offers::{zones_to_ask, NoOffer, Offer, Offers};
 use std::rc::Rc;
 
-/// How a process asks for placements.
+/// Requests placements from the placers.
 pub(super) struct Placement {
     pub(super) client: Rc<PlacementClient>,
     pub(super) zone: String,
 }
 
 impl Exchange {
-    /// Chooses a backend: model engines by the placers of their zones, where they answer.
+    /// Chooses a backend. Model engines are chosen by the placers of their zones if those respond.
     ///
     /// # Errors
-    /// There is none that may get the request now.
+    /// No backend can take the request now.
     pub async fn place(self: &Rc<Self>, wanted: &Wanted<'_>) -> Result<Attempt, NoBackend> {
         let Some(placement) = &self.placement else {
             return self.choose(wanted);
@@ -45,14 +45,14 @@
         placement
             .client
             .started(offer.number, &offer.zone, &offer.backend, demand, true);
-        let told = Told {
+        let placer_report = PlacerReport {
             client: placement.client.clone(),
             number: offer.number,
         };
-        Ok(Attempt::new(self.clone(), choice, Some(told)))
+        Ok(Attempt::new(self.clone(), choice, Some(placer_report)))
     }
 
-    /// Why this process would choose which backend now, without a placer's help.
+    /// Explains which backend this process would choose now without a placer, and why.
     pub fn explain(&self, demand: &Demand) -> Option<Explanation> {
         self.tables();
         self.balancer
@@ -60,7 +60,7 @@
             .explain(self.now(), &demand.wanted(&demand.prompt()))
     }
 
-    /// What is asked of a placer; `None` for requests that are not for a model engine.
+    /// The demand to send to a placer; `None` for requests that are not for a model engine.
     pub(super) fn demand(&self, wanted: &Wanted) -> Option<Demand> {
         let balancer = self.balancer.borrow();
         if !balancer.is_engine(wanted.service) {
@@ -73,7 +73,8 @@
 }
 
 impl Placement {
-    /// Asks the own zone's placer, and where the request would wait or disturb there, others; the best offer is kept.
+    /// Asks the placer of the own zone, and those of other zones if the request would wait or disturb others there.
+    /// Returns the best offer.
     async fn ask(&self, demand: &Demand) -> Result<Offer, NoOffer> {
         let mut offers = Offers::new(&self.zone);
         for zone in zones_to_ask(self.client.zones(), &self.zone, self.client.draw_number()) {
--- a/alderhollow/src/exchange/pool.rs
+++ b/alderhollow/src/exchange/pool.rs
@@ -1,5 +1,5 @@
-//! The connections to the backends. They are kept by the backend's id: a new start has another one, and never gets a
-//! connection of the last.
+//! Pool of connections to backends, keyed by the backend's id. A restarted backend has a new id, so it never gets a
+//! connection of its predecessor.
 
 use crate::balance::Outcome;
 use alderhollow_dataplane::headers::keep_alive;
@@ -15,68 +15,68 @@
 use tokio::sync::Notify;
 use tokio::time::{sleep, timeout, timeout_at, Instant};
 
-/// The longest that a connection may take to come up. A machine that is cut off says nothing.
+/// Limit on connecting: an unreachable machine neither accepts nor refuses.
 const CONNECT_TIMEOUT: Duration = Duration::from_millis(300);
-/// What a peer has not confirmed for so long ends the connection.
-const UNCONFIRMED: Duration = Duration::from_secs(2);
-/// How long a connection may stand idle where its backend does not say how long it keeps it.
-const KEEP_IDLE: Duration = Duration::from_secs(20);
-/// Part of the time that a backend says: it may close the connection somewhat earlier.
-const KEEP_PART: f64 = 0.8;
-/// How long a connection rests after an answer: a backend in trouble may write its answer again some milliseconds
-/// later, and the next request would find that in the place of its own.
-const REST: Duration = Duration::from_millis(20);
-/// The longest that the body of an answer that declines is waited for, to use its connection again.
-const DRAIN: Duration = Duration::from_millis(20);
-/// How often idle connections are looked at.
-const SWEEP: Duration = Duration::from_secs(1);
-
-/// A connection to one backend, which carries one exchange at a time.
+/// TCP user timeout: the connection closes once sent data stays unacknowledged for this long.
+const UNACKNOWLEDGED_TIMEOUT: Duration = Duration::from_secs(2);
+/// Idle timeout of connections whose backend sends no `Keep-Alive` timeout.
+const DEFAULT_IDLE_TIMEOUT: Duration = Duration::from_secs(20);
+/// Fraction of the backend's `Keep-Alive` timeout that is used: the backend may close somewhat earlier.
+const KEEP_ALIVE_FACTOR: f64 = 0.8;
+/// Delay before a connection is reused: a faulty backend may write its response again some milliseconds later, and
+/// the next request would read that in place of its own response.
+const REUSE_DELAY: Duration = Duration::from_millis(20);
+/// Limit on reading the body of a declining response in order to reuse its connection.
+const DRAIN_TIMEOUT: Duration = Duration::from_millis(20);
+/// Interval between checks of idle connections.
+const SWEEP_INTERVAL: Duration = Duration::from_secs(1);
+
+/// A connection to one backend; carries one exchange at a time.
 pub struct Pooled {
     /// The connection.
     pub link: Link,
     backend: String,
-    /// When it was last put by.
-    since: Instant,
-    keep: Duration,
-    carried: u32,
-    _open: Open,
+    /// When it last became idle.
+    idle_since: Instant,
+    idle_timeout: Duration,
+    exchanges: u32,
+    _open_guard: OpenGuard,
 }
 
 impl Pooled {
-    /// Whether it has carried no exchange.
+    /// Whether it has not carried an exchange yet.
     pub fn is_new(&self) -> bool {
-        self.carried == 0
+        self.exchanges == 0
     }
 
-    /// The backend that it leads to.
+    /// Id of the connected backend.
     pub fn backend_id(&self) -> &str {
         &self.backend
     }
 
-    /// Takes in what the backend says of how long it keeps the connection.
-    pub fn heed(&mut self, headers: &HeaderMap) {
-        if let Some(told) = keep_alive(headers) {
-            self.keep = self.keep.min(told.mul_f64(KEEP_PART));
+    /// Lowers the idle timeout to what the response's `Keep-Alive` header allows.
+    pub fn apply_keep_alive(&mut self, headers: &HeaderMap) {
+        if let Some(timeout) = keep_alive(headers) {
+            self.idle_timeout = self.idle_timeout.min(timeout.mul_f64(KEEP_ALIVE_FACTOR));
         }
     }
 
-    fn is_overdue(&self) -> bool {
-        self.since.elapsed() >= self.keep
+    fn is_expired(&self) -> bool {
+        self.idle_since.elapsed() >= self.idle_timeout
     }
 }
 
-/// Counts a connection while it stands.
-struct Open(Rc<Cell<u32>>);
+/// Counts a connection while it is open.
+struct OpenGuard(Rc<Cell<u32>>);
 
-impl Open {
-    fn new(count: &Rc<Cell<u32>>) -> Open {
+impl OpenGuard {
+    fn new(count: &Rc<Cell<u32>>) -> OpenGuard {
         count.set(count.get() + 1);
-        Open(count.clone())
+        OpenGuard(count.clone())
     }
 }
 
-impl Drop for Open {
+impl Drop for OpenGuard {
     fn drop(&mut self) {
         self.0.set(self.0.get().saturating_sub(1));
     }
@@ -84,7 +84,7 @@
 
 #[derive(Default)]
 struct Connections {
-    /// The one used last stands at the end.
+    /// Ordered by last use, the most recent at the end.
     idle: Vec<Pooled>,
     open: Rc<Cell<u32>>,
 }
@@ -93,110 +93,113 @@
 #[derive(Default)]
 pub struct Pool {
     backends: RefCell<BTreeMap<String, Connections>>,
-    written: Rc<Cell<u64>>,
-    /// Told when a connection is put by.
-    parked: Notify,
+    bytes_written: Rc<Cell<u64>>,
+    /// Notified when a connection becomes idle.
+    became_idle: Notify,
 }
 
 impl Pool {
-    /// An idle connection that has rested: the one used last.
-    pub fn take(&self, backend: &str) -> Option<Pooled> {
+    /// Takes the most recently used idle connection that is past [`REUSE_DELAY`].
+    pub fn take_idle(&self, backend: &str) -> Option<Pooled> {
         let mut backends = self.backends.borrow_mut();
         let idle = &mut backends.get_mut(backend)?.idle;
-        idle.retain(|pooled| !pooled.is_overdue());
-        let at = idle
+        idle.retain(|pooled| !pooled.is_expired());
+        let index = idle
             .iter()
-            .rposition(|pooled| pooled.since.elapsed() >= REST)?;
-        Some(idle.remove(at))
+            .rposition(|pooled| pooled.idle_since.elapsed() >= REUSE_DELAY)?;
+        Some(idle.remove(index))
     }
 
-    /// Opens a connection, unless `most` stand.
+    /// Opens a connection, unless `max_connections` are open.
     ///
     /// # Errors
-    /// There is no room for one, or none came up.
+    /// The limit is reached, or the connection could not be opened.
     pub async fn connect(
         &self,
         backend: &Backend,
-        most: u32,
+        max_connections: u32,
         deadline: Instant,
     ) -> Result<Pooled, Outcome> {
         let open = {
             let mut backends = self.backends.borrow_mut();
             let connections = backends.entry(backend.id.clone()).or_default();
-            if connections.open.get() >= most {
+            if connections.open.get() >= max_connections {
                 return Err(Outcome::Declined);
             }
-            Open::new(&connections.open)
+            OpenGuard::new(&connections.open)
         };
-        let until = (Instant::now() + CONNECT_TIMEOUT).min(deadline);
-        let opening =
-            Link::open_bounded(backend.address.0, self.written.clone(), Some(UNCONFIRMED));
-        match timeout_at(until, opening).await {
+        let connect_deadline = (Instant::now() + CONNECT_TIMEOUT).min(deadline);
+        let opening = Link::open_bounded(
+            backend.address.0,
+            self.bytes_written.clone(),
+            Some(UNACKNOWLEDGED_TIMEOUT),
+        );
+        match timeout_at(connect_deadline, opening).await {
             Ok(Ok(link)) => Ok(Pooled {
                 link,
                 backend: backend.id.clone(),
-                since: Instant::now(),
-                keep: KEEP_IDLE,
-                carried: 0,
-                _open: open,
+                idle_since: Instant::now(),
+                idle_timeout: DEFAULT_IDLE_TIMEOUT,
+                exchanges: 0,
+                _open_guard: open,
             }),
             Ok(Err(_)) | Err(_) => Err(Outcome::NoConnection),
         }
     }
 
-    /// Puts a connection by whose last answer was read to its end.
-    pub async fn park(&self, mut pooled: Pooled) {
-        pooled.since = Instant::now();
-        pooled.carried = pooled.carried.saturating_add(1);
-        if pooled.keep.is_zero() || !pooled.link.is_usable().await {
+    /// Puts a connection whose last response was read to the end back into the pool.
+    pub async fn put_idle(&self, mut pooled: Pooled) {
+        pooled.idle_since = Instant::now();
+        pooled.exchanges = pooled.exchanges.saturating_add(1);
+        if pooled.idle_timeout.is_zero() || !pooled.link.is_usable().await {
             return;
         }
         if let Some(connections) = self.backends.borrow_mut().get_mut(&pooled.backend) {
             connections.idle.push(pooled);
-            self.parked.notify_one();
+            self.became_idle.notify_one();
         }
     }
 
-    /// Reads the short body of an answer that declines, and puts the connection by.
+    /// Reads the short body of a declining response and puts the connection back into the pool.
     pub async fn drain(&self, mut pooled: Pooled, mut body: Incoming) {
-        let to_the_end = async {
-            while let Some(piece) = pooled.link.piece(&mut body).await {
-                if piece.is_err() {
+        let read_to_end = async {
+            while let Some(chunk) = pooled.link.piece(&mut body).await {
+                if chunk.is_err() {
                     return false;
                 }
             }
             true
         };
-        if timeout(DRAIN, to_the_end).await.unwrap_or(false) {
-            self.park(pooled).await;
+        if timeout(DRAIN_TIMEOUT, read_to_end).await.unwrap_or(false) {
+            self.put_idle(pooled).await;
         }
     }
 
-    /// Forgets the backends that `keep` does not name, and closes their idle connections.
+    /// Removes the backends that `keep` rejects and closes their idle connections.
     pub fn retain(&self, keep: impl Fn(&str) -> bool) {
         self.backends.borrow_mut().retain(|id, _| keep(id));
     }
 
-    /// Closes connections that have been idle for long or that the other side has closed. Rests while there is none.
+    /// Periodically closes idle connections that have expired or that the peer has closed. Waits while there are none.
     pub async fn sweep(&self) {
         loop {
-            self.parked.notified().await;
-            while self.close_overdue() {
-                sleep(SWEEP).await;
+            self.became_idle.notified().await;
+            while self.close_expired() {
+                sleep(SWEEP_INTERVAL).await;
             }
         }
     }
 
-    /// Whether idle connections are left.
-    fn close_overdue(&self) -> bool {
+    /// Closes expired connections; returns whether idle ones remain.
+    fn close_expired(&self) -> bool {
         let mut context = Context::from_waker(Waker::noop());
-        let mut left = false;
+        let mut any_idle = false;
         for connections in self.backends.borrow_mut().values_mut() {
             connections
                 .idle
-                .retain_mut(|pooled| !pooled.is_overdue() && pooled.link.poll_usable(&mut context));
-            left |= !connections.idle.is_empty();
+                .retain_mut(|pooled| !pooled.is_expired() && pooled.link.poll_usable(&mut context));
+            any_idle |= !connections.idle.is_empty();
         }
-        left
+        any_idle
     }
 }
--- a/alderhollow/src/exchange/prompt.rs
+++ b/alderhollow/src/exchange/prompt.rs
@@ -1,16 +1,16 @@
-//! A request's prompt, as its headers tell.
+//! Reads the description of a request's prompt from its headers.
 
 use crate::balance::Prompt;
 use hyper::header::{HeaderMap, HeaderName};
 use twox_hash::XxHash3_64;
 
-/// The prompt's parts in order, `ID:TOKENS` by commas.
+/// Parts of the prompt in order, as comma-separated `ID:TOKENS`.
 pub const PROMPT_PREFIX: HeaderName = HeaderName::from_static("prompt-prefix");
-/// Tokens of the prompt, and most out.
+/// Number of prompt tokens and maximum number of output tokens, separated by a comma.
 pub const TOKEN_USAGE: HeaderName = HeaderName::from_static("token-usage");
 
-/// The prompt of a request for tokens; `None` if the headers name none. What cannot be read is left out: it decides
-/// only where the request is served best.
+/// Reads the prompt; `None` if the headers describe none. Malformed parts are ignored, as the prompt only affects which
+/// backend is preferred.
 pub fn read(headers: &HeaderMap) -> Option<Prompt> {
     let text = |name| headers.get(name).and_then(|value| value.to_str().ok());
     let parts: Vec<(u64, u32)> = text(PROMPT_PREFIX)
@@ -19,21 +19,21 @@
         .filter_map(|part| read_part(part.trim()))
         .collect();
     let mut usage = text(TOKEN_USAGE).unwrap_or("").split(',');
-    let mut next = || {
+    let mut next_count = || {
         usage
             .next()
             .and_then(|number| number.trim().parse::<u32>().ok())
     };
-    let (tokens_in, tokens_out) = (next(), next());
+    let (tokens_in, tokens_out) = (next_count(), next_count());
     if parts.is_empty() && tokens_in.is_none() {
         return None;
     }
-    let of_parts = || {
+    let sum_of_parts = || {
         parts
             .iter()
             .fold(0, |sum: u32, (_, tokens)| sum.saturating_add(*tokens))
     };
-    let tokens_in = tokens_in.unwrap_or_else(of_parts);
+    let tokens_in = tokens_in.unwrap_or_else(sum_of_parts);
     Some(Prompt {
         parts,
         tokens_in,
--- a/alderhollow/src/exchange/prompt/tests.rs
+++ b/alderhollow/src/exchange/prompt/tests.rs
@@ -9,7 +9,7 @@
 }
 
 #[test]
-fn parts_and_tokens_are_read_in_order() {
+fn parts_and_token_counts_are_read_in_order() {
     let prompt = read(&headers("5c1e07a2:800, 91bd3f06:410", "1460,80")).expect("a prompt");
     let tokens: Vec<u32> = prompt.parts.iter().map(|(_, tokens)| *tokens).collect();
     assert_eq!(
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn what_cannot_be_read_is_left_out() {
+fn malformed_values_are_ignored() {
     assert_eq!(read(&HeaderMap::new()), None);
     assert_eq!(read(&headers(",,:,a:,:b", "x")), None);
     let prompt = read(&headers("a:99999999999,b:7", "4294967296,")).expect("a prompt");
--- a/alderhollow/src/exchange/response.rs
+++ b/alderhollow/src/exchange/response.rs
@@ -1,4 +1,4 @@
-//! An answer that has begun.
+//! Responses of backends whose head has arrived.
 
 use super::attempt::Attempt;
 use super::outbound::RESPONSE_SEAL;
@@ -15,19 +15,20 @@
 
 const EVENT_STREAM: &str = "text/event-stream";
 
-/// The answer ended before it was whole.
+/// The response ended prematurely.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-#[error("the backend's answer is not whole")]
+#[error("the backend's response is incomplete")]
 pub struct IncompleteResponse;
 
-/// A backend's answer, whose body is still to be read. Dropped, it ends the backend's work and the connection.
+/// A backend's response whose body is still to be read. Dropping it closes the connection, which cancels the
+/// backend's work.
 pub struct BackendResponse {
-    /// Its status.
+    /// The status code.
     pub status: StatusCode,
-    /// Its headers, without those of its connection.
+    /// The headers, without hop-by-hop headers.
     pub headers: HeaderMap,
     body: Incoming,
-    /// Whether its end can be told from a connection that was cut.
+    /// Whether the framing distinguishes the end of the body from a lost connection.
     delimited: bool,
     pooled: Pooled,
     attempt: Attempt,
@@ -54,62 +55,63 @@
         }
     }
 
-    /// Whether it may be passed on: a success needs the backend's stamp, and a body as the backend made it.
+    /// Whether it may be forwarded: a success needs the `Response-Seal` header and a body without content encoding.
     pub fn is_valid(&self) -> bool {
         let stamped = self.headers.contains_key(RESPONSE_SEAL);
         let encoded = self.headers.contains_key(header::CONTENT_ENCODING);
         !self.status.is_success() || (stamped && !encoded)
     }
 
-    /// Whether it is a success that comes as a series of events.
+    /// Whether it is a success with a stream of events.
     pub fn is_event_stream(&self) -> bool {
-        let kind = self
+        let content_type = self
             .headers
             .get(header::CONTENT_TYPE)
-            .and_then(|kind| kind.to_str().ok());
-        let is_stream = kind.is_some_and(|kind| kind.trim_start().starts_with(EVENT_STREAM));
+            .and_then(|content_type| content_type.to_str().ok());
+        let is_stream = content_type
+            .is_some_and(|content_type| content_type.trim_start().starts_with(EVENT_STREAM));
         self.status == StatusCode::OK && is_stream
     }
 
-    /// Length of the rest of the body, where it is known.
+    /// Length of the remaining body, if known.
     pub fn length(&self) -> Option<u64> {
         self.body.size_hint().exact()
     }
 
-    /// Notes that the first event, or the head of an answer that is no stream, came.
+    /// Records that the first event, or the head of a response that is not a stream, has arrived.
     pub fn began(&self) {
         self.attempt.began();
     }
 
-    /// The next piece of the body; `None` at its proper end.
+    /// Reads the next chunk of the body; `None` at its regular end.
     pub async fn next_chunk(&mut self) -> Option<Result<Bytes, IncompleteResponse>> {
         match self.pooled.link.piece(&mut self.body).await {
-            Some(piece) => Some(piece.map_err(|_| IncompleteResponse)),
+            Some(chunk) => Some(chunk.map_err(|_| IncompleteResponse)),
             None if self.delimited => None,
             None => Some(Err(IncompleteResponse)),
         }
     }
 
-    /// As [`BackendResponse::piece`], if there is something to tell by now. The task is not woken when more comes.
+    /// Polls [`BackendResponse::next_chunk`] once; `None` if it is pending. The task is not woken when data arrives.
     pub fn try_next_chunk(&mut self) -> Option<Option<Result<Bytes, IncompleteResponse>>> {
         let mut context = Context::from_waker(Waker::noop());
         match pin!(self.next_chunk()).poll(&mut context) {
-            Poll::Ready(piece) => Some(piece),
+            Poll::Ready(chunk) => Some(chunk),
             Poll::Pending => None,
         }
     }
 
-    /// The body was read to its end: the connection goes back to the pool.
+    /// Ends the attempt and returns the connection to the pool. The body must have been read to the end.
     pub async fn finish(self, outcome: Outcome) {
         let BackendResponse {
             pooled, attempt, ..
         } = self;
         let exchange = attempt.exchange();
         attempt.end(outcome);
-        exchange.park(pooled).await;
+        exchange.release(pooled).await;
     }
 
-    /// The rest is not wanted: the connection closes, and with it the backend's work ends.
+    /// Ends the attempt and closes the connection, which cancels the backend's work.
     pub fn abandon(self, outcome: Outcome) {
         self.attempt.end(outcome);
     }
--- a/alderhollow/src/exchange/tables.rs
+++ b/alderhollow/src/exchange/tables.rs
@@ -1,4 +1,4 @@
-//! The tables as exchanges need them.
+//! Routes and connection limits derived from a snapshot.
 
 use crate::routing::RouteTable;
 use alderhollow_model::config::Config;
@@ -7,36 +7,40 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-/// Part of a backend's connections that all senders together use.
-const CONNECTIONS_PART: f64 = 0.9;
-/// Connections to one backend that a sender may always have.
-const LEAST_CONNECTIONS: u32 = 4;
+/// Fraction of a backend's `max-conns` that all senders together use.
+const SENDERS_CONNECTION_SHARE: f64 = 0.9;
+/// Connections to one backend that every sender may open.
+const MIN_CONNECTIONS: u32 = 4;
 
-/// One snapshot, with its routes ready for look-up.
+/// A snapshot with its routes prepared for lookup.
 pub struct Tables {
-    /// What they are made of.
+    /// The snapshot that the tables are derived from.
     pub snapshot: Arc<Snapshot>,
-    /// The configuration's routes.
+    /// Routes of the configuration.
     pub routes: Rc<RouteTable>,
-    /// By service: connections to each of its backends that this process may have.
+    /// Per service, the maximum number of connections of this process to each backend.
     connections: BTreeMap<String, u32>,
 }
 
 impl Tables {
-    /// Takes over the routes of `before` where the configuration is the same.
-    pub fn new(snapshot: Arc<Snapshot>, before: Option<&Tables>) -> Tables {
+    /// Reuses the routes of `previous` if the configuration is the same.
+    pub fn new(snapshot: Arc<Snapshot>, previous: Option<&Tables>) -> Tables {
         let config = snapshot.control.config.as_ref();
-        let same = before.filter(|before| match (config, &before.snapshot.control.config) {
-            (Some(new), Some(old)) => Arc::ptr_eq(new, old),
-            _ => false,
-        });
-        let routes = match (same, config) {
-            (Some(before), _) => before.routes.clone(),
+        let unchanged =
+            previous.filter(
+                |previous| match (config, &previous.snapshot.control.config) {
+                    (Some(new), Some(old)) => Arc::ptr_eq(new, old),
+                    _ => false,
+                },
+            );
+        let routes = match (unchanged, config) {
+            (Some(previous), _) => previous.routes.clone(),
             (None, Some(config)) => Rc::new(RouteTable::new(config)),
             (None, None) => Rc::default(),
         };
         let senders = snapshot.senders.nodes.len();
-        let connections = config.map_or_else(BTreeMap::new, |config| shares(config, senders));
+        let connections =
+            config.map_or_else(BTreeMap::new, |config| connection_shares(config, senders));
         Tables {
             snapshot,
             routes,
@@ -44,7 +48,7 @@
         }
     }
 
-    /// The configuration, once a primary has validated the tables.
+    /// The configuration, if a primary has validated the tables.
     pub fn config(&self) -> Option<&Arc<Config>> {
         self.snapshot
             .control
@@ -53,23 +57,23 @@
             .filter(|_| self.snapshot.validated)
     }
 
-    /// Connections that this process may have to each backend of a service.
+    /// Maximum number of connections of this process to each backend of a service.
     pub fn connections(&self, service: &str) -> u32 {
         self.connections.get(service).copied().unwrap_or(u32::MAX)
     }
 }
 
-/// A backend resets connections beyond `max-conns` of all callers together: each sender keeps to an even part.
-fn shares(config: &Config, senders: usize) -> BTreeMap<String, u32> {
-    let share = |most: u32| {
-        let part = f64::from(most) * CONNECTIONS_PART / senders.max(1) as f64;
-        (part as u32).max(LEAST_CONNECTIONS)
+/// A backend resets connections beyond `max-conns`, counted over all callers, so each sender gets an equal share.
+fn connection_shares(config: &Config, senders: usize) -> BTreeMap<String, u32> {
+    let share = |max_conns: u32| {
+        let share = f64::from(max_conns) * SENDERS_CONNECTION_SHARE / senders.max(1) as f64;
+        (share as u32).max(MIN_CONNECTIONS)
     };
-    let bounded = config
+    let limited = config
         .services
         .iter()
         .filter_map(|service| Some((service, service.max_conns?)));
-    bounded
-        .map(|(service, most)| (service.name.clone(), share(most)))
+    limited
+        .map(|(service, max_conns)| (service.name.clone(), share(max_conns)))
         .collect()
 }
--- a/alderhollow/src/exchange/wait_limits.rs
+++ b/alderhollow/src/exchange/wait_limits.rs
@@ -1,32 +1,32 @@
-//! How long a backend is waited for.
+//! Limits on waiting for a backend.
 
 use std::future::Future;
 use std::pin::pin;
 use std::time::Duration;
 use tokio::time::{timeout_at, Instant};
 
-/// Whoever knows of other backends for a request.
+/// Knows whether other backends are available for a request.
 pub trait Alternatives {
-    /// Whether another backend takes the request now. Asked when one has been silent for long.
+    /// Whether another backend can take the request now. Called when the current one has exceeded the silence limit.
     fn has_other(&self) -> bool;
 }
 
-/// Whether a request may be written at this very moment.
+/// Whether the request may be written at this moment.
 pub type Permission<'a> = &'a dyn Fn() -> bool;
 
-/// Bounds on waiting for one backend.
+/// Limits on waiting for one backend.
 #[derive(Clone, Copy)]
 pub struct WaitLimits<'a> {
-    /// Nothing is waited for beyond this.
+    /// End of all waiting.
     pub deadline: Instant,
-    /// A backend that is silent for so long is left, if there is another one.
+    /// A backend that is silent for this long is abandoned if another one is available.
     pub silence: Option<(Duration, &'a dyn Alternatives)>,
-    /// Asked right before the request is written; without it, it may be.
+    /// Checked right before the request is written; `None` permits it.
     pub permission: Option<Permission<'a>>,
 }
 
 impl WaitLimits<'_> {
-    /// Waits until the deadline alone.
+    /// Limits the wait by a deadline only.
     pub fn until(deadline: Instant) -> WaitLimits<'static> {
         WaitLimits {
             deadline,
@@ -40,7 +40,7 @@
         self.permission.is_none_or(|permission| permission())
     }
 
-    /// Waits for `work`; `None` if it is given up.
+    /// Waits for `work`; `None` if a limit was reached first.
     pub async fn wait<T>(&self, work: impl Future<Output = T>) -> Option<T> {
         let mut work = pin!(work);
         if let Some((silence, alternatives)) = self.silence {
--- a/alderhollow/src/executor/events.rs
+++ b/alderhollow/src/executor/events.rs
@@ -1,7 +1,7 @@
 //! Reads an item's answer: a series of events (`text/event-stream`), cut into pieces anywhere. Only whole events count; an
 //! event that was cut off is dropped, as the next run begins after the last whole one.
 
-use crate::exchange::events::LARGEST_EVENT_BYTES;
+use crate::exchange::events::MAX_EVENT_BYTES;
 
 /// What a run of an item brought so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
@@ -17,7 +17,7 @@
 /// Why a piece can't belong to the answer.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum EventError {
-    /// Larger than [`LARGEST_EVENT_BYTES`].
+    /// Larger than [`MAX_EVENT_BYTES`].
     #[error("an event is too large")]
     TooLarge,
     /// Its id is missing, no number, or not above the last one.
@@ -57,7 +57,7 @@
             self.scanned = 0;
             self.take(&event)?;
         }
-        match self.partial.len() > LARGEST_EVENT_BYTES {
+        match self.partial.len() > MAX_EVENT_BYTES {
             true => Err(EventError::TooLarge),
             false => Ok(()),
         }
--- a/alderhollow/src/executor/events/tests.rs
+++ b/alderhollow/src/executor/events/tests.rs
@@ -91,7 +91,7 @@
 #[test]
 fn an_endless_event_is_refused() {
     let mut reader = EventReader::default();
-    let piece = vec![b'x'; LARGEST_EVENT_BYTES / 2];
+    let piece = vec![b'x'; MAX_EVENT_BYTES / 2];
     assert_eq!(reader.push(&piece), Ok(()));
     assert_eq!(reader.push(&piece), Ok(()));
     assert_eq!(reader.push(&piece), Err(EventError::TooLarge));
