--- a/alderhollow/src/executor/attempt.rs
+++ b/alderhollow/src/executor/attempt.rs
@@ -1,4 +1,4 @@
-//! One run of an item at a backend: what its answer means for the item.
+//! Interprets a backend's response to an item.
 
 use super::events::{EventReader, Transcript};
 use crate::balance::Outcome;
@@ -11,75 +11,79 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// A backend that sends no event for so long is left: before its first one it may still read the prompt, or wait.
-pub const FIRST_EVENT_SILENCE: Duration = Duration::from_millis(3_500);
-const NEXT_EVENT_SILENCE: Duration = Duration::from_millis(2_000);
-/// After the first event, events are read together so often: nobody waits for a single one, and each look at each of
-/// hundreds of connections costs the store's processor.
-const GATHER: Duration = Duration::from_millis(40);
-/// Pauses before the next try.
-const PAUSE_AFTER_DECLINED_MS: u64 = 120;
-const PAUSE_AFTER_NO_CONNECTION_MS: u64 = 60;
-const PAUSE_AFTER_CUT_MS: u64 = 20;
-const PAUSE_AFTER_STRANGE_ANSWER_MS: u64 = 200;
+/// A backend that sends no event for this long is abandoned. Before the first event it may still be processing the
+/// prompt or queueing the request.
+pub const FIRST_EVENT_TIMEOUT: Duration = Duration::from_millis(3_500);
+const NEXT_EVENT_TIMEOUT: Duration = Duration::from_millis(2_000);
+/// Polling interval after the first event. No client waits for a single event of an item, and waking up for each event
+/// of hundreds of connections costs CPU time at the store.
+const POLL_INTERVAL: Duration = Duration::from_millis(40);
+// Delays before the next attempt.
+const RETRY_AFTER_DECLINED_MS: u64 = 120;
+const RETRY_AFTER_NO_CONNECTION_MS: u64 = 60;
+const RETRY_AFTER_INTERRUPTED_MS: u64 = 20;
+const RETRY_AFTER_UNEXPECTED_STATUS_MS: u64 = 200;
 
-/// What an attempt without an answer means.
-pub fn unanswered(item: &ItemStart, unanswered: SendError) -> RunEnd {
-    match unanswered {
+/// Result of an attempt without a response.
+pub fn on_send_error(item: &ItemStart, error: SendError) -> RunEnd {
+    match error {
         SendError::NotRun(Outcome::Declined | Outcome::Cancelled) => {
-            not_run(PAUSE_AFTER_DECLINED_MS)
+            not_run(RETRY_AFTER_DECLINED_MS)
         }
-        SendError::NotRun(_) => not_run(PAUSE_AFTER_NO_CONNECTION_MS),
-        SendError::MayHaveRun(_) => cut(item, PAUSE_AFTER_CUT_MS),
+        SendError::NotRun(_) => not_run(RETRY_AFTER_NO_CONNECTION_MS),
+        SendError::MayHaveRun(_) => interrupted(item, RETRY_AFTER_INTERRUPTED_MS),
     }
 }
 
-/// Reads an answer of the backend's work.
-pub async fn read(item: &ItemStart, answer: BackendResponse) -> RunEnd {
-    match answer.status {
-        StatusCode::OK if answer.is_valid() => read_events(item, answer).await,
+/// Reads the response of a backend that ran the request.
+pub async fn read(item: &ItemStart, response: BackendResponse) -> RunEnd {
+    match response.status {
+        StatusCode::OK if response.is_valid() => read_events(item, response).await,
         StatusCode::INTERNAL_SERVER_ERROR => {
-            finish_failure(answer, Outcome::Failed).await;
+            finish_error_response(response, Outcome::Failed).await;
             RunEnd::Failed
         }
         StatusCode::UNPROCESSABLE_ENTITY => {
-            finish_failure(answer, Outcome::Served).await;
+            finish_error_response(response, Outcome::Served).await;
             RunEnd::Rejected
         }
         status => {
-            log::warn!("item {}: a backend answered {status}", item.item_id);
-            answer.abandon(Outcome::Failed);
-            cut(item, PAUSE_AFTER_STRANGE_ANSWER_MS)
+            log::warn!(
+                "item {}: unexpected backend response status {status}",
+                item.item_id
+            );
+            response.abandon(Outcome::Failed);
+            interrupted(item, RETRY_AFTER_UNEXPECTED_STATUS_MS)
         }
     }
 }
 
-/// Reads the events of an answer. It is whole only if its framing says so and it ends between two events.
-async fn read_events(item: &ItemStart, mut answer: BackendResponse) -> RunEnd {
+/// Reads a stream of events. It is complete only if the framing marks its end and it ends at an event boundary.
+async fn read_events(item: &ItemStart, mut response: BackendResponse) -> RunEnd {
     let mut reader = EventReader::after(transcript_of(item));
     let events_before = reader.transcript().events;
-    let mut has_begun = false;
+    let mut has_started = false;
     let outcome = loop {
-        let piece = match has_begun {
-            false => tokio::time::timeout(FIRST_EVENT_SILENCE, answer.next_chunk())
+        let chunk = match has_started {
+            false => tokio::time::timeout(FIRST_EVENT_TIMEOUT, response.next_chunk())
                 .await
                 .ok(),
-            true => gathered_piece(&mut answer).await,
+            true => poll_chunk(&mut response).await,
         };
-        match piece {
-            Some(Some(Ok(piece))) => {
-                metrics::get().runs.received(piece.len());
-                if let Err(error) = reader.push(&piece) {
+        match chunk {
+            Some(Some(Ok(chunk))) => {
+                metrics::get().runs.received(chunk.len());
+                if let Err(error) = reader.push(&chunk) {
                     log::warn!("item {}: {error}", item.item_id);
                     break Outcome::Broken;
                 }
-                if !has_begun && reader.transcript().events > events_before {
-                    has_begun = true;
-                    answer.began();
+                if !has_started && reader.transcript().events > events_before {
+                    has_started = true;
+                    response.began();
                 }
             }
             Some(None) if reader.is_between_events() => {
-                answer.finish(Outcome::Served).await;
+                response.finish(Outcome::Served).await;
                 return RunEnd::Completed {
                     text: reader.into_transcript().text,
                 };
@@ -88,36 +92,36 @@
             None => break Outcome::TimedOut,
         }
     };
-    answer.abandon(outcome);
+    response.abandon(outcome);
     RunEnd::Interrupted {
         resume: resume_of(reader.into_transcript()),
-        retry_after_ms: PAUSE_AFTER_CUT_MS,
+        retry_after_ms: RETRY_AFTER_INTERRUPTED_MS,
     }
 }
 
-/// The next piece of an answer, looked for every [`GATHER`]; `None` if none came for [`NEXT_EVENT_SILENCE`].
-async fn gathered_piece(
-    answer: &mut BackendResponse,
+/// Returns the next chunk, polling every [`POLL_INTERVAL`]; `None` if none arrived within [`NEXT_EVENT_TIMEOUT`].
+async fn poll_chunk(
+    response: &mut BackendResponse,
 ) -> Option<Option<Result<Bytes, IncompleteResponse>>> {
-    let silent_at = Instant::now() + NEXT_EVENT_SILENCE;
+    let timeout_at = Instant::now() + NEXT_EVENT_TIMEOUT;
     loop {
-        if let Some(piece) = answer.try_next_chunk() {
-            return Some(piece);
+        if let Some(chunk) = response.try_next_chunk() {
+            return Some(chunk);
         }
-        if Instant::now() >= silent_at {
+        if Instant::now() >= timeout_at {
             return None;
         }
-        tokio::time::sleep(GATHER).await;
+        tokio::time::sleep(POLL_INTERVAL).await;
     }
 }
 
-/// Reads the rest of a failure's answer, so that its connection can be used again.
-async fn finish_failure(mut answer: BackendResponse, outcome: Outcome) {
+/// Reads the rest of an error response so that its connection can be reused.
+async fn finish_error_response(mut response: BackendResponse, outcome: Outcome) {
     loop {
-        match tokio::time::timeout(NEXT_EVENT_SILENCE, answer.next_chunk()).await {
-            Ok(Some(Ok(piece))) => metrics::get().runs.received(piece.len()),
-            Ok(None) => return answer.finish(outcome).await,
-            Ok(Some(Err(_))) | Err(_) => return answer.abandon(outcome),
+        match tokio::time::timeout(NEXT_EVENT_TIMEOUT, response.next_chunk()).await {
+            Ok(Some(Ok(chunk))) => metrics::get().runs.received(chunk.len()),
+            Ok(None) => return response.finish(outcome).await,
+            Ok(Some(Err(_))) | Err(_) => return response.abandon(outcome),
         }
     }
 }
@@ -144,8 +148,8 @@
     RunEnd::NotRun { retry_after_ms }
 }
 
-/// The run may have happened; what earlier runs brought stays.
-fn cut(item: &ItemStart, retry_after_ms: u64) -> RunEnd {
+/// The request may have run; the events of earlier runs are kept.
+fn interrupted(item: &ItemStart, retry_after_ms: u64) -> RunEnd {
     RunEnd::Interrupted {
         resume: item.resume.clone(),
         retry_after_ms,
--- a/alderhollow/src/executor/events.rs
+++ b/alderhollow/src/executor/events.rs
@@ -1,34 +1,34 @@
-//! Reads an item's answer: a series of events (`text/event-stream`), cut into pieces anywhere. Only whole events count; an
-//! event that was cut off is dropped, as the next run begins after the last whole one.
+//! Reads an item's response: server-sent events (`text/event-stream`) in chunks with arbitrary boundaries. Only complete
+//! events count; a truncated event is discarded, as the next run resumes after the last complete one.
 
 use crate::exchange::events::MAX_EVENT_BYTES;
 
-/// What a run of an item brought so far.
+/// The events of an item received so far.
 #[derive(Debug, Clone, Default, PartialEq, Eq)]
 pub struct Transcript {
-    /// Id of the last whole event.
+    /// Id of the last complete event.
     pub last_id: Option<u64>,
-    /// The data of all whole events in order, parted by line feeds.
+    /// The data of all complete events in order, separated by line feeds.
     pub text: String,
-    /// Number of whole events.
+    /// Number of complete events.
     pub events: u64,
 }
 
-/// Why a piece can't belong to the answer.
+/// Why a chunk is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum EventError {
     /// Larger than [`MAX_EVENT_BYTES`].
-    #[error("an event is too large")]
+    #[error("an event exceeds the maximum size")]
     TooLarge,
-    /// Its id is missing, no number, or not above the last one.
-    #[error("an event's id is missing or does not rise")]
+    /// The id is missing, not a number, or not greater than the previous one.
+    #[error("an event id is missing, not a number or does not increase")]
     Id,
-    /// Its data is no text.
-    #[error("an event is no text")]
-    Text,
+    /// The event is not valid UTF-8.
+    #[error("an event is not valid UTF-8")]
+    Utf8,
 }
 
-/// Puts a run's pieces together. Begins where an earlier run ended.
+/// Parses the chunks of a run, which may resume an earlier run.
 #[derive(Debug, Default)]
 pub struct EventReader {
     transcript: Transcript,
@@ -37,7 +37,7 @@
 }
 
 impl EventReader {
-    /// Continues what earlier runs brought.
+    /// Resumes after the events of earlier runs.
     pub fn after(transcript: Transcript) -> EventReader {
         EventReader {
             transcript,
@@ -46,16 +46,16 @@
         }
     }
 
-    /// Takes the next piece of the answer.
+    /// Parses the next chunk.
     ///
     /// # Errors
-    /// The stream breaks the format of events, or its limits.
-    pub fn push(&mut self, piece: &[u8]) -> Result<(), EventError> {
-        self.partial.extend_from_slice(piece);
+    /// The stream violates the event format or its limits.
+    pub fn push(&mut self, chunk: &[u8]) -> Result<(), EventError> {
+        self.partial.extend_from_slice(chunk);
         while let Some((length, next)) = self.end_of_event() {
             let event: Vec<u8> = self.partial.drain(..next).take(length).collect();
             self.scanned = 0;
-            self.take(&event)?;
+            self.add_event(&event)?;
         }
         match self.partial.len() > MAX_EVENT_BYTES {
             true => Err(EventError::TooLarge),
@@ -63,22 +63,22 @@
         }
     }
 
-    /// What the whole events hold.
+    /// The complete events.
     pub fn transcript(&self) -> &Transcript {
         &self.transcript
     }
 
-    /// Drops a partial event and gives what the whole ones hold.
+    /// Discards a partial event and returns the complete ones.
     pub fn into_transcript(self) -> Transcript {
         self.transcript
     }
 
-    /// Whether the answer so far ends between two events.
+    /// Whether the stream so far ends at an event boundary.
     pub fn is_between_events(&self) -> bool {
         self.partial.is_empty()
     }
 
-    /// Length of the first event, and where the next one begins: after an empty line.
+    /// Finds the empty line that ends the first event; returns the event's length and the offset of the next one.
     fn end_of_event(&mut self) -> Option<(usize, usize)> {
         let mut line_start = self.scanned;
         loop {
@@ -94,8 +94,8 @@
         }
     }
 
-    fn take(&mut self, event: &[u8]) -> Result<(), EventError> {
-        let event = std::str::from_utf8(event).map_err(|_| EventError::Text)?;
+    fn add_event(&mut self, event: &[u8]) -> Result<(), EventError> {
+        let event = std::str::from_utf8(event).map_err(|_| EventError::Utf8)?;
         let mut id = None;
         let mut data: Option<String> = None;
         for line in event.lines() {
@@ -113,14 +113,14 @@
                 _ => {}
             }
         }
-        // Comments and other lines alone are no event.
+        // A block of only comments and unknown fields is not an event.
         match (id, data) {
             (None, None) => Ok(()),
-            (id, data) => self.add(id, data.unwrap_or_default()),
+            (id, data) => self.append(id, data.unwrap_or_default()),
         }
     }
 
-    fn add(&mut self, id: Option<u64>, data: String) -> Result<(), EventError> {
+    fn append(&mut self, id: Option<u64>, data: String) -> Result<(), EventError> {
         let id = id.ok_or(EventError::Id)?;
         let transcript = &mut self.transcript;
         if transcript.last_id.is_some_and(|last| id <= last) {
--- a/alderhollow/src/executor/events/tests.rs
+++ b/alderhollow/src/executor/events/tests.rs
@@ -1,4 +1,4 @@
-//! Events cut at every byte.
+//! Tests of parsing events that are truncated at any byte.
 
 use super::*;
 use proptest::prelude::*;
@@ -6,16 +6,16 @@
 const STREAM: &str =
     "id: 1\ndata: one\n\nversions: 4\nid: 2\ndata: two\n\n: note\n\nid: 3\ndata: drei \u{e4}\n\n";
 
-fn read(pieces: &[&[u8]]) -> EventReader {
+fn read(chunks: &[&[u8]]) -> EventReader {
     let mut reader = EventReader::default();
-    for piece in pieces {
-        reader.push(piece).expect("a valid piece");
+    for chunk in chunks {
+        reader.push(chunk).expect("a valid chunk");
     }
     reader
 }
 
 #[test]
-fn whole_events_are_joined_by_line_feeds() {
+fn complete_events_are_joined_by_line_feeds() {
     let reader = read(&[STREAM.as_bytes()]);
     assert_eq!(reader.transcript().text, "one\ntwo\ndrei \u{e4}");
     assert_eq!(reader.transcript().last_id, Some(3));
@@ -23,7 +23,7 @@
 }
 
 #[test]
-fn a_stream_cut_at_any_byte_goes_on_without_loss_or_doubling() {
+fn a_stream_interrupted_at_any_byte_resumes_without_loss_or_duplication() {
     for cut in 0..=STREAM.len() {
         let first = read(&[&STREAM.as_bytes()[..cut]]).into_transcript();
         let next_id = first.last_id.unwrap_or(0) + 1;
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn ids_must_rise_and_be_there() {
+fn ids_must_be_present_and_increase() {
     for bad in [
         "id: 2\ndata: a\n\nid: 2\ndata: b\n\n",
         "id: 2\ndata: a\n\nid: 1\ndata: b\n\n",
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn an_event_of_a_run_that_began_too_early_is_refused() {
+fn an_event_of_a_run_that_resumes_too_early_is_rejected() {
     let mut reader = EventReader::after(Transcript {
         last_id: Some(4),
         text: "x".into(),
@@ -89,17 +89,17 @@
 }
 
 #[test]
-fn an_endless_event_is_refused() {
+fn an_event_beyond_the_maximum_size_is_rejected() {
     let mut reader = EventReader::default();
-    let piece = vec![b'x'; MAX_EVENT_BYTES / 2];
-    assert_eq!(reader.push(&piece), Ok(()));
-    assert_eq!(reader.push(&piece), Ok(()));
-    assert_eq!(reader.push(&piece), Err(EventError::TooLarge));
+    let chunk = vec![b'x'; MAX_EVENT_BYTES / 2];
+    assert_eq!(reader.push(&chunk), Ok(()));
+    assert_eq!(reader.push(&chunk), Ok(()));
+    assert_eq!(reader.push(&chunk), Err(EventError::TooLarge));
 }
 
 proptest! {
     #[test]
-    fn any_division_into_pieces_gives_the_same(
+    fn the_result_does_not_depend_on_chunk_boundaries(
         texts in proptest::collection::vec("[a-z \u{e4}]{0,20}", 1..20),
         cuts in proptest::collection::vec(0usize..400, 0..12),
     ) {
@@ -120,10 +120,10 @@
     }
 
     #[test]
-    fn arbitrary_bytes_never_panic(pieces in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..60), 0..20)) {
+    fn arbitrary_bytes_never_panic(chunks in proptest::collection::vec(proptest::collection::vec(any::<u8>(), 0..60), 0..20)) {
         let mut reader = EventReader::default();
-        for piece in pieces {
-            if reader.push(&piece).is_err() {
+        for chunk in chunks {
+            if reader.push(&chunk).is_err() {
                 break;
             }
         }
--- a/alderhollow/src/executor/mod.rs
+++ b/alderhollow/src/executor/mod.rs
@@ -1,11 +1,11 @@
-//! Runs the items of batch jobs at backends, for the primary of the group of stores.
+//! Runs the items of batch jobs at backends, on behalf of the primary of a batch group.
 //!
-//! | part | does |
+//! | module | purpose |
 //! | --- | --- |
-//! | [`pacing`] | tells how many items may start |
-//! | [`outbound`] | makes the request of an item |
-//! | [`attempt`] | what an answer means for the item |
-//! | [`events`] | reads an answer's events |
+//! | [`pacing`] | limits how many items may start |
+//! | [`outbound`] | builds the request of an item |
+//! | [`attempt`] | interprets a backend's response |
+//! | [`events`] | parses the events of a response |
 
 pub mod attempt;
 pub mod events;
@@ -20,7 +20,7 @@
 use alderhollow_batch::api::{ItemStart, RunEnd};
 use alderhollow_model::config::Route;
 use alderhollow_model::snapshot::Snapshot;
-use attempt::FIRST_EVENT_SILENCE;
+use attempt::FIRST_EVENT_TIMEOUT;
 use pacing::{LedShare, Pacer};
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -28,18 +28,18 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause where no backend may get the item.
-const PAUSE_NONE_READY_MS: u64 = 200;
-/// Pause for an item of which no request can be made; it was taken by an older version of the program.
-const PAUSE_UNSENDABLE_MS: u64 = 5_000;
-/// Bounds on the pause where all backends are full.
-const SHORTEST_PAUSE_FULL_MS: f64 = 50.0;
-const LONGEST_PAUSE_FULL_MS: f64 = 1_000.0;
-/// Bounds on what a backend is told of the time it has.
-const SHORTEST_DEADLINE: Duration = Duration::from_secs(2);
-const LONGEST_DEADLINE: Duration = Duration::from_secs(20);
+/// Retry delay when no backend can take the item.
+const RETRY_NONE_READY_MS: u64 = 200;
+/// Retry delay of an item for which no request can be built; only an older version accepted such items.
+const RETRY_UNSENDABLE_MS: u64 = 5_000;
+// Bounds on the retry delay when all backends are full.
+const MIN_RETRY_ALL_FULL_MS: f64 = 50.0;
+const MAX_RETRY_ALL_FULL_MS: f64 = 1_000.0;
+// Bounds on the deadline that is sent to a backend.
+const MIN_DEADLINE: Duration = Duration::from_secs(2);
+const MAX_DEADLINE: Duration = Duration::from_secs(20);
 
-/// Runs items. Clones are the same. To be used in a `LocalSet`.
+/// Runs items. Clones share one state. Must be used inside a `LocalSet`.
 #[derive(Clone)]
 pub struct Executor {
     shared: Rc<Shared>,
@@ -49,64 +49,65 @@
     clock: SteadyClock,
     exchange: Rc<Exchange>,
     pacer: RefCell<Pacer>,
-    /// The tables that the pacer knows.
-    paced: RefCell<Option<Arc<Snapshot>>>,
+    /// The snapshot last applied to the pacer.
+    applied_snapshot: RefCell<Option<Arc<Snapshot>>>,
 }
 
 impl Executor {
-    /// An executor whose requests go through `exchange`.
+    /// Creates an executor that sends requests through `exchange`.
     pub fn new(clock: SteadyClock, exchange: Rc<Exchange>) -> Executor {
         let shared = Shared {
             clock,
             exchange,
             pacer: RefCell::default(),
-            paced: RefCell::default(),
+            applied_snapshot: RefCell::default(),
         };
         Executor {
             shared: Rc::new(shared),
         }
     }
 
-    /// How many items may start now in a process that leads this share of the groups, with so many waiting and running.
-    pub fn room(&self, share: LedShare, waiting: usize, running: usize) -> usize {
+    /// How many items may start now, given the share of groups that this process leads and the number of waiting and
+    /// running items.
+    pub fn startable_items(&self, share: LedShare, waiting: usize, running: usize) -> usize {
         let snapshot = self.shared.exchange.tables().snapshot.clone();
-        let mut paced = self.shared.paced.borrow_mut();
+        let mut applied_snapshot = self.shared.applied_snapshot.borrow_mut();
         let mut pacer = self.shared.pacer.borrow_mut();
-        if !paced
+        if !applied_snapshot
             .as_ref()
-            .is_some_and(|known| Arc::ptr_eq(known, &snapshot))
+            .is_some_and(|applied| Arc::ptr_eq(applied, &snapshot))
         {
             pacer.update(&snapshot);
-            *paced = Some(snapshot);
+            *applied_snapshot = Some(snapshot);
         }
         pacer.set_share(share);
-        pacer.room(self.shared.clock.now_ms() as Millis, waiting, running)
+        pacer.startable_items(self.shared.clock.now_ms() as Millis, waiting, running)
     }
 
-    /// So many items were taken to be started.
-    pub fn started(&self, count: usize) {
-        self.shared.pacer.borrow_mut().started(count);
+    /// Records that `count` items are being started.
+    pub fn record_starts(&self, count: usize) {
+        self.shared.pacer.borrow_mut().record_starts(count);
     }
 
-    /// Runs an item at one backend. Dropping the future closes the run's connection.
+    /// Runs an item at one backend. Dropping the future closes the connection.
     pub async fn run(&self, item: &ItemStart) -> RunEnd {
         self.run_permitted(item, &|| true).await
     }
 
-    /// As [`Executor::run`]; `permission` is asked right before the request is written.
+    /// Like [`Executor::run`]; `permission` is checked right before the request is written.
     pub async fn run_permitted(&self, item: &ItemStart, permission: Permission<'_>) -> RunEnd {
         let exchange = &self.shared.exchange;
         let Some(route) = self.route(&item.route) else {
-            return not_run(PAUSE_NONE_READY_MS);
+            return not_run(RETRY_NONE_READY_MS);
         };
         let Some(service) = exchange.pick_service(&route) else {
-            return not_run(PAUSE_NONE_READY_MS);
+            return not_run(RETRY_NONE_READY_MS);
         };
         let outbound = match outbound::of_item(item) {
             Ok(outbound) => outbound,
             Err(error) => {
                 log::warn!("item {}: {error}", item.item_id);
-                return not_run(PAUSE_UNSENDABLE_MS);
+                return not_run(RETRY_UNSENDABLE_MS);
             }
         };
         let prompt = prompt::read(outbound.headers());
@@ -118,34 +119,34 @@
         };
         let attempt = match exchange.place(&wanted).await {
             Ok(attempt) => attempt,
-            Err(NoBackend::NoneReady) => return not_run(PAUSE_NONE_READY_MS),
+            Err(NoBackend::NoneReady) => return not_run(RETRY_NONE_READY_MS),
             Err(NoBackend::AllFull { retry_after_ms }) => {
                 return not_run(
-                    retry_after_ms.clamp(SHORTEST_PAUSE_FULL_MS, LONGEST_PAUSE_FULL_MS) as u64,
+                    retry_after_ms.clamp(MIN_RETRY_ALL_FULL_MS, MAX_RETRY_ALL_FULL_MS) as u64,
                 );
             }
         };
-        let patience = WaitLimits {
+        let limits = WaitLimits {
             deadline: Instant::now() + self.deadline(item),
-            silence: Some((FIRST_EVENT_SILENCE, &AnyOther)),
+            silence: Some((FIRST_EVENT_TIMEOUT, &AlwaysAbandon)),
             permission: Some(permission),
         };
         metrics::get().runs.sent(item.request.body.len());
         let resume_after = item.resume.as_ref().map(|resume| resume.last_event_id);
         match exchange
-            .send(attempt, &outbound, resume_after, &patience)
+            .send(attempt, &outbound, resume_after, &limits)
             .await
         {
-            Ok(answer) => attempt::read(item, answer).await,
-            Err(unanswered) => attempt::unanswered(item, unanswered),
+            Ok(response) => attempt::read(item, response).await,
+            Err(error) => attempt::on_send_error(item, error),
         }
     }
 
     fn deadline(&self, item: &ItemStart) -> Duration {
-        let left = item
+        let remaining_ms = item
             .abandon_at_ms
             .saturating_sub(self.shared.clock.now_ms() as i64);
-        Duration::from_millis(left.max(0) as u64).clamp(SHORTEST_DEADLINE, LONGEST_DEADLINE)
+        Duration::from_millis(remaining_ms.max(0) as u64).clamp(MIN_DEADLINE, MAX_DEADLINE)
     }
 
     fn route(&self, name: &str) -> Option<Route> {
@@ -159,10 +160,10 @@
     }
 }
 
-/// An item waits for the next try rather than at a silent backend.
-struct AnyOther;
+/// Abandons a silent backend even if no other is known: the item rather waits for its next attempt.
+struct AlwaysAbandon;
 
-impl Alternatives for AnyOther {
+impl Alternatives for AlwaysAbandon {
     fn has_other(&self) -> bool {
         true
     }
--- a/alderhollow/src/executor/outbound.rs
+++ b/alderhollow/src/executor/outbound.rs
@@ -1,4 +1,4 @@
-//! The request that runs an item.
+//! Builds the request that runs an item.
 
 use crate::exchange::outbound::{
     Outbound, OutboundError, DEADLINE_MS, LAST_EVENT_ID, REQUEST_ID, TARGET_INSTANCE,
@@ -9,7 +9,7 @@
 use hyper::header::{HeaderMap, HeaderName, HeaderValue, CONTENT_LENGTH, HOST};
 use hyper::{Method, Uri};
 
-/// Headers that the system sets itself: an item's own are passed over.
+/// Headers that the executor sets; an item's own values are ignored.
 const RESERVED: [HeaderName; 6] = [
     HOST,
     CONTENT_LENGTH,
@@ -19,18 +19,18 @@
     LAST_EVENT_ID,
 ];
 
-/// Why no request can be made of an item. Jobs are checked when they are handed in.
+/// Why no request can be built for an item. Jobs are already validated on submission.
 #[derive(Debug, thiserror::Error)]
 pub enum ItemError {
-    /// A header or the path can't stand in a request.
-    #[error("a part of the item can't stand in a request: {0}")]
+    /// A header or the path is invalid.
+    #[error("the item has an invalid header or path: {0}")]
     Http(#[from] http::Error),
-    /// As for any request.
+    /// The request cannot be forwarded.
     #[error(transparent)]
     Outbound(#[from] OutboundError),
 }
 
-/// Makes the request of an item.
+/// Builds the request of an item.
 ///
 /// # Errors
 /// The item's path or one of its headers is invalid.
@@ -40,11 +40,11 @@
     for header in &item.request.headers {
         let name = HeaderName::from_bytes(header.name.as_bytes()).map_err(http::Error::from)?;
         if !RESERVED.contains(&name) {
-            headers.append(name, value(&header.value)?);
+            headers.append(name, header_value(&header.value)?);
         }
     }
-    headers.insert(HOST, value(&item.host)?);
-    headers.insert(REQUEST_ID, value(&item.item_id)?);
+    headers.insert(HOST, header_value(&item.host)?);
+    headers.insert(REQUEST_ID, header_value(&item.item_id)?);
     let body = Bytes::copy_from_slice(&item.request.body);
     Ok(Outbound::new(
         Method::POST,
@@ -54,6 +54,6 @@
     )?)
 }
 
-fn value(text: &str) -> Result<HeaderValue, http::Error> {
+fn header_value(text: &str) -> Result<HeaderValue, http::Error> {
     Ok(HeaderValue::from_str(text)?)
 }
--- a/alderhollow/src/executor/pacing.rs
+++ b/alderhollow/src/executor/pacing.rs
@@ -1,4 +1,4 @@
-//! How many items run at once: the room that streams of clients leave, without starting hundreds in one instant.
+//! Limits how many items run at once, to leave capacity for clients' streams, and how many start per second.
 
 use crate::balance::Millis;
 use alderhollow_model::backend::BackendState;
@@ -6,38 +6,38 @@
 use alderhollow_model::snapshot::Snapshot;
 use std::collections::BTreeSet;
 
-/// Part of the slots of the batch routes' backends that the items of all groups may take.
-const SHARE_OF_SLOTS: f64 = 0.8;
-/// Items that may run at one process however few slots there are.
-const FEWEST_RUNNING: usize = 4;
-/// Where the list names no slots for a backend.
+/// Share of the slots of the batch routes' backends that the items of all groups may use.
+const SLOT_SHARE: f64 = 0.8;
+/// Items that one process may run regardless of the number of slots.
+const MIN_RUNNING: usize = 4;
+/// Slots of a backend that is listed without a number of slots.
 const DEFAULT_SLOTS: u32 = 16;
-/// Most starts a second, as part of the items that may run.
-const STARTS_PER_SECOND_SHARE: f64 = 1.0;
-/// What waits is started over about this time, well within the time that items have: streams of clients feel a flat
-/// load less than its peaks.
-const SPREAD_S: f64 = 1.5;
-/// Starts a second, however few items wait.
-const LEAST_STARTS_PER_SECOND: f64 = 8.0;
-/// Starts that may come at once, as part of the items that may run, and at least.
+/// Maximum starts per second, as a fraction of the items that may run.
+const MAX_STARTS_PER_SECOND_SHARE: f64 = 1.0;
+/// Waiting items are started over about this period, well within their deadlines: an even load disturbs clients'
+/// streams less than peaks.
+const START_PERIOD_S: f64 = 1.5;
+/// Minimum starts per second, however few items wait.
+const MIN_STARTS_PER_SECOND: f64 = 8.0;
+/// Maximum burst of starts, as a fraction of the items that may run, but at least [`MIN_BURST`].
 const BURST_SHARE: f64 = 0.05;
-const FEWEST_BURST: f64 = 2.0;
+const MIN_BURST: f64 = 2.0;
 
-/// The batch groups that this process runs the items of, of all: its part of what all processes may run.
+/// Share of the batch groups that this process leads, which is its share of the items that all processes may run.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct LedShare {
-    /// The groups that it leads.
+    /// Number of groups that it leads.
     pub led: usize,
-    /// All groups.
+    /// Number of all groups.
     pub all: usize,
 }
 
 impl LedShare {
-    /// All groups, or none that are known.
+    /// All groups; also used while no groups are known.
     pub const WHOLE: LedShare = LedShare { led: 1, all: 1 };
 
     /// The share as a number from 0 to 1.
-    fn part(self) -> f64 {
+    fn fraction(self) -> f64 {
         match self.all {
             0 => 1.0,
             all => self.led.min(all) as f64 / all as f64,
@@ -51,58 +51,58 @@
     }
 }
 
-/// Tells how many items may start now.
+/// Token bucket that limits starts of items, with a bound on running items.
 #[derive(Debug, Default)]
 pub struct Pacer {
-    /// Slots of all backends for items.
+    /// Slots of all backends of batch routes.
     slots: u64,
     share: LedShare,
-    most_running: usize,
-    allowance: f64,
-    filled_at: Option<Millis>,
+    max_running: usize,
+    start_tokens: f64,
+    refilled_at: Option<Millis>,
 }
 
 impl Pacer {
-    /// Takes in newer tables.
+    /// Applies a new snapshot.
     pub fn update(&mut self, snapshot: &Snapshot) {
         self.slots = slots_of_batch_services(snapshot);
-        self.update_bound();
+        self.update_max_running();
     }
 
-    /// From now on the process leads these groups.
+    /// Sets the share of groups that this process leads.
     pub fn set_share(&mut self, share: LedShare) {
         if self.share != share {
             self.share = share;
-            self.update_bound();
+            self.update_max_running();
         }
     }
 
-    fn update_bound(&mut self) {
-        let most = self.slots as f64 * SHARE_OF_SLOTS * self.share.part();
-        self.most_running = (most as usize).max(FEWEST_RUNNING);
+    fn update_max_running(&mut self) {
+        let max_running = self.slots as f64 * SLOT_SHARE * self.share.fraction();
+        self.max_running = (max_running as usize).max(MIN_RUNNING);
     }
 
-    /// How many may start now, with so many waiting and running.
-    pub fn room(&mut self, now: Millis, waiting: usize, running: usize) -> usize {
-        let most = self.most_running as f64;
-        let wanted_per_s = (waiting as f64 / SPREAD_S).max(LEAST_STARTS_PER_SECOND);
-        let starts_per_s = wanted_per_s.min(most * STARTS_PER_SECOND_SHARE);
+    /// How many items may start now, given the number of waiting and running ones.
+    pub fn startable_items(&mut self, now: Millis, waiting: usize, running: usize) -> usize {
+        let max_running = self.max_running as f64;
+        let desired_per_s = (waiting as f64 / START_PERIOD_S).max(MIN_STARTS_PER_SECOND);
+        let starts_per_s = desired_per_s.min(max_running * MAX_STARTS_PER_SECOND_SHARE);
         let elapsed_s = self
-            .filled_at
+            .refilled_at
             .map_or(0.0, |at| (now - at).max(0.0) / 1000.0);
-        let burst = (most * BURST_SHARE).max(FEWEST_BURST);
-        self.filled_at = Some(now);
-        self.allowance = (self.allowance + elapsed_s * starts_per_s).min(burst);
-        (self.allowance as usize).min(self.most_running.saturating_sub(running))
+        let burst = (max_running * BURST_SHARE).max(MIN_BURST);
+        self.refilled_at = Some(now);
+        self.start_tokens = (self.start_tokens + elapsed_s * starts_per_s).min(burst);
+        (self.start_tokens as usize).min(self.max_running.saturating_sub(running))
     }
 
-    /// So many were started.
-    pub fn started(&mut self, count: usize) {
-        self.allowance -= count as f64;
+    /// Records that `count` items are being started.
+    pub fn record_starts(&mut self, count: usize) {
+        self.start_tokens -= count as f64;
     }
 }
 
-/// Slots of all backends that items of some batch route may go to now.
+/// Slots of all backends that can take items of a batch route now.
 fn slots_of_batch_services(snapshot: &Snapshot) -> u64 {
     let Some(config) = &snapshot.control.config else {
         return 0;
--- a/alderhollow/src/executor/pacing/tests.rs
+++ b/alderhollow/src/executor/pacing/tests.rs
@@ -1,4 +1,4 @@
-//! How many items start.
+//! Tests of the limits on starting items.
 
 use super::*;
 use alderhollow_model::backend::{Backend, BackendList};
@@ -52,103 +52,105 @@
 }
 
 #[test]
-fn only_slots_of_usable_backends_count() {
+fn only_slots_of_available_backends_count() {
     assert_eq!(slots_of_batch_services(&tables(4, "")), 3 * 64);
     assert_eq!(slots_of_batch_services(&tables(4, "even")), 64);
     assert_eq!(slots_of_batch_services(&Snapshot::default()), 0);
 }
 
 #[test]
-fn starts_are_ramped_and_bounded() {
+fn starts_are_gradual_and_limited() {
     let mut pacer = Pacer::default();
     pacer.update(&tables(4, ""));
     let mut running = 0;
-    let mut most_at_once = 0;
+    let mut max_at_once = 0;
     for tick in 0..2_000 {
-        let room = pacer.room(f64::from(tick) * 10.0, 1_000, running);
-        pacer.started(room);
+        let room = pacer.startable_items(f64::from(tick) * 10.0, 1_000, running);
+        pacer.record_starts(room);
         running += room;
-        most_at_once = most_at_once.max(room);
+        max_at_once = max_at_once.max(room);
         assert!(running <= 153, "more than 0.8 of 192 slots");
     }
     assert_eq!(running, 153);
-    assert!(most_at_once <= 7, "{most_at_once} at once");
+    assert!(max_at_once <= 7, "{max_at_once} at once");
 }
 
 #[test]
-fn without_tables_little_may_run() {
+fn without_tables_the_minimum_may_run() {
     let mut pacer = Pacer::default();
     pacer.update(&Snapshot::default());
     let mut running = 0;
     for tick in 0..10_000 {
-        let room = pacer.room(f64::from(tick) * 10.0, 1_000, running);
-        pacer.started(room);
+        let room = pacer.startable_items(f64::from(tick) * 10.0, 1_000, running);
+        pacer.record_starts(room);
         running += room;
     }
-    assert_eq!(running, FEWEST_RUNNING);
+    assert_eq!(running, MIN_RUNNING);
 }
 
 #[test]
-fn what_waits_is_spread_over_its_time() {
+fn starts_are_spread_over_the_start_period() {
     let mut pacer = Pacer::default();
     pacer.update(&tables(4, ""));
-    let (mut waiting, mut most_at_once, mut ticks) = (60, 0, 0);
+    let (mut waiting, mut max_at_once, mut ticks) = (60, 0, 0);
     while waiting > 0 {
         ticks += 1;
-        let room = pacer.room(f64::from(ticks) * 10.0, waiting, 0).min(waiting);
-        pacer.started(room);
+        let room = pacer
+            .startable_items(f64::from(ticks) * 10.0, waiting, 0)
+            .min(waiting);
+        pacer.record_starts(room);
         waiting -= room;
-        most_at_once = most_at_once.max(room);
+        max_at_once = max_at_once.max(room);
     }
     assert!((300..400).contains(&ticks), "{ticks} ticks of 10 ms");
-    assert!(most_at_once <= 3, "{most_at_once} at once");
+    assert!(max_at_once <= 3, "{max_at_once} at once");
 }
 
-/// Most items that run at a process with this share of the groups, and most starts at once.
+/// Number of running items and largest burst of starts of a process with this share of the groups.
 fn run_all(share: LedShare) -> (usize, usize) {
     let mut pacer = Pacer::default();
     pacer.update(&tables(4, ""));
     pacer.set_share(share);
-    let (mut running, mut most_at_once) = (0, 0);
+    let (mut running, mut max_at_once) = (0, 0);
     for tick in 0..4_000 {
-        let room = pacer.room(f64::from(tick) * 10.0, 1_000, running);
-        pacer.started(room);
+        let room = pacer.startable_items(f64::from(tick) * 10.0, 1_000, running);
+        pacer.record_starts(room);
         running += room;
-        most_at_once = most_at_once.max(room);
+        max_at_once = max_at_once.max(room);
     }
-    (running, most_at_once)
+    (running, max_at_once)
 }
 
 #[test]
-fn a_process_runs_the_part_of_the_groups_that_it_leads() {
+fn a_process_runs_its_share_of_the_items() {
     assert_eq!(run_all(LedShare::WHOLE).0, 153);
     assert_eq!(run_all(LedShare { led: 3, all: 3 }).0, 153);
-    let (running, most_at_once) = run_all(LedShare { led: 1, all: 3 });
+    let (running, max_at_once) = run_all(LedShare { led: 1, all: 3 });
     assert_eq!(running, 51);
-    assert!(most_at_once <= 2, "{most_at_once} at once");
+    assert!(max_at_once <= 2, "{max_at_once} at once");
     assert_eq!(run_all(LedShare { led: 2, all: 3 }).0, 102);
-    assert_eq!(run_all(LedShare { led: 1, all: 1_000 }).0, FEWEST_RUNNING);
-    assert_eq!(run_all(LedShare { led: 0, all: 3 }).0, FEWEST_RUNNING);
+    assert_eq!(run_all(LedShare { led: 1, all: 1_000 }).0, MIN_RUNNING);
+    assert_eq!(run_all(LedShare { led: 0, all: 3 }).0, MIN_RUNNING);
 }
 
 #[test]
-fn the_parts_of_all_processes_are_no_more_than_the_whole() {
+fn the_shares_of_all_processes_do_not_exceed_the_total() {
     for all in 1..=30 {
-        let parts: usize = (0..all).map(|_| run_all(LedShare { led: 1, all }).0).sum();
-        assert!(parts <= 153, "{all} groups run {parts}");
+        let total: usize = (0..all).map(|_| run_all(LedShare { led: 1, all }).0).sum();
+        assert!(total <= 153, "{all} groups run {total}");
     }
 }
 
 #[test]
-fn starts_a_second_follow_the_share() {
+fn starts_per_second_are_proportional_to_the_share() {
     let starts_in_4_s = |share: LedShare| {
         let mut pacer = Pacer::default();
         pacer.update(&tables(4, ""));
         pacer.set_share(share);
         let mut starts = 0;
         for tick in 0..=400 {
-            let room = pacer.room(f64::from(tick) * 10.0, 1_000, 0);
-            pacer.started(room);
+            let room = pacer.startable_items(f64::from(tick) * 10.0, 1_000, 0);
+            pacer.record_starts(room);
             starts += room;
         }
         starts
@@ -158,17 +160,17 @@
 }
 
 #[test]
-fn a_share_that_changes_counts_at_once() {
+fn a_changed_share_applies_immediately() {
     let mut pacer = Pacer::default();
     pacer.update(&tables(4, ""));
     pacer.set_share(LedShare { led: 1, all: 3 });
-    pacer.room(0.0, 1_000, 0);
-    assert_eq!(pacer.room(1_000.0, 1_000, 51), 0);
+    pacer.startable_items(0.0, 1_000, 0);
+    assert_eq!(pacer.startable_items(1_000.0, 1_000, 51), 0);
     pacer.set_share(LedShare { led: 2, all: 3 });
-    assert!(pacer.room(2_000.0, 1_000, 51) > 0);
+    assert!(pacer.startable_items(2_000.0, 1_000, 51) > 0);
     pacer.update(&tables(4, "even"));
     assert_eq!(
-        pacer.room(3_000.0, 1_000, 34),
+        pacer.startable_items(3_000.0, 1_000, 34),
         0,
         "two thirds of 0.8 of 64 slots"
     );
--- a/alderhollow/src/store/runs.rs
+++ b/alderhollow/src/store/runs.rs
@@ -53,12 +53,12 @@
     /// How many items may start now at a store that leads this share of the groups, with so many waiting.
     pub fn room(&self, share: LedShare, waiting: usize) -> usize {
         self.executor
-            .room(share, waiting, self.running.borrow().len())
+            .startable_items(share, waiting, self.running.borrow().len())
     }
 
     /// Starts items.
     pub fn start(&self, node: &Rc<StoreNode>, starts: Vec<GroupItemStart>) {
-        self.executor.started(starts.len());
+        self.executor.record_starts(starts.len());
         metrics::get().store.runs_started(starts.len());
         for start in starts {
             let key = RunKey {
