--- a/alderhollow/src/batch_api/admission.rs
+++ b/alderhollow/src/batch_api/admission.rs
@@ -1,5 +1,5 @@
-//! The coin before the hand-over: refuses a batch job that a fresh reading of the tenant's waiting tokens shows not to
-//! fit (`quota_gateway::batch_admission`). The primary's count decides about all others.
+//! Probabilistic admission check at the gateway: may refuse a batch job that exceeds the quota according to a fresh
+//! reading of the tenant's queued tokens (`quota_gateway::batch_admission`). The primary decides about all others.
 
 use crate::batch_protocol::TenantReading;
 use crate::clock::SteadyClock;
@@ -8,7 +8,7 @@
 use quota_gateway::batch_admission::{BatchAdmission, BatchDecision, MeterReading};
 use std::cell::RefCell;
 
-/// The coin of one gateway.
+/// The admission check of one gateway.
 pub struct Admission {
     clock: SteadyClock,
     coin: RefCell<BatchAdmission>,
@@ -16,7 +16,7 @@
 }
 
 impl Admission {
-    /// A coin without readings.
+    /// Creates an admission check without readings.
     pub fn new(clock: SteadyClock, seed: u64) -> Admission {
         Admission {
             clock,
@@ -25,7 +25,7 @@
         }
     }
 
-    /// Whether a batch job of so many tokens is handed over.
+    /// Whether to submit a batch job of this many tokens to the primary.
     pub fn passes(&self, route: &Route, tokens: u64) -> bool {
         let draw = self.random.borrow_mut().rand_float();
         let now = self.clock.now_ms() as f64;
@@ -34,7 +34,7 @@
             == BatchDecision::PassOn
     }
 
-    /// Takes in what the primary read.
+    /// Records a reading of the primary.
     pub fn read(&self, route: &Route, reading: TenantReading) {
         let now = self.clock.now_ms() as f64;
         let ended = now - reading.age_ms as f64;
--- a/alderhollow/src/batch_api/document.rs
+++ b/alderhollow/src/batch_api/document.rs
@@ -1,4 +1,4 @@
-//! The JSON of batch calls: a batch job as a client submits it, and results as a client reads them.
+//! JSON documents of batch calls: submitted batch jobs and their results.
 
 use base64::prelude::{Engine as _, BASE64_STANDARD};
 use serde::{Deserialize, Serialize};
@@ -22,29 +22,29 @@
     pub tokens: u64,
 }
 
-/// Why a batch job is rejected. A repetition fails the same way, so the client gets 400.
+/// Why a batch job is rejected. A retry would fail in the same way, so the client gets 400.
 #[derive(Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DocumentError {
-    /// Not JSON, or not of this shape.
+    /// Not JSON, or not the expected document.
     #[error("not a batch job: {0}")]
     Json(String),
-    /// There is no item.
+    /// The job has no items.
     #[error("`requests` is empty")]
     Empty,
     /// More than [`MAX_ITEMS`].
-    #[error("{0} items, where {MAX_ITEMS} are the most")]
+    #[error("{0} items exceed the maximum of {MAX_ITEMS}")]
     TooMany(usize),
-    /// An item without an id, or two with one.
-    #[error("item {0} has an id that is empty, badly written or not its own")]
+    /// The id of an item is empty, malformed or used twice.
+    #[error("the id of item {0} is empty, malformed or a duplicate")]
     Id(usize),
-    /// A path that can't stand in a request.
-    #[error("item {0} has a path that can't stand in a request")]
+    /// The path is not valid in a request.
+    #[error("item {0} has an invalid path")]
     Path(usize),
-    /// A header that can't stand in a request.
-    #[error("item {0} has a header `{1}` that can't stand in a request")]
+    /// A header is not valid in a request.
+    #[error("item {0} has an invalid header `{1}`")]
     Header(usize, String),
-    /// A body that isn't base64.
-    #[error("item {0} has a body that isn't base64")]
+    /// The body is not base64.
+    #[error("the body of item {0} is not base64")]
     Body(usize),
 }
 
@@ -65,10 +65,10 @@
     tokens: u64,
 }
 
-/// Reads and checks a batch job.
+/// Parses and validates a batch job.
 ///
 /// # Errors
-/// The body is no batch job: no JSON, empty, or an item is invalid.
+/// The body is not a JSON document of a batch job, has no items, or an item is invalid.
 pub fn read(body: &[u8]) -> Result<Vec<SubmittedItem>, DocumentError> {
     let document: Document =
         serde_json::from_slice(body).map_err(|error| DocumentError::Json(error.to_string()))?;
@@ -90,7 +90,7 @@
     Ok(items)
 }
 
-/// Whether a text can stand as an id: visible ASCII, so that it can be a header's value.
+/// Whether an id is valid: visible ASCII, so that it can be sent as a header value.
 pub fn is_id(id: &str) -> bool {
     !id.is_empty() && id.bytes().all(|byte| byte.is_ascii_graphic())
 }
@@ -121,7 +121,7 @@
         && http::HeaderValue::from_str(value).is_ok()
 }
 
-/// How an item ended, as clients read it.
+/// Final state of an item in a result.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "snake_case")]
 pub enum ResultState {
@@ -131,31 +131,31 @@
     DeadLetter,
 }
 
-/// One result as clients read it.
+/// The result of one item.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 pub struct ReadResult<'a> {
-    /// The item.
+    /// Id of the item.
     pub id: &'a str,
-    /// How it ended.
+    /// Final state.
     pub state: ResultState,
     /// The data of all events in order, separated by line feeds.
     pub text: &'a str,
 }
 
-/// The answer to a read.
+/// Response to a read of results.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
 pub struct ReadAnswer<'a> {
-    /// Items of the batch job.
+    /// Number of items of the batch job.
     pub total: u64,
-    /// Position to read from next.
+    /// Position of the next read.
     pub next_token: u64,
     /// The results.
     pub results: Vec<ReadResult<'a>>,
 }
 
 impl ReadAnswer<'_> {
-    /// The answer's body.
+    /// Serializes the response body.
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
     }
--- a/alderhollow/src/batch_api/endpoints.rs
+++ b/alderhollow/src/batch_api/endpoints.rs
@@ -1,4 +1,4 @@
-//! Serves clients' calls about batch jobs through the primary of the group of stores.
+//! Serves clients' calls about batch jobs by calling the primary of the job's batch group.
 
 use super::admission::Admission;
 use super::document::{self, SubmittedItem};
@@ -6,7 +6,7 @@
 use super::store_calls::{
     ask_primary, is_accepted, CallEnd, KnownJobQuestion, Patience, StoreLink,
 };
-use super::{not_now, over_quota, plain, BatchAnswer, BatchCall, BatchEndpoints};
+use super::{over_quota, plain, unavailable, BatchCall, BatchEndpoints, BatchResponseFuture};
 use crate::batch_protocol::{StoreCall, StoreReply};
 use crate::clock::SteadyClock;
 use crate::metrics;
@@ -23,42 +23,41 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// While nothing was handed over, a batch job waits so long for a primary that takes it; its client may then come again
-/// at another gateway.
+/// How long a submission is retried while no store may have served it; afterwards the client can retry at another
+/// gateway.
 const SUBMIT_UNSERVED: Duration = Duration::from_millis(250);
-/// Once the end of a hand-over is unknown, so long is spent on finding it out, unless the client waits for less.
+/// How long an unknown outcome of a submission is resolved, unless the client's deadline is shorter.
 const SUBMIT_UNKNOWN: Duration = Duration::from_millis(3_000);
-/// Before the coin refuses a batch job, the primary has so long to say that it is accepted already.
+/// Timeout of the query whether a job that the admission check refuses has already been accepted.
 const KNOWN_JOB_TIMEOUT: Duration = Duration::from_millis(300);
-/// A client of a read waits so much more than it allows: some of it is for the way.
+/// Time that a client of a read waits beyond `Wait-Ms`, which includes network latency.
 const READ_MARGIN: Duration = Duration::from_millis(1_000);
-/// Longest hold that a client can ask for.
+/// Maximum hold of a read that a client can request.
 const LONGEST_HOLD: Duration = Duration::from_millis(5_000);
-/// For bodies and ends.
+/// Timeout of reading item bodies and of ending jobs.
 const OTHER_PATIENCE: Duration = Duration::from_millis(1_200);
-/// Kept of the client's time for the way back.
+/// Part of the client's deadline that is reserved for returning the response.
 const WAY_BACK: Duration = Duration::from_millis(50);
 
-/// The batch calls of a gateway. Clones are the same.
+/// Serves the batch calls of a gateway. Clones share one state.
 #[derive(Clone)]
 pub struct StoreEndpoints {
     link: Rc<dyn StoreLink>,
     snapshots: SnapshotReceiver,
-    /// Draws the names of clients' tries.
+    /// Generates ids of clients' attempts.
     random: Rc<RefCell<Rand64>>,
     admission: Rc<Admission>,
 }
 
 impl BatchEndpoints for StoreEndpoints {
-    fn serve(&self, call: BatchCall) -> BatchAnswer {
+    fn serve(&self, call: BatchCall) -> BatchResponseFuture {
         let endpoints = self.clone();
         Box::pin(async move { endpoints.answer(call).await })
     }
 }
 
 impl StoreEndpoints {
-    /// Endpoints that follow the tables for the group's primary.
-    /// `seed` is this incarnation's own.
+    /// Creates endpoints that find the primaries in the current tables. `seed` must be unique to this incarnation.
     pub fn new(
         link: Rc<dyn StoreLink>,
         snapshots: SnapshotReceiver,
@@ -96,7 +95,7 @@
         }
     }
 
-    /// Takes a batch job, and measures how that goes.
+    /// Submits a batch job and records metrics.
     async fn offered(&self, call: &BatchCall, route: &Arc<Route>) -> Response<Bytes> {
         let metrics = &metrics::get().batch_api;
         metrics.offered(call.request.body().len());
@@ -146,8 +145,8 @@
         submit_answer(end)
     }
 
-    /// The answer to a batch job that the coin refuses: a job that is accepted already is not turned away when it comes
-    /// again. Where the primary doesn't say so in time, the coin's word stands, as nothing was handed over.
+    /// Responds to a batch job that the admission check refuses. A retried job that has already been accepted is not
+    /// refused. If the primary does not confirm that in time, the refusal stands, as nothing was submitted.
     async fn refuse_unless_accepted(
         &self,
         route: &Arc<Route>,
@@ -202,7 +201,7 @@
                 StoreReply::Results(json) => with_body(json, "application/json"),
                 other => read_failure(&other),
             },
-            CallEnd::NotServed | CallEnd::Unknown => not_now(),
+            CallEnd::NotServed | CallEnd::Unknown => unavailable(),
         }
     }
 
@@ -221,7 +220,7 @@
                 StoreReply::Body(bytes) => with_body(bytes, "application/octet-stream"),
                 other => read_failure(&other),
             },
-            CallEnd::NotServed | CallEnd::Unknown => not_now(),
+            CallEnd::NotServed | CallEnd::Unknown => unavailable(),
         }
     }
 
@@ -234,7 +233,7 @@
                 StoreReply::Committed => plain(StatusCode::OK),
                 other => read_failure(&other),
             },
-            CallEnd::NotServed => not_now(),
+            CallEnd::NotServed => unavailable(),
             CallEnd::Unknown => plain(StatusCode::GATEWAY_TIMEOUT),
         }
     }
@@ -246,15 +245,15 @@
     }
 }
 
-/// The answer to a hand-over. 429 and 503 promise that nothing of it runs: after a try whose end is unknown neither is
-/// given, as that try may still be taken.
+/// Response to a submission. Status 429 and 503 guarantee that none of the job's items run. After an attempt with
+/// unknown outcome neither is returned, as that attempt may still be accepted.
 fn submit_answer(end: CallEnd) -> Response<Bytes> {
     match end {
         CallEnd::Answered(StoreReply::Committed)
         | CallEnd::AnsweredAfterUnknown(StoreReply::Committed) => plain(StatusCode::ACCEPTED),
         CallEnd::Answered(StoreReply::OverQuota) => over_quota(),
         CallEnd::Answered(StoreReply::Invalid) => plain(StatusCode::BAD_REQUEST),
-        CallEnd::NotServed => not_now(),
+        CallEnd::NotServed => unavailable(),
         CallEnd::Answered(_) | CallEnd::AnsweredAfterUnknown(_) | CallEnd::Unknown => {
             plain(StatusCode::GATEWAY_TIMEOUT)
         }
@@ -264,7 +263,7 @@
 fn read_failure(reply: &StoreReply) -> Response<Bytes> {
     match reply {
         StoreReply::NotFound => plain(StatusCode::NOT_FOUND),
-        _ => not_now(),
+        _ => unavailable(),
     }
 }
 
@@ -313,7 +312,7 @@
         .map(Duration::from_millis)
 }
 
-/// What the client waits, less the way back.
+/// The client's deadline less [`RESPONSE_MARGIN`].
 fn time_of(headers: &HeaderMap) -> Duration {
     milliseconds(headers, "deadline-ms")
         .map_or(SUBMIT_UNKNOWN, |time| time.saturating_sub(WAY_BACK))
--- a/alderhollow/src/batch_api/endpoints/tests.rs
+++ b/alderhollow/src/batch_api/endpoints/tests.rs
@@ -1,4 +1,4 @@
-//! A gateway's answers about batch jobs, against scripted stores.
+//! Tests of a gateway's responses to batch calls, with scripted stores.
 
 use super::*;
 use crate::batch_api::store_calls::{StoreAnswerFuture, StoreCallError};
@@ -13,20 +13,20 @@
 
 type Scripted = Result<StoreReply, StoreCallError>;
 
-/// Answers calls from a script; the last entry stays.
+/// Answers calls from a script and repeats its last entry.
 struct Script {
     replies: RefCell<VecDeque<Scripted>>,
     calls: RefCell<Vec<(SocketAddr, StoreCall)>>,
     reading: RefCell<Option<TenantReading>>,
 }
 
-/// A primary that takes each job that is handed over, and tells offers of jobs that it has from others.
+/// A primary that accepts every submitted job and recognizes offers of jobs that it has accepted.
 #[derive(Default)]
 struct TakingPrimary {
     accepted: RefCell<HashSet<JobId>>,
     offers: Cell<usize>,
     hand_overs: Cell<usize>,
-    /// An offer is never answered.
+    /// Whether offers remain unanswered.
     ignores_offers: Cell<bool>,
     reading: Cell<Option<TenantReading>>,
 }
@@ -43,7 +43,7 @@
                 self.offers.set(self.offers.get() + 1);
                 match self.accepted.borrow().contains(job) {
                     true => StoreReply::Committed,
-                    false => StoreReply::Welcome,
+                    false => StoreReply::WouldAccept,
                 }
             }
             _ => StoreReply::NotSure,
@@ -153,7 +153,7 @@
     }
 }
 
-/// Status, whether there is a `Retry-After`, the body, and the calls that stores got.
+/// Returns the status, whether there is a `Retry-After`, the body, and the calls received by stores.
 async fn answer(
     replies: Vec<Scripted>,
     call: BatchCall,
@@ -267,7 +267,7 @@
     assert_eq!(asked, ["10.0.0.1:7000", "10.0.0.2:7000"]);
 }
 
-/// The calls of a hand-over to one store, told apart as full copies of the job (`true`) and small offers.
+/// For each call whether it is a full copy of the job (`true`) or an offer.
 fn copies(calls: &[(SocketAddr, StoreCall)]) -> Vec<bool> {
     calls
         .iter()
@@ -289,7 +289,7 @@
     let replies = [
         StoreReply::NotSure,
         StoreReply::NotSure,
-        StoreReply::Welcome,
+        StoreReply::WouldAccept,
         StoreReply::Committed,
     ];
     let (status, _, _, calls) = answer(replies.map(Ok).into(), hand_in(JOB)).await;
@@ -309,7 +309,7 @@
     assert_eq!(copies(&calls), [true, false, false]);
 }
 
-/// A job of some size.
+/// A job large enough to be offered first.
 fn large_job() -> String {
     let body = "q83v".repeat(4 * 1024);
     format!(
@@ -320,7 +320,7 @@
 #[tokio::test(start_paused = true)]
 async fn a_large_job_is_sent_only_where_it_would_be_taken() {
     let (status, _, _, calls) = answer(
-        vec![Ok(StoreReply::Welcome), Ok(StoreReply::Committed)],
+        vec![Ok(StoreReply::WouldAccept), Ok(StoreReply::Committed)],
         hand_in(&large_job()),
     )
     .await;
@@ -474,7 +474,7 @@
     );
 }
 
-/// Far beyond any quota, in a period that has just ended: the coin's chance falls to its floor.
+/// Far above any quota, in a period that has just ended: the admission probability is at its minimum.
 const FAR_BEYOND: TenantReading = TenantReading {
     period: 1,
     age_ms: 0,
@@ -483,7 +483,7 @@
     beyond: 9_000_000,
 };
 
-/// A gateway at a primary whose readings show a full quota, and the sender of its tables.
+/// Endpoints at a primary whose readings show an exceeded quota, and the sender of their tables.
 async fn gateway_at_a_full_quota() -> (
     Rc<TakingPrimary>,
     StoreEndpoints,
@@ -498,7 +498,7 @@
     (primary, endpoints, sender)
 }
 
-/// Hands a job in under a quota.
+/// Submits a job under a quota.
 async fn hand_in_with_quota(endpoints: &StoreEndpoints, id: &str, quota: u64) -> Response<Bytes> {
     let mut call = hand_in(JOB);
     call.request
@@ -533,7 +533,7 @@
         "no body goes out for a refused job"
     );
     assert_eq!(primary.offers.get(), refused, "one question for each");
-    // What fits is passed on, and so is all once the reading is old.
+    // Jobs that fit are submitted, and so are all jobs once the reading is old.
     for number in 0..100 {
         let response = hand_in_with_quota(&endpoints, &format!("fits-{number}"), 10_000_000).await;
         assert_eq!(response.status(), 202);
@@ -590,7 +590,7 @@
         );
     }
     assert!(refused > 0);
-    // Nobody can be asked: the coin's word stands at once.
+    // Without a known primary there is no query, and the refusal stands immediately.
     sender.send_replace(Arc::default());
     let offers = primary.offers.get();
     for number in 0..20 {
--- a/alderhollow/src/batch_api/mod.rs
+++ b/alderhollow/src/batch_api/mod.rs
@@ -1,5 +1,5 @@
-//! The clients' side of batch jobs at a gateway (PROTOCOL.md, *Batch jobs*): calls come in as HTTP, are checked here, and go on
-//! to the primary of the group of stores.
+//! The HTTP interface for batch jobs at a gateway (PROTOCOL.md, *Batch jobs*): validates clients' calls and forwards them
+//! to the primary of the batch group.
 
 pub mod admission;
 pub mod document;
@@ -15,36 +15,36 @@
 use std::sync::Arc;
 use tokio::time::Instant;
 
-/// What a refused client is told to wait where nothing better is known, in seconds.
+/// `Retry-After` of refused calls, in seconds.
 pub const RETRY_AFTER_S: &str = "0.3";
 
-/// An answer on its way.
-pub type BatchAnswer = Pin<Box<dyn Future<Output = Response<Bytes>>>>;
+/// The pending response to a call.
+pub type BatchResponseFuture = Pin<Box<dyn Future<Output = Response<Bytes>>>>;
 
-/// One client's call about batch jobs, read whole.
+/// A client's call about batch jobs, with its complete body.
 #[derive(Debug)]
 pub struct BatchCall {
     /// Method, path with query, headers and body.
     pub request: Request<Bytes>,
     /// The batch route that a `POST` matched; `None` for the calls under [`path::LOTS`] and [`path::ITEMS`].
     pub route: Option<Arc<Route>>,
-    /// When the call's head was read.
+    /// When the head of the request was read.
     pub received_at: Instant,
 }
 
-/// Serves calls about batch jobs. The front gives it each `POST` that matches a route of type `batch`, and every call for
-/// which [`path::is_batch_path`] holds. Dropping the answer's future gives the call up.
+/// Serves calls about batch jobs. The HTTP server passes it each `POST` that matches a route of type `batch`, and every
+/// call for which [`path::is_batch_path`] holds. Dropping the future cancels the call.
 pub trait BatchEndpoints {
     /// Serves one call.
-    fn serve(&self, call: BatchCall) -> BatchAnswer;
+    fn serve(&self, call: BatchCall) -> BatchResponseFuture;
 }
 
-/// 503: nothing was handed over, the call may come again.
-pub fn not_now() -> Response<Bytes> {
+/// 503: nothing was accepted, and the client may retry.
+pub fn unavailable() -> Response<Bytes> {
     retry_later(StatusCode::SERVICE_UNAVAILABLE)
 }
 
-/// 429: the batch job does not fit, and none of it runs.
+/// 429: the batch job exceeds the quota, and none of its items will run.
 pub fn over_quota() -> Response<Bytes> {
     retry_later(StatusCode::TOO_MANY_REQUESTS)
 }
@@ -58,7 +58,7 @@
     response
 }
 
-/// An answer without a body.
+/// A response without a body.
 pub fn plain(status: StatusCode) -> Response<Bytes> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = status;
--- a/alderhollow/src/batch_api/path.rs
+++ b/alderhollow/src/batch_api/path.rs
@@ -1,18 +1,18 @@
-//! Paths and queries of the calls about batch jobs.
+//! Paths and queries of calls about batch jobs.
 
-/// Results of a batch job, and its end.
+/// Path prefix of calls that read the results of a batch job or end it.
 pub const LOTS: &str = "/alderhollow/lots/";
-/// Bodies of items.
+/// Path prefix of calls that read the body of an item.
 pub const ITEMS: &str = "/alderhollow/items/";
 
-/// What a path under the tier's own names asks for.
+/// The resource that a path refers to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
-    /// A batch job: `GET` reads results from a position on, `DELETE` ends it.
+    /// A batch job: `GET` reads results from a position, `DELETE` ends the job.
     Lot {
         /// The batch job's id.
         job: String,
-        /// Position of the first result wanted.
+        /// Position of the first result to return.
         after: u64,
     },
     /// The body of an item.
@@ -24,29 +24,29 @@
     },
 }
 
-/// A path or query that names nothing.
+/// Why a path or query is rejected.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum PathError {
     /// Not one of the paths of batch jobs.
     #[error("no such path")]
     Unknown,
-    /// The id of a batch job or item is missing or badly written.
-    #[error("the id is missing or badly written")]
+    /// The id of a batch job or item is missing or malformed.
+    #[error("the id is missing or malformed")]
     Id,
     /// `after` is not a whole number.
     #[error("`after` is not a whole number")]
     After,
 }
 
-/// Whether a path belongs to batch jobs, whatever its route.
+/// Whether a path belongs to batch jobs regardless of any route.
 pub fn is_batch_path(path: &str) -> bool {
     path.starts_with(LOTS) || path.starts_with(ITEMS)
 }
 
-/// Reads a path and its query.
+/// Parses a path and its query.
 ///
 /// # Errors
-/// The path or its query names no job, item or position.
+/// The path or its query contains no valid job, item or position.
 pub fn read(path: &str, query: Option<&str>) -> Result<Target, PathError> {
     let query = query.unwrap_or("");
     if let Some(job) = path.strip_prefix(LOTS) {
@@ -85,7 +85,7 @@
     Ok(None)
 }
 
-/// Resolves `%XX`.
+/// Decodes percent-encoding.
 fn decode(text: &str) -> Result<String, PathError> {
     if !text.contains('%') {
         return Ok(text.to_string());
--- a/alderhollow/src/batch_api/path/tests.rs
+++ b/alderhollow/src/batch_api/path/tests.rs
@@ -1,4 +1,4 @@
-//! Paths of batch calls.
+//! Tests of parsing paths of batch calls.
 
 use super::*;
 use proptest::prelude::*;
--- a/alderhollow/src/batch_api/store_calls.rs
+++ b/alderhollow/src/batch_api/store_calls.rs
@@ -1,4 +1,5 @@
-//! Calls of a gateway to the primary of the group of stores that keeps the batch job, asked again at a successor until the end is known.
+//! Calls of a gateway to the primary of the batch group that stores a job. Calls are retried, also at a new primary, until
+//! the outcome is known or a limit is reached.
 
 use crate::batch_protocol::{StoreAnswer, StoreCall, StoreReply, TenantReading};
 use crate::internal::{CallError, Network, ServiceId};
@@ -11,32 +12,32 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause before the primary is asked again, unless the tables change before.
+/// Delay before a retry, unless the tables change earlier.
 const ASK_AGAIN_PAUSE: Duration = Duration::from_millis(60);
-/// Longest time for one answer, beyond what the call may wait.
+/// Timeout of one answer, in addition to the time that the store may hold it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// A batch job whose items' bodies are of this size together is offered before it is sent for the first time; a smaller one
-/// is sent at once, and offered when it has to be sent again.
+/// A batch job whose item bodies reach this total size is offered before it is first sent. A smaller one is sent
+/// immediately and offered only before it is sent again.
 const LARGE_JOB_BYTES: usize = 8 * 1024;
 
-/// One call to one store.
+/// The pending answer to one call to one store.
 pub type StoreAnswerFuture = Pin<Box<dyn Future<Output = Result<StoreAnswer, StoreCallError>>>>;
 
-/// Why a call to a store has no answer.
+/// Why a call to a store was not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StoreCallError {
-    /// The store has surely done nothing of the call.
-    #[error("the store did not get the call")]
+    /// The store has certainly not served the call.
+    #[error("the store did not receive the call")]
     NotServed,
     /// The store may have served the call.
     #[error("the store may have served the call")]
     Unknown,
 }
 
-/// Carries calls to stores.
+/// Transport for calls to stores.
 pub trait StoreLink {
-    /// Calls the store at an address once; never twice.
+    /// Calls the store at an address exactly once, without retries.
     fn call(&self, to: SocketAddr, call: &StoreCall, timeout: Duration) -> StoreAnswerFuture;
 }
 
@@ -66,35 +67,35 @@
     }
 }
 
-/// How long a call is tried.
+/// Limits on retrying a call.
 #[derive(Debug, Clone, Copy)]
 pub struct Patience {
-    /// While nothing was handed over, until here.
+    /// End of retries while no attempt may have been served.
     pub unserved_until: Instant,
-    /// Once something was handed over whose end is unknown, until here.
+    /// End of retries once the outcome of an attempt is unknown.
     pub unknown_until: Instant,
-    /// How long the store may hold its answer.
+    /// How long the store may hold the answer.
     pub held: Duration,
 }
 
-/// How a call ended over all its tries.
+/// Outcome of a call over all attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum CallEnd {
-    /// The store's answer, and all tries before it were surely not served. Never `NotPrimary`, `NotSure` or `Unknown`.
+    /// The store's reply; all earlier attempts were certainly not served. Never `NotPrimary`, `NotSure` or `Unknown`.
     Answered(StoreReply),
-    /// The store's answer after a try whose end was unknown.
+    /// The store's reply after an attempt with unknown outcome.
     AnsweredAfterUnknown(StoreReply),
-    /// No store has served any try, and none will.
+    /// No store has served any attempt, and none will.
     NotServed,
-    /// A store may have served a try.
+    /// A store may have served an attempt.
     Unknown,
 }
 
-/// Asks the primary of the job's group until there is an answer or patience ends. Gives the newest reading that came along.
+/// Calls the primary of the job's group until it replies or a limit is reached. Also returns the latest reading received.
 ///
-/// A batch job is large. It is offered first, by a small call: where it would not be taken, its body stays here. Bodies of
-/// jobs that are refused, sent anew every few milliseconds by every gateway, fill the primary's link, so that it hears neither
-/// the core nor its members.
+/// A large batch job is first offered by a small call, and its body is sent only if it would be accepted. Otherwise every
+/// gateway would resend the bodies of refused jobs every few milliseconds, which saturates the primary's network link
+/// and cuts it off from the core and the members of its group.
 pub async fn ask_primary(
     link: &dyn StoreLink,
     mut snapshots: SnapshotReceiver,
@@ -137,10 +138,9 @@
     }
 }
 
-/// Asks the primary of the job's group once whether it has accepted a job, within a time. Gives the reading that came
-/// along.
+/// Asks the primary of the job's group once whether it has accepted a job. Also returns the reading received.
 ///
-/// The question is an offer without tokens: it hands nothing over, needs no room and is not counted as demand.
+/// The query is an offer of zero tokens: it submits nothing, needs no quota and is not counted as demand.
 pub async fn is_accepted(
     link: &dyn StoreLink,
     snapshots: &SnapshotReceiver,
@@ -162,49 +162,49 @@
     }
 }
 
-/// Names the job of [`is_accepted`].
+/// Identifies the job of [`is_accepted`].
 pub struct KnownJobQuestion<'a> {
-    /// A name of its own: no job is handed over under it.
+    /// A new attempt id, under which no job is submitted.
     pub try_id: u64,
     /// The job.
     pub job: &'a JobId,
-    /// Name of its route.
+    /// Name of the job's route.
     pub route: &'a str,
 }
 
-/// What came of the tries so far.
+/// State of a call over its attempts.
 #[derive(Default)]
 struct Asked {
-    /// Whether a try was handed over whose end is unknown.
+    /// Whether the outcome of an attempt is unknown.
     unknown: bool,
     reading: Option<TenantReading>,
 }
 
-/// What came of an offer.
+/// Outcome of an offer.
 enum OfferEnd {
-    /// The call is to be sent.
+    /// The call should be sent.
     SendIt,
-    /// This is the call's end.
+    /// The reply is also the outcome of the call.
     Settled(StoreReply),
-    /// The primary can't tell now, or said nothing.
+    /// The primary could not decide or did not answer; the offer is retried.
     NotNow,
 }
 
 impl Asked {
-    /// Offers a batch job. Whatever comes of it, nothing was handed over.
+    /// Offers a batch job. Nothing is submitted by this, whatever the outcome.
     async fn offer(&mut self, link: &dyn StoreLink, to: SocketAddr, offer: &StoreCall) -> OfferEnd {
         match link
             .call(to, offer, ANSWER_TIMEOUT)
             .await
             .map(|answer| self.note_reading(answer))
         {
-            Ok(StoreReply::Welcome) => OfferEnd::SendIt,
+            Ok(StoreReply::WouldAccept) => OfferEnd::SendIt,
             Ok(reply @ (StoreReply::Committed | StoreReply::OverQuota)) => OfferEnd::Settled(reply),
             Ok(_) | Err(_) => OfferEnd::NotNow,
         }
     }
 
-    /// Hands the call over; its reply, if that is its end.
+    /// Sends the call; returns the reply if it is final.
     async fn hand_over(
         &mut self,
         link: &dyn StoreLink,
@@ -248,7 +248,7 @@
     }
 }
 
-/// The small call that shows whether a large one would be taken.
+/// The small call that asks whether a submission would be accepted.
 fn offer_of(call: &StoreCall) -> Option<StoreCall> {
     let StoreCall::Submit { try_id, job } = call else {
         return None;
@@ -262,7 +262,7 @@
     })
 }
 
-/// Whether a call is offered before it is sent for the first time.
+/// Whether a call is offered before it is first sent.
 fn is_large(call: &StoreCall) -> bool {
     let StoreCall::Submit { job, .. } = call else {
         return false;
@@ -271,16 +271,16 @@
     requests.map(|request| request.body.len()).sum::<usize>() >= LARGE_JOB_BYTES
 }
 
-/// Waits a little, or until the tables change.
+/// Waits for [`RETRY_DELAY`] or until the tables change.
 async fn pause(snapshots: &mut SnapshotReceiver) {
     let again_at = Instant::now() + ASK_AGAIN_PAUSE;
     if let Ok(Err(_)) = tokio::time::timeout_at(again_at, snapshots.changed()).await {
-        // Nobody changes the tables any more.
+        // The sender of snapshots is gone.
         tokio::time::sleep_until(again_at).await;
     }
 }
 
-/// Where the primary of the job's group takes calls, as the newest validated tables say.
+/// Address of the primary of the job's group according to the current tables, if they are validated.
 fn primary_address(snapshots: &SnapshotReceiver, job: &JobId) -> Option<SocketAddr> {
     let snapshot = snapshots.borrow();
     let (_, group) = snapshot
--- a/alderhollow/src/batch_protocol/tests.rs
+++ b/alderhollow/src/batch_protocol/tests.rs
@@ -1,9 +1,9 @@
-//! Messages of earlier versions.
+//! Compatibility of replication notices with earlier versions.
 
 use super::*;
 use alderhollow_batch::records::StreamId;
 
-/// A notice as earlier versions send it.
+/// A notice as encoded by earlier versions.
 #[derive(Encode)]
 struct NoticeOfOneGroup {
     #[n(0)]
--- a/alderhollow/src/store/calls.rs
+++ b/alderhollow/src/store/calls.rs
@@ -136,7 +136,7 @@
     offer: &JobOffer<'_>,
 ) -> StoreAnswer {
     let reply = match node.offer_with_room(group, try_id, offer).await {
-        OfferOutcome::Welcome => StoreReply::Welcome,
+        OfferOutcome::Welcome => StoreReply::WouldAccept,
         OfferOutcome::NotSure | OfferOutcome::BeyondLimit => StoreReply::NotSure,
         OfferOutcome::AlreadyAccepted => StoreReply::Committed,
         OfferOutcome::NotPrimary => StoreReply::NotPrimary,
--- a/alderhollow/tests/compatibility.rs
+++ b/alderhollow/tests/compatibility.rs
@@ -387,7 +387,7 @@
         ("results", StoreReply::Results(b"{}".to_vec())),
         ("body", StoreReply::Body(b"text".to_vec())),
         ("quota", StoreReply::Quota(grant)),
-        ("welcome", StoreReply::Welcome),
+        ("welcome", StoreReply::WouldAccept),
     ];
     let reading = TenantReading {
         period: 8,
--- a/alderhollow/tests/store/quota.rs
+++ b/alderhollow/tests/store/quota.rs
@@ -220,7 +220,7 @@
         assert_eq!(hand_in_until_decided(&tier, &jobs[0], 1).await, 202);
         for (id, reply) in jobs
             .iter()
-            .zip([StoreReply::Committed, StoreReply::Welcome])
+            .zip([StoreReply::Committed, StoreReply::WouldAccept])
         {
             let job = JobId::from(id.as_str());
             let call = StoreCall::Offer {
--- a/alderhollow/tests/support/gateway.rs
+++ b/alderhollow/tests/support/gateway.rs
@@ -2,7 +2,7 @@
 
 use super::backend::Backends;
 use alderhollow::balance::Balancer;
-use alderhollow::batch_api::{not_now, BatchAnswer, BatchCall, BatchEndpoints};
+use alderhollow::batch_api::{unavailable, BatchCall, BatchEndpoints, BatchResponseFuture};
 use alderhollow::distribution::validity::TableValidity;
 use alderhollow::exchange::Exchange;
 use alderhollow::http_server::phase::Phase;
@@ -43,8 +43,8 @@
 struct NoStores;
 
 impl BatchEndpoints for NoStores {
-    fn serve(&self, _: BatchCall) -> BatchAnswer {
-        Box::pin(async { not_now() })
+    fn serve(&self, _: BatchCall) -> BatchResponseFuture {
+        Box::pin(async { unavailable() })
     }
 }
 
