--- a/alderhollow/src/batch_api/admission.rs
+++ b/alderhollow/src/batch_api/admission.rs
@@ -11,7 +11,7 @@
 /// The admission check of one gateway.
 pub struct Admission {
     clock: SteadyClock,
-    coin: RefCell<BatchAdmission>,
+    admission: RefCell<BatchAdmission>,
     random: RefCell<Rand64>,
 }
 
@@ -20,22 +20,22 @@
     pub fn new(clock: SteadyClock, seed: u64) -> Admission {
         Admission {
             clock,
-            coin: RefCell::default(),
+            admission: RefCell::default(),
             random: RefCell::new(Rand64::new(u128::from(seed))),
         }
     }
 
     /// Whether to submit a batch job of this many tokens to the primary.
-    pub fn passes(&self, route: &Route, tokens: u64) -> bool {
+    pub fn admits(&self, route: &Route, tokens: u64) -> bool {
         let draw = self.random.borrow_mut().rand_float();
         let now = self.clock.now_ms() as f64;
-        let mut coin = self.coin.borrow_mut();
-        coin.decide(now, &route.name, tokens, route.max_queued_tokens, draw)
+        let mut admission = self.admission.borrow_mut();
+        admission.decide(now, &route.name, tokens, route.max_queued_tokens, draw)
             == BatchDecision::PassOn
     }
 
     /// Records a reading of the primary.
-    pub fn read(&self, route: &Route, reading: TenantReading) {
+    pub fn record_reading(&self, route: &Route, reading: TenantReading) {
         let now = self.clock.now_ms() as f64;
         let ended = now - reading.age_ms as f64;
         let reading = MeterReading {
@@ -46,6 +46,6 @@
             beyond: reading.beyond,
             quota: route.max_queued_tokens,
         };
-        self.coin.borrow_mut().read(now, &route.name, reading);
+        self.admission.borrow_mut().read(now, &route.name, reading);
     }
 }
--- a/alderhollow/src/batch_api/document.rs
+++ b/alderhollow/src/batch_api/document.rs
@@ -33,7 +33,7 @@
     Empty,
     /// More than [`MAX_ITEMS`].
     #[error("{0} items exceed the maximum of {MAX_ITEMS}")]
-    TooMany(usize),
+    TooManyItems(usize),
     /// The id of an item is empty, malformed or used twice.
     #[error("the id of item {0} is empty, malformed or a duplicate")]
     Id(usize),
@@ -77,7 +77,7 @@
         return Err(DocumentError::Empty);
     }
     if count > MAX_ITEMS {
-        return Err(DocumentError::TooMany(count));
+        return Err(DocumentError::TooManyItems(count));
     }
     let mut ids = BTreeSet::new();
     let mut items = Vec::with_capacity(count);
@@ -145,7 +145,7 @@
 /// Response to a read of results.
 #[derive(Debug, Clone, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub struct ReadAnswer<'a> {
+pub struct ReadResponse<'a> {
     /// Number of items of the batch job.
     pub total: u64,
     /// Position of the next read.
@@ -154,7 +154,7 @@
     pub results: Vec<ReadResult<'a>>,
 }
 
-impl ReadAnswer<'_> {
+impl ReadResponse<'_> {
     /// Serializes the response body.
     pub fn to_json(&self) -> Vec<u8> {
         serde_json::to_vec(self).unwrap_or_default()
--- a/alderhollow/src/batch_api/document/tests.rs
+++ b/alderhollow/src/batch_api/document/tests.rs
@@ -4,7 +4,7 @@
 use proptest::prelude::*;
 use serde_json::json;
 
-fn one(change: impl Fn(&mut serde_json::Value)) -> Result<Vec<SubmittedItem>, DocumentError> {
+fn job_with(change: impl Fn(&mut serde_json::Value)) -> Result<Vec<SubmittedItem>, DocumentError> {
     let mut item = json!({"id": "i1", "path": "/p/1", "headers": {"Model": "m"}, "body": "q83v", "tokens": 940});
     change(&mut item);
     read(json!({ "requests": [item] }).to_string().as_bytes())
@@ -12,7 +12,7 @@
 
 #[test]
 fn a_batch_job_is_read() {
-    insta::assert_debug_snapshot!(one(|_| ()), @r#"
+    insta::assert_debug_snapshot!(job_with(|_| ()), @r#"
     Ok(
         [
             SubmittedItem {
@@ -38,37 +38,37 @@
 
 #[test]
 fn unknown_fields_are_ignored() {
-    assert!(one(|item| item["later"] = json!([1])).is_ok());
+    assert!(job_with(|item| item["later"] = json!([1])).is_ok());
 }
 
 #[test]
 fn an_item_that_cannot_be_sent_to_a_backend_is_rejected() {
     assert_eq!(
-        one(|item| item["id"] = json!("")),
+        job_with(|item| item["id"] = json!("")),
         Err(DocumentError::Id(0))
     );
     assert_eq!(
-        one(|item| item["id"] = json!("a b")),
+        job_with(|item| item["id"] = json!("a b")),
         Err(DocumentError::Id(0))
     );
     assert_eq!(
-        one(|item| item["path"] = json!("p")),
+        job_with(|item| item["path"] = json!("p")),
         Err(DocumentError::Path(0))
     );
     assert_eq!(
-        one(|item| item["path"] = json!("/a b")),
+        job_with(|item| item["path"] = json!("/a b")),
         Err(DocumentError::Path(0))
     );
     assert_eq!(
-        one(|item| item["body"] = json!("!")),
+        job_with(|item| item["body"] = json!("!")),
         Err(DocumentError::Body(0))
     );
     assert_eq!(
-        one(|item| item["headers"] = json!({"A": "b\r\nC: d"})),
+        job_with(|item| item["headers"] = json!({"A": "b\r\nC: d"})),
         Err(DocumentError::Header(0, "A".to_string()))
     );
     assert!(matches!(
-        one(|item| item["tokens"] = json!(-1)),
+        job_with(|item| item["tokens"] = json!(-1)),
         Err(DocumentError::Json(_))
     ));
     assert!(matches!(
@@ -96,13 +96,13 @@
     assert_eq!(items(MAX_ITEMS), Ok(MAX_ITEMS));
     assert_eq!(
         items(MAX_ITEMS + 1),
-        Err(DocumentError::TooMany(MAX_ITEMS + 1))
+        Err(DocumentError::TooManyItems(MAX_ITEMS + 1))
     );
 }
 
 #[test]
-fn results_look_as_on_the_page() {
-    let answer = ReadAnswer {
+fn results_have_the_documented_format() {
+    let answer = ReadResponse {
         total: 40,
         next_token: 14,
         results: vec![
@@ -141,7 +141,7 @@
     }
 
     #[test]
-    fn what_is_handed_in_is_what_is_kept(body in proptest::collection::vec(any::<u8>(), 0..300), tokens in any::<u64>()) {
+    fn submitted_values_are_kept(body in proptest::collection::vec(any::<u8>(), 0..300), tokens in any::<u64>()) {
         let item = json!({"id": "i1", "path": "/p", "body": BASE64_STANDARD.encode(&body), "tokens": tokens});
         let items = read(json!({ "requests": [item] }).to_string().as_bytes()).expect("valid");
         prop_assert_eq!(&items[0].body, &body);
--- a/alderhollow/src/batch_api/endpoints.rs
+++ b/alderhollow/src/batch_api/endpoints.rs
@@ -4,9 +4,11 @@
 use super::document::{self, SubmittedItem};
 use super::path::{self, Target};
 use super::store_calls::{
-    ask_primary, is_accepted, CallEnd, KnownJobQuestion, Patience, StoreLink,
+    call_primary, is_accepted, CallLimits, CallOutcome, KnownJobQuery, StoreLink,
+};
+use super::{
+    empty_response, over_quota, unavailable, BatchCall, BatchEndpoints, BatchResponseFuture,
 };
-use super::{over_quota, plain, unavailable, BatchCall, BatchEndpoints, BatchResponseFuture};
 use crate::batch_protocol::{StoreCall, StoreReply};
 use crate::clock::SteadyClock;
 use crate::metrics;
@@ -25,19 +27,19 @@
 
 /// How long a submission is retried while no store may have served it; afterwards the client can retry at another
 /// gateway.
-const SUBMIT_UNSERVED: Duration = Duration::from_millis(250);
+const SUBMIT_RETRY_TIMEOUT: Duration = Duration::from_millis(250);
 /// How long an unknown outcome of a submission is resolved, unless the client's deadline is shorter.
-const SUBMIT_UNKNOWN: Duration = Duration::from_millis(3_000);
+const SUBMIT_RESOLVE_TIMEOUT: Duration = Duration::from_millis(3_000);
 /// Timeout of the query whether a job that the admission check refuses has already been accepted.
-const KNOWN_JOB_TIMEOUT: Duration = Duration::from_millis(300);
+const KNOWN_JOB_QUERY_TIMEOUT: Duration = Duration::from_millis(300);
 /// Time that a client of a read waits beyond `Wait-Ms`, which includes network latency.
-const READ_MARGIN: Duration = Duration::from_millis(1_000);
+const READ_TIMEOUT_MARGIN: Duration = Duration::from_millis(1_000);
 /// Maximum hold of a read that a client can request.
-const LONGEST_HOLD: Duration = Duration::from_millis(5_000);
+const MAX_HOLD: Duration = Duration::from_millis(5_000);
 /// Timeout of reading item bodies and of ending jobs.
-const OTHER_PATIENCE: Duration = Duration::from_millis(1_200);
+const DEFAULT_CALL_TIMEOUT: Duration = Duration::from_millis(1_200);
 /// Part of the client's deadline that is reserved for returning the response.
-const WAY_BACK: Duration = Duration::from_millis(50);
+const RESPONSE_MARGIN: Duration = Duration::from_millis(50);
 
 /// Serves the batch calls of a gateway. Clones share one state.
 #[derive(Clone)]
@@ -52,7 +54,7 @@
 impl BatchEndpoints for StoreEndpoints {
     fn serve(&self, call: BatchCall) -> BatchResponseFuture {
         let endpoints = self.clone();
-        Box::pin(async move { endpoints.answer(call).await })
+        Box::pin(async move { endpoints.respond(call).await })
     }
 }
 
@@ -74,29 +76,29 @@
         }
     }
 
-    async fn answer(&self, call: BatchCall) -> Response<Bytes> {
+    async fn respond(&self, call: BatchCall) -> Response<Bytes> {
         let uri = call.request.uri();
         if !path::is_batch_path(uri.path()) {
             return match &call.route {
                 Some(route) if call.request.method() == Method::POST => {
-                    self.offered(&call, route).await
+                    self.submit_with_metrics(&call, route).await
                 }
-                _ => plain(StatusCode::METHOD_NOT_ALLOWED),
+                _ => empty_response(StatusCode::METHOD_NOT_ALLOWED),
             };
         }
         let Ok(target) = path::read(uri.path(), uri.query()) else {
-            return plain(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         match (call.request.method().clone(), target) {
-            (Method::GET, Target::Lot { job, after }) => self.read(&call, job, after).await,
-            (Method::DELETE, Target::Lot { job, .. }) => self.end(&call, job).await,
+            (Method::GET, Target::Job { job, after }) => self.read(&call, job, after).await,
+            (Method::DELETE, Target::Job { job, .. }) => self.end(&call, job).await,
             (Method::GET, Target::Item { job, item }) => self.body(&call, job, item).await,
-            _ => plain(StatusCode::METHOD_NOT_ALLOWED),
+            _ => empty_response(StatusCode::METHOD_NOT_ALLOWED),
         }
     }
 
     /// Submits a batch job and records metrics.
-    async fn offered(&self, call: &BatchCall, route: &Arc<Route>) -> Response<Bytes> {
+    async fn submit_with_metrics(&self, call: &BatchCall, route: &Arc<Route>) -> Response<Bytes> {
         let metrics = &metrics::get().batch_api;
         metrics.offered(call.request.body().len());
         let response = self.submit(call, route).await;
@@ -106,14 +108,14 @@
 
     async fn submit(&self, call: &BatchCall, route: &Arc<Route>) -> Response<Bytes> {
         let headers = call.request.headers();
-        let Some(id) = text(headers, "request-id").filter(|id| document::is_id(id)) else {
-            return plain(StatusCode::BAD_REQUEST);
+        let Some(id) = header_text(headers, "request-id").filter(|id| document::is_id(id)) else {
+            return empty_response(StatusCode::BAD_REQUEST);
         };
         let items = match document::read(call.request.body()) {
             Ok(items) => items,
             Err(error) => {
                 log::debug!("batch job {id}: {error}");
-                return plain(StatusCode::BAD_REQUEST);
+                return empty_response(StatusCode::BAD_REQUEST);
             }
         };
         let job = NewJob {
@@ -124,25 +126,25 @@
             age_ms: 0,
             items: items.into_iter().map(to_item).collect(),
         };
-        let patience = Patience {
-            unserved_until: call.received_at + SUBMIT_UNSERVED.min(time_of(headers)),
-            unknown_until: call.received_at + SUBMIT_UNKNOWN.min(time_of(headers)),
-            held: Duration::ZERO,
+        let limits = CallLimits {
+            retry_until: call.received_at + SUBMIT_RETRY_TIMEOUT.min(client_timeout(headers)),
+            resolve_until: call.received_at + SUBMIT_RESOLVE_TIMEOUT.min(client_timeout(headers)),
+            hold: Duration::ZERO,
         };
-        if !self.admission.passes(route, job.tokens()) {
-            let timeout = patience
-                .unknown_until
+        if !self.admission.admits(route, job.tokens()) {
+            let timeout = limits
+                .resolve_until
                 .saturating_duration_since(Instant::now());
             return self.refuse_unless_accepted(route, &job.id, timeout).await;
         }
         let try_id = self.random.borrow_mut().rand_u64();
         let call = StoreCall::Submit { try_id, job };
-        let (end, reading) =
-            ask_primary(&*self.link, self.snapshots.clone(), &call, patience).await;
+        let (outcome, reading) =
+            call_primary(&*self.link, self.snapshots.clone(), &call, limits).await;
         if let Some(reading) = reading {
-            self.admission.read(route, reading);
+            self.admission.record_reading(route, reading);
         }
-        submit_answer(end)
+        submit_response(outcome)
     }
 
     /// Responds to a batch job that the admission check refuses. A retried job that has already been accepted is not
@@ -151,22 +153,21 @@
         &self,
         route: &Arc<Route>,
         job: &JobId,
-        client_time: Duration,
+        client_timeout: Duration,
     ) -> Response<Bytes> {
         let try_id = self.random.borrow_mut().rand_u64();
-        let question = KnownJobQuestion {
+        let query = KnownJobQuery {
             try_id,
             job,
             route: &route.name,
         };
-        let timeout = KNOWN_JOB_TIMEOUT.min(client_time);
-        let (accepted, reading) =
-            is_accepted(&*self.link, &self.snapshots, &question, timeout).await;
+        let timeout = KNOWN_JOB_QUERY_TIMEOUT.min(client_timeout);
+        let (accepted, reading) = is_accepted(&*self.link, &self.snapshots, &query, timeout).await;
         if let Some(reading) = reading {
-            self.admission.read(route, reading);
+            self.admission.record_reading(route, reading);
         }
         if accepted {
-            return plain(StatusCode::ACCEPTED);
+            return empty_response(StatusCode::ACCEPTED);
         }
         metrics::get().batch_api.refused_by_coin();
         over_quota()
@@ -174,72 +175,80 @@
 
     async fn read(&self, call: &BatchCall, job: String, after: u64) -> Response<Bytes> {
         let Ok(after) = u32::try_from(after) else {
-            return plain(StatusCode::BAD_REQUEST);
+            return empty_response(StatusCode::BAD_REQUEST);
         };
-        let held = milliseconds(call.request.headers(), "wait-ms")
+        let hold = header_milliseconds(call.request.headers(), "wait-ms")
             .unwrap_or_default()
-            .min(LONGEST_HOLD);
-        let until = call.received_at + held + READ_MARGIN;
-        let patience = Patience {
-            unserved_until: until,
-            unknown_until: until,
-            held,
+            .min(MAX_HOLD);
+        let until = call.received_at + hold + READ_TIMEOUT_MARGIN;
+        let limits = CallLimits {
+            retry_until: until,
+            resolve_until: until,
+            hold,
         };
-        let wait_ms = u32::try_from(held.as_millis()).unwrap_or(0);
+        let wait_ms = u32::try_from(hold.as_millis()).unwrap_or(0);
         match self
-            .ask(
+            .call_store(
                 StoreCall::Read {
                     job: JobId(job),
                     after,
                     wait_ms,
                 },
-                patience,
+                limits,
             )
             .await
         {
-            CallEnd::Answered(reply) | CallEnd::AnsweredAfterUnknown(reply) => match reply {
-                StoreReply::Results(json) => with_body(json, "application/json"),
-                other => read_failure(&other),
-            },
-            CallEnd::NotServed | CallEnd::Unknown => unavailable(),
+            CallOutcome::Answered(reply) | CallOutcome::AnsweredAfterUnknown(reply) => {
+                match reply {
+                    StoreReply::Results(json) => response_with_body(json, "application/json"),
+                    other => error_response(&other),
+                }
+            }
+            CallOutcome::NotServed | CallOutcome::Unknown => unavailable(),
         }
     }
 
     async fn body(&self, call: &BatchCall, job: String, item: String) -> Response<Bytes> {
         match self
-            .ask(
+            .call_store(
                 StoreCall::Body {
                     job: JobId(job),
                     item,
                 },
-                other_patience(call),
+                default_limits(call),
             )
             .await
         {
-            CallEnd::Answered(reply) | CallEnd::AnsweredAfterUnknown(reply) => match reply {
-                StoreReply::Body(bytes) => with_body(bytes, "application/octet-stream"),
-                other => read_failure(&other),
-            },
-            CallEnd::NotServed | CallEnd::Unknown => unavailable(),
+            CallOutcome::Answered(reply) | CallOutcome::AnsweredAfterUnknown(reply) => {
+                match reply {
+                    StoreReply::Body(bytes) => {
+                        response_with_body(bytes, "application/octet-stream")
+                    }
+                    other => error_response(&other),
+                }
+            }
+            CallOutcome::NotServed | CallOutcome::Unknown => unavailable(),
         }
     }
 
     async fn end(&self, call: &BatchCall, job: String) -> Response<Bytes> {
         match self
-            .ask(StoreCall::End(JobId(job)), other_patience(call))
+            .call_store(StoreCall::End(JobId(job)), default_limits(call))
             .await
         {
-            CallEnd::Answered(reply) | CallEnd::AnsweredAfterUnknown(reply) => match reply {
-                StoreReply::Committed => plain(StatusCode::OK),
-                other => read_failure(&other),
-            },
-            CallEnd::NotServed => unavailable(),
-            CallEnd::Unknown => plain(StatusCode::GATEWAY_TIMEOUT),
+            CallOutcome::Answered(reply) | CallOutcome::AnsweredAfterUnknown(reply) => {
+                match reply {
+                    StoreReply::Committed => empty_response(StatusCode::OK),
+                    other => error_response(&other),
+                }
+            }
+            CallOutcome::NotServed => unavailable(),
+            CallOutcome::Unknown => empty_response(StatusCode::GATEWAY_TIMEOUT),
         }
     }
 
-    async fn ask(&self, call: StoreCall, patience: Patience) -> CallEnd {
-        ask_primary(&*self.link, self.snapshots.clone(), &call, patience)
+    async fn call_store(&self, call: StoreCall, limits: CallLimits) -> CallOutcome {
+        call_primary(&*self.link, self.snapshots.clone(), &call, limits)
             .await
             .0
     }
@@ -247,32 +256,34 @@
 
 /// Response to a submission. Status 429 and 503 guarantee that none of the job's items run. After an attempt with
 /// unknown outcome neither is returned, as that attempt may still be accepted.
-fn submit_answer(end: CallEnd) -> Response<Bytes> {
-    match end {
-        CallEnd::Answered(StoreReply::Committed)
-        | CallEnd::AnsweredAfterUnknown(StoreReply::Committed) => plain(StatusCode::ACCEPTED),
-        CallEnd::Answered(StoreReply::OverQuota) => over_quota(),
-        CallEnd::Answered(StoreReply::Invalid) => plain(StatusCode::BAD_REQUEST),
-        CallEnd::NotServed => unavailable(),
-        CallEnd::Answered(_) | CallEnd::AnsweredAfterUnknown(_) | CallEnd::Unknown => {
-            plain(StatusCode::GATEWAY_TIMEOUT)
+fn submit_response(outcome: CallOutcome) -> Response<Bytes> {
+    match outcome {
+        CallOutcome::Answered(StoreReply::Committed)
+        | CallOutcome::AnsweredAfterUnknown(StoreReply::Committed) => {
+            empty_response(StatusCode::ACCEPTED)
+        }
+        CallOutcome::Answered(StoreReply::OverQuota) => over_quota(),
+        CallOutcome::Answered(StoreReply::Invalid) => empty_response(StatusCode::BAD_REQUEST),
+        CallOutcome::NotServed => unavailable(),
+        CallOutcome::Answered(_) | CallOutcome::AnsweredAfterUnknown(_) | CallOutcome::Unknown => {
+            empty_response(StatusCode::GATEWAY_TIMEOUT)
         }
     }
 }
 
-fn read_failure(reply: &StoreReply) -> Response<Bytes> {
+fn error_response(reply: &StoreReply) -> Response<Bytes> {
     match reply {
-        StoreReply::NotFound => plain(StatusCode::NOT_FOUND),
+        StoreReply::NotFound => empty_response(StatusCode::NOT_FOUND),
         _ => unavailable(),
     }
 }
 
-fn other_patience(call: &BatchCall) -> Patience {
-    let until = call.received_at + OTHER_PATIENCE;
-    Patience {
-        unserved_until: until,
-        unknown_until: until,
-        held: Duration::ZERO,
+fn default_limits(call: &BatchCall) -> CallLimits {
+    let until = call.received_at + DEFAULT_CALL_TIMEOUT;
+    CallLimits {
+        retry_until: until,
+        resolve_until: until,
+        hold: Duration::ZERO,
     }
 }
 
@@ -294,7 +305,7 @@
     }
 }
 
-fn with_body(bytes: Vec<u8>, content_type: &'static str) -> Response<Bytes> {
+fn response_with_body(bytes: Vec<u8>, content_type: &'static str) -> Response<Bytes> {
     let mut response = Response::new(Bytes::from(bytes));
     response
         .headers_mut()
@@ -302,20 +313,21 @@
     response
 }
 
-fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+fn header_text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
 
-fn milliseconds(headers: &HeaderMap, name: &str) -> Option<Duration> {
-    text(headers, name)
+fn header_milliseconds(headers: &HeaderMap, name: &str) -> Option<Duration> {
+    header_text(headers, name)
         .and_then(|value| value.trim().parse().ok())
         .map(Duration::from_millis)
 }
 
 /// The client's deadline less [`RESPONSE_MARGIN`].
-fn time_of(headers: &HeaderMap) -> Duration {
-    milliseconds(headers, "deadline-ms")
-        .map_or(SUBMIT_UNKNOWN, |time| time.saturating_sub(WAY_BACK))
+fn client_timeout(headers: &HeaderMap) -> Duration {
+    header_milliseconds(headers, "deadline-ms").map_or(SUBMIT_RESOLVE_TIMEOUT, |time| {
+        time.saturating_sub(RESPONSE_MARGIN)
+    })
 }
 
 #[cfg(test)]
--- a/alderhollow/src/batch_api/endpoints/tests.rs
+++ b/alderhollow/src/batch_api/endpoints/tests.rs
@@ -11,31 +11,31 @@
 use std::net::SocketAddr;
 use tokio::sync::watch;
 
-type Scripted = Result<StoreReply, StoreCallError>;
+type ScriptedReply = Result<StoreReply, StoreCallError>;
 
 /// Answers calls from a script and repeats its last entry.
 struct Script {
-    replies: RefCell<VecDeque<Scripted>>,
+    replies: RefCell<VecDeque<ScriptedReply>>,
     calls: RefCell<Vec<(SocketAddr, StoreCall)>>,
     reading: RefCell<Option<TenantReading>>,
 }
 
 /// A primary that accepts every submitted job and recognizes offers of jobs that it has accepted.
 #[derive(Default)]
-struct TakingPrimary {
+struct AcceptingPrimary {
     accepted: RefCell<HashSet<JobId>>,
     offers: Cell<usize>,
-    hand_overs: Cell<usize>,
+    submissions: Cell<usize>,
     /// Whether offers remain unanswered.
     ignores_offers: Cell<bool>,
     reading: Cell<Option<TenantReading>>,
 }
 
-impl TakingPrimary {
+impl AcceptingPrimary {
     fn serve(&self, call: &StoreCall) -> StoreReply {
         match call {
             StoreCall::Submit { job, .. } => {
-                self.hand_overs.set(self.hand_overs.get() + 1);
+                self.submissions.set(self.submissions.get() + 1);
                 self.accepted.borrow_mut().insert(job.id.clone());
                 StoreReply::Committed
             }
@@ -51,7 +51,7 @@
     }
 }
 
-impl StoreLink for TakingPrimary {
+impl StoreLink for AcceptingPrimary {
     fn call(&self, _: SocketAddr, call: &StoreCall, timeout: Duration) -> StoreAnswerFuture {
         let answer = StoreAnswer {
             reply: self.serve(call),
@@ -126,7 +126,7 @@
 
 const JOB: &str = r#"{"requests":[{"id":"i1","path":"/b/1","headers":{"Model":"m"},"body":"q83v","tokens":940}]}"#;
 
-fn hand_in(body: &str) -> BatchCall {
+fn submit(body: &str) -> BatchCall {
     let request = Request::post("/b/x")
         .header("Request-Id", "j1")
         .header("Deadline-Ms", "4000");
@@ -154,8 +154,8 @@
 }
 
 /// Returns the status, whether there is a `Retry-After`, the body, and the calls received by stores.
-async fn answer(
-    replies: Vec<Scripted>,
+async fn respond(
+    replies: Vec<ScriptedReply>,
     call: BatchCall,
 ) -> (u16, bool, String, Vec<(SocketAddr, StoreCall)>) {
     let script = Rc::new(Script {
@@ -173,44 +173,44 @@
     (response.status().as_u16(), retry, body, calls)
 }
 
-async fn status_of(replies: Vec<Scripted>, call: BatchCall) -> (u16, bool) {
-    let (status, retry, _, _) = answer(replies, call).await;
+async fn status_of(replies: Vec<ScriptedReply>, call: BatchCall) -> (u16, bool) {
+    let (status, retry, _, _) = respond(replies, call).await;
     (status, retry)
 }
 
 #[tokio::test(start_paused = true)]
 async fn a_job_that_is_on_all_disks_gets_202() {
-    let (status, _, _, calls) = answer(vec![Ok(StoreReply::Committed)], hand_in(JOB)).await;
+    let (status, _, _, calls) = respond(vec![Ok(StoreReply::Committed)], submit(JOB)).await;
     assert_eq!(status, 202);
     insta::assert_debug_snapshot!(calls);
 }
 
 #[tokio::test(start_paused = true)]
-async fn definite_refusals_are_promises() {
+async fn definite_refusals_get_429_503_or_400() {
     assert_eq!(
-        status_of(vec![Ok(StoreReply::OverQuota)], hand_in(JOB)).await,
+        status_of(vec![Ok(StoreReply::OverQuota)], submit(JOB)).await,
         (429, true)
     );
     assert_eq!(
-        status_of(vec![Ok(StoreReply::NotSure)], hand_in(JOB)).await,
+        status_of(vec![Ok(StoreReply::NotSure)], submit(JOB)).await,
         (503, true)
     );
     assert_eq!(
-        status_of(vec![Ok(StoreReply::NotPrimary)], hand_in(JOB)).await,
+        status_of(vec![Ok(StoreReply::NotPrimary)], submit(JOB)).await,
         (503, true)
     );
     assert_eq!(
-        status_of(vec![Err(StoreCallError::NotServed)], hand_in(JOB)).await,
+        status_of(vec![Err(StoreCallError::NotServed)], submit(JOB)).await,
         (503, true)
     );
     assert_eq!(
-        status_of(vec![Ok(StoreReply::Invalid)], hand_in(JOB)).await,
+        status_of(vec![Ok(StoreReply::Invalid)], submit(JOB)).await,
         (400, false)
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn after_an_unknown_end_nothing_is_promised() {
+async fn after_an_unknown_outcome_only_504_or_202_is_returned() {
     for unknown in [Err(StoreCallError::Unknown), Ok(StoreReply::Unknown)] {
         for then in [
             Ok(StoreReply::OverQuota),
@@ -220,12 +220,12 @@
             Ok(StoreReply::NotFound),
             Err(StoreCallError::NotServed),
         ] {
-            let status = status_of(vec![unknown.clone(), then.clone()], hand_in(JOB)).await;
+            let status = status_of(vec![unknown.clone(), then.clone()], submit(JOB)).await;
             assert_eq!(status, (504, false), "{then:?}");
         }
         let status = status_of(
             vec![unknown.clone(), Ok(StoreReply::Committed)],
-            hand_in(JOB),
+            submit(JOB),
         )
         .await;
         assert_eq!(status, (202, false));
@@ -233,17 +233,17 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unknown_end_is_given_up_before_the_clients_deadline() {
+async fn an_unknown_outcome_is_reported_before_the_clients_deadline() {
     let before = tokio::time::Instant::now();
     assert_eq!(
-        status_of(vec![Err(StoreCallError::Unknown)], hand_in(JOB)).await,
+        status_of(vec![Err(StoreCallError::Unknown)], submit(JOB)).await,
         (504, false)
     );
-    assert!(before.elapsed() <= SUBMIT_UNKNOWN);
+    assert!(before.elapsed() <= SUBMIT_RESOLVE_TIMEOUT);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_successor_is_asked_as_soon_as_it_is_known() {
+async fn a_new_primary_is_called_as_soon_as_it_is_known() {
     let replies = vec![Err(StoreCallError::Unknown), Ok(StoreReply::Committed)];
     let script = Rc::new(Script {
         replies: RefCell::new(replies.into()),
@@ -256,7 +256,7 @@
         tokio::task::yield_now().await;
         sender.send_replace(tables(2));
     };
-    let (response, ()) = tokio::join!(endpoints.serve(hand_in(JOB)), change);
+    let (response, ()) = tokio::join!(endpoints.serve(submit(JOB)), change);
     assert_eq!(response.status(), 202);
     let asked: Vec<_> = script
         .calls
@@ -268,7 +268,7 @@
 }
 
 /// For each call whether it is a full copy of the job (`true`) or an offer.
-fn copies(calls: &[(SocketAddr, StoreCall)]) -> Vec<bool> {
+fn full_copies(calls: &[(SocketAddr, StoreCall)]) -> Vec<bool> {
     calls
         .iter()
         .map(|(_, call)| matches!(call, StoreCall::Submit { .. }))
@@ -276,25 +276,25 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_primary_that_can_not_tell_gets_one_copy_of_a_job_and_then_offers() {
-    let (status, _, _, calls) = answer(vec![Ok(StoreReply::NotSure)], hand_in(JOB)).await;
+async fn an_undecided_primary_gets_one_copy_of_a_job_and_then_offers() {
+    let (status, _, _, calls) = respond(vec![Ok(StoreReply::NotSure)], submit(JOB)).await;
     assert_eq!(status, 503);
-    let copies = copies(&calls);
+    let copies = full_copies(&calls);
     assert!(copies.len() > 2, "{copies:?}");
     assert_eq!(copies.iter().filter(|copy| **copy).count(), 1, "{copies:?}");
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_goes_out_again_once_its_primary_serves() {
+async fn a_job_is_sent_again_once_its_primary_would_accept_it() {
     let replies = [
         StoreReply::NotSure,
         StoreReply::NotSure,
         StoreReply::WouldAccept,
         StoreReply::Committed,
     ];
-    let (status, _, _, calls) = answer(replies.map(Ok).into(), hand_in(JOB)).await;
+    let (status, _, _, calls) = respond(replies.map(Ok).into(), submit(JOB)).await;
     assert_eq!(status, 202);
-    assert_eq!(copies(&calls), [true, false, false, true]);
+    assert_eq!(full_copies(&calls), [true, false, false, true]);
 }
 
 #[tokio::test(start_paused = true)]
@@ -304,9 +304,9 @@
         Ok(StoreReply::NotSure),
         Ok(StoreReply::Committed),
     ];
-    let (status, _, _, calls) = answer(replies, hand_in(JOB)).await;
+    let (status, _, _, calls) = respond(replies, submit(JOB)).await;
     assert_eq!(status, 202);
-    assert_eq!(copies(&calls), [true, false, false]);
+    assert_eq!(full_copies(&calls), [true, false, false]);
 }
 
 /// A job large enough to be offered first.
@@ -318,35 +318,35 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_large_job_is_sent_only_where_it_would_be_taken() {
-    let (status, _, _, calls) = answer(
+async fn a_large_job_is_sent_only_if_it_would_be_accepted() {
+    let (status, _, _, calls) = respond(
         vec![Ok(StoreReply::WouldAccept), Ok(StoreReply::Committed)],
-        hand_in(&large_job()),
+        submit(&large_job()),
     )
     .await;
     assert_eq!(status, 202);
-    assert_eq!(copies(&calls), [false, true]);
+    assert_eq!(full_copies(&calls), [false, true]);
     for (refusal, status) in [
         (StoreReply::OverQuota, 429),
         (StoreReply::NotSure, 503),
         (StoreReply::NotPrimary, 503),
     ] {
-        let (answered, _, _, calls) = answer(vec![Ok(refusal)], hand_in(&large_job())).await;
+        let (answered, _, _, calls) = respond(vec![Ok(refusal)], submit(&large_job())).await;
         assert_eq!(answered, status);
-        assert!(copies(&calls).iter().all(|copy| !copy), "{calls:?}");
+        assert!(full_copies(&calls).iter().all(|copy| !copy), "{calls:?}");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_offer_without_an_answer_hands_nothing_over() {
+async fn an_unanswered_offer_submits_nothing() {
     assert_eq!(
-        status_of(vec![Err(StoreCallError::Unknown)], hand_in(&large_job())).await,
+        status_of(vec![Err(StoreCallError::Unknown)], submit(&large_job())).await,
         (503, true)
     );
 }
 
 #[tokio::test(start_paused = true)]
-async fn malformed_jobs_are_refused_without_a_call() {
+async fn malformed_jobs_are_rejected_without_a_call() {
     for body in [
         "",
         "{}",
@@ -354,10 +354,10 @@
         r#"{"requests":[]}"#,
         r#"{"requests":[{"id":"a","path":"b"}]}"#,
     ] {
-        let (status, _, _, calls) = answer(vec![Ok(StoreReply::Committed)], hand_in(body)).await;
+        let (status, _, _, calls) = respond(vec![Ok(StoreReply::Committed)], submit(body)).await;
         assert_eq!((status, calls.len()), (400, 0), "{body}");
     }
-    let mut without_id = hand_in(JOB);
+    let mut without_id = submit(JOB);
     without_id.request.headers_mut().remove("request-id");
     assert_eq!(
         status_of(vec![Ok(StoreReply::Committed)], without_id).await,
@@ -366,10 +366,10 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn reads_pass_results_on_and_hold_at_the_store() {
+async fn reads_forward_results_and_the_wait_time() {
     let json = br#"{"total":1,"next-token":0,"results":[]}"#.to_vec();
     let read = call("GET", "/alderhollow/lots/j1?after=0");
-    let (status, _, body, calls) = answer(vec![Ok(StoreReply::Results(json.clone()))], read).await;
+    let (status, _, body, calls) = respond(vec![Ok(StoreReply::Results(json.clone()))], read).await;
     assert_eq!((status, body.as_bytes()), (200, &json[..]));
     assert_eq!(
         calls[0].1,
@@ -382,7 +382,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn only_a_sure_primary_makes_a_404() {
+async fn only_a_definite_reply_gives_404() {
     let read = || call("GET", "/alderhollow/lots/j1");
     assert_eq!(
         status_of(vec![Ok(StoreReply::NotFound)], read()).await,
@@ -405,7 +405,7 @@
         status_of(vec![Ok(StoreReply::NotSure)], item()).await,
         (503, true)
     );
-    let (status, _, body, _) = answer(vec![Ok(StoreReply::Body(b"xyz".to_vec()))], item()).await;
+    let (status, _, body, _) = respond(vec![Ok(StoreReply::Body(b"xyz".to_vec()))], item()).await;
     assert_eq!((status, body.as_str()), (200, "xyz"));
 }
 
@@ -429,7 +429,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn without_validated_tables_nothing_is_taken() {
+async fn without_validated_tables_jobs_are_refused() {
     let script = Rc::new(Script {
         replies: RefCell::new([Ok(StoreReply::Committed)].into()),
         calls: RefCell::default(),
@@ -437,14 +437,14 @@
     });
     let (_sender, snapshots) = watch::channel(Arc::<Snapshot>::default());
     let response = StoreEndpoints::new(script.clone(), snapshots, SteadyClock::start(), 7)
-        .serve(hand_in(JOB))
+        .serve(submit(JOB))
         .await;
     assert_eq!(response.status(), 503);
     assert!(script.calls.borrow().is_empty());
 }
 
 #[tokio::test(start_paused = true)]
-async fn other_methods_and_paths_are_refused() {
+async fn other_methods_and_paths_are_rejected() {
     assert_eq!(
         status_of(
             vec![Ok(StoreReply::NotFound)],
@@ -475,7 +475,7 @@
 }
 
 /// Far above any quota, in a period that has just ended: the admission probability is at its minimum.
-const FAR_BEYOND: TenantReading = TenantReading {
+const FAR_OVER_QUOTA: TenantReading = TenantReading {
     period: 1,
     age_ms: 0,
     length_ms: 500,
@@ -484,23 +484,23 @@
 };
 
 /// Endpoints at a primary whose readings show an exceeded quota, and the sender of their tables.
-async fn gateway_at_a_full_quota() -> (
-    Rc<TakingPrimary>,
+async fn gateway_over_quota() -> (
+    Rc<AcceptingPrimary>,
     StoreEndpoints,
     watch::Sender<Arc<Snapshot>>,
 ) {
-    let primary = Rc::new(TakingPrimary::default());
+    let primary = Rc::new(AcceptingPrimary::default());
     let (sender, snapshots) = watch::channel(tables(1));
     let clock = SteadyClock::start();
     tokio::time::advance(Duration::from_secs(5)).await;
     let endpoints = StoreEndpoints::new(primary.clone(), snapshots, clock, 7);
-    primary.reading.set(Some(FAR_BEYOND));
+    primary.reading.set(Some(FAR_OVER_QUOTA));
     (primary, endpoints, sender)
 }
 
 /// Submits a job under a quota.
-async fn hand_in_with_quota(endpoints: &StoreEndpoints, id: &str, quota: u64) -> Response<Bytes> {
-    let mut call = hand_in(JOB);
+async fn submit_with_quota(endpoints: &StoreEndpoints, id: &str, quota: u64) -> Response<Bytes> {
+    let mut call = submit(JOB);
     call.request
         .headers_mut()
         .insert("request-id", id.parse().expect("an id"));
@@ -512,79 +512,73 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_coin_refuses_only_what_a_fresh_reading_shows_not_to_fit() {
-    let (primary, endpoints, _sender) = gateway_at_a_full_quota().await;
+async fn only_jobs_over_quota_by_a_fresh_reading_are_refused_at_the_gateway() {
+    let (primary, endpoints, _sender) = gateway_over_quota().await;
     assert_eq!(
-        hand_in_with_quota(&endpoints, "first", 1_000)
-            .await
-            .status(),
+        submit_with_quota(&endpoints, "first", 1_000).await.status(),
         202
     );
     let mut refused = 0;
     for number in 0..100 {
-        let response = hand_in_with_quota(&endpoints, &format!("full-{number}"), 1_000).await;
+        let response = submit_with_quota(&endpoints, &format!("full-{number}"), 1_000).await;
         refused +=
             usize::from(response.status() == 429 && response.headers().contains_key("retry-after"));
     }
     assert!(refused > 50, "{refused} of 100");
     assert_eq!(
-        primary.hand_overs.get(),
+        primary.submissions.get(),
         101 - refused,
-        "no body goes out for a refused job"
+        "no body is sent for a refused job"
     );
-    assert_eq!(primary.offers.get(), refused, "one question for each");
+    assert_eq!(primary.offers.get(), refused, "one query for each");
     // Jobs that fit are submitted, and so are all jobs once the reading is old.
     for number in 0..100 {
-        let response = hand_in_with_quota(&endpoints, &format!("fits-{number}"), 10_000_000).await;
+        let response = submit_with_quota(&endpoints, &format!("fits-{number}"), 10_000_000).await;
         assert_eq!(response.status(), 202);
     }
     primary.reading.set(None);
     tokio::time::advance(Duration::from_secs(5)).await;
     for number in 0..100 {
-        let response = hand_in_with_quota(&endpoints, &format!("old-{number}"), 1_000).await;
+        let response = submit_with_quota(&endpoints, &format!("old-{number}"), 1_000).await;
         assert_eq!(response.status(), 202);
     }
-    assert_eq!(primary.hand_overs.get(), 301 - refused);
+    assert_eq!(primary.submissions.get(), 301 - refused);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_job_that_is_accepted_already_gets_202_whatever_the_coin_says() {
-    let (primary, endpoints, _sender) = gateway_at_a_full_quota().await;
+async fn an_already_accepted_job_gets_202_despite_the_admission_check() {
+    let (primary, endpoints, _sender) = gateway_over_quota().await;
     for _ in 0..100 {
         assert_eq!(
-            hand_in_with_quota(&endpoints, "known", 1_000)
-                .await
-                .status(),
+            submit_with_quota(&endpoints, "known", 1_000).await.status(),
             202
         );
     }
     assert!(
         primary.offers.get() > 50,
-        "the coin refused {} of 100",
+        "the admission check refused {} of 100",
         primary.offers.get()
     );
-    assert_eq!(primary.hand_overs.get() + primary.offers.get(), 100);
+    assert_eq!(primary.submissions.get() + primary.offers.get(), 100);
 }
 
 #[tokio::test(start_paused = true)]
-async fn the_coins_word_stands_soon_where_the_primary_is_silent() {
-    let (primary, endpoints, sender) = gateway_at_a_full_quota().await;
+async fn the_refusal_stands_if_the_primary_does_not_answer_in_time() {
+    let (primary, endpoints, sender) = gateway_over_quota().await;
     assert_eq!(
-        hand_in_with_quota(&endpoints, "known", 1_000)
-            .await
-            .status(),
+        submit_with_quota(&endpoints, "known", 1_000).await.status(),
         202
     );
     primary.ignores_offers.set(true);
     let mut refused = 0;
     for number in 0..20 {
         let before = Instant::now();
-        let status = hand_in_with_quota(&endpoints, &format!("unheard-{number}"), 1_000)
+        let status = submit_with_quota(&endpoints, &format!("unheard-{number}"), 1_000)
             .await
             .status();
         refused += usize::from(status == 429);
         assert!(
-            before.elapsed() <= KNOWN_JOB_TIMEOUT,
+            before.elapsed() <= KNOWN_JOB_QUERY_TIMEOUT,
             "{:?}",
             before.elapsed()
         );
@@ -594,7 +588,7 @@
     sender.send_replace(Arc::default());
     let offers = primary.offers.get();
     for number in 0..20 {
-        let status = hand_in_with_quota(&endpoints, &format!("alone-{number}"), 1_000)
+        let status = submit_with_quota(&endpoints, &format!("alone-{number}"), 1_000)
             .await
             .status();
         assert!(status == 429 || status == 503, "{status}");
--- a/alderhollow/src/batch_api/mod.rs
+++ b/alderhollow/src/batch_api/mod.rs
@@ -26,7 +26,7 @@
 pub struct BatchCall {
     /// Method, path with query, headers and body.
     pub request: Request<Bytes>,
-    /// The batch route that a `POST` matched; `None` for the calls under [`path::LOTS`] and [`path::ITEMS`].
+    /// The batch route that a `POST` matched; `None` for the calls under [`path::JOBS_PREFIX`] and [`path::ITEMS_PREFIX`].
     pub route: Option<Arc<Route>>,
     /// When the head of the request was read.
     pub received_at: Instant,
@@ -50,7 +50,7 @@
 }
 
 fn retry_later(status: StatusCode) -> Response<Bytes> {
-    let mut response = plain(status);
+    let mut response = empty_response(status);
     response.headers_mut().insert(
         hyper::header::RETRY_AFTER,
         hyper::header::HeaderValue::from_static(RETRY_AFTER_S),
@@ -59,7 +59,7 @@
 }
 
 /// A response without a body.
-pub fn plain(status: StatusCode) -> Response<Bytes> {
+pub fn empty_response(status: StatusCode) -> Response<Bytes> {
     let mut response = Response::new(Bytes::new());
     *response.status_mut() = status;
     response
--- a/alderhollow/src/batch_api/path.rs
+++ b/alderhollow/src/batch_api/path.rs
@@ -1,15 +1,15 @@
 //! Paths and queries of calls about batch jobs.
 
 /// Path prefix of calls that read the results of a batch job or end it.
-pub const LOTS: &str = "/alderhollow/lots/";
+pub const JOBS_PREFIX: &str = "/alderhollow/lots/";
 /// Path prefix of calls that read the body of an item.
-pub const ITEMS: &str = "/alderhollow/items/";
+pub const ITEMS_PREFIX: &str = "/alderhollow/items/";
 
 /// The resource that a path refers to.
 #[derive(Debug, Clone, PartialEq, Eq)]
 pub enum Target {
     /// A batch job: `GET` reads results from a position, `DELETE` ends the job.
-    Lot {
+    Job {
         /// The batch job's id.
         job: String,
         /// Position of the first result to return.
@@ -40,7 +40,7 @@
 
 /// Whether a path belongs to batch jobs regardless of any route.
 pub fn is_batch_path(path: &str) -> bool {
-    path.starts_with(LOTS) || path.starts_with(ITEMS)
+    path.starts_with(JOBS_PREFIX) || path.starts_with(ITEMS_PREFIX)
 }
 
 /// Parses a path and its query.
@@ -49,44 +49,44 @@
 /// The path or its query contains no valid job, item or position.
 pub fn read(path: &str, query: Option<&str>) -> Result<Target, PathError> {
     let query = query.unwrap_or("");
-    if let Some(job) = path.strip_prefix(LOTS) {
-        let after = match value_of(query, "after")? {
+    if let Some(job) = path.strip_prefix(JOBS_PREFIX) {
+        let after = match query_value(query, "after")? {
             None => 0,
             Some(text) => text.parse().map_err(|_| PathError::After)?,
         };
-        return Ok(Target::Lot {
-            job: id(job)?,
+        return Ok(Target::Job {
+            job: decode_id(job)?,
             after,
         });
     }
-    let job = path.strip_prefix(ITEMS).ok_or(PathError::Unknown)?;
-    let item = value_of(query, "id")?.ok_or(PathError::Id)?;
+    let job = path.strip_prefix(ITEMS_PREFIX).ok_or(PathError::Unknown)?;
+    let item = query_value(query, "id")?.ok_or(PathError::Id)?;
     Ok(Target::Item {
-        job: id(job)?,
-        item: id(&item)?,
+        job: decode_id(job)?,
+        item: decode_id(&item)?,
     })
 }
 
-fn id(text: &str) -> Result<String, PathError> {
-    let decoded = decode(text)?;
+fn decode_id(text: &str) -> Result<String, PathError> {
+    let decoded = decode_percent(text)?;
     match decoded.is_empty() || decoded.contains('/') {
         true => Err(PathError::Id),
         false => Ok(decoded),
     }
 }
 
-fn value_of(query: &str, name: &str) -> Result<Option<String>, PathError> {
+fn query_value(query: &str, name: &str) -> Result<Option<String>, PathError> {
     for pair in query.split('&') {
         let (key, value) = pair.split_once('=').unwrap_or((pair, ""));
         if key == name {
-            return decode(value).map(Some);
+            return decode_percent(value).map(Some);
         }
     }
     Ok(None)
 }
 
 /// Decodes percent-encoding.
-fn decode(text: &str) -> Result<String, PathError> {
+fn decode_percent(text: &str) -> Result<String, PathError> {
     if !text.contains('%') {
         return Ok(text.to_string());
     }
--- a/alderhollow/src/batch_api/path/tests.rs
+++ b/alderhollow/src/batch_api/path/tests.rs
@@ -4,17 +4,17 @@
 use proptest::prelude::*;
 
 #[test]
-fn a_lot_is_read_with_and_without_a_position() {
+fn a_job_path_is_parsed_with_and_without_a_position() {
     assert_eq!(
         read("/alderhollow/lots/ab1", None),
-        Ok(Target::Lot {
+        Ok(Target::Job {
             job: "ab1".into(),
             after: 0
         })
     );
     assert_eq!(
         read("/alderhollow/lots/ab1", Some("x=1&after=12")),
-        Ok(Target::Lot {
+        Ok(Target::Job {
             job: "ab1".into(),
             after: 12
         })
@@ -36,10 +36,10 @@
 }
 
 #[test]
-fn escapes_are_resolved_and_bad_ones_refused() {
+fn percent_encoding_is_decoded_and_malformed_encoding_rejected() {
     assert_eq!(
         read("/alderhollow/lots/a%2Db", None),
-        Ok(Target::Lot {
+        Ok(Target::Job {
             job: "a-b".into(),
             after: 0
         })
@@ -63,7 +63,7 @@
     #[test]
     fn arbitrary_text_never_panics(path in ".*", query in ".*") {
         let _ = read(&path, Some(&query));
-        let _ = read(&format!("{LOTS}{path}"), Some(&query));
-        let _ = read(&format!("{ITEMS}{path}"), Some(&query));
+        let _ = read(&format!("{JOBS_PREFIX}{path}"), Some(&query));
+        let _ = read(&format!("{ITEMS_PREFIX}{path}"), Some(&query));
     }
 }
--- a/alderhollow/src/batch_api/store_calls.rs
+++ b/alderhollow/src/batch_api/store_calls.rs
@@ -13,7 +13,7 @@
 use tokio::time::Instant;
 
 /// Delay before a retry, unless the tables change earlier.
-const ASK_AGAIN_PAUSE: Duration = Duration::from_millis(60);
+const RETRY_DELAY: Duration = Duration::from_millis(60);
 /// Timeout of one answer, in addition to the time that the store may hold it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
@@ -45,10 +45,10 @@
     fn call(&self, to: SocketAddr, call: &StoreCall, timeout: Duration) -> StoreAnswerFuture {
         let network = self.clone();
         let payload = minicbor::to_vec(call);
-        let is_hand_over = matches!(call, StoreCall::Submit { .. });
+        let is_submit = matches!(call, StoreCall::Submit { .. });
         Box::pin(async move {
             let payload = payload.map_err(|_| StoreCallError::NotServed)?;
-            if is_hand_over {
+            if is_submit {
                 metrics::get().batch_api.handed_over(payload.len());
             }
             let answer = Network::call(&network, to, ServiceId::Batch, payload, timeout).await;
@@ -69,18 +69,18 @@
 
 /// Limits on retrying a call.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
+pub struct CallLimits {
     /// End of retries while no attempt may have been served.
-    pub unserved_until: Instant,
+    pub retry_until: Instant,
     /// End of retries once the outcome of an attempt is unknown.
-    pub unknown_until: Instant,
+    pub resolve_until: Instant,
     /// How long the store may hold the answer.
-    pub held: Duration,
+    pub hold: Duration,
 }
 
 /// Outcome of a call over all attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CallEnd {
+pub enum CallOutcome {
     /// The store's reply; all earlier attempts were certainly not served. Never `NotPrimary`, `NotSure` or `Unknown`.
     Answered(StoreReply),
     /// The store's reply after an attempt with unknown outcome.
@@ -96,44 +96,44 @@
 /// A large batch job is first offered by a small call, and its body is sent only if it would be accepted. Otherwise every
 /// gateway would resend the bodies of refused jobs every few milliseconds, which saturates the primary's network link
 /// and cuts it off from the core and the members of its group.
-pub async fn ask_primary(
+pub async fn call_primary(
     link: &dyn StoreLink,
     mut snapshots: SnapshotReceiver,
     call: &StoreCall,
-    patience: Patience,
-) -> (CallEnd, Option<TenantReading>) {
-    let mut asked = Asked::default();
+    limits: CallLimits,
+) -> (CallOutcome, Option<TenantReading>) {
+    let mut state = CallState::default();
     let offer = offer_of(call);
-    let mut offers_first = is_large(call);
+    let mut offer_first = is_large(call);
     loop {
         if let Some(to) = call.job().and_then(|job| primary_address(&snapshots, job)) {
             let offered = match &offer {
-                Some(offer) if offers_first => asked.offer(link, to, offer).await,
-                _ => OfferEnd::SendIt,
+                Some(offer) if offer_first => state.offer(link, to, offer).await,
+                _ => OfferOutcome::Send,
             };
-            offers_first = true;
-            let ended = match offered {
-                OfferEnd::Settled(reply) => Some(reply),
-                OfferEnd::SendIt => {
-                    asked
-                        .hand_over(link, to, call, ANSWER_TIMEOUT + patience.held)
+            offer_first = true;
+            let reply = match offered {
+                OfferOutcome::Final(reply) => Some(reply),
+                OfferOutcome::Send => {
+                    state
+                        .send(link, to, call, ANSWER_TIMEOUT + limits.hold)
                         .await
                 }
-                OfferEnd::NotNow => None,
+                OfferOutcome::Retry => None,
             };
-            if let Some(reply) = ended {
-                return (asked.end_with(reply), asked.reading);
+            if let Some(reply) = reply {
+                return (state.outcome_with(reply), state.reading);
             }
         }
-        let until = if asked.unknown {
-            patience.unknown_until
+        let until = if state.unknown {
+            limits.resolve_until
         } else {
-            patience.unserved_until
+            limits.retry_until
         };
-        if Instant::now() + ASK_AGAIN_PAUSE >= until {
-            return (asked.end_without_reply(), asked.reading);
+        if Instant::now() + RETRY_DELAY >= until {
+            return (state.outcome_without_reply(), state.reading);
         }
-        pause(&mut snapshots).await;
+        wait_before_retry(&mut snapshots).await;
         metrics::get().batch_api.asked_again(call);
     }
 }
@@ -144,16 +144,16 @@
 pub async fn is_accepted(
     link: &dyn StoreLink,
     snapshots: &SnapshotReceiver,
-    question: &KnownJobQuestion<'_>,
+    query: &KnownJobQuery<'_>,
     timeout: Duration,
 ) -> (bool, Option<TenantReading>) {
-    let Some(to) = primary_address(snapshots, question.job) else {
+    let Some(to) = primary_address(snapshots, query.job) else {
         return (false, None);
     };
     let offer = StoreCall::Offer {
-        try_id: question.try_id,
-        job: question.job.clone(),
-        route: question.route.to_owned(),
+        try_id: query.try_id,
+        job: query.job.clone(),
+        route: query.route.to_owned(),
         tokens: 0,
     };
     match link.call(to, &offer, timeout).await {
@@ -163,7 +163,7 @@
 }
 
 /// Identifies the job of [`is_accepted`].
-pub struct KnownJobQuestion<'a> {
+pub struct KnownJobQuery<'a> {
     /// A new attempt id, under which no job is submitted.
     pub try_id: u64,
     /// The job.
@@ -174,38 +174,45 @@
 
 /// State of a call over its attempts.
 #[derive(Default)]
-struct Asked {
+struct CallState {
     /// Whether the outcome of an attempt is unknown.
     unknown: bool,
     reading: Option<TenantReading>,
 }
 
 /// Outcome of an offer.
-enum OfferEnd {
+enum OfferOutcome {
     /// The call should be sent.
-    SendIt,
+    Send,
     /// The reply is also the outcome of the call.
-    Settled(StoreReply),
+    Final(StoreReply),
     /// The primary could not decide or did not answer; the offer is retried.
-    NotNow,
+    Retry,
 }
 
-impl Asked {
+impl CallState {
     /// Offers a batch job. Nothing is submitted by this, whatever the outcome.
-    async fn offer(&mut self, link: &dyn StoreLink, to: SocketAddr, offer: &StoreCall) -> OfferEnd {
+    async fn offer(
+        &mut self,
+        link: &dyn StoreLink,
+        to: SocketAddr,
+        offer: &StoreCall,
+    ) -> OfferOutcome {
         match link
             .call(to, offer, ANSWER_TIMEOUT)
             .await
-            .map(|answer| self.note_reading(answer))
+            .map(|answer| self.record_reading(answer))
         {
-            Ok(StoreReply::WouldAccept) => OfferEnd::SendIt,
-            Ok(reply @ (StoreReply::Committed | StoreReply::OverQuota)) => OfferEnd::Settled(reply),
-            Ok(_) | Err(_) => OfferEnd::NotNow,
+            Ok(StoreReply::WouldAccept) => OfferOutcome::Send,
+            Ok(reply @ (StoreReply::Committed | StoreReply::OverQuota)) => {
+                OfferOutcome::Final(reply)
+            }
+            Ok(_) | Err(_) => OfferOutcome::Retry,
         }
     }
 
     /// Sends the call; returns the reply if it is final.
-    async fn hand_over(
+    async fn send(
         &mut self,
         link: &dyn StoreLink,
         to: SocketAddr,
@@ -215,7 +222,7 @@
         match link
             .call(to, call, timeout)
             .await
-            .map(|answer| self.note_reading(answer))
+            .map(|answer| self.record_reading(answer))
         {
             Ok(StoreReply::Unknown) | Err(StoreCallError::Unknown) => {
                 self.unknown = true;
@@ -228,22 +235,22 @@
         }
     }
 
-    fn note_reading(&mut self, answer: StoreAnswer) -> StoreReply {
+    fn record_reading(&mut self, answer: StoreAnswer) -> StoreReply {
         self.reading = answer.reading.or(self.reading);
         answer.reply
     }
 
-    fn end_with(&self, reply: StoreReply) -> CallEnd {
+    fn outcome_with(&self, reply: StoreReply) -> CallOutcome {
         match self.unknown {
-            true => CallEnd::AnsweredAfterUnknown(reply),
-            false => CallEnd::Answered(reply),
+            true => CallOutcome::AnsweredAfterUnknown(reply),
+            false => CallOutcome::Answered(reply),
         }
     }
 
-    fn end_without_reply(&self) -> CallEnd {
+    fn outcome_without_reply(&self) -> CallOutcome {
         match self.unknown {
-            true => CallEnd::Unknown,
-            false => CallEnd::NotServed,
+            true => CallOutcome::Unknown,
+            false => CallOutcome::NotServed,
         }
     }
 }
@@ -272,11 +279,11 @@
 }
 
 /// Waits for [`RETRY_DELAY`] or until the tables change.
-async fn pause(snapshots: &mut SnapshotReceiver) {
-    let again_at = Instant::now() + ASK_AGAIN_PAUSE;
-    if let Ok(Err(_)) = tokio::time::timeout_at(again_at, snapshots.changed()).await {
+async fn wait_before_retry(snapshots: &mut SnapshotReceiver) {
+    let retry_at = Instant::now() + RETRY_DELAY;
+    if let Ok(Err(_)) = tokio::time::timeout_at(retry_at, snapshots.changed()).await {
         // The sender of snapshots is gone.
-        tokio::time::sleep_until(again_at).await;
+        tokio::time::sleep_until(retry_at).await;
     }
 }
 
--- a/alderhollow/src/store/calls.rs
+++ b/alderhollow/src/store/calls.rs
@@ -292,7 +292,7 @@
             } => {
                 let may_wait = results.is_empty() && !closed;
                 let results = results.iter().map(listed).collect();
-                let answer = document::ReadAnswer {
+                let answer = document::ReadResponse {
                     total: u64::from(total),
                     next_token: u64::from(next),
                     results,
