--- a/alderhollow/tests/early_answers.rs
+++ b/alderhollow/tests/early_answers.rs
@@ -1,5 +1,5 @@
-//! A backend that answers before it has read the whole of a long body, keeps the connection and reads on later: where the
-//! rest of that body is due it gets nothing else.
+//! A backend may respond before it has read a long request body, keep the connection open and read on later. The gateway
+//! must not send another request on that connection in place of the rest of the body.
 
 mod support;
 
@@ -19,17 +19,17 @@
 use tokio::sync::Notify;
 use tokio::task::spawn_local;
 
-/// More than the sockets between gateway and backend hold.
+/// Larger than the socket buffers between gateway and backend.
 const BODY_BYTES: usize = 900_000;
-const BODY_LIMIT: u64 = 1_000_000;
-const RECEIVE_BUFFER: usize = 4_096;
+const MAX_BODY_BYTES: u64 = 1_000_000;
+const RECEIVE_BUFFER_BYTES: usize = 4_096;
 
-/// All that came on each connection of the backend.
+/// A backend that responds early; records the bytes received on each connection.
 #[derive(Clone, Default)]
 struct EarlyBackend {
     connections: Rc<RefCell<Vec<Vec<u8>>>>,
-    /// Told when it may read on.
-    reads_on: Rc<Notify>,
+    /// Notified when the backend may read on.
+    may_read_on: Rc<Notify>,
     ended: Rc<Notify>,
 }
 
@@ -39,7 +39,7 @@
             .await
             .expect("a free port");
         SockRef::from(&listener)
-            .set_recv_buffer_size(RECEIVE_BUFFER)
+            .set_recv_buffer_size(RECEIVE_BUFFER_BYTES)
             .expect("a socket");
         let address = listener.local_addr().expect("an address");
         let backend = self.clone();
@@ -53,7 +53,7 @@
         address
     }
 
-    /// Answers as soon as a head is here, then reads all that comes.
+    /// Responds as soon as it has read a request head, then reads until the end.
     async fn serve(self, number: usize, mut stream: TcpStream) {
         let mut read = Vec::new();
         while !read.windows(4).any(|window| window == b"\r\n\r\n") {
@@ -61,14 +61,14 @@
                 return;
             }
         }
-        let answer =
+        let response =
             "HTTP/1.1 200 OK\r\nRequest-Id: r1\r\nResponse-Seal: s1\r\nContent-Length: 2\r\n\r\nok";
         stream
-            .write_all(answer.as_bytes())
+            .write_all(response.as_bytes())
             .await
             .expect("it is read");
         if number == 0 {
-            self.reads_on.notified().await;
+            self.may_read_on.notified().await;
         }
         while matches!(stream.read_buf(&mut read).await, Ok(1..)) {}
         self.connections.borrow_mut()[number] = read;
@@ -76,16 +76,16 @@
     }
 }
 
-/// A gateway over this backend alone, that takes long bodies.
+/// A gateway with only this backend that accepts long bodies.
 async fn gateway(backend: SocketAddr) -> Gateway {
     let gateway = Gateway::start(0).await;
-    let known = snapshot(
+    let initial = snapshot(
         vec![support::gateway::backend("b0", Address(backend))],
         true,
     );
-    let config = known.control.config.as_ref().expect("a configuration");
+    let config = initial.control.config.as_ref().expect("a configuration");
     let mut config = Config::clone(config);
-    config.limits.max_body_bytes = BODY_LIMIT;
+    config.limits.max_body_bytes = MAX_BODY_BYTES;
     let control = ControlView {
         version: 2,
         config: Some(Arc::new(config)),
@@ -93,57 +93,57 @@
     };
     gateway.snapshots.send_replace(Arc::new(Snapshot {
         control: Arc::new(control),
-        ..known
+        ..initial
     }));
     gateway
 }
 
 #[test]
-fn a_backend_that_answers_early_gets_nothing_else_where_the_rest_of_the_body_is_due() {
+fn a_connection_with_an_unfinished_body_carries_no_other_request() {
     run(async {
         let backend = EarlyBackend::default();
         let gateway = gateway(backend.start().await).await;
         let body: String = (0..BODY_BYTES)
-            .map(|place| char::from(b'a' + (place % 23) as u8))
+            .map(|index| char::from(b'a' + (index % 23) as u8))
             .collect();
         let mut client = Client::connect(gateway.address).await;
         client.write(&request("/often/1", "", &body)).await;
-        let reply = client.reply().await.expect("the early answer");
+        let reply = client.reply().await.expect("the early response");
         assert_eq!((reply.status, reply.body.as_str()), (200, "ok"));
-        // The next request comes while the first backend connection still wants the rest of the body.
+        // The next request arrives while the rest of the body is still due on the first backend connection.
         assert_eq!(
             ask(gateway.address, &request("/often/2", "", "x"))
                 .await
                 .status,
             200
         );
-        let newer = backend.connections.borrow().len();
+        let connection_count = backend.connections.borrow().len();
         assert_eq!(
-            newer, 2,
-            "a connection whose body is not through carries no other request"
+            connection_count, 2,
+            "a connection with an unfinished body carried another request"
         );
-        backend.reads_on.notify_one();
-        // The gateway's end of all exchanges ends the connections that it keeps.
+        backend.may_read_on.notify_one();
+        // Stopping the gateway closes the connections that it keeps.
         gateway.running.abort();
         drop(gateway);
         while backend.connections.borrow()[0].is_empty() {
             backend.ended.notified().await;
         }
-        let came = backend.connections.borrow()[0].clone();
-        let head = came
+        let received = backend.connections.borrow()[0].clone();
+        let head = received
             .windows(4)
             .position(|window| window == b"\r\n\r\n")
             .expect("a head")
             + 4;
-        let rest = &came[head..];
+        let rest = &received[head..];
         assert!(
             !rest.is_empty() && rest.len() < body.len(),
-            "the answer was no early one: {}",
+            "the backend did not respond early: {}",
             rest.len()
         );
         assert!(
             body.as_bytes().starts_with(rest),
-            "other bytes where the body was due"
+            "unexpected bytes in place of the body"
         );
     });
 }
--- a/alderhollow/tests/executor.rs
+++ b/alderhollow/tests/executor.rs
@@ -1,4 +1,4 @@
-//! Items run at backends on loopback: what each kind of answer makes of an item.
+//! Tests of the executor with backends on loopback: the result of an item for each kind of response.
 
 #[path = "support/batch_backend.rs"]
 mod batch_backend;
@@ -28,10 +28,10 @@
 }
 
 async fn setup(script: Vec<Reply>) -> Setup {
-    let served = BatchBackend::start(script).await;
+    let started = BatchBackend::start(script).await;
     let (tables, snapshots) = watch::channel(snapshot(
         config(1, 0),
-        vec![backend("i-1", served.address)],
+        vec![backend("i-1", started.address)],
         1,
         None,
     ));
@@ -39,7 +39,7 @@
     let balancer = Rc::new(RefCell::new(Balancer::new("store-1", "a", 7)));
     let exchange = Exchange::new(clock.instant(0), 7, snapshots, balancer);
     Setup {
-        backend: served,
+        backend: started,
         executor: Executor::new(clock, exchange),
         tables,
     }
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn an_item_is_sent_as_the_page_says_and_its_text_is_whole() {
+fn an_item_is_sent_as_specified_and_its_text_is_complete() {
     in_local_set(async {
         let setup = setup(vec![]).await;
         let end = setup.executor.run(&item(None)).await;
@@ -121,7 +121,7 @@
 }
 
 #[test]
-fn a_run_cut_at_any_byte_is_resumed_without_loss_or_doubling() {
+fn a_run_interrupted_at_any_byte_resumes_without_loss_or_duplication() {
     in_local_set(async {
         let length = events_from(1).len();
         let script = (0..=length)
@@ -130,7 +130,7 @@
         let setup = setup(script).await;
         for cut in 0..=length {
             let RunEnd::Interrupted { resume, .. } = setup.executor.run(&item(None)).await else {
-                panic!("cut at {cut}: not noticed")
+                panic!("cut at {cut}: not detected")
             };
             let end = setup.executor.run(&item(resume.clone())).await;
             assert_eq!(
@@ -138,13 +138,13 @@
                 RunEnd::Completed { text: whole_text() },
                 "cut at {cut}"
             );
-            let asked = setup
+            let requested_id = setup
                 .backend
                 .requests()
                 .last()
                 .and_then(|request| request.header("last-event-id"));
             assert_eq!(
-                asked,
+                requested_id,
                 resume.map(|resume| resume.last_event_id.to_string()),
                 "cut at {cut}"
             );
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn an_end_that_could_be_a_cut_is_not_taken_for_whole() {
+fn an_ambiguous_end_of_the_response_is_not_taken_as_complete() {
     in_local_set(async {
         let setup = setup(vec![
             Reply::Undelimited,
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_run_that_does_not_begin_where_it_was_asked_to_is_refused() {
+fn a_run_that_does_not_resume_at_the_requested_event_is_rejected() {
     in_local_set(async {
         let setup = setup(vec![Reply::FromTheStart]).await;
         let resume = Some(Resume {
@@ -197,14 +197,14 @@
     });
 }
 
-/// What a run's end should be.
-type Expectation = fn(&RunEnd) -> bool;
+/// Checks the end of a run.
+type EndCheck = fn(&RunEnd) -> bool;
 
 #[test]
-fn failures_and_refusals_are_told_apart() {
+fn failures_and_rejections_are_distinguished() {
     in_local_set(async {
-        // A setup for each: a backend that has just declined gets nothing for a while.
-        let cases: [(Reply, Expectation); 4] = [
+        // One setup per case, as a backend that has just declined is avoided for a while.
+        let cases: [(Reply, EndCheck); 4] = [
             (Reply::Status(500), |end| *end == RunEnd::Failed),
             (Reply::Status(422), |end| *end == RunEnd::Rejected),
             (Reply::NotExecuted, |end| {
@@ -224,7 +224,7 @@
 }
 
 #[test]
-fn another_instance_has_not_run_it() {
+fn a_response_of_another_instance_means_not_run() {
     in_local_set(async {
         let setup = setup(vec![Reply::OtherInstance]).await;
         assert!(matches!(
@@ -235,7 +235,7 @@
 }
 
 #[test]
-fn nothing_goes_to_a_draining_backend_or_off_a_removed_route() {
+fn nothing_is_sent_to_a_draining_backend_or_for_a_removed_route() {
     in_local_set(async {
         let setup = setup(vec![]).await;
         let mut draining = backend("i-1", setup.backend.address);
@@ -264,32 +264,32 @@
 }
 
 #[test]
-fn a_backend_that_drains_after_the_choice_gets_nothing() {
+fn a_backend_that_drains_after_the_choice_gets_no_request() {
     in_local_set(async {
         let setup = setup(vec![]).await;
         let mut draining = backend("i-1", setup.backend.address);
         draining.state = BackendState::Draining;
         let (item, tables) = (item(None), setup.tables);
-        // The connection is awaited between the choice and the request: the tables change in that pause.
+        // The tables change while the connection is awaited, between the choice and the request.
         let change = async { tables.send_replace(snapshot(config(1, 0), vec![draining], 2, None)) };
-        let (end, _) = tokio::join!(biased_first(setup.executor.run(&item)), change);
+        let (end, _) = tokio::join!(polled_first(setup.executor.run(&item)), change);
         assert!(matches!(end, RunEnd::NotRun { .. }), "{end:?}");
         assert_eq!(setup.backend.requests(), []);
     });
 }
 
-/// The futures of `join!` are polled in order; this one is the first.
-async fn biased_first<T>(work: impl Future<Output = T>) -> T {
+/// `join!` polls its futures in order, and this one is the first.
+async fn polled_first<T>(work: impl Future<Output = T>) -> T {
     work.await
 }
 
 #[test]
-fn nothing_is_written_without_permission() {
+fn no_request_is_written_without_permission() {
     in_local_set(async {
         let setup = setup(vec![]).await;
         let permitted = Rc::new(Cell::new(false));
-        let asked = permitted.clone();
-        let permission = || asked.get();
+        let is_permitted = permitted.clone();
+        let permission = || is_permitted.get();
         let item = item(None);
         let run = setup.executor.run_permitted(&item, &permission).await;
         assert!(matches!(run, RunEnd::NotRun { .. }));
@@ -301,7 +301,7 @@
 }
 
 #[test]
-fn a_run_that_is_dropped_closes_its_connection() {
+fn a_dropped_run_closes_its_connection() {
     in_local_set(async {
         let setup = setup(vec![Reply::Silence]).await;
         let executor = setup.executor.clone();
--- a/alderhollow/tests/kept_connections.rs
+++ b/alderhollow/tests/kept_connections.rs
@@ -1,4 +1,5 @@
-//! Kept connections: a request that was passed on to a backend is answered, whenever its connection is to be closed.
+//! Tests of client keep-alive connections: a request that was forwarded to a backend is answered even if its connection
+//! is about to be closed.
 
 mod support;
 
@@ -13,29 +14,29 @@
 use support::run;
 use tokio::time::{sleep, Instant};
 
-/// As in the configuration of the tests' gateway.
-const IDLE: Duration = Duration::from_secs(15);
-const HEADER: Duration = Duration::from_secs(3);
-/// Moments around a close: before it by so many milliseconds, or after it.
-const AROUND_MS: std::ops::RangeInclusive<i64> = -4..=4;
+/// Idle timeout in the configuration of the test gateway.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(15);
+const HEADER_TIMEOUT: Duration = Duration::from_secs(3);
+/// Offsets from the time of a close, in milliseconds.
+const CLOSE_OFFSETS_MS: std::ops::RangeInclusive<i64> = -4..=4;
 
-/// A client that has had one answer on its connection.
-async fn kept(gateway: &Gateway) -> Client {
+/// A client that has received one response on its connection.
+async fn connected_client(gateway: &Gateway) -> Client {
     let mut client = Client::connect(gateway.address).await;
-    // Of a request that was not passed on.
+    // Scripts may be left over from a request that was not forwarded.
     gateway.backends.drop_scripts();
     gateway.backends.script(served("first"));
-    client.write(&named("first")).await;
-    assert_eq!(client.reply().await.expect("an answer").body, "first");
+    client.write(&request_with_id("first")).await;
+    assert_eq!(client.reply().await.expect("a response").body, "first");
     client
 }
 
-/// A request with an id of its own.
-fn named(id: &str) -> String {
+/// A request with the given id.
+fn request_with_id(id: &str) -> String {
     request("/once/x", "", "x").replace("Request-Id: r1", &format!("Request-Id: {id}"))
 }
 
-fn shifted(span: Duration, by_ms: i64) -> Duration {
+fn offset_by(span: Duration, by_ms: i64) -> Duration {
     let by = Duration::from_millis(by_ms.unsigned_abs());
     if by_ms < 0 {
         span - by
@@ -44,8 +45,8 @@
     }
 }
 
-/// Whether a request was passed on.
-fn passed_on(gateway: &Gateway, id: &str) -> bool {
+/// Whether a request was forwarded.
+fn is_forwarded(gateway: &Gateway, id: &str) -> bool {
     gateway
         .backends
         .seen()
@@ -53,12 +54,12 @@
         .any(|seen| seen.header("request-id").as_deref() == Some(id))
 }
 
-/// Checks that the request `id` was answered if it was passed on, and whether it was.
-async fn answered_if_passed_on(gateway: &Gateway, client: &mut Client, id: &str) -> bool {
+/// Checks that the request `id` was answered if it was forwarded; returns whether it was forwarded.
+async fn answered_if_forwarded(gateway: &Gateway, client: &mut Client, id: &str) -> bool {
     let reply = client.reply().await;
-    if passed_on(gateway, id) {
+    if is_forwarded(gateway, id) {
         let reply = reply.unwrap_or_else(|| {
-            panic!("{id} was passed on and its connection closed without an answer")
+            panic!("{id} was forwarded, but its connection closed without a response")
         });
         assert!(reply.whole && reply.status == 200, "{id}: {reply:?}");
         return true;
@@ -66,7 +67,7 @@
     false
 }
 
-fn with_limits(gateway: &Gateway, limits: Limits) {
+fn set_limits(gateway: &Gateway, limits: Limits) {
     let before = gateway.snapshots.borrow().clone();
     let mut config = (**before.control.config.as_ref().expect("a configuration")).clone();
     config.config_version += 1;
@@ -83,89 +84,86 @@
 }
 
 #[test]
-fn a_request_that_meets_the_idle_timeout_is_answered_or_not_passed_on() {
+fn a_request_that_races_with_the_idle_timeout_is_answered_or_not_forwarded() {
     run(async {
         let gateway = Gateway::start(1).await;
         let mut reached = 0;
-        for by_ms in AROUND_MS {
-            let mut client = kept(&gateway).await;
-            sleep(shifted(IDLE, by_ms)).await;
+        for by_ms in CLOSE_OFFSETS_MS {
+            let mut client = connected_client(&gateway).await;
+            sleep(offset_by(IDLE_TIMEOUT, by_ms)).await;
             gateway.backends.script(served("second"));
             let id = format!("idle{by_ms}");
-            client.offer(&named(&id)).await;
-            let was_passed_on = answered_if_passed_on(&gateway, &mut client, &id).await;
-            assert!(
-                was_passed_on || by_ms >= 0,
-                "{by_ms} ms: closed before its time"
-            );
-            reached += u32::from(was_passed_on);
+            client.offer(&request_with_id(&id)).await;
+            let was_forwarded = answered_if_forwarded(&gateway, &mut client, &id).await;
+            assert!(was_forwarded || by_ms >= 0, "{by_ms} ms: closed too early");
+            reached += u32::from(was_forwarded);
         }
         assert!(
             (4..9).contains(&reached),
-            "both sides of the close are to be met: {reached}"
+            "requests must arrive both before and after the close: {reached}"
         );
     });
 }
 
 #[test]
-fn a_head_that_meets_the_header_timeout_is_answered_or_not_passed_on() {
+fn a_head_that_races_with_the_header_timeout_is_answered_or_not_forwarded() {
     run(async {
         let gateway = Gateway::start(1).await;
         let mut reached = 0;
-        for by_ms in AROUND_MS {
-            let mut client = kept(&gateway).await;
+        for by_ms in CLOSE_OFFSETS_MS {
+            let mut client = connected_client(&gateway).await;
             let id = format!("head{by_ms}");
-            let text = named(&id);
+            let text = request_with_id(&id);
             client.write(&text[..40]).await;
-            sleep(shifted(HEADER, by_ms)).await;
+            sleep(offset_by(HEADER_TIMEOUT, by_ms)).await;
             gateway.backends.script(served("second"));
             client.offer(&text[40..]).await;
-            reached += u32::from(answered_if_passed_on(&gateway, &mut client, &id).await);
+            reached += u32::from(answered_if_forwarded(&gateway, &mut client, &id).await);
         }
         assert!(
             (4..9).contains(&reached),
-            "both sides of the close are to be met: {reached}"
+            "requests must arrive both before and after the close: {reached}"
         );
     });
 }
 
 #[test]
-fn the_time_for_a_head_holds_on_a_kept_connection_too() {
+fn the_header_timeout_applies_to_kept_connections() {
     run(async {
         let gateway = Gateway::start(1).await;
-        let mut client = kept(&gateway).await;
+        let mut client = connected_client(&gateway).await;
         sleep(Duration::from_secs(1)).await;
-        client.write(&named("half")[..40]).await;
+        client.write(&request_with_id("half")[..40]).await;
         let began = Instant::now();
         assert!(client.ends().await);
         let took = began.elapsed();
         assert!(
-            took >= HEADER && took < HEADER + Duration::from_millis(500),
+            took >= HEADER_TIMEOUT && took < HEADER_TIMEOUT + Duration::from_millis(500),
             "{took:?}"
         );
     });
 }
 
 #[test]
-fn a_body_that_does_not_come_is_not_passed_on() {
+fn an_incomplete_body_is_not_forwarded() {
     run(async {
         let gateway = Gateway::start(1).await;
-        let mut client = kept(&gateway).await;
+        let mut client = connected_client(&gateway).await;
         let text =
             request("/once/x", "", "0123456789").replace("Request-Id: r1", "Request-Id: stalled");
         client.write(&text[..text.len() - 5]).await;
-        assert_eq!(client.reply().await.expect("an answer").status, 408);
-        assert!(!passed_on(&gateway, "stalled"));
+        assert_eq!(client.reply().await.expect("a response").status, 408);
+        assert!(!is_forwarded(&gateway, "stalled"));
     });
 }
 
 #[test]
-fn requests_that_meet_the_start_of_leaving_are_answered_or_not_passed_on() {
-    for by_ms in AROUND_MS {
-        // Each gateway leaves once.
+fn requests_that_race_with_the_start_of_leaving_are_answered_or_not_forwarded() {
+    for by_ms in CLOSE_OFFSETS_MS {
+        // A gateway can leave only once.
         run(async {
             let gateway = Gateway::start(1).await;
-            let mut client = kept(&gateway).await;
+            let mut client = connected_client(&gateway).await;
             let begun = Instant::now();
             let at = begun + Duration::from_millis(20);
             let leave = async {
@@ -175,31 +173,31 @@
             let id = format!("leave{by_ms}");
             gateway.backends.script(served("second"));
             let ask = async {
-                tokio::time::sleep_until(begun + shifted(Duration::from_millis(20), by_ms)).await;
-                client.offer(&named(&id)).await;
-                answered_if_passed_on(&gateway, &mut client, &id).await
+                tokio::time::sleep_until(begun + offset_by(Duration::from_millis(20), by_ms)).await;
+                client.offer(&request_with_id(&id)).await;
+                answered_if_forwarded(&gateway, &mut client, &id).await
             };
-            // Whoever is polled first acts first in the same moment.
-            let was_passed_on = tokio::join!(ask, leave).0;
+            // At the same instant, the future that is polled first acts first.
+            let was_forwarded = tokio::join!(ask, leave).0;
             assert!(
-                was_passed_on || by_ms >= 0,
-                "{by_ms} ms: a request before the close"
+                was_forwarded || by_ms >= 0,
+                "{by_ms} ms: not forwarded before the close"
             );
         });
     }
 }
 
 #[test]
-fn limits_that_change_cut_no_kept_connection_with_a_request_on_it() {
+fn changed_limits_close_no_connection_with_a_pending_request() {
     run(async {
         let gateway = Gateway::start(1).await;
-        let mut busy = kept(&gateway).await;
-        let mut idle = kept(&gateway).await;
+        let mut busy = connected_client(&gateway).await;
+        let mut idle = connected_client(&gateway).await;
         let mut steps = vec![Step::Pause(Duration::from_millis(1_500))];
         steps.extend(served("busy"));
         gateway.backends.script(steps);
-        busy.write(&named("busy")).await;
-        while !passed_on(&gateway, "busy") {
+        busy.write(&request_with_id("busy")).await;
+        while !is_forwarded(&gateway, "busy") {
             tokio::task::yield_now().await;
         }
         let short = Limits {
@@ -207,11 +205,11 @@
             idle_timeout_ms: 50,
             ..gateway_limits(&gateway)
         };
-        with_limits(&gateway, short);
-        assert!(answered_if_passed_on(&gateway, &mut busy, "busy").await);
+        set_limits(&gateway, short);
+        assert!(answered_if_forwarded(&gateway, &mut busy, "busy").await);
         gateway.backends.script(served("idle"));
-        idle.offer(&named("idle")).await;
-        answered_if_passed_on(&gateway, &mut idle, "idle").await;
+        idle.offer(&request_with_id("idle")).await;
+        answered_if_forwarded(&gateway, &mut idle, "idle").await;
     });
 }
 
@@ -227,29 +225,31 @@
 }
 
 #[test]
-fn a_request_behind_another_on_a_connection_that_closes_is_answered_or_not_passed_on() {
+fn a_pipelined_request_on_a_closing_connection_is_answered_or_not_forwarded() {
     run(async {
         let gateway = Gateway::start(1).await;
-        let mut client = kept(&gateway).await;
+        let mut client = connected_client(&gateway).await;
         let mut steps = vec![Step::Pause(Duration::from_millis(200))];
         steps.extend(served("before"));
         gateway.backends.script(steps);
         gateway.backends.script(served("behind"));
-        client.write(&(named("before") + &named("behind"))).await;
-        while !passed_on(&gateway, "before") {
+        client
+            .write(&(request_with_id("before") + &request_with_id("behind")))
+            .await;
+        while !is_forwarded(&gateway, "before") {
             tokio::task::yield_now().await;
         }
         gateway.phase.send_replace(Phase::Leaving);
-        assert!(answered_if_passed_on(&gateway, &mut client, "before").await);
-        answered_if_passed_on(&gateway, &mut client, "behind").await;
+        assert!(answered_if_forwarded(&gateway, &mut client, "before").await);
+        answered_if_forwarded(&gateway, &mut client, "behind").await;
     });
 }
 
 #[test]
-fn a_request_without_an_answer_at_the_end_of_the_time_for_leaving_gets_one() {
+fn a_request_pending_at_the_end_of_leaving_gets_a_response() {
     run(async {
         let gateway = Gateway::start(1).await;
-        let mut client = kept(&gateway).await;
+        let mut client = connected_client(&gateway).await;
         gateway.backends.script(vec![Step::Hang]);
         let config = gateway.snapshots.borrow().clone();
         let mut longer = (**config.control.config.as_ref().expect("a configuration")).clone();
@@ -267,23 +267,20 @@
             ..(*config).clone()
         }));
         client
-            .write(&named("long").replace("Deadline-Ms: 2500", "Deadline-Ms: 50000"))
+            .write(&request_with_id("long").replace("Deadline-Ms: 2500", "Deadline-Ms: 50000"))
             .await;
-        while !passed_on(&gateway, "long") {
+        while !is_forwarded(&gateway, "long") {
             tokio::task::yield_now().await;
         }
         let began = Instant::now();
         gateway.phase.send_replace(Phase::Leaving);
-        let reply = client
-            .reply()
-            .await
-            .expect("an answer, though none of the backend's");
+        let reply = client.reply().await.expect("a response of the gateway");
         assert_eq!(
             (reply.status, reply.header("connection").as_deref()),
             (504, Some("close"))
         );
         assert!(client.ends().await);
-        gateway.running.await.expect("it ends");
+        gateway.running.await.expect("the gateway stops");
         assert!(began.elapsed() <= GRACE, "{:?}", began.elapsed());
     });
 }
--- a/alderhollow/tests/streams.rs
+++ b/alderhollow/tests/streams.rs
@@ -1,4 +1,4 @@
-//! Streams of events through the front of a gateway.
+//! Tests of event streams through a gateway.
 
 mod support;
 
@@ -9,7 +9,7 @@
 use support::run;
 use tokio::time::Instant;
 
-/// A stream of these events, in one piece each, then what follows.
+/// A stream of these events, one chunk each, followed by the steps of `then`.
 fn stream(ids: std::ops::RangeInclusive<u64>, then: Vec<Step>) -> Vec<Step> {
     let mut steps = vec![stream_head(&format!("from {}", ids.start()))];
     steps.extend(ids.map(|id| chunk(&event(id))));
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn a_whole_stream_passes_whole() {
+fn a_complete_stream_is_forwarded_completely() {
     run(async {
         for path in ["/tokens/1", "/talk/1"] {
             let gateway = Gateway::start(2).await;
@@ -32,7 +32,7 @@
 }
 
 #[test]
-fn events_pass_on_as_they_come() {
+fn events_are_forwarded_as_they_arrive() {
     run(async {
         for path in ["/tokens/1", "/talk/1"] {
             let gateway = Gateway::start(1).await;
@@ -52,20 +52,20 @@
 }
 
 #[test]
-fn a_cut_stream_goes_on_at_another_backend_inside_one_answer() {
+fn an_interrupted_stream_resumes_at_another_backend_within_one_response() {
     run(async {
-        let half = &event(4)[..7];
-        let cuts = [
+        let partial_event = &event(4)[..7];
+        let interruptions = [
             vec![Step::Close],
             vec![Step::Reset],
-            vec![chunk(half), Step::Close],
+            vec![chunk(partial_event), Step::Close],
             vec![Step::Write("5\r\nid: ".into()), Step::Close],
-            // A backend that begins anew, or bends its stream, is left as one that was cut.
+            // A backend that repeats events is abandoned like one whose stream was interrupted.
             vec![chunk(&event(2)), Step::Hang],
         ];
-        for cut in cuts {
+        for interruption in interruptions {
             let gateway = Gateway::start(3).await;
-            gateway.backends.script(stream(1..=3, cut));
+            gateway.backends.script(stream(1..=3, interruption));
             gateway.backends.script(stream(4..=9, vec![last_chunk()]));
             let reply = ask(gateway.address, &request("/tokens/1", "", "x")).await;
             assert_eq!((reply.status, reply.whole), (200, true));
@@ -80,7 +80,7 @@
 }
 
 #[test]
-fn a_stream_that_no_backend_goes_on_with_is_seen_to_be_cut() {
+fn a_stream_that_no_backend_resumes_ends_incomplete() {
     run(async {
         let gateway = Gateway::start(3).await;
         gateway.backends.script(stream(1..=3, vec![Step::Close]));
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn a_stream_that_may_not_be_resumed_is_cut_where_its_backend_cuts_it() {
+fn a_non_resumable_stream_ends_where_its_backend_interrupts_it() {
     run(async {
         let gateway = Gateway::start(3).await;
         gateway
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn a_stream_whose_end_cannot_be_told_from_a_cut_is_not_whole() {
+fn a_stream_without_a_delimited_end_is_incomplete() {
     run(async {
         let gateway = Gateway::start(1).await;
         let head = "HTTP/1.1 200 OK\r\nRequest-Id: {id}\r\nResponse-Seal: s\r\nContent-Type: text/event-stream\r\n\r\n";
@@ -120,7 +120,7 @@
 }
 
 #[test]
-fn a_client_that_resumes_is_served_from_its_event_on() {
+fn a_resuming_client_is_served_from_its_last_event() {
     run(async {
         let gateway = Gateway::start(2).await;
         gateway.backends.script(stream(6..=6, vec![Step::Close]));
@@ -132,16 +132,16 @@
         .await;
         assert_eq!((reply.whole, reply.body), (true, events(6..=9)));
         let seen = gateway.backends.seen();
-        let asked: Vec<_> = seen
+        let last_event_ids: Vec<_> = seen
             .iter()
             .filter_map(|seen| seen.header("last-event-id"))
             .collect();
-        assert_eq!(asked, ["5", "6"]);
+        assert_eq!(last_event_ids, ["5", "6"]);
     });
 }
 
 #[test]
-fn a_silent_backend_is_left_before_and_between_events_where_another_one_goes_on() {
+fn a_silent_backend_is_replaced_before_and_between_events() {
     run(async {
         let gateway = Gateway::start(3).await;
         gateway.backends.script(vec![Step::Hang]);
@@ -168,7 +168,7 @@
 }
 
 #[test]
-fn a_silent_backend_without_another_one_is_waited_for() {
+fn a_silent_backend_without_an_alternative_is_awaited() {
     run(async {
         let gateway = Gateway::start(1).await;
         let pause = Step::Pause(Duration::from_millis(2000));
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn a_stream_that_may_not_be_resumed_is_never_left_for_its_silence() {
+fn a_non_resumable_stream_is_not_abandoned_for_silence() {
     run(async {
         let gateway = Gateway::start(2).await;
         let pause = Step::Pause(Duration::from_millis(2000));
