--- a/alderhollow/src/exchange/pool.rs
+++ b/alderhollow/src/exchange/pool.rs
@@ -99,7 +99,7 @@
 }
 
 impl Pool {
-    /// Takes the most recently used idle connection that is past [`REUSE_DELAY`].
+    /// Takes the most recently used idle connection that is past `REUSE_DELAY`.
     pub fn take_idle(&self, backend: &str) -> Option<Pooled> {
         let mut backends = self.backends.borrow_mut();
         let idle = &mut backends.get_mut(backend)?.idle;
