--- a/alderhollow/src/batch_api/store_calls.rs
+++ b/alderhollow/src/batch_api/store_calls.rs
@@ -1,4 +1,5 @@
-//! Calls of a gateway to the primary of the group of stores that keeps the batch job, asked again at a successor until the end is known.
+//! Calls of a gateway to the primary of the batch group that stores a job. Calls are retried, also at a new primary, until
+//! the outcome is known or a limit is reached.
 
 use crate::batch_protocol::{StoreAnswer, StoreCall, StoreReply, TenantReading};
 use crate::internal::{CallError, Network, ServiceId};
@@ -11,32 +12,32 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Pause before the primary is asked again, unless the tables change before.
-const ASK_AGAIN_PAUSE: Duration = Duration::from_millis(60);
-/// Longest time for one answer, beyond what the call may wait.
+/// Delay before a retry, unless the tables change earlier.
+const RETRY_DELAY: Duration = Duration::from_millis(60);
+/// Timeout of one answer, in addition to the time that the store may hold it.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(900);
 
-/// A batch job whose items' bodies are of this size together is offered before it is sent for the first time; a smaller one
-/// is sent at once, and offered when it has to be sent again.
+/// A batch job whose item bodies reach this total size is offered before it is first sent. A smaller one is sent
+/// immediately and offered only before it is sent again.
 const LARGE_JOB_BYTES: usize = 8 * 1024;
 
-/// One call to one store.
+/// The pending answer to one call to one store.
 pub type StoreAnswerFuture = Pin<Box<dyn Future<Output = Result<StoreAnswer, StoreCallError>>>>;
 
-/// Why a call to a store has no answer.
+/// Why a call to a store was not answered.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, thiserror::Error)]
 pub enum StoreCallError {
-    /// The store has surely done nothing of the call.
-    #[error("the store did not get the call")]
+    /// The store has certainly not served the call.
+    #[error("the store did not receive the call")]
     NotServed,
     /// The store may have served the call.
     #[error("the store may have served the call")]
     Unknown,
 }
 
-/// Carries calls to stores.
+/// Transport for calls to stores.
 pub trait StoreLink {
-    /// Calls the store at an address once; never twice.
+    /// Calls the store at an address exactly once, without retries.
     fn call(&self, to: SocketAddr, call: &StoreCall, timeout: Duration) -> StoreAnswerFuture;
 }
 
@@ -44,10 +45,10 @@
     fn call(&self, to: SocketAddr, call: &StoreCall, timeout: Duration) -> StoreAnswerFuture {
         let network = self.clone();
         let payload = minicbor::to_vec(call);
-        let is_hand_over = matches!(call, StoreCall::Submit { .. });
+        let is_submit = matches!(call, StoreCall::Submit { .. });
         Box::pin(async move {
             let payload = payload.map_err(|_| StoreCallError::NotServed)?;
-            if is_hand_over {
+            if is_submit {
                 metrics::get().batch_api.handed_over(payload.len());
             }
             let answer = Network::call(&network, to, ServiceId::Batch, payload, timeout).await;
@@ -66,94 +67,93 @@
     }
 }
 
-/// How long a call is tried.
+/// Limits on retrying a call.
 #[derive(Debug, Clone, Copy)]
-pub struct Patience {
-    /// While nothing was handed over, until here.
-    pub unserved_until: Instant,
-    /// Once something was handed over whose end is unknown, until here.
-    pub unknown_until: Instant,
-    /// How long the store may hold its answer.
-    pub held: Duration,
+pub struct CallLimits {
+    /// End of retries while no attempt may have been served.
+    pub retry_until: Instant,
+    /// End of retries once the outcome of an attempt is unknown.
+    pub resolve_until: Instant,
+    /// How long the store may hold the answer.
+    pub hold: Duration,
 }
 
-/// How a call ended over all its tries.
+/// Outcome of a call over all attempts.
 #[derive(Debug, Clone, PartialEq, Eq)]
-pub enum CallEnd {
-    /// The store's answer, and all tries before it were surely not served. Never `NotPrimary`, `NotSure` or `Unknown`.
+pub enum CallOutcome {
+    /// The store's reply; all earlier attempts were certainly not served. Never `NotPrimary`, `NotSure` or `Unknown`.
     Answered(StoreReply),
-    /// The store's answer after a try whose end was unknown.
+    /// The store's reply after an attempt with unknown outcome.
     AnsweredAfterUnknown(StoreReply),
-    /// No store has served any try, and none will.
+    /// No store has served any attempt, and none will.
     NotServed,
-    /// A store may have served a try.
+    /// A store may have served an attempt.
     Unknown,
 }
 
-/// Asks the primary of the job's group until there is an answer or patience ends. Gives the newest reading that came along.
+/// Calls the primary of the job's group until it replies or a limit is reached. Also returns the latest reading received.
 ///
-/// A batch job is large. It is offered first, by a small call: where it would not be taken, its body stays here. Bodies of
-/// jobs that are refused, sent anew every few milliseconds by every gateway, fill the primary's link, so that it hears neither
-/// the core nor its members.
-pub async fn ask_primary(
+/// A large batch job is first offered by a small call, and its body is sent only if it would be accepted. Otherwise every
+/// gateway would resend the bodies of refused jobs every few milliseconds, which saturates the primary's network link
+/// and cuts it off from the core and the members of its group.
+pub async fn call_primary(
     link: &dyn StoreLink,
     mut snapshots: SnapshotReceiver,
     call: &StoreCall,
-    patience: Patience,
-) -> (CallEnd, Option<TenantReading>) {
-    let mut asked = Asked::default();
+    limits: CallLimits,
+) -> (CallOutcome, Option<TenantReading>) {
+    let mut state = CallState::default();
     let offer = offer_of(call);
-    let mut offers_first = is_large(call);
+    let mut offer_first = is_large(call);
     loop {
         if let Some(to) = call.job().and_then(|job| primary_address(&snapshots, job)) {
             let offered = match &offer {
-                Some(offer) if offers_first => asked.offer(link, to, offer).await,
-                _ => OfferEnd::SendIt,
+                Some(offer) if offer_first => state.offer(link, to, offer).await,
+                _ => OfferOutcome::Send,
             };
-            offers_first = true;
-            let ended = match offered {
-                OfferEnd::Settled(reply) => Some(reply),
-                OfferEnd::SendIt => {
-                    asked
-                        .hand_over(link, to, call, ANSWER_TIMEOUT + patience.held)
+            offer_first = true;
+            let reply = match offered {
+                OfferOutcome::Final(reply) => Some(reply),
+                OfferOutcome::Send => {
+                    state
+                        .send(link, to, call, ANSWER_TIMEOUT + limits.hold)
                         .await
                 }
-                OfferEnd::NotNow => None,
+                OfferOutcome::Retry => None,
             };
-            if let Some(reply) = ended {
-                return (asked.end_with(reply), asked.reading);
+            if let Some(reply) = reply {
+                return (state.outcome_with(reply), state.reading);
             }
         }
-        let until = if asked.unknown {
-            patience.unknown_until
+        let until = if state.unknown {
+            limits.resolve_until
         } else {
-            patience.unserved_until
+            limits.retry_until
         };
-        if Instant::now() + ASK_AGAIN_PAUSE >= until {
-            return (asked.end_without_reply(), asked.reading);
+        if Instant::now() + RETRY_DELAY >= until {
+            return (state.outcome_without_reply(), state.reading);
         }
-        pause(&mut snapshots).await;
+        wait_before_retry(&mut snapshots).await;
         metrics::get().batch_api.asked_again(call);
     }
 }
 
-/// Asks the primary of the job's group once whether it has accepted a job, within a time. Gives the reading that came
-/// along.
+/// Asks the primary of the job's group once whether it has accepted a job. Also returns the reading received.
 ///
-/// The question is an offer without tokens: it hands nothing over, needs no room and is not counted as demand.
+/// The query is an offer of zero tokens: it submits nothing, needs no quota and is not counted as demand.
 pub async fn is_accepted(
     link: &dyn StoreLink,
     snapshots: &SnapshotReceiver,
-    question: &KnownJobQuestion<'_>,
+    query: &KnownJobQuery<'_>,
     timeout: Duration,
 ) -> (bool, Option<TenantReading>) {
-    let Some(to) = primary_address(snapshots, question.job) else {
+    let Some(to) = primary_address(snapshots, query.job) else {
         return (false, None);
     };
     let offer = StoreCall::Offer {
-        try_id: question.try_id,
-        job: question.job.clone(),
-        route: question.route.to_owned(),
+        try_id: query.try_id,
+        job: query.job.clone(),
+        route: query.route.to_owned(),
         tokens: 0,
     };
     match link.call(to, &offer, timeout).await {
@@ -162,50 +162,57 @@
     }
 }
 
-/// Names the job of [`is_accepted`].
-pub struct KnownJobQuestion<'a> {
-    /// A name of its own: no job is handed over under it.
+/// Identifies the job of [`is_accepted`].
+pub struct KnownJobQuery<'a> {
+    /// A new attempt id, under which no job is submitted.
     pub try_id: u64,
     /// The job.
     pub job: &'a JobId,
-    /// Name of its route.
+    /// Name of the job's route.
     pub route: &'a str,
 }
 
-/// What came of the tries so far.
+/// State of a call over its attempts.
 #[derive(Default)]
-struct Asked {
-    /// Whether a try was handed over whose end is unknown.
+struct CallState {
+    /// Whether the outcome of an attempt is unknown.
     unknown: bool,
     reading: Option<TenantReading>,
 }
 
-/// What came of an offer.
-enum OfferEnd {
-    /// The call is to be sent.
-    SendIt,
-    /// This is the call's end.
-    Settled(StoreReply),
-    /// The primary can't tell now, or said nothing.
-    NotNow,
+/// Outcome of an offer.
+enum OfferOutcome {
+    /// The call should be sent.
+    Send,
+    /// The reply is also the outcome of the call.
+    Final(StoreReply),
+    /// The primary could not decide or did not answer; the offer is retried.
+    Retry,
 }
 
-impl Asked {
-    /// Offers a batch job. Whatever comes of it, nothing was handed over.
-    async fn offer(&mut self, link: &dyn StoreLink, to: SocketAddr, offer: &StoreCall) -> OfferEnd {
+impl CallState {
+    /// Offers a batch job. Nothing is submitted by this, whatever the outcome.
+    async fn offer(
+        &mut self,
+        link: &dyn StoreLink,
+        to: SocketAddr,
+        offer: &StoreCall,
+    ) -> OfferOutcome {
         match link
             .call(to, offer, ANSWER_TIMEOUT)
             .await
-            .map(|answer| self.note_reading(answer))
+            .map(|answer| self.record_reading(answer))
         {
-            Ok(StoreReply::Welcome) => OfferEnd::SendIt,
-            Ok(reply @ (StoreReply::Committed | StoreReply::OverQuota)) => OfferEnd::Settled(reply),
-            Ok(_) | Err(_) => OfferEnd::NotNow,
+            Ok(StoreReply::WouldAccept) => OfferOutcome::Send,
+            Ok(reply @ (StoreReply::Committed | StoreReply::OverQuota)) => {
+                OfferOutcome::Final(reply)
+            }
+            Ok(_) | Err(_) => OfferOutcome::Retry,
         }
     }
 
-    /// Hands the call over; its reply, if that is its end.
-    async fn hand_over(
+    /// Sends the call; returns the reply if it is final.
+    async fn send(
         &mut self,
         link: &dyn StoreLink,
         to: SocketAddr,
@@ -215,7 +222,7 @@
         match link
             .call(to, call, timeout)
             .await
-            .map(|answer| self.note_reading(answer))
+            .map(|answer| self.record_reading(answer))
         {
             Ok(StoreReply::Unknown) | Err(StoreCallError::Unknown) => {
                 self.unknown = true;
@@ -228,27 +235,27 @@
         }
     }
 
-    fn note_reading(&mut self, answer: StoreAnswer) -> StoreReply {
+    fn record_reading(&mut self, answer: StoreAnswer) -> StoreReply {
         self.reading = answer.reading.or(self.reading);
         answer.reply
     }
 
-    fn end_with(&self, reply: StoreReply) -> CallEnd {
+    fn outcome_with(&self, reply: StoreReply) -> CallOutcome {
         match self.unknown {
-            true => CallEnd::AnsweredAfterUnknown(reply),
-            false => CallEnd::Answered(reply),
+            true => CallOutcome::AnsweredAfterUnknown(reply),
+            false => CallOutcome::Answered(reply),
         }
     }
 
-    fn end_without_reply(&self) -> CallEnd {
+    fn outcome_without_reply(&self) -> CallOutcome {
         match self.unknown {
-            true => CallEnd::Unknown,
-            false => CallEnd::NotServed,
+            true => CallOutcome::Unknown,
+            false => CallOutcome::NotServed,
         }
     }
 }
 
-/// The small call that shows whether a large one would be taken.
+/// The small call that asks whether a submission would be accepted.
 fn offer_of(call: &StoreCall) -> Option<StoreCall> {
     let StoreCall::Submit { try_id, job } = call else {
         return None;
@@ -262,7 +269,7 @@
     })
 }
 
-/// Whether a call is offered before it is sent for the first time.
+/// Whether a call is offered before it is first sent.
 fn is_large(call: &StoreCall) -> bool {
     let StoreCall::Submit { job, .. } = call else {
         return false;
@@ -271,16 +278,16 @@
     requests.map(|request| request.body.len()).sum::<usize>() >= LARGE_JOB_BYTES
 }
 
-/// Waits a little, or until the tables change.
-async fn pause(snapshots: &mut SnapshotReceiver) {
-    let again_at = Instant::now() + ASK_AGAIN_PAUSE;
-    if let Ok(Err(_)) = tokio::time::timeout_at(again_at, snapshots.changed()).await {
-        // Nobody changes the tables any more.
-        tokio::time::sleep_until(again_at).await;
+/// Waits for [`RETRY_DELAY`] or until the tables change.
+async fn wait_before_retry(snapshots: &mut SnapshotReceiver) {
+    let retry_at = Instant::now() + RETRY_DELAY;
+    if let Ok(Err(_)) = tokio::time::timeout_at(retry_at, snapshots.changed()).await {
+        // The sender of snapshots is gone.
+        tokio::time::sleep_until(retry_at).await;
     }
 }
 
-/// Where the primary of the job's group takes calls, as the newest validated tables say.
+/// Address of the primary of the job's group according to the current tables, if they are validated.
 fn primary_address(snapshots: &SnapshotReceiver, job: &JobId) -> Option<SocketAddr> {
     let snapshot = snapshots.borrow();
     let (_, group) = snapshot
