--- a/quota-gateway/tests/fleet.rs
+++ b/quota-gateway/tests/fleet.rs
@@ -5,12 +5,12 @@
 
 use fault_lab::check::Summary;
 use fault_lab::record::{Ending, Entry, Event, Life};
-use stage::{carry, kept, SMALL};
+use stage::{assert_checks_pass, run_scenario, SMALL};
 
 /// Runs the small scenario with these faults for so many seconds, and returns the findings of the checks and the record.
 fn run(name: &str, seconds: u32, faults: &str) -> (Summary, Vec<Entry>) {
     let small = SMALL.replace("seconds = 5", &format!("seconds = {seconds}"));
-    carry(name, &(small + faults))
+    run_scenario(name, &(small + faults))
 }
 
 /// How many times a process entered this state.
@@ -50,7 +50,7 @@
         8,
         "[[kill]]\nat_ms = 1500\ndoors = \"d0, d1, d2\"\nback_ms = 1000\n",
     );
-    kept(&summary, "lost");
+    assert_checks_pass(&summary, "lost");
     assert_eq!(
         (
             process_events(&entries, Life::Killed),
@@ -81,7 +81,7 @@
         9,
         "[[stop]]\nat_ms = 1500\ndoors = \"d1\"\nfor_ms = 5000\n",
     );
-    let answers = kept(&summary, "answers");
+    let answers = assert_checks_pass(&summary, "answers");
     assert!(
         answers.excused > 0,
         "some of its requests timed out: {answers:?}"
@@ -103,7 +103,7 @@
     let faults =
         "[[link]]\nat_ms = 1500\nfor_ms = 2500\nfrom = \"d2\"\nto = \"backends\"\ncut = true\n";
     let (summary, entries) = run("cut", 9, faults);
-    kept(&summary, "answers");
+    assert_checks_pass(&summary, "answers");
     let (begin, end) = fault_times(&entries);
     assert_eq!(
         requests_sent(&entries, 2, (begin + 100_000, end)),
@@ -132,7 +132,7 @@
         "[[link]]\nat_ms = 1000\nfor_ms = 1500\nfrom = \"b0\"\nto = \"doors\"\nboth = false\ncut = true\n\
                   [[link]]\nat_ms = 3500\nfor_ms = 100\nfrom = \"doors\"\nto = \"backends\"\nreset = true\n";
     let (summary, _) = run("one-way", 6, faults);
-    let doubles = kept(&summary, "duplicates");
+    let doubles = assert_checks_pass(&summary, "duplicates");
     assert!(doubles.cases > 100, "{doubles:?}");
 }
 
@@ -144,7 +144,7 @@
     let faults =
         faults.to_string() + "[[call]]\nat_ms = 4000\ndoors = \"d3\"\nline = \"maint-off b2\"\n";
     let (summary, entries) = run("rolling", 9, &faults);
-    kept(&summary, "drains");
+    assert_checks_pass(&summary, "drains");
     assert_eq!(
         (
             process_events(&entries, Life::Terminated),
@@ -170,9 +170,9 @@
     let (one, _) = run("beside-b", 4, "");
     let (other, _) = other.join().expect("it runs");
     for summary in [one, other] {
-        kept(&summary, "crashes");
+        assert_checks_pass(&summary, "crashes");
         // Each backend received only what the clients of its own run sent.
-        kept(&summary, "duplicates");
+        assert_checks_pass(&summary, "duplicates");
         assert!(summary.figures.served > 100, "{:?}", summary.figures);
     }
 }
--- a/quota-gateway/tests/owner.rs
+++ b/quota-gateway/tests/owner.rs
@@ -14,7 +14,7 @@
 use gateway_cluster::peers::peer_id_of;
 use rustix::process::Signal;
 use serde_json::{json, Value};
-use stage::{carry, kept, SMALL};
+use stage::{assert_checks_pass, run_scenario, SMALL};
 use std::fs::File;
 use std::io::{Read, Write};
 use std::net::{SocketAddr, TcpStream, UdpSocket};
@@ -59,7 +59,7 @@
         "doors = 4",
         &format!("doors = {gateways}\nlease_ms = {lease_ms}"),
     );
-    let (summary, entries) = carry(name, &(text + faults));
+    let (summary, entries) = run_scenario(name, &(text + faults));
     let run = Run {
         summary,
         entries,
@@ -247,7 +247,7 @@
 #[test]
 fn a_new_cluster_elects_a_leader_only_after_the_quiet_time() {
     let run = run("owner-start", 5, 1500, 6, "");
-    assert!(kept(&run.summary, "one_owner").cases > 100);
+    assert!(assert_checks_pass(&run.summary, "one_owner").cases > 100);
     run.assert_quiet_time(0, 5);
     let epoch = run
         .agreed_leader((run.end() - SECOND, u64::MAX), &all(5))
--- a/quota-gateway/tests/sessions.rs
+++ b/quota-gateway/tests/sessions.rs
@@ -2,14 +2,14 @@
 //! run of requests and with state for a whole session, while a shard owner is killed and one gateway cannot reach a
 //! backend. The tests judge the verdicts and failures in the record.
 
-// `stage::kept` requires all checks to pass; this file judges checks one by one.
+// `stage::assert_checks_pass` requires all checks to pass; this file judges checks one by one.
 #[allow(dead_code)]
 mod stage;
 
 use fault_lab::check::Summary;
 use fault_lab::kinds::Kind;
 use fault_lab::record::{Entry, Event};
-use stage::{carry, SMALL};
+use stage::{run_scenario, SMALL};
 use std::thread;
 
 const SECONDS: u64 = 36;
@@ -84,7 +84,7 @@
     let text = text
         .replace("cores = 4", "cores = 8")
         .replace("service_ms = 10", "service_ms = 4");
-    let (summary, entries) = carry(name, &(text + KINDS));
+    let (summary, entries) = run_scenario(name, &(text + KINDS));
     for check in ["one_owner", "one_keeper", "fenced"] {
         assert!(
             passed_cases(&summary, check) > 500,
--- a/quota-gateway/tests/shards.rs
+++ b/quota-gateway/tests/shards.rs
@@ -7,7 +7,7 @@
 use fault_lab::scripted::{closed_port, config, list, unused_port, Front, Program};
 use rustix::process::Signal;
 use serde_json::{json, Value};
-use stage::{carry, kept, SMALL};
+use stage::{assert_checks_pass, run_scenario, SMALL};
 use std::net::SocketAddr;
 use std::process::Stdio;
 use std::thread::sleep;
@@ -317,10 +317,10 @@
         "doors = 4",
         &format!("doors = {gateways}\nlease_ms = {lease_ms}\nshards = {{ count = 24 }}"),
     );
-    let (summary, _) = carry(name, &(text + faults));
+    let (summary, _) = run_scenario(name, &(text + faults));
     for check in ["one_owner", "one_keeper", "fenced"] {
         assert!(
-            kept(&summary, check).cases > 500,
+            assert_checks_pass(&summary, check).cases > 500,
             "too few cases of {check}"
         );
     }
--- a/quota-gateway/tests/stage/mod.rs
+++ b/quota-gateway/tests/stage/mod.rs
@@ -1,4 +1,4 @@
-//! Runs scenarios of the lab with this package's program, for the tests of several processes.
+//! Runs fault-lab scenarios with this package's program, for tests of several processes.
 
 use fault_lab::check::Summary;
 use fault_lab::check::{Finding, NAMES};
@@ -9,7 +9,7 @@
 use std::path::{Path, PathBuf};
 use std::sync::{Condvar, Mutex};
 
-/// A fleet with little to do, so that a busy machine is not mistaken for a fault of the program.
+/// A lightly loaded fleet, so that slowness of a busy machine does not show as a failure of the program.
 pub(crate) const SMALL: &str = r#"
 name = "small"
 about = "for tests"
@@ -44,64 +44,64 @@
 spread = 3
 "#;
 
-/// Where a run's files are.
-pub(crate) fn folder_of(name: &str) -> PathBuf {
+/// The directory that holds a run's files.
+pub(crate) fn run_directory(name: &str) -> PathBuf {
     Path::new(env!("CARGO_TARGET_TMPDIR")).join(name)
 }
 
-fn folder(name: &str) -> PathBuf {
-    let folder = folder_of(name);
-    let _ = std::fs::remove_dir_all(&folder);
-    folder
+fn empty_run_directory(name: &str) -> PathBuf {
+    let directory = run_directory(name);
+    let _ = std::fs::remove_dir_all(&directory);
+    directory
 }
 
-/// Runs at a time: more would keep each other waiting, and that is no fault of the program.
-const RUNS: usize = 3;
-static RUNNING: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
+/// Limit on concurrent runs. More would delay each other, and the delays would show as failures of the program.
+const MAX_CONCURRENT_RUNS: usize = 3;
+static ACTIVE_RUNS: (Mutex<usize>, Condvar) = (Mutex::new(0), Condvar::new());
 
-struct Room;
+struct RunPermit;
 
-impl Room {
-    fn take() -> Room {
-        let running = RUNNING.0.lock().expect("nobody panics with the lock");
-        *RUNNING
+impl RunPermit {
+    fn acquire() -> RunPermit {
+        let running = ACTIVE_RUNS.0.lock().expect("the lock is not poisoned");
+        *ACTIVE_RUNS
             .1
-            .wait_while(running, |running| *running >= RUNS)
-            .expect("as above") += 1;
-        Room
+            .wait_while(running, |running| *running >= MAX_CONCURRENT_RUNS)
+            .expect("the lock is not poisoned") += 1;
+        RunPermit
     }
 }
 
-impl Drop for Room {
+impl Drop for RunPermit {
     fn drop(&mut self) {
-        *RUNNING.0.lock().expect("nobody panics with the lock") -= 1;
-        RUNNING.1.notify_one();
+        *ACTIVE_RUNS.0.lock().expect("the lock is not poisoned") -= 1;
+        ACTIVE_RUNS.1.notify_one();
     }
 }
 
-/// Runs a scenario.
-pub(crate) fn carry(name: &str, text: &str) -> (Summary, Vec<Entry>) {
-    let _room = Room::take();
-    let scenario = Scenario::parse(name, text).expect("it makes sense");
+/// Runs a scenario with seed 7 and returns its summary and record.
+pub(crate) fn run_scenario(name: &str, text: &str) -> (Summary, Vec<Entry>) {
+    let _permit = RunPermit::acquire();
+    let scenario = Scenario::parse(name, text).expect("the scenario is valid");
     let launcher = Launcher::new(env!("CARGO_BIN_EXE_quota-gateway"));
-    let folder = folder(name);
+    let directory = empty_run_directory(name);
     raise_descriptor_limit();
-    // Processes end with the thread that starts them: this one lives until the run is over.
+    // Child processes end with the thread that starts them; the threads of this runtime live until the run ends.
     let runtime = tokio::runtime::Builder::new_multi_thread()
         .enable_all()
         .build()
         .expect("a runtime");
-    let summary = runtime.block_on(carry_out(&scenario, 7, &folder, &launcher, |_, _| {}));
-    let summary = summary.expect("it runs");
+    let summary = runtime.block_on(carry_out(&scenario, 7, &directory, &launcher, |_, _| {}));
+    let summary = summary.expect("the scenario runs");
     assert_eq!(summary.findings.len(), NAMES.len());
     (
         summary,
-        record::read(&folder.join(RECORD)).expect("a record"),
+        record::read(&directory.join(RECORD)).expect("the record can be read"),
     )
 }
 
-/// All checks are kept; returns the named one.
-pub(crate) fn kept(summary: &Summary, check: &str) -> Finding {
+/// Asserts that all checks pass and returns the finding of the named check.
+pub(crate) fn assert_checks_pass(summary: &Summary, check: &str) -> Finding {
     for finding in &summary.findings {
         assert_eq!(finding.broken, 0, "{finding:?}");
     }
@@ -109,6 +109,6 @@
         .findings
         .iter()
         .find(|finding| finding.check == check)
-        .expect("it was checked")
+        .expect("the check was evaluated")
         .clone()
 }
--- a/quota-gateway/tests/view.rs
+++ b/quota-gateway/tests/view.rs
@@ -8,7 +8,7 @@
 use fault_lab::record::{Entry, Event, View};
 use fault_lab::scripted::{closed_port, config, list, target, unused_port, Front, Peer, Program};
 use serde_json::json;
-use stage::{carry, kept, SMALL};
+use stage::{assert_checks_pass, run_scenario, SMALL};
 use std::net::{SocketAddr, UdpSocket};
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::thread::sleep;
@@ -29,7 +29,7 @@
 ) -> (fault_lab::check::Summary, Vec<Entry>) {
     let text = SMALL.replace("seconds = 5", &format!("seconds = {seconds}"));
     let text = text.replace("doors = 4", &format!("doors = {gateways}\nview = true"));
-    carry(name, &(text + faults))
+    run_scenario(name, &(text + faults))
 }
 
 /// The recorded answers to the call `fleet` between these times, with the number of the gateway.
@@ -105,7 +105,7 @@
         18,
         "[[kill]]\nat_ms = 2000\ndoors = \"d1, d2\"\nback_ms = 8000\n",
     );
-    kept(&summary, "lost");
+    assert_checks_pass(&summary, "lost");
     let [killed, back] = fault_times(&entries)[..] else {
         panic!("one fault")
     };
@@ -152,7 +152,9 @@
     );
     assert_never_dead(&entries, (0, u64::MAX), &[1, 3]);
     // The log has each state change, also those between two answers.
-    let log = stage::folder_of("view-stall").join("d3").join("log.txt");
+    let log = stage::run_directory("view-stall")
+        .join("d3")
+        .join("log.txt");
     let log = std::fs::read_to_string(log).expect("a log");
     assert!(!log.contains(" to dead: "), "{log}");
     let own = views(&entries, resumed, u64::MAX)
@@ -291,7 +293,7 @@
     let faults =
         "[[restart]]\nat_ms = 2000\ndoors = \"d0, d1, d2\"\nat_once = 1\nevery_ms = 3500\n";
     let (summary, entries) = run("view-leaving", 5, 17, faults);
-    kept(&summary, "lost");
+    assert_checks_pass(&summary, "lost");
     let mut seen = Vec::new();
     for (gateway, view) in views(&entries, 0, u64::MAX) {
         assert_eq!(view.suspect, Vec::<String>::new(), "d{gateway}: {view:?}");
