--- a/quota-gateway/tests/hand_over.rs
+++ b/quota-gateway/tests/hand_over.rs
@@ -72,7 +72,7 @@
         let mut connection = TcpStream::connect(self.admin).expect("the admin endpoint accepts");
         connection
             .set_read_timeout(Some(PATIENCE))
-            .expect("a time-out");
+            .expect("the timeout can be set");
         connection
             .write_all(format!("{command}\n").as_bytes())
             .expect("the command is sent");
@@ -107,12 +107,16 @@
         let path = format!("/proc/self/fd/{}/handover.sock", directory.as_raw_fd());
         let stream = wait_for(PATIENCE, || UnixStream::connect(&path).ok())
             .expect("the hand-over socket accepts");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(PATIENCE))
+            .expect("the timeout can be set");
         stream
     }
     fn client(&self) -> Client {
         let stream = TcpStream::connect(self.address).expect("the connection is at least queued");
-        stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
+        stream
+            .set_read_timeout(Some(PATIENCE))
+            .expect("the timeout can be set");
         Client { stream }
     }
     fn log(&self) -> String {
@@ -167,7 +171,7 @@
                 TcpStream::connect(gateway.admin).expect("the connection is queued");
             connection
                 .set_read_timeout(Some(PATIENCE))
-                .expect("a time-out");
+                .expect("the timeout can be set");
             connection
                 .write_all(if n < 40 { b"stat" } else { b"status\n" })
                 .expect("the bytes are sent");
