--- a/quota-gateway/tests/front_door.rs
+++ b/quota-gateway/tests/front_door.rs
@@ -1,4 +1,4 @@
-//! The front door over loopback sockets: the built program against small scripted peers.
+//! Tests of the built gateway program over loopback sockets, with scripted clients, backends and discovery servers.
 
 use fault_lab::scripted::{
     closed_port, config, get, list, post, read_message, target, Client, Discovery, Exchange, Front,
@@ -15,16 +15,16 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const FRONT: Program = Program {
+const GATEWAY: Program = Program {
     path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
 
 #[test]
-fn serves_the_backends_answer_unchanged() {
+fn forwards_request_and_response_unchanged_except_for_hop_headers() {
     let backend = Peer::start();
-    let front = FRONT.before(&[backend.address]);
-    let mut client = front.client();
+    let gateway = GATEWAY.before(&[backend.address]);
+    let mut client = gateway.client();
     let job = post("a job").replace("/job-submit", "/job-submit/7?a=b%20c");
     client.send(&job.replace("Plan:", "Connection: X-Hop\r\nX-Hop: 1\r\nPlan:"));
     let exchange = backend.next();
@@ -33,19 +33,23 @@
     assert_eq!(
         exchange.request.header("x-hop"),
         "",
-        "it speaks of the client's connection alone"
+        "a header named by Connection is hop-by-hop and not forwarded"
     );
     assert_eq!(exchange.request.body, b"a job");
-    let wait = exchange
+    let deadline_us = exchange
         .request
         .header("x-deadline")
         .strip_suffix('u')
         .expect("microseconds");
     assert!(
-        (1..4_000_000).contains(&wait.parse().expect("a number")),
-        "waits {wait} us"
+        (1..4_000_000).contains(&deadline_us.parse().expect("a number")),
+        "deadline {deadline_us} us"
     );
-    let port = exchange.stream.peer_addr().expect("a peer").port();
+    let port = exchange
+        .stream
+        .peer_addr()
+        .expect("the peer address is known")
+        .port();
     exchange.answer(
         "200 OK",
         "Usage-Percent: 40\r\nContent-Type: image/png\r\n",
@@ -60,43 +64,47 @@
     assert_eq!(
         answer.header("usage-percent"),
         "",
-        "the meter's figure is for the front door alone"
+        "the usage report is for the gateway only"
     );
 
     client.send(&get("/x"));
     let exchange = backend.next();
     assert_eq!(
-        exchange.stream.peer_addr().expect("a peer").port(),
+        exchange
+            .stream
+            .peer_addr()
+            .expect("the peer address is known")
+            .port(),
         port,
-        "the connection is used again"
+        "the backend connection is reused"
     );
     exchange.ok("again");
     assert_eq!(client.read().body, b"again");
 }
 
 #[test]
-fn healthz_tells_whether_it_can_serve() {
+fn healthz_reports_whether_requests_can_be_served() {
     let discovery = Discovery::start(list(&[]));
     let backend = Peer::start();
-    let front = FRONT.start(&config(discovery.address, list(&[])));
-    let ask = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
-    assert_eq!(front.client().send(ask).read().status(), 503);
+    let gateway = GATEWAY.start(&config(discovery.address, list(&[])));
+    let health_request = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
+    assert_eq!(gateway.client().send(health_request).read().status(), 503);
     discovery.tell(json!([target("s-00000001", backend.address, "ready")]));
-    assert_eq!(front.client().send(ask).read().status(), 200);
+    assert_eq!(gateway.client().send(health_request).read().status(), 200);
 }
 
 #[test]
-fn refuses_at_once_and_says_when_to_come_back() {
+fn refuses_immediately_with_retry_after() {
     let backend = Peer::start();
     let known = list(&[target("s-00000001", backend.address, "draining")]);
-    let front = FRONT.start(&config(closed_port(), known));
-    let asked = Instant::now();
-    let answer = front.client().send(&get("")).read();
+    let gateway = GATEWAY.start(&config(closed_port(), known));
+    let started = Instant::now();
+    let answer = gateway.client().send(&get("")).read();
     assert_eq!(answer.status(), 429);
     assert_eq!(answer.header("retry-after"), "0.500");
     assert!(
-        asked.elapsed() < Duration::from_millis(1000),
-        "not held back"
+        started.elapsed() < Duration::from_millis(1000),
+        "the refusal is not delayed"
     );
 }
 
@@ -108,43 +116,43 @@
         "HTTP/1.1 500 No\r\nContent-Length: 0\r\n\r\n",
     ] {
         let backends = [Peer::start(), Peer::start()];
-        let front = FRONT.before(&[backends[0].address, backends[1].address]);
-        let mut client = front.client();
+        let gateway = GATEWAY.before(&[backends[0].address, backends[1].address]);
+        let mut client = gateway.client();
         client.send(&post("once"));
-        let first = next_of(&backends).0;
+        let first = next_request(&backends).0;
         first.break_off(bytes);
         assert_eq!(client.read().status(), 504, "after {bytes:?}");
-        // The marker is the next that any backend sees.
+        // The marker is the next request that reaches any backend.
         client.send(&post("marker"));
-        let (exchange, _) = next_of(&backends);
+        let (exchange, _) = next_request(&backends);
         assert_eq!(exchange.request.body, b"marker");
         exchange.ok("");
         assert_eq!(client.read().status(), 200);
     }
 }
 
-/// The next request that reaches one of the two, and which of them.
-fn next_of(peers: &[Peer; 2]) -> (Exchange, usize) {
-    let until = Instant::now() + PATIENCE;
+/// Waits for the next request to either backend; returns it with the index of the backend.
+fn next_request(peers: &[Peer; 2]) -> (Exchange, usize) {
+    let deadline = Instant::now() + PATIENCE;
     loop {
         for (n, peer) in peers.iter().enumerate() {
             if let Ok(exchange) = peer.exchanges.recv_timeout(Duration::from_millis(2)) {
                 return (exchange, n);
             }
         }
-        assert!(Instant::now() < until, "no request comes");
+        assert!(Instant::now() < deadline, "no request arrived");
     }
 }
 
 #[test]
-fn what_was_turned_away_goes_elsewhere() {
+fn a_request_rejected_before_it_ran_goes_to_another_backend() {
     let backends = [Peer::start(), Peer::start()];
-    let front = FRONT.before(&[backends[0].address, backends[1].address]);
-    let mut client = front.client();
+    let gateway = GATEWAY.before(&[backends[0].address, backends[1].address]);
+    let mut client = gateway.client();
     client.send(&post("a job"));
-    let (exchange, first) = next_of(&backends);
+    let (exchange, first) = next_request(&backends);
     exchange.answer("503 Full", "X-Not-Run: 1\r\n", "");
-    let (exchange, second) = next_of(&backends);
+    let (exchange, second) = next_request(&backends);
     assert_ne!(first, second);
     assert_eq!(exchange.request.body, b"a job");
     exchange.ok("done");
@@ -152,17 +160,17 @@
 }
 
 #[test]
-fn what_could_not_connect_was_never_sent() {
-    let front = FRONT.before(&[closed_port()]);
-    // Only a refusal, and no failure, says that nothing ran.
-    assert_eq!(front.client().send(&post("a job")).read().status(), 429);
+fn a_failed_connect_counts_as_never_sent() {
+    let gateway = GATEWAY.before(&[closed_port()]);
+    // 429 (refused) instead of 504 (failed) tells the client that nothing ran.
+    assert_eq!(gateway.client().send(&post("a job")).read().status(), 429);
 }
 
 #[test]
-fn an_idle_connection_that_the_backend_closed_costs_no_request() {
+fn an_idle_connection_closed_by_the_backend_fails_no_request() {
     let backend = Peer::start();
-    let front = FRONT.before(&[backend.address]);
-    let mut client = front.client();
+    let gateway = GATEWAY.before(&[backend.address]);
+    let mut client = gateway.client();
     for _ in 0..3 {
         client.send(&post("a job"));
         backend
@@ -173,23 +181,23 @@
 }
 
 #[test]
-fn a_draining_backend_gets_nothing_new() {
+fn a_draining_backend_gets_no_new_requests() {
     let backends = [Peer::start(), Peer::start()];
     let both = list(&[
         target("s-00000001", backends[0].address, "ready"),
         target("s-00000002", backends[1].address, "ready"),
     ]);
     let discovery = Discovery::start(both.clone());
-    let front = FRONT.start(&config(discovery.address, both));
+    let gateway = GATEWAY.start(&config(discovery.address, both));
     discovery.tell(json!([target(
         "s-00000001",
         backends[0].address,
         "draining"
     )]));
-    let mut client = front.client();
+    let mut client = gateway.client();
     for _ in 0..6 {
         client.send(&get(""));
-        let (exchange, n) = next_of(&backends);
+        let (exchange, n) = next_request(&backends);
         assert_eq!(n, 1, "the draining backend got a request");
         exchange.ok("");
         assert_eq!(client.read().status(), 200);
@@ -203,26 +211,26 @@
     let discovery = Discovery::start(known.clone());
     let mut config = config(discovery.address, known);
     config["settings"]["bounds"]["connectTimeout"] = json!(30_000.0);
-    let front = FRONT.start(&config);
-    let mut client = front.client();
+    let gateway = GATEWAY.start(&config);
+    let mut client = gateway.client();
     client.send(&post("a job"));
     stuck.wait_for_connect();
     discovery.tell(json!([target("s-00000001", stuck.address, "draining")]));
     let reader = thread::spawn(move || client.read().status());
     assert_eq!(String::from_utf8_lossy(&stuck.open()), "");
-    assert_eq!(reader.join().expect("an answer"), 429);
+    assert_eq!(reader.join().expect("the reader ends"), 429);
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_has_gone() {
+fn nothing_is_sent_for_a_disconnected_client() {
     let stuck = Stuck::start();
     let mut config = config(
         closed_port(),
         list(&[target("s-00000001", stuck.address, "ready")]),
     );
     config["settings"]["bounds"]["connectTimeout"] = json!(30_000.0);
-    let front = FRONT.start(&config);
-    let mut client = front.client();
+    let gateway = GATEWAY.start(&config);
+    let mut client = gateway.client();
     client.send(&post("a job"));
     stuck.wait_for_connect();
     drop(client);
@@ -230,34 +238,34 @@
 }
 
 #[test]
-fn a_client_that_goes_while_its_request_runs_disturbs_no_other() {
+fn a_client_that_disconnects_during_its_request_does_not_affect_others() {
     let backend = Peer::start();
-    let front = FRONT.before(&[backend.address]);
-    let mut gone = front.client();
-    gone.send(&post("gone"));
+    let gateway = GATEWAY.before(&[backend.address]);
+    let mut leaving_client = gateway.client();
+    leaving_client.send(&post("gone"));
     let exchange = backend.next();
-    drop(gone);
-    let mut client = front.client();
+    drop(leaving_client);
+    let mut client = gateway.client();
     client.send(&post("here"));
-    let here = backend.next();
-    exchange.ok("for nobody");
-    here.ok("for the one who stayed");
-    assert_eq!(client.read().body, b"for the one who stayed");
+    let second = backend.next();
+    exchange.ok("for the disconnected client");
+    second.ok("for the connected client");
+    assert_eq!(client.read().body, b"for the connected client");
 }
 
 #[test]
-fn at_the_deadline_the_client_is_told_and_the_attempts_socket_closed() {
+fn at_the_deadline_the_client_gets_504_and_the_attempts_socket_is_closed() {
     let backend = Peer::start();
-    let front = FRONT.before(&[backend.address]);
-    let mut client = front.client();
-    let asked = Instant::now();
+    let gateway = GATEWAY.before(&[backend.address]);
+    let mut client = gateway.client();
+    let started = Instant::now();
     client.send(&post("a job").replace("4000m", "300000u"));
     let mut exchange = backend.next();
     assert_eq!(client.read().status(), 504);
     assert!(
-        asked.elapsed() >= Duration::from_millis(250),
-        "given up early, after {:?}",
-        asked.elapsed()
+        started.elapsed() >= Duration::from_millis(250),
+        "timed out early, after {:?}",
+        started.elapsed()
     );
     exchange.wait_for_close();
 }
@@ -265,17 +273,17 @@
 #[test]
 fn an_attempts_socket_is_closed_before_the_next_attempt_goes_out() {
     let backends = [Peer::start(), Peer::start()];
-    let front = FRONT.before(&[backends[0].address, backends[1].address]);
-    let mut client = front.client();
+    let gateway = GATEWAY.before(&[backends[0].address, backends[1].address]);
+    let mut client = gateway.client();
     client.send(&get(""));
-    let (mut silent, first) = next_of(&backends);
-    // The module gives up on the silent backend long before the deadline.
-    let (exchange, second) = next_of(&backends);
+    let (mut silent, first) = next_request(&backends);
+    // The gateway abandons the silent backend long before the deadline.
+    let (exchange, second) = next_request(&backends);
     assert_ne!(first, second);
     silent
         .stream
         .set_nonblocking(true)
-        .expect("the mode is set");
+        .expect("the socket becomes non-blocking");
     silent.wait_for_close();
     exchange.ok("from the other");
     assert_eq!(client.read().body, b"from the other");
@@ -284,9 +292,9 @@
 #[test]
 fn malformed_input_gets_400_and_reaches_no_backend() {
     let backend = Peer::start();
-    let front = FRONT.before(&[backend.address]);
-    let good = get("");
-    let spoilt = [
+    let gateway = GATEWAY.before(&[backend.address]);
+    let valid_request = get("");
+    let replacements = [
         ("X-Class: preview-fetch", "X-Class: nothing"),
         ("X-Class: preview-fetch", "X-Class: job-submit"),
         ("X-Class: preview-fetch\r\n", ""),
@@ -305,41 +313,41 @@
         ("X-Deadline: 4000m", "X-Deadline: infm"),
         ("X-Request-Id: 9b1f03aa5c7e2d41\r\n", ""),
     ];
-    for (right, wrong) in spoilt {
-        assert!(good.contains(right));
+    for (valid, invalid) in replacements {
+        assert!(valid_request.contains(valid));
         assert_eq!(
-            front
+            gateway
                 .client()
-                .send(&good.replace(right, wrong))
+                .send(&valid_request.replace(valid, invalid))
                 .read()
                 .status(),
             400,
-            "{wrong:?}"
+            "{invalid:?}"
         );
     }
     let long = "x".repeat(64 * 1024);
-    let mut client = front.client();
+    let mut client = gateway.client();
     client.send(&post(&long));
     let exchange = backend.next();
     assert_eq!(
         exchange.request.body.len(),
         long.len(),
-        "the first that the backend sees is well formed"
+        "the first request that the backend receives is well formed"
     );
     exchange.ok(&long);
     assert_eq!(client.read().body.len(), long.len());
 }
 
-/// Each of these peers waits for an end of its own accord far longer than it takes here.
+/// None of these peers closes its connection by itself within the time that the test allows.
 #[test]
-fn peers_that_do_not_finish_a_request_are_let_go() {
+fn connections_with_an_unfinished_request_are_closed() {
     let backend = Peer::start();
-    let front = FRONT.before(&[backend.address]);
+    let gateway = GATEWAY.before(&[backend.address]);
     let healthz = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
     let short = post("a job").replace("a job", "a");
     let unfinished = ["", "GET /preview-fetch HT", healthz, &short];
-    let asked = Instant::now();
-    let mut peers: Vec<Client> = unfinished.iter().map(|_| front.client()).collect();
+    let started = Instant::now();
+    let mut peers: Vec<Client> = unfinished.iter().map(|_| gateway.client()).collect();
     for (peer, sent) in peers.iter_mut().zip(unfinished) {
         peer.send(sent);
     }
@@ -349,7 +357,7 @@
             let mut answer = String::new();
             peer.stream
                 .read_to_string(&mut answer)
-                .expect("an orderly end");
+                .expect("the connection closes without a reset");
             answer.lines().next().unwrap_or_default().to_string()
         })
         .collect();
@@ -357,81 +365,81 @@
         ends,
         ["", "", "HTTP/1.1 200 OK", "HTTP/1.1 408 Request Timeout"]
     );
-    // The end is owed within 3 s; the rest is for a slow machine.
+    // The gateway must close within 3 s; the rest is slack for a slow machine.
     assert!(
-        asked.elapsed() < Duration::from_millis(8000),
+        started.elapsed() < Duration::from_millis(8000),
         "it took {:?}",
-        asked.elapsed()
+        started.elapsed()
     );
     assert!(
         backend.exchanges.try_recv().is_err(),
-        "none of that reaches a backend"
+        "no unfinished request reaches a backend"
     );
 }
 
 #[test]
-fn a_silent_discovery_disturbs_nothing_and_is_asked_anew() {
+fn a_silent_discovery_server_is_queried_again_while_requests_are_served() {
     let backend = Peer::start();
     let silent = Peer::start();
-    let front = FRONT.start(&config(
+    let gateway = GATEWAY.start(&config(
         silent.address,
         list(&[target("s-00000001", backend.address, "ready")]),
     ));
     let mut call = silent.next();
-    let (glance, watch) = ["200", "4000"]
+    let (short_poll, long_poll) = ["200", "4000"]
         .map(|ms| format!("GET /v1/servers?after=1&wait_ms={ms} HTTP/1.1"))
         .into();
     assert_eq!(
-        call.request.line, glance,
-        "what is newer than the list that the configuration holds"
+        call.request.line, short_poll,
+        "asks for changes since the list in the configuration"
     );
-    // Each asks on a connection of its own: one that stands idle is closed.
+    // Each request uses a new connection, because idle ones are closed.
     let serve = || {
-        let mut client = front.client();
+        let mut client = gateway.client();
         client.send(&get(""));
         backend.next().ok("served");
         assert_eq!(client.read().status(), 200);
     };
     serve();
     call.wait_for_close();
-    // Turned away: the list held is as good as before, and the whole one would be the dearest of calls.
+    // A 503 does not invalidate the current list, and fetching the whole list is the most expensive call.
     let call = silent.next();
-    assert_eq!(call.request.line, glance);
+    assert_eq!(call.request.line, short_poll);
     call.answer("503 Service Unavailable", "Connection: close\r\n", "");
-    // What makes no sense is no list, and the list held stays in force.
+    // A malformed response is not taken as a list; the current list stays in force.
     let call = silent.next();
-    assert_eq!(call.request.line, glance);
+    assert_eq!(call.request.line, short_poll);
     call.ok("{\"rev\":");
     let call = silent.next();
     assert_eq!(call.request.line, "GET /v1/servers HTTP/1.1");
     serve();
     call.ok(&list(&[]).to_string());
-    assert_eq!(silent.next().request.line, watch);
+    assert_eq!(silent.next().request.line, long_poll);
     assert_eq!(
-        front.client().send(&get("")).read().status(),
+        gateway.client().send(&get("")).read().status(),
         429,
         "no backend is left"
     );
 }
 
 #[test]
-fn sighup_moves_the_watch_to_the_address_in_the_replaced_configuration() {
+fn sighup_moves_the_discovery_watch_to_the_newly_configured_address() {
     let backends = [Peer::start(), Peer::start()];
     let (old, new) = (Peer::start(), Peer::start());
     let known = list(&[target("s-00000001", backends[0].address, "ready")]);
     let mut config = config(old.address, known);
-    let front = FRONT.start(&config);
+    let gateway = GATEWAY.start(&config);
     let mut watch = old.next();
-    let mut client = front.client();
+    let mut client = gateway.client();
     client.send(&get(""));
-    let in_hand = backends[0].next();
+    let in_flight = backends[0].next();
 
     config["discovery"] = json!(new.address.to_string());
-    front.replace_config(&config.to_string());
+    gateway.replace_config(&config.to_string());
     let call = new.next();
     assert_eq!(
         call.request.line, "GET /v1/servers HTTP/1.1",
-        "the whole list is asked for"
+        "the whole list is requested"
     );
     watch.wait_for_close();
     call.ok(&list(&[target("s-00000002", backends[1].address, "ready")]).to_string());
@@ -439,11 +447,11 @@
         new.next().request.line,
         "GET /v1/servers?after=1&wait_ms=4000 HTTP/1.1"
     );
-    in_hand.ok("begun before");
+    in_flight.ok("started before the reload");
     assert_eq!(
         client.read().body,
-        b"begun before",
-        "what was in hand is not disturbed"
+        b"started before the reload",
+        "requests in flight are not affected"
     );
     client.send(&get(""));
     backends[1].next().ok("from the new list");
@@ -456,13 +464,13 @@
     let agent = Peer::start();
     let known = list(&[target("s-00000001", backend.address, "ready")]);
     let mut config = config(agent.address, known.clone());
-    let front = FRONT.start(&config);
+    let gateway = GATEWAY.start(&config);
     agent.next().ok(&known.to_string());
-    let mut client = front.client();
+    let mut client = gateway.client();
     config["discovery"] = json!("nowhere");
     for text in ["", "{\"discovery\":", "{}", &config.to_string()] {
         let watch = agent.next();
-        front.replace_config(text);
+        gateway.replace_config(text);
         client.send(&get(""));
         backend.next().ok("");
         assert_eq!(client.read().status(), 200, "after {text:?}");
@@ -470,26 +478,26 @@
     }
     assert!(
         agent.next().request.line.contains("after=1"),
-        "the watch goes on"
+        "the watch continues"
     );
 }
 
 #[test]
-fn sigterm_ends_it_in_order() {
+fn sigterm_shuts_down_gracefully() {
     let backend = Peer::start();
-    let mut front = FRONT.before(&[backend.address]);
-    let mut idle = front.client();
+    let mut gateway = GATEWAY.before(&[backend.address]);
+    let mut idle = gateway.client();
     idle.send(&get(""));
     backend.next().ok("");
     assert_eq!(idle.read().status(), 200);
-    let mut busy = front.client();
+    let mut busy = gateway.client();
     busy.send(&post("in hand"));
-    let in_hand = backend.next();
-    front.terminate();
-    // Until the signal has come, answers keep their connections.
-    let until = Instant::now() + PATIENCE;
+    let in_flight = backend.next();
+    gateway.terminate();
+    // Until the signal is handled, responses keep connections open.
+    let deadline = Instant::now() + PATIENCE;
     loop {
-        let mut late = front.client();
+        let mut late = gateway.client();
         late.send(&get(""));
         backend.next().ok("late");
         let answer = late.read();
@@ -497,110 +505,116 @@
         if answer.header("connection") == "close" {
             break;
         }
-        assert!(Instant::now() < until, "the signal does nothing");
+        assert!(Instant::now() < deadline, "the signal has no effect");
     }
     let mut byte = [0];
     assert_eq!(
-        idle.stream.read(&mut byte).expect("an orderly end"),
+        idle.stream
+            .read(&mut byte)
+            .expect("the connection closes without a reset"),
         0,
         "idle connections are closed"
     );
-    in_hand.ok("finished");
+    in_flight.ok("finished");
     let answer = busy.read();
     assert_eq!(
         (answer.status(), answer.header("connection")),
         (200, "close")
     );
-    assert!(front.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process exits").success());
 }
 
 #[test]
-fn sigterm_ends_it_though_a_backend_is_silent() {
+fn sigterm_ends_the_process_although_a_backend_is_silent() {
     let backend = Peer::start();
     let mut config = config(
         closed_port(),
         list(&[target("s-00000001", backend.address, "ready")]),
     );
     config["settings"]["classes"][1]["deadline"] = json!(12_000.0);
-    let mut front = FRONT.start(&config);
-    let mut client = front.client();
+    let mut gateway = GATEWAY.start(&config);
+    let mut client = gateway.client();
     client.send(&post("a job").replace("4000m", "12000m"));
     let _silent = backend.next();
-    let asked = Instant::now();
-    front.terminate();
+    let started = Instant::now();
+    gateway.terminate();
     assert_eq!(client.read().status(), 504);
-    assert!(front.child.wait().expect("it ends").success());
-    // SIGKILL may come after 3.7 s, however long the client would wait; the rest is for a slow machine.
+    assert!(gateway.child.wait().expect("the process exits").success());
+    // SIGKILL may follow after 3.7 s, whatever the client deadline; the rest is slack for a slow machine.
     assert!(
-        asked.elapsed() < Duration::from_millis(8000),
+        started.elapsed() < Duration::from_millis(8000),
         "it took {:?}",
-        asked.elapsed()
+        started.elapsed()
     );
 }
 
 #[test]
-fn idle_connections_give_way_when_descriptors_run_out() {
+fn idle_connections_are_closed_when_descriptors_run_out() {
     let backend = Peer::start();
     let mut config = config(
         closed_port(),
         list(&[target("s-00000001", backend.address, "ready")]),
     );
     config["limits"]["sockets"] = json!(48);
-    let front = FRONT.start(&config);
-    let _idle: Vec<Client> = (0..60).map(|_| front.client()).collect();
+    let gateway = GATEWAY.start(&config);
+    let _idle: Vec<Client> = (0..60).map(|_| gateway.client()).collect();
     let served = thread::spawn(move || backend.next().ok("served"));
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     loop {
-        let status = front.client().send(&get("")).read().status();
+        let status = gateway.client().send(&get("")).read().status();
         if status == 200 {
             break;
         }
         assert_eq!(status, 429);
         assert!(
-            Instant::now() < until,
-            "the idle connections keep all others out"
+            Instant::now() < deadline,
+            "idle connections keep new ones from being served"
         );
     }
-    served.join().expect("the backend serves one");
+    served.join().expect("the backend serves one request");
 }
 
 #[test]
-fn a_log_that_nobody_takes_ends_nothing() {
+fn a_closed_log_pipe_does_not_end_the_process() {
     let known = list(&[target("s-00000001", closed_port(), "draining")]);
     let config = config(closed_port(), known);
-    let mut front = FRONT.start_with(&config, Stdio::piped());
-    drop(front.child.stderr.take());
-    let mut client = front.client();
-    // The module reports once a second that it has no server.
-    let until = Instant::now() + Duration::from_millis(2500);
-    while Instant::now() < until {
+    let mut gateway = GATEWAY.start_with(&config, Stdio::piped());
+    drop(gateway.child.stderr.take());
+    let mut client = gateway.client();
+    // The gateway logs once a second that no server is available.
+    let deadline = Instant::now() + Duration::from_millis(2500);
+    while Instant::now() < deadline {
         assert_eq!(client.send(&get("")).read().status(), 429);
         thread::sleep(Duration::from_millis(50));
     }
 }
 
 #[test]
-fn a_log_that_is_full_blocks_nothing_and_tells_what_was_lost() {
+fn a_full_log_pipe_blocks_nothing_and_lost_lines_are_reported() {
     let known = list(&[target("s-00000001", closed_port(), "draining")]);
     let config = config(closed_port(), known);
-    let (errors, mut reader) = UnixStream::pair().expect("a pair of sockets");
-    errors.set_nonblocking(true).expect("it does not wait");
+    let (errors, mut reader) = UnixStream::pair().expect("a socket pair");
+    errors
+        .set_nonblocking(true)
+        .expect("the socket becomes non-blocking");
     while (&errors).write(&[b'x'; 1000]).is_ok() {}
-    errors.set_nonblocking(false).expect("it waits");
-    let front = FRONT.start_with(&config, OwnedFd::from(errors).into());
-    // Each of these is a line of the log.
+    errors
+        .set_nonblocking(false)
+        .expect("the socket becomes blocking");
+    let gateway = GATEWAY.start_with(&config, OwnedFd::from(errors).into());
+    // Each command logs one line.
     for _ in 0..20 {
-        assert!(front.call("maint-on s-00000001").starts_with("done"));
-        assert!(front.call("maint-off s-00000001").starts_with("done"));
+        assert!(gateway.call("maint-on s-00000001").starts_with("done"));
+        assert!(gateway.call("maint-off s-00000001").starts_with("done"));
     }
-    let (taken, lines) = channel();
+    let (text_sender, texts) = channel();
     thread::spawn(move || {
         let mut text = Vec::new();
         let mut piece = [0; 4096];
         while let Ok(length @ 1..) = reader.read(&mut piece) {
             text.extend_from_slice(&piece[..length]);
             if text.ends_with(b"\n")
-                && taken
+                && text_sender
                     .send(String::from_utf8_lossy(&text).into_owned())
                     .is_err()
             {
@@ -608,12 +622,12 @@
             }
         }
     });
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     loop {
-        assert!(Instant::now() < until, "no line tells what was lost");
-        assert!(front.call("maint-on s-00000001").starts_with("done"));
-        assert!(front.call("maint-off s-00000001").starts_with("done"));
-        if lines
+        assert!(Instant::now() < deadline, "no log line reports lost lines");
+        assert!(gateway.call("maint-on s-00000001").starts_with("done"));
+        assert!(gateway.call("maint-off s-00000001").starts_with("done"));
+        if texts
             .try_iter()
             .any(|text| text.contains(" lines of the log were lost"))
         {
@@ -624,118 +638,121 @@
 }
 
 #[test]
-fn lines_of_json_have_the_events_name_and_fields() {
+fn json_log_lines_have_the_event_name_and_fields() {
     let known = list(&[target("s-00000001", closed_port(), "ready")]);
     let mut config = config(closed_port(), known);
     config["log"] = json!("json");
-    let mut front = FRONT.start_with(&config, Stdio::piped());
-    let errors = BufReader::new(front.child.stderr.take().expect("it is piped"));
-    assert!(front.call("maint-on s-00000001").starts_with("done"));
+    let mut gateway = GATEWAY.start_with(&config, Stdio::piped());
+    let errors = BufReader::new(gateway.child.stderr.take().expect("stderr is piped"));
+    assert!(gateway.call("maint-on s-00000001").starts_with("done"));
     let line = errors
         .lines()
         .map_while(Result::ok)
         .find(|line| line.contains("taken out"));
-    let told: Value = serde_json::from_str(&line.expect("a line")).expect("JSON");
+    let entry: Value = serde_json::from_str(&line.expect("the command is logged")).expect("JSON");
     assert_eq!(
-        (&told["event"], &told["backend"]),
+        (&entry["event"], &entry["backend"]),
         (&json!("backend_out"), &json!("s-00000001"))
     );
-    assert_eq!(told["message"], "backend s-00000001 is taken out");
+    assert_eq!(entry["message"], "backend s-00000001 is taken out");
 }
 
 #[test]
-fn sighup_names_each_key_that_differs_and_is_not_taken_over() {
+fn sighup_logs_each_changed_key_that_needs_a_restart() {
     let mut config = config(closed_port(), list(&[]));
-    let mut front = FRONT.start_with(&config, Stdio::piped());
-    let mut errors = BufReader::new(front.child.stderr.take().expect("it is piped"));
+    let mut gateway = GATEWAY.start_with(&config, Stdio::piped());
+    let mut errors = BufReader::new(gateway.child.stderr.take().expect("stderr is piped"));
     config["settings"]["plans"][0]["unitsPerS"] = json!(7.0);
     config["limits"]["sockets"] = json!(2048);
     config["discovery"] = json!(closed_port().to_string());
-    front.replace_config(&config.to_string());
-    let mut said = String::new();
-    while !said.contains("taken over") {
-        said.clear();
+    gateway.replace_config(&config.to_string());
+    let mut line = String::new();
+    while !line.contains("taken over") {
+        line.clear();
         assert!(
-            errors.read_line(&mut said).expect("the log goes on") > 0,
+            errors.read_line(&mut line).expect("the log can be read") > 0,
             "the log ended"
         );
     }
     assert!(
-        said.ends_with("it is not in: limits.sockets, settings.plans[starter].unitsPerS\n"),
-        "{said}"
+        line.ends_with("it is not in: limits.sockets, settings.plans[starter].unitsPerS\n"),
+        "{line}"
     );
 }
 
 #[test]
-fn check_says_what_a_start_would_find() {
+fn check_reports_what_startup_would_report() {
     let mut config = config(closed_port(), list(&[]));
     let check = |config: &Value| {
-        let path = FRONT.write(config);
-        let mut command = Command::new(FRONT.path);
+        let path = GATEWAY.write(config);
+        let mut command = Command::new(GATEWAY.path);
         let output = command
             .arg("--check")
             .arg("--config")
             .arg(path)
             .env_remove("BALANCER_CONFIG")
             .output();
-        let output = output.expect("it ends");
-        let text = |bytes| String::from_utf8(bytes).expect("text");
+        let output = output.expect("the process exits");
+        let text = |bytes| String::from_utf8(bytes).expect("UTF-8");
         (
             output.status.code(),
             text(output.stdout),
             text(output.stderr),
         )
     };
-    let (code, said, _) = check(&config);
+    let (code, stdout, _) = check(&config);
     assert_eq!(code, Some(0));
     assert!(
-        said.starts_with("the configuration is good: ") && said.contains(" 2 classes, 1 plans,"),
-        "{said}"
+        stdout.starts_with("the configuration is good: ")
+            && stdout.contains(" 2 classes, 1 plans,"),
+        "{stdout}"
     );
     config["limits"]["sockets"] = json!(5);
-    let (code, _, said) = check(&config);
+    let (code, _, stderr) = check(&config);
     assert_eq!(code, Some(1));
     assert!(
-        said.starts_with("quota-gateway: limits.sockets: 5 are too few; set at least 41,"),
-        "{said}"
+        stderr.starts_with("quota-gateway: limits.sockets: 5 are too few; set at least 41,"),
+        "{stderr}"
     );
     config["settings"]["plans"][0]["unitsPerS"] = json!(-1.0);
-    let (code, said, problem) = check(&config);
-    assert_eq!((code, said.as_str()), (Some(1), ""));
-    assert!(problem.contains("plans[0].rate"), "{problem}");
+    let (code, stdout, stderr) = check(&config);
+    assert_eq!((code, stdout.as_str()), (Some(1), ""));
+    assert!(stderr.contains("plans[0].rate"), "{stderr}");
 }
 
 #[test]
-fn bad_configuration_ends_with_one_plain_line() {
-    let mut bad = config(closed_port(), list(&[]));
-    bad["settings"]["plans"][0]["unitsPerS"] = json!(-1.0);
-    let output = FRONT
-        .spawn(&FRONT.write(&bad), Stdio::piped())
+fn an_invalid_configuration_ends_the_process_with_a_one_line_error() {
+    let mut invalid = config(closed_port(), list(&[]));
+    invalid["settings"]["plans"][0]["unitsPerS"] = json!(-1.0);
+    let output = GATEWAY
+        .spawn(&GATEWAY.write(&invalid), Stdio::piped())
         .wait_with_output()
-        .expect("it ends");
+        .expect("the process exits");
     assert!(!output.status.success());
-    let said = String::from_utf8(output.stderr).expect("text");
-    let problem = "quota-gateway: setting plans[0].rate: must be a finite number, not below 0; ";
+    let stderr = String::from_utf8(output.stderr).expect("UTF-8");
+    let expected = "quota-gateway: setting plans[0].rate: must be a finite number, not below 0; ";
     assert!(
-        said.starts_with(problem) && said.lines().count() == 1,
-        "{said}"
+        stderr.starts_with(expected) && stderr.lines().count() == 1,
+        "{stderr}"
     );
 }
 
 #[test]
-fn the_operators_door_answers_whole_calls_and_no_others() {
+fn the_admin_endpoint_answers_only_complete_and_known_commands() {
     let backend = Peer::start();
-    let front = FRONT.before(&[backend.address]);
-    // Callers who say nothing, or half a call, hold up no one.
-    let mut holding: Vec<TcpStream> = Vec::new();
+    let gateway = GATEWAY.before(&[backend.address]);
+    // Connections that have sent only half a command do not block others.
+    let mut stalled: Vec<TcpStream> = Vec::new();
     for _ in 0..40 {
-        let mut caller = TcpStream::connect(front.admin).expect("the operators' door accepts");
-        caller.write_all(b"stat").expect("half a call goes out");
-        holding.push(caller);
+        let mut connection = TcpStream::connect(gateway.admin).expect("the admin endpoint accepts");
+        connection
+            .write_all(b"stat")
+            .expect("half a command is sent");
+        stalled.push(connection);
     }
-    assert!(front.call("status").starts_with("done"));
+    assert!(gateway.call("status").starts_with("done"));
     let long = "x".repeat(100_000);
-    for wrong in [
+    for invalid in [
         "",
         "hello",
         "status please",
@@ -744,29 +761,29 @@
         "maint-off nobody",
         &long,
     ] {
-        assert!(front.call(wrong).starts_with("error"), "{wrong:.20}");
+        assert!(gateway.call(invalid).starts_with("error"), "{invalid:.20}");
     }
     assert!(
-        front.call("status").starts_with("done"),
-        "it goes on after that"
+        gateway.call("status").starts_with("done"),
+        "the endpoint still answers"
     );
 }
 
 #[test]
-fn status_says_no_while_there_is_no_backend_to_send_to() {
-    let front = FRONT.start(&config(closed_port(), list(&[])));
-    assert!(front.call("status").starts_with("error"));
+fn status_is_an_error_while_no_backend_is_usable() {
+    let gateway = GATEWAY.start(&config(closed_port(), list(&[])));
+    assert!(gateway.call("status").starts_with("error"));
 }
 
 #[test]
-fn the_numbers_count_each_request_where_it_ends() {
+fn stats_count_each_request_by_its_outcome() {
     let backend = Peer::start();
-    let front = FRONT.before(&[backend.address]);
-    let mut client = front.client();
+    let gateway = GATEWAY.before(&[backend.address]);
+    let mut client = gateway.client();
     client.send(&get("/a"));
     let exchange = backend.next();
     let class = "preview-fetch";
-    let during = front.stats();
+    let during = gateway.stats();
     assert_eq!(
         (&during["in_flight"], &during["attempts"]),
         (&json!(1), &json!(1)),
@@ -779,20 +796,20 @@
     assert_eq!(client.read().status(), 504);
     client.send("GET /nothing HTTP/1.1\r\nHost: a\r\n\r\n");
     assert_eq!(client.read().status(), 400);
-    // A client that goes while its request runs.
-    let mut gone = front.client();
-    gone.send(&get("/b"));
+    // A client that disconnects while its request runs.
+    let mut leaving_client = gateway.client();
+    leaving_client.send(&get("/b"));
     let running = backend.next();
-    drop(gone);
-    let until = Instant::now() + PATIENCE;
-    while front.stats()["in_flight"] != 0 {
+    drop(leaving_client);
+    let deadline = Instant::now() + PATIENCE;
+    while gateway.stats()["in_flight"] != 0 {
         assert!(
-            Instant::now() < until,
-            "a request whose client has gone is over"
+            Instant::now() < deadline,
+            "a request whose client disconnected was not ended"
         );
     }
     running.ok("b");
-    let after = front.stats();
+    let after = gateway.stats();
     assert_eq!(after["served"][class], 1, "{after}");
     assert_eq!(after["failed"]["job-submit"], 1, "{after}");
     assert_eq!(
@@ -809,25 +826,25 @@
         (&after["backends_known"], &after["backends_excluded"]),
         (&json!(1), &json!(0))
     );
-    assert!(front.call("maint-on s-00000000").starts_with("done"));
-    assert_eq!(front.stats()["backends_excluded"], 1);
+    assert!(gateway.call("maint-on s-00000000").starts_with("done"));
+    assert_eq!(gateway.stats()["backends_excluded"], 1);
     assert_eq!(client.send(&get("/c")).read().status(), 429);
-    assert_eq!(front.stats()["refused"][class], 1);
+    assert_eq!(gateway.stats()["refused"][class], 1);
 }
 
-/// What `cost` tells.
-fn cost(front: &Front) -> Value {
-    let answer = front.call("cost");
-    let (figures, end) = answer.trim_end().rsplit_once('\n').expect("two lines");
+/// The reply to the admin command `cost`.
+fn cost(gateway: &Front) -> Value {
+    let answer = gateway.call("cost");
+    let (json, end) = answer.trim_end().rsplit_once('\n').expect("two lines");
     assert_eq!(end, "end");
-    serde_json::from_str(figures).expect("JSON")
+    serde_json::from_str(json).expect("JSON")
 }
 
-/// Waits until `cost` says so many descriptors of clients, of idle and of busy connections to backends.
-fn wait_for_descriptors(front: &Front, clients: usize, idle: usize, busy: usize) -> Value {
-    let until = Instant::now() + PATIENCE;
+/// Waits until `cost` reports these numbers of client connections and of idle and busy backend connections.
+fn wait_for_descriptors(gateway: &Front, clients: usize, idle: usize, busy: usize) -> Value {
+    let deadline = Instant::now() + PATIENCE;
     loop {
-        let cost = cost(front);
+        let cost = cost(gateway);
         let open = &cost["descriptors"];
         if (
             &open["clients"],
@@ -838,7 +855,7 @@
             return cost;
         }
         assert!(
-            Instant::now() < until,
+            Instant::now() < deadline,
             "not {clients} clients, {idle} idle and {busy} busy: {cost}"
         );
         thread::sleep(Duration::from_millis(5));
@@ -846,54 +863,54 @@
 }
 
 #[test]
-fn descriptors_come_back_after_each_odd_ending() {
+fn descriptors_are_released_after_each_abnormal_end() {
     let (backend, stuck) = (Peer::start(), Stuck::start());
     let known = list(&[target("s-00000001", backend.address, "ready")]);
-    let front = FRONT.start(&config(closed_port(), known));
-    let before = wait_for_descriptors(&front, 0, 0, 0);
-    // A client that goes while its request runs.
-    let mut gone = front.client();
-    gone.send(&get("/gone"));
+    let gateway = GATEWAY.start(&config(closed_port(), known));
+    let before = wait_for_descriptors(&gateway, 0, 0, 0);
+    // A client that disconnects while its request runs.
+    let mut leaving_client = gateway.client();
+    leaving_client.send(&get("/gone"));
     let mut running = backend.next();
-    wait_for_descriptors(&front, 1, 0, 1);
-    drop(gone);
-    // A client that never sends, one that sends half a head, and one that resets.
-    let silent = front.client();
-    let mut half = front.client();
+    wait_for_descriptors(&gateway, 1, 0, 1);
+    drop(leaving_client);
+    // A client that sends nothing, and one that sends half a request head.
+    let silent = gateway.client();
+    let mut half = gateway.client();
     half.send("GET /preview-fetch HTTP/1.1\r\nHost:");
     drop((silent, half));
     running.wait_for_close();
-    wait_for_descriptors(&front, 0, 0, 0);
-    // An attempt that runs out of time, and one whose backend breaks off.
-    let mut client = front.client();
+    wait_for_descriptors(&gateway, 0, 0, 0);
+    // An attempt that times out, and one whose backend closes the connection mid-response.
+    let mut client = gateway.client();
     client.send(&get("/late").replace("X-Deadline: 4000m", "X-Deadline: 60m"));
     let late = backend.next();
     assert_eq!(client.read().status(), 504);
     client.send(&post("broken"));
     backend.next().break_off("HTTP/1.1 200 OK\r\n");
     assert_eq!(client.read().status(), 504);
-    wait_for_descriptors(&front, 1, 0, 0);
+    wait_for_descriptors(&gateway, 1, 0, 0);
     drop(late);
-    // One that ends well leaves its connection, and one that is on its way leaves none once it is given up.
+    // A completed attempt leaves an idle connection; one abandoned while connecting leaves none.
     client.send(&get("/well"));
     backend.next().ok("");
     client.read();
-    wait_for_descriptors(&front, 1, 1, 0);
+    wait_for_descriptors(&gateway, 1, 1, 0);
     drop(client);
     let mut config = config(
         closed_port(),
         list(&[target("s-00000001", stuck.address, "ready")]),
     );
     config["settings"]["bounds"]["connectTimeout"] = json!(20_000.0);
-    let other = FRONT.start(&config);
+    let other = GATEWAY.start(&config);
     let mut client = other.client();
     client.send(&get("/on-its-way").replace("X-Deadline: 4000m", "X-Deadline: 300m"));
     wait_for_descriptors(&other, 1, 0, 1);
     assert_eq!(client.read().status(), 504);
     drop(client);
     wait_for_descriptors(&other, 0, 0, 0);
-    // Nothing of the program's own has come to stay.
-    let after = wait_for_descriptors(&front, 0, 1, 0);
+    // The process has no more descriptors of its own than before.
+    let after = wait_for_descriptors(&gateway, 0, 1, 0);
     assert_eq!(
         after["descriptors"]["own"], before["descriptors"]["own"],
         "{before} {after}"
@@ -918,129 +935,131 @@
         after["processor_ms"]["user"].is_u64() && after["processor_ms"]["system"].is_u64(),
         "{after}"
     );
-    assert!(front.call("cost of it").starts_with("error"));
+    assert!(gateway.call("cost of it").starts_with("error"));
 }
 
 #[test]
-fn a_backend_that_is_taken_out_gets_nothing_whatever_the_list_says() {
+fn a_backend_in_maintenance_gets_no_requests_whatever_discovery_reports() {
     let peers = [Peer::start(), Peer::start()];
     let targets = [
         target("s-00000001", peers[0].address, "ready"),
         target("s-00000002", peers[1].address, "ready"),
     ];
     let discovery = Discovery::start(list(&targets));
-    let front = FRONT.start(&config(discovery.address, list(&targets)));
-    let mut client = front.client();
-    // Both get an idle connection that a request could take.
+    let gateway = GATEWAY.start(&config(discovery.address, list(&targets)));
+    let mut client = gateway.client();
+    // Leave an idle connection to each backend that a request could reuse.
     for path in ["/0", "/1", "/2", "/3"] {
         client.send(&get(path));
-        next_of(&peers).0.ok("");
+        next_request(&peers).0.ok("");
         client.read();
     }
-    assert!(front.call("maint-on s-00000001").starts_with("done"));
+    assert!(gateway.call("maint-on s-00000001").starts_with("done"));
     assert!(
-        front.call("maint-on s-00000001").starts_with("done"),
-        "twice is once"
+        gateway.call("maint-on s-00000001").starts_with("done"),
+        "maint-on is idempotent"
     );
-    let none_to_the_first = |client: &mut Client| {
+    let assert_only_second_serves = |client: &mut Client| {
         for _ in 0..6 {
             client.send(&get("/x"));
             peers[1].next().ok("");
             assert_eq!(client.read().status(), 200);
         }
     };
-    none_to_the_first(&mut client);
+    assert_only_second_serves(&mut client);
     discovery.tell(json!([target("s-00000001", peers[0].address, "gone")]));
     discovery.tell(json!([target("s-00000001", peers[0].address, "ready")]));
-    none_to_the_first(&mut client);
-    assert!(front.call("maint-off s-00000001").starts_with("done"));
-    let until = Instant::now() + PATIENCE;
+    assert_only_second_serves(&mut client);
+    assert!(gateway.call("maint-off s-00000001").starts_with("done"));
+    let deadline = Instant::now() + PATIENCE;
     loop {
         client.send(&get("/y"));
-        let (exchange, which) = next_of(&peers);
+        let (exchange, which) = next_request(&peers);
         exchange.ok("");
         client.read();
         if which == 0 {
             break;
         }
-        assert!(Instant::now() < until, "it is used again");
+        assert!(Instant::now() < deadline, "the backend is not used again");
     }
 }
 
 #[test]
-fn standby_sends_clients_away_and_active_takes_them_again() {
+fn standby_closes_client_connections_and_active_reverses_it() {
     let backend = Peer::start();
-    let front = FRONT.before(&[backend.address]);
-    let ask = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
+    let gateway = GATEWAY.before(&[backend.address]);
+    let health_request = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
     let serve = |client: &mut Client| {
         client.send(&get(""));
         backend.next().ok("served");
         client.read()
     };
-    let (mut busy, mut idle) = (front.client(), front.client());
+    let (mut busy, mut idle) = (gateway.client(), gateway.client());
     assert_eq!(serve(&mut busy).header("connection"), "");
     assert_eq!(serve(&mut idle).header("connection"), "");
-    assert!(front.call("standby").starts_with("done"));
-    assert_eq!(front.client().send(ask).read().status(), 503);
-    let mut late = front.client();
+    assert!(gateway.call("standby").starts_with("done"));
+    assert_eq!(gateway.client().send(health_request).read().status(), 503);
+    let mut late = gateway.client();
     assert_eq!(
         serve(&mut late).header("connection"),
         "close",
-        "who still comes is served"
+        "new connections are still served"
     );
     assert_eq!(serve(&mut busy).header("connection"), "close");
-    assert!(front.call("standby").starts_with("done"));
+    assert!(gateway.call("standby").starts_with("done"));
     assert!(
-        read_message(&idle.stream).expect("a close").is_none(),
-        "what is idle is closed in time"
+        read_message(&idle.stream)
+            .expect("the connection closes without a reset")
+            .is_none(),
+        "idle connections are closed"
     );
-    assert_eq!(front.client().send(ask).read().status(), 503);
+    assert_eq!(gateway.client().send(health_request).read().status(), 503);
     assert_eq!(
-        serve(&mut front.client()).body,
+        serve(&mut gateway.client()).body,
         b"served",
-        "none is turned away even then"
+        "new connections are served after the idle ones were closed"
     );
-    assert!(front.call("active").starts_with("done"));
-    assert_eq!(front.client().send(ask).read().status(), 200);
-    assert_eq!(serve(&mut front.client()).header("connection"), "");
-    // An end in the middle of it is an end like any other.
-    let mut front = front;
-    front.call("standby");
-    front.terminate();
-    assert!(front.child.wait().expect("it ends").success());
+    assert!(gateway.call("active").starts_with("done"));
+    assert_eq!(gateway.client().send(health_request).read().status(), 200);
+    assert_eq!(serve(&mut gateway.client()).header("connection"), "");
+    // SIGTERM during standby ends the process as usual.
+    let mut gateway = gateway;
+    gateway.call("standby");
+    gateway.terminate();
+    assert!(gateway.child.wait().expect("the process exits").success());
 }
 
-/// Serves a request of this client at whichever backend gets it, and returns which that is.
-fn served(client: &mut Client, peers: &[Peer; 2]) -> usize {
+/// Sends a request, answers it at whichever backend receives it, and returns the index of that backend.
+fn serve_request(client: &mut Client, peers: &[Peer; 2]) -> usize {
     client.send(&get("/served"));
-    let (exchange, which) = next_of(peers);
+    let (exchange, which) = next_request(peers);
     exchange.ok("served");
     assert_eq!(client.read().body, b"served");
     which
 }
 
-/// Asks until this backend, the only one to send to, is no longer too cold for the request.
-fn served_cold(client: &mut Client, peers: &[Peer; 2], wanted: usize) {
-    let until = Instant::now() + PATIENCE;
+/// Retries a request until the only usable backend, which is in slow start, accepts it.
+fn serve_during_slow_start(client: &mut Client, peers: &[Peer; 2], expected: usize) {
+    let deadline = Instant::now() + PATIENCE;
     client.send(&get("/cold"));
     loop {
-        assert!(Instant::now() < until, "it is used again");
+        assert!(Instant::now() < deadline, "the backend is not used again");
         for (which, peer) in peers.iter().enumerate() {
             if let Ok(exchange) = peer.exchanges.recv_timeout(Duration::from_millis(2)) {
                 exchange.ok("");
-                assert_eq!((which, client.read().status()), (wanted, 200));
+                assert_eq!((which, client.read().status()), (expected, 200));
                 return;
             }
         }
         client
             .stream
             .set_read_timeout(Some(Duration::from_millis(2)))
-            .expect("a time-out");
+            .expect("the timeout can be set");
         let refused = client.stream.peek(&mut [0]).is_ok();
         client
             .stream
             .set_read_timeout(Some(PATIENCE))
-            .expect("a time-out");
+            .expect("the timeout can be set");
         if refused {
             assert_eq!(client.read().status(), 429);
             client.send(&get("/cold"));
@@ -1049,32 +1068,43 @@
 }
 
 #[test]
-fn a_second_process_takes_over_and_no_client_is_turned_away() {
+fn a_second_process_takes_over_without_refusing_a_client() {
     let peers = [Peer::start(), Peer::start()];
-    let mut first = FRONT.before(&[peers[0].address, peers[1].address]);
+    let mut first = GATEWAY.before(&[peers[0].address, peers[1].address]);
     let (mut busy, mut idle) = (first.client(), first.client());
     let mut fresh = first.client();
-    served(&mut idle, &peers);
+    serve_request(&mut idle, &peers);
     busy.send(&get("/busy"));
-    let (running, _) = next_of(&peers);
+    let (running, _) = next_request(&peers);
     assert!(first.call("maint-on s-00000000").starts_with("done"));
 
-    // Clients come one after the other all the time, each on a connection of its own.
+    // Meanwhile clients connect one after the other, each on a new connection.
     let (address, stop) = (
         first.address,
         std::sync::Arc::new(std::sync::atomic::AtomicBool::new(false)),
     );
-    let coming = {
+    let connecting_clients = {
         let stop = stop.clone();
         thread::spawn(move || {
             let mut count = 0;
             while !stop.load(Ordering::Relaxed) {
-                let mut stream = TcpStream::connect(address).expect("it is let in");
-                stream.set_read_timeout(Some(PATIENCE)).expect("a time-out");
-                let ask = b"GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
-                stream.write_all(ask).expect("it is read");
-                let answer = read_message(&stream).expect("no reset").expect("an answer");
-                assert_eq!(answer.status(), 200, "the door is open all the time");
+                let mut stream = TcpStream::connect(address).expect("the gateway accepts");
+                stream
+                    .set_read_timeout(Some(PATIENCE))
+                    .expect("the timeout can be set");
+                let health_request =
+                    b"GET /healthz HTTP/1.1\r\nHost: a\r\nConnection: close\r\n\r\n";
+                stream
+                    .write_all(health_request)
+                    .expect("the request is sent");
+                let answer = read_message(&stream)
+                    .expect("the connection is not reset")
+                    .expect("a response arrives");
+                assert_eq!(
+                    answer.status(),
+                    200,
+                    "the gateway serves throughout the hand-over"
+                );
                 count += 1;
             }
             count
@@ -1082,68 +1112,77 @@
     };
     let mut second = first.successor();
     assert!(
-        read_message(&idle.stream).expect("a close").is_none(),
-        "what is idle goes to the second one"
+        read_message(&idle.stream)
+            .expect("the connection closes without a reset")
+            .is_none(),
+        "the first process closes idle connections"
     );
     assert_eq!(
-        served(&mut fresh, &peers),
+        serve_request(&mut fresh, &peers),
         1,
-        "one that had not asked yet is served"
+        "a connection without an earlier request is served"
     );
     let mut client = second.client();
     assert_eq!(
-        served(&mut client, &peers),
+        serve_request(&mut client, &peers),
         1,
-        "the ban holds in the second one"
+        "the exclusion holds in the second process"
     );
     assert!(second.call("maint-off s-00000000").starts_with("done"));
     assert!(first.call("maint-on s-00000001").starts_with("done"));
-    let until = Instant::now() + PATIENCE;
+    let deadline = Instant::now() + PATIENCE;
     while second.stats()["backends_excluded"] != 1 {
-        assert!(Instant::now() < until, "the second one learns of it");
+        assert!(
+            Instant::now() < deadline,
+            "the second process did not learn of the exclusion"
+        );
     }
-    // It comes back cold; the other is out at the word of the first process.
-    served_cold(&mut client, &peers, 0);
+    // Backend 0 returns in slow start; the first process has excluded the other.
+    serve_during_slow_start(&mut client, &peers, 0);
     running.ok("busy");
     assert_eq!(busy.read().body, b"busy");
     first.terminate();
-    assert!(first.child.wait().expect("it ends").success());
-    served_cold(&mut client, &peers, 0);
+    assert!(first.child.wait().expect("the process exits").success());
+    serve_during_slow_start(&mut client, &peers, 0);
     stop.store(true, Ordering::Relaxed);
-    assert!(coming.join().expect("none was turned away") > 0);
+    assert!(connecting_clients.join().expect("every client was served") > 0);
 
-    // The second one is replaced like the first, in an end without a word.
-    second.child.kill().expect("it is killed");
-    second.child.wait().expect("it ends");
+    // The second process is replaced too, after it was killed without a hand-over.
+    second.child.kill().expect("the process is killed");
+    second.child.wait().expect("the process exits");
     let third = second.successor();
-    assert_eq!(third.stats()["backends_excluded"], 1, "the ban outlives it");
-    served_cold(&mut third.client(), &peers, 0);
+    assert_eq!(
+        third.stats()["backends_excluded"],
+        1,
+        "the exclusion outlives the killed process"
+    );
+    serve_during_slow_start(&mut third.client(), &peers, 0);
 }
 
 #[test]
-fn a_successor_that_dies_leaves_the_door_open() {
+fn the_first_process_keeps_serving_after_its_successor_is_killed() {
     let peers = [Peer::start(), Peer::start()];
-    let first = FRONT.before(&[peers[0].address, peers[1].address]);
+    let first = GATEWAY.before(&[peers[0].address, peers[1].address]);
     let mut second = first.successor();
-    second.child.kill().expect("it is killed");
-    second.child.wait().expect("it ends");
-    served(&mut first.client(), &peers);
+    second.child.kill().expect("the process is killed");
+    second.child.wait().expect("the process exits");
+    serve_request(&mut first.client(), &peers);
     let third = first.successor();
-    served(&mut third.client(), &peers);
+    serve_request(&mut third.client(), &peers);
 }
 
-/// A body whose bytes tell where they stand.
-fn pattern(length: usize) -> Vec<u8> {
+/// A body whose bytes depend on their position.
+fn positional_body(length: usize) -> Vec<u8> {
     (0..length).map(|at| (at / 7 + at / 65_521) as u8).collect()
 }
 
 #[test]
-fn a_long_answer_reaches_its_client_while_the_backend_still_writes_it() {
+fn a_long_response_is_streamed_while_the_backend_still_writes_it() {
     let backend = Peer::start();
-    let front = FRONT.before(&[backend.address]);
-    let body = pattern(3 << 20);
+    let gateway = GATEWAY.before(&[backend.address]);
+    let body = positional_body(3 << 20);
     for chunked in [false, true] {
-        let mut client = front.client();
+        let mut client = gateway.client();
         client.send(&get("/long"));
         let mut exchange = backend.next();
         let framing = if chunked {
@@ -1155,30 +1194,35 @@
         exchange
             .stream
             .write_all(head.as_bytes())
-            .expect("the head goes out");
+            .expect("the response head is sent");
         let write = move |stream: &mut TcpStream, piece: &[u8]| {
             if chunked {
                 stream
                     .write_all(format!("{:x};a=b\r\n", piece.len()).as_bytes())
-                    .expect("a chunk's size");
+                    .expect("a chunk size");
             }
-            stream.write_all(piece).expect("a piece goes out");
+            stream.write_all(piece).expect("the data is sent");
             if chunked {
-                stream.write_all(b"\r\n").expect("a chunk's end");
+                stream.write_all(b"\r\n").expect("the end of a chunk");
             }
         };
-        // The first half is with the client before the backend has written the second.
+        // The client receives the first half before the backend writes the second.
         let (first, second) = body.split_at(body.len() / 2);
-        let mut reader = BufReader::new(client.stream.try_clone().expect("a second handle"));
+        let mut reader = BufReader::new(
+            client
+                .stream
+                .try_clone()
+                .expect("the socket can be duplicated"),
+        );
         let mut line = String::new();
-        let (go, gone) = channel();
+        let (half_received, wait_for_half) = channel();
         let writing = {
             let (first, second) = (first.to_vec(), second.to_vec());
             thread::spawn(move || {
                 for piece in first.chunks(100_000) {
                     write(&mut exchange.stream, piece);
                 }
-                gone.recv().expect("the client has it");
+                wait_for_half.recv().expect("the client has the first half");
                 for piece in second.chunks(10_007) {
                     write(&mut exchange.stream, piece);
                 }
@@ -1186,7 +1230,7 @@
                     exchange
                         .stream
                         .write_all(b"0\r\nX-Trailer: 1\r\n\r\n")
-                        .expect("the end");
+                        .expect("the last chunk is sent");
                 }
             })
         };
@@ -1205,7 +1249,7 @@
             } - got.len();
             if chunked {
                 line.clear();
-                reader.read_line(&mut line).expect("a chunk's size");
+                reader.read_line(&mut line).expect("a chunk size");
                 let size = usize::from_str_radix(line.trim(), 16).expect("a size");
                 let mut chunk = vec![0; size + 2];
                 reader.read_exact(&mut chunk).expect("a chunk");
@@ -1216,10 +1260,10 @@
                 got.extend_from_slice(&piece);
             }
             if got.len() >= first.len() {
-                let _ = go.send(());
+                let _ = half_received.send(());
             }
         }
-        writing.join().expect("all was written");
+        writing.join().expect("the backend has written everything");
         assert!(got == body, "unchanged");
         if chunked {
             line.clear();
@@ -1227,61 +1271,70 @@
             assert_eq!(line, "0\r\n");
         }
     }
-    let until = Instant::now() + PATIENCE;
-    while front.stats()["served"]["preview-fetch"] != 2 {
-        assert!(Instant::now() < until, "both count as served");
+    let deadline = Instant::now() + PATIENCE;
+    while gateway.stats()["served"]["preview-fetch"] != 2 {
+        assert!(
+            Instant::now() < deadline,
+            "the requests were not both counted as served"
+        );
     }
-    assert_eq!(front.stats()["in_flight"], 0);
+    assert_eq!(gateway.stats()["in_flight"], 0);
 }
 
 #[test]
-fn a_long_answer_that_breaks_off_is_seen_to_be_cut() {
+fn a_truncated_long_response_is_detectable_by_the_client() {
     let backend = Peer::start();
-    let front = FRONT.before(&[backend.address]);
-    let mut client = front.client();
+    let gateway = GATEWAY.before(&[backend.address]);
+    let mut client = gateway.client();
     client.send(&get("/long"));
     let long = "x".repeat(100_000);
     backend.next().break_off(&format!(
         "HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n{long}"
     ));
     let mut got = Vec::new();
-    // A reset tells it as well as an end before the length that was promised.
+    // A reset and a close before the announced length both show the truncation.
     let _ = client.stream.read_to_end(&mut got);
     assert!(got.len() < 200_000);
-    let until = Instant::now() + PATIENCE;
-    while front.stats()["failed"]["preview-fetch"] != 1 {
-        assert!(Instant::now() < until, "it counts as failed");
+    let deadline = Instant::now() + PATIENCE;
+    while gateway.stats()["failed"]["preview-fetch"] != 1 {
+        assert!(
+            Instant::now() < deadline,
+            "the request was not counted as failed"
+        );
     }
 }
 
 #[test]
-fn a_long_body_goes_on_as_it_comes() {
+fn a_long_request_body_is_streamed() {
     let backend = Peer::start();
-    let front = FRONT.before(&[backend.address]);
-    let mut client = front.client();
-    let body = pattern(2 << 20);
+    let gateway = GATEWAY.before(&[backend.address]);
+    let mut client = gateway.client();
+    let body = positional_body(2 << 20);
     let head = post("").replace(
         "Content-Length: 0",
         &format!("Content-Length: {}", body.len()),
     );
     client.send(&head.replace("Host:", "Expect: 100-continue\r\nHost:"));
-    let mut go_on = [0; 25];
+    let mut interim = [0; 25];
     client
         .stream
-        .read_exact(&mut go_on)
-        .expect("an answer to the expectation");
-    assert_eq!(&go_on, b"HTTP/1.1 100 Continue\r\n\r\n");
-    let mut stream = client.stream.try_clone().expect("a second handle");
+        .read_exact(&mut interim)
+        .expect("an interim response");
+    assert_eq!(&interim, b"HTTP/1.1 100 Continue\r\n\r\n");
+    let mut stream = client
+        .stream
+        .try_clone()
+        .expect("the socket can be duplicated");
     let sent = body.clone();
     let sending = thread::spawn(move || {
         for piece in sent.chunks(33_333) {
-            stream.write_all(piece).expect("a piece goes out");
+            stream.write_all(piece).expect("the data is sent");
         }
     });
     let exchange = backend.next();
     assert!(exchange.request.body == body, "unchanged");
-    exchange.ok("took it");
-    sending.join().expect("all was sent");
-    assert_eq!(client.read().body, b"took it");
-    assert_eq!(front.stats()["attempts"], 1);
+    exchange.ok("received");
+    sending.join().expect("the client has sent everything");
+    assert_eq!(client.read().body, b"received");
+    assert_eq!(gateway.stats()["attempts"], 1);
 }
