--- a/quota-gateway/tests/closing.rs
+++ b/quota-gateway/tests/closing.rs
@@ -1,5 +1,5 @@
-//! Connections that close while something is on its way: the built program against small scripted peers, with the bad
-//! order made to happen.
+//! Tests of connections that close while a request is in progress. Each runs the built gateway program against scripted
+//! peers and forces the problematic order of events.
 
 use fault_lab::process::wait_for;
 use fault_lab::scripted::{
@@ -10,14 +10,14 @@
 use serde_json::json;
 use std::net::SocketAddr;
 
-const FRONT: Program = Program {
+const GATEWAY: Program = Program {
     path: env!("CARGO_BIN_EXE_quota-gateway"),
     folder: env!("CARGO_TARGET_TMPDIR"),
 };
-const HEALTHZ: &str = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
+const HEALTH_REQUEST: &str = "GET /healthz HTTP/1.1\r\nHost: backend.local\r\n\r\n";
 
-/// A front door whose requests wait for so long that no time of theirs ends what a test looks at.
-fn patient(backend: SocketAddr) -> Front {
+/// Starts a gateway with deadlines and a connect timeout of 10 minutes, so that no request ends by timeout in a test.
+fn start_with_long_deadlines(backend: SocketAddr) -> Front {
     let mut config = config(
         closed_port(),
         list(&[target("s-00000001", backend, "ready")]),
@@ -29,107 +29,111 @@
         class["deadline"] = json!(600_000.0);
     }
     config["settings"]["bounds"]["connectTimeout"] = json!(600_000.0);
-    FRONT.start(&config)
+    GATEWAY.start(&config)
 }
 
-/// A request that waits for long.
-fn long(request: &str) -> String {
+/// Sets the deadline of a request to 10 minutes.
+fn with_long_deadline(request: &str) -> String {
     request.replace("X-Deadline: 4000m", "X-Deadline: 600000m")
 }
 
-fn wait_until_nothing_is_in_hand(front: &Front) {
-    let over = || (front.stats()["in_flight"] == 0).then_some(());
-    wait_for(PATIENCE, over).expect("a request whose client has gone is over");
+fn wait_until_idle(gateway: &Front) {
+    let idle = || (gateway.stats()["in_flight"] == 0).then_some(());
+    wait_for(PATIENCE, idle).expect("a request whose client disconnected ends");
 }
 
-/// Waits until the front door has a request in hand.
-fn wait_until_in_hand(front: &Front) {
-    wait_for(PATIENCE, || (front.stats()["in_flight"] == 1).then_some(()))
-        .expect("a request is in hand");
+/// Waits until the gateway has one request in flight.
+fn wait_until_in_flight(gateway: &Front) {
+    wait_for(PATIENCE, || {
+        (gateway.stats()["in_flight"] == 1).then_some(())
+    })
+    .expect("a request is in flight");
 }
 
 #[test]
-fn a_client_that_goes_behind_bytes_that_nobody_reads_has_gone() {
+fn a_disconnect_behind_unread_client_bytes_is_detected() {
     let upload = "x".repeat(20_000);
     let head = post("").replace("Content-Length: 0", "Content-Length: 4000000");
-    for (behind, request) in [("half a request", get("")), ("an upload", head + &upload)] {
+    for (unread, request) in [("half a request", get("")), ("an upload", head + &upload)] {
         let stuck = Stuck::start();
-        let front = patient(stuck.address);
-        let mut client = front.client();
-        client.send(&long(&request));
-        if behind == "half a request" {
+        let gateway = start_with_long_deadlines(stuck.address);
+        let mut client = gateway.client();
+        client.send(&with_long_deadline(&request));
+        if unread == "half a request" {
             client.send("GET /preview-fetch HT");
         }
-        wait_until_in_hand(&front);
+        wait_until_in_flight(&gateway);
         stuck.wait_for_connect();
         drop(client);
-        wait_until_nothing_is_in_hand(&front);
+        wait_until_idle(&gateway);
         assert_eq!(
             stuck.open().len(),
             0,
-            "nothing is sent for it, behind {behind}"
+            "nothing is sent for the disconnected client; unread: {unread}"
         );
     }
 }
 
 #[test]
-fn a_client_is_seen_to_go_behind_a_pipelined_request_while_its_attempt_runs() {
+fn a_disconnect_behind_a_pipelined_request_is_detected_during_an_attempt() {
     let backend = Peer::start();
-    let front = patient(backend.address);
-    let mut client = front.client();
-    client.send(&long(&get("/gone"))).send(&get("/next"));
+    let gateway = start_with_long_deadlines(backend.address);
+    let mut client = gateway.client();
+    client
+        .send(&with_long_deadline(&get("/gone")))
+        .send(&get("/next"));
     let _running = backend.next();
     drop(client);
-    wait_until_nothing_is_in_hand(&front);
+    wait_until_idle(&gateway);
     assert_eq!(
-        front.stats()["attempts"],
+        gateway.stats()["attempts"],
         1,
-        "nothing is sent for the next one"
+        "the pipelined request is not sent"
     );
 }
 
 #[test]
-fn nothing_is_sent_for_a_client_that_came_and_went_while_the_process_stood_still() {
-    for behind in ["", "GET /preview-fetch HT"] {
+fn nothing_is_sent_for_a_client_that_connected_and_disconnected_while_the_process_was_stopped() {
+    for unread in ["", "GET /preview-fetch HT"] {
         let backend = Peer::start();
-        let front = patient(backend.address);
-        let mut marker = front.client();
-        marker.send(HEALTHZ);
+        let gateway = start_with_long_deadlines(backend.address);
+        let mut marker = gateway.client();
+        marker.send(HEALTH_REQUEST);
         assert_eq!(marker.read().status(), 200);
-        hold(front.child.id());
-        let mut client = front.client();
-        client.send(&long(&get("/gone"))).send(behind);
+        hold(gateway.child.id());
+        let mut client = gateway.client();
+        client.send(&with_long_deadline(&get("/gone"))).send(unread);
         drop(client);
-        front.signal(Signal::CONT);
-        wait_until_nothing_is_in_hand(&front);
+        gateway.signal(Signal::CONT);
+        wait_until_idle(&gateway);
         marker.send(&get("/marker"));
         let exchange = backend.next();
         assert!(
             exchange.request.line.contains("/marker"),
-            "{} behind {behind:?}",
+            "{} with unread {unread:?}",
             exchange.request.line
         );
         exchange.ok("");
         assert_eq!(marker.read().status(), 200);
-        assert_eq!(front.stats()["attempts"], 1);
+        assert_eq!(gateway.stats()["attempts"], 1);
     }
 }
 
 #[test]
-fn a_head_that_is_half_there_when_a_process_closes_its_connections_is_waited_for() {
+fn a_partly_received_request_head_is_completed_during_shutdown() {
     let backend = Peer::start();
-    let mut front = FRONT.before(&[backend.address]);
-    let (mut idle, mut halfway) = (front.client(), front.client());
+    let mut gateway = GATEWAY.before(&[backend.address]);
+    let (mut idle, mut halfway) = (gateway.client(), gateway.client());
     for client in [&mut idle, &mut halfway] {
-        client.send(HEALTHZ);
+        client.send(HEALTH_REQUEST);
         assert_eq!(client.read().status(), 200);
     }
     let request = get("/halfway");
     let (half, rest) = request.split_at(30);
-    front.terminate();
+    gateway.terminate();
     halfway.send(half);
     assert!(read_message(&idle.stream)
-        .expect("a close in order")
+        .expect("the connection closes without a reset")
         .is_none());
     halfway.send(rest);
     let exchange = backend.next();
@@ -140,5 +144,5 @@
         (answer.status(), answer.header("connection")),
         (200, "close")
     );
-    assert!(front.child.wait().expect("it ends").success());
+    assert!(gateway.child.wait().expect("the process exits").success());
 }
