--- a/alderhollow/src/control_state/group_policy/mod.rs
+++ b/alderhollow/src/control_state/group_policy/mod.rs
@@ -33,7 +33,7 @@
 pub use founding::{FOUNDING_TIMEOUT_MS, FOUNDING_WAIT_MS};
 
 /// A store that has not polled for this long, in ms, is considered dead. It is longer than the time for which a poll entitles
-/// a store to act as primary (`VALIDATED_MS` in the store's node), so a primary has stopped before it is replaced.
+/// a store to act as primary (`VALIDATION_TTL_MS` in the store's node), so a primary has stopped before it is replaced.
 pub const DEAD_AFTER_MS: u64 = 1_200;
 /// A store that has not polled for this long, in ms, does not count as remaining when another one is decommissioned.
 pub const GONE_AFTER_MS: u64 = 30_000;
--- a/alderhollow/src/metrics/store.rs
+++ b/alderhollow/src/metrics/store.rs
@@ -1,7 +1,7 @@
 //! Metrics of a store: batch jobs, their runs, their replication and the journal.
 
 use super::family::{label, Counter, CounterFamily, Description, Durations, Gauge, Registrar};
-use crate::store::activity::StorePart;
+use crate::store::activity::StoreSummary;
 use alderhollow_batch::api::{RunEnd, SubmitOutcome};
 use alderhollow_batch::counts::EngineCounts;
 use alderhollow_batch::message::Message;
@@ -356,7 +356,7 @@
     }
 
     /// The store's part in its groups.
-    pub fn part(&self, part: &StorePart) {
+    pub fn part(&self, part: &StoreSummary) {
         self.groups.set(part.groups as u64);
         self.groups_led.set(part.led as u64);
         self.groups_active.set(part.active as u64);
--- a/alderhollow/src/status/server.rs
+++ b/alderhollow/src/status/server.rs
@@ -129,7 +129,7 @@
 }
 
 fn group_status(store: &StoreNode, group: &GroupEngine) -> StoreGroupStatus {
-    store.look(group, |engine, now_ms| {
+    store.read_group(group, |engine, now_ms| {
         let status = engine.status(now_ms);
         let (waiting_items, running_items) = engine.load();
         StoreGroupStatus {
@@ -148,8 +148,9 @@
 }
 
 fn route_tokens(store: &StoreNode, groups: &[Rc<GroupEngine>], route: &Route) -> RouteTokens {
-    let waiting =
-        |group: &Rc<GroupEngine>| store.look(group, |engine, _| engine.waiting_tokens(&route.name));
+    let waiting = |group: &Rc<GroupEngine>| {
+        store.read_group(group, |engine, _| engine.waiting_tokens(&route.name))
+    };
     RouteTokens {
         route: route.name.clone(),
         waiting: groups.iter().map(waiting).sum(),
--- a/alderhollow/src/store/activity.rs
+++ b/alderhollow/src/store/activity.rs
@@ -29,7 +29,7 @@
     pending: RefCell<HashMap<Acceptance, Instant>>,
     commits: RefCell<Commits>,
     published: Cell<EngineCounts>,
-    part: Cell<StorePart>,
+    part: Cell<StoreSummary>,
     logged: RefCell<Option<Logged>>,
 }
 
@@ -42,7 +42,7 @@
 
 /// A store's part in all groups.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
-pub struct StorePart {
+pub struct StoreSummary {
     /// Groups of which it has an engine.
     pub groups: usize,
     /// Those that it leads.
@@ -94,7 +94,7 @@
     }
 
     /// Notes the store's part in all groups.
-    pub fn note_part(&self, part: StorePart) {
+    pub fn note_part(&self, part: StoreSummary) {
         self.part.set(part);
         metrics::get().store.part(&part);
     }
@@ -131,9 +131,9 @@
     }
 }
 
-impl fmt::Display for StorePart {
+impl fmt::Display for StoreSummary {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let StorePart {
+        let StoreSummary {
             groups,
             led,
             active,
--- a/alderhollow/src/store/activity/tests.rs
+++ b/alderhollow/src/store/activity/tests.rs
@@ -1,6 +1,6 @@
 //! All tests of this crate's parts share the process's metrics: none of the others may move bytes of batch jobs or of replication.
 
-use super::{Activity, StorePart, LOG_PERIOD};
+use super::{Activity, StoreSummary, LOG_PERIOD};
 use alderhollow_batch::api::{Outcome, Token};
 use alderhollow_batch::counts::{EngineCounts, ReplicationCounts};
 use alderhollow_model::snapshot::GroupId;
@@ -21,8 +21,8 @@
 
 const GROUP: GroupId = GroupId(3);
 
-fn part(waiting: usize, running: usize) -> StorePart {
-    StorePart {
+fn part(waiting: usize, running: usize) -> StoreSummary {
+    StoreSummary {
         groups: 4,
         led: 2,
         active: 1,
--- a/alderhollow/src/store/calls.rs
+++ b/alderhollow/src/store/calls.rs
@@ -199,7 +199,7 @@
     if node.shares_quota() {
         return group.quota.reading(now_ms, route).map(TenantReading::from);
     }
-    let (waiting, epoch) = node.look(group, |engine, now_ms| {
+    let (waiting, epoch) = node.read_group(group, |engine, now_ms| {
         (engine.waiting_tokens(route), engine.status(now_ms).epoch)
     });
     group
@@ -238,7 +238,7 @@
 }
 
 fn body(node: &StoreNode, group: &GroupEngine, job: &JobId, item: &str) -> StoreReply {
-    node.look(group, |engine, now_ms| {
+    node.read_group(group, |engine, now_ms| {
         match engine.body(now_ms, job, item) {
             BodyOutcome::Body(bytes) => {
                 metrics::get().store.body_read();
@@ -282,7 +282,7 @@
 
 /// The answer as it is now, and whether another may come.
 fn read_now(node: &StoreNode, group: &GroupEngine, job: &JobId, after: u32) -> (StoreReply, bool) {
-    node.look(group, |engine, now_ms| {
+    node.read_group(group, |engine, now_ms| {
         match engine.read(now_ms, job, after, RESULT_BYTES) {
             ReadOutcome::Results {
                 total,
--- a/alderhollow/src/store/group_engine.rs
+++ b/alderhollow/src/store/group_engine.rs
@@ -1,7 +1,7 @@
 //! One batch group at this store: its engine, the calls that wait at it, the meter, and what the process's main loop
 //! and journal remember of it.
 
-use super::activity::StorePart;
+use super::activity::StoreSummary;
 use super::group_quota::GroupQuota;
 use super::waiting::Waiting;
 use crate::control_state::store_report::GroupReport;
@@ -20,7 +20,7 @@
 /// Longest pause between looks at a group that this store leads: time alone changes what it reports.
 pub(super) const LONGEST_TICK_MS: u64 = 200;
 /// A group is dropped so long after the tables stopped to name this store; see `GroupEngine::may_be_dropped`.
-pub const KEEP_LEFT_MS: u64 = 30_000;
+pub const LEFT_GROUP_RETENTION_MS: u64 = 30_000;
 
 /// One group.
 pub struct GroupEngine {
@@ -82,8 +82,8 @@
     }
 
     /// Looks at the engine only.
-    pub(super) fn look<T>(&self, now_ms: u64, look: impl FnOnce(&Engine, u64) -> T) -> T {
-        look(&self.engine.borrow(), now_ms)
+    pub(super) fn read<T>(&self, now_ms: u64, read: impl FnOnce(&Engine, u64) -> T) -> T {
+        read(&self.engine.borrow(), now_ms)
     }
 
     /// The core validates this store's tables until this moment.
@@ -188,7 +188,7 @@
     }
 
     /// Adds this group to a store's part in all groups.
-    pub(super) fn add_to(&self, part: &mut StorePart) {
+    pub(super) fn add_to(&self, part: &mut StoreSummary) {
         let report = self.report.borrow();
         let (waiting, running) = self.load.get();
         part.groups += 1;
@@ -225,7 +225,7 @@
     ///
     /// Writes under way have ended: their tickets must not be taken for those of the group's next incarnation at this store.
     pub(super) fn may_be_dropped(&self, now_ms: u64) -> bool {
-        let is_over = |left_at: u64| now_ms.saturating_sub(left_at) >= KEEP_LEFT_MS;
+        let is_over = |left_at: u64| now_ms.saturating_sub(left_at) >= LEFT_GROUP_RETENTION_MS;
         let has_left = self.left_at_ms.get().is_some_and(is_over);
         let report = self.report.borrow();
         let follows_newer = report.epoch > self.tables_epoch.get();
--- a/alderhollow/src/store/group_engine/tests.rs
+++ b/alderhollow/src/store/group_engine/tests.rs
@@ -51,9 +51,9 @@
     group.take_group(1_000, DISK, &tables(1, &[1, 2], &[]));
     assert!(!group.may_be_dropped(u64::MAX));
     group.take_group(2_000, DISK, &tables(2, &[2, 3], &[]));
-    assert!(!group.may_be_dropped(2_000 + KEEP_LEFT_MS - 1));
+    assert!(!group.may_be_dropped(2_000 + LEFT_GROUP_RETENTION_MS - 1));
     group.take_group(9_000, DISK, &tables(3, &[3, 2], &[]));
-    assert!(group.may_be_dropped(2_000 + KEEP_LEFT_MS));
+    assert!(group.may_be_dropped(2_000 + LEFT_GROUP_RETENTION_MS));
 }
 
 #[test]
@@ -64,10 +64,10 @@
     assert!(!group.may_be_dropped(u64::MAX));
     group.take_group(20, DISK, &tables(3, &[2, 3], &[]));
     assert!(
-        !group.may_be_dropped(KEEP_LEFT_MS + 19),
+        !group.may_be_dropped(LEFT_GROUP_RETENTION_MS + 19),
         "the time begins anew"
     );
-    assert!(group.may_be_dropped(KEEP_LEFT_MS + 20));
+    assert!(group.may_be_dropped(LEFT_GROUP_RETENTION_MS + 20));
 }
 
 #[test]
@@ -75,11 +75,11 @@
     let group = group_engine();
     group.take_group(0, DISK, &tables(1, &[2, 3], &[]));
     group.note_appended(WriteTicket(4));
-    assert!(!group.may_be_dropped(KEEP_LEFT_MS));
+    assert!(!group.may_be_dropped(LEFT_GROUP_RETENTION_MS));
     group.note_written(WriteTicket(3));
-    assert!(!group.may_be_dropped(KEEP_LEFT_MS));
+    assert!(!group.may_be_dropped(LEFT_GROUP_RETENTION_MS));
     group.note_written(WriteTicket(4));
-    assert!(group.may_be_dropped(KEEP_LEFT_MS));
+    assert!(group.may_be_dropped(LEFT_GROUP_RETENTION_MS));
 }
 
 #[test]
@@ -108,7 +108,7 @@
     group.take_group(0, DISK, &tables(1, &[2, 1], &[]));
     group.take_group(10, DISK, &tables(2, &[2, 3], &[]));
     group.note_look(10);
-    let now_ms = 10 + KEEP_LEFT_MS;
+    let now_ms = 10 + LEFT_GROUP_RETENTION_MS;
     assert!(group.may_be_dropped(now_ms));
     // The newest tables name this disk again, but the poll that brings them is still on its way.
     let stream = StreamId {
--- a/alderhollow/src/store/item_starts.rs
+++ b/alderhollow/src/store/item_starts.rs
@@ -56,7 +56,7 @@
     fn waiting_items(&self) -> usize {
         self.groups()
             .iter()
-            .map(|group| self.look(group, |engine, _| engine.load().0))
+            .map(|group| self.read_group(group, |engine, _| engine.load().0))
             .sum()
     }
 
@@ -68,7 +68,7 @@
         room: usize,
     ) -> Vec<GroupItemStart> {
         let first_due = |index: usize| {
-            let turn = self.look(&groups[index], |engine, now_ms| {
+            let turn = self.read_group(&groups[index], |engine, now_ms| {
                 engine.first_turn(now_ms, route)
             })?;
             Some(Reverse(DueGroup { turn, index }))
--- a/alderhollow/src/store/node.rs
+++ b/alderhollow/src/store/node.rs
@@ -1,7 +1,7 @@
 //! Puts the batch engines on the clock, the network, the disk and the tables: every call to an engine goes through
 //! [`StoreNode::with_group`], which first takes in newer tables and then does what the engine asks for.
 
-use super::activity::{Activity, StorePart};
+use super::activity::{Activity, StoreSummary};
 use super::group_engine::{names, GroupEngine, LONGEST_TICK_MS};
 use super::journal_queue::{GroupTicket, JournalOwner, JournalQueue, WriteEnds};
 use super::journal_records::{join_snapshots, tag_record};
@@ -32,7 +32,7 @@
 use tokio::sync::Notify;
 
 /// A poll that the core's primary answered validates the tables so long after it was sent.
-pub const VALIDATED_MS: u64 = 1_000;
+pub const VALIDATION_TTL_MS: u64 = 1_000;
 /// Longest pause between looks at the groups.
 const LONGEST_TICK: Duration = Duration::from_millis(LONGEST_TICK_MS);
 /// Pause between looks while items wait for their turn to start.
@@ -136,9 +136,9 @@
     }
 
     /// Looks at a group's engine only.
-    pub fn look<T>(&self, group: &GroupEngine, look: impl FnOnce(&Engine, u64) -> T) -> T {
+    pub fn read_group<T>(&self, group: &GroupEngine, read: impl FnOnce(&Engine, u64) -> T) -> T {
         self.validate(group);
-        group.look(self.clock.now_ms(), look)
+        group.read(self.clock.now_ms(), read)
     }
 
     /// All groups of which this store has an engine.
@@ -155,7 +155,7 @@
 
     /// Whether this store may start a run of an item of the group at this moment.
     pub fn may_start(&self, group: &GroupEngine) -> bool {
-        self.look(group, |engine, now_ms| engine.is_validated_primary(now_ms))
+        self.read_group(group, |engine, now_ms| engine.is_validated_primary(now_ms))
     }
 
     /// Whether the newest tables name this store the primary of any group.
@@ -201,7 +201,7 @@
         self.follow_tables();
         self.take_run_ends();
         self.look_at_groups();
-        self.drop_left_groups(self.clock.now_ms());
+        self.remove_left_groups(self.clock.now_ms());
         let more_waits = self.start_items();
         let longest = if more_waits { START_TICK } else { LONGEST_TICK };
         self.time_to_next_look().min(longest)
@@ -254,8 +254,8 @@
     }
 
     /// This store's part in all groups, as of the last looks at them.
-    fn part(&self) -> StorePart {
-        let mut part = StorePart::default();
+    fn part(&self) -> StoreSummary {
+        let mut part = StoreSummary::default();
         for group in self.groups.borrow().values() {
             group.add_to(&mut part);
         }
@@ -292,7 +292,7 @@
     /// Drops the groups that this store has surely left (`GroupEngine::may_be_dropped`) from memory, and by a new
     /// snapshot from disk: what the journal holds of them must not stand before what a later incarnation of the group here
     /// writes.
-    pub fn drop_left_groups(&self, now_ms: u64) {
+    pub fn remove_left_groups(&self, now_ms: u64) {
         let groups = self.groups();
         if !groups.iter().any(|group| group.may_be_dropped(now_ms)) || !self.may_forget(now_ms) {
             return;
@@ -342,7 +342,7 @@
     }
 
     /// A message of another store.
-    pub fn receive(&self, notice: ReplicationNotice) {
+    pub fn handle_notice(&self, notice: ReplicationNotice) {
         self.follow_tables();
         let known = self.group(notice.group);
         let Some(group) = known.or_else(|| self.make_for(&notice)) else {
@@ -391,7 +391,11 @@
 
     /// Until when the core's newest word validates the tables.
     fn validated_until_ms(&self) -> Option<u64> {
-        Some(self.poll.validated_since_ms()?.saturating_add(VALIDATED_MS))
+        Some(
+            self.poll
+                .validated_since_ms()?
+                .saturating_add(VALIDATION_TTL_MS),
+        )
     }
 
     /// Takes newer tables in.
@@ -515,7 +519,7 @@
         let now_ms = self.clock.now_ms();
         let groups = self.groups();
         let snapshots = groups.iter().map(|group| {
-            let snapshot = group.look(now_ms, |engine, now_ms| engine.snapshot(now_ms));
+            let snapshot = group.read(now_ms, |engine, now_ms| engine.snapshot(now_ms));
             (group.id, snapshot)
         });
         join_snapshots(snapshots)
--- a/alderhollow/src/store/quota_exchange.rs
+++ b/alderhollow/src/store/quota_exchange.rs
@@ -45,7 +45,7 @@
             return false;
         }
         self.drive_quota(group);
-        self.look(group, |engine, now_ms| {
+        self.read_group(group, |engine, now_ms| {
             group.quota.must_wait(engine, now_ms, job)
         })
     }
@@ -119,7 +119,7 @@
             return;
         }
         let now_ms = self.clock.now_ms();
-        if !group.look(now_ms, |engine, _| group.quota.is_of_session(engine)) {
+        if !group.read(now_ms, |engine, _| group.quota.is_of_session(engine)) {
             group.quota.end_session();
             return;
         }
@@ -148,7 +148,7 @@
         self.follow_tables();
         let control = self.control.borrow().clone();
         let group = self.group(home_of(&control, &report.route))?;
-        let session = self.look(&group, |engine, now_ms| {
+        let session = self.read_group(&group, |engine, now_ms| {
             engine
                 .session()
                 .filter(|_| engine.is_validated_primary(now_ms))
--- a/alderhollow/src/store/replication.rs
+++ b/alderhollow/src/store/replication.rs
@@ -19,7 +19,7 @@
 
     fn notice(&self, payload: Vec<u8>) {
         match minicbor::decode::<ReplicationNotice>(&payload) {
-            Ok(notice) if notice.to == self.0.disk => self.0.receive(notice),
+            Ok(notice) if notice.to == self.0.disk => self.0.handle_notice(notice),
             Ok(_) => {}
             Err(error) => log::warn!("a store's message can't be read: {error}"),
         }
--- a/alderhollow/tests/store/groups.rs
+++ b/alderhollow/tests/store/groups.rs
@@ -2,7 +2,7 @@
 
 use crate::batch_tables::{HOST, ROUTE};
 use alderhollow::batch_protocol::{ReplicationNotice, StoreCall, StoreReply};
-use alderhollow::store::group_engine::KEEP_LEFT_MS;
+use alderhollow::store::group_engine::LEFT_GROUP_RETENTION_MS;
 use alderhollow_batch::job::{Item, ItemRequest, ItemResult, JobId, NewJob, ResultState};
 use alderhollow_batch::message::Message;
 use alderhollow_batch::records::{Entry, StreamId};
@@ -233,9 +233,9 @@
         let kept = &jobs_of_group(0, 3, 1)[0];
         assert_eq!(ids(&tier.results_of(kept).await), ["i0", "i1"]);
         let left = &tier.stores[0].node;
-        left.drop_left_groups(left.clock.now_ms());
+        left.remove_left_groups(left.clock.now_ms());
         assert_eq!(jobs_by_group(&tier.stores[0]), [(0, 2), (2, 2)], "not yet");
-        left.drop_left_groups(left.clock.now_ms() + KEEP_LEFT_MS);
+        left.remove_left_groups(left.clock.now_ms() + LEFT_GROUP_RETENTION_MS);
         assert_eq!(jobs_by_group(&tier.stores[0]), [(2, 2)]);
         assert_eq!(jobs_by_group(&tier.stores[1]), [(0, 2), (1, 2)]);
 
@@ -296,13 +296,13 @@
         };
         store
             .node
-            .receive(notice(3, &Message::Acknowledge { stream, next: 1 }));
-        store.node.receive(notice(u32::MAX, &compare));
+            .handle_notice(notice(3, &Message::Acknowledge { stream, next: 1 }));
+        store.node.handle_notice(notice(u32::MAX, &compare));
         assert_eq!(jobs_by_group(&store), []);
-        store.node.receive(notice(3, &compare));
+        store.node.handle_notice(notice(3, &compare));
         assert_eq!(jobs_by_group(&store), [(3, 0)]);
         let entries = vec![Entry::JobAccepted(old_job("a"))];
-        store.node.receive(notice(
+        store.node.handle_notice(notice(
             3,
             &Message::Entries {
                 stream,
@@ -332,14 +332,14 @@
         };
         let store = &tier.stores[0];
         let to = store.member.disk;
-        store.node.receive(ReplicationNotice {
+        store.node.handle_notice(ReplicationNotice {
             from: DiskId(7),
             to,
             message: message.clone(),
             group: GroupId(3),
         });
         assert_eq!(jobs_by_group(store), [(0, 2), (2, 2)]);
-        store.node.receive(ReplicationNotice {
+        store.node.handle_notice(ReplicationNotice {
             from: DiskId(7),
             to,
             message,
--- a/alderhollow/tests/store/tier.rs
+++ b/alderhollow/tests/store/tier.rs
@@ -438,7 +438,7 @@
 /// How many jobs a store keeps of each group of which it has anything.
 pub(crate) fn jobs_by_group(store: &Store) -> Vec<(u32, usize)> {
     let jobs = |group: &Rc<alderhollow::store::group_engine::GroupEngine>| {
-        store.node.look(group, |engine, _| engine.jobs())
+        store.node.read_group(group, |engine, _| engine.jobs())
     };
     store
         .node
