--- a/alderhollow/src/store/activity.rs
+++ b/alderhollow/src/store/activity.rs
@@ -15,27 +15,27 @@
 use tokio::time::Instant;
 
 /// How often a line is logged.
-const LOG_PERIOD: Duration = Duration::from_secs(5);
+const LOG_INTERVAL: Duration = Duration::from_secs(5);
 /// Where the lines stand in the log.
 const LOG_TARGET: &str = "alderhollow::store";
 /// Most times of commits that are kept for a line's median; further ones only count for the longest.
-const MOST_COMMITS: usize = 4_096;
-const SERVICES: usize = Service::ALL.len();
+const MAX_COMMIT_SAMPLES: usize = 4_096;
+const SERVICE_COUNT: usize = Service::ALL.len();
 
 /// What a store did lately.
 #[derive(Default)]
 pub struct Activity {
     /// Acceptances whose commit is under way.
-    pending: RefCell<HashMap<Acceptance, Instant>>,
-    commits: RefCell<Commits>,
+    pending: RefCell<HashMap<PendingAcceptance, Instant>>,
+    commits: RefCell<CommitTimes>,
     published: Cell<EngineCounts>,
     part: Cell<StoreSummary>,
-    logged: RefCell<Option<Logged>>,
+    logged: RefCell<Option<LastLog>>,
 }
 
 /// Names an acceptance whose commit is under way.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
-struct Acceptance {
+struct PendingAcceptance {
     group: GroupId,
     token: Token,
 }
@@ -58,43 +58,43 @@
 }
 
 /// The last line that was logged, or could have been.
-struct Logged {
+struct LastLog {
     at: Instant,
     totals: Totals,
 }
 
 impl Activity {
     /// The commit of an acceptance is under way; whether that is news.
-    pub fn accepted(&self, group: GroupId, token: Token) -> bool {
+    pub fn record_accepted(&self, group: GroupId, token: Token) -> bool {
         let mut pending = self.pending.borrow_mut();
         let known = pending.len();
         pending
-            .entry(Acceptance { group, token })
+            .entry(PendingAcceptance { group, token })
             .or_insert_with(Instant::now);
         pending.len() > known
     }
 
     /// An operation has ended.
-    pub fn resolved(&self, group: GroupId, token: Token, outcome: Outcome) {
-        let acceptance = Acceptance { group, token };
+    pub fn record_resolved(&self, group: GroupId, token: Token, outcome: Outcome) {
+        let acceptance = PendingAcceptance { group, token };
         let Some(accepted_at) = self.pending.borrow_mut().remove(&acceptance) else {
             return;
         };
         if outcome == Outcome::Committed {
             let after = accepted_at.elapsed();
             metrics::get().store.committed(after);
-            self.commits.borrow_mut().note(after);
+            self.commits.borrow_mut().record(after);
         }
     }
 
     /// Adds what an engine counted since it was last asked.
-    pub fn engine_counted(&self, counted: EngineCounts) {
-        self.published.set(self.published.get() + counted);
-        metrics::get().store.engine_counted(counted);
+    pub fn add_engine_counts(&self, counts: EngineCounts) {
+        self.published.set(self.published.get() + counts);
+        metrics::get().store.engine_counted(counts);
     }
 
     /// Notes the store's part in all groups.
-    pub fn note_part(&self, part: StoreSummary) {
+    pub fn set_summary(&self, part: StoreSummary) {
         self.part.set(part);
         metrics::get().store.part(&part);
     }
@@ -112,12 +112,12 @@
         let mut logged = self.logged.borrow_mut();
         if logged
             .as_ref()
-            .is_some_and(|last| now < last.at + LOG_PERIOD)
+            .is_some_and(|last| now < last.at + LOG_INTERVAL)
         {
             return None;
         }
         let totals = Totals::now(self.published.get());
-        let earlier = logged.replace(Logged { at: now, totals });
+        let earlier = logged.replace(LastLog { at: now, totals });
         let commits = self.commits.take();
         let longest_sync_ms = take_longest_sync().as_millis();
         let done = totals.since(&earlier?.totals);
@@ -151,15 +151,15 @@
 
 /// Times of commits.
 #[derive(Default)]
-struct Commits {
+struct CommitTimes {
     times: Vec<Duration>,
     longest: Duration,
 }
 
-impl Commits {
-    fn note(&mut self, after: Duration) {
+impl CommitTimes {
+    fn record(&mut self, after: Duration) {
         self.longest = self.longest.max(after);
-        if self.times.len() < MOST_COMMITS {
+        if self.times.len() < MAX_COMMIT_SAMPLES {
             self.times.push(after);
         }
     }
@@ -171,7 +171,7 @@
     }
 }
 
-impl fmt::Display for Commits {
+impl fmt::Display for CommitTimes {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(
             formatter,
@@ -189,8 +189,8 @@
     refused: u64,
     not_sure: u64,
     engine: EngineCounts,
-    sent_bytes: [u64; SERVICES],
-    received_bytes: [u64; SERVICES],
+    sent_bytes: [u64; SERVICE_COUNT],
+    received_bytes: [u64; SERVICE_COUNT],
 }
 
 impl Totals {
@@ -198,7 +198,7 @@
     fn now(engine: EngineCounts) -> Totals {
         let metrics = metrics::get();
         let by_service = |bytes: &dyn Fn(Service) -> u64| {
-            let mut counts = [0; SERVICES];
+            let mut counts = [0; SERVICE_COUNT];
             for service in Service::ALL {
                 counts[service.index()] = bytes(*service);
             }
@@ -245,15 +245,18 @@
             self.refused,
             self.not_sure,
             self.engine.items_listed,
-            ByService(&self.sent_bytes),
-            ByService(&self.received_bytes),
+            BytesByService(&self.sent_bytes),
+            BytesByService(&self.received_bytes),
             replication.retries,
             replication.comparisons,
         )
     }
 }
 
-fn differences(counts: &[u64; SERVICES], earlier: &[u64; SERVICES]) -> [u64; SERVICES] {
+fn differences(
+    counts: &[u64; SERVICE_COUNT],
+    earlier: &[u64; SERVICE_COUNT],
+) -> [u64; SERVICE_COUNT] {
     let mut differences = *counts;
     for (count, before) in differences.iter_mut().zip(earlier) {
         *count = count.saturating_sub(*before);
@@ -262,9 +265,9 @@
 }
 
 /// Kilobytes by service, where there are any.
-struct ByService<'a>(&'a [u64; SERVICES]);
+struct BytesByService<'a>(&'a [u64; SERVICE_COUNT]);
 
-impl fmt::Display for ByService<'_> {
+impl fmt::Display for BytesByService<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
         let moved = Service::ALL
             .iter()
--- a/alderhollow/src/store/activity/tests.rs
+++ b/alderhollow/src/store/activity/tests.rs
@@ -1,6 +1,6 @@
 //! All tests of this crate's parts share the process's metrics: none of the others may move bytes of batch jobs or of replication.
 
-use super::{Activity, StoreSummary, LOG_PERIOD};
+use super::{Activity, StoreSummary, LOG_INTERVAL};
 use alderhollow_batch::api::{Outcome, Token};
 use alderhollow_batch::counts::{EngineCounts, ReplicationCounts};
 use alderhollow_model::snapshot::GroupId;
@@ -35,29 +35,32 @@
 #[tokio::test(start_paused = true)]
 async fn a_line_tells_what_was_done_in_its_period_and_none_comes_when_idle() {
     let activity = Activity::default();
-    activity.engine_counted(counts(10, 1));
-    activity.note_part(part(0, 0));
+    activity.add_engine_counts(counts(10, 1));
+    activity.set_summary(part(0, 0));
     assert_eq!(
         activity.line_if_due(|| SYNC),
         None,
         "the first look begins the period"
     );
 
-    activity.engine_counted(counts(3, 2));
-    activity.note_part(part(5, 2));
+    activity.add_engine_counts(counts(3, 2));
+    activity.set_summary(part(5, 2));
     for (token, commit_ms) in [(1, 30), (2, 40), (3, 900)] {
-        assert!(activity.accepted(GROUP, Token(token)));
-        assert!(!activity.accepted(GROUP, Token(token)), "it is known");
+        assert!(activity.record_accepted(GROUP, Token(token)));
         assert!(
-            activity.accepted(GroupId(4), Token(token)),
+            !activity.record_accepted(GROUP, Token(token)),
+            "it is known"
+        );
+        assert!(
+            activity.record_accepted(GroupId(4), Token(token)),
             "another group's"
         );
-        activity.resolved(GroupId(4), Token(token), Outcome::Unknown);
+        activity.record_resolved(GroupId(4), Token(token), Outcome::Unknown);
         advance(Duration::from_millis(commit_ms)).await;
-        activity.resolved(GROUP, Token(token), Outcome::Committed);
+        activity.record_resolved(GROUP, Token(token), Outcome::Committed);
     }
     assert_eq!(activity.line_if_due(|| SYNC), None, "too early");
-    advance(LOG_PERIOD).await;
+    advance(LOG_INTERVAL).await;
     let line = activity.line_if_due(|| SYNC).expect("a line");
     for part in [
         "listed 3,",
@@ -70,16 +73,16 @@
         assert!(line.contains(part), "`{part}` is missing in `{line}`");
     }
 
-    activity.note_part(part(0, 0));
-    advance(LOG_PERIOD).await;
+    activity.set_summary(part(0, 0));
+    advance(LOG_INTERVAL).await;
     assert_eq!(activity.line_if_due(|| SYNC), None, "idle");
 }
 
 #[tokio::test(start_paused = true)]
 async fn an_unknown_end_is_no_commit() {
     let activity = Activity::default();
-    assert!(activity.accepted(GROUP, Token(1)));
-    activity.resolved(GROUP, Token(1), Outcome::Unknown);
+    assert!(activity.record_accepted(GROUP, Token(1)));
+    activity.record_resolved(GROUP, Token(1), Outcome::Unknown);
     assert!(activity.commits.borrow().times.is_empty());
     assert!(activity.pending.borrow().is_empty());
 }
--- a/alderhollow/src/store/calls.rs
+++ b/alderhollow/src/store/calls.rs
@@ -1,7 +1,7 @@
 //! Serves the gateways' calls at a store.
 
 use super::group_engine::GroupEngine;
-use super::group_quota::{submit_now, Answered, End};
+use super::group_quota::{submit_now, End, SubmitResponse};
 use super::node::StoreNode;
 use crate::batch_api::document;
 use crate::batch_protocol::{StoreAnswer, StoreCall, StoreReply, TenantReading};
@@ -21,11 +21,11 @@
 use tokio::time::Instant;
 
 /// Most bytes of results in one answer: 1 MB, less the rest of the answer.
-const RESULT_BYTES: usize = 1_000_000 - 256;
+const MAX_RESULT_BYTES: usize = 1_000_000 - 256;
 /// Longest hold of a read.
-const LONGEST_HOLD_MS: u32 = 5_000;
+const MAX_READ_WAIT_MS: u32 = 5_000;
 /// Longest wait for an operation's end. The gateway asks again.
-const END_TIMEOUT: Duration = Duration::from_millis(5_000);
+const OUTCOME_TIMEOUT: Duration = Duration::from_millis(5_000);
 
 /// The service of gateways' calls.
 pub struct CallHandler(pub Rc<StoreNode>);
@@ -95,16 +95,16 @@
 async fn submit(
     node: &Rc<StoreNode>,
     group: &Rc<GroupEngine>,
-    try_id: SubmissionAttemptId,
+    attempt_id: SubmissionAttemptId,
     job: NewJob,
 ) -> StoreAnswer {
     let (route, tokens) = (job.route.clone(), job.tokens());
-    let Answered { submitted, end } = match node.must_wait_for_room(group, &job) {
-        true => node.submit_with_room(group, try_id, job).await,
-        false => submit_at_once(node, group, try_id, job),
+    let SubmitResponse { submitted, end } = match node.must_wait_for_room(group, &job) {
+        true => node.submit_with_room(group, attempt_id, job).await,
+        false => submit_without_wait(node, group, attempt_id, job),
     };
     let is_new = match submitted {
-        SubmitOutcome::Pending(token) => node.activity.accepted(group.id, token),
+        SubmitOutcome::Pending(token) => node.activity.record_accepted(group.id, token),
         _ => false,
     };
     metrics::get()
@@ -112,13 +112,13 @@
         .submitted(SubmitResult::of(submitted, is_new));
     let reading = match submitted {
         SubmitOutcome::NotPrimary | SubmitOutcome::NotSure | SubmitOutcome::Invalid => None,
-        SubmitOutcome::OverQuota => read_meter(node, group, &route, tokens),
+        SubmitOutcome::OverQuota => quota_reading(node, group, &route, tokens),
         SubmitOutcome::Pending(_) | SubmitOutcome::AlreadyAccepted => {
-            read_meter(node, group, &route, 0)
+            quota_reading(node, group, &route, 0)
         }
     };
     let reply = match submitted {
-        SubmitOutcome::Pending(_) => await_end(end).await,
+        SubmitOutcome::Pending(_) => await_outcome(end).await,
         SubmitOutcome::AlreadyAccepted => StoreReply::Committed,
         SubmitOutcome::OverQuota => StoreReply::OverQuota,
         SubmitOutcome::NotPrimary => StoreReply::NotPrimary,
@@ -132,16 +132,16 @@
 async fn answer_offer(
     node: &Rc<StoreNode>,
     group: &Rc<GroupEngine>,
-    try_id: SubmissionAttemptId,
+    attempt_id: SubmissionAttemptId,
     offer: &JobOffer<'_>,
 ) -> StoreAnswer {
-    let reply = match node.offer_with_room(group, try_id, offer).await {
+    let reply = match node.offer_with_room(group, attempt_id, offer).await {
         OfferOutcome::Welcome => StoreReply::Welcome,
         OfferOutcome::NotSure | OfferOutcome::BeyondLimit => StoreReply::NotSure,
         OfferOutcome::AlreadyAccepted => StoreReply::Committed,
         OfferOutcome::NotPrimary => StoreReply::NotPrimary,
         OfferOutcome::OverQuota => {
-            let reading = read_meter(node, group, offer.route, offer.tokens);
+            let reading = quota_reading(node, group, offer.route, offer.tokens);
             return StoreAnswer {
                 reply: StoreReply::OverQuota,
                 reading,
@@ -155,16 +155,16 @@
 }
 
 /// Hands a batch job in that needs no more room, or is not to be taken anyway.
-fn submit_at_once(
+fn submit_without_wait(
     node: &StoreNode,
     group: &GroupEngine,
-    try_id: SubmissionAttemptId,
+    attempt_id: SubmissionAttemptId,
     job: NewJob,
-) -> Answered {
+) -> SubmitResponse {
     let route = job.route.clone();
     node.with_group(group, |engine, now_ms| {
         let waiting_before = engine.waiting_tokens(&route);
-        let answered = submit_now(engine, now_ms, &group.waiting, try_id, job);
+        let answered = submit_now(engine, now_ms, &group.waiting, attempt_id, job);
         if engine.waiting_tokens(&route) > waiting_before {
             group.quota.note_accepted(engine, &route);
         }
@@ -189,7 +189,7 @@
 
 /// The newest reading of a route's waiting tokens. A group that shares the route's limit with no other notes the batch
 /// job in its meter, with the tokens that did not fit; otherwise the route's coordinator reads.
-fn read_meter(
+fn quota_reading(
     node: &StoreNode,
     group: &GroupEngine,
     route: &str,
@@ -209,11 +209,11 @@
         .map(TenantReading::from)
 }
 
-async fn await_end(ended: End) -> StoreReply {
+async fn await_outcome(ended: End) -> StoreReply {
     let Some(ended) = ended else {
         return StoreReply::Unknown;
     };
-    match tokio::time::timeout(END_TIMEOUT, ended).await {
+    match tokio::time::timeout(OUTCOME_TIMEOUT, ended).await {
         Ok(Ok(Outcome::Committed)) => StoreReply::Committed,
         Ok(Ok(Outcome::Unknown) | Err(_)) | Err(_) => StoreReply::Unknown,
     }
@@ -224,12 +224,12 @@
     let answer = node.with_group(group, |engine, now_ms| {
         let answer = engine.end(now_ms, job);
         if let EndOutcome::Pending(token) = answer {
-            ended = Some(group.waiting.for_end(token));
+            ended = Some(group.waiting.wait_for_outcome(token));
         }
         answer
     });
     match answer {
-        EndOutcome::Pending(Token(_)) => await_end(ended).await,
+        EndOutcome::Pending(Token(_)) => await_outcome(ended).await,
         EndOutcome::AlreadyEnded => StoreReply::Committed,
         EndOutcome::NotFound => StoreReply::NotFound,
         EndOutcome::NotPrimary => StoreReply::NotPrimary,
@@ -259,22 +259,22 @@
     after: u32,
     wait_ms: u32,
 ) -> StoreReply {
-    let until = Instant::now() + Duration::from_millis(u64::from(wait_ms.min(LONGEST_HOLD_MS)));
+    let until = Instant::now() + Duration::from_millis(u64::from(wait_ms.min(MAX_READ_WAIT_MS)));
     // The main loop drops what this read leaves behind.
-    group.touch();
+    group.mark_dirty();
     loop {
-        let readable = group.waiting.for_results(job);
+        let readable = group.waiting.results_notify(job);
         let notified = readable.notified();
         let (reply, may_wait) = read_now(node, group, job, after);
         if !may_wait || Instant::now() >= until {
-            note_read(&reply);
+            record_read(&reply);
             return reply;
         }
         let _ = tokio::time::timeout_at(until, notified).await;
     }
 }
 
-fn note_read(reply: &StoreReply) {
+fn record_read(reply: &StoreReply) {
     if let StoreReply::Results(json) = reply {
         metrics::get().store.read(json.len());
     }
@@ -283,7 +283,7 @@
 /// The answer as it is now, and whether another may come.
 fn read_now(node: &StoreNode, group: &GroupEngine, job: &JobId, after: u32) -> (StoreReply, bool) {
     node.read_group(group, |engine, now_ms| {
-        match engine.read(now_ms, job, after, RESULT_BYTES) {
+        match engine.read(now_ms, job, after, MAX_RESULT_BYTES) {
             ReadOutcome::Results {
                 total,
                 next,
@@ -291,7 +291,7 @@
                 closed,
             } => {
                 let may_wait = results.is_empty() && !closed;
-                let results = results.iter().map(listed).collect();
+                let results = results.iter().map(read_result).collect();
                 let answer = document::ReadAnswer {
                     total: u64::from(total),
                     next_token: u64::from(next),
@@ -306,7 +306,9 @@
     })
 }
 
-fn listed<'a>(result: &'a alderhollow_batch::api::ListedResult<'a>) -> document::ReadResult<'a> {
+fn read_result<'a>(
+    result: &'a alderhollow_batch::api::ListedResult<'a>,
+) -> document::ReadResult<'a> {
     let state = match result.state {
         ResultState::Completed => document::ResultState::Completed,
         ResultState::DeadLetter => document::ResultState::DeadLetter,
--- a/alderhollow/src/store/group_engine.rs
+++ b/alderhollow/src/store/group_engine.rs
@@ -18,7 +18,7 @@
 use std::sync::Arc;
 
 /// Longest pause between looks at a group that this store leads: time alone changes what it reports.
-pub(super) const LONGEST_TICK_MS: u64 = 200;
+pub(super) const MAX_TICK_MS: u64 = 200;
 /// A group is dropped so long after the tables stopped to name this store; see `GroupEngine::may_be_dropped`.
 pub const LEFT_GROUP_RETENTION_MS: u64 = 30_000;
 
@@ -34,10 +34,10 @@
     pub quota: GroupQuota,
     engine: RefCell<Engine>,
     tables_epoch: Cell<u64>,
-    is_working: Cell<bool>,
+    is_processing_outputs: Cell<bool>,
     /// Whether something may have changed since the last look.
-    is_touched: Cell<bool>,
-    next_look_ms: Cell<u64>,
+    is_dirty: Cell<bool>,
+    next_tick_ms: Cell<u64>,
     has_work: Cell<bool>,
     report: RefCell<GroupReport>,
     /// What the engine had counted at the last look.
@@ -46,7 +46,7 @@
     load: Cell<(usize, usize)>,
     is_led: Cell<bool>,
     /// Since when the newest tables name this disk neither as a member nor as a learner.
-    left_at_ms: Cell<Option<u64>>,
+    excluded_since_ms: Cell<Option<u64>>,
     appended: Cell<WriteTicket>,
     written: Cell<WriteTicket>,
 }
@@ -61,15 +61,15 @@
             quota: GroupQuota::default(),
             engine: RefCell::new(engine),
             tables_epoch: Cell::new(0),
-            is_working: Cell::new(false),
-            is_touched: Cell::new(true),
-            next_look_ms: Cell::new(0),
+            is_processing_outputs: Cell::new(false),
+            is_dirty: Cell::new(true),
+            next_tick_ms: Cell::new(0),
             has_work: Cell::new(false),
             report: RefCell::default(),
             counted: Cell::default(),
             load: Cell::default(),
             is_led: Cell::new(false),
-            left_at_ms: Cell::new(None),
+            excluded_since_ms: Cell::new(None),
             appended: Cell::new(WriteTicket(0)),
             written: Cell::new(WriteTicket(0)),
         }
@@ -77,7 +77,7 @@
 
     /// Calls the engine. The main loop looks at the group after that.
     pub(super) fn call<T>(&self, now_ms: u64, call: impl FnOnce(&mut Engine, u64) -> T) -> T {
-        self.touch();
+        self.mark_dirty();
         call(&mut self.engine.borrow_mut(), now_ms)
     }
 
@@ -92,7 +92,7 @@
     }
 
     /// The batch routes of the newest configuration.
-    pub(super) fn take_routes(
+    pub(super) fn set_routes(
         &self,
         now_ms: u64,
         version: u64,
@@ -104,25 +104,26 @@
     }
 
     /// The group as the newest tables have it; tells whether the epoch is another one.
-    pub(super) fn take_group(&self, now_ms: u64, disk: DiskId, group: &Arc<BatchGroup>) -> bool {
-        self.left_at_ms.set(match names(group, disk) {
-            true => None,
-            false => Some(self.left_at_ms.get().unwrap_or(now_ms)),
-        });
+    pub(super) fn set_group(&self, now_ms: u64, disk: DiskId, group: &Arc<BatchGroup>) -> bool {
+        self.excluded_since_ms
+            .set(match includes_disk(group, disk) {
+                true => None,
+                false => Some(self.excluded_since_ms.get().unwrap_or(now_ms)),
+            });
         self.call(now_ms, |engine, now_ms| {
             engine.set_group(now_ms, group.clone());
         });
-        let is_news = self.tables_epoch.replace(group.epoch) != group.epoch;
-        if is_news {
+        let epoch_changed = self.tables_epoch.replace(group.epoch) != group.epoch;
+        if epoch_changed {
             metrics::get().store.epoch_changed();
             self.waiting.wake_readers();
         }
-        is_news
+        epoch_changed
     }
 
     /// Carries out what the engine asks for, until there is nothing more.
-    pub(super) fn carry_out(&self, mut carry_out_one: impl FnMut(Output)) {
-        if self.is_working.replace(true) {
+    pub(super) fn process_outputs(&self, mut process_output: impl FnMut(Output)) {
+        if self.is_processing_outputs.replace(true) {
             return;
         }
         loop {
@@ -130,46 +131,46 @@
             if outputs.is_empty() {
                 break;
             }
-            outputs.into_iter().for_each(&mut carry_out_one);
+            outputs.into_iter().for_each(&mut process_output);
         }
-        self.is_working.set(false);
+        self.is_processing_outputs.set(false);
     }
 
     /// Has the main loop look at the group.
-    pub fn touch(&self) {
-        self.is_touched.set(true);
+    pub fn mark_dirty(&self) {
+        self.is_dirty.set(true);
     }
 
     /// Whether the main loop should look at the group.
     pub(super) fn is_due(&self, now_ms: u64) -> bool {
-        self.is_touched.get() || self.next_look_ms.get() <= now_ms
+        self.is_dirty.get() || self.next_tick_ms.get() <= now_ms
     }
 
     /// Whether a report of the shared limits became due sooner than the main loop would look at the group.
-    pub(super) fn is_quota_due_before_next_look(&self) -> bool {
+    pub(super) fn is_quota_due_before_next_tick(&self) -> bool {
         let due_ms = self.quota.next_due_ms(&self.engine.borrow());
-        due_ms.is_some_and(|due_ms| due_ms < self.next_look_ms.get())
+        due_ms.is_some_and(|due_ms| due_ms < self.next_tick_ms.get())
     }
 
     /// When the main loop should look at the group, if nothing touches it before.
-    pub(super) fn next_look_ms(&self) -> u64 {
-        self.next_look_ms.get()
+    pub(super) fn next_tick_ms(&self) -> u64 {
+        self.next_tick_ms.get()
     }
 
     /// The main loop has looked at the group: what it reports, and when the next look is due. Gives what the engine counted
     /// since the look before.
-    pub(super) fn note_look(&self, now_ms: u64) -> EngineCounts {
+    pub(super) fn finish_tick(&self, now_ms: u64) -> EngineCounts {
         let mut engine = self.engine.borrow_mut();
         let status = engine.status(now_ms);
-        let next_tick_ms = engine.next_timer_ms().unwrap_or(u64::MAX);
-        let by_time_ms = if status.primary {
-            now_ms + LONGEST_TICK_MS
+        let next_timer_ms = engine.next_timer_ms().unwrap_or(u64::MAX);
+        let report_tick_ms = if status.primary {
+            now_ms + MAX_TICK_MS
         } else {
             u64::MAX
         };
         let quota_ms = self.quota.next_due_ms(&engine).unwrap_or(u64::MAX);
-        self.next_look_ms
-            .set(next_tick_ms.min(by_time_ms).min(quota_ms));
+        self.next_tick_ms
+            .set(next_timer_ms.min(report_tick_ms).min(quota_ms));
         self.has_work
             .set(!engine.routes_with_work(now_ms).is_empty());
         self.is_led.set(status.primary);
@@ -182,7 +183,7 @@
                 self.id, earlier.epoch
             )
         });
-        self.is_touched.set(false);
+        self.is_dirty.set(false);
         let counts = engine.counts();
         counts - self.counted.replace(counts)
     }
@@ -226,25 +227,25 @@
     /// Writes under way have ended: their tickets must not be taken for those of the group's next incarnation at this store.
     pub(super) fn may_be_dropped(&self, now_ms: u64) -> bool {
         let is_over = |left_at: u64| now_ms.saturating_sub(left_at) >= LEFT_GROUP_RETENTION_MS;
-        let has_left = self.left_at_ms.get().is_some_and(is_over);
+        let has_left = self.excluded_since_ms.get().is_some_and(is_over);
         let report = self.report.borrow();
         let follows_newer = report.epoch > self.tables_epoch.get();
         has_left && !follows_newer && self.appended.get() == self.written.get() && !report.active
     }
 
     /// A write was queued.
-    pub(super) fn note_appended(&self, ticket: WriteTicket) {
+    pub(super) fn record_appended(&self, ticket: WriteTicket) {
         self.appended.set(ticket);
     }
 
     /// All writes up to this one are on disk.
-    pub(super) fn note_written(&self, ticket: WriteTicket) {
+    pub(super) fn record_written(&self, ticket: WriteTicket) {
         self.written.set(self.written.get().max(ticket));
     }
 }
 
 /// Whether a group names a disk as a member or a learner.
-pub(super) fn names(group: &BatchGroup, disk: DiskId) -> bool {
+pub(super) fn includes_disk(group: &BatchGroup, disk: DiskId) -> bool {
     group
         .members
         .iter()
--- a/alderhollow/src/store/group_engine/tests.rs
+++ b/alderhollow/src/store/group_engine/tests.rs
@@ -48,21 +48,21 @@
         !group.may_be_dropped(u64::MAX),
         "nobody has said that it was left"
     );
-    group.take_group(1_000, DISK, &tables(1, &[1, 2], &[]));
+    group.set_group(1_000, DISK, &tables(1, &[1, 2], &[]));
     assert!(!group.may_be_dropped(u64::MAX));
-    group.take_group(2_000, DISK, &tables(2, &[2, 3], &[]));
+    group.set_group(2_000, DISK, &tables(2, &[2, 3], &[]));
     assert!(!group.may_be_dropped(2_000 + LEFT_GROUP_RETENTION_MS - 1));
-    group.take_group(9_000, DISK, &tables(3, &[3, 2], &[]));
+    group.set_group(9_000, DISK, &tables(3, &[3, 2], &[]));
     assert!(group.may_be_dropped(2_000 + LEFT_GROUP_RETENTION_MS));
 }
 
 #[test]
 fn a_learner_keeps_its_group() {
     let group = group_engine();
-    group.take_group(0, DISK, &tables(1, &[2, 3], &[]));
-    group.take_group(10, DISK, &tables(2, &[2, 3], &[1]));
+    group.set_group(0, DISK, &tables(1, &[2, 3], &[]));
+    group.set_group(10, DISK, &tables(2, &[2, 3], &[1]));
     assert!(!group.may_be_dropped(u64::MAX));
-    group.take_group(20, DISK, &tables(3, &[2, 3], &[]));
+    group.set_group(20, DISK, &tables(3, &[2, 3], &[]));
     assert!(
         !group.may_be_dropped(LEFT_GROUP_RETENTION_MS + 19),
         "the time begins anew"
@@ -73,21 +73,21 @@
 #[test]
 fn a_group_with_a_write_under_way_is_kept() {
     let group = group_engine();
-    group.take_group(0, DISK, &tables(1, &[2, 3], &[]));
-    group.note_appended(WriteTicket(4));
+    group.set_group(0, DISK, &tables(1, &[2, 3], &[]));
+    group.record_appended(WriteTicket(4));
     assert!(!group.may_be_dropped(LEFT_GROUP_RETENTION_MS));
-    group.note_written(WriteTicket(3));
+    group.record_written(WriteTicket(3));
     assert!(!group.may_be_dropped(LEFT_GROUP_RETENTION_MS));
-    group.note_written(WriteTicket(4));
+    group.record_written(WriteTicket(4));
     assert!(group.may_be_dropped(LEFT_GROUP_RETENTION_MS));
 }
 
 #[test]
 fn a_group_that_is_not_led_is_looked_at_only_when_something_touched_it() {
     let group = group_engine();
-    group.take_group(0, DISK, &tables(1, &[2, 1], &[]));
+    group.set_group(0, DISK, &tables(1, &[2, 1], &[]));
     assert!(group.is_due(0));
-    group.note_look(0);
+    group.finish_tick(0);
     assert!(!group.is_due(u64::MAX - 1));
     group.call(5, |engine, now_ms| engine.on_timer(now_ms));
     assert!(group.is_due(5));
@@ -96,18 +96,18 @@
 #[test]
 fn a_group_that_is_led_is_looked_at_in_time() {
     let group = group_engine();
-    group.take_group(0, DISK, &tables(1, &[1, 2], &[]));
-    group.note_look(0);
-    assert!(group.next_look_ms() <= LONGEST_TICK_MS);
-    assert!(group.is_due(LONGEST_TICK_MS));
+    group.set_group(0, DISK, &tables(1, &[1, 2], &[]));
+    group.finish_tick(0);
+    assert!(group.next_tick_ms() <= MAX_TICK_MS);
+    assert!(group.is_due(MAX_TICK_MS));
 }
 
 #[test]
 fn a_group_that_a_primary_of_a_newer_epoch_brings_up_is_kept() {
     let group = group_engine();
-    group.take_group(0, DISK, &tables(1, &[2, 1], &[]));
-    group.take_group(10, DISK, &tables(2, &[2, 3], &[]));
-    group.note_look(10);
+    group.set_group(0, DISK, &tables(1, &[2, 1], &[]));
+    group.set_group(10, DISK, &tables(2, &[2, 3], &[]));
+    group.finish_tick(10);
     let now_ms = 10 + LEFT_GROUP_RETENTION_MS;
     assert!(group.may_be_dropped(now_ms));
     // The newest tables name this disk again, but the poll that brings them is still on its way.
@@ -125,8 +125,8 @@
     group.call(now_ms, |engine, now_ms| {
         engine.on_message(now_ms, DiskId(2), compare);
     });
-    group.note_look(now_ms);
+    group.finish_tick(now_ms);
     assert!(!group.may_be_dropped(now_ms));
-    group.take_group(now_ms + 500, DISK, &tables(3, &[2, 3], &[1]));
+    group.set_group(now_ms + 500, DISK, &tables(3, &[2, 3], &[1]));
     assert!(!group.may_be_dropped(u64::MAX));
 }
--- a/alderhollow/src/store/group_quota.rs
+++ b/alderhollow/src/store/group_quota.rs
@@ -23,25 +23,25 @@
 use tokio::sync::oneshot;
 
 /// Jobs that may wait for room at one group, in bytes; further ones are not taken. Each waits for a fraction of a second.
-const WAITING_BYTES: usize = 8 << 20;
+const MAX_WAITING_BYTES: usize = 8 << 20;
 /// An offer that waits counts so much of that: it has no body, but a place in the line.
-const OFFER_BYTES: usize = 1 << 10;
+const OFFER_COST_BYTES: usize = 1 << 10;
 
 /// Who waits for the end of an operation.
 pub type End = Option<oneshot::Receiver<Outcome>>;
 
 /// What the engine said to a submission.
 #[derive(Debug)]
-pub struct Answered {
+pub struct SubmitResponse {
     /// The engine's word.
     pub submitted: SubmitOutcome,
     /// The end of an acceptance that is pending.
     pub end: End,
 }
 
-impl Answered {
-    fn without_end(submitted: SubmitOutcome) -> Answered {
-        Answered {
+impl SubmitResponse {
+    fn without_end(submitted: SubmitOutcome) -> SubmitResponse {
+        SubmitResponse {
             submitted,
             end: None,
         }
@@ -53,15 +53,15 @@
     engine: &mut Engine,
     now_ms: u64,
     waiting: &Waiting,
-    try_id: SubmissionAttemptId,
+    attempt_id: SubmissionAttemptId,
     job: NewJob,
-) -> Answered {
-    let submitted = engine.submit(now_ms, try_id, job);
+) -> SubmitResponse {
+    let submitted = engine.submit(now_ms, attempt_id, job);
     let end = match submitted {
-        SubmitOutcome::Pending(token) => Some(waiting.for_end(token)),
+        SubmitOutcome::Pending(token) => Some(waiting.wait_for_outcome(token)),
         _ => None,
     };
-    Answered { submitted, end }
+    SubmitResponse { submitted, end }
 }
 
 /// A submission that waits for room.
@@ -76,17 +76,17 @@
 /// A batch job that waits for room.
 #[derive(Debug)]
 struct WaitingJob {
-    try_id: SubmissionAttemptId,
+    attempt_id: SubmissionAttemptId,
     job: NewJob,
     /// Size of the job, roughly.
     bytes: usize,
-    answer: oneshot::Sender<Answered>,
+    answer: oneshot::Sender<SubmitResponse>,
 }
 
 /// An offer that waits for room.
 #[derive(Debug)]
 struct WaitingOffer {
-    try_id: SubmissionAttemptId,
+    attempt_id: SubmissionAttemptId,
     job: JobId,
     route: String,
     tokens: u64,
@@ -98,19 +98,19 @@
 struct RouteAccount {
     account: Account,
     submissions: BTreeMap<SubmissionId, WaitingSubmission>,
-    reading: Option<TakenReading>,
+    reading: Option<ReceivedReading>,
 }
 
 /// A coordinator's reading.
 #[derive(Debug, Clone, Copy)]
-struct TakenReading {
+struct ReceivedReading {
     reading: QuotaReading,
-    taken_ms: u64,
+    received_ms: u64,
 }
 
 /// A submission that was put in line.
 #[derive(Debug)]
-pub struct Queued<T> {
+pub struct QueuedSubmission<T> {
     /// Its name.
     pub id: SubmissionId,
     /// What the engine will say.
@@ -125,7 +125,7 @@
     /// Accounts of this session that ended as their routes have no limit any more; see [`Account::following`].
     ended: RefCell<BTreeMap<String, Account>>,
     coordinator: RefCell<Option<Coordinator>>,
-    newest_submission: Cell<u64>,
+    last_submission_id: Cell<u64>,
 }
 
 impl RouteAccount {
@@ -140,7 +140,7 @@
 
 impl GroupQuota {
     /// Takes newer tables in, after the engine did. What belongs to an earlier session of the engine ends.
-    pub(super) fn take_tables(
+    pub(super) fn apply_tables(
         &self,
         now_ms: u64,
         engine: &mut Engine,
@@ -155,10 +155,10 @@
         if self.session.replace(session) != session {
             self.end_session();
         }
-        self.forget_routes(routes);
-        self.tell_accounts(now_ms, control, routes);
+        self.close_unlimited_routes(routes);
+        self.update_accounts(now_ms, control, routes);
         for (route, terms) in routes {
-            self.limit_engine(engine, route, terms);
+            self.update_engine_limit(engine, route, terms);
         }
         self.open_accounts(now_ms, engine, group, control, routes);
     }
@@ -217,7 +217,7 @@
     }
 
     /// Whether the accounts are those of the engine's present session as the primary.
-    pub(super) fn is_of_session(&self, engine: &Engine) -> bool {
+    pub(super) fn matches_session(&self, engine: &Engine) -> bool {
         engine
             .session()
             .is_some_and(|session| Some(session) == self.session.get())
@@ -247,46 +247,46 @@
     }
 
     /// Puts a batch job in line for room; `None` if its route has no account any more, or if too much waits.
-    pub(super) fn queue(
+    pub(super) fn queue_job(
         &self,
         now_ms: u64,
-        try_id: SubmissionAttemptId,
+        attempt_id: SubmissionAttemptId,
         job: NewJob,
-    ) -> Option<Queued<Answered>> {
+    ) -> Option<QueuedSubmission<SubmitResponse>> {
         let (sender, answer) = oneshot::channel();
         let (route, tokens, bytes) = (job.route.clone(), job.tokens(), job.approximate_bytes());
         let waiting = WaitingSubmission::Job(WaitingJob {
-            try_id,
+            attempt_id,
             job,
             bytes,
             answer: sender,
         });
-        let id = self.stand_in_line(now_ms, &route, tokens, waiting)?;
-        Some(Queued { id, answer })
+        let id = self.enqueue(now_ms, &route, tokens, waiting)?;
+        Some(QueuedSubmission { id, answer })
     }
 
-    /// Puts an offer in line for room, as [`GroupQuota::queue`] does with a job. Where it fits in the end nothing is kept
+    /// Puts an offer in line for room, as [`GroupQuota::queue_job`] does with a job. Where it fits in the end nothing is kept
     /// for it: the job that comes then fits, or waits again.
     pub(super) fn queue_offer(
         &self,
         now_ms: u64,
-        try_id: SubmissionAttemptId,
+        attempt_id: SubmissionAttemptId,
         offer: &JobOffer,
-    ) -> Option<Queued<OfferOutcome>> {
+    ) -> Option<QueuedSubmission<OfferOutcome>> {
         let (sender, answer) = oneshot::channel();
         let waiting = WaitingSubmission::Offer(WaitingOffer {
-            try_id,
+            attempt_id,
             job: offer.id.clone(),
             route: offer.route.to_owned(),
             tokens: offer.tokens,
             answer: sender,
         });
-        let id = self.stand_in_line(now_ms, offer.route, offer.tokens, waiting)?;
-        Some(Queued { id, answer })
+        let id = self.enqueue(now_ms, offer.route, offer.tokens, waiting)?;
+        Some(QueuedSubmission { id, answer })
     }
 
     /// Puts a submission in line; `None` if its route has no account, or if too much waits.
-    fn stand_in_line(
+    fn enqueue(
         &self,
         now_ms: u64,
         route: &str,
@@ -295,12 +295,12 @@
     ) -> Option<SubmissionId> {
         let mut accounts = self.accounts.borrow_mut();
         let waiting_bytes: usize = accounts.values().map(RouteAccount::waiting_bytes).sum();
-        if waiting_bytes >= WAITING_BYTES {
+        if waiting_bytes >= MAX_WAITING_BYTES {
             return None;
         }
         let account = accounts.get_mut(route)?;
-        let id = SubmissionId(self.newest_submission.get() + 1);
-        self.newest_submission.set(id.0);
+        let id = SubmissionId(self.last_submission_id.get() + 1);
+        self.last_submission_id.set(id.0);
         account.account.request(now_ms, id, tokens);
         account.submissions.insert(id, waiting);
         Some(id)
@@ -321,8 +321,8 @@
         }
     }
 
-    /// Settles what can be settled, and gives the reports that are due.
-    pub(super) fn drive(
+    /// Settles what can be resolved, and gives the reports that are due.
+    pub(super) fn advance(
         &self,
         now_ms: u64,
         engine: &mut Engine,
@@ -330,10 +330,10 @@
     ) -> Vec<QuotaReport> {
         let mut reports = Vec::new();
         for (route, account) in self.accounts.borrow_mut().iter_mut() {
-            let settled = account
+            let resolved = account
                 .account
                 .resolve_waiting(now_ms, engine.waiting_tokens(route));
-            account.act(now_ms, engine, waiting, route, settled);
+            account.apply_resolved(now_ms, engine, waiting, route, resolved);
             reports.extend(
                 account
                     .account
@@ -345,7 +345,7 @@
     }
 
     /// Takes a coordinator's answer.
-    pub(super) fn take_answer(
+    pub(super) fn on_grant_received(
         &self,
         now_ms: u64,
         engine: &mut Engine,
@@ -357,25 +357,25 @@
         let Some(account) = accounts.get_mut(route) else {
             return;
         };
-        let settled = account
+        let resolved = account
             .account
             .on_grant(now_ms, engine.waiting_tokens(route), grant);
-        account.act(now_ms, engine, waiting, route, settled);
-        let taken = grant.reading.map(|reading| TakenReading {
+        account.apply_resolved(now_ms, engine, waiting, route, resolved);
+        let taken = grant.reading.map(|reading| ReceivedReading {
             reading,
-            taken_ms: now_ms,
+            received_ms: now_ms,
         });
         account.reading = taken.or(account.reading);
     }
 
     /// The answer to a report won't come.
-    pub(super) fn answer_lost(&self, now_ms: u64, route: &str, report: ReportId) {
+    pub(super) fn on_answer_lost(&self, now_ms: u64, route: &str, report: ReportId) {
         if let Some(account) = self.accounts.borrow_mut().get_mut(route) {
             account.account.on_answer_lost(now_ms, report);
         }
     }
 
-    /// When [`GroupQuota::drive`] has something to do next.
+    /// When [`GroupQuota::advance`] has something to do next.
     pub(super) fn next_due_ms(&self, engine: &Engine) -> Option<u64> {
         let accounts = self.accounts.borrow();
         let due = accounts.iter().filter_map(|(route, account)| {
@@ -386,16 +386,19 @@
 
     /// The newest reading of a route's waiting tokens.
     pub(super) fn reading(&self, now_ms: u64, route: &str) -> Option<QuotaReading> {
-        let TakenReading { reading, taken_ms } = self.accounts.borrow().get(route)?.reading?;
+        let ReceivedReading {
+            reading,
+            received_ms,
+        } = self.accounts.borrow().get(route)?.reading?;
         Some(QuotaReading {
-            age_ms: reading.age_ms + now_ms.saturating_sub(taken_ms),
+            age_ms: reading.age_ms + now_ms.saturating_sub(received_ms),
             ..reading
         })
     }
 
     /// Answers a report as the coordinator of its route, whose home this group is. To be asked only while the engine is
     /// sure.
-    pub(super) fn coordinate(
+    pub(super) fn handle_report(
         &self,
         now_ms: u64,
         session: SessionId,
@@ -431,11 +434,11 @@
             account
                 .submissions
                 .into_values()
-                .for_each(WaitingSubmission::refuse_service);
+                .for_each(WaitingSubmission::resolve_not_sure);
         }
     }
 
-    fn forget_routes(&self, routes: &BTreeMap<String, RouteTerms>) {
+    fn close_unlimited_routes(&self, routes: &BTreeMap<String, RouteTerms>) {
         let is_limited = |route: &str| {
             routes
                 .get(route)
@@ -461,13 +464,13 @@
             };
             submissions
                 .into_values()
-                .for_each(WaitingSubmission::refuse_service);
+                .for_each(WaitingSubmission::resolve_not_sure);
             self.ended.borrow_mut().insert(route, account);
         }
     }
 
     /// Tells the accounts of the routes' limits and the coordinators' epochs.
-    fn tell_accounts(
+    fn update_accounts(
         &self,
         now_ms: u64,
         control: &ControlView,
@@ -484,7 +487,7 @@
     }
 
     /// Tells the engine what it may count on a route: nothing, on a limited route without an account.
-    fn limit_engine(&self, engine: &mut Engine, route: &str, terms: &RouteTerms) {
+    fn update_engine_limit(&self, engine: &mut Engine, route: &str, terms: &RouteTerms) {
         let accounts = self.accounts.borrow();
         let is_limited = terms.max_queued_tokens != 0;
         let limit = accounts
@@ -509,28 +512,28 @@
         });
     }
 
-    /// Acts on settled submissions, in their order.
-    fn act(
+    /// Acts on resolved submissions, in their order.
+    fn apply_resolved(
         &mut self,
         now_ms: u64,
         engine: &mut Engine,
         waiting: &Waiting,
         route: &str,
-        settled: Vec<ResolvedSubmission>,
+        resolved: Vec<ResolvedSubmission>,
     ) {
         engine.set_quota_limit(route, self.account.limit());
         for ResolvedSubmission {
             submission,
             outcome,
-        } in settled
+        } in resolved
         {
             let Some(submission) = self.submissions.remove(&submission) else {
                 continue;
             };
             let used_before = engine.waiting_tokens(route);
             match submission {
-                WaitingSubmission::Job(job) => job.settle(now_ms, engine, waiting, outcome),
-                WaitingSubmission::Offer(offer) => offer.settle(now_ms, engine, outcome),
+                WaitingSubmission::Job(job) => job.resolve(now_ms, engine, waiting, outcome),
+                WaitingSubmission::Offer(offer) => offer.resolve(now_ms, engine, outcome),
             }
             if engine.waiting_tokens(route) > used_before {
                 self.note_accepted(engine, route);
@@ -541,21 +544,21 @@
 
 // Whoever waits for an answer below may have gone; then nobody wants it.
 impl WaitingSubmission {
-    /// What it counts of [`WAITING_BYTES`].
+    /// What it counts of [`MAX_WAITING_BYTES`].
     fn bytes(&self) -> usize {
         match self {
             WaitingSubmission::Job(job) => job.bytes,
-            WaitingSubmission::Offer(_) => OFFER_BYTES,
+            WaitingSubmission::Offer(_) => OFFER_COST_BYTES,
         }
     }
 
     /// The submission can't be decided here any more.
-    fn refuse_service(self) {
+    fn resolve_not_sure(self) {
         match self {
             WaitingSubmission::Job(job) => {
                 let _ = job
                     .answer
-                    .send(Answered::without_end(SubmitOutcome::NotSure));
+                    .send(SubmitResponse::without_end(SubmitOutcome::NotSure));
             }
             WaitingSubmission::Offer(offer) => {
                 let _ = offer.answer.send(OfferOutcome::NotSure);
@@ -565,32 +568,34 @@
 }
 
 impl WaitingJob {
-    fn settle(self, now_ms: u64, engine: &mut Engine, waiting: &Waiting, outcome: QuotaOutcome) {
+    fn resolve(self, now_ms: u64, engine: &mut Engine, waiting: &Waiting, outcome: QuotaOutcome) {
         let WaitingJob {
-            try_id,
+            attempt_id,
             job,
             answer,
             ..
         } = self;
         let answered = match outcome {
-            QuotaOutcome::Fits => submit_now(engine, now_ms, waiting, try_id, job),
-            QuotaOutcome::OverQuota => Answered::without_end(engine.reject(now_ms, try_id, &job)),
-            QuotaOutcome::Unsure => Answered::without_end(SubmitOutcome::NotSure),
+            QuotaOutcome::Fits => submit_now(engine, now_ms, waiting, attempt_id, job),
+            QuotaOutcome::OverQuota => {
+                SubmitResponse::without_end(engine.reject(now_ms, attempt_id, &job))
+            }
+            QuotaOutcome::Unsure => SubmitResponse::without_end(SubmitOutcome::NotSure),
         };
         let _ = answer.send(answered);
     }
 }
 
 impl WaitingOffer {
-    fn settle(self, now_ms: u64, engine: &mut Engine, outcome: QuotaOutcome) {
+    fn resolve(self, now_ms: u64, engine: &mut Engine, outcome: QuotaOutcome) {
         let offer = JobOffer {
             id: &self.job,
             route: &self.route,
             tokens: self.tokens,
         };
         let offered = match outcome {
-            QuotaOutcome::Fits => engine.offer(now_ms, self.try_id, &offer),
-            QuotaOutcome::OverQuota => engine.reject_offer(now_ms, self.try_id, &offer),
+            QuotaOutcome::Fits => engine.offer(now_ms, self.attempt_id, &offer),
+            QuotaOutcome::OverQuota => engine.reject_offer(now_ms, self.attempt_id, &offer),
             QuotaOutcome::Unsure => OfferOutcome::NotSure,
         };
         let _ = self.answer.send(offered);
@@ -603,14 +608,14 @@
 }
 
 /// The group whose primary coordinates a route.
-pub(super) fn home_of(control: &ControlView, route: &str) -> GroupId {
+pub(super) fn home_group_of(control: &ControlView, route: &str) -> GroupId {
     let count = u32::try_from(control.groups.len()).unwrap_or(u32::MAX);
     GroupId(home_group(route, count))
 }
 
 /// The epoch of that group.
 fn home_epoch(control: &ControlView, route: &str) -> Option<u64> {
-    Some(control.group(home_of(control, route))?.epoch)
+    Some(control.group(home_group_of(control, route))?.epoch)
 }
 
 #[cfg(test)]
--- a/alderhollow/src/store/group_quota/tests.rs
+++ b/alderhollow/src/store/group_quota/tests.rs
@@ -69,7 +69,7 @@
 /// The route's limit is this from now on.
 fn set_max(quota: &GroupQuota, engine: &mut Engine, now_ms: u64, max: u64) {
     engine.set_routes(now_ms, now_ms, routes(max));
-    quota.take_tables(now_ms, engine, GroupId(0), &control(), &routes(max));
+    quota.apply_tables(now_ms, engine, GroupId(0), &control(), &routes(max));
 }
 
 #[test]
@@ -81,7 +81,7 @@
     let mut newest = None;
     for round in 0..10 {
         newest = quota
-            .drive(round * ROUND_MS, &mut engine, &Waiting::default())
+            .advance(round * ROUND_MS, &mut engine, &Waiting::default())
             .pop()
             .or(newest);
     }
@@ -89,11 +89,11 @@
     assert!(newest.sequence > 1);
     set_max(&quota, &mut engine, 20_000, 0);
     assert!(quota
-        .drive(30_000, &mut engine, &Waiting::default())
+        .advance(30_000, &mut engine, &Waiting::default())
         .is_empty());
     set_max(&quota, &mut engine, 40_000, MAX);
     let report = quota
-        .drive(40_000, &mut engine, &Waiting::default())
+        .advance(40_000, &mut engine, &Waiting::default())
         .pop()
         .expect("a report at once");
     assert!(
@@ -138,22 +138,22 @@
     set_max(&quota, &mut engine, 0, MAX);
     let mut queued = Vec::new();
     for id in 0..1_000 {
-        queued.extend(quota.queue(0, SubmissionAttemptId(id as u64), job(id, BODY_BYTES)));
+        queued.extend(quota.queue_job(0, SubmissionAttemptId(id as u64), job(id, BODY_BYTES)));
     }
     assert!(
-        queued.len() * BODY_BYTES < WAITING_BYTES + BODY_BYTES,
+        queued.len() * BODY_BYTES < MAX_WAITING_BYTES + BODY_BYTES,
         "{} jobs wait",
         queued.len()
     );
     assert!(
-        queued.len() * 2 * BODY_BYTES > WAITING_BYTES,
+        queued.len() * 2 * BODY_BYTES > MAX_WAITING_BYTES,
         "{} jobs wait",
         queued.len()
     );
     quota.withdraw(ROUTE, queued[0].id);
     assert!(
         quota
-            .queue(0, SubmissionAttemptId(9_999), job(9_999, BODY_BYTES))
+            .queue_job(0, SubmissionAttemptId(9_999), job(9_999, BODY_BYTES))
             .is_some(),
         "one has left"
     );
@@ -167,7 +167,7 @@
     set_max(&quota, &mut engine, 0, MAX);
     let mut jobs = Vec::new();
     for id in 0..8 {
-        jobs.extend(quota.queue(0, SubmissionAttemptId(id as u64), job(id, BODY_BYTES)));
+        jobs.extend(quota.queue_job(0, SubmissionAttemptId(id as u64), job(id, BODY_BYTES)));
     }
     assert_eq!(jobs.len(), 8, "some room is left");
     let mut offers = Vec::new();
@@ -232,7 +232,7 @@
             queued = quota.queue_offer(0, OFFER_TRY, offer);
         });
         let report = quota
-            .drive(0, &mut engine, &Waiting::default())
+            .advance(0, &mut engine, &Waiting::default())
             .pop()
             .expect("a report");
         assert_eq!(report.wanted, [tokens]);
@@ -260,7 +260,7 @@
             reading: None,
         };
         self.quota
-            .take_answer(now_ms, &mut self.engine, &Waiting::default(), ROUTE, &grant);
+            .on_grant_received(now_ms, &mut self.engine, &Waiting::default(), ROUTE, &grant);
     }
 }
 
@@ -312,7 +312,7 @@
 fn an_offer_without_an_answer_in_time_or_of_an_ended_session_is_unsure() {
     let mut line = OfferInLine::new(10);
     line.quota
-        .drive(SUBMISSION_TIMEOUT_MS, &mut line.engine, &Waiting::default());
+        .advance(SUBMISSION_TIMEOUT_MS, &mut line.engine, &Waiting::default());
     assert_eq!(line.answer.try_recv(), Ok(OfferOutcome::NotSure));
     assert!(!line.quota.has_waiting());
 
--- a/alderhollow/src/store/item_starts.rs
+++ b/alderhollow/src/store/item_starts.rs
@@ -38,7 +38,7 @@
             if room == 0 {
                 break;
             }
-            let starts = self.take_due_first(&groups, route, room);
+            let starts = self.take_earliest_due(&groups, route, room);
             self.runs.start(self, starts);
         }
         !routes.is_empty()
@@ -61,20 +61,20 @@
     }
 
     /// Items of a route to start now, at most `room`, those due first in front.
-    fn take_due_first(
+    fn take_earliest_due(
         self: &Rc<Self>,
         groups: &[Rc<GroupEngine>],
         route: &str,
         room: usize,
     ) -> Vec<GroupItemStart> {
-        let first_due = |index: usize| {
+        let earliest_turn = |index: usize| {
             let turn = self.read_group(&groups[index], |engine, now_ms| {
                 engine.first_turn(now_ms, route)
             })?;
             Some(Reverse(DueGroup { turn, index }))
         };
         let mut order: BinaryHeap<Reverse<DueGroup>> =
-            (0..groups.len()).filter_map(first_due).collect();
+            (0..groups.len()).filter_map(earliest_turn).collect();
         let mut starts = Vec::new();
         while starts.len() < room {
             let Some(Reverse(DueGroup { index, .. })) = order.pop() else {
@@ -84,7 +84,7 @@
             let taken = self.with_group(group, |engine, now_ms| engine.take_work(now_ms, route, 1));
             // A group that gives nothing is not sure any more: it is asked again at the next look.
             if !taken.is_empty() {
-                order.extend(first_due(index));
+                order.extend(earliest_turn(index));
             }
             starts.extend(taken.into_iter().map(|item| GroupItemStart {
                 group: group.clone(),
--- a/alderhollow/src/store/journal_queue.rs
+++ b/alderhollow/src/store/journal_queue.rs
@@ -12,18 +12,18 @@
 use tokio::time::Instant;
 
 /// A log that has grown to this size is replaced by a snapshot, unless the disk is small or the snapshot large.
-const LOG_BYTES: u64 = 24 * 1024 * 1024;
+const MAX_LOG_BYTES: u64 = 24 * 1024 * 1024;
 /// The log may take this part of the disk: two snapshots and two logs must fit.
-const LOG_PART_OF_DISK: u64 = 10;
+const LOG_DISK_DIVISOR: u64 = 10;
 /// A log is kept until it is so many times as large as the last snapshot.
-const LOG_PER_SNAPSHOT: u64 = 2;
+const LOG_SNAPSHOT_RATIO: u64 = 2;
 /// Pause before another snapshot is tried after a failure.
-const REPAIR_PAUSE: Duration = Duration::from_millis(300);
+const REPAIR_RETRY_DELAY: Duration = Duration::from_millis(300);
 /// A disk with a write that is older than this is stalled.
-const STALL_MS: u64 = 600;
+const STALL_THRESHOLD_MS: u64 = 600;
 /// With a write that is older than this, another store should serve instead. A snapshot that takes its time on a sound disk
 /// must not come to it.
-const FAILING_AFTER_MS: u64 = 1_200;
+const FAILING_THRESHOLD_MS: u64 = 1_200;
 
 /// Names a write over all groups. Tickets rise within a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
@@ -52,7 +52,7 @@
     end: End,
 }
 
-/// The writes under way. One task runs [`JournalQueue::follow`].
+/// The writes under way. One task runs [`JournalQueue::process_completions`].
 pub struct JournalQueue {
     writer: Writer,
     submissions: mpsc::UnboundedSender<Pending>,
@@ -61,20 +61,20 @@
     newest: RefCell<BTreeMap<GroupId, WriteTicket>>,
     log_bytes: Cell<u64>,
     log_limit: Cell<u64>,
-    smallest_limit: u64,
+    min_log_limit: u64,
     failing: Cell<bool>,
     longest_sync: Cell<Duration>,
 }
 
-/// The ends of submissions, for [`JournalQueue::follow`].
-pub struct WriteEnds(mpsc::UnboundedReceiver<Pending>);
+/// The ends of submissions, for [`JournalQueue::process_completions`].
+pub struct WriteCompletions(mpsc::UnboundedReceiver<Pending>);
 
 impl JournalQueue {
     /// A queue on a disk of this size.
-    pub fn new(writer: Writer, disk_mb: Option<u64>) -> (JournalQueue, WriteEnds) {
+    pub fn new(writer: Writer, disk_mb: Option<u64>) -> (JournalQueue, WriteCompletions) {
         let (submissions, ends) = mpsc::unbounded_channel();
-        let of_disk = disk_mb.map_or(LOG_BYTES, |mb| mb * 1024 * 1024 / LOG_PART_OF_DISK);
-        let limit = LOG_BYTES.min(of_disk);
+        let disk_limit = disk_mb.map_or(MAX_LOG_BYTES, |mb| mb * 1024 * 1024 / LOG_DISK_DIVISOR);
+        let limit = MAX_LOG_BYTES.min(disk_limit);
         let queue = JournalQueue {
             writer,
             submissions,
@@ -82,11 +82,11 @@
             newest: RefCell::default(),
             log_bytes: Cell::new(0),
             log_limit: Cell::new(limit),
-            smallest_limit: limit,
+            min_log_limit: limit,
             failing: Cell::new(false),
             longest_sync: Cell::default(),
         };
-        (queue, WriteEnds(ends))
+        (queue, WriteCompletions(ends))
     }
 
     /// Queues records.
@@ -116,7 +116,7 @@
         }
         let snapshot = snapshot();
         log::info!("compacting the journal to {} bytes", snapshot.len());
-        self.note_snapshot(snapshot.len());
+        self.record_snapshot(snapshot.len());
         self.submit(now_ms, None, vec![Write::Compact(snapshot)]);
     }
 
@@ -127,12 +127,12 @@
 
     /// Whether the disk takes writes without failure or long delay.
     pub fn is_ready(&self, now_ms: u64) -> bool {
-        !self.failing.get() && self.oldest_ms(now_ms) < STALL_MS
+        !self.failing.get() && self.oldest_ms(now_ms) < STALL_THRESHOLD_MS
     }
 
     /// Whether the disk fails so that another store should serve instead.
     pub fn is_failing(&self, now_ms: u64) -> bool {
-        self.failing.get() || self.oldest_ms(now_ms) >= FAILING_AFTER_MS
+        self.failing.get() || self.oldest_ms(now_ms) >= FAILING_THRESHOLD_MS
     }
 
     /// The longest time from a submission to its end since the last call.
@@ -149,13 +149,13 @@
     }
 
     /// Tells the owner of the ends of its writes, in order, until the queue is gone.
-    pub async fn follow(&self, mut ends: WriteEnds, owner: &dyn JournalOwner) {
+    pub async fn process_completions(&self, mut ends: WriteCompletions, owner: &dyn JournalOwner) {
         while let Some(pending) = ends.0.recv().await {
             let end = pending.end.await;
             self.submitted_at.borrow_mut().pop_front();
             match end {
                 Ok(Ok(())) => {
-                    self.note_synced(pending.submitted_at.elapsed());
+                    self.record_sync(pending.submitted_at.elapsed());
                     if let Some(ticket) = pending.ticket {
                         owner.written(ticket);
                     }
@@ -172,7 +172,7 @@
     /// Puts the whole state on disk, again and again until that succeeds.
     async fn repair(
         &self,
-        ends: &mut WriteEnds,
+        ends: &mut WriteCompletions,
         owner: &dyn JournalOwner,
         mut error: StorageError,
     ) {
@@ -181,7 +181,7 @@
             log::error!(
                 "the disk fails: {error}; no batch job is taken until the whole state is written anew"
             );
-            tokio::time::sleep(REPAIR_PAUSE).await;
+            tokio::time::sleep(REPAIR_RETRY_DELAY).await;
             while let Ok(pending) = ends.0.try_recv() {
                 // What was queued behind the failure is in the snapshot as well.
                 let _ = pending.end.await;
@@ -189,7 +189,7 @@
             }
             let newest = self.newest.borrow().clone();
             let snapshot = owner.snapshot();
-            self.note_snapshot(snapshot.len());
+            self.record_snapshot(snapshot.len());
             match self.writer.submit(vec![Write::Compact(snapshot)]).await {
                 Ok(Ok(())) => {
                     self.failing.set(false);
@@ -216,16 +216,16 @@
         let _ = self.submissions.send(pending);
     }
 
-    fn note_synced(&self, after: Duration) {
+    fn record_sync(&self, after: Duration) {
         metrics::get().store.synced(after);
         self.longest_sync.set(self.longest_sync.get().max(after));
     }
 
-    fn note_snapshot(&self, bytes: usize) {
+    fn record_snapshot(&self, bytes: usize) {
         metrics::get().store.compaction(bytes);
         self.log_bytes.set(0);
         self.log_limit
-            .set(self.smallest_limit.max(bytes as u64 * LOG_PER_SNAPSHOT));
+            .set(self.min_log_limit.max(bytes as u64 * LOG_SNAPSHOT_RATIO));
     }
 }
 
--- a/alderhollow/src/store/journal_queue/tests.rs
+++ b/alderhollow/src/store/journal_queue/tests.rs
@@ -42,7 +42,7 @@
         told: tokio::sync::Notify::new(),
     });
     let (following, told) = (queue.clone(), owner.clone());
-    tokio::task::spawn_local(async move { following.follow(ends, &*told).await });
+    tokio::task::spawn_local(async move { following.process_completions(ends, &*told).await });
     (queue, owner)
 }
 
@@ -75,10 +75,13 @@
         .run_until(async {
             let (queue, owner) = start(&FaultDisk::new(ROOM, 1));
             queue.append(0, ticket(1), vec![vec![1; 10]]);
-            assert!(queue.is_ready(STALL_MS - 1) && !queue.is_ready(STALL_MS));
-            assert!(!queue.is_failing(FAILING_AFTER_MS - 1) && queue.is_failing(FAILING_AFTER_MS));
+            assert!(queue.is_ready(STALL_THRESHOLD_MS - 1) && !queue.is_ready(STALL_THRESHOLD_MS));
+            assert!(
+                !queue.is_failing(FAILING_THRESHOLD_MS - 1)
+                    && queue.is_failing(FAILING_THRESHOLD_MS)
+            );
             until_written(&owner, 1).await;
-            assert!(!queue.is_failing(FAILING_AFTER_MS));
+            assert!(!queue.is_failing(FAILING_THRESHOLD_MS));
         })
         .await;
 }
@@ -117,10 +120,10 @@
         .run_until(async {
             let (queue, owner) = start(&FaultDisk::new(ROOM, 1));
             queue.append(1_000, ticket(1), vec![vec![1; 10]]);
-            assert!(queue.is_ready(1_000 + STALL_MS - 1));
-            assert!(!queue.is_ready(1_000 + STALL_MS));
+            assert!(queue.is_ready(1_000 + STALL_THRESHOLD_MS - 1));
+            assert!(!queue.is_ready(1_000 + STALL_THRESHOLD_MS));
             until_written(&owner, 1).await;
-            assert!(queue.is_ready(1_000 + STALL_MS));
+            assert!(queue.is_ready(1_000 + STALL_THRESHOLD_MS));
         })
         .await;
 }
--- a/alderhollow/src/store/journal_queue/tests/power.rs
+++ b/alderhollow/src/store/journal_queue/tests/power.rs
@@ -59,7 +59,8 @@
     let (queue, ends) = JournalQueue::new(Writer::start(journal).expect("a thread"), Some(64));
     let (queue, owner) = (Rc::new(queue), Rc::new(Writes::default()));
     let (following, told) = (queue.clone(), owner.clone());
-    let follower = tokio::task::spawn_local(async move { following.follow(ends, &*told).await });
+    let follower =
+        tokio::task::spawn_local(async move { following.process_completions(ends, &*told).await });
     for number in 1..=WRITES_OF_EACH {
         (0..GROUPS).for_each(|group| owner.append(&queue, group, number));
         if COMPACTED_AFTER.contains(&number) {
--- a/alderhollow/src/store/journal_records.rs
+++ b/alderhollow/src/store/journal_records.rs
@@ -29,13 +29,13 @@
 pub enum JournalFormatError {
     /// A tag without the whole id of a group behind it.
     #[error("a record of a batch group that ends within the group's number")]
-    CutId,
+    TruncatedId,
     /// A snapshot that ends too early.
     #[error("a snapshot that ends within batch group {0}")]
-    CutSnapshot(GroupId),
+    TruncatedSnapshot(GroupId),
     /// A snapshot that names a group again.
     #[error("a snapshot with batch group {0} twice")]
-    Repeated(GroupId),
+    DuplicateGroup(GroupId),
     /// What is of one group can't be read.
     #[error("batch group {group}: {source}")]
     Contents {
@@ -70,7 +70,7 @@
 /// The tag is damaged.
 pub fn read_record(bytes: &[u8]) -> Result<(GroupId, &[u8]), JournalFormatError> {
     match bytes.split_first() {
-        Some((&GROUP_TAG, tagged)) => take_id(tagged).ok_or(JournalFormatError::CutId),
+        Some((&GROUP_TAG, tagged)) => split_id(tagged).ok_or(JournalFormatError::TruncatedId),
         _ => Ok((GroupId::default(), bytes)),
     }
 }
@@ -96,13 +96,13 @@
     };
     let mut snapshots = BTreeMap::new();
     while !rest.is_empty() {
-        let (group, behind_id) = take_id(rest).ok_or(JournalFormatError::CutId)?;
-        let (snapshot, behind) =
-            take_snapshot(behind_id).ok_or(JournalFormatError::CutSnapshot(group))?;
+        let (group, after_id) = split_id(rest).ok_or(JournalFormatError::TruncatedId)?;
+        let (snapshot, after) =
+            split_one_snapshot(after_id).ok_or(JournalFormatError::TruncatedSnapshot(group))?;
         if snapshots.insert(group, snapshot.to_vec()).is_some() {
-            return Err(JournalFormatError::Repeated(group));
+            return Err(JournalFormatError::DuplicateGroup(group));
         }
-        rest = behind;
+        rest = after;
     }
     Ok(snapshots)
 }
@@ -182,13 +182,13 @@
 }
 
 /// A group's id, and what is behind it.
-fn take_id(bytes: &[u8]) -> Option<(GroupId, &[u8])> {
+fn split_id(bytes: &[u8]) -> Option<(GroupId, &[u8])> {
     let (id, rest) = bytes.split_first_chunk::<ID_BYTES>()?;
     Some((GroupId(u32::from_be_bytes(*id)), rest))
 }
 
 /// A group's snapshot, and what is behind it.
-fn take_snapshot(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
+fn split_one_snapshot(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let (length, rest) = bytes.split_first_chunk::<LENGTH_BYTES>()?;
     let length = usize::try_from(u64::from_be_bytes(*length)).ok()?;
     rest.split_at_checked(length)
--- a/alderhollow/src/store/journal_records/tests.rs
+++ b/alderhollow/src/store/journal_records/tests.rs
@@ -70,7 +70,7 @@
                 prop_assert!(read.iter().all(|(group, part)| parts.get(group) == Some(part)));
             }
             Err(error) => prop_assert!(
-                matches!(error, JournalFormatError::CutId | JournalFormatError::CutSnapshot(_)), "{}", error
+                matches!(error, JournalFormatError::TruncatedId | JournalFormatError::TruncatedSnapshot(_)), "{}", error
             ),
         }
     }
@@ -94,10 +94,10 @@
 fn a_tag_without_its_whole_group_is_an_error() {
     for length in 0..ID_BYTES {
         let bytes = [vec![GROUP_TAG], vec![0; length]].concat();
-        assert_eq!(read_record(&bytes), Err(JournalFormatError::CutId));
+        assert_eq!(read_record(&bytes), Err(JournalFormatError::TruncatedId));
         assert_eq!(
             restore_states(None, &[bytes]).unwrap_err(),
-            JournalFormatError::CutId
+            JournalFormatError::TruncatedId
         );
     }
 }
@@ -107,7 +107,7 @@
     let part = (GroupId(2), vec![1]);
     assert_eq!(
         split_snapshot(&join_snapshots([part.clone(), part])),
-        Err(JournalFormatError::Repeated(GroupId(2)))
+        Err(JournalFormatError::DuplicateGroup(GroupId(2)))
     );
 }
 
--- a/alderhollow/src/store/node.rs
+++ b/alderhollow/src/store/node.rs
@@ -2,10 +2,10 @@
 //! [`StoreNode::with_group`], which first takes in newer tables and then does what the engine asks for.
 
 use super::activity::{Activity, StoreSummary};
-use super::group_engine::{names, GroupEngine, LONGEST_TICK_MS};
-use super::journal_queue::{GroupTicket, JournalOwner, JournalQueue, WriteEnds};
+use super::group_engine::{includes_disk, GroupEngine, MAX_TICK_MS};
+use super::journal_queue::{GroupTicket, JournalOwner, JournalQueue, WriteCompletions};
 use super::journal_records::{join_snapshots, tag_record};
-use super::replication::{is_of_primary, jobs_in};
+use super::replication::{is_from_primary, jobs_in};
 use super::routes::batch_routes;
 use super::runs::{EndedRun, RunKey, Runs};
 use crate::batch_protocol::ReplicationNotice;
@@ -34,13 +34,13 @@
 /// A poll that the core's primary answered validates the tables so long after it was sent.
 pub const VALIDATION_TTL_MS: u64 = 1_000;
 /// Longest pause between looks at the groups.
-const LONGEST_TICK: Duration = Duration::from_millis(LONGEST_TICK_MS);
+const MAX_TICK: Duration = Duration::from_millis(MAX_TICK_MS);
 /// Pause between looks while items wait for their turn to start.
-const START_TICK: Duration = Duration::from_millis(15);
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(15);
 /// Ends of runs are taken in together so long after the first one.
-const GATHER: Duration = Duration::from_millis(10);
+const RUN_END_BATCH_DELAY: Duration = Duration::from_millis(10);
 /// Before the tables say how many groups there are, messages make engines of groups with lower numbers only.
-const MOST_GROUPS_UNTOLD: usize = 1_024;
+const MAX_GROUPS_BEFORE_TABLES: usize = 1_024;
 
 /// One store.
 pub struct StoreNode {
@@ -52,7 +52,7 @@
     pub runs: Runs,
     /// What the store did lately.
     pub activity: Activity,
-    status: Duration,
+    status_retention: Duration,
     groups: RefCell<BTreeMap<GroupId, Rc<GroupEngine>>>,
     /// The newest control state that was validated.
     pub(super) control: RefCell<Arc<ControlView>>,
@@ -65,7 +65,7 @@
     addresses: RefCell<BTreeMap<DiskId, SocketAddr>>,
     /// What was last reported of the disk.
     reported_failing: Cell<Option<bool>>,
-    woken: Notify,
+    wake_signal: Notify,
 }
 
 /// What a node is made of.
@@ -77,7 +77,7 @@
     /// The engines of the groups of which the disk holds something, as restored.
     pub engines: BTreeMap<GroupId, Engine>,
     /// Batch jobs are kept so long after they were sent.
-    pub status: Duration,
+    pub status_retention: Duration,
     /// The writes.
     pub journal: JournalQueue,
     /// Runs of items.
@@ -100,7 +100,7 @@
             clock: parts.clock,
             runs: parts.runs,
             activity: Activity::default(),
-            status: parts.status,
+            status_retention: parts.status_retention,
             groups: RefCell::default(),
             control: RefCell::default(),
             routes: RefCell::default(),
@@ -110,7 +110,7 @@
             snapshots: RefCell::new(snapshots),
             addresses: RefCell::default(),
             reported_failing: Cell::new(None),
-            woken: Notify::new(),
+            wake_signal: Notify::new(),
         };
         parts
             .engines
@@ -127,10 +127,10 @@
     ) -> T {
         self.validate(group);
         let result = group.call(self.clock.now_ms(), call);
-        self.carry_out(group);
-        if group.quota.has_waiting() || group.is_quota_due_before_next_look() {
+        self.process_outputs(group);
+        if group.quota.has_waiting() || group.is_quota_due_before_next_tick() {
             // Tokens may have become free: for what waits here, or for other groups, which are to learn of it soon.
-            self.woken.notify_one();
+            self.wake_signal.notify_one();
         }
         result
     }
@@ -148,7 +148,7 @@
 
     /// The group that keeps a job, by the newest tables; `None` if they don't say, or if nothing of it is here.
     pub fn group_of_job(&self, job: &JobId) -> Option<Rc<GroupEngine>> {
-        self.follow_tables();
+        self.refresh_tables();
         let id = self.control.borrow().group_of_job(&job.0)?.0;
         self.group(id)
     }
@@ -190,7 +190,7 @@
             let pause = self.tick();
             tokio::select! {
                 () = tokio::time::sleep(pause) => (),
-                () = self.woken.notified() => tokio::time::sleep(GATHER).await,
+                () = self.wake_signal.notified() => tokio::time::sleep(RUN_END_BATCH_DELAY).await,
                 changed = snapshots.changed() => if changed.is_err() { return },
             }
         }
@@ -198,17 +198,21 @@
 
     /// One look at the groups where something may have changed; returns the pause until the next.
     fn tick(self: &Rc<Self>) -> Duration {
-        self.follow_tables();
-        self.take_run_ends();
-        self.look_at_groups();
+        self.refresh_tables();
+        self.apply_run_ends();
+        self.tick_due_groups();
         self.remove_left_groups(self.clock.now_ms());
-        let more_waits = self.start_items();
-        let longest = if more_waits { START_TICK } else { LONGEST_TICK };
-        self.time_to_next_look().min(longest)
+        let items_waiting = self.start_items();
+        let longest = if items_waiting {
+            START_RETRY_INTERVAL
+        } else {
+            MAX_TICK
+        };
+        self.time_to_next_tick().min(longest)
     }
 
     /// Tells the engines of the runs that have ended.
-    fn take_run_ends(&self) {
+    fn apply_run_ends(&self) {
         for (id, ended) in self.runs.take_ended() {
             let Some(group) = self.group(id) else {
                 continue;
@@ -222,7 +226,7 @@
     }
 
     /// Gives time to the groups that are due for it, and reports what changed.
-    fn look_at_groups(self: &Rc<Self>) {
+    fn tick_due_groups(self: &Rc<Self>) {
         let now_ms = self.clock.now_ms();
         let disk_ready = self.journal.is_ready(now_ms);
         let due: Vec<Rc<GroupEngine>> = self
@@ -235,13 +239,13 @@
                 engine.set_disk_ready(disk_ready);
                 engine.on_timer(now_ms);
             });
-            self.drive_quota(group);
-            group.waiting.sweep();
+            self.advance_quota(group);
+            group.waiting.remove_unused();
             self.activity
-                .engine_counted(group.note_look(self.clock.now_ms()));
+                .add_engine_counts(group.finish_tick(self.clock.now_ms()));
         }
         if !due.is_empty() {
-            self.activity.note_part(self.part());
+            self.activity.set_summary(self.summary());
             self.activity
                 .log_if_due(|| self.journal.take_longest_sync());
         }
@@ -254,7 +258,7 @@
     }
 
     /// This store's part in all groups, as of the last looks at them.
-    fn part(&self) -> StoreSummary {
+    fn summary(&self) -> StoreSummary {
         let mut part = StoreSummary::default();
         for group in self.groups.borrow().values() {
             group.add_to(&mut part);
@@ -278,12 +282,12 @@
     }
 
     /// Time until a group is due for a look.
-    fn time_to_next_look(&self) -> Duration {
+    fn time_to_next_tick(&self) -> Duration {
         let next_ms = self
             .groups
             .borrow()
             .values()
-            .map(|group| group.next_look_ms())
+            .map(|group| group.next_tick_ms())
             .min();
         let pause_ms = next_ms.map_or(u64::MAX, |at| at.saturating_sub(self.clock.now_ms()).max(1));
         Duration::from_millis(pause_ms)
@@ -294,7 +298,9 @@
     /// writes.
     pub fn remove_left_groups(&self, now_ms: u64) {
         let groups = self.groups();
-        if !groups.iter().any(|group| group.may_be_dropped(now_ms)) || !self.may_forget(now_ms) {
+        if !groups.iter().any(|group| group.may_be_dropped(now_ms))
+            || !self.can_remove_groups(now_ms)
+        {
             return;
         }
         for group in groups.iter().filter(|group| group.may_be_dropped(now_ms)) {
@@ -310,7 +316,7 @@
     }
 
     /// Whether the tables are surely the newest, and the disk takes a snapshot.
-    fn may_forget(&self, now_ms: u64) -> bool {
+    fn can_remove_groups(&self, now_ms: u64) -> bool {
         let is_validated = self
             .validated_until_ms()
             .is_some_and(|until_ms| now_ms < until_ms);
@@ -324,28 +330,28 @@
 
     /// Takes a group with its engine in.
     fn add_group(&self, id: GroupId, mut engine: Engine) -> Rc<GroupEngine> {
-        engine.set_status_ms(u64::try_from(self.status.as_millis()).unwrap_or(u64::MAX));
+        engine.set_status_ms(u64::try_from(self.status_retention.as_millis()).unwrap_or(u64::MAX));
         let group = Rc::new(GroupEngine::new(id, engine));
         self.groups.borrow_mut().insert(id, group.clone());
         group
     }
 
     /// A group of which nothing was here, at the newest tables.
-    fn make_group(&self, id: GroupId) -> Option<Rc<GroupEngine>> {
+    fn create_group(&self, id: GroupId) -> Option<Rc<GroupEngine>> {
         // Without anything to restore this can't fail.
         let engine = Engine::restore(self.disk, self.clock.now_ms(), None, &[]).ok()?;
         let group = self.add_group(id, engine);
         let control = self.control.borrow().clone();
         let routes = self.routes.borrow().clone();
-        self.hand_tables(&group, &control, &routes);
+        self.apply_tables_to(&group, &control, &routes);
         Some(group)
     }
 
     /// A message of another store.
     pub fn handle_notice(&self, notice: ReplicationNotice) {
-        self.follow_tables();
+        self.refresh_tables();
         let known = self.group(notice.group);
-        let Some(group) = known.or_else(|| self.make_for(&notice)) else {
+        let Some(group) = known.or_else(|| self.create_group_for(&notice)) else {
             return;
         };
         self.check_groups_of_jobs(&notice);
@@ -369,12 +375,16 @@
     }
 
     /// The group of a primary's message, which may come before the tables that name this store.
-    fn make_for(&self, notice: &ReplicationNotice) -> Option<Rc<GroupEngine>> {
+    fn create_group_for(&self, notice: &ReplicationNotice) -> Option<Rc<GroupEngine>> {
         let count = self.control.borrow().groups.len();
-        let bound = if count > 0 { count } else { MOST_GROUPS_UNTOLD };
-        let may_make = is_of_primary(&notice.message) && notice.group.index() < bound;
-        if may_make {
-            self.make_group(notice.group)
+        let bound = if count > 0 {
+            count
+        } else {
+            MAX_GROUPS_BEFORE_TABLES
+        };
+        let may_create = is_from_primary(&notice.message) && notice.group.index() < bound;
+        if may_create {
+            self.create_group(notice.group)
         } else {
             None
         }
@@ -383,7 +393,7 @@
     /// Takes the newest tables and the core's newest word on them in, in this order: the word validates the newest
     /// tables.
     pub(super) fn validate(&self, group: &GroupEngine) {
-        self.follow_tables();
+        self.refresh_tables();
         if let Some(until_ms) = self.validated_until_ms() {
             group.set_validated_until(until_ms);
         }
@@ -399,15 +409,15 @@
     }
 
     /// Takes newer tables in.
-    pub(super) fn follow_tables(&self) {
+    pub(super) fn refresh_tables(&self) {
         let changed = self.snapshots.borrow().has_changed().unwrap_or(false);
         if changed {
             let snapshot = self.snapshots.borrow_mut().borrow_and_update().clone();
-            self.take_tables(&snapshot);
+            self.apply_tables(&snapshot);
         }
     }
 
-    fn take_tables(&self, snapshot: &Snapshot) {
+    fn apply_tables(&self, snapshot: &Snapshot) {
         if !snapshot.validated || Arc::ptr_eq(&self.control.borrow(), &snapshot.control) {
             return;
         }
@@ -416,19 +426,19 @@
         let routes = Rc::new(routes_of(&control));
         self.routes.replace(routes.clone());
         for (id, group) in control.numbered_groups() {
-            self.note_addresses(group);
-            if names(group, self.disk) && self.group(id).is_none() {
-                self.make_group(id);
+            self.update_addresses(group);
+            if includes_disk(group, self.disk) && self.group(id).is_none() {
+                self.create_group(id);
             }
         }
         for group in self.groups() {
-            self.hand_tables(&group, &control, &routes);
-            self.carry_out(&group);
+            self.apply_tables_to(&group, &control, &routes);
+            self.process_outputs(&group);
         }
     }
 
     /// Hands the newest tables to one group.
-    fn hand_tables(
+    fn apply_tables_to(
         &self,
         group: &GroupEngine,
         control: &ControlView,
@@ -436,22 +446,22 @@
     ) {
         let now_ms = self.clock.now_ms();
         if let Some(config) = &control.config {
-            group.take_routes(now_ms, config.config_version, routes);
+            group.set_routes(now_ms, config.config_version, routes);
         }
         let Some(tables) = control.group(group.id) else {
             return;
         };
-        if group.take_group(now_ms, self.disk, tables) {
-            self.woken.notify_one();
+        if group.set_group(now_ms, self.disk, tables) {
+            self.wake_signal.notify_one();
         }
         group.call(now_ms, |engine, now_ms| {
             group
                 .quota
-                .take_tables(now_ms, engine, group.id, control, routes);
+                .apply_tables(now_ms, engine, group.id, control, routes);
         });
     }
 
-    fn note_addresses(&self, group: &BatchGroup) {
+    fn update_addresses(&self, group: &BatchGroup) {
         let mut addresses = self.addresses.borrow_mut();
         for member in group.members.iter().chain(&group.learners) {
             addresses.insert(member.disk, member.node.internal.0);
@@ -459,19 +469,19 @@
     }
 
     /// Does what a group's engine asks for.
-    pub(super) fn carry_out(&self, group: &GroupEngine) {
-        group.carry_out(|output| self.do_one(group, output));
+    pub(super) fn process_outputs(&self, group: &GroupEngine) {
+        group.process_outputs(|output| self.process_output(group, output));
     }
 
-    fn do_one(&self, group: &GroupEngine, output: Output) {
+    fn process_output(&self, group: &GroupEngine, output: Output) {
         match output {
             Output::Send { to, message } => self.send(group.id, to, message),
             Output::Write { ticket, records } => self.write(group, ticket, &records),
             Output::Resolved { token, outcome } => {
-                self.activity.resolved(group.id, token, outcome);
-                group.waiting.ended(token, outcome);
+                self.activity.record_resolved(group.id, token, outcome);
+                group.waiting.resolve(token, outcome);
             }
-            Output::Readable(job) => group.waiting.readable(&job),
+            Output::Readable(job) => group.waiting.notify_readable(&job),
             Output::CancelRun(run) => self.runs.cancel(RunKey {
                 group: group.id,
                 run,
@@ -485,7 +495,7 @@
             .iter()
             .map(|record| tag_record(group.id, record))
             .collect();
-        group.note_appended(ticket);
+        group.record_appended(ticket);
         self.journal.append(
             now_ms,
             GroupTicket {
@@ -527,7 +537,7 @@
 
     /// Has the main loop look at the groups soon.
     pub fn wake(&self) {
-        self.woken.notify_one();
+        self.wake_signal.notify_one();
     }
 }
 
@@ -552,7 +562,7 @@
         let Some(group) = self.0.group(written.group) else {
             return;
         };
-        group.note_written(written.ticket);
+        group.record_written(written.ticket);
         self.0.with_group(&group, |engine, now_ms| {
             engine.on_written(now_ms, written.ticket);
         });
@@ -561,7 +571,7 @@
 
 impl NodeJournal {
     /// Tells the engines of the ends of their writes until the future is dropped.
-    pub async fn follow(self, ends: WriteEnds) {
-        self.0.journal.follow(ends, &self).await;
+    pub async fn process_completions(self, ends: WriteCompletions) {
+        self.0.journal.process_completions(ends, &self).await;
     }
 }
--- a/alderhollow/src/store/quota_exchange.rs
+++ b/alderhollow/src/store/quota_exchange.rs
@@ -1,7 +1,7 @@
 //! Carries reports and grants of the shared limits of waiting tokens between the stores, over the internal network.
 
 use super::group_engine::GroupEngine;
-use super::group_quota::{home_of, shares_limits, Answered};
+use super::group_quota::{home_group_of, shares_limits, SubmitResponse};
 use super::node::StoreNode;
 use crate::batch_protocol::{StoreAnswer, StoreCall, StoreReply};
 use crate::internal::ServiceId;
@@ -14,16 +14,16 @@
 use std::time::Duration;
 
 /// A report that has no answer for so long is lost.
-const ANSWER_PATIENCE: Duration = Duration::from_millis(ANSWER_TIMEOUT_MS);
+const GRANT_TIMEOUT: Duration = Duration::from_millis(ANSWER_TIMEOUT_MS);
 
 /// Takes a submission out of the line when its client goes.
-struct InLine<'a> {
+struct QueueGuard<'a> {
     group: &'a GroupEngine,
     route: String,
     id: SubmissionId,
 }
 
-impl Drop for InLine<'_> {
+impl Drop for QueueGuard<'_> {
     fn drop(&mut self) {
         self.group.quota.withdraw(&self.route, self.id);
     }
@@ -44,7 +44,7 @@
         if !self.shares_quota() {
             return false;
         }
-        self.drive_quota(group);
+        self.advance_quota(group);
         self.read_group(group, |engine, now_ms| {
             group.quota.must_wait(engine, now_ms, job)
         })
@@ -54,23 +54,23 @@
     pub(super) async fn submit_with_room(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
-        try_id: SubmissionAttemptId,
+        attempt_id: SubmissionAttemptId,
         job: NewJob,
-    ) -> Answered {
-        let unsure = Answered {
+    ) -> SubmitResponse {
+        let unsure = SubmitResponse {
             submitted: SubmitOutcome::NotSure,
             end: None,
         };
         let route = job.route.clone();
-        let Some(queued) = group.quota.queue(self.clock.now_ms(), try_id, job) else {
+        let Some(queued) = group.quota.queue_job(self.clock.now_ms(), attempt_id, job) else {
             return unsure;
         };
-        let _in_line = InLine {
+        let _guard = QueueGuard {
             group,
             route,
             id: queued.id,
         };
-        self.drive_quota(group);
+        self.advance_quota(group);
         queued.answer.await.unwrap_or(unsure)
     }
 
@@ -79,15 +79,17 @@
     pub(super) async fn offer_with_room(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
-        try_id: SubmissionAttemptId,
+        attempt_id: SubmissionAttemptId,
         offer: &JobOffer<'_>,
     ) -> OfferOutcome {
         if self.shares_quota() {
-            self.drive_quota(group);
+            self.advance_quota(group);
         }
-        let offered = self.with_group(group, |engine, now_ms| engine.offer(now_ms, try_id, offer));
+        let offered = self.with_group(group, |engine, now_ms| {
+            engine.offer(now_ms, attempt_id, offer)
+        });
         match offered {
-            OfferOutcome::BeyondLimit => self.await_room_for_offer(group, try_id, offer).await,
+            OfferOutcome::BeyondLimit => self.await_room_for_offer(group, attempt_id, offer).await,
             _ => offered,
         }
     }
@@ -96,30 +98,33 @@
     async fn await_room_for_offer(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
-        try_id: SubmissionAttemptId,
+        attempt_id: SubmissionAttemptId,
         offer: &JobOffer<'_>,
     ) -> OfferOutcome {
-        let Some(queued) = group.quota.queue_offer(self.clock.now_ms(), try_id, offer) else {
+        let Some(queued) = group
+            .quota
+            .queue_offer(self.clock.now_ms(), attempt_id, offer)
+        else {
             return OfferOutcome::NotSure;
         };
-        let _in_line = InLine {
+        let _guard = QueueGuard {
             group,
             route: offer.route.to_owned(),
             id: queued.id,
         };
-        self.drive_quota(group);
+        self.advance_quota(group);
         queued.answer.await.unwrap_or(OfferOutcome::NotSure)
     }
 
     /// Opens a group's accounts, settles what waits at them and sends the reports that are due.
-    pub(super) fn drive_quota(self: &Rc<Self>, group: &Rc<GroupEngine>) {
+    pub(super) fn advance_quota(self: &Rc<Self>, group: &Rc<GroupEngine>) {
         self.validate(group);
         let control = self.control.borrow().clone();
         if !shares_limits(&control) {
             return;
         }
         let now_ms = self.clock.now_ms();
-        if !group.read(now_ms, |engine, _| group.quota.is_of_session(engine)) {
+        if !group.read(now_ms, |engine, _| group.quota.matches_session(engine)) {
             group.quota.end_session();
             return;
         }
@@ -132,22 +137,22 @@
             });
         }
         let reports = group.call(now_ms, |engine, now_ms| {
-            group.quota.drive(now_ms, engine, &group.waiting)
+            group.quota.advance(now_ms, engine, &group.waiting)
         });
-        self.carry_out(group);
+        self.process_outputs(group);
         if group.quota.has_waiting() {
             self.wake();
         }
         for report in reports {
-            tokio::task::spawn_local(exchange(self.clone(), group.clone(), report));
+            tokio::task::spawn_local(exchange_report(self.clone(), group.clone(), report));
         }
     }
 
     /// Answers a report as the coordinator of its route; `None` if this store can't tell now.
     pub fn serve_quota(&self, report: &QuotaReport) -> Option<QuotaGrant> {
-        self.follow_tables();
+        self.refresh_tables();
         let control = self.control.borrow().clone();
-        let group = self.group(home_of(&control, &report.route))?;
+        let group = self.group(home_group_of(&control, &report.route))?;
         let session = self.read_group(&group, |engine, now_ms| {
             engine
                 .session()
@@ -165,7 +170,7 @@
         is_in_tables.then(|| {
             group
                 .quota
-                .coordinate(now_ms, session, &control, max, report)
+                .handle_report(now_ms, session, &control, max, report)
         })
     }
 
@@ -179,7 +184,7 @@
         let to = coordinator.node.internal.0;
         let answer = self
             .network
-            .call(to, ServiceId::Batch, payload, ANSWER_PATIENCE)
+            .call(to, ServiceId::Batch, payload, GRANT_TIMEOUT)
             .await
             .ok()?;
         match minicbor::decode::<StoreAnswer>(&answer).ok()?.reply {
@@ -192,14 +197,14 @@
     fn coordinator_of(&self, route: &str) -> Option<GroupMember> {
         let control = self.control.borrow();
         control
-            .group(home_of(&control, route))?
+            .group(home_group_of(&control, route))?
             .primary_member()
             .cloned()
     }
 }
 
 /// Sends a report and takes its answer.
-async fn exchange(node: Rc<StoreNode>, group: Rc<GroupEngine>, report: QuotaReport) {
+async fn exchange_report(node: Rc<StoreNode>, group: Rc<GroupEngine>, report: QuotaReport) {
     let grant = node.ask_coordinator(&report).await;
     node.validate(&group);
     let now_ms = node.clock.now_ms();
@@ -207,10 +212,10 @@
         Some(grant) => group.call(now_ms, |engine, now_ms| {
             group
                 .quota
-                .take_answer(now_ms, engine, &group.waiting, &report.route, &grant);
+                .on_grant_received(now_ms, engine, &group.waiting, &report.route, &grant);
         }),
-        None => group.quota.answer_lost(now_ms, &report.route, report.id),
+        None => group.quota.on_answer_lost(now_ms, &report.route, report.id),
     }
-    node.carry_out(&group);
-    node.drive_quota(&group);
+    node.process_outputs(&group);
+    node.advance_quota(&group);
 }
--- a/alderhollow/src/store/replication.rs
+++ b/alderhollow/src/store/replication.rs
@@ -40,7 +40,7 @@
 }
 
 /// Whether a message is one that a primary sends to its members.
-pub fn is_of_primary(message: &Message) -> bool {
+pub fn is_from_primary(message: &Message) -> bool {
     match message {
         Message::Compare { .. } | Message::Entries { .. } => true,
         Message::Differences { .. }
--- a/alderhollow/src/store/role.rs
+++ b/alderhollow/src/store/role.rs
@@ -25,13 +25,13 @@
 use tokio::sync::watch;
 
 /// Kept of the time between SIGTERM and SIGKILL.
-const END_MARGIN: Duration = Duration::from_millis(1_500);
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(1_500);
 /// Longest wait for other stores to take the groups over.
-const LONGEST_HANDOVER: Duration = Duration::from_millis(4_000);
+const MAX_HANDOVER_WAIT: Duration = Duration::from_millis(4_000);
 /// After others have taken over, calls that are under way get their answers.
-const LAST_ANSWERS: Duration = Duration::from_millis(400);
+const DRAIN_TIME: Duration = Duration::from_millis(400);
 /// How often a leaving store looks whether it leads no group any more.
-const HANDOVER_LOOK: Duration = Duration::from_millis(50);
+const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
 /// Runs a store until it is told to end. To be run in a `LocalSet`.
 ///
@@ -41,14 +41,15 @@
     let hangups = reload::hangups()?;
     let shared = Node::new(&settings);
     let (engines, disk, journal) = open_disk(&settings, &shared)?;
-    let (journal, write_ends) = JournalQueue::new(Writer::start(journal)?, settings.limits.disk_mb);
+    let (journal, write_completions) =
+        JournalQueue::new(Writer::start(journal)?, settings.limits.disk_mb);
     let exchange = shared.begin_exchanges(&settings);
     let executor = Executor::new(shared.clock, exchange.clone());
     let parts = NodeParts {
         disk,
         clock: shared.clock,
         engines,
-        status: settings.bounds.status,
+        status_retention: settings.bounds.status,
         journal,
         runs: Runs::new(executor),
         network: shared.network.clone(),
@@ -80,11 +81,11 @@
     services.register(ServiceId::Status, Rc::new(StatusHandler(status)));
     shared.join(info, None, backends, services).await?;
     tokio::select! {
-        () = NodeJournal(node.clone()).follow(write_ends) => Ok(()),
+        () = NodeJournal(node.clone()).process_completions(write_completions) => Ok(()),
         () = node.clone().run() => Ok(()),
         () = exchange.keep_in_order() => Ok(()),
         () = reload::follow(shared.clone(), Role::Store, hangups) => Ok(()),
-        result = ending(&node, &shared.poll_state, settings.bounds.grace) => Ok(result?),
+        result = shut_down_on_sigterm(&node, &shared.poll_state, settings.bounds.grace) => Ok(result?),
     }
 }
 
@@ -114,16 +115,20 @@
 }
 
 /// Waits for SIGTERM, then until this store leads no group any more.
-async fn ending(node: &Rc<StoreNode>, poll: &PollState, grace: Duration) -> io::Result<()> {
+async fn shut_down_on_sigterm(
+    node: &Rc<StoreNode>,
+    poll: &PollState,
+    grace: Duration,
+) -> io::Result<()> {
     terminated().await?;
     log::info!("told to end");
     poll.leave();
     let until =
-        tokio::time::Instant::now() + grace.saturating_sub(END_MARGIN).min(LONGEST_HANDOVER);
+        tokio::time::Instant::now() + grace.saturating_sub(SHUTDOWN_MARGIN).min(MAX_HANDOVER_WAIT);
     while node.is_primary() && tokio::time::Instant::now() < until {
-        tokio::time::sleep(HANDOVER_LOOK).await;
+        tokio::time::sleep(HANDOVER_POLL_INTERVAL).await;
     }
-    tokio::time::sleep(LAST_ANSWERS).await;
+    tokio::time::sleep(DRAIN_TIME).await;
     log::info!("ends");
     Ok(())
 }
--- a/alderhollow/src/store/runs.rs
+++ b/alderhollow/src/store/runs.rs
@@ -84,7 +84,7 @@
         self.ended.take()
     }
 
-    fn note_end(&self, key: RunKey, end: RunEnd) {
+    fn record_end(&self, key: RunKey, end: RunEnd) {
         if self.running.borrow_mut().remove(&key).is_some() {
             metrics::get().store.run_ended(RunEndKind::from(&end));
             let ended = EndedRun { run: key.run, end };
@@ -102,7 +102,7 @@
     let end = executor
         .run_permitted(&item, &|| node.may_start(&group))
         .await;
-    node.runs.note_end(
+    node.runs.record_end(
         RunKey {
             group: group.id,
             run: item.run,
--- a/alderhollow/src/store/waiting.rs
+++ b/alderhollow/src/store/waiting.rs
@@ -16,7 +16,7 @@
 
 impl Waiting {
     /// Waits for the end of an operation. The receiver fails if the end is never told.
-    pub fn for_end(&self, token: Token) -> oneshot::Receiver<Outcome> {
+    pub fn wait_for_outcome(&self, token: Token) -> oneshot::Receiver<Outcome> {
         let (sender, receiver) = oneshot::channel();
         self.ends
             .borrow_mut()
@@ -27,7 +27,7 @@
     }
 
     /// An operation has ended.
-    pub fn ended(&self, token: Token, outcome: Outcome) {
+    pub fn resolve(&self, token: Token, outcome: Outcome) {
         for sender in self.ends.borrow_mut().remove(&token).unwrap_or_default() {
             // A caller that has gone wants no answer.
             let _ = sender.send(outcome);
@@ -35,7 +35,7 @@
     }
 
     /// What is told when something of the job became readable.
-    pub fn for_results(&self, job: &JobId) -> Rc<Notify> {
+    pub fn results_notify(&self, job: &JobId) -> Rc<Notify> {
         self.readers
             .borrow_mut()
             .entry(job.clone())
@@ -44,7 +44,7 @@
     }
 
     /// Something of the job became readable.
-    pub fn readable(&self, job: &JobId) {
+    pub fn notify_readable(&self, job: &JobId) {
         if let Some(notify) = self.readers.borrow_mut().remove(job) {
             notify.notify_waiters();
         }
@@ -58,7 +58,7 @@
     }
 
     /// Drops what nobody waits for any more.
-    pub fn sweep(&self) {
+    pub fn remove_unused(&self) {
         self.readers
             .borrow_mut()
             .retain(|_, notify| Rc::strong_count(notify) > 1);
--- a/alderhollow/tests/store/tier.rs
+++ b/alderhollow/tests/store/tier.rs
@@ -75,7 +75,7 @@
             disk: id,
             clock,
             engines,
-            status: STATUS,
+            status_retention: STATUS,
             journal: queue,
             runs: Runs::new(Executor::new(clock, exchange)),
             network: Network::new(number),
@@ -91,7 +91,7 @@
         let tasks = [
             tokio::task::spawn_local(server::serve(listener, services)),
             tokio::task::spawn_local(node.clone().run()),
-            tokio::task::spawn_local(NodeJournal(node.clone()).follow(ends)),
+            tokio::task::spawn_local(NodeJournal(node.clone()).process_completions(ends)),
         ];
         let info = NodeInfo {
             node: format!("store-{number}"),
