--- a/alderhollow/src/store/activity.rs
+++ b/alderhollow/src/store/activity.rs
@@ -1,5 +1,5 @@
-//! What a store did lately, over all its groups: publishes the engines' counts as metrics, and logs one line about each five
-//! seconds in which the store did something for batch jobs.
+//! Recent activity of a store across all its groups. Publishes the engines' counts as metrics, and logs one line for each
+//! interval of five seconds in which the store processed batch jobs.
 
 use crate::metrics;
 use crate::metrics::family::Label;
@@ -14,119 +14,117 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// How often a line is logged.
 const LOG_INTERVAL: Duration = Duration::from_secs(5);
-/// Where the lines stand in the log.
 const LOG_TARGET: &str = "alderhollow::store";
-/// Most times of commits that are kept for a line's median; further ones only count for the longest.
+/// Limit of the commit times that are kept per interval for the median; later ones only count towards the maximum.
 const MAX_COMMIT_SAMPLES: usize = 4_096;
 const SERVICE_COUNT: usize = Service::ALL.len();
 
-/// What a store did lately.
+/// Recent activity of a store.
 #[derive(Default)]
 pub struct Activity {
-    /// Acceptances whose commit is under way.
+    /// Accepted jobs whose commit is pending, with the time of acceptance.
     pending: RefCell<HashMap<PendingAcceptance, Instant>>,
     commits: RefCell<CommitTimes>,
     published: Cell<EngineCounts>,
-    part: Cell<StoreSummary>,
-    logged: RefCell<Option<LastLog>>,
+    summary: Cell<StoreSummary>,
+    last_log: RefCell<Option<LastLog>>,
 }
 
-/// Names an acceptance whose commit is under way.
+/// Identifies an accepted job whose commit is pending.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 struct PendingAcceptance {
     group: GroupId,
     token: Token,
 }
 
-/// A store's part in all groups.
+/// Totals over the groups of a store.
 #[derive(Debug, Clone, Copy, Default, PartialEq, Eq)]
 pub struct StoreSummary {
-    /// Groups of which it has an engine.
+    /// Groups that have an engine at this store.
     pub groups: usize,
-    /// Those that it leads.
+    /// Groups of which this store is the primary.
     pub led: usize,
-    /// Those that it leads, with an active epoch.
+    /// Groups of which this store is the primary in an active epoch.
     pub active: usize,
-    /// The newest epoch of any of them.
+    /// Highest epoch of any group.
     pub newest_epoch: u64,
-    /// Items that wait for a run.
+    /// Items that wait to be run.
     pub waiting: usize,
-    /// Items that run.
+    /// Items that are running.
     pub running: usize,
 }
 
-/// The last line that was logged, or could have been.
+/// State at the end of the previous log interval, whether or not a line was logged.
 struct LastLog {
     at: Instant,
     totals: Totals,
 }
 
 impl Activity {
-    /// The commit of an acceptance is under way; whether that is news.
+    /// Records an accepted job whose commit is pending. Returns whether it was not recorded yet.
     pub fn record_accepted(&self, group: GroupId, token: Token) -> bool {
         let mut pending = self.pending.borrow_mut();
-        let known = pending.len();
+        let previous_len = pending.len();
         pending
             .entry(PendingAcceptance { group, token })
             .or_insert_with(Instant::now);
-        pending.len() > known
+        pending.len() > previous_len
     }
 
-    /// An operation has ended.
+    /// Records the outcome of an operation.
     pub fn record_resolved(&self, group: GroupId, token: Token, outcome: Outcome) {
         let acceptance = PendingAcceptance { group, token };
         let Some(accepted_at) = self.pending.borrow_mut().remove(&acceptance) else {
             return;
         };
         if outcome == Outcome::Committed {
-            let after = accepted_at.elapsed();
-            metrics::get().store.committed(after);
-            self.commits.borrow_mut().record(after);
+            let latency = accepted_at.elapsed();
+            metrics::get().store.committed(latency);
+            self.commits.borrow_mut().record(latency);
         }
     }
 
-    /// Adds what an engine counted since it was last asked.
+    /// Adds the counts of an engine since its previous report.
     pub fn add_engine_counts(&self, counts: EngineCounts) {
         self.published.set(self.published.get() + counts);
         metrics::get().store.engine_counted(counts);
     }
 
-    /// Notes the store's part in all groups.
-    pub fn set_summary(&self, part: StoreSummary) {
-        self.part.set(part);
-        metrics::get().store.part(&part);
+    /// Sets the current totals over all groups.
+    pub fn set_summary(&self, summary: StoreSummary) {
+        self.summary.set(summary);
+        metrics::get().store.part(&summary);
     }
 
-    /// Logs a line if it is time and something was done since the last one.
+    /// Logs a line if the interval has passed and the store was not idle.
     pub fn log_if_due(&self, take_longest_sync: impl FnOnce() -> Duration) {
         if let Some(line) = self.line_if_due(take_longest_sync) {
             log::info!(target: LOG_TARGET, "{line}");
         }
     }
 
-    /// The line to log. The first look only begins the first period.
+    /// Returns the line to log, if one is due. The first call only starts the first interval.
     fn line_if_due(&self, take_longest_sync: impl FnOnce() -> Duration) -> Option<String> {
         let now = Instant::now();
-        let mut logged = self.logged.borrow_mut();
-        if logged
+        let mut last_log = self.last_log.borrow_mut();
+        if last_log
             .as_ref()
             .is_some_and(|last| now < last.at + LOG_INTERVAL)
         {
             return None;
         }
         let totals = Totals::now(self.published.get());
-        let earlier = logged.replace(LastLog { at: now, totals });
+        let earlier = last_log.replace(LastLog { at: now, totals });
         let commits = self.commits.take();
         let longest_sync_ms = take_longest_sync().as_millis();
-        let done = totals.since(&earlier?.totals);
-        let part = self.part.get();
-        if done.is_idle() && part.waiting + part.running == 0 {
+        let delta = totals.since(&earlier?.totals);
+        let summary = self.summary.get();
+        if delta.is_idle() && summary.waiting + summary.running == 0 {
             return None;
         }
         Some(format!(
-            "{done}, {part}, {commits}, sync max {longest_sync_ms} ms"
+            "{delta}, {summary}, {commits}, sync max {longest_sync_ms} ms"
         ))
     }
 }
@@ -149,7 +147,7 @@
     }
 }
 
-/// Times of commits.
+/// Times from acceptance to commit within one log interval.
 #[derive(Default)]
 struct CommitTimes {
     times: Vec<Duration>,
@@ -157,10 +155,10 @@
 }
 
 impl CommitTimes {
-    fn record(&mut self, after: Duration) {
-        self.longest = self.longest.max(after);
+    fn record(&mut self, latency: Duration) {
+        self.longest = self.longest.max(latency);
         if self.times.len() < MAX_COMMIT_SAMPLES {
-            self.times.push(after);
+            self.times.push(latency);
         }
     }
 
@@ -182,7 +180,7 @@
     }
 }
 
-/// Counts since the start, or between two moments.
+/// Counts since the start of the process, or between two points in time.
 #[derive(Debug, Clone, Copy, Default)]
 struct Totals {
     accepted: u64,
@@ -194,7 +192,7 @@
 }
 
 impl Totals {
-    /// Since the start of the process.
+    /// Returns the counts since the start of the process.
     fn now(engine: EngineCounts) -> Totals {
         let metrics = metrics::get();
         let by_service = |bytes: &dyn Fn(Service) -> u64| {
@@ -214,7 +212,7 @@
         }
     }
 
-    /// What was added since an earlier moment.
+    /// Returns the difference to earlier counts.
     fn since(&self, earlier: &Totals) -> Totals {
         Totals {
             accepted: self.accepted.saturating_sub(earlier.accepted),
@@ -226,7 +224,7 @@
         }
     }
 
-    /// Whether nothing was done for batch jobs.
+    /// Whether no batch or replication traffic and no listed items were counted.
     fn is_idle(&self) -> bool {
         let bytes = |service: Service| {
             self.sent_bytes[service.index()] + self.received_bytes[service.index()]
@@ -264,16 +262,16 @@
     differences
 }
 
-/// Kilobytes by service, where there are any.
+/// Formats kilobytes by service; services without traffic are left out.
 struct BytesByService<'a>(&'a [u64; SERVICE_COUNT]);
 
 impl fmt::Display for BytesByService<'_> {
     fn fmt(&self, formatter: &mut fmt::Formatter<'_>) -> fmt::Result {
-        let moved = Service::ALL
+        let nonzero = Service::ALL
             .iter()
             .zip(self.0)
             .filter(|(_, bytes)| **bytes > 0);
-        let parts: Vec<String> = moved
+        let parts: Vec<String> = nonzero
             .map(|(service, bytes)| format!("{} {} kB", service.value(), bytes.div_ceil(1_000)))
             .collect();
         write!(formatter, "({})", parts.join(" "))
--- a/alderhollow/src/store/activity/tests.rs
+++ b/alderhollow/src/store/activity/tests.rs
@@ -1,4 +1,5 @@
-//! All tests of this crate's parts share the process's metrics: none of the others may move bytes of batch jobs or of replication.
+//! The unit tests of this crate share the metrics of one process: no other unit test may count bytes of the batch or
+//! replication service.
 
 use super::{Activity, StoreSummary, LOG_INTERVAL};
 use alderhollow_batch::api::{Outcome, Token};
@@ -7,7 +8,7 @@
 use std::time::Duration;
 use tokio::time::advance;
 
-const SYNC: Duration = Duration::from_millis(7);
+const LONGEST_SYNC: Duration = Duration::from_millis(7);
 
 fn counts(items_listed: u64, retries: u64) -> EngineCounts {
     EngineCounts {
@@ -21,7 +22,7 @@
 
 const GROUP: GroupId = GroupId(3);
 
-fn part(waiting: usize, running: usize) -> StoreSummary {
+fn summary(waiting: usize, running: usize) -> StoreSummary {
     StoreSummary {
         groups: 4,
         led: 2,
@@ -33,36 +34,40 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_line_tells_what_was_done_in_its_period_and_none_comes_when_idle() {
+async fn a_line_reports_its_interval_and_none_is_logged_when_idle() {
     let activity = Activity::default();
     activity.add_engine_counts(counts(10, 1));
-    activity.set_summary(part(0, 0));
+    activity.set_summary(summary(0, 0));
     assert_eq!(
-        activity.line_if_due(|| SYNC),
+        activity.line_if_due(|| LONGEST_SYNC),
         None,
-        "the first look begins the period"
+        "the first call starts the interval"
     );
 
     activity.add_engine_counts(counts(3, 2));
-    activity.set_summary(part(5, 2));
+    activity.set_summary(summary(5, 2));
     for (token, commit_ms) in [(1, 30), (2, 40), (3, 900)] {
         assert!(activity.record_accepted(GROUP, Token(token)));
         assert!(
             !activity.record_accepted(GROUP, Token(token)),
-            "it is known"
+            "it is already recorded"
         );
         assert!(
             activity.record_accepted(GroupId(4), Token(token)),
-            "another group's"
+            "the same token in another group"
         );
         activity.record_resolved(GroupId(4), Token(token), Outcome::Unknown);
         advance(Duration::from_millis(commit_ms)).await;
         activity.record_resolved(GROUP, Token(token), Outcome::Committed);
     }
-    assert_eq!(activity.line_if_due(|| SYNC), None, "too early");
+    assert_eq!(
+        activity.line_if_due(|| LONGEST_SYNC),
+        None,
+        "the interval has not passed"
+    );
     advance(LOG_INTERVAL).await;
-    let line = activity.line_if_due(|| SYNC).expect("a line");
-    for part in [
+    let line = activity.line_if_due(|| LONGEST_SYNC).expect("a line");
+    for expected in [
         "listed 3,",
         "retries 2,",
         "waiting 5, running 2,",
@@ -70,16 +75,19 @@
         "commit p50 40 ms max 900 ms,",
         "sync max 7 ms",
     ] {
-        assert!(line.contains(part), "`{part}` is missing in `{line}`");
+        assert!(
+            line.contains(expected),
+            "`{expected}` is missing in `{line}`"
+        );
     }
 
-    activity.set_summary(part(0, 0));
+    activity.set_summary(summary(0, 0));
     advance(LOG_INTERVAL).await;
-    assert_eq!(activity.line_if_due(|| SYNC), None, "idle");
+    assert_eq!(activity.line_if_due(|| LONGEST_SYNC), None, "idle");
 }
 
 #[tokio::test(start_paused = true)]
-async fn an_unknown_end_is_no_commit() {
+async fn an_unknown_outcome_is_not_counted_as_a_commit() {
     let activity = Activity::default();
     assert!(activity.record_accepted(GROUP, Token(1)));
     activity.record_resolved(GROUP, Token(1), Outcome::Unknown);
--- a/alderhollow/src/store/calls.rs
+++ b/alderhollow/src/store/calls.rs
@@ -1,4 +1,4 @@
-//! Serves the gateways' calls at a store.
+//! Handles the gateways' calls at a store.
 
 use super::group_engine::GroupEngine;
 use super::group_quota::{submit_now, End, SubmitResponse};
@@ -20,14 +20,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Most bytes of results in one answer: 1 MB, less the rest of the answer.
+/// Limit of the results in one answer: 1 MB minus room for the rest of the answer.
 const MAX_RESULT_BYTES: usize = 1_000_000 - 256;
-/// Longest hold of a read.
+/// Limit of the time that a read waits for results (long polling).
 const MAX_READ_WAIT_MS: u32 = 5_000;
-/// Longest wait for an operation's end. The gateway asks again.
+/// Limit of the wait for an operation's outcome. The gateway repeats the call after a timeout.
 const OUTCOME_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// The service of gateways' calls.
+/// Request handler of [`ServiceId::Batch`](crate::internal::ServiceId::Batch).
 pub struct CallHandler(pub Rc<StoreNode>);
 
 impl Handler for CallHandler {
@@ -37,13 +37,13 @@
             let call = minicbor::decode(&payload).map_err(|_| Refusal::Malformed)?;
             drop(payload);
             let answer = serve(&node, call).await;
-            // Nothing that was encoded by this program fails to be; a gateway takes this for an unknown end.
+            // Encoding an answer does not fail in practice; a gateway treats an empty answer as an unknown outcome.
             Ok(minicbor::to_vec(answer).unwrap_or_default())
         })
     }
 }
 
-/// Serves one call at the group that keeps its job.
+/// Handles one call at the group that stores its job.
 pub async fn serve(node: &Rc<StoreNode>, call: StoreCall) -> StoreAnswer {
     if let StoreCall::Quota(report) = &call {
         let reply = node
@@ -128,7 +128,7 @@
     StoreAnswer { reply, reading }
 }
 
-/// Tells whether a batch job would be taken.
+/// Answers whether a batch job would be accepted.
 async fn answer_offer(
     node: &Rc<StoreNode>,
     group: &Rc<GroupEngine>,
@@ -154,7 +154,7 @@
     }
 }
 
-/// Hands a batch job in that needs no more room, or is not to be taken anyway.
+/// Submits a batch job that fits the current limit, or that will be rejected anyway.
 fn submit_without_wait(
     node: &StoreNode,
     group: &GroupEngine,
@@ -173,7 +173,7 @@
     })
 }
 
-/// A job that was taken into the count of waiting tokens must fit.
+/// Checks the invariant that a submission that raised the count of waiting tokens is within the limit.
 fn check_quota(engine: &Engine, route: &str, waiting_before: u64) {
     let waiting = engine.waiting_tokens(route);
     let limit = engine
@@ -183,17 +183,17 @@
     invariant::check(
         Invariant::QuotaAtAcceptance,
         waiting <= waiting_before || waiting <= limit,
-        || format!("{waiting} tokens wait on route {route}, of {limit} that may"),
+        || format!("{waiting} tokens wait on route {route}, over its limit of {limit}"),
     );
 }
 
-/// The newest reading of a route's waiting tokens. A group that shares the route's limit with no other notes the batch
-/// job in its meter, with the tokens that did not fit; otherwise the route's coordinator reads.
+/// Returns the newest reading of a route's waiting tokens. With a single group, the batch job is recorded in the group's
+/// meter along with the tokens over the limit. With several groups, the reading comes from the route's coordinator.
 fn quota_reading(
     node: &StoreNode,
     group: &GroupEngine,
     route: &str,
-    beyond: u64,
+    excess_tokens: u64,
 ) -> Option<TenantReading> {
     let now_ms = node.clock.now_ms();
     if node.shares_quota() {
@@ -205,31 +205,31 @@
     group
         .meter
         .borrow_mut()
-        .record(now_ms, epoch, route, waiting, beyond)
+        .record(now_ms, epoch, route, waiting, excess_tokens)
         .map(TenantReading::from)
 }
 
-async fn await_outcome(ended: End) -> StoreReply {
-    let Some(ended) = ended else {
+async fn await_outcome(outcome: End) -> StoreReply {
+    let Some(outcome) = outcome else {
         return StoreReply::Unknown;
     };
-    match tokio::time::timeout(OUTCOME_TIMEOUT, ended).await {
+    match tokio::time::timeout(OUTCOME_TIMEOUT, outcome).await {
         Ok(Ok(Outcome::Committed)) => StoreReply::Committed,
         Ok(Ok(Outcome::Unknown) | Err(_)) | Err(_) => StoreReply::Unknown,
     }
 }
 
 async fn end(node: &StoreNode, group: &GroupEngine, job: &JobId) -> StoreReply {
-    let mut ended = None;
+    let mut outcome = None;
     let answer = node.with_group(group, |engine, now_ms| {
         let answer = engine.end(now_ms, job);
         if let EndOutcome::Pending(token) = answer {
-            ended = Some(group.waiting.wait_for_outcome(token));
+            outcome = Some(group.waiting.wait_for_outcome(token));
         }
         answer
     });
     match answer {
-        EndOutcome::Pending(Token(_)) => await_outcome(ended).await,
+        EndOutcome::Pending(Token(_)) => await_outcome(outcome).await,
         EndOutcome::AlreadyEnded => StoreReply::Committed,
         EndOutcome::NotFound => StoreReply::NotFound,
         EndOutcome::NotPrimary => StoreReply::NotPrimary,
@@ -251,7 +251,7 @@
     })
 }
 
-/// Reads results; waits for a first one as long as the client allows.
+/// Reads results. If there are none yet, waits for the first one up to the client's wait time.
 async fn read(
     node: &StoreNode,
     group: &GroupEngine,
@@ -259,18 +259,18 @@
     after: u32,
     wait_ms: u32,
 ) -> StoreReply {
-    let until = Instant::now() + Duration::from_millis(u64::from(wait_ms.min(MAX_READ_WAIT_MS)));
-    // The main loop drops what this read leaves behind.
+    let deadline = Instant::now() + Duration::from_millis(u64::from(wait_ms.min(MAX_READ_WAIT_MS)));
+    // The main loop removes the notifier that this read registers, once it is unused.
     group.mark_dirty();
     loop {
         let readable = group.waiting.results_notify(job);
         let notified = readable.notified();
         let (reply, may_wait) = read_now(node, group, job, after);
-        if !may_wait || Instant::now() >= until {
+        if !may_wait || Instant::now() >= deadline {
             record_read(&reply);
             return reply;
         }
-        let _ = tokio::time::timeout_at(until, notified).await;
+        let _ = tokio::time::timeout_at(deadline, notified).await;
     }
 }
 
@@ -280,7 +280,7 @@
     }
 }
 
-/// The answer as it is now, and whether another may come.
+/// Returns the answer as of now, and whether waiting may yield a later result.
 fn read_now(node: &StoreNode, group: &GroupEngine, job: &JobId, after: u32) -> (StoreReply, bool) {
     node.read_group(group, |engine, now_ms| {
         match engine.read(now_ms, job, after, MAX_RESULT_BYTES) {
--- a/alderhollow/src/store/mod.rs
+++ b/alderhollow/src/store/mod.rs
@@ -1,21 +1,21 @@
-//! The role `store`: keeps batch jobs on its disk with the other members of the batch groups that it belongs to and, as
-//! the primary of some, serves the gateways' calls and runs the items.
+//! The `store` role: replicates batch jobs to disk together with the other members of its batch groups. For the groups
+//! of which it is the primary, a store also serves the gateways' calls and runs the items.
 //!
-//! | part | does |
+//! | module | responsibility |
 //! | --- | --- |
-//! | [`activity`] | what the store did lately, for a line in the log |
-//! | [`node`] | puts the batch engines on the clock, the network, the disk and the tables |
-//! | [`group_engine`] | one group: its engine, waiting calls and meter |
-//! | [`replication`] | takes the other stores' messages |
-//! | [`routes`] | the batch routes as the engines take them |
-//! | [`journal_records`] | records and snapshots of all groups in one journal |
-//! | [`journal_queue`] | its writes, in order, and their ends; compaction; a disk that fails |
-//! | [`waiting`] | calls that wait for an end or a result |
-//! | [`calls`] | serves the gateways' calls |
-//! | [`group_quota`] | a group's accounts and coordinator of the routes' shared limits of waiting tokens |
-//! | [`quota_exchange`] | carries reports and grants between them over the network |
-//! | [`item_starts`] | chooses the items to start, over all led groups |
-//! | [`runs`] | starts and cancels runs of items |
+//! | [`activity`] | recent activity, as metrics and a periodic log line |
+//! | [`node`] | connects the batch engines to the clock, the network, the disk and the tables |
+//! | [`group_engine`] | one batch group: its engine, waiting calls and meter |
+//! | [`replication`] | receives replication messages from other stores |
+//! | [`routes`] | converts the configured batch routes for the engines |
+//! | [`journal_records`] | format of the journal that all groups share |
+//! | [`journal_queue`] | queue of journal writes; compaction and recovery from disk failures |
+//! | [`waiting`] | calls that wait for an operation's outcome or a result |
+//! | [`calls`] | handles the gateways' calls |
+//! | [`group_quota`] | a group's quota accounts and coordinator for the limits of waiting tokens shared between groups |
+//! | [`quota_exchange`] | exchanges quota reports and grants between stores |
+//! | [`item_starts`] | chooses the next items to run across all groups led by this store |
+//! | [`runs`] | starts and cancels item runs |
 //! | [`role`] | the process's main loop |
 
 pub mod activity;
