--- a/alderhollow/src/store/group_engine.rs
+++ b/alderhollow/src/store/group_engine.rs
@@ -1,5 +1,5 @@
-//! One batch group at this store: its engine, the calls that wait at it, the meter, and what the process's main loop
-//! and journal remember of it.
+//! One batch group at this store: its engine, waiting calls and meter, and the bookkeeping of the main loop and the
+//! journal for it.
 
 use super::activity::StoreSummary;
 use super::group_quota::GroupQuota;
@@ -17,42 +17,42 @@
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
-/// Longest pause between looks at a group that this store leads: time alone changes what it reports.
+/// Maximum interval between ticks of a group that this store leads: its report changes with time alone.
 pub(super) const MAX_TICK_MS: u64 = 200;
-/// A group is dropped so long after the tables stopped to name this store; see `GroupEngine::may_be_dropped`.
+/// Time for which a group is kept after the tables stopped naming this store; see `GroupEngine::may_be_dropped`.
 pub const LEFT_GROUP_RETENTION_MS: u64 = 30_000;
 
-/// One group.
+/// One batch group.
 pub struct GroupEngine {
-    /// Its number.
+    /// The group's id.
     pub id: GroupId,
-    /// Calls that wait.
+    /// Calls that wait for outcomes or results.
     pub waiting: Waiting,
-    /// Readings of waiting tokens, where this group shares the routes' limits with no other.
+    /// Readings of waiting tokens, used while this is the only group.
     pub meter: RefCell<Meter>,
-    /// Its part in the limits that it shares with other groups.
+    /// Quota accounts for the limits shared with other groups.
     pub quota: GroupQuota,
     engine: RefCell<Engine>,
     tables_epoch: Cell<u64>,
     is_processing_outputs: Cell<bool>,
-    /// Whether something may have changed since the last look.
+    /// Whether the group may have changed since the last tick.
     is_dirty: Cell<bool>,
     next_tick_ms: Cell<u64>,
     has_work: Cell<bool>,
     report: RefCell<GroupReport>,
-    /// What the engine had counted at the last look.
-    counted: Cell<EngineCounts>,
-    /// Items that waited and ran at the last look.
+    /// The engine's counts at the last tick.
+    last_counts: Cell<EngineCounts>,
+    /// Waiting and running items at the last tick.
     load: Cell<(usize, usize)>,
     is_led: Cell<bool>,
-    /// Since when the newest tables name this disk neither as a member nor as a learner.
+    /// Since when the newest tables have named this disk neither as a member nor as a learner.
     excluded_since_ms: Cell<Option<u64>>,
     appended: Cell<WriteTicket>,
     written: Cell<WriteTicket>,
 }
 
 impl GroupEngine {
-    /// A group with its engine, as restored.
+    /// Creates a group with a restored engine.
     pub fn new(id: GroupId, engine: Engine) -> GroupEngine {
         GroupEngine {
             id,
@@ -66,7 +66,7 @@
             next_tick_ms: Cell::new(0),
             has_work: Cell::new(false),
             report: RefCell::default(),
-            counted: Cell::default(),
+            last_counts: Cell::default(),
             load: Cell::default(),
             is_led: Cell::new(false),
             excluded_since_ms: Cell::new(None),
@@ -75,23 +75,23 @@
         }
     }
 
-    /// Calls the engine. The main loop looks at the group after that.
+    /// Calls the engine and marks the group for the next tick of the main loop.
     pub(super) fn call<T>(&self, now_ms: u64, call: impl FnOnce(&mut Engine, u64) -> T) -> T {
         self.mark_dirty();
         call(&mut self.engine.borrow_mut(), now_ms)
     }
 
-    /// Looks at the engine only.
+    /// Reads from the engine without marking the group as changed.
     pub(super) fn read<T>(&self, now_ms: u64, read: impl FnOnce(&Engine, u64) -> T) -> T {
         read(&self.engine.borrow(), now_ms)
     }
 
-    /// The core validates this store's tables until this moment.
+    /// Sets the time until which the core has validated this store's tables.
     pub(super) fn set_validated_until(&self, until_ms: u64) {
         self.engine.borrow_mut().set_validated_until(until_ms);
     }
 
-    /// The batch routes of the newest configuration.
+    /// Sets the batch routes of the newest configuration.
     pub(super) fn set_routes(
         &self,
         now_ms: u64,
@@ -103,7 +103,7 @@
         });
     }
 
-    /// The group as the newest tables have it; tells whether the epoch is another one.
+    /// Sets the group's state in the newest tables. Returns whether the epoch changed.
     pub(super) fn set_group(&self, now_ms: u64, disk: DiskId, group: &Arc<BatchGroup>) -> bool {
         self.excluded_since_ms
             .set(match includes_disk(group, disk) {
@@ -121,7 +121,7 @@
         epoch_changed
     }
 
-    /// Carries out what the engine asks for, until there is nothing more.
+    /// Processes the engine's outputs until none are left. Nested calls return at once.
     pub(super) fn process_outputs(&self, mut process_output: impl FnMut(Output)) {
         if self.is_processing_outputs.replace(true) {
             return;
@@ -136,29 +136,29 @@
         self.is_processing_outputs.set(false);
     }
 
-    /// Has the main loop look at the group.
+    /// Marks the group for the next tick of the main loop.
     pub fn mark_dirty(&self) {
         self.is_dirty.set(true);
     }
 
-    /// Whether the main loop should look at the group.
+    /// Whether the group is due for a tick.
     pub(super) fn is_due(&self, now_ms: u64) -> bool {
         self.is_dirty.get() || self.next_tick_ms.get() <= now_ms
     }
 
-    /// Whether a report of the shared limits became due sooner than the main loop would look at the group.
+    /// Whether a quota report became due before the group's next tick.
     pub(super) fn is_quota_due_before_next_tick(&self) -> bool {
         let due_ms = self.quota.next_due_ms(&self.engine.borrow());
         due_ms.is_some_and(|due_ms| due_ms < self.next_tick_ms.get())
     }
 
-    /// When the main loop should look at the group, if nothing touches it before.
+    /// Time of the next tick, unless the group is marked as changed before.
     pub(super) fn next_tick_ms(&self) -> u64 {
         self.next_tick_ms.get()
     }
 
-    /// The main loop has looked at the group: what it reports, and when the next look is due. Gives what the engine counted
-    /// since the look before.
+    /// Ends a tick: updates the group's report and the time of the next tick. Returns the engine's counts since the previous
+    /// tick.
     pub(super) fn finish_tick(&self, now_ms: u64) -> EngineCounts {
         let mut engine = self.engine.borrow_mut();
         let status = engine.status(now_ms);
@@ -185,66 +185,66 @@
         });
         self.is_dirty.set(false);
         let counts = engine.counts();
-        counts - self.counted.replace(counts)
+        counts - self.last_counts.replace(counts)
     }
 
-    /// Adds this group to a store's part in all groups.
-    pub(super) fn add_to(&self, part: &mut StoreSummary) {
+    /// Adds this group to the store's totals.
+    pub(super) fn add_to(&self, summary: &mut StoreSummary) {
         let report = self.report.borrow();
         let (waiting, running) = self.load.get();
-        part.groups += 1;
-        part.led += usize::from(self.is_led.get());
-        part.active += usize::from(report.active);
-        part.newest_epoch = part.newest_epoch.max(report.epoch);
-        part.waiting += waiting;
-        part.running += running;
+        summary.groups += 1;
+        summary.led += usize::from(self.is_led.get());
+        summary.active += usize::from(report.active);
+        summary.newest_epoch = summary.newest_epoch.max(report.epoch);
+        summary.waiting += waiting;
+        summary.running += running;
     }
 
-    /// What the core's primary is told of the group.
+    /// Returns the report on this group for the core's primary.
     pub(super) fn report(&self) -> GroupReport {
         self.report.borrow().clone()
     }
 
-    /// Whether items waited for a start at the last look.
+    /// Whether items waited to be run at the last tick.
     pub(super) fn has_work(&self) -> bool {
         self.has_work.get()
     }
 
-    /// Whether all that this store holds of the group may be dropped.
+    /// Whether this store may delete its copy of the group.
     ///
-    /// The tables are validated: a majority of the core has committed an epoch E that names this disk neither as a
-    /// member nor as a learner. The control state admits as the primary of E, and of each later epoch, only a disk that
-    /// is known to hold everything that was acknowledged (`GroupState::complete`), and that set keeps members of the
-    /// newest epoch only. This disk comes into the set again only after it was a learner of a later epoch and was made
-    /// equal to its primary, as an empty disk would be. A member is left out only if enough others hold everything. So
-    /// nothing that was acknowledged rests on what this disk holds, also while E is not active; the former members that
-    /// a retirement waits for are a margin beyond that. The time is a margin too, for a primary of an earlier epoch
-    /// that still sends: while the tables are in memory the group's epoch is E here, and such a primary is refused.
+    /// This is safe because the tables are validated: a majority of the core has committed an epoch E that names this disk
+    /// neither as a member nor as a learner. The control state admits as the primary of E, and of each later epoch, only a
+    /// disk that is known to hold all acknowledged data (`GroupState::complete`), and that set contains only members of the
+    /// newest epoch. This disk joins the set again only after it was a learner of a later epoch and was synchronized with
+    /// its primary, as an empty disk would be. A member is removed only if enough others hold all data. So no acknowledged
+    /// data depends on this disk, even while E is not active. The former members that a retirement waits for are an
+    /// additional margin. The retention time is a further margin, for a primary of an earlier epoch that still sends: while
+    /// the tables are in memory the group's epoch here is E, and such a primary is rejected.
     ///
-    /// Tables are validated for a while, though: a newer epoch may name this disk again, and its primary may have brought it
-    /// up to date, while the poll that brings the tables is on its way. So a group that follows a newer epoch is kept.
+    /// A validation holds for a limited time, however: a newer epoch may name this disk again, and its primary may have
+    /// synchronized it, before the poll that delivers the tables arrives. So a group that follows a newer epoch is kept.
     ///
-    /// Writes under way have ended: their tickets must not be taken for those of the group's next incarnation at this store.
+    /// No write may be pending: its ticket could be confused with one of the group's next incarnation at this store.
     pub(super) fn may_be_dropped(&self, now_ms: u64) -> bool {
-        let is_over = |left_at: u64| now_ms.saturating_sub(left_at) >= LEFT_GROUP_RETENTION_MS;
-        let has_left = self.excluded_since_ms.get().is_some_and(is_over);
+        let is_expired = |since_ms: u64| now_ms.saturating_sub(since_ms) >= LEFT_GROUP_RETENTION_MS;
+        let has_left = self.excluded_since_ms.get().is_some_and(is_expired);
         let report = self.report.borrow();
         let follows_newer = report.epoch > self.tables_epoch.get();
         has_left && !follows_newer && self.appended.get() == self.written.get() && !report.active
     }
 
-    /// A write was queued.
+    /// Records the ticket of a queued write.
     pub(super) fn record_appended(&self, ticket: WriteTicket) {
         self.appended.set(ticket);
     }
 
-    /// All writes up to this one are on disk.
+    /// Records that all writes up to this ticket are on disk.
     pub(super) fn record_written(&self, ticket: WriteTicket) {
         self.written.set(self.written.get().max(ticket));
     }
 }
 
-/// Whether a group names a disk as a member or a learner.
+/// Whether a group has a disk as a member or a learner.
 pub(super) fn includes_disk(group: &BatchGroup, disk: DiskId) -> bool {
     group
         .members
@@ -253,7 +253,7 @@
         .any(|member| member.disk == disk)
 }
 
-/// What the core's primary is told of a group.
+/// Converts an engine's status to the report for the core's primary.
 fn report(status: GroupStatus) -> GroupReport {
     GroupReport {
         epoch: status.epoch,
--- a/alderhollow/src/store/group_engine/tests.rs
+++ b/alderhollow/src/store/group_engine/tests.rs
@@ -1,4 +1,4 @@
-//! When a group that was left may be dropped, and when a group is looked at.
+//! When a group that this store has left may be dropped, and when a group is due for a tick.
 
 use super::*;
 use alderhollow_batch::message::Message;
@@ -42,11 +42,11 @@
 }
 
 #[test]
-fn a_group_is_kept_until_its_tables_leave_this_disk_out_for_long() {
+fn a_group_is_kept_until_the_retention_time_after_the_tables_exclude_this_disk() {
     let group = group_engine();
     assert!(
         !group.may_be_dropped(u64::MAX),
-        "nobody has said that it was left"
+        "no tables have excluded this disk"
     );
     group.set_group(1_000, DISK, &tables(1, &[1, 2], &[]));
     assert!(!group.may_be_dropped(u64::MAX));
@@ -65,13 +65,13 @@
     group.set_group(20, DISK, &tables(3, &[2, 3], &[]));
     assert!(
         !group.may_be_dropped(LEFT_GROUP_RETENTION_MS + 19),
-        "the time begins anew"
+        "the retention time starts again"
     );
     assert!(group.may_be_dropped(LEFT_GROUP_RETENTION_MS + 20));
 }
 
 #[test]
-fn a_group_with_a_write_under_way_is_kept() {
+fn a_group_with_a_pending_write_is_kept() {
     let group = group_engine();
     group.set_group(0, DISK, &tables(1, &[2, 3], &[]));
     group.record_appended(WriteTicket(4));
@@ -83,7 +83,7 @@
 }
 
 #[test]
-fn a_group_that_is_not_led_is_looked_at_only_when_something_touched_it() {
+fn a_follower_group_is_due_only_after_a_change() {
     let group = group_engine();
     group.set_group(0, DISK, &tables(1, &[2, 1], &[]));
     assert!(group.is_due(0));
@@ -94,7 +94,7 @@
 }
 
 #[test]
-fn a_group_that_is_led_is_looked_at_in_time() {
+fn a_led_group_is_due_within_the_maximum_tick_interval() {
     let group = group_engine();
     group.set_group(0, DISK, &tables(1, &[1, 2], &[]));
     group.finish_tick(0);
@@ -103,14 +103,14 @@
 }
 
 #[test]
-fn a_group_that_a_primary_of_a_newer_epoch_brings_up_is_kept() {
+fn a_group_that_follows_the_primary_of_a_newer_epoch_is_kept() {
     let group = group_engine();
     group.set_group(0, DISK, &tables(1, &[2, 1], &[]));
     group.set_group(10, DISK, &tables(2, &[2, 3], &[]));
     group.finish_tick(10);
     let now_ms = 10 + LEFT_GROUP_RETENTION_MS;
     assert!(group.may_be_dropped(now_ms));
-    // The newest tables name this disk again, but the poll that brings them is still on its way.
+    // Newer tables name this disk again, but the poll that delivers them has not arrived yet.
     let stream = StreamId {
         epoch: 3,
         session: 1,
--- a/alderhollow/src/store/group_quota.rs
+++ b/alderhollow/src/store/group_quota.rs
@@ -1,9 +1,9 @@
-//! A group's part in the limits of waiting tokens that the routes' groups share (`alderhollow_batch::quota`): its
-//! account of each route while this store leads it, the submissions that wait for room, and the coordinator of the
-//! routes whose home it is.
+//! A group's quota for the limits of waiting tokens that all groups share (`alderhollow_batch::quota`): an account for each
+//! limited route while this store leads the group, the submissions that wait for quota, and the coordinator of the routes
+//! whose home group this is.
 //!
-//! A group that is the only one shares with nobody: its engine keeps the routes' own limits, and there are no accounts.
-//! Among several, an engine has a limit of 0 for each limited route until the account of its session was given more.
+//! With a single group there are no accounts: its engine enforces the routes' limits. With several groups, an engine has a
+//! limit of 0 for each limited route until the account of its session has received a grant.
 
 use super::waiting::Waiting;
 use crate::invariant::{self, Invariant};
@@ -22,25 +22,26 @@
 use std::collections::BTreeMap;
 use tokio::sync::oneshot;
 
-/// Jobs that may wait for room at one group, in bytes; further ones are not taken. Each waits for a fraction of a second.
+/// Limit of the bytes of submissions that wait for quota at one group; further ones are not queued. Each waits for a
+/// fraction of a second.
 const MAX_WAITING_BYTES: usize = 8 << 20;
-/// An offer that waits counts so much of that: it has no body, but a place in the line.
+/// Bytes that a waiting offer counts towards [`MAX_WAITING_BYTES`]: it has no body, but takes a queue entry.
 const OFFER_COST_BYTES: usize = 1 << 10;
 
-/// Who waits for the end of an operation.
+/// Receives the outcome of a pending operation.
 pub type End = Option<oneshot::Receiver<Outcome>>;
 
-/// What the engine said to a submission.
+/// The engine's response to a submission.
 #[derive(Debug)]
 pub struct SubmitResponse {
-    /// The engine's word.
+    /// The immediate result.
     pub submitted: SubmitOutcome,
-    /// The end of an acceptance that is pending.
+    /// Receives the final outcome if the acceptance is pending.
     pub end: End,
 }
 
 impl SubmitResponse {
-    fn without_end(submitted: SubmitOutcome) -> SubmitResponse {
+    fn without_outcome(submitted: SubmitOutcome) -> SubmitResponse {
         SubmitResponse {
             submitted,
             end: None,
@@ -48,7 +49,7 @@
     }
 }
 
-/// Hands a batch job to an engine.
+/// Submits a batch job to an engine.
 pub fn submit_now(
     engine: &mut Engine,
     now_ms: u64,
@@ -64,26 +65,26 @@
     SubmitResponse { submitted, end }
 }
 
-/// A submission that waits for room.
+/// A submission that waits for quota.
 #[derive(Debug)]
 enum WaitingSubmission {
-    /// A batch job that is here.
+    /// A batch job whose body was received.
     Job(WaitingJob),
-    /// A batch job that is still at the gateway.
+    /// A batch job that the gateway offers without its body.
     Offer(WaitingOffer),
 }
 
-/// A batch job that waits for room.
+/// A batch job that waits for quota.
 #[derive(Debug)]
 struct WaitingJob {
     attempt_id: SubmissionAttemptId,
     job: NewJob,
-    /// Size of the job, roughly.
+    /// Approximate size of the job.
     bytes: usize,
     answer: oneshot::Sender<SubmitResponse>,
 }
 
-/// An offer that waits for room.
+/// An offer that waits for quota.
 #[derive(Debug)]
 struct WaitingOffer {
     attempt_id: SubmissionAttemptId,
@@ -93,7 +94,7 @@
     answer: oneshot::Sender<OfferOutcome>,
 }
 
-/// The account of one route.
+/// The account of one route, with its waiting submissions.
 #[derive(Debug)]
 struct RouteAccount {
     account: Account,
@@ -101,19 +102,19 @@
     reading: Option<ReceivedReading>,
 }
 
-/// A coordinator's reading.
+/// A reading from a coordinator, with the time at which it arrived.
 #[derive(Debug, Clone, Copy)]
 struct ReceivedReading {
     reading: QuotaReading,
     received_ms: u64,
 }
 
-/// A submission that was put in line.
+/// A queued submission.
 #[derive(Debug)]
 pub struct QueuedSubmission<T> {
-    /// Its name.
+    /// Identifies the submission within its group.
     pub id: SubmissionId,
-    /// What the engine will say.
+    /// Receives the engine's response.
     pub answer: oneshot::Receiver<T>,
 }
 
@@ -122,14 +123,14 @@
 pub struct GroupQuota {
     session: Cell<Option<SessionId>>,
     accounts: RefCell<BTreeMap<String, RouteAccount>>,
-    /// Accounts of this session that ended as their routes have no limit any more; see [`Account::following`].
-    ended: RefCell<BTreeMap<String, Account>>,
+    /// Accounts of this session whose routes no longer have a limit; see [`Account::following`].
+    closed: RefCell<BTreeMap<String, Account>>,
     coordinator: RefCell<Option<Coordinator>>,
     last_submission_id: Cell<u64>,
 }
 
 impl RouteAccount {
-    /// Size of the jobs that wait, roughly.
+    /// Approximate size of the waiting submissions.
     fn waiting_bytes(&self) -> usize {
         self.submissions
             .values()
@@ -139,7 +140,7 @@
 }
 
 impl GroupQuota {
-    /// Takes newer tables in, after the engine did. What belongs to an earlier session of the engine ends.
+    /// Applies newer tables, after the engine has. Ends the accounts of an earlier session of the engine.
     pub(super) fn apply_tables(
         &self,
         now_ms: u64,
@@ -163,7 +164,7 @@
         self.open_accounts(now_ms, engine, group, control, routes);
     }
 
-    /// Opens the accounts that are missing, once the group is active: what it uses can be told from then on.
+    /// Opens missing accounts once the group is active: its usage is known from then on.
     pub(super) fn open_accounts(
         &self,
         now_ms: u64,
@@ -195,7 +196,7 @@
             let Some(home_epoch) = home_epoch(control, route) else {
                 continue;
             };
-            let mut account = match self.ended.borrow_mut().remove(route) {
+            let mut account = match self.closed.borrow_mut().remove(route) {
                 Some(earlier) => Account::following(&earlier, home_epoch),
                 None => Account::new(
                     group.0,
@@ -216,19 +217,19 @@
         }
     }
 
-    /// Whether the accounts are those of the engine's present session as the primary.
+    /// Whether the accounts belong to the engine's current session as the primary.
     pub(super) fn matches_session(&self, engine: &Engine) -> bool {
         engine
             .session()
             .is_some_and(|session| Some(session) == self.session.get())
     }
 
-    /// Whether there is nothing to do for any account.
+    /// Whether no account is open.
     pub(super) fn is_idle(&self) -> bool {
         self.accounts.borrow().is_empty()
     }
 
-    /// Whether a submission waits for room.
+    /// Whether any submission waits for quota.
     pub(super) fn has_waiting(&self) -> bool {
         self.accounts
             .borrow()
@@ -236,7 +237,7 @@
             .any(|account| !account.submissions.is_empty())
     }
 
-    /// Whether a batch job can't be handed to the engine before its route's account has more room.
+    /// Whether a batch job must wait until its route's account has enough quota.
     pub(super) fn must_wait(&self, engine: &Engine, now_ms: u64, job: &NewJob) -> bool {
         let is_new = matches!(
             engine.read(now_ms, &job.id, u32::MAX, 0),
@@ -246,7 +247,7 @@
         has_account && is_new && !engine.would_fit(&job.route, job.tokens())
     }
 
-    /// Puts a batch job in line for room; `None` if its route has no account any more, or if too much waits.
+    /// Queues a batch job for quota. Returns `None` if its route no longer has an account or the queue is full.
     pub(super) fn queue_job(
         &self,
         now_ms: u64,
@@ -265,8 +266,8 @@
         Some(QueuedSubmission { id, answer })
     }
 
-    /// Puts an offer in line for room, as [`GroupQuota::queue_job`] does with a job. Where it fits in the end nothing is kept
-    /// for it: the job that comes then fits, or waits again.
+    /// Queues an offer for quota, like [`GroupQuota::queue_job`]. No quota is reserved for an offer that fits: the job that
+    /// follows it either fits or waits again.
     pub(super) fn queue_offer(
         &self,
         now_ms: u64,
@@ -285,7 +286,7 @@
         Some(QueuedSubmission { id, answer })
     }
 
-    /// Puts a submission in line; `None` if its route has no account, or if too much waits.
+    /// Queues a submission. Returns `None` if its route has no account or the queue is full.
     fn enqueue(
         &self,
         now_ms: u64,
@@ -306,14 +307,14 @@
         Some(id)
     }
 
-    /// The engine took a batch job of a route without a wait.
+    /// Records that the engine accepted a batch job without a wait.
     pub(super) fn note_accepted(&self, engine: &Engine, route: &str) {
         if let Some(account) = self.accounts.borrow_mut().get_mut(route) {
             account.note_accepted(engine, route);
         }
     }
 
-    /// The client of a submission has gone, or it was answered.
+    /// Removes a submission that was answered or whose client has disconnected.
     pub(super) fn withdraw(&self, route: &str, id: SubmissionId) {
         if let Some(account) = self.accounts.borrow_mut().get_mut(route) {
             account.account.withdraw(id);
@@ -321,7 +322,7 @@
         }
     }
 
-    /// Settles what can be resolved, and gives the reports that are due.
+    /// Resolves waiting submissions where possible and returns the reports that are due.
     pub(super) fn advance(
         &self,
         now_ms: u64,
@@ -344,7 +345,7 @@
         reports
     }
 
-    /// Takes a coordinator's answer.
+    /// Handles a coordinator's grant.
     pub(super) fn on_grant_received(
         &self,
         now_ms: u64,
@@ -361,21 +362,21 @@
             .account
             .on_grant(now_ms, engine.waiting_tokens(route), grant);
         account.apply_resolved(now_ms, engine, waiting, route, resolved);
-        let taken = grant.reading.map(|reading| ReceivedReading {
+        let received = grant.reading.map(|reading| ReceivedReading {
             reading,
             received_ms: now_ms,
         });
-        account.reading = taken.or(account.reading);
+        account.reading = received.or(account.reading);
     }
 
-    /// The answer to a report won't come.
+    /// Handles the loss of a report or of its answer.
     pub(super) fn on_answer_lost(&self, now_ms: u64, route: &str, report: ReportId) {
         if let Some(account) = self.accounts.borrow_mut().get_mut(route) {
             account.account.on_answer_lost(now_ms, report);
         }
     }
 
-    /// When [`GroupQuota::advance`] has something to do next.
+    /// Time at which [`GroupQuota::advance`] is due next.
     pub(super) fn next_due_ms(&self, engine: &Engine) -> Option<u64> {
         let accounts = self.accounts.borrow();
         let due = accounts.iter().filter_map(|(route, account)| {
@@ -384,7 +385,7 @@
         due.min()
     }
 
-    /// The newest reading of a route's waiting tokens.
+    /// Returns the newest reading of a route's waiting tokens.
     pub(super) fn reading(&self, now_ms: u64, route: &str) -> Option<QuotaReading> {
         let ReceivedReading {
             reading,
@@ -396,8 +397,8 @@
         })
     }
 
-    /// Answers a report as the coordinator of its route, whose home this group is. To be asked only while the engine is
-    /// sure.
+    /// Answers a report as the coordinator of a route whose home group this is. Must be called only while the engine is a
+    /// validated primary.
     pub(super) fn handle_report(
         &self,
         now_ms: u64,
@@ -411,25 +412,26 @@
             session: session.session,
         };
         let mut coordinator = self.coordinator.borrow_mut();
-        let known = coordinator.take().filter(|known| known.id() == id);
+        let existing = coordinator.take().filter(|existing| existing.id() == id);
         let epochs = || control.groups.iter().map(|group| group.epoch).collect();
-        let current = coordinator.insert(known.unwrap_or_else(|| Coordinator::new(id, epochs())));
+        let current =
+            coordinator.insert(existing.unwrap_or_else(|| Coordinator::new(id, epochs())));
         let before = current.counters().violations;
         let grant = current.report(now_ms, max, report);
         let holds = current.counters().violations == before;
         invariant::check(Invariant::QuotaGrantsWithinLimit, holds, || {
             format!(
-                "route {} with a limit of {max}, at the report of group {}",
+                "grants on route {} exceed its limit of {max}, after the report of group {}",
                 report.route, report.group
             )
         });
         grant
     }
 
-    /// Another session begins, or none: nothing that waits will be accepted in the ended one.
+    /// Ends the current session: its waiting submissions are answered as not sure.
     pub(super) fn end_session(&self) {
         self.coordinator.replace(None);
-        self.ended.take();
+        self.closed.take();
         for account in self.accounts.take().into_values() {
             account
                 .submissions
@@ -448,12 +450,12 @@
             coordinator.retain_routes(is_limited);
         }
         let mut accounts = self.accounts.borrow_mut();
-        let gone: Vec<String> = accounts
+        let unlimited: Vec<String> = accounts
             .keys()
             .filter(|route| !is_limited(route))
             .cloned()
             .collect();
-        for route in gone {
+        for route in unlimited {
             let Some(RouteAccount {
                 account,
                 submissions,
@@ -465,11 +467,11 @@
             submissions
                 .into_values()
                 .for_each(WaitingSubmission::resolve_not_sure);
-            self.ended.borrow_mut().insert(route, account);
+            self.closed.borrow_mut().insert(route, account);
         }
     }
 
-    /// Tells the accounts of the routes' limits and the coordinators' epochs.
+    /// Updates the accounts with the routes' limits and the coordinators' epochs.
     fn update_accounts(
         &self,
         now_ms: u64,
@@ -486,7 +488,7 @@
         }
     }
 
-    /// Tells the engine what it may count on a route: nothing, on a limited route without an account.
+    /// Sets the engine's limit for a route: 0 for a limited route without an account.
     fn update_engine_limit(&self, engine: &mut Engine, route: &str, terms: &RouteTerms) {
         let accounts = self.accounts.borrow();
         let is_limited = terms.max_queued_tokens != 0;
@@ -498,7 +500,7 @@
 }
 
 impl RouteAccount {
-    /// The engine took a batch job.
+    /// Records that the engine accepted a batch job.
     fn note_accepted(&mut self, engine: &Engine, route: &str) {
         let used = engine.waiting_tokens(route);
         let before = self.account.counters().violations;
@@ -506,13 +508,13 @@
         let holds = self.account.counters().violations == before;
         invariant::check(Invariant::QuotaUseWithinGrant, holds, || {
             format!(
-                "{used} tokens wait on route {route}, of {:?} that may here",
+                "{used} tokens wait on route {route}, over this group's limit of {:?}",
                 self.account.limit()
             )
         });
     }
 
-    /// Acts on resolved submissions, in their order.
+    /// Applies the outcomes of resolved submissions, in order.
     fn apply_resolved(
         &mut self,
         now_ms: u64,
@@ -542,9 +544,9 @@
     }
 }
 
-// Whoever waits for an answer below may have gone; then nobody wants it.
+// Send errors are ignored below: the receiver is gone when the client has disconnected.
 impl WaitingSubmission {
-    /// What it counts of [`MAX_WAITING_BYTES`].
+    /// Bytes that count towards [`MAX_WAITING_BYTES`].
     fn bytes(&self) -> usize {
         match self {
             WaitingSubmission::Job(job) => job.bytes,
@@ -552,13 +554,13 @@
         }
     }
 
-    /// The submission can't be decided here any more.
+    /// Answers that the outcome is not sure.
     fn resolve_not_sure(self) {
         match self {
             WaitingSubmission::Job(job) => {
                 let _ = job
                     .answer
-                    .send(SubmitResponse::without_end(SubmitOutcome::NotSure));
+                    .send(SubmitResponse::without_outcome(SubmitOutcome::NotSure));
             }
             WaitingSubmission::Offer(offer) => {
                 let _ = offer.answer.send(OfferOutcome::NotSure);
@@ -575,14 +577,14 @@
             answer,
             ..
         } = self;
-        let answered = match outcome {
+        let response = match outcome {
             QuotaOutcome::Fits => submit_now(engine, now_ms, waiting, attempt_id, job),
             QuotaOutcome::OverQuota => {
-                SubmitResponse::without_end(engine.reject(now_ms, attempt_id, &job))
+                SubmitResponse::without_outcome(engine.reject(now_ms, attempt_id, &job))
             }
-            QuotaOutcome::Unsure => SubmitResponse::without_end(SubmitOutcome::NotSure),
+            QuotaOutcome::Unsure => SubmitResponse::without_outcome(SubmitOutcome::NotSure),
         };
-        let _ = answer.send(answered);
+        let _ = answer.send(response);
     }
 }
 
@@ -593,27 +595,27 @@
             route: &self.route,
             tokens: self.tokens,
         };
-        let offered = match outcome {
+        let response = match outcome {
             QuotaOutcome::Fits => engine.offer(now_ms, self.attempt_id, &offer),
             QuotaOutcome::OverQuota => engine.reject_offer(now_ms, self.attempt_id, &offer),
             QuotaOutcome::Unsure => OfferOutcome::NotSure,
         };
-        let _ = self.answer.send(offered);
+        let _ = self.answer.send(response);
     }
 }
 
-/// Whether the groups share the routes' limits.
+/// Whether the routes' limits are shared between several groups.
 pub(super) fn shares_limits(control: &ControlView) -> bool {
     control.groups.len() > 1
 }
 
-/// The group whose primary coordinates a route.
+/// Returns a route's home group, whose primary coordinates the route's limit.
 pub(super) fn home_group_of(control: &ControlView, route: &str) -> GroupId {
     let count = u32::try_from(control.groups.len()).unwrap_or(u32::MAX);
     GroupId(home_group(route, count))
 }
 
-/// The epoch of that group.
+/// Returns the epoch of a route's home group.
 fn home_epoch(control: &ControlView, route: &str) -> Option<u64> {
     Some(control.group(home_group_of(control, route))?.epoch)
 }
--- a/alderhollow/src/store/item_starts.rs
+++ b/alderhollow/src/store/item_starts.rs
@@ -1,4 +1,5 @@
-//! Which items start next: those due first that can still be done in time, over all groups that this store leads.
+//! Selects the items to run next, across all groups that this store leads: those with the earliest deadline that can still
+//! be met.
 
 use super::group_engine::GroupEngine;
 use super::node::StoreNode;
@@ -16,16 +17,16 @@
     pub item: ItemStart,
 }
 
-/// A group's place among those with ready items of a route, by the turn of its next item.
+/// A group with ready items of a route, ordered by the turn of its next item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DueGroup {
     turn: Turn,
-    /// Place in the list of groups.
+    /// Index in the list of groups.
     index: usize,
 }
 
 impl StoreNode {
-    /// Starts items while there is room. Tells whether some still wait for their turn.
+    /// Starts items while there is capacity. Returns whether any route had waiting items.
     pub(super) fn start_items(self: &Rc<Self>) -> bool {
         let groups: Vec<Rc<GroupEngine>> = self
             .groups()
@@ -44,7 +45,7 @@
         !routes.is_empty()
     }
 
-    /// Routes with items that wait for a run in any of the groups.
+    /// Returns the routes with waiting items in any of the groups.
     fn routes_with_work(self: &Rc<Self>, groups: &[Rc<GroupEngine>]) -> BTreeSet<String> {
         let routes = |group: &Rc<GroupEngine>| {
             self.with_group(group, |engine, now_ms| engine.routes_with_work(now_ms))
@@ -52,7 +53,7 @@
         groups.iter().flat_map(routes).collect()
     }
 
-    /// Items that wait in all groups.
+    /// Returns the number of waiting items in all groups.
     fn waiting_items(&self) -> usize {
         self.groups()
             .iter()
@@ -60,7 +61,7 @@
             .sum()
     }
 
-    /// Items of a route to start now, at most `room`, those due first in front.
+    /// Takes up to `room` items of a route, earliest due first.
     fn take_earliest_due(
         self: &Rc<Self>,
         groups: &[Rc<GroupEngine>],
@@ -82,7 +83,7 @@
             };
             let group = &groups[index];
             let taken = self.with_group(group, |engine, now_ms| engine.take_work(now_ms, route, 1));
-            // A group that gives nothing is not sure any more: it is asked again at the next look.
+            // A group that returns nothing is no longer a validated primary: it is retried at the next tick.
             if !taken.is_empty() {
                 order.extend(earliest_turn(index));
             }
