--- a/alderhollow/src/store/journal_queue.rs
+++ b/alderhollow/src/store/journal_queue.rs
@@ -1,5 +1,5 @@
-//! The writes of a store in order, and their ends. After a write that failed, nothing counts as written until the whole
-//! state is on disk as a new snapshot.
+//! Queue of a store's journal writes and their completions, in order. After a failed write, no write counts as durable
+//! until the whole state is on disk as a new snapshot.
 
 use crate::metrics;
 use alderhollow_batch::api::WriteTicket;
@@ -11,53 +11,53 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-/// A log that has grown to this size is replaced by a snapshot, unless the disk is small or the snapshot large.
+/// Log size at which the journal is compacted, unless the disk is small or the last snapshot large.
 const MAX_LOG_BYTES: u64 = 24 * 1024 * 1024;
-/// The log may take this part of the disk: two snapshots and two logs must fit.
+/// The log may take one part in this many of the disk: two snapshots and two logs must fit.
 const LOG_DISK_DIVISOR: u64 = 10;
-/// A log is kept until it is so many times as large as the last snapshot.
+/// The log is compacted only once it is this many times as large as the last snapshot.
 const LOG_SNAPSHOT_RATIO: u64 = 2;
-/// Pause before another snapshot is tried after a failure.
+/// Delay before each attempt to write a snapshot after a failure.
 const REPAIR_RETRY_DELAY: Duration = Duration::from_millis(300);
-/// A disk with a write that is older than this is stalled.
+/// Age of a pending write at which the disk counts as stalled.
 const STALL_THRESHOLD_MS: u64 = 600;
-/// With a write that is older than this, another store should serve instead. A snapshot that takes its time on a sound disk
-/// must not come to it.
+/// Age of a pending write at which another store should take over. A slow snapshot on a healthy disk must stay below
+/// this.
 const FAILING_THRESHOLD_MS: u64 = 1_200;
 
-/// Names a write over all groups. Tickets rise within a group.
+/// Identifies a write across all groups. Tickets increase within a group.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub struct GroupTicket {
-    /// The group that wrote.
+    /// The group that queued the write.
     pub group: GroupId,
-    /// Its write.
+    /// The write's ticket within the group.
     pub ticket: WriteTicket,
 }
 
-/// What a store's node does for its journal.
+/// Owner of a journal: supplies snapshots and is notified of completed writes.
 pub trait JournalOwner {
-    /// The whole state of all groups, with every write so far.
+    /// Returns the whole state of all groups, including every write queued so far.
     fn snapshot(&self) -> Vec<u8>;
-    /// All writes of the group up to this one are on disk.
+    /// Called when all writes of the group up to this one are on disk.
     fn written(&self, written: GroupTicket);
 }
 
-type End = oneshot::Receiver<Result<(), StorageError>>;
+type Completion = oneshot::Receiver<Result<(), StorageError>>;
 
-/// A submission that has not ended.
-struct Pending {
+/// Writes submitted to the writer that have not completed.
+struct PendingWrite {
     /// `None` for a snapshot.
     ticket: Option<GroupTicket>,
     submitted_at: Instant,
-    end: End,
+    completion: Completion,
 }
 
-/// The writes under way. One task runs [`JournalQueue::process_completions`].
+/// The pending writes. One task runs [`JournalQueue::process_completions`].
 pub struct JournalQueue {
     writer: Writer,
-    submissions: mpsc::UnboundedSender<Pending>,
+    submissions: mpsc::UnboundedSender<PendingWrite>,
     submitted_at: RefCell<VecDeque<u64>>,
-    /// The newest write of each group.
+    /// The newest ticket of each group.
     newest: RefCell<BTreeMap<GroupId, WriteTicket>>,
     log_bytes: Cell<u64>,
     log_limit: Cell<u64>,
@@ -66,13 +66,13 @@
     longest_sync: Cell<Duration>,
 }
 
-/// The ends of submissions, for [`JournalQueue::process_completions`].
-pub struct WriteCompletions(mpsc::UnboundedReceiver<Pending>);
+/// The completions of submitted writes, for [`JournalQueue::process_completions`].
+pub struct WriteCompletions(mpsc::UnboundedReceiver<PendingWrite>);
 
 impl JournalQueue {
-    /// A queue on a disk of this size.
+    /// Creates a queue on a disk of this size.
     pub fn new(writer: Writer, disk_mb: Option<u64>) -> (JournalQueue, WriteCompletions) {
-        let (submissions, ends) = mpsc::unbounded_channel();
+        let (submissions, completions) = mpsc::unbounded_channel();
         let disk_limit = disk_mb.map_or(MAX_LOG_BYTES, |mb| mb * 1024 * 1024 / LOG_DISK_DIVISOR);
         let limit = MAX_LOG_BYTES.min(disk_limit);
         let queue = JournalQueue {
@@ -86,10 +86,10 @@
             failing: Cell::new(false),
             longest_sync: Cell::default(),
         };
-        (queue, WriteCompletions(ends))
+        (queue, WriteCompletions(completions))
     }
 
-    /// Queues records.
+    /// Queues records to be appended.
     pub fn append(&self, now_ms: u64, ticket: GroupTicket, records: Vec<Vec<u8>>) {
         let bytes: usize = records.iter().map(Vec::len).sum();
         self.log_bytes.set(self.log_bytes.get() + bytes as u64);
@@ -102,14 +102,14 @@
         );
     }
 
-    /// Queues a snapshot if the log has grown so far that it is time.
+    /// Queues a snapshot if the log has reached its limit.
     pub fn compact_if_due(&self, now_ms: u64, snapshot: impl FnOnce() -> Vec<u8>) {
         if self.log_bytes.get() >= self.log_limit.get() {
             self.compact(now_ms, snapshot);
         }
     }
 
-    /// Queues a snapshot, unless one is written anyway because the disk fails.
+    /// Queues a snapshot, unless the disk is failing: the repair writes one anyway.
     pub fn compact(&self, now_ms: u64, snapshot: impl FnOnce() -> Vec<u8>) {
         if self.failing.get() {
             return;
@@ -120,27 +120,27 @@
         self.submit(now_ms, None, vec![Write::Compact(snapshot)]);
     }
 
-    /// A group's tickets begin anew. To be called when all its writes have ended.
+    /// Removes a group, whose tickets may then start again. Must be called only when none of its writes is pending.
     pub fn forget(&self, group: GroupId) {
         self.newest.borrow_mut().remove(&group);
     }
 
-    /// Whether the disk takes writes without failure or long delay.
+    /// Whether the disk completes writes without failures or long delays.
     pub fn is_ready(&self, now_ms: u64) -> bool {
         !self.failing.get() && self.oldest_ms(now_ms) < STALL_THRESHOLD_MS
     }
 
-    /// Whether the disk fails so that another store should serve instead.
+    /// Whether the disk fails or stalls for so long that another store should take over.
     pub fn is_failing(&self, now_ms: u64) -> bool {
         self.failing.get() || self.oldest_ms(now_ms) >= FAILING_THRESHOLD_MS
     }
 
-    /// The longest time from a submission to its end since the last call.
+    /// Returns the longest time from submission to completion since the last call.
     pub fn take_longest_sync(&self) -> Duration {
         self.longest_sync.take()
     }
 
-    /// Age of the oldest write that has not ended.
+    /// Age of the oldest pending write.
     fn oldest_ms(&self, now_ms: u64) -> u64 {
         self.submitted_at
             .borrow()
@@ -148,43 +148,47 @@
             .map_or(0, |at| now_ms.saturating_sub(*at))
     }
 
-    /// Tells the owner of the ends of its writes, in order, until the queue is gone.
-    pub async fn process_completions(&self, mut ends: WriteCompletions, owner: &dyn JournalOwner) {
-        while let Some(pending) = ends.0.recv().await {
-            let end = pending.end.await;
+    /// Notifies the owner of completed writes, in order, until the queue is dropped.
+    pub async fn process_completions(
+        &self,
+        mut completions: WriteCompletions,
+        owner: &dyn JournalOwner,
+    ) {
+        while let Some(pending) = completions.0.recv().await {
+            let result = pending.completion.await;
             self.submitted_at.borrow_mut().pop_front();
-            match end {
+            match result {
                 Ok(Ok(())) => {
                     self.record_sync(pending.submitted_at.elapsed());
                     if let Some(ticket) = pending.ticket {
                         owner.written(ticket);
                     }
                 }
-                Ok(Err(error)) => self.repair(&mut ends, owner, error).await,
+                Ok(Err(error)) => self.repair(&mut completions, owner, error).await,
                 Err(_) => {
-                    self.repair(&mut ends, owner, StorageError::WriterEnded)
+                    self.repair(&mut completions, owner, StorageError::WriterEnded)
                         .await;
                 }
             }
         }
     }
 
-    /// Puts the whole state on disk, again and again until that succeeds.
+    /// Writes a snapshot of the whole state, with retries until it succeeds.
     async fn repair(
         &self,
-        ends: &mut WriteCompletions,
+        completions: &mut WriteCompletions,
         owner: &dyn JournalOwner,
         mut error: StorageError,
     ) {
         self.failing.set(true);
         loop {
             log::error!(
-                "the disk fails: {error}; no batch job is taken until the whole state is written anew"
+                "journal write failed: {error}; no batch jobs are accepted until a snapshot of the whole state is written"
             );
             tokio::time::sleep(REPAIR_RETRY_DELAY).await;
-            while let Ok(pending) = ends.0.try_recv() {
-                // What was queued behind the failure is in the snapshot as well.
-                let _ = pending.end.await;
+            while let Ok(pending) = completions.0.try_recv() {
+                // The snapshot includes the writes that were queued after the failed one.
+                let _ = pending.completion.await;
                 self.submitted_at.borrow_mut().pop_front();
             }
             let newest = self.newest.borrow().clone();
@@ -193,13 +197,13 @@
             match self.writer.submit(vec![Write::Compact(snapshot)]).await {
                 Ok(Ok(())) => {
                     self.failing.set(false);
-                    log::warn!("the disk takes writes again");
+                    log::warn!("journal recovered: the disk completes writes again");
                     for (group, ticket) in newest {
                         owner.written(GroupTicket { group, ticket });
                     }
                     return;
                 }
-                Ok(Err(next)) => error = next,
+                Ok(Err(next_error)) => error = next_error,
                 Err(_) => error = StorageError::WriterEnded,
             }
         }
@@ -207,18 +211,18 @@
 
     fn submit(&self, now_ms: u64, ticket: Option<GroupTicket>, writes: Vec<Write>) {
         self.submitted_at.borrow_mut().push_back(now_ms);
-        let pending = Pending {
+        let pending = PendingWrite {
             ticket,
             submitted_at: Instant::now(),
-            end: self.writer.submit(writes),
+            completion: self.writer.submit(writes),
         };
-        // The receiver lives as long as the store's node.
+        // Sending fails only at shutdown: the receiver lives as long as the store's node.
         let _ = self.submissions.send(pending);
     }
 
-    fn record_sync(&self, after: Duration) {
-        metrics::get().store.synced(after);
-        self.longest_sync.set(self.longest_sync.get().max(after));
+    fn record_sync(&self, latency: Duration) {
+        metrics::get().store.synced(latency);
+        self.longest_sync.set(self.longest_sync.get().max(latency));
     }
 
     fn record_snapshot(&self, bytes: usize) {
--- a/alderhollow/src/store/journal_records.rs
+++ b/alderhollow/src/store/journal_records.rs
@@ -1,8 +1,9 @@
-//! The records and the snapshot of a store's one journal, which carry the id of the batch group that they belong to.
+//! Format of a store's journal, which all batch groups share: each record and snapshot carries the id of its group.
 //!
-//! A tagged record is [`GROUP_TAG`], the group's id in four bytes (the greatest first), then the group's own record. A
-//! tagged snapshot is [`GROUP_TAG`], then for each group its id in four bytes, the length of its snapshot in eight, and
-//! its snapshot. Earlier versions knew one group: what begins with any other byte is a record or a snapshot of group 0.
+//! A tagged record is [`GROUP_TAG`], the group's id in four bytes (big-endian), then the group's own record. A tagged
+//! snapshot is [`GROUP_TAG`], then for each group its id in four bytes, the length of its snapshot in eight, and its
+//! snapshot. Earlier versions had a single group: data that starts with any other byte is a record or a snapshot of
+//! group 0.
 
 use alderhollow_batch::codec::{DecodeError, FORMAT_VERSION};
 use alderhollow_batch::engine::Engine;
@@ -12,50 +13,50 @@
 use std::collections::BTreeMap;
 use thiserror::Error;
 
-/// First byte of what names its group. The group's own records begin with the version of their format.
+/// First byte of tagged data. The group's own records start with their format version instead.
 pub const GROUP_TAG: u8 = 0xfe;
 const _: () = assert!(
     GROUP_TAG != FORMAT_VERSION,
     "a tag must differ from every first byte of an untagged record"
 );
 
-/// Bytes of a group's id.
+/// Encoded length of a group's id, in bytes.
 const ID_BYTES: usize = 4;
-/// Bytes of the length of a group's snapshot.
+/// Encoded length of a snapshot's length field, in bytes.
 const LENGTH_BYTES: usize = 8;
 
-/// A journal that can't be read.
+/// Error while decoding a journal.
 #[derive(Debug, Error, PartialEq, Eq)]
 pub enum JournalFormatError {
-    /// A tag without the whole id of a group behind it.
-    #[error("a record of a batch group that ends within the group's number")]
+    /// A tag is not followed by a complete group id.
+    #[error("record or snapshot is truncated within a batch group's id")]
     TruncatedId,
-    /// A snapshot that ends too early.
-    #[error("a snapshot that ends within batch group {0}")]
+    /// A snapshot is truncated.
+    #[error("snapshot is truncated within batch group {0}")]
     TruncatedSnapshot(GroupId),
-    /// A snapshot that names a group again.
-    #[error("a snapshot with batch group {0} twice")]
+    /// A snapshot contains a group twice.
+    #[error("snapshot contains batch group {0} twice")]
     DuplicateGroup(GroupId),
-    /// What is of one group can't be read.
+    /// The data of one group cannot be decoded.
     #[error("batch group {group}: {source}")]
     Contents {
         /// The group.
         group: GroupId,
-        /// Why.
+        /// The decoding error.
         source: DecodeError,
     },
 }
 
-/// What a journal holds of one group.
+/// A journal's data for one group.
 #[derive(Debug, Default, PartialEq, Eq)]
 pub struct GroupContents {
     /// The group's part of the snapshot.
     pub snapshot: Option<Vec<u8>>,
-    /// The group's records since, in order.
+    /// The group's records since the snapshot, in order.
     pub records: Vec<Vec<u8>>,
 }
 
-/// A group's record with the group's id.
+/// Adds the group's id to a record.
 pub fn tag_record(group: GroupId, record: &[u8]) -> Vec<u8> {
     let mut bytes = Vec::with_capacity(1 + ID_BYTES + record.len());
     bytes.push(GROUP_TAG);
@@ -64,7 +65,7 @@
     bytes
 }
 
-/// The group of a record, and the group's own record.
+/// Splits a record into its group and the group's own record.
 ///
 /// # Errors
 /// The tag is damaged.
@@ -75,7 +76,7 @@
     }
 }
 
-/// The snapshots of groups as one.
+/// Joins the snapshots of groups into one.
 pub fn join_snapshots(snapshots: impl IntoIterator<Item = (GroupId, Vec<u8>)>) -> Vec<u8> {
     let mut bytes = vec![GROUP_TAG];
     for (group, snapshot) in snapshots {
@@ -86,10 +87,10 @@
     bytes
 }
 
-/// The groups' parts of a snapshot.
+/// Splits a snapshot by group.
 ///
 /// # Errors
-/// It is cut, or names a group twice.
+/// The snapshot is truncated, or contains a group twice.
 pub fn split_snapshot(bytes: &[u8]) -> Result<BTreeMap<GroupId, Vec<u8>>, JournalFormatError> {
     let Some((&GROUP_TAG, mut rest)) = bytes.split_first() else {
         return Ok([(GroupId::default(), bytes.to_vec())].into());
@@ -107,7 +108,7 @@
     Ok(snapshots)
 }
 
-/// What a journal holds, by groups.
+/// Splits the data of a journal by group.
 ///
 /// # Errors
 /// A tag is damaged.
@@ -134,10 +135,10 @@
     Ok(groups)
 }
 
-/// The engines of all groups of which a journal holds something.
+/// Restores the engines of all groups with data in a journal.
 ///
 /// # Errors
-/// A tag is damaged, or what is of one group can't be read.
+/// A tag is damaged, or the data of one group cannot be decoded.
 pub fn restore_engines(
     disk: DiskId,
     now_ms: u64,
@@ -161,10 +162,10 @@
         .collect()
 }
 
-/// The jobs and marks of all groups of which a journal holds something.
+/// Restores the states of all groups with data in a journal.
 ///
 /// # Errors
-/// A tag is damaged, or what is of one group can't be read.
+/// A tag is damaged, or the data of one group cannot be decoded.
 pub fn restore_states(
     snapshot: Option<&[u8]>,
     records: &[Vec<u8>],
@@ -181,13 +182,13 @@
         .collect()
 }
 
-/// A group's id, and what is behind it.
+/// Splits off a group's id.
 fn split_id(bytes: &[u8]) -> Option<(GroupId, &[u8])> {
     let (id, rest) = bytes.split_first_chunk::<ID_BYTES>()?;
     Some((GroupId(u32::from_be_bytes(*id)), rest))
 }
 
-/// A group's snapshot, and what is behind it.
+/// Splits off a group's snapshot with its length field.
 fn split_one_snapshot(bytes: &[u8]) -> Option<(&[u8], &[u8])> {
     let (length, rest) = bytes.split_first_chunk::<LENGTH_BYTES>()?;
     let length = usize::try_from(u64::from_be_bytes(*length)).ok()?;
--- a/alderhollow/src/store/journal_records/tests.rs
+++ b/alderhollow/src/store/journal_records/tests.rs
@@ -1,4 +1,4 @@
-//! Tags of records and snapshots: they come back as they were, and damage is an error.
+//! Tagged records and snapshots survive a round trip, and damaged ones are errors.
 
 use super::*;
 use alderhollow_batch::job::{Item, ItemRequest, JobId, NewJob};
@@ -36,27 +36,27 @@
 
 proptest! {
     #[test]
-    fn a_record_comes_back_with_its_group(group: u32, record: Vec<u8>) {
+    fn a_tagged_record_survives_a_round_trip(group: u32, record: Vec<u8>) {
         let tagged = tag_record(GroupId(group), &record);
         prop_assert_eq!(read_record(&tagged), Ok((GroupId(group), &record[..])));
     }
 
     #[test]
-    fn snapshots_come_back_by_their_groups(parts in btree_map(any::<u32>(), any::<Vec<u8>>(), 0..6)) {
+    fn joined_snapshots_survive_a_round_trip(parts in btree_map(any::<u32>(), any::<Vec<u8>>(), 0..6)) {
         let parts: BTreeMap<GroupId, Vec<u8>> =
             parts.into_iter().map(|(group, part)| (GroupId(group), part)).collect();
         prop_assert_eq!(split_snapshot(&join_snapshots(parts.clone())), Ok(parts));
     }
 
     #[test]
-    fn what_has_no_tag_is_of_the_first_group(bytes: Vec<u8>) {
+    fn untagged_data_belongs_to_group_0(bytes: Vec<u8>) {
         prop_assume!(bytes.first() != Some(&GROUP_TAG));
         prop_assert_eq!(read_record(&bytes), Ok((GroupId(0), &bytes[..])));
         prop_assert_eq!(split_snapshot(&bytes), Ok([(GroupId(0), bytes)].into()));
     }
 
     #[test]
-    fn a_cut_snapshot_is_an_error_or_holds_fewer_groups(
+    fn a_truncated_snapshot_is_an_error_or_holds_fewer_groups(
         parts in btree_map(any::<u32>(), any::<Vec<u8>>(), 1..6),
         cut: proptest::sample::Index,
     ) {
@@ -76,7 +76,7 @@
     }
 
     #[test]
-    fn no_bytes_make_a_panic(snapshot: Option<Vec<u8>>, records in vec(any::<Vec<u8>>(), 0..4), tag: bool) {
+    fn arbitrary_bytes_do_not_panic(snapshot: Option<Vec<u8>>, records in vec(any::<Vec<u8>>(), 0..4), tag: bool) {
         let tagged = |mut bytes: Vec<u8>| {
             if tag {
                 bytes.insert(0, GROUP_TAG);
@@ -91,7 +91,7 @@
 }
 
 #[test]
-fn a_tag_without_its_whole_group_is_an_error() {
+fn a_tag_without_a_complete_group_id_is_an_error() {
     for length in 0..ID_BYTES {
         let bytes = [vec![GROUP_TAG], vec![0; length]].concat();
         assert_eq!(read_record(&bytes), Err(JournalFormatError::TruncatedId));
@@ -103,7 +103,7 @@
 }
 
 #[test]
-fn a_group_may_stand_in_a_snapshot_once_only() {
+fn a_group_twice_in_a_snapshot_is_an_error() {
     let part = (GroupId(2), vec![1]);
     assert_eq!(
         split_snapshot(&join_snapshots([part.clone(), part])),
@@ -112,7 +112,7 @@
 }
 
 #[test]
-fn a_record_that_can_not_be_read_is_an_error_with_its_group() {
+fn an_undecodable_record_is_an_error_with_its_group() {
     let error = restore_states(None, &[tag_record(GroupId(3), b"\xfdstrange")]).unwrap_err();
     let source = DecodeError::UnknownFormat(0xfd);
     assert_eq!(
@@ -125,7 +125,7 @@
 }
 
 #[test]
-fn groups_are_restored_each_by_itself() {
+fn groups_are_restored_independently() {
     let mut first = State::default();
     first.apply(0, job("a")).unwrap();
     let snapshot = join_snapshots([
@@ -153,7 +153,7 @@
 }
 
 #[test]
-fn the_disk_of_an_earlier_version_is_the_first_groups() {
+fn a_journal_of_an_earlier_version_belongs_to_group_0() {
     let mut state = State::default();
     state.apply(0, job("a")).unwrap();
     let records = [
