--- a/alderhollow/src/store/node.rs
+++ b/alderhollow/src/store/node.rs
@@ -1,5 +1,5 @@
-//! Puts the batch engines on the clock, the network, the disk and the tables: every call to an engine goes through
-//! [`StoreNode::with_group`], which first takes in newer tables and then does what the engine asks for.
+//! Connects the batch engines to the clock, the network, the disk and the tables. Every call to an engine goes through
+//! [`StoreNode::with_group`], which first applies newer tables and afterwards processes the engine's outputs.
 
 use super::activity::{Activity, StoreSummary};
 use super::group_engine::{includes_disk, GroupEngine, MAX_TICK_MS};
@@ -31,67 +31,67 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A poll that the core's primary answered validates the tables so long after it was sent.
+/// Time for which a poll validates the tables, from when it was sent, if the core's primary answered it.
 pub const VALIDATION_TTL_MS: u64 = 1_000;
-/// Longest pause between looks at the groups.
+/// Maximum interval between ticks of the main loop.
 const MAX_TICK: Duration = Duration::from_millis(MAX_TICK_MS);
-/// Pause between looks while items wait for their turn to start.
+/// Tick interval while items wait to be started.
 const START_RETRY_INTERVAL: Duration = Duration::from_millis(15);
-/// Ends of runs are taken in together so long after the first one.
+/// Delay after a wake-up, so that runs that end shortly after one another are processed together.
 const RUN_END_BATCH_DELAY: Duration = Duration::from_millis(10);
-/// Before the tables say how many groups there are, messages make engines of groups with lower numbers only.
+/// Until the tables define the number of groups, messages create engines only for group ids below this limit.
 const MAX_GROUPS_BEFORE_TABLES: usize = 1_024;
 
-/// One store.
+/// A store.
 pub struct StoreNode {
-    /// Its disk.
+    /// The id of its disk.
     pub disk: DiskId,
     /// The process's clock.
     pub clock: SteadyClock,
-    /// Runs of items.
+    /// Item runs.
     pub runs: Runs,
-    /// What the store did lately.
+    /// Recent activity, for metrics and the log.
     pub activity: Activity,
     status_retention: Duration,
     groups: RefCell<BTreeMap<GroupId, Rc<GroupEngine>>>,
-    /// The newest control state that was validated.
+    /// The newest validated control state.
     pub(super) control: RefCell<Arc<ControlView>>,
-    /// Its batch routes.
+    /// The batch routes of that control state.
     pub(super) routes: RefCell<Rc<BTreeMap<String, RouteTerms>>>,
     journal: JournalQueue,
     pub(super) network: Network,
     poll: PollState,
     snapshots: RefCell<SnapshotReceiver>,
     addresses: RefCell<BTreeMap<DiskId, SocketAddr>>,
-    /// What was last reported of the disk.
+    /// Whether the last report to the core declared the disk failing.
     reported_failing: Cell<Option<bool>>,
     wake_signal: Notify,
 }
 
-/// What a node is made of.
+/// The parts of a [`StoreNode`].
 pub struct NodeParts {
-    /// The store's disk.
+    /// The id of the store's disk.
     pub disk: DiskId,
     /// The process's clock.
     pub clock: SteadyClock,
-    /// The engines of the groups of which the disk holds something, as restored.
+    /// The engines restored from the disk, by group.
     pub engines: BTreeMap<GroupId, Engine>,
-    /// Batch jobs are kept so long after they were sent.
+    /// Time for which batch jobs are kept after they were sent.
     pub status_retention: Duration,
-    /// The writes.
+    /// The queue of journal writes.
     pub journal: JournalQueue,
-    /// Runs of items.
+    /// Item runs.
     pub runs: Runs,
     /// Connections to the other stores.
     pub network: Network,
-    /// The process's polls.
+    /// State of the process's polls of the core.
     pub poll: PollState,
     /// The process's tables.
     pub snapshots: SnapshotReceiver,
 }
 
 impl StoreNode {
-    /// A node that acts on the tables from now on.
+    /// Creates a node. It applies the current tables at its first use.
     pub fn new(parts: NodeParts) -> StoreNode {
         let mut snapshots = parts.snapshots;
         snapshots.mark_changed();
@@ -119,7 +119,7 @@
         node
     }
 
-    /// Calls a group's engine at the newest tables, then does what it asks for.
+    /// Calls a group's engine with the newest tables, then processes its outputs.
     pub fn with_group<T>(
         &self,
         group: &GroupEngine,
@@ -129,36 +129,37 @@
         let result = group.call(self.clock.now_ms(), call);
         self.process_outputs(group);
         if group.quota.has_waiting() || group.is_quota_due_before_next_tick() {
-            // Tokens may have become free: for what waits here, or for other groups, which are to learn of it soon.
+            // Tokens may have become available, for submissions that wait here or for other groups, which should be told soon.
             self.wake_signal.notify_one();
         }
         result
     }
 
-    /// Looks at a group's engine only.
+    /// Reads from a group's engine with the newest tables.
     pub fn read_group<T>(&self, group: &GroupEngine, read: impl FnOnce(&Engine, u64) -> T) -> T {
         self.validate(group);
         group.read(self.clock.now_ms(), read)
     }
 
-    /// All groups of which this store has an engine.
+    /// Returns all groups that have an engine at this store.
     pub fn groups(&self) -> Vec<Rc<GroupEngine>> {
         self.groups.borrow().values().cloned().collect()
     }
 
-    /// The group that keeps a job, by the newest tables; `None` if they don't say, or if nothing of it is here.
+    /// Returns the group that stores a job according to the newest tables. `None` if the tables define no groups, or if this
+    /// store has no engine of that group.
     pub fn group_of_job(&self, job: &JobId) -> Option<Rc<GroupEngine>> {
         self.refresh_tables();
         let id = self.control.borrow().group_of_job(&job.0)?.0;
         self.group(id)
     }
 
-    /// Whether this store may start a run of an item of the group at this moment.
+    /// Whether this store may start a run of one of the group's items now.
     pub fn may_start(&self, group: &GroupEngine) -> bool {
         self.read_group(group, |engine, now_ms| engine.is_validated_primary(now_ms))
     }
 
-    /// Whether the newest tables name this store the primary of any group.
+    /// Whether this store is the primary of any group in the newest tables.
     pub fn is_primary(&self) -> bool {
         let snapshots = self.snapshots.borrow();
         let snapshot = snapshots.borrow();
@@ -169,7 +170,7 @@
             .any(|group| group.primary == self.disk)
     }
 
-    /// The groups that this store leads by the newest tables, of all.
+    /// Returns the share of all groups that this store leads according to the newest tables.
     pub fn led_share(&self) -> LedShare {
         let control = self.control.borrow();
         let led = control
@@ -183,7 +184,7 @@
         }
     }
 
-    /// Drives the engines' time until the future is dropped.
+    /// Runs the main loop until the future is dropped.
     pub async fn run(self: Rc<Self>) {
         let mut snapshots = self.snapshots.borrow().clone();
         loop {
@@ -196,7 +197,7 @@
         }
     }
 
-    /// One look at the groups where something may have changed; returns the pause until the next.
+    /// Ticks the groups that are due and starts items. Returns the pause until the next tick.
     fn tick(self: &Rc<Self>) -> Duration {
         self.refresh_tables();
         self.apply_run_ends();
@@ -211,7 +212,7 @@
         self.time_to_next_tick().min(longest)
     }
 
-    /// Tells the engines of the runs that have ended.
+    /// Passes the runs that have ended to the engines.
     fn apply_run_ends(&self) {
         for (id, ended) in self.runs.take_ended() {
             let Some(group) = self.group(id) else {
@@ -225,7 +226,7 @@
         }
     }
 
-    /// Gives time to the groups that are due for it, and reports what changed.
+    /// Runs the timers of the groups that are due, and updates the report to the core.
     fn tick_due_groups(self: &Rc<Self>) {
         let now_ms = self.clock.now_ms();
         let disk_ready = self.journal.is_ready(now_ms);
@@ -257,16 +258,17 @@
         }
     }
 
-    /// This store's part in all groups, as of the last looks at them.
+    /// Returns the totals over all groups, as of their last ticks.
     fn summary(&self) -> StoreSummary {
-        let mut part = StoreSummary::default();
+        let mut summary = StoreSummary::default();
         for group in self.groups.borrow().values() {
-            group.add_to(&mut part);
+            group.add_to(&mut summary);
         }
-        part
+        summary
     }
 
-    /// What the core's primary is told. It learns from the poll itself whether the process is about to end.
+    /// Returns the report for the core's primary. The poll itself tells it whether the process is shutting down, so
+    /// `leaving` is not set here.
     fn report(&self, disk_failing: bool) -> StoreReport {
         let groups = self
             .groups
@@ -281,7 +283,7 @@
         }
     }
 
-    /// Time until a group is due for a look.
+    /// Returns the time until the next group is due for a tick.
     fn time_to_next_tick(&self) -> Duration {
         let next_ms = self
             .groups
@@ -293,9 +295,8 @@
         Duration::from_millis(pause_ms)
     }
 
-    /// Drops the groups that this store has surely left (`GroupEngine::may_be_dropped`) from memory, and by a new
-    /// snapshot from disk: what the journal holds of them must not stand before what a later incarnation of the group here
-    /// writes.
+    /// Removes the groups that this store has left (`GroupEngine::may_be_dropped`) from memory, and from disk by a new
+    /// snapshot: their old records must not precede those of a later incarnation of the group in the journal.
     pub fn remove_left_groups(&self, now_ms: u64) {
         let groups = self.groups();
         if !groups.iter().any(|group| group.may_be_dropped(now_ms))
@@ -305,7 +306,7 @@
         }
         for group in groups.iter().filter(|group| group.may_be_dropped(now_ms)) {
             log::info!(
-                "batch group {}: what this store held of it is dropped",
+                "batch group {}: removing this store's copy; the store is no longer a member",
                 group.id
             );
             self.groups.borrow_mut().remove(&group.id);
@@ -315,7 +316,7 @@
             .compact(self.clock.now_ms(), || self.snapshot());
     }
 
-    /// Whether the tables are surely the newest, and the disk takes a snapshot.
+    /// Whether the tables are validated as the newest, and the disk is ready for a snapshot.
     fn can_remove_groups(&self, now_ms: u64) -> bool {
         let is_validated = self
             .validated_until_ms()
@@ -323,12 +324,12 @@
         is_validated && self.journal.is_ready(self.clock.now_ms())
     }
 
-    /// A group by its number.
+    /// Returns a group by its id.
     pub(super) fn group(&self, id: GroupId) -> Option<Rc<GroupEngine>> {
         self.groups.borrow().get(&id).cloned()
     }
 
-    /// Takes a group with its engine in.
+    /// Adds a group with its engine.
     fn add_group(&self, id: GroupId, mut engine: Engine) -> Rc<GroupEngine> {
         engine.set_status_ms(u64::try_from(self.status_retention.as_millis()).unwrap_or(u64::MAX));
         let group = Rc::new(GroupEngine::new(id, engine));
@@ -336,9 +337,9 @@
         group
     }
 
-    /// A group of which nothing was here, at the newest tables.
+    /// Creates an empty group and applies the newest tables to it.
     fn create_group(&self, id: GroupId) -> Option<Rc<GroupEngine>> {
-        // Without anything to restore this can't fail.
+        // This does not fail without data to restore.
         let engine = Engine::restore(self.disk, self.clock.now_ms(), None, &[]).ok()?;
         let group = self.add_group(id, engine);
         let control = self.control.borrow().clone();
@@ -347,11 +348,11 @@
         Some(group)
     }
 
-    /// A message of another store.
+    /// Handles a replication message from another store.
     pub fn handle_notice(&self, notice: ReplicationNotice) {
         self.refresh_tables();
-        let known = self.group(notice.group);
-        let Some(group) = known.or_else(|| self.create_group_for(&notice)) else {
+        let existing = self.group(notice.group);
+        let Some(group) = existing.or_else(|| self.create_group_for(&notice)) else {
             return;
         };
         self.check_groups_of_jobs(&notice);
@@ -360,21 +361,24 @@
         });
     }
 
-    /// A batch job lies in the group that its id names, at every store.
+    /// Checks the invariant that a batch job is stored only in the group that its id determines.
     fn check_groups_of_jobs(&self, notice: &ReplicationNotice) {
         let count = self.control.borrow().groups.len();
         if count == 0 {
             return;
         }
         for job in jobs_in(&notice.message) {
-            let named = GroupId::of_key(&job.0, count);
-            invariant::check(Invariant::JobInItsGroup, named == notice.group, || {
-                format!("job {job} of group {named} came in group {}", notice.group)
+            let expected = GroupId::of_key(&job.0, count);
+            invariant::check(Invariant::JobInItsGroup, expected == notice.group, || {
+                format!(
+                    "job {job} of group {expected} was received in group {}",
+                    notice.group
+                )
             });
         }
     }
 
-    /// The group of a primary's message, which may come before the tables that name this store.
+    /// Creates the group of a primary's message, which may arrive before the tables that name this store.
     fn create_group_for(&self, notice: &ReplicationNotice) -> Option<Rc<GroupEngine>> {
         let count = self.control.borrow().groups.len();
         let bound = if count > 0 {
@@ -390,7 +394,7 @@
         }
     }
 
-    /// Takes the newest tables and the core's newest word on them in, in this order: the word validates the newest
+    /// Applies the newest tables and then the core's newest validation, in this order: the validation refers to the newest
     /// tables.
     pub(super) fn validate(&self, group: &GroupEngine) {
         self.refresh_tables();
@@ -399,7 +403,7 @@
         }
     }
 
-    /// Until when the core's newest word validates the tables.
+    /// Returns the time until which the tables are validated.
     fn validated_until_ms(&self) -> Option<u64> {
         Some(
             self.poll
@@ -408,7 +412,7 @@
         )
     }
 
-    /// Takes newer tables in.
+    /// Applies newer tables, if there are any.
     pub(super) fn refresh_tables(&self) {
         let changed = self.snapshots.borrow().has_changed().unwrap_or(false);
         if changed {
@@ -437,7 +441,7 @@
         }
     }
 
-    /// Hands the newest tables to one group.
+    /// Applies the newest tables to one group.
     fn apply_tables_to(
         &self,
         group: &GroupEngine,
@@ -468,7 +472,7 @@
         }
     }
 
-    /// Does what a group's engine asks for.
+    /// Processes the outputs of a group's engine.
     pub(super) fn process_outputs(&self, group: &GroupEngine) {
         group.process_outputs(|output| self.process_output(group, output));
     }
@@ -524,7 +528,7 @@
         }
     }
 
-    /// All groups' state.
+    /// Returns a snapshot of all groups' state.
     fn snapshot(&self) -> Vec<u8> {
         let now_ms = self.clock.now_ms();
         let groups = self.groups();
@@ -535,13 +539,13 @@
         join_snapshots(snapshots)
     }
 
-    /// Has the main loop look at the groups soon.
+    /// Wakes the main loop for a tick.
     pub fn wake(&self) {
         self.wake_signal.notify_one();
     }
 }
 
-/// The batch routes of a control state.
+/// Returns the batch routes of a control state.
 fn routes_of(control: &ControlView) -> BTreeMap<String, RouteTerms> {
     control
         .config
@@ -550,7 +554,7 @@
         .unwrap_or_default()
 }
 
-/// A store's node as the owner of its journal. The journal's task must not keep the node alive.
+/// Implements [`JournalOwner`] for a store's node. The journal's task must not keep the node alive.
 pub struct NodeJournal(pub Rc<StoreNode>);
 
 impl JournalOwner for NodeJournal {
@@ -570,8 +574,8 @@
 }
 
 impl NodeJournal {
-    /// Tells the engines of the ends of their writes until the future is dropped.
-    pub async fn process_completions(self, ends: WriteCompletions) {
-        self.0.journal.process_completions(ends, &self).await;
+    /// Notifies the engines of completed writes until the future is dropped.
+    pub async fn process_completions(self, completions: WriteCompletions) {
+        self.0.journal.process_completions(completions, &self).await;
     }
 }
--- a/alderhollow/src/store/quota_exchange.rs
+++ b/alderhollow/src/store/quota_exchange.rs
@@ -1,4 +1,4 @@
-//! Carries reports and grants of the shared limits of waiting tokens between the stores, over the internal network.
+//! Exchanges quota reports and grants for the shared limits of waiting tokens between stores, over the internal network.
 
 use super::group_engine::GroupEngine;
 use super::group_quota::{home_group_of, shares_limits, SubmitResponse};
@@ -13,10 +13,10 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// A report that has no answer for so long is lost.
+/// Time after which a report without an answer counts as lost.
 const GRANT_TIMEOUT: Duration = Duration::from_millis(ANSWER_TIMEOUT_MS);
 
-/// Takes a submission out of the line when its client goes.
+/// Removes a queued submission when it was answered or its client has disconnected.
 struct QueueGuard<'a> {
     group: &'a GroupEngine,
     route: String,
@@ -30,12 +30,12 @@
 }
 
 impl StoreNode {
-    /// Whether several groups share the routes' limits.
+    /// Whether the routes' limits are shared between several groups.
     pub(super) fn shares_quota(&self) -> bool {
         shares_limits(&self.control.borrow())
     }
 
-    /// Whether a batch job must wait for room in its route's account.
+    /// Whether a batch job must wait for quota in its route's account.
     pub(super) fn must_wait_for_room(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
@@ -50,7 +50,7 @@
         })
     }
 
-    /// Hands a batch job in as soon as there is room for it, or refuses it when there surely is none.
+    /// Submits a batch job once there is quota for it, or rejects it when there certainly is none.
     pub(super) async fn submit_with_room(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
@@ -74,8 +74,8 @@
         queued.answer.await.unwrap_or(unsure)
     }
 
-    /// Tells whether a batch job would be taken. One beyond what the group may count waits for its route's account, without
-    /// its body.
+    /// Answers whether a batch job would be accepted. An offer over the group's limit waits for quota from its route's
+    /// account, without the job's body.
     pub(super) async fn offer_with_room(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
@@ -85,16 +85,16 @@
         if self.shares_quota() {
             self.advance_quota(group);
         }
-        let offered = self.with_group(group, |engine, now_ms| {
+        let outcome = self.with_group(group, |engine, now_ms| {
             engine.offer(now_ms, attempt_id, offer)
         });
-        match offered {
+        match outcome {
             OfferOutcome::BeyondLimit => self.await_room_for_offer(group, attempt_id, offer).await,
-            _ => offered,
+            _ => outcome,
         }
     }
 
-    /// What an offer's wait for room comes to.
+    /// Queues an offer for quota and returns its outcome.
     async fn await_room_for_offer(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
@@ -116,7 +116,7 @@
         queued.answer.await.unwrap_or(OfferOutcome::NotSure)
     }
 
-    /// Opens a group's accounts, settles what waits at them and sends the reports that are due.
+    /// Opens a group's accounts, resolves their waiting submissions and sends the reports that are due.
     pub(super) fn advance_quota(self: &Rc<Self>, group: &Rc<GroupEngine>) {
         self.validate(group);
         let control = self.control.borrow().clone();
@@ -148,7 +148,8 @@
         }
     }
 
-    /// Answers a report as the coordinator of its route; `None` if this store can't tell now.
+    /// Answers a report as the coordinator of its route. Returns `None` unless this store is the validated primary of the
+    /// route's home group.
     pub fn serve_quota(&self, report: &QuotaReport) -> Option<QuotaGrant> {
         self.refresh_tables();
         let control = self.control.borrow().clone();
@@ -174,7 +175,7 @@
         })
     }
 
-    /// Asks the route's coordinator; `None` if there is no answer.
+    /// Sends a report to the route's coordinator. Returns `None` if there is no answer.
     async fn ask_coordinator(&self, report: &QuotaReport) -> Option<QuotaGrant> {
         let coordinator = self.coordinator_of(&report.route)?;
         if coordinator.disk == self.disk {
@@ -193,7 +194,7 @@
         }
     }
 
-    /// The primary of a route's home group.
+    /// Returns the primary of a route's home group.
     fn coordinator_of(&self, route: &str) -> Option<GroupMember> {
         let control = self.control.borrow();
         control
@@ -203,7 +204,7 @@
     }
 }
 
-/// Sends a report and takes its answer.
+/// Sends a report and applies the answer.
 async fn exchange_report(node: Rc<StoreNode>, group: Rc<GroupEngine>, report: QuotaReport) {
     let grant = node.ask_coordinator(&report).await;
     node.validate(&group);
--- a/alderhollow/src/store/replication.rs
+++ b/alderhollow/src/store/replication.rs
@@ -1,4 +1,4 @@
-//! Takes the other stores' messages.
+//! Receives replication messages from other stores.
 
 use super::node::StoreNode;
 use crate::batch_protocol::ReplicationNotice;
@@ -9,7 +9,7 @@
 use alderhollow_batch::records::Entry;
 use std::rc::Rc;
 
-/// The service of the stores' messages.
+/// Handler of [`ServiceId::Replication`](crate::internal::ServiceId::Replication).
 pub struct ReplicationHandler(pub Rc<StoreNode>);
 
 impl Handler for ReplicationHandler {
@@ -21,12 +21,12 @@
         match minicbor::decode::<ReplicationNotice>(&payload) {
             Ok(notice) if notice.to == self.0.disk => self.0.handle_notice(notice),
             Ok(_) => {}
-            Err(error) => log::warn!("a store's message can't be read: {error}"),
+            Err(error) => log::warn!("cannot decode a replication message: {error}"),
         }
     }
 }
 
-/// The batch jobs that a message brings.
+/// Returns the ids of the batch jobs in a message.
 pub fn jobs_in(message: &Message) -> impl Iterator<Item = &JobId> {
     let entries = match message {
         Message::Entries { entries, .. } => entries.as_slice(),
@@ -39,7 +39,7 @@
     })
 }
 
-/// Whether a message is one that a primary sends to its members.
+/// Whether a message is of a kind that a primary sends to its members.
 pub fn is_from_primary(message: &Message) -> bool {
     match message {
         Message::Compare { .. } | Message::Entries { .. } => true,
--- a/alderhollow/src/store/role.rs
+++ b/alderhollow/src/store/role.rs
@@ -24,16 +24,16 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Kept of the time between SIGTERM and SIGKILL.
+/// Part of the time between SIGTERM and SIGKILL that is reserved for the rest of the shutdown.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(1_500);
-/// Longest wait for other stores to take the groups over.
+/// Maximum wait for other stores to take over the groups.
 const MAX_HANDOVER_WAIT: Duration = Duration::from_millis(4_000);
-/// After others have taken over, calls that are under way get their answers.
+/// Time after the handover in which pending calls are still answered.
 const DRAIN_TIME: Duration = Duration::from_millis(400);
-/// How often a leaving store looks whether it leads no group any more.
+/// Interval at which a leaving store checks whether it still leads a group.
 const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a store until it is told to end. To be run in a `LocalSet`.
+/// Runs a store until SIGTERM. Must be called within a `LocalSet`.
 ///
 /// # Errors
 /// The data folder cannot be opened or read, or the internal port cannot be listened on.
@@ -64,7 +64,7 @@
         ServiceId::Replication,
         Rc::new(ReplicationHandler(node.clone())),
     );
-    // A store reads no list of backends: it is never the core's primary.
+    // A store reads no list of backends, as it is never the core's primary.
     let (_, backends) = watch::channel(None);
     let info = node_info(&settings, Role::Store, Some(disk));
     log::info!(
@@ -89,10 +89,10 @@
     }
 }
 
-/// The engines of the groups of which a disk holds something, the disk's id, and its journal.
+/// The engines restored from a disk, the disk's id, and its journal.
 type OpenedDisk = (BTreeMap<GroupId, Engine>, DiskId, Journal);
 
-/// Reads what the disk holds.
+/// Opens the journal and restores the engines.
 fn open_disk(settings: &Settings, shared: &Node) -> Result<OpenedDisk, RoleError> {
     let folder = settings.data_dir.as_ref().ok_or(RoleError::NoDisk)?;
     let folder_error = |source| RoleError::Folder {
@@ -114,21 +114,21 @@
     Ok((engines, id, journal))
 }
 
-/// Waits for SIGTERM, then until this store leads no group any more.
+/// Waits for SIGTERM, then until this store leads no group, within the grace period.
 async fn shut_down_on_sigterm(
     node: &Rc<StoreNode>,
     poll: &PollState,
     grace: Duration,
 ) -> io::Result<()> {
     terminated().await?;
-    log::info!("told to end");
+    log::info!("received SIGTERM; handing over the batch groups");
     poll.leave();
-    let until =
+    let deadline =
         tokio::time::Instant::now() + grace.saturating_sub(SHUTDOWN_MARGIN).min(MAX_HANDOVER_WAIT);
-    while node.is_primary() && tokio::time::Instant::now() < until {
+    while node.is_primary() && tokio::time::Instant::now() < deadline {
         tokio::time::sleep(HANDOVER_POLL_INTERVAL).await;
     }
     tokio::time::sleep(DRAIN_TIME).await;
-    log::info!("ends");
+    log::info!("shutting down");
     Ok(())
 }
--- a/alderhollow/src/store/routes.rs
+++ b/alderhollow/src/store/routes.rs
@@ -1,14 +1,14 @@
-//! The batch routes of a configuration, as the engines take them.
+//! Converts the batch routes of a configuration for the engines.
 
 use alderhollow_batch::api::RouteTerms;
 use alderhollow_model::config::{Config, Route, RouteType};
 use std::collections::BTreeMap;
 
-/// Where the batch routes leave these to the system.
+/// Defaults for batch routes that don't set these values.
 const DEFAULT_RUN_TARGET_MS: u64 = 10_000;
 const DEFAULT_RETENTION_MS: u64 = 60_000;
 
-/// The terms of each batch route, by the route's name.
+/// Returns the terms of each batch route, by the route's name.
 pub fn batch_routes(config: &Config) -> BTreeMap<String, RouteTerms> {
     let is_batch = |route: &&Route| route.route_type == RouteType::Batch;
     config
--- a/alderhollow/src/store/runs.rs
+++ b/alderhollow/src/store/runs.rs
@@ -1,4 +1,4 @@
-//! Runs of items in a store: started with the room there is, and ended at once when they are not wanted any more.
+//! Item runs of a store: started within the executor's capacity, and aborted when the engine cancels them.
 
 use super::item_starts::GroupItemStart;
 use super::node::StoreNode;
@@ -13,16 +13,16 @@
 use std::rc::Rc;
 use tokio::task::AbortHandle;
 
-/// Names a run over all groups.
+/// Identifies a run across all groups.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Hash)]
 pub struct RunKey {
     /// The item's group.
     pub group: GroupId,
-    /// The run, as the group's engine named it.
+    /// The run's id within the group.
     pub run: RunId,
 }
 
-/// A run that ended by itself.
+/// A run that ended without being cancelled.
 #[derive(Debug)]
 pub struct EndedRun {
     /// The run.
@@ -31,17 +31,17 @@
     pub end: RunEnd,
 }
 
-/// The runs under way.
+/// The active runs of a store.
 pub struct Runs {
     executor: Executor,
     running: RefCell<HashMap<RunKey, AbortHandle>>,
-    /// Ends that the engines were not told yet. Told together, those of a group make one write and one message to each
-    /// member.
+    /// Ended runs that were not passed to the engines yet. Passed together, those of a group need one write and one message
+    /// to each member.
     ended: RefCell<BTreeMap<GroupId, Vec<EndedRun>>>,
 }
 
 impl Runs {
-    /// None yet.
+    /// Creates an empty set of runs.
     pub fn new(executor: Executor) -> Runs {
         Runs {
             executor,
@@ -50,7 +50,7 @@
         }
     }
 
-    /// How many items may start now at a store that leads this share of the groups, with so many waiting.
+    /// Returns how many items may start now, given the share of the groups that the store leads and the waiting items.
     pub fn room(&self, share: LedShare, waiting: usize) -> usize {
         self.executor
             .room(share, waiting, self.running.borrow().len())
@@ -71,7 +71,7 @@
         }
     }
 
-    /// Ends a run; its connection closes.
+    /// Aborts a run, which closes its connection.
     pub fn cancel(&self, key: RunKey) {
         if let Some(task) = self.running.borrow_mut().remove(&key) {
             task.abort();
@@ -79,7 +79,7 @@
         }
     }
 
-    /// The ends since the last call, by groups.
+    /// Returns the runs that have ended since the last call, by group.
     pub fn take_ended(&self) -> BTreeMap<GroupId, Vec<EndedRun>> {
         self.ended.take()
     }
--- a/alderhollow/src/store/waiting.rs
+++ b/alderhollow/src/store/waiting.rs
@@ -1,4 +1,4 @@
-//! Calls that wait: for the end of an operation, or for a result of a batch job.
+//! Calls that wait for the outcome of an operation, or for a result of a batch job.
 
 use alderhollow_batch::api::{Outcome, Token};
 use alderhollow_batch::job::JobId;
@@ -7,18 +7,18 @@
 use std::rc::Rc;
 use tokio::sync::{oneshot, Notify};
 
-/// All waiting calls of a store.
+/// The waiting calls of one group.
 #[derive(Default)]
 pub struct Waiting {
-    ends: RefCell<HashMap<Token, Vec<oneshot::Sender<Outcome>>>>,
+    outcomes: RefCell<HashMap<Token, Vec<oneshot::Sender<Outcome>>>>,
     readers: RefCell<HashMap<JobId, Rc<Notify>>>,
 }
 
 impl Waiting {
-    /// Waits for the end of an operation. The receiver fails if the end is never told.
+    /// Returns a receiver for the outcome of an operation. It fails if the outcome never becomes known.
     pub fn wait_for_outcome(&self, token: Token) -> oneshot::Receiver<Outcome> {
         let (sender, receiver) = oneshot::channel();
-        self.ends
+        self.outcomes
             .borrow_mut()
             .entry(token)
             .or_default()
@@ -26,15 +26,20 @@
         receiver
     }
 
-    /// An operation has ended.
+    /// Sends the outcome of an operation to its waiting calls.
     pub fn resolve(&self, token: Token, outcome: Outcome) {
-        for sender in self.ends.borrow_mut().remove(&token).unwrap_or_default() {
-            // A caller that has gone wants no answer.
+        for sender in self
+            .outcomes
+            .borrow_mut()
+            .remove(&token)
+            .unwrap_or_default()
+        {
+            // The send fails if the caller has disconnected.
             let _ = sender.send(outcome);
         }
     }
 
-    /// What is told when something of the job became readable.
+    /// Returns the notifier for new results of a job.
     pub fn results_notify(&self, job: &JobId) -> Rc<Notify> {
         self.readers
             .borrow_mut()
@@ -43,21 +48,21 @@
             .clone()
     }
 
-    /// Something of the job became readable.
+    /// Wakes the readers of a job that has new results.
     pub fn notify_readable(&self, job: &JobId) {
         if let Some(notify) = self.readers.borrow_mut().remove(job) {
             notify.notify_waiters();
         }
     }
 
-    /// Wakes all readers: this store's part has changed.
+    /// Wakes all readers, after the group's epoch has changed.
     pub fn wake_readers(&self) {
         for (_, notify) in self.readers.borrow_mut().drain() {
             notify.notify_waiters();
         }
     }
 
-    /// Drops what nobody waits for any more.
+    /// Removes notifiers that no call waits for.
     pub fn remove_unused(&self) {
         self.readers
             .borrow_mut()
