--- a/alderhollow/src/store/role.rs
+++ b/alderhollow/src/store/role.rs
@@ -121,7 +121,7 @@
     grace: Duration,
 ) -> io::Result<()> {
     terminated().await?;
-    log::info!("received SIGTERM; handing over the batch groups");
+    log::info!("told to end");
     poll.leave();
     let deadline =
         tokio::time::Instant::now() + grace.saturating_sub(SHUTDOWN_MARGIN).min(MAX_HANDOVER_WAIT);
