--- a/alderhollow/tests/store/groups.rs
+++ b/alderhollow/tests/store/groups.rs
@@ -1,4 +1,4 @@
-//! Several groups over the stores: who leads, who keeps what, and what a loss moves.
+//! Several groups spread over the stores: primaries, membership and the effects of losing a store.
 
 use crate::batch_tables::{HOST, ROUTE};
 use alderhollow::batch_protocol::{ReplicationNotice, StoreCall, StoreReply};
@@ -16,12 +16,12 @@
 
 use crate::tier::*;
 
-/// Takes, runs, reads and ends two jobs of each group.
-async fn use_all_groups(tier: &Tier, count: usize) {
+/// Submits two jobs to each group and reads their results.
+async fn submit_and_read_in_all_groups(tier: &Tier, count: usize) {
     for group in 0..count {
         for id in jobs_of_group(group, count, 2) {
             assert_eq!(
-                tier.hand_in(&id, 2, 4_000).await.status(),
+                tier.submit_job(&id, 2, 4_000).await.status(),
                 202,
                 "{id} of group {group}"
             );
@@ -31,14 +31,17 @@
 }
 
 #[test]
-fn two_groups_over_three_stores_each_take_run_read_and_end_their_jobs() {
-    in_local_set(async {
+fn two_groups_over_three_stores_accept_run_read_and_delete_jobs() {
+    run_in_local_set(async {
         let tier = Tier::start(vec![], 0).await;
         tier.set_groups(
             2,
-            &[Plan::new(2, 0, &[0, 1, 2]), Plan::new(1, 1, &[0, 1, 2])],
+            &[
+                GroupPlan::new(2, 0, &[0, 1, 2]),
+                GroupPlan::new(1, 1, &[0, 1, 2]),
+            ],
         );
-        use_all_groups(&tier, 2).await;
+        submit_and_read_in_all_groups(&tier, 2).await;
         for store in &tier.stores {
             assert_eq!(jobs_by_group(store), [(0, 2), (1, 2)]);
         }
@@ -59,10 +62,10 @@
 }
 
 #[test]
-fn three_groups_are_each_led_by_another_store_and_kept_by_their_members_alone() {
-    in_local_set(async {
+fn three_groups_have_different_primaries_and_are_stored_by_their_members_only() {
+    run_in_local_set(async {
         let tier = Tier::start_with(vec![], 0, &THREE_GROUPS).await;
-        use_all_groups(&tier, 3).await;
+        submit_and_read_in_all_groups(&tier, 3).await;
         assert_eq!(jobs_by_group(&tier.stores[0]), [(0, 2), (2, 2)]);
         assert_eq!(jobs_by_group(&tier.stores[1]), [(0, 2), (1, 2)]);
         assert_eq!(jobs_by_group(&tier.stores[2]), [(1, 2), (2, 2)]);
@@ -88,19 +91,19 @@
 }
 
 #[test]
-fn the_loss_of_a_store_moves_only_its_groups() {
-    in_local_set(async {
+fn the_loss_of_a_store_affects_only_its_groups() {
+    run_in_local_set(async {
         let tier = Tier::start_with(vec![], 0, &THREE_GROUPS).await;
-        use_all_groups(&tier, 3).await;
+        submit_and_read_in_all_groups(&tier, 3).await;
         tier.stores[1].stop();
         let untouched = jobs_of_group(2, 3, 3);
         assert_eq!(ids(&tier.results_of(&untouched[0]).await), ["i0", "i1"]);
-        assert_eq!(tier.hand_in(&untouched[2], 1, 4_000).await.status(), 202);
+        assert_eq!(tier.submit_job(&untouched[2], 1, 4_000).await.status(), 202);
         tier.set_groups(
             2,
             &[
-                Plan::new(2, 0, &[0]),
-                Plan::new(2, 2, &[2]),
+                GroupPlan::new(2, 0, &[0]),
+                GroupPlan::new(2, 2, &[2]),
                 THREE_GROUPS[2],
             ],
         );
@@ -113,29 +116,29 @@
                 );
             }
             let next = &jobs_of_group(group, 3, 4)[3];
-            assert_eq!(tier.hand_in(next, 1, 4_000).await.status(), 202);
+            assert_eq!(tier.submit_job(next, 1, 4_000).await.status(), 202);
             assert_eq!(ids(&tier.results_of(next).await), ["i0"]);
         }
         assert_eq!(tier.stores[2].node.led_share().led, 2);
         assert!(!tier.stores[1].node.is_primary());
-        assert_eq!(tier.backend.requests().len(), 16, "nothing ran again");
+        assert_eq!(tier.backend.requests().len(), 16, "no item ran again");
     });
 }
 
 #[test]
-fn all_groups_are_there_after_a_loss_of_power_of_all_stores() {
-    in_local_set(async {
+fn all_groups_survive_a_loss_of_power_of_all_stores() {
+    run_in_local_set(async {
         let tier = Tier::start_with(vec![], 0, &THREE_GROUPS).await;
-        use_all_groups(&tier, 3).await;
+        submit_and_read_in_all_groups(&tier, 3).await;
         let disks = tier.lose_power();
         let tier = tier.restart_on(disks).await;
         assert_eq!(jobs_by_group(&tier.stores[0]), [(0, 2), (2, 2)]);
         tier.set_groups(
             2,
             &[
-                Plan::new(2, 1, &[0, 1]),
-                Plan::new(2, 2, &[1, 2]),
-                Plan::new(2, 0, &[2, 0]),
+                GroupPlan::new(2, 1, &[0, 1]),
+                GroupPlan::new(2, 2, &[1, 2]),
+                GroupPlan::new(2, 0, &[2, 0]),
             ],
         );
         for group in 0..3 {
@@ -147,11 +150,11 @@
                 );
             }
         }
-        assert_eq!(tier.backend.requests().len(), 12, "nothing ran again");
+        assert_eq!(tier.backend.requests().len(), 12, "no item ran again");
     });
 }
 
-/// A job of one item as an earlier version wrote it.
+/// Creates a job of one item as earlier versions wrote it.
 fn old_job(id: &str) -> NewJob {
     let request = ItemRequest {
         path: "/b/1".to_string(),
@@ -173,8 +176,8 @@
 }
 
 #[test]
-fn the_disk_of_a_version_with_one_group_is_read() {
-    in_local_set(async {
+fn a_disk_written_by_a_version_with_a_single_group_is_read() {
+    run_in_local_set(async {
         let disk = FaultDisk::new(DISK_BYTES, 5);
         let (mut journal, _) = Journal::open(&mut disk.clone(), 5).expect("a journal");
         let mut state = State::default();
@@ -190,12 +193,12 @@
             state: ResultState::Completed,
             text: "old text".to_string(),
         };
-        let listed = Entry::ItemResults {
+        let results = Entry::ItemResults {
             job: JobId::from("j2"),
             position: 0,
             results: vec![result],
         };
-        journal.append(&listed.to_bytes()).expect("a record");
+        journal.append(&results.to_bytes()).expect("a record");
         journal.sync().expect("on disk");
         drop(journal);
 
@@ -214,7 +217,7 @@
         assert_eq!(
             jobs_by_group(&tier.stores[0]),
             [(0, 2)],
-            "old and new records together"
+            "untagged and tagged records are read together"
         );
         tier.set_group(3, 1, &[0, 1]);
         assert_eq!(ids(&tier.results_of("j1").await), ["i0"]);
@@ -222,31 +225,35 @@
 }
 
 #[test]
-fn a_group_that_was_left_is_dropped_from_memory_and_disk_and_can_be_joined_again() {
-    in_local_set(async {
+fn a_left_group_is_removed_from_memory_and_disk_and_can_be_joined_again() {
+    run_in_local_set(async {
         let tier = Tier::start_with(vec![], 0, &THREE_GROUPS).await;
-        use_all_groups(&tier, 3).await;
+        submit_and_read_in_all_groups(&tier, 3).await;
         tier.set_groups(
             2,
-            &[Plan::new(2, 1, &[1]), THREE_GROUPS[1], THREE_GROUPS[2]],
+            &[GroupPlan::new(2, 1, &[1]), THREE_GROUPS[1], THREE_GROUPS[2]],
         );
         let kept = &jobs_of_group(0, 3, 1)[0];
         assert_eq!(ids(&tier.results_of(kept).await), ["i0", "i1"]);
-        let left = &tier.stores[0].node;
-        left.remove_left_groups(left.clock.now_ms());
-        assert_eq!(jobs_by_group(&tier.stores[0]), [(0, 2), (2, 2)], "not yet");
-        left.remove_left_groups(left.clock.now_ms() + LEFT_GROUP_RETENTION_MS);
+        let former_member = &tier.stores[0].node;
+        former_member.remove_left_groups(former_member.clock.now_ms());
+        assert_eq!(
+            jobs_by_group(&tier.stores[0]),
+            [(0, 2), (2, 2)],
+            "the retention time has not passed"
+        );
+        former_member.remove_left_groups(former_member.clock.now_ms() + LEFT_GROUP_RETENTION_MS);
         assert_eq!(jobs_by_group(&tier.stores[0]), [(2, 2)]);
         assert_eq!(jobs_by_group(&tier.stores[1]), [(0, 2), (1, 2)]);
 
-        // A job that comes after the snapshot stands behind it in the journal.
+        // A job accepted after the snapshot follows it in the journal.
         let last = &jobs_of_group(2, 3, 3)[2];
-        assert_eq!(tier.hand_in(last, 1, 4_000).await.status(), 202);
+        assert_eq!(tier.submit_job(last, 1, 4_000).await.status(), 202);
         let disks = tier.lose_power();
         let tier = tier.restart_on(disks).await;
         assert_eq!(jobs_by_group(&tier.stores[0]), [(2, 3)]);
 
-        let joining = Plan {
+        let joining = GroupPlan {
             epoch: 3,
             primary: 1,
             members: &[1, 0],
@@ -254,18 +261,22 @@
         };
         tier.set_groups(
             3,
-            &[joining, Plan::new(2, 1, &[1, 2]), Plan::new(2, 2, &[2, 0])],
+            &[
+                joining,
+                GroupPlan::new(2, 1, &[1, 2]),
+                GroupPlan::new(2, 2, &[2, 0]),
+            ],
         );
         let next = &jobs_of_group(0, 3, 3)[2];
-        assert_eq!(tier.hand_in(next, 1, 4_000).await.status(), 202);
+        assert_eq!(tier.submit_job(next, 1, 4_000).await.status(), 202);
         assert_eq!(jobs_by_group(&tier.stores[0]), [(0, 3), (2, 3)]);
         tier.stores[1].stop();
         tier.set_groups(
             4,
             &[
-                Plan::new(4, 0, &[0]),
-                Plan::new(3, 2, &[2]),
-                Plan::new(2, 2, &[2, 0]),
+                GroupPlan::new(4, 0, &[0]),
+                GroupPlan::new(3, 2, &[2]),
+                GroupPlan::new(2, 2, &[2, 0]),
             ],
         );
         assert_eq!(ids(&tier.results_of(kept).await), ["i0", "i1"]);
@@ -273,8 +284,8 @@
 }
 
 #[test]
-fn a_primarys_message_makes_a_group_before_the_tables_do() {
-    in_local_set(async {
+fn a_primarys_message_creates_a_group_before_the_tables_name_it() {
+    run_in_local_set(async {
         let (_tables, snapshots) = watch::channel(Arc::<Snapshot>::default());
         let store = Store::start(1, FaultDisk::new(DISK_BYTES, 1), snapshots).await;
         let stream = StreamId {
@@ -315,10 +326,10 @@
 }
 
 #[test]
-fn a_message_of_a_group_that_the_tables_do_not_know_makes_none() {
-    in_local_set(async {
+fn a_message_for_a_group_missing_from_the_tables_creates_none() {
+    run_in_local_set(async {
         let tier = Tier::start_with(vec![], 0, &THREE_GROUPS).await;
-        use_all_groups(&tier, 3).await;
+        submit_and_read_in_all_groups(&tier, 3).await;
         let stream = StreamId {
             epoch: 9,
             session: 1,
@@ -350,10 +361,10 @@
 }
 
 #[test]
-fn a_job_is_refused_at_a_store_that_does_not_lead_its_group() {
-    in_local_set(async {
+fn a_read_is_rejected_by_a_store_that_is_not_the_primary() {
+    run_in_local_set(async {
         let tier = Tier::start_with(vec![], 0, &THREE_GROUPS).await;
-        use_all_groups(&tier, 3).await;
+        submit_and_read_in_all_groups(&tier, 3).await;
         for group in 0..3 {
             let job = JobId::from(jobs_of_group(group, 3, 1)[0].as_str());
             for (index, store) in tier.stores.iter().enumerate() {
@@ -374,24 +385,25 @@
 }
 
 #[test]
-fn what_is_due_first_runs_first_over_all_led_groups() {
-    in_local_set(async {
+fn items_with_the_earliest_deadline_run_first_across_all_led_groups() {
+    run_in_local_set(async {
         for first in [0, 1] {
             let tier = Tier::start(vec![], 0).await;
             tier.set_groups(
                 2,
-                &[Plan::new(2, 0, &[0, 1, 2]), Plan::new(1, 0, &[0, 1, 2])],
+                &[
+                    GroupPlan::new(2, 0, &[0, 1, 2]),
+                    GroupPlan::new(1, 0, &[0, 1, 2]),
+                ],
             );
             let early = &jobs_of_group(first, 2, 1)[0];
             let late = &jobs_of_group(1 - first, 2, 1)[0];
             assert_eq!(
-                tier.hand_in_items(early, "early-", 16, 4_000)
-                    .await
-                    .status(),
+                tier.submit_items(early, "early-", 16, 4_000).await.status(),
                 202
             );
             assert_eq!(
-                tier.hand_in_items(late, "late-", 4, 4_000).await.status(),
+                tier.submit_items(late, "late-", 4, 4_000).await.status(),
                 202
             );
             tier.backend.until_requests(20).await;
@@ -405,7 +417,7 @@
                 .iter()
                 .rposition(|head| head.contains("early-"))
                 .expect("early items");
-            // Two items may start at once, and their requests come in any order.
+            // Two items may start at once, and their requests may arrive in any order.
             assert!(last_early <= 16, "{heads:#?}");
         }
     });
--- a/alderhollow/tests/store/jobs.rs
+++ b/alderhollow/tests/store/jobs.rs
@@ -1,4 +1,4 @@
-//! One group: what becomes of jobs, their items and their ends.
+//! A single group: jobs, their items and results, and their deletion.
 
 use crate::batch_backend::{whole_text, Reply};
 use serde_json::json;
@@ -7,8 +7,8 @@
 use crate::tier::*;
 
 #[test]
-fn a_job_is_taken_run_read_and_stands_at_the_successor() {
-    in_local_set(async {
+fn a_job_is_accepted_run_and_read_and_survives_a_change_of_primary() {
+    run_in_local_set(async {
         let script = vec![Reply::CutAfter(20), Reply::NotExecuted, Reply::Status(500)];
         let tier = Tier::start(script, 0).await;
         assert_eq!(tier.submit(5).await, 202);
@@ -35,8 +35,8 @@
 }
 
 #[test]
-fn an_item_that_fails_at_every_attempt_or_can_never_be_done_is_a_dead_letter() {
-    in_local_set(async {
+fn an_item_that_fails_at_every_attempt_or_permanently_is_a_dead_letter() {
+    run_in_local_set(async {
         let tier = Tier::start(vec![Reply::Status(500); 3], 0).await;
         assert_eq!(tier.submit(1).await, 202);
         assert_eq!(
@@ -56,8 +56,8 @@
 }
 
 #[test]
-fn the_end_of_a_job_cancels_its_runs_at_once() {
-    in_local_set(async {
+fn deleting_a_job_cancels_its_runs_at_once() {
+    run_in_local_set(async {
         let tier = Tier::start(vec![Reply::Silence, Reply::Silence], 0).await;
         assert_eq!(tier.submit(2).await, 202);
         tier.backend.until_requests(2).await;
@@ -73,8 +73,8 @@
 }
 
 #[test]
-fn what_does_not_fit_gets_429() {
-    in_local_set(async {
+fn a_job_over_quota_gets_429() {
+    run_in_local_set(async {
         let tier = Tier::start(vec![], 250).await;
         assert_eq!(tier.submit(3).await, 429);
         assert_eq!(tier.backend.requests(), []);
@@ -83,23 +83,23 @@
 }
 
 #[test]
-fn an_end_that_a_silent_member_leaves_unknown_is_settled_by_the_next_epoch() {
-    in_local_set(async {
+fn an_outcome_left_unknown_by_a_silent_member_is_resolved_in_the_next_epoch() {
+    run_in_local_set(async {
         let tier = Tier::start(vec![], 0).await;
         assert_eq!(tier.submit(1).await, 202);
         tier.results().await;
         tier.stores[2].stop();
-        let response = tier.hand_in("j2", 1, 300).await;
+        let response = tier.submit_job("j2", 1, 300).await;
         assert_eq!(response.status(), 504);
         assert!(!response.headers().contains_key("retry-after"));
         tier.set_group(2, 0, &[0, 1]);
-        assert_eq!(tier.hand_in("j2", 1, 4_000).await.status(), 202);
+        assert_eq!(tier.submit_job("j2", 1, 4_000).await.status(), 202);
     });
 }
 
 #[test]
-fn jobs_are_there_after_a_loss_of_power_of_all_stores() {
-    in_local_set(async {
+fn jobs_survive_a_loss_of_power_of_all_stores() {
+    run_in_local_set(async {
         let tier = Tier::start(vec![], 0).await;
         assert_eq!(tier.submit(4).await, 202);
         let results = tier.results().await;
@@ -111,10 +111,10 @@
 }
 
 #[test]
-fn a_store_that_nobody_validates_takes_nothing_and_never_says_404() {
-    in_local_set(async {
+fn a_store_without_validation_accepts_nothing_and_never_answers_404() {
+    run_in_local_set(async {
         let tier = Tier::start_validated(vec![], 0, None).await;
-        let response = tier.hand_in("j1", 1, 4_000).await;
+        let response = tier.submit_job("j1", 1, 4_000).await;
         assert_eq!(response.status(), 503);
         assert!(response.headers().contains_key("retry-after"));
         for path in ["/alderhollow/lots/j1", "/alderhollow/items/j1?id=i0"] {
@@ -126,22 +126,22 @@
 
         tier.stores
             .iter()
-            .for_each(|store| store.poll.record_validation(FOR_EVER));
+            .for_each(|store| store.poll.record_validation(FOREVER_MS));
         assert_eq!(tier.submit(1).await, 202);
         assert_eq!(tier.status("GET", "/alderhollow/lots/other").await, 404);
     });
 }
 
-/// The metrics of all tests of this process are the same: others may add to them meanwhile.
+/// Compares with lower bounds only: all tests of this process share the metrics and may add to them concurrently.
 #[test]
-fn the_metrics_tell_of_a_job_s_way() {
-    in_local_set(async {
-        let before = told();
+fn the_metrics_count_the_stages_of_a_job() {
+    run_in_local_set(async {
+        let before = metric_samples();
         let tier = Tier::start(vec![Reply::CutAfter(20)], 0).await;
         assert_eq!(tier.submit(2).await, 202);
         tier.results().await;
-        let after = told();
-        for (metric, least) in [
+        let after = metric_samples();
+        for (metric, minimum) in [
             ("alderhollow_batch_jobs_offered_total", 1.0),
             ("alderhollow_batch_job_answers_total{status=\"202\"}", 1.0),
             ("alderhollow_batch_hand_overs_total", 1.0),
@@ -167,7 +167,7 @@
             ("alderhollow_replication_entry_bytes_total{content=\"results\"}", 100.0),
         ] {
             let added = after[metric] - before[metric];
-            assert!(added >= least, "{metric} rose by {added}, not by {least}");
+            assert!(added >= minimum, "{metric} rose by {added}, expected at least {minimum}");
         }
         let violations = after
             .iter()
@@ -176,8 +176,8 @@
     });
 }
 
-/// What the metrics tell now, by name with labels.
-fn told() -> BTreeMap<String, f64> {
+/// Returns the current metric samples, by name with labels.
+fn metric_samples() -> BTreeMap<String, f64> {
     let text = alderhollow::metrics::get().text();
     let samples = text
         .lines()
--- a/alderhollow/tests/store/main.rs
+++ b/alderhollow/tests/store/main.rs
@@ -1,11 +1,11 @@
-//! Three stores with one batch group or several, a gateway's batch calls and a backend in one process, over loopback: jobs
-//! are kept by all members, run by the primary, and stand at its successor. The disks are in memory.
+//! Three stores with one or several batch groups, a gateway's batch calls and a backend in one process, over loopback: jobs
+//! are replicated to all members, run by the primary, and still present at its successor. The disks are in memory.
 //!
-//! | part | tests |
+//! | module | tests |
 //! | --- | --- |
-//! | `jobs` | one group: jobs, items, ends, losses of power |
-//! | `groups` | several groups over the stores |
-//! | `quota` | the limit of a route that the groups share |
+//! | `jobs` | a single group: jobs, items, deletion, losses of power |
+//! | `groups` | several groups spread over the stores |
+//! | `quota` | the limit of a route, shared between groups |
 
 #[path = "../support/batch_backend.rs"]
 mod batch_backend;
--- a/alderhollow/tests/store/tier.rs
+++ b/alderhollow/tests/store/tier.rs
@@ -34,12 +34,12 @@
 use tokio::time::Instant;
 
 pub(crate) const DISK_BYTES: u64 = 64 * 1024 * 1024;
-/// Tokens of an item that [`Tier::hand_in`] makes.
+/// Tokens of each item created by [`job_item`].
 pub(crate) const ITEM_TOKENS: u64 = 100;
-/// Batch jobs are kept so long.
-pub(crate) const STATUS: Duration = Duration::from_secs(120);
-/// The core validates this process from here on.
-pub(crate) const FOR_EVER: u64 = u64::MAX / 2;
+/// Time for which batch jobs are kept.
+pub(crate) const STATUS_RETENTION: Duration = Duration::from_secs(120);
+/// Time of validation by the core that never expires during a test.
+pub(crate) const FOREVER_MS: u64 = u64::MAX / 2;
 
 pub(crate) struct Store {
     pub member: GroupMember,
@@ -67,7 +67,8 @@
             &recovered.records,
         )
         .expect("jobs");
-        let (queue, ends) = JournalQueue::new(Writer::start(journal).expect("a writer"), Some(64));
+        let (queue, completions) =
+            JournalQueue::new(Writer::start(journal).expect("a writer"), Some(64));
         let balancer = Rc::new(RefCell::new(Balancer::new("store", "a", number)));
         let exchange = Exchange::new(clock.instant(0), number, snapshots.clone(), balancer);
         let poll = PollState::default();
@@ -75,7 +76,7 @@
             disk: id,
             clock,
             engines,
-            status_retention: STATUS,
+            status_retention: STATUS_RETENTION,
             journal: queue,
             runs: Runs::new(Executor::new(clock, exchange)),
             network: Network::new(number),
@@ -91,7 +92,7 @@
         let tasks = [
             tokio::task::spawn_local(server::serve(listener, services)),
             tokio::task::spawn_local(node.clone().run()),
-            tokio::task::spawn_local(NodeJournal(node.clone()).process_completions(ends)),
+            tokio::task::spawn_local(NodeJournal(node.clone()).process_completions(completions)),
         ];
         let info = NodeInfo {
             node: format!("store-{number}"),
@@ -118,25 +119,25 @@
         }
     }
 
-    /// The process ends.
+    /// Stops the store's tasks, like the end of its process.
     pub(crate) fn stop(&self) {
         self.tasks.iter().for_each(AbortHandle::abort);
     }
 }
 
-/// A group as the core decides on it; stores by their places.
+/// A group as decided by the core. Stores are given by index.
 #[derive(Clone, Copy)]
-pub(crate) struct Plan<'a> {
+pub(crate) struct GroupPlan<'a> {
     pub epoch: u64,
     pub primary: usize,
     pub members: &'a [usize],
     pub learners: &'a [usize],
 }
 
-impl<'a> Plan<'a> {
-    /// Without learners.
-    pub(crate) fn new(epoch: u64, primary: usize, members: &'a [usize]) -> Plan<'a> {
-        Plan {
+impl<'a> GroupPlan<'a> {
+    /// Plans a group without learners.
+    pub(crate) fn new(epoch: u64, primary: usize, members: &'a [usize]) -> GroupPlan<'a> {
+        GroupPlan {
             epoch,
             primary,
             members,
@@ -145,21 +146,21 @@
     }
 }
 
-/// Three groups, each led by another store and with two members.
-pub(crate) const THREE_GROUPS: [Plan; 3] = [
-    Plan {
+/// Three groups of two members, each led by a different store.
+pub(crate) const THREE_GROUPS: [GroupPlan; 3] = [
+    GroupPlan {
         epoch: 1,
         primary: 0,
         members: &[0, 1],
         learners: &[],
     },
-    Plan {
+    GroupPlan {
         epoch: 1,
         primary: 1,
         members: &[1, 2],
         learners: &[],
     },
-    Plan {
+    GroupPlan {
         epoch: 1,
         primary: 2,
         members: &[2, 0],
@@ -177,7 +178,7 @@
 
 impl Tier {
     pub(crate) async fn start(script: Vec<Reply>, quota: u64) -> Tier {
-        Tier::start_validated(script, quota, Some(FOR_EVER)).await
+        Tier::start_validated(script, quota, Some(FOREVER_MS)).await
     }
 
     pub(crate) async fn start_validated(
@@ -185,18 +186,28 @@
         quota: u64,
         validated_at: Option<u64>,
     ) -> Tier {
-        Tier::start_all(script, quota, validated_at, &[Plan::new(1, 0, &[0, 1, 2])]).await
+        Tier::start_all(
+            script,
+            quota,
+            validated_at,
+            &[GroupPlan::new(1, 0, &[0, 1, 2])],
+        )
+        .await
     }
 
-    pub(crate) async fn start_with(script: Vec<Reply>, quota: u64, plans: &[Plan<'_>]) -> Tier {
-        Tier::start_all(script, quota, Some(FOR_EVER), plans).await
+    pub(crate) async fn start_with(
+        script: Vec<Reply>,
+        quota: u64,
+        plans: &[GroupPlan<'_>],
+    ) -> Tier {
+        Tier::start_all(script, quota, Some(FOREVER_MS), plans).await
     }
 
     pub(crate) async fn start_all(
         script: Vec<Reply>,
         quota: u64,
         validated_at: Option<u64>,
-        plans: &[Plan<'_>],
+        plans: &[GroupPlan<'_>],
     ) -> Tier {
         let backend = BatchBackend::start(script).await;
         let (tables, snapshots) = watch::channel(Arc::<Snapshot>::default());
@@ -226,11 +237,11 @@
         tier
     }
 
-    /// The core decides on a group.
+    /// Publishes tables with a single group.
     pub(crate) fn set_group(&self, epoch: u64, primary: usize, members: &[usize]) {
         self.set_groups(
             epoch,
-            &[Plan {
+            &[GroupPlan {
                 epoch,
                 primary,
                 members,
@@ -239,10 +250,10 @@
         );
     }
 
-    /// The core decides on all groups.
-    pub(crate) fn set_groups(&self, version: u64, plans: &[Plan]) {
+    /// Publishes tables with these groups.
+    pub(crate) fn set_groups(&self, version: u64, plans: &[GroupPlan]) {
         let member = |index: &usize| self.stores[*index].member.clone();
-        let group = |plan: &Plan| BatchGroup {
+        let group = |plan: &GroupPlan| BatchGroup {
             epoch: plan.epoch,
             primary: self.stores[plan.primary].member.disk,
             members: plan.members.iter().map(member).collect(),
@@ -258,14 +269,14 @@
         ));
     }
 
-    /// Three stores on these disks in place of the present ones, which have ended.
+    /// Starts new stores on these disks, in place of the current ones, which have been stopped.
     pub(crate) async fn restart_on(self, disks: Vec<FaultDisk>) -> Tier {
         let (tables, snapshots) = watch::channel(Arc::<Snapshot>::default());
         let mut stores = Vec::new();
         for (number, disk) in disks.into_iter().enumerate() {
             disk.restore_power();
             let store = Store::start(number as u64 + 11, disk, snapshots.clone()).await;
-            store.poll.record_validation(FOR_EVER);
+            store.poll.record_validation(FOREVER_MS);
             stores.push(store);
         }
         let endpoints =
@@ -279,14 +290,14 @@
         }
     }
 
-    /// All stores lose their power.
+    /// Cuts the power of all stores and returns their disks.
     pub(crate) fn lose_power(&self) -> Vec<FaultDisk> {
-        let lose = |store: &Store| {
+        let cut_power = |store: &Store| {
             store.stop();
             store.disk.fail_power_after(0);
             store.disk.clone()
         };
-        self.stores.iter().map(lose).collect()
+        self.stores.iter().map(cut_power).collect()
     }
 
     pub(crate) async fn call(&self, method: &str, path: &str, wait_ms: u64) -> Response<Bytes> {
@@ -304,18 +315,18 @@
             .await
     }
 
-    /// Hands a job in for a client that waits so long.
-    pub(crate) async fn hand_in(
+    /// Submits a job for a client with this deadline.
+    pub(crate) async fn submit_job(
         &self,
         id: &str,
         items: usize,
         deadline_ms: u64,
     ) -> Response<Bytes> {
-        self.hand_in_items(id, "i", items, deadline_ms).await
+        self.submit_items(id, "i", items, deadline_ms).await
     }
 
-    /// Hands a job in whose items' ids begin with a text.
-    pub(crate) async fn hand_in_items(
+    /// Submits a job whose items' ids start with a prefix.
+    pub(crate) async fn submit_items(
         &self,
         id: &str,
         prefix: &str,
@@ -329,12 +340,12 @@
             )
         };
         let items: Vec<Value> = (0..items).map(item).collect();
-        self.hand_in_through(&self.endpoints, id, &items, deadline_ms)
+        self.submit_through(&self.endpoints, id, &items, deadline_ms)
             .await
     }
 
-    /// Hands a job in at a gateway.
-    pub(crate) async fn hand_in_through(
+    /// Submits a job at a gateway.
+    pub(crate) async fn submit_through(
         &self,
         gateway: &StoreEndpoints,
         id: &str,
@@ -358,15 +369,15 @@
     }
 
     pub(crate) async fn submit(&self, items: usize) -> u16 {
-        self.hand_in("j1", items, 4_000).await.status().as_u16()
+        self.submit_job("j1", items, 4_000).await.status().as_u16()
     }
 
-    /// All results, once there are as many as items.
+    /// Returns all results of job `j1`, once all items have one.
     pub(crate) async fn results(&self) -> Vec<Value> {
         self.results_of("j1").await
     }
 
-    /// All results of a job, once there are as many as items.
+    /// Returns all results of a job, once all items have one.
     pub(crate) async fn results_of(&self, id: &str) -> Vec<Value> {
         let mut all = Vec::new();
         loop {
@@ -395,13 +406,13 @@
     }
 }
 
-/// An item as a client hands it in.
+/// Creates an item as a client submits it.
 pub(crate) fn job_item(id: &str, body: &[u8]) -> Value {
     let body = BASE64_STANDARD.encode(body);
     json!({"id": id, "path": "/b/1", "headers": {"Model": "m"}, "body": body, "tokens": ITEM_TOKENS})
 }
 
-pub(crate) fn in_local_set(test: impl Future<Output = ()>) {
+pub(crate) fn run_in_local_set(test: impl Future<Output = ()>) {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
@@ -427,15 +438,15 @@
         .any(|group| store.node.may_start(group))
 }
 
-/// Ids of jobs that a group keeps, of so many groups.
-pub(crate) fn jobs_of_group(group: usize, of: usize, count: usize) -> Vec<String> {
+/// Returns the first `count` job ids that belong to a group, out of this many groups.
+pub(crate) fn jobs_of_group(group: usize, groups: usize, count: usize) -> Vec<String> {
     let ids = (0..).map(|number| format!("job-{number}"));
-    ids.filter(|id| GroupId::of_key(id, of) == GroupId::at(group))
+    ids.filter(|id| GroupId::of_key(id, groups) == GroupId::at(group))
         .take(count)
         .collect()
 }
 
-/// How many jobs a store keeps of each group of which it has anything.
+/// Returns the number of jobs at a store, for each of its groups.
 pub(crate) fn jobs_by_group(store: &Store) -> Vec<(u32, usize)> {
     let jobs = |group: &Rc<alderhollow::store::group_engine::GroupEngine>| {
         store.node.read_group(group, |engine, _| engine.jobs())
