--- a/alderhollow/src/store/calls.rs
+++ b/alderhollow/src/store/calls.rs
@@ -99,8 +99,8 @@
     job: NewJob,
 ) -> StoreAnswer {
     let (route, tokens) = (job.route.clone(), job.tokens());
-    let SubmitResponse { submitted, end } = match node.must_wait_for_room(group, &job) {
-        true => node.submit_with_room(group, attempt_id, job).await,
+    let SubmitResponse { submitted, end } = match node.must_wait_for_quota(group, &job) {
+        true => node.submit_with_quota(group, attempt_id, job).await,
         false => submit_without_wait(node, group, attempt_id, job),
     };
     let is_new = match submitted {
@@ -135,7 +135,7 @@
     attempt_id: SubmissionAttemptId,
     offer: &JobOffer<'_>,
 ) -> StoreAnswer {
-    let reply = match node.offer_with_room(group, attempt_id, offer).await {
+    let reply = match node.offer_with_quota(group, attempt_id, offer).await {
         OfferOutcome::Welcome => StoreReply::Welcome,
         OfferOutcome::NotSure | OfferOutcome::BeyondLimit => StoreReply::NotSure,
         OfferOutcome::AlreadyAccepted => StoreReply::Committed,
@@ -166,7 +166,7 @@
         let waiting_before = engine.waiting_tokens(&route);
         let answered = submit_now(engine, now_ms, &group.waiting, attempt_id, job);
         if engine.waiting_tokens(&route) > waiting_before {
-            group.quota.note_accepted(engine, &route);
+            group.quota.record_accepted_job(engine, &route);
         }
         check_quota(engine, &route, waiting_before);
         answered
--- a/alderhollow/src/store/group_quota.rs
+++ b/alderhollow/src/store/group_quota.rs
@@ -308,9 +308,9 @@
     }
 
     /// Records that the engine accepted a batch job without a wait.
-    pub(super) fn note_accepted(&self, engine: &Engine, route: &str) {
+    pub(super) fn record_accepted_job(&self, engine: &Engine, route: &str) {
         if let Some(account) = self.accounts.borrow_mut().get_mut(route) {
-            account.note_accepted(engine, route);
+            account.record_accepted_job(engine, route);
         }
     }
 
@@ -501,7 +501,7 @@
 
 impl RouteAccount {
     /// Records that the engine accepted a batch job.
-    fn note_accepted(&mut self, engine: &Engine, route: &str) {
+    fn record_accepted_job(&mut self, engine: &Engine, route: &str) {
         let used = engine.waiting_tokens(route);
         let before = self.account.counters().violations;
         self.account.record_accepted(used);
@@ -538,7 +538,7 @@
                 WaitingSubmission::Offer(offer) => offer.resolve(now_ms, engine, outcome),
             }
             if engine.waiting_tokens(route) > used_before {
-                self.note_accepted(engine, route);
+                self.record_accepted_job(engine, route);
             }
         }
     }
--- a/alderhollow/src/store/group_quota/tests.rs
+++ b/alderhollow/src/store/group_quota/tests.rs
@@ -1,4 +1,4 @@
-//! Accounts over changes of the configuration.
+//! Quota accounts across configuration changes, and the queue of waiting submissions.
 
 use super::*;
 use alderhollow_batch::api::Output;
@@ -12,10 +12,10 @@
 const DISK: DiskId = DiskId(1);
 const ROUTE: &str = "jobs";
 const MAX: u64 = 1_000;
-/// Longer than any period of reports.
+/// Longer than any interval between reports.
 const ROUND_MS: u64 = 2_000;
 
-/// Two groups of one member each; this store leads both.
+/// Two groups with this store as their only member.
 fn control() -> ControlView {
     let node = NodeInfo {
         node: "store-1".to_string(),
@@ -66,14 +66,14 @@
     }
 }
 
-/// The route's limit is this from now on.
+/// Sets the route's limit.
 fn set_max(quota: &GroupQuota, engine: &mut Engine, now_ms: u64, max: u64) {
     engine.set_routes(now_ms, now_ms, routes(max));
     quota.apply_tables(now_ms, engine, GroupId(0), &control(), &routes(max));
 }
 
 #[test]
-fn reports_go_on_counting_when_a_limit_goes_and_comes_back() {
+fn report_ids_keep_increasing_when_a_limit_is_removed_and_restored() {
     let control = control();
     let mut engine = active_engine(&control);
     let quota = GroupQuota::default();
@@ -98,16 +98,16 @@
         .expect("a report at once");
     assert!(
         report.id > newest,
-        "a coordinator would take {:?} for older than {newest:?}",
+        "a coordinator would consider {:?} older than {newest:?}",
         report.id
     );
     assert!(
         !engine.would_fit(ROUTE, 1),
-        "nothing fits before the coordinator has answered"
+        "no job fits before the coordinator has answered"
     );
 }
 
-/// A job with a body of so many bytes.
+/// A job of one item with a body of this size.
 fn job(id: usize, body_bytes: usize) -> NewJob {
     let request = ItemRequest {
         path: "/b/1".to_owned(),
@@ -130,7 +130,7 @@
 }
 
 #[test]
-fn what_waits_for_room_is_bounded_in_bytes() {
+fn waiting_submissions_are_limited_in_bytes() {
     const BODY_BYTES: usize = 100_000;
     let control = control();
     let mut engine = active_engine(&control);
@@ -155,12 +155,12 @@
         quota
             .queue_job(0, SubmissionAttemptId(9_999), job(9_999, BODY_BYTES))
             .is_some(),
-        "one has left"
+        "a withdrawn submission frees its bytes"
     );
 }
 
 #[test]
-fn offers_that_wait_count_little() {
+fn waiting_offers_count_few_bytes() {
     const BODY_BYTES: usize = 1_000_000;
     let mut engine = active_engine(&control());
     let quota = GroupQuota::default();
@@ -169,7 +169,7 @@
     for id in 0..8 {
         jobs.extend(quota.queue_job(0, SubmissionAttemptId(id as u64), job(id, BODY_BYTES)));
     }
-    assert_eq!(jobs.len(), 8, "some room is left");
+    assert_eq!(jobs.len(), 8, "the byte limit is not reached");
     let mut offers = Vec::new();
     for id in 0..10_000 {
         let job = JobId(format!("offered-{id}"));
@@ -185,7 +185,7 @@
         "{} offers wait beside the jobs",
         offers.len()
     );
-    assert!(offers.len() < 10_000, "they are bounded too");
+    assert!(offers.len() < 10_000, "offers are limited too");
     quota.withdraw(ROUTE, jobs[0].id);
     let job = JobId("last".to_owned());
     let offer = JobOffer {
@@ -197,21 +197,21 @@
         quota
             .queue_offer(0, SubmissionAttemptId(1), &offer)
             .is_some(),
-        "one has left"
+        "a withdrawn submission frees its bytes"
     );
 }
 
-/// A group whose account has asked for room for one offer.
-struct OfferInLine {
+/// A group with one queued offer, for which its account has sent a report.
+struct QueuedOffer {
     engine: Engine,
     quota: GroupQuota,
     report: QuotaReport,
     answer: oneshot::Receiver<OfferOutcome>,
 }
 
-const OFFER_TRY: SubmissionAttemptId = SubmissionAttemptId(5);
+const OFFER_ATTEMPT: SubmissionAttemptId = SubmissionAttemptId(5);
 
-fn on_offer(tokens: u64, check: impl FnOnce(&JobOffer)) {
+fn with_offer(tokens: u64, check: impl FnOnce(&JobOffer)) {
     check(&JobOffer {
         id: &JobId("job-1".to_owned()),
         route: ROUTE,
@@ -219,25 +219,28 @@
     });
 }
 
-impl OfferInLine {
-    fn new(tokens: u64) -> OfferInLine {
+impl QueuedOffer {
+    fn new(tokens: u64) -> QueuedOffer {
         let mut engine = active_engine(&control());
         engine.set_validated_until(1_000_000);
         engine.set_disk_ready(true);
         let quota = GroupQuota::default();
         set_max(&quota, &mut engine, 0, MAX);
         let mut queued = None;
-        on_offer(tokens, |offer| {
-            assert_eq!(engine.offer(0, OFFER_TRY, offer), OfferOutcome::BeyondLimit);
-            queued = quota.queue_offer(0, OFFER_TRY, offer);
+        with_offer(tokens, |offer| {
+            assert_eq!(
+                engine.offer(0, OFFER_ATTEMPT, offer),
+                OfferOutcome::BeyondLimit
+            );
+            queued = quota.queue_offer(0, OFFER_ATTEMPT, offer);
         });
         let report = quota
             .advance(0, &mut engine, &Waiting::default())
             .pop()
             .expect("a report");
         assert_eq!(report.wanted, [tokens]);
-        let answer = queued.expect("a place in line").answer;
-        OfferInLine {
+        let answer = queued.expect("the offer is queued").answer;
+        QueuedOffer {
             engine,
             quota,
             report,
@@ -245,11 +248,11 @@
         }
     }
 
-    /// The coordinator answers the report.
-    fn grant(&mut self, now_ms: u64, limit: u64, room: u64) {
+    /// Answers the report as the coordinator.
+    fn grant(&mut self, now_ms: u64, limit: u64, available: u64) {
         let decision = Decision::Counted {
             limit,
-            available: room,
+            available,
             is_contended: false,
         };
         let (coordinator, report) = (self.report.coordinator, self.report.id);
@@ -265,16 +268,16 @@
 }
 
 #[test]
-fn an_offer_that_fits_the_grant_is_welcome_and_takes_no_room() {
-    let mut line = OfferInLine::new(10);
-    line.grant(10, 10, 10);
-    assert_eq!(line.answer.try_recv(), Ok(OfferOutcome::Welcome));
-    assert_eq!(line.engine.waiting_tokens(ROUTE), 0);
+fn an_offer_that_fits_the_grant_is_welcome_and_reserves_nothing() {
+    let mut queued = QueuedOffer::new(10);
+    queued.grant(10, 10, 10);
+    assert_eq!(queued.answer.try_recv(), Ok(OfferOutcome::Welcome));
+    assert_eq!(queued.engine.waiting_tokens(ROUTE), 0);
     let answered = submit_now(
-        &mut line.engine,
+        &mut queued.engine,
         10,
         &Waiting::default(),
-        OFFER_TRY,
+        OFFER_ATTEMPT,
         job(1, 10),
     );
     assert!(
@@ -284,39 +287,44 @@
 }
 
 #[test]
-fn an_offer_over_the_routes_limit_is_refused_and_its_try_with_it() {
-    let mut line = OfferInLine::new(10);
-    line.grant(MIN_REJECTION_DELAY_MS, 0, 0);
-    assert_eq!(line.answer.try_recv(), Ok(OfferOutcome::OverQuota));
-    on_offer(10, |offer| {
+fn an_offer_over_the_routes_limit_is_rejected_with_its_attempt() {
+    let mut queued = QueuedOffer::new(10);
+    queued.grant(MIN_REJECTION_DELAY_MS, 0, 0);
+    assert_eq!(queued.answer.try_recv(), Ok(OfferOutcome::OverQuota));
+    with_offer(10, |offer| {
         assert_eq!(
-            line.engine.offer(MIN_REJECTION_DELAY_MS, OFFER_TRY, offer),
+            queued
+                .engine
+                .offer(MIN_REJECTION_DELAY_MS, OFFER_ATTEMPT, offer),
             OfferOutcome::OverQuota
         );
     });
     let late = submit_now(
-        &mut line.engine,
+        &mut queued.engine,
         MIN_REJECTION_DELAY_MS,
         &Waiting::default(),
-        OFFER_TRY,
+        OFFER_ATTEMPT,
         job(1, 10),
     );
     assert_eq!(
         late.submitted,
         SubmitOutcome::OverQuota,
-        "a late copy of a refused try"
+        "a late submission of a rejected attempt"
     );
 }
 
 #[test]
-fn an_offer_without_an_answer_in_time_or_of_an_ended_session_is_unsure() {
-    let mut line = OfferInLine::new(10);
-    line.quota
-        .advance(SUBMISSION_TIMEOUT_MS, &mut line.engine, &Waiting::default());
-    assert_eq!(line.answer.try_recv(), Ok(OfferOutcome::NotSure));
-    assert!(!line.quota.has_waiting());
+fn an_offer_without_a_timely_answer_or_of_an_ended_session_is_not_sure() {
+    let mut queued = QueuedOffer::new(10);
+    queued.quota.advance(
+        SUBMISSION_TIMEOUT_MS,
+        &mut queued.engine,
+        &Waiting::default(),
+    );
+    assert_eq!(queued.answer.try_recv(), Ok(OfferOutcome::NotSure));
+    assert!(!queued.quota.has_waiting());
 
-    let mut line = OfferInLine::new(10);
-    line.quota.end_session();
-    assert_eq!(line.answer.try_recv(), Ok(OfferOutcome::NotSure));
+    let mut queued = QueuedOffer::new(10);
+    queued.quota.end_session();
+    assert_eq!(queued.answer.try_recv(), Ok(OfferOutcome::NotSure));
 }
--- a/alderhollow/src/store/journal_queue/tests.rs
+++ b/alderhollow/src/store/journal_queue/tests.rs
@@ -46,7 +46,7 @@
     tokio::task::spawn_local(async move {
         task_queue
             .process_completions(completions, &*task_owner)
-            .await
+            .await;
     });
     (queue, owner)
 }
--- a/alderhollow/src/store/journal_queue/tests/power_loss.rs
+++ b/alderhollow/src/store/journal_queue/tests/power_loss.rs
@@ -63,7 +63,7 @@
     let task = tokio::task::spawn_local(async move {
         task_queue
             .process_completions(completions, &*task_owner)
-            .await
+            .await;
     });
     for number in 1..=WRITES_PER_GROUP {
         (0..GROUPS).for_each(|group| owner.append(&queue, group, number));
--- a/alderhollow/src/store/node.rs
+++ b/alderhollow/src/store/node.rs
@@ -129,7 +129,8 @@
         let result = group.call(self.clock.now_ms(), call);
         self.process_outputs(group);
         if group.quota.has_waiting() || group.is_quota_due_before_next_tick() {
-            // Tokens may have become available, for submissions that wait here or for other groups, which should be told soon.
+            // Tokens may have become available: for submissions that wait here, or for other groups, which need a prompt
+            // report.
             self.wake_signal.notify_one();
         }
         result
--- a/alderhollow/src/store/quota_exchange.rs
+++ b/alderhollow/src/store/quota_exchange.rs
@@ -36,7 +36,7 @@
     }
 
     /// Whether a batch job must wait for quota in its route's account.
-    pub(super) fn must_wait_for_room(
+    pub(super) fn must_wait_for_quota(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
         job: &NewJob,
@@ -51,7 +51,7 @@
     }
 
     /// Submits a batch job once there is quota for it, or rejects it when there certainly is none.
-    pub(super) async fn submit_with_room(
+    pub(super) async fn submit_with_quota(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
         attempt_id: SubmissionAttemptId,
@@ -76,7 +76,7 @@
 
     /// Answers whether a batch job would be accepted. An offer over the group's limit waits for quota from its route's
     /// account, without the job's body.
-    pub(super) async fn offer_with_room(
+    pub(super) async fn offer_with_quota(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
         attempt_id: SubmissionAttemptId,
@@ -89,13 +89,13 @@
             engine.offer(now_ms, attempt_id, offer)
         });
         match outcome {
-            OfferOutcome::BeyondLimit => self.await_room_for_offer(group, attempt_id, offer).await,
+            OfferOutcome::BeyondLimit => self.await_quota_for_offer(group, attempt_id, offer).await,
             _ => outcome,
         }
     }
 
     /// Queues an offer for quota and returns its outcome.
-    async fn await_room_for_offer(
+    async fn await_quota_for_offer(
         self: &Rc<Self>,
         group: &Rc<GroupEngine>,
         attempt_id: SubmissionAttemptId,
