--- a/alderhollow/src/store/calls.rs
+++ b/alderhollow/src/store/calls.rs
@@ -1,7 +1,7 @@
-//! Serves the gateways' calls at a store.
+//! Handles the gateways' calls at a store.
 
 use super::group_engine::GroupEngine;
-use super::group_quota::{submit_now, Answered, End};
+use super::group_quota::{submit_now, End, SubmitResponse};
 use super::node::StoreNode;
 use crate::batch_api::document;
 use crate::batch_protocol::{StoreAnswer, StoreCall, StoreReply, TenantReading};
@@ -20,14 +20,14 @@
 use std::time::Duration;
 use tokio::time::Instant;
 
-/// Most bytes of results in one answer: 1 MB, less the rest of the answer.
-const RESULT_BYTES: usize = 1_000_000 - 256;
-/// Longest hold of a read.
-const LONGEST_HOLD_MS: u32 = 5_000;
-/// Longest wait for an operation's end. The gateway asks again.
-const END_TIMEOUT: Duration = Duration::from_millis(5_000);
+/// Limit of the results in one answer: 1 MB minus room for the rest of the answer.
+const MAX_RESULT_BYTES: usize = 1_000_000 - 256;
+/// Limit of the time that a read waits for results (long polling).
+const MAX_READ_WAIT_MS: u32 = 5_000;
+/// Limit of the wait for an operation's outcome. The gateway repeats the call after a timeout.
+const OUTCOME_TIMEOUT: Duration = Duration::from_millis(5_000);
 
-/// The service of gateways' calls.
+/// Request handler of [`ServiceId::Batch`](crate::internal::ServiceId::Batch).
 pub struct CallHandler(pub Rc<StoreNode>);
 
 impl Handler for CallHandler {
@@ -37,13 +37,13 @@
             let call = minicbor::decode(&payload).map_err(|_| Refusal::Malformed)?;
             drop(payload);
             let answer = serve(&node, call).await;
-            // Nothing that was encoded by this program fails to be; a gateway takes this for an unknown end.
+            // Encoding an answer does not fail in practice; a gateway treats an empty answer as an unknown outcome.
             Ok(minicbor::to_vec(answer).unwrap_or_default())
         })
     }
 }
 
-/// Serves one call at the group that keeps its job.
+/// Handles one call at the group that stores its job.
 pub async fn serve(node: &Rc<StoreNode>, call: StoreCall) -> StoreAnswer {
     if let StoreCall::Quota(report) = &call {
         let reply = node
@@ -95,16 +95,16 @@
 async fn submit(
     node: &Rc<StoreNode>,
     group: &Rc<GroupEngine>,
-    try_id: SubmissionAttemptId,
+    attempt_id: SubmissionAttemptId,
     job: NewJob,
 ) -> StoreAnswer {
     let (route, tokens) = (job.route.clone(), job.tokens());
-    let Answered { submitted, end } = match node.must_wait_for_room(group, &job) {
-        true => node.submit_with_room(group, try_id, job).await,
-        false => submit_at_once(node, group, try_id, job),
+    let SubmitResponse { submitted, end } = match node.must_wait_for_quota(group, &job) {
+        true => node.submit_with_quota(group, attempt_id, job).await,
+        false => submit_without_wait(node, group, attempt_id, job),
     };
     let is_new = match submitted {
-        SubmitOutcome::Pending(token) => node.activity.accepted(group.id, token),
+        SubmitOutcome::Pending(token) => node.activity.record_accepted(group.id, token),
         _ => false,
     };
     metrics::get()
@@ -112,13 +112,13 @@
         .submitted(SubmitResult::of(submitted, is_new));
     let reading = match submitted {
         SubmitOutcome::NotPrimary | SubmitOutcome::NotSure | SubmitOutcome::Invalid => None,
-        SubmitOutcome::OverQuota => read_meter(node, group, &route, tokens),
+        SubmitOutcome::OverQuota => quota_reading(node, group, &route, tokens),
         SubmitOutcome::Pending(_) | SubmitOutcome::AlreadyAccepted => {
-            read_meter(node, group, &route, 0)
+            quota_reading(node, group, &route, 0)
         }
     };
     let reply = match submitted {
-        SubmitOutcome::Pending(_) => await_end(end).await,
+        SubmitOutcome::Pending(_) => await_outcome(end).await,
         SubmitOutcome::AlreadyAccepted => StoreReply::Committed,
         SubmitOutcome::OverQuota => StoreReply::OverQuota,
         SubmitOutcome::NotPrimary => StoreReply::NotPrimary,
@@ -128,20 +128,20 @@
     StoreAnswer { reply, reading }
 }
 
-/// Tells whether a batch job would be taken.
+/// Answers whether a batch job would be accepted.
 async fn answer_offer(
     node: &Rc<StoreNode>,
     group: &Rc<GroupEngine>,
-    try_id: SubmissionAttemptId,
+    attempt_id: SubmissionAttemptId,
     offer: &JobOffer<'_>,
 ) -> StoreAnswer {
-    let reply = match node.offer_with_room(group, try_id, offer).await {
+    let reply = match node.offer_with_quota(group, attempt_id, offer).await {
         OfferOutcome::Welcome => StoreReply::WouldAccept,
         OfferOutcome::NotSure | OfferOutcome::BeyondLimit => StoreReply::NotSure,
         OfferOutcome::AlreadyAccepted => StoreReply::Committed,
         OfferOutcome::NotPrimary => StoreReply::NotPrimary,
         OfferOutcome::OverQuota => {
-            let reading = read_meter(node, group, offer.route, offer.tokens);
+            let reading = quota_reading(node, group, offer.route, offer.tokens);
             return StoreAnswer {
                 reply: StoreReply::OverQuota,
                 reading,
@@ -154,26 +154,26 @@
     }
 }
 
-/// Hands a batch job in that needs no more room, or is not to be taken anyway.
-fn submit_at_once(
+/// Submits a batch job that fits the current limit, or that will be rejected anyway.
+fn submit_without_wait(
     node: &StoreNode,
     group: &GroupEngine,
-    try_id: SubmissionAttemptId,
+    attempt_id: SubmissionAttemptId,
     job: NewJob,
-) -> Answered {
+) -> SubmitResponse {
     let route = job.route.clone();
     node.with_group(group, |engine, now_ms| {
         let waiting_before = engine.waiting_tokens(&route);
-        let answered = submit_now(engine, now_ms, &group.waiting, try_id, job);
+        let answered = submit_now(engine, now_ms, &group.waiting, attempt_id, job);
         if engine.waiting_tokens(&route) > waiting_before {
-            group.quota.note_accepted(engine, &route);
+            group.quota.record_accepted_job(engine, &route);
         }
         check_quota(engine, &route, waiting_before);
         answered
     })
 }
 
-/// A job that was taken into the count of waiting tokens must fit.
+/// Checks the invariant that a submission that raised the count of waiting tokens is within the limit.
 fn check_quota(engine: &Engine, route: &str, waiting_before: u64) {
     let waiting = engine.waiting_tokens(route);
     let limit = engine
@@ -183,53 +183,53 @@
     invariant::check(
         Invariant::QuotaAtAcceptance,
         waiting <= waiting_before || waiting <= limit,
-        || format!("{waiting} tokens wait on route {route}, of {limit} that may"),
+        || format!("{waiting} tokens wait on route {route}, over its limit of {limit}"),
     );
 }
 
-/// The newest reading of a route's waiting tokens. A group that shares the route's limit with no other notes the batch
-/// job in its meter, with the tokens that did not fit; otherwise the route's coordinator reads.
-fn read_meter(
+/// Returns the newest reading of a route's waiting tokens. With a single group, the batch job is recorded in the group's
+/// meter along with the tokens over the limit. With several groups, the reading comes from the route's coordinator.
+fn quota_reading(
     node: &StoreNode,
     group: &GroupEngine,
     route: &str,
-    beyond: u64,
+    excess_tokens: u64,
 ) -> Option<TenantReading> {
     let now_ms = node.clock.now_ms();
     if node.shares_quota() {
         return group.quota.reading(now_ms, route).map(TenantReading::from);
     }
-    let (waiting, epoch) = node.look(group, |engine, now_ms| {
+    let (waiting, epoch) = node.read_group(group, |engine, now_ms| {
         (engine.waiting_tokens(route), engine.status(now_ms).epoch)
     });
     group
         .meter
         .borrow_mut()
-        .record(now_ms, epoch, route, waiting, beyond)
+        .record(now_ms, epoch, route, waiting, excess_tokens)
         .map(TenantReading::from)
 }
 
-async fn await_end(ended: End) -> StoreReply {
-    let Some(ended) = ended else {
+async fn await_outcome(outcome: End) -> StoreReply {
+    let Some(outcome) = outcome else {
         return StoreReply::Unknown;
     };
-    match tokio::time::timeout(END_TIMEOUT, ended).await {
+    match tokio::time::timeout(OUTCOME_TIMEOUT, outcome).await {
         Ok(Ok(Outcome::Committed)) => StoreReply::Committed,
         Ok(Ok(Outcome::Unknown) | Err(_)) | Err(_) => StoreReply::Unknown,
     }
 }
 
 async fn end(node: &StoreNode, group: &GroupEngine, job: &JobId) -> StoreReply {
-    let mut ended = None;
+    let mut outcome = None;
     let answer = node.with_group(group, |engine, now_ms| {
         let answer = engine.end(now_ms, job);
         if let EndOutcome::Pending(token) = answer {
-            ended = Some(group.waiting.for_end(token));
+            outcome = Some(group.waiting.wait_for_outcome(token));
         }
         answer
     });
     match answer {
-        EndOutcome::Pending(Token(_)) => await_end(ended).await,
+        EndOutcome::Pending(Token(_)) => await_outcome(outcome).await,
         EndOutcome::AlreadyEnded => StoreReply::Committed,
         EndOutcome::NotFound => StoreReply::NotFound,
         EndOutcome::NotPrimary => StoreReply::NotPrimary,
@@ -238,7 +238,7 @@
 }
 
 fn body(node: &StoreNode, group: &GroupEngine, job: &JobId, item: &str) -> StoreReply {
-    node.look(group, |engine, now_ms| {
+    node.read_group(group, |engine, now_ms| {
         match engine.body(now_ms, job, item) {
             BodyOutcome::Body(bytes) => {
                 metrics::get().store.body_read();
@@ -251,7 +251,7 @@
     })
 }
 
-/// Reads results; waits for a first one as long as the client allows.
+/// Reads results. If there are none yet, waits for the first one up to the client's wait time.
 async fn read(
     node: &StoreNode,
     group: &GroupEngine,
@@ -259,31 +259,31 @@
     after: u32,
     wait_ms: u32,
 ) -> StoreReply {
-    let until = Instant::now() + Duration::from_millis(u64::from(wait_ms.min(LONGEST_HOLD_MS)));
-    // The main loop drops what this read leaves behind.
-    group.touch();
+    let deadline = Instant::now() + Duration::from_millis(u64::from(wait_ms.min(MAX_READ_WAIT_MS)));
+    // The main loop removes the notifier that this read registers, once it is unused.
+    group.mark_dirty();
     loop {
-        let readable = group.waiting.for_results(job);
+        let readable = group.waiting.results_notify(job);
         let notified = readable.notified();
         let (reply, may_wait) = read_now(node, group, job, after);
-        if !may_wait || Instant::now() >= until {
-            note_read(&reply);
+        if !may_wait || Instant::now() >= deadline {
+            record_read(&reply);
             return reply;
         }
-        let _ = tokio::time::timeout_at(until, notified).await;
+        let _ = tokio::time::timeout_at(deadline, notified).await;
     }
 }
 
-fn note_read(reply: &StoreReply) {
+fn record_read(reply: &StoreReply) {
     if let StoreReply::Results(json) = reply {
         metrics::get().store.read(json.len());
     }
 }
 
-/// The answer as it is now, and whether another may come.
+/// Returns the answer as of now, and whether waiting may yield a later result.
 fn read_now(node: &StoreNode, group: &GroupEngine, job: &JobId, after: u32) -> (StoreReply, bool) {
-    node.look(group, |engine, now_ms| {
-        match engine.read(now_ms, job, after, RESULT_BYTES) {
+    node.read_group(group, |engine, now_ms| {
+        match engine.read(now_ms, job, after, MAX_RESULT_BYTES) {
             ReadOutcome::Results {
                 total,
                 next,
@@ -291,7 +291,7 @@
                 closed,
             } => {
                 let may_wait = results.is_empty() && !closed;
-                let results = results.iter().map(listed).collect();
+                let results = results.iter().map(read_result).collect();
                 let answer = document::ReadResponse {
                     total: u64::from(total),
                     next_token: u64::from(next),
@@ -306,7 +306,9 @@
     })
 }
 
-fn listed<'a>(result: &'a alderhollow_batch::api::ListedResult<'a>) -> document::ReadResult<'a> {
+fn read_result<'a>(
+    result: &'a alderhollow_batch::api::ListedResult<'a>,
+) -> document::ReadResult<'a> {
     let state = match result.state {
         ResultState::Completed => document::ResultState::Completed,
         ResultState::DeadLetter => document::ResultState::DeadLetter,
--- a/alderhollow/src/store/item_starts.rs
+++ b/alderhollow/src/store/item_starts.rs
@@ -1,4 +1,5 @@
-//! Which items start next: those due first that can still be done in time, over all groups that this store leads.
+//! Selects the items to run next, across all groups that this store leads: those with the earliest deadline that can still
+//! be met.
 
 use super::group_engine::GroupEngine;
 use super::node::StoreNode;
@@ -16,16 +17,16 @@
     pub item: ItemStart,
 }
 
-/// A group's place among those with ready items of a route, by the turn of its next item.
+/// A group with ready items of a route, ordered by the turn of its next item.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct DueGroup {
     turn: Turn,
-    /// Place in the list of groups.
+    /// Index in the list of groups.
     index: usize,
 }
 
 impl StoreNode {
-    /// Starts items while there is room. Tells whether some still wait for their turn.
+    /// Starts items while there is capacity. Returns whether any route had waiting items.
     pub(super) fn start_items(self: &Rc<Self>) -> bool {
         let groups: Vec<Rc<GroupEngine>> = self
             .groups()
@@ -38,13 +39,13 @@
             if room == 0 {
                 break;
             }
-            let starts = self.take_due_first(&groups, route, room);
+            let starts = self.take_earliest_due(&groups, route, room);
             self.runs.start(self, starts);
         }
         !routes.is_empty()
     }
 
-    /// Routes with items that wait for a run in any of the groups.
+    /// Returns the routes with waiting items in any of the groups.
     fn routes_with_work(self: &Rc<Self>, groups: &[Rc<GroupEngine>]) -> BTreeSet<String> {
         let routes = |group: &Rc<GroupEngine>| {
             self.with_group(group, |engine, now_ms| engine.routes_with_work(now_ms))
@@ -52,29 +53,29 @@
         groups.iter().flat_map(routes).collect()
     }
 
-    /// Items that wait in all groups.
+    /// Returns the number of waiting items in all groups.
     fn waiting_items(&self) -> usize {
         self.groups()
             .iter()
-            .map(|group| self.look(group, |engine, _| engine.load().0))
+            .map(|group| self.read_group(group, |engine, _| engine.load().0))
             .sum()
     }
 
-    /// Items of a route to start now, at most `room`, those due first in front.
-    fn take_due_first(
+    /// Takes up to `room` items of a route, earliest due first.
+    fn take_earliest_due(
         self: &Rc<Self>,
         groups: &[Rc<GroupEngine>],
         route: &str,
         room: usize,
     ) -> Vec<GroupItemStart> {
-        let first_due = |index: usize| {
-            let turn = self.look(&groups[index], |engine, now_ms| {
+        let earliest_turn = |index: usize| {
+            let turn = self.read_group(&groups[index], |engine, now_ms| {
                 engine.first_turn(now_ms, route)
             })?;
             Some(Reverse(DueGroup { turn, index }))
         };
         let mut order: BinaryHeap<Reverse<DueGroup>> =
-            (0..groups.len()).filter_map(first_due).collect();
+            (0..groups.len()).filter_map(earliest_turn).collect();
         let mut starts = Vec::new();
         while starts.len() < room {
             let Some(Reverse(DueGroup { index, .. })) = order.pop() else {
@@ -82,9 +83,9 @@
             };
             let group = &groups[index];
             let taken = self.with_group(group, |engine, now_ms| engine.take_work(now_ms, route, 1));
-            // A group that gives nothing is not sure any more: it is asked again at the next look.
+            // A group that returns nothing is no longer a validated primary: it is retried at the next tick.
             if !taken.is_empty() {
-                order.extend(first_due(index));
+                order.extend(earliest_turn(index));
             }
             starts.extend(taken.into_iter().map(|item| GroupItemStart {
                 group: group.clone(),
--- a/alderhollow/src/store/node.rs
+++ b/alderhollow/src/store/node.rs
@@ -1,11 +1,11 @@
-//! Puts the batch engines on the clock, the network, the disk and the tables: every call to an engine goes through
-//! [`StoreNode::with_group`], which first takes in newer tables and then does what the engine asks for.
+//! Connects the batch engines to the clock, the network, the disk and the tables. Every call to an engine goes through
+//! [`StoreNode::with_group`], which first applies newer tables and afterwards processes the engine's outputs.
 
-use super::activity::{Activity, StorePart};
-use super::group_engine::{names, GroupEngine, LONGEST_TICK_MS};
-use super::journal_queue::{GroupTicket, JournalOwner, JournalQueue, WriteEnds};
+use super::activity::{Activity, StoreSummary};
+use super::group_engine::{includes_disk, GroupEngine, MAX_TICK_MS};
+use super::journal_queue::{GroupTicket, JournalOwner, JournalQueue, WriteCompletions};
 use super::journal_records::{join_snapshots, tag_record};
-use super::replication::{is_of_primary, jobs_in};
+use super::replication::{is_from_primary, jobs_in};
 use super::routes::batch_routes;
 use super::runs::{EndedRun, RunKey, Runs};
 use crate::batch_protocol::ReplicationNotice;
@@ -31,67 +31,67 @@
 use std::time::Duration;
 use tokio::sync::Notify;
 
-/// A poll that the core's primary answered validates the tables so long after it was sent.
-pub const VALIDATED_MS: u64 = 1_000;
-/// Longest pause between looks at the groups.
-const LONGEST_TICK: Duration = Duration::from_millis(LONGEST_TICK_MS);
-/// Pause between looks while items wait for their turn to start.
-const START_TICK: Duration = Duration::from_millis(15);
-/// Ends of runs are taken in together so long after the first one.
-const GATHER: Duration = Duration::from_millis(10);
-/// Before the tables say how many groups there are, messages make engines of groups with lower numbers only.
-const MOST_GROUPS_UNTOLD: usize = 1_024;
-
-/// One store.
+/// Time for which a poll validates the tables, from when it was sent, if the core's primary answered it.
+pub const VALIDATION_TTL_MS: u64 = 1_000;
+/// Maximum interval between ticks of the main loop.
+const MAX_TICK: Duration = Duration::from_millis(MAX_TICK_MS);
+/// Tick interval while items wait to be started.
+const START_RETRY_INTERVAL: Duration = Duration::from_millis(15);
+/// Delay after a wake-up, so that runs that end shortly after one another are processed together.
+const RUN_END_BATCH_DELAY: Duration = Duration::from_millis(10);
+/// Until the tables define the number of groups, messages create engines only for group ids below this limit.
+const MAX_GROUPS_BEFORE_TABLES: usize = 1_024;
+
+/// A store.
 pub struct StoreNode {
-    /// Its disk.
+    /// The id of its disk.
     pub disk: DiskId,
     /// The process's clock.
     pub clock: SteadyClock,
-    /// Runs of items.
+    /// Item runs.
     pub runs: Runs,
-    /// What the store did lately.
+    /// Recent activity, for metrics and the log.
     pub activity: Activity,
-    status: Duration,
+    status_retention: Duration,
     groups: RefCell<BTreeMap<GroupId, Rc<GroupEngine>>>,
-    /// The newest control state that was validated.
+    /// The newest validated control state.
     pub(super) control: RefCell<Arc<ControlView>>,
-    /// Its batch routes.
+    /// The batch routes of that control state.
     pub(super) routes: RefCell<Rc<BTreeMap<String, RouteTerms>>>,
     journal: JournalQueue,
     pub(super) network: Network,
     poll: PollState,
     snapshots: RefCell<SnapshotReceiver>,
     addresses: RefCell<BTreeMap<DiskId, SocketAddr>>,
-    /// What was last reported of the disk.
+    /// Whether the last report to the core declared the disk failing.
     reported_failing: Cell<Option<bool>>,
-    woken: Notify,
+    wake_signal: Notify,
 }
 
-/// What a node is made of.
+/// The parts of a [`StoreNode`].
 pub struct NodeParts {
-    /// The store's disk.
+    /// The id of the store's disk.
     pub disk: DiskId,
     /// The process's clock.
     pub clock: SteadyClock,
-    /// The engines of the groups of which the disk holds something, as restored.
+    /// The engines restored from the disk, by group.
     pub engines: BTreeMap<GroupId, Engine>,
-    /// Batch jobs are kept so long after they were sent.
-    pub status: Duration,
-    /// The writes.
+    /// Time for which batch jobs are kept after they were sent.
+    pub status_retention: Duration,
+    /// The queue of journal writes.
     pub journal: JournalQueue,
-    /// Runs of items.
+    /// Item runs.
     pub runs: Runs,
     /// Connections to the other stores.
     pub network: Network,
-    /// The process's polls.
+    /// State of the process's polls of the core.
     pub poll: PollState,
     /// The process's tables.
     pub snapshots: SnapshotReceiver,
 }
 
 impl StoreNode {
-    /// A node that acts on the tables from now on.
+    /// Creates a node. It applies the current tables at its first use.
     pub fn new(parts: NodeParts) -> StoreNode {
         let mut snapshots = parts.snapshots;
         snapshots.mark_changed();
@@ -100,7 +100,7 @@
             clock: parts.clock,
             runs: parts.runs,
             activity: Activity::default(),
-            status: parts.status,
+            status_retention: parts.status_retention,
             groups: RefCell::default(),
             control: RefCell::default(),
             routes: RefCell::default(),
@@ -110,7 +110,7 @@
             snapshots: RefCell::new(snapshots),
             addresses: RefCell::default(),
             reported_failing: Cell::new(None),
-            woken: Notify::new(),
+            wake_signal: Notify::new(),
         };
         parts
             .engines
@@ -119,7 +119,7 @@
         node
     }
 
-    /// Calls a group's engine at the newest tables, then does what it asks for.
+    /// Calls a group's engine with the newest tables, then processes its outputs.
     pub fn with_group<T>(
         &self,
         group: &GroupEngine,
@@ -127,38 +127,40 @@
     ) -> T {
         self.validate(group);
         let result = group.call(self.clock.now_ms(), call);
-        self.carry_out(group);
-        if group.quota.has_waiting() || group.is_quota_due_before_next_look() {
-            // Tokens may have become free: for what waits here, or for other groups, which are to learn of it soon.
-            self.woken.notify_one();
+        self.process_outputs(group);
+        if group.quota.has_waiting() || group.is_quota_due_before_next_tick() {
+            // Tokens may have become available: for submissions that wait here, or for other groups, which need a prompt
+            // report.
+            self.wake_signal.notify_one();
         }
         result
     }
 
-    /// Looks at a group's engine only.
-    pub fn look<T>(&self, group: &GroupEngine, look: impl FnOnce(&Engine, u64) -> T) -> T {
+    /// Reads from a group's engine with the newest tables.
+    pub fn read_group<T>(&self, group: &GroupEngine, read: impl FnOnce(&Engine, u64) -> T) -> T {
         self.validate(group);
-        group.look(self.clock.now_ms(), look)
+        group.read(self.clock.now_ms(), read)
     }
 
-    /// All groups of which this store has an engine.
+    /// Returns all groups that have an engine at this store.
     pub fn groups(&self) -> Vec<Rc<GroupEngine>> {
         self.groups.borrow().values().cloned().collect()
     }
 
-    /// The group that keeps a job, by the newest tables; `None` if they don't say, or if nothing of it is here.
+    /// Returns the group that stores a job according to the newest tables. `None` if the tables define no groups, or if this
+    /// store has no engine of that group.
     pub fn group_of_job(&self, job: &JobId) -> Option<Rc<GroupEngine>> {
-        self.follow_tables();
+        self.refresh_tables();
         let id = self.control.borrow().group_of_job(&job.0)?.0;
         self.group(id)
     }
 
-    /// Whether this store may start a run of an item of the group at this moment.
+    /// Whether this store may start a run of one of the group's items now.
     pub fn may_start(&self, group: &GroupEngine) -> bool {
-        self.look(group, |engine, now_ms| engine.is_validated_primary(now_ms))
+        self.read_group(group, |engine, now_ms| engine.is_validated_primary(now_ms))
     }
 
-    /// Whether the newest tables name this store the primary of any group.
+    /// Whether this store is the primary of any group in the newest tables.
     pub fn is_primary(&self) -> bool {
         let snapshots = self.snapshots.borrow();
         let snapshot = snapshots.borrow();
@@ -169,7 +171,7 @@
             .any(|group| group.primary == self.disk)
     }
 
-    /// The groups that this store leads by the newest tables, of all.
+    /// Returns the share of all groups that this store leads according to the newest tables.
     pub fn led_share(&self) -> LedShare {
         let control = self.control.borrow();
         let led = control
@@ -183,32 +185,36 @@
         }
     }
 
-    /// Drives the engines' time until the future is dropped.
+    /// Runs the main loop until the future is dropped.
     pub async fn run(self: Rc<Self>) {
         let mut snapshots = self.snapshots.borrow().clone();
         loop {
             let pause = self.tick();
             tokio::select! {
                 () = tokio::time::sleep(pause) => (),
-                () = self.woken.notified() => tokio::time::sleep(GATHER).await,
+                () = self.wake_signal.notified() => tokio::time::sleep(RUN_END_BATCH_DELAY).await,
                 changed = snapshots.changed() => if changed.is_err() { return },
             }
         }
     }
 
-    /// One look at the groups where something may have changed; returns the pause until the next.
+    /// Ticks the groups that are due and starts items. Returns the pause until the next tick.
     fn tick(self: &Rc<Self>) -> Duration {
-        self.follow_tables();
-        self.take_run_ends();
-        self.look_at_groups();
-        self.drop_left_groups(self.clock.now_ms());
-        let more_waits = self.start_items();
-        let longest = if more_waits { START_TICK } else { LONGEST_TICK };
-        self.time_to_next_look().min(longest)
+        self.refresh_tables();
+        self.apply_run_ends();
+        self.tick_due_groups();
+        self.remove_left_groups(self.clock.now_ms());
+        let items_waiting = self.start_items();
+        let longest = if items_waiting {
+            START_RETRY_INTERVAL
+        } else {
+            MAX_TICK
+        };
+        self.time_to_next_tick().min(longest)
     }
 
-    /// Tells the engines of the runs that have ended.
-    fn take_run_ends(&self) {
+    /// Passes the runs that have ended to the engines.
+    fn apply_run_ends(&self) {
         for (id, ended) in self.runs.take_ended() {
             let Some(group) = self.group(id) else {
                 continue;
@@ -221,8 +227,8 @@
         }
     }
 
-    /// Gives time to the groups that are due for it, and reports what changed.
-    fn look_at_groups(self: &Rc<Self>) {
+    /// Runs the timers of the groups that are due, and updates the report to the core.
+    fn tick_due_groups(self: &Rc<Self>) {
         let now_ms = self.clock.now_ms();
         let disk_ready = self.journal.is_ready(now_ms);
         let due: Vec<Rc<GroupEngine>> = self
@@ -235,13 +241,13 @@
                 engine.set_disk_ready(disk_ready);
                 engine.on_timer(now_ms);
             });
-            self.drive_quota(group);
-            group.waiting.sweep();
+            self.advance_quota(group);
+            group.waiting.remove_unused();
             self.activity
-                .engine_counted(group.note_look(self.clock.now_ms()));
+                .add_engine_counts(group.finish_tick(self.clock.now_ms()));
         }
         if !due.is_empty() {
-            self.activity.note_part(self.part());
+            self.activity.set_summary(self.summary());
             self.activity
                 .log_if_due(|| self.journal.take_longest_sync());
         }
@@ -253,16 +259,17 @@
         }
     }
 
-    /// This store's part in all groups, as of the last looks at them.
-    fn part(&self) -> StorePart {
-        let mut part = StorePart::default();
+    /// Returns the totals over all groups, as of their last ticks.
+    fn summary(&self) -> StoreSummary {
+        let mut summary = StoreSummary::default();
         for group in self.groups.borrow().values() {
-            group.add_to(&mut part);
+            group.add_to(&mut summary);
         }
-        part
+        summary
     }
 
-    /// What the core's primary is told. It learns from the poll itself whether the process is about to end.
+    /// Returns the report for the core's primary. The poll itself tells it whether the process is shutting down, so
+    /// `leaving` is not set here.
     fn report(&self, disk_failing: bool) -> StoreReport {
         let groups = self
             .groups
@@ -277,29 +284,30 @@
         }
     }
 
-    /// Time until a group is due for a look.
-    fn time_to_next_look(&self) -> Duration {
+    /// Returns the time until the next group is due for a tick.
+    fn time_to_next_tick(&self) -> Duration {
         let next_ms = self
             .groups
             .borrow()
             .values()
-            .map(|group| group.next_look_ms())
+            .map(|group| group.next_tick_ms())
             .min();
         let pause_ms = next_ms.map_or(u64::MAX, |at| at.saturating_sub(self.clock.now_ms()).max(1));
         Duration::from_millis(pause_ms)
     }
 
-    /// Drops the groups that this store has surely left (`GroupEngine::may_be_dropped`) from memory, and by a new
-    /// snapshot from disk: what the journal holds of them must not stand before what a later incarnation of the group here
-    /// writes.
-    pub fn drop_left_groups(&self, now_ms: u64) {
+    /// Removes the groups that this store has left (`GroupEngine::may_be_dropped`) from memory, and from disk by a new
+    /// snapshot: their old records must not precede those of a later incarnation of the group in the journal.
+    pub fn remove_left_groups(&self, now_ms: u64) {
         let groups = self.groups();
-        if !groups.iter().any(|group| group.may_be_dropped(now_ms)) || !self.may_forget(now_ms) {
+        if !groups.iter().any(|group| group.may_be_dropped(now_ms))
+            || !self.can_remove_groups(now_ms)
+        {
             return;
         }
         for group in groups.iter().filter(|group| group.may_be_dropped(now_ms)) {
             log::info!(
-                "batch group {}: what this store held of it is dropped",
+                "batch group {}: removing this store's copy; the store is no longer a member",
                 group.id
             );
             self.groups.borrow_mut().remove(&group.id);
@@ -309,43 +317,43 @@
             .compact(self.clock.now_ms(), || self.snapshot());
     }
 
-    /// Whether the tables are surely the newest, and the disk takes a snapshot.
-    fn may_forget(&self, now_ms: u64) -> bool {
+    /// Whether the tables are validated as the newest, and the disk is ready for a snapshot.
+    fn can_remove_groups(&self, now_ms: u64) -> bool {
         let is_validated = self
             .validated_until_ms()
             .is_some_and(|until_ms| now_ms < until_ms);
         is_validated && self.journal.is_ready(self.clock.now_ms())
     }
 
-    /// A group by its number.
+    /// Returns a group by its id.
     pub(super) fn group(&self, id: GroupId) -> Option<Rc<GroupEngine>> {
         self.groups.borrow().get(&id).cloned()
     }
 
-    /// Takes a group with its engine in.
+    /// Adds a group with its engine.
     fn add_group(&self, id: GroupId, mut engine: Engine) -> Rc<GroupEngine> {
-        engine.set_status_ms(u64::try_from(self.status.as_millis()).unwrap_or(u64::MAX));
+        engine.set_status_ms(u64::try_from(self.status_retention.as_millis()).unwrap_or(u64::MAX));
         let group = Rc::new(GroupEngine::new(id, engine));
         self.groups.borrow_mut().insert(id, group.clone());
         group
     }
 
-    /// A group of which nothing was here, at the newest tables.
-    fn make_group(&self, id: GroupId) -> Option<Rc<GroupEngine>> {
-        // Without anything to restore this can't fail.
+    /// Creates an empty group and applies the newest tables to it.
+    fn create_group(&self, id: GroupId) -> Option<Rc<GroupEngine>> {
+        // This does not fail without data to restore.
         let engine = Engine::restore(self.disk, self.clock.now_ms(), None, &[]).ok()?;
         let group = self.add_group(id, engine);
         let control = self.control.borrow().clone();
         let routes = self.routes.borrow().clone();
-        self.hand_tables(&group, &control, &routes);
+        self.apply_tables_to(&group, &control, &routes);
         Some(group)
     }
 
-    /// A message of another store.
-    pub fn receive(&self, notice: ReplicationNotice) {
-        self.follow_tables();
-        let known = self.group(notice.group);
-        let Some(group) = known.or_else(|| self.make_for(&notice)) else {
+    /// Handles a replication message from another store.
+    pub fn handle_notice(&self, notice: ReplicationNotice) {
+        self.refresh_tables();
+        let existing = self.group(notice.group);
+        let Some(group) = existing.or_else(|| self.create_group_for(&notice)) else {
             return;
         };
         self.check_groups_of_jobs(&notice);
@@ -354,56 +362,67 @@
         });
     }
 
-    /// A batch job lies in the group that its id names, at every store.
+    /// Checks the invariant that a batch job is stored only in the group that its id determines.
     fn check_groups_of_jobs(&self, notice: &ReplicationNotice) {
         let count = self.control.borrow().groups.len();
         if count == 0 {
             return;
         }
         for job in jobs_in(&notice.message) {
-            let named = GroupId::of_key(&job.0, count);
-            invariant::check(Invariant::JobInItsGroup, named == notice.group, || {
-                format!("job {job} of group {named} came in group {}", notice.group)
+            let expected = GroupId::of_key(&job.0, count);
+            invariant::check(Invariant::JobInItsGroup, expected == notice.group, || {
+                format!(
+                    "job {job} of group {expected} was received in group {}",
+                    notice.group
+                )
             });
         }
     }
 
-    /// The group of a primary's message, which may come before the tables that name this store.
-    fn make_for(&self, notice: &ReplicationNotice) -> Option<Rc<GroupEngine>> {
+    /// Creates the group of a primary's message, which may arrive before the tables that name this store.
+    fn create_group_for(&self, notice: &ReplicationNotice) -> Option<Rc<GroupEngine>> {
         let count = self.control.borrow().groups.len();
-        let bound = if count > 0 { count } else { MOST_GROUPS_UNTOLD };
-        let may_make = is_of_primary(&notice.message) && notice.group.index() < bound;
-        if may_make {
-            self.make_group(notice.group)
+        let bound = if count > 0 {
+            count
+        } else {
+            MAX_GROUPS_BEFORE_TABLES
+        };
+        let may_create = is_from_primary(&notice.message) && notice.group.index() < bound;
+        if may_create {
+            self.create_group(notice.group)
         } else {
             None
         }
     }
 
-    /// Takes the newest tables and the core's newest word on them in, in this order: the word validates the newest
+    /// Applies the newest tables and then the core's newest validation, in this order: the validation refers to the newest
     /// tables.
     pub(super) fn validate(&self, group: &GroupEngine) {
-        self.follow_tables();
+        self.refresh_tables();
         if let Some(until_ms) = self.validated_until_ms() {
             group.set_validated_until(until_ms);
         }
     }
 
-    /// Until when the core's newest word validates the tables.
+    /// Returns the time until which the tables are validated.
     fn validated_until_ms(&self) -> Option<u64> {
-        Some(self.poll.validated_since_ms()?.saturating_add(VALIDATED_MS))
+        Some(
+            self.poll
+                .validated_since_ms()?
+                .saturating_add(VALIDATION_TTL_MS),
+        )
     }
 
-    /// Takes newer tables in.
-    pub(super) fn follow_tables(&self) {
+    /// Applies newer tables, if there are any.
+    pub(super) fn refresh_tables(&self) {
         let changed = self.snapshots.borrow().has_changed().unwrap_or(false);
         if changed {
             let snapshot = self.snapshots.borrow_mut().borrow_and_update().clone();
-            self.take_tables(&snapshot);
+            self.apply_tables(&snapshot);
         }
     }
 
-    fn take_tables(&self, snapshot: &Snapshot) {
+    fn apply_tables(&self, snapshot: &Snapshot) {
         if !snapshot.validated || Arc::ptr_eq(&self.control.borrow(), &snapshot.control) {
             return;
         }
@@ -412,19 +431,19 @@
         let routes = Rc::new(routes_of(&control));
         self.routes.replace(routes.clone());
         for (id, group) in control.numbered_groups() {
-            self.note_addresses(group);
-            if names(group, self.disk) && self.group(id).is_none() {
-                self.make_group(id);
+            self.update_addresses(group);
+            if includes_disk(group, self.disk) && self.group(id).is_none() {
+                self.create_group(id);
             }
         }
         for group in self.groups() {
-            self.hand_tables(&group, &control, &routes);
-            self.carry_out(&group);
+            self.apply_tables_to(&group, &control, &routes);
+            self.process_outputs(&group);
         }
     }
 
-    /// Hands the newest tables to one group.
-    fn hand_tables(
+    /// Applies the newest tables to one group.
+    fn apply_tables_to(
         &self,
         group: &GroupEngine,
         control: &ControlView,
@@ -432,42 +451,42 @@
     ) {
         let now_ms = self.clock.now_ms();
         if let Some(config) = &control.config {
-            group.take_routes(now_ms, config.config_version, routes);
+            group.set_routes(now_ms, config.config_version, routes);
         }
         let Some(tables) = control.group(group.id) else {
             return;
         };
-        if group.take_group(now_ms, self.disk, tables) {
-            self.woken.notify_one();
+        if group.set_group(now_ms, self.disk, tables) {
+            self.wake_signal.notify_one();
         }
         group.call(now_ms, |engine, now_ms| {
             group
                 .quota
-                .take_tables(now_ms, engine, group.id, control, routes);
+                .apply_tables(now_ms, engine, group.id, control, routes);
         });
     }
 
-    fn note_addresses(&self, group: &BatchGroup) {
+    fn update_addresses(&self, group: &BatchGroup) {
         let mut addresses = self.addresses.borrow_mut();
         for member in group.members.iter().chain(&group.learners) {
             addresses.insert(member.disk, member.node.internal.0);
         }
     }
 
-    /// Does what a group's engine asks for.
-    pub(super) fn carry_out(&self, group: &GroupEngine) {
-        group.carry_out(|output| self.do_one(group, output));
+    /// Processes the outputs of a group's engine.
+    pub(super) fn process_outputs(&self, group: &GroupEngine) {
+        group.process_outputs(|output| self.process_output(group, output));
     }
 
-    fn do_one(&self, group: &GroupEngine, output: Output) {
+    fn process_output(&self, group: &GroupEngine, output: Output) {
         match output {
             Output::Send { to, message } => self.send(group.id, to, message),
             Output::Write { ticket, records } => self.write(group, ticket, &records),
             Output::Resolved { token, outcome } => {
-                self.activity.resolved(group.id, token, outcome);
-                group.waiting.ended(token, outcome);
+                self.activity.record_resolved(group.id, token, outcome);
+                group.waiting.resolve(token, outcome);
             }
-            Output::Readable(job) => group.waiting.readable(&job),
+            Output::Readable(job) => group.waiting.notify_readable(&job),
             Output::CancelRun(run) => self.runs.cancel(RunKey {
                 group: group.id,
                 run,
@@ -481,7 +500,7 @@
             .iter()
             .map(|record| tag_record(group.id, record))
             .collect();
-        group.note_appended(ticket);
+        group.record_appended(ticket);
         self.journal.append(
             now_ms,
             GroupTicket {
@@ -510,24 +529,24 @@
         }
     }
 
-    /// All groups' state.
+    /// Returns a snapshot of all groups' state.
     fn snapshot(&self) -> Vec<u8> {
         let now_ms = self.clock.now_ms();
         let groups = self.groups();
         let snapshots = groups.iter().map(|group| {
-            let snapshot = group.look(now_ms, |engine, now_ms| engine.snapshot(now_ms));
+            let snapshot = group.read(now_ms, |engine, now_ms| engine.snapshot(now_ms));
             (group.id, snapshot)
         });
         join_snapshots(snapshots)
     }
 
-    /// Has the main loop look at the groups soon.
+    /// Wakes the main loop for a tick.
     pub fn wake(&self) {
-        self.woken.notify_one();
+        self.wake_signal.notify_one();
     }
 }
 
-/// The batch routes of a control state.
+/// Returns the batch routes of a control state.
 fn routes_of(control: &ControlView) -> BTreeMap<String, RouteTerms> {
     control
         .config
@@ -536,7 +555,7 @@
         .unwrap_or_default()
 }
 
-/// A store's node as the owner of its journal. The journal's task must not keep the node alive.
+/// Implements [`JournalOwner`] for a store's node. The journal's task must not keep the node alive.
 pub struct NodeJournal(pub Rc<StoreNode>);
 
 impl JournalOwner for NodeJournal {
@@ -548,7 +567,7 @@
         let Some(group) = self.0.group(written.group) else {
             return;
         };
-        group.note_written(written.ticket);
+        group.record_written(written.ticket);
         self.0.with_group(&group, |engine, now_ms| {
             engine.on_written(now_ms, written.ticket);
         });
@@ -556,8 +575,8 @@
 }
 
 impl NodeJournal {
-    /// Tells the engines of the ends of their writes until the future is dropped.
-    pub async fn follow(self, ends: WriteEnds) {
-        self.0.journal.follow(ends, &self).await;
+    /// Notifies the engines of completed writes until the future is dropped.
+    pub async fn process_completions(self, completions: WriteCompletions) {
+        self.0.journal.process_completions(completions, &self).await;
     }
 }
--- a/alderhollow/src/store/replication.rs
+++ b/alderhollow/src/store/replication.rs
@@ -1,4 +1,4 @@
-//! Takes the other stores' messages.
+//! Receives replication messages from other stores.
 
 use super::node::StoreNode;
 use crate::batch_protocol::ReplicationNotice;
@@ -9,7 +9,7 @@
 use alderhollow_batch::records::Entry;
 use std::rc::Rc;
 
-/// The service of the stores' messages.
+/// Handler of [`ServiceId::Replication`](crate::internal::ServiceId::Replication).
 pub struct ReplicationHandler(pub Rc<StoreNode>);
 
 impl Handler for ReplicationHandler {
@@ -19,14 +19,14 @@
 
     fn notice(&self, payload: Vec<u8>) {
         match minicbor::decode::<ReplicationNotice>(&payload) {
-            Ok(notice) if notice.to == self.0.disk => self.0.receive(notice),
+            Ok(notice) if notice.to == self.0.disk => self.0.handle_notice(notice),
             Ok(_) => {}
-            Err(error) => log::warn!("a store's message can't be read: {error}"),
+            Err(error) => log::warn!("cannot decode a replication message: {error}"),
         }
     }
 }
 
-/// The batch jobs that a message brings.
+/// Returns the ids of the batch jobs in a message.
 pub fn jobs_in(message: &Message) -> impl Iterator<Item = &JobId> {
     let entries = match message {
         Message::Entries { entries, .. } => entries.as_slice(),
@@ -39,8 +39,8 @@
     })
 }
 
-/// Whether a message is one that a primary sends to its members.
-pub fn is_of_primary(message: &Message) -> bool {
+/// Whether a message is of a kind that a primary sends to its members.
+pub fn is_from_primary(message: &Message) -> bool {
     match message {
         Message::Compare { .. } | Message::Entries { .. } => true,
         Message::Differences { .. }
--- a/alderhollow/src/store/role.rs
+++ b/alderhollow/src/store/role.rs
@@ -24,16 +24,16 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Kept of the time between SIGTERM and SIGKILL.
-const END_MARGIN: Duration = Duration::from_millis(1_500);
-/// Longest wait for other stores to take the groups over.
-const LONGEST_HANDOVER: Duration = Duration::from_millis(4_000);
-/// After others have taken over, calls that are under way get their answers.
-const LAST_ANSWERS: Duration = Duration::from_millis(400);
-/// How often a leaving store looks whether it leads no group any more.
-const HANDOVER_LOOK: Duration = Duration::from_millis(50);
+/// Part of the time between SIGTERM and SIGKILL that is reserved for the rest of the shutdown.
+const SHUTDOWN_MARGIN: Duration = Duration::from_millis(1_500);
+/// Maximum wait for other stores to take over the groups.
+const MAX_HANDOVER_WAIT: Duration = Duration::from_millis(4_000);
+/// Time after the handover in which pending calls are still answered.
+const DRAIN_TIME: Duration = Duration::from_millis(400);
+/// Interval at which a leaving store checks whether it still leads a group.
+const HANDOVER_POLL_INTERVAL: Duration = Duration::from_millis(50);
 
-/// Runs a store until it is told to end. To be run in a `LocalSet`.
+/// Runs a store until SIGTERM. Must be called within a `LocalSet`.
 ///
 /// # Errors
 /// The data folder cannot be opened or read, or the internal port cannot be listened on.
@@ -41,14 +41,15 @@
     let hangups = reload::hangups()?;
     let shared = Node::new(&settings);
     let (engines, disk, journal) = open_disk(&settings, &shared)?;
-    let (journal, write_ends) = JournalQueue::new(Writer::start(journal)?, settings.limits.disk_mb);
+    let (journal, write_completions) =
+        JournalQueue::new(Writer::start(journal)?, settings.limits.disk_mb);
     let exchange = shared.begin_exchanges(&settings);
     let executor = Executor::new(shared.clock, exchange.clone());
     let parts = NodeParts {
         disk,
         clock: shared.clock,
         engines,
-        status: settings.bounds.status,
+        status_retention: settings.bounds.status,
         journal,
         runs: Runs::new(executor),
         network: shared.network.clone(),
@@ -63,7 +64,7 @@
         ServiceId::Replication,
         Rc::new(ReplicationHandler(node.clone())),
     );
-    // A store reads no list of backends: it is never the core's primary.
+    // A store reads no list of backends, as it is never the core's primary.
     let (_, backends) = watch::channel(None);
     let info = node_info(&settings, Role::Store, Some(disk));
     log::info!(
@@ -80,18 +81,18 @@
     services.register(ServiceId::Status, Rc::new(StatusHandler(status)));
     shared.join(info, None, backends, services).await?;
     tokio::select! {
-        () = NodeJournal(node.clone()).follow(write_ends) => Ok(()),
+        () = NodeJournal(node.clone()).process_completions(write_completions) => Ok(()),
         () = node.clone().run() => Ok(()),
         () = exchange.run_maintenance() => Ok(()),
         () = reload::follow(shared.clone(), Role::Store, hangups) => Ok(()),
-        result = ending(&node, &shared.poll_state, settings.bounds.grace) => Ok(result?),
+        result = shut_down_on_sigterm(&node, &shared.poll_state, settings.bounds.grace) => Ok(result?),
     }
 }
 
-/// The engines of the groups of which a disk holds something, the disk's id, and its journal.
+/// The engines restored from a disk, the disk's id, and its journal.
 type OpenedDisk = (BTreeMap<GroupId, Engine>, DiskId, Journal);
 
-/// Reads what the disk holds.
+/// Opens the journal and restores the engines.
 fn open_disk(settings: &Settings, shared: &Node) -> Result<OpenedDisk, RoleError> {
     let folder = settings.data_dir.as_ref().ok_or(RoleError::NoDisk)?;
     let folder_error = |source| RoleError::Folder {
@@ -113,17 +114,21 @@
     Ok((engines, id, journal))
 }
 
-/// Waits for SIGTERM, then until this store leads no group any more.
-async fn ending(node: &Rc<StoreNode>, poll: &PollState, grace: Duration) -> io::Result<()> {
+/// Waits for SIGTERM, then until this store leads no group, within the grace period.
+async fn shut_down_on_sigterm(
+    node: &Rc<StoreNode>,
+    poll: &PollState,
+    grace: Duration,
+) -> io::Result<()> {
     terminated().await?;
     log::info!("told to end");
     poll.leave();
-    let until =
-        tokio::time::Instant::now() + grace.saturating_sub(END_MARGIN).min(LONGEST_HANDOVER);
-    while node.is_primary() && tokio::time::Instant::now() < until {
-        tokio::time::sleep(HANDOVER_LOOK).await;
+    let deadline =
+        tokio::time::Instant::now() + grace.saturating_sub(SHUTDOWN_MARGIN).min(MAX_HANDOVER_WAIT);
+    while node.is_primary() && tokio::time::Instant::now() < deadline {
+        tokio::time::sleep(HANDOVER_POLL_INTERVAL).await;
     }
-    tokio::time::sleep(LAST_ANSWERS).await;
-    log::info!("ends");
+    tokio::time::sleep(DRAIN_TIME).await;
+    log::info!("shutting down");
     Ok(())
 }
