--- a/quota-gateway/tests/sessions.rs
+++ b/quota-gateway/tests/sessions.rs
@@ -1,8 +1,8 @@
-//! Session classification in several gateway processes with faults: customers without session state, with state for a
-//! run of requests and with state for a whole session, while a shard owner is killed and one gateway cannot reach a
-//! backend. The tests judge the verdicts and failures in the record.
+//! Session classification in several gateway processes under faults. Customers have no session state, state for one run
+//! of requests, or state for a whole session; a shard owner is killed and one gateway cannot reach a backend. The tests
+//! check the verdicts and failures in the record.
 
-// `stage::assert_checks_pass` requires all checks to pass; this file judges checks one by one.
+// `stage::assert_checks_pass` requires all checks to pass; this file examines checks one by one.
 #[allow(dead_code)]
 mod stage;
 
@@ -12,10 +12,11 @@
 use stage::{run_scenario, SMALL};
 use std::thread;
 
-const SECONDS: u64 = 36;
+const RUN_SECONDS: u64 = 36;
 
-/// Many requests from few customers, so that verdicts exist within the first half, with quotas that reject nothing.
-const KINDS: &str = r#"
+/// Customers and faults. Few customers send many requests, so that verdicts exist within the first half of the run, and
+/// their quotas reject nothing.
+const PLANS_AND_FAULTS: &str = r#"
 [[plan]]
 name = "stateless"
 customers = 10
@@ -64,7 +65,8 @@
 cut = true
 "#;
 
-/// The number of cases of one check, which must not be broken. Late answers of a busy machine are judged by other tests.
+/// The number of cases of one check, none of which may be broken. Other tests check for answers that are late, as on a
+/// busy machine.
 fn passed_cases(summary: &Summary, check: &str) -> usize {
     let finding = summary
         .findings
@@ -75,16 +77,16 @@
     finding.cases
 }
 
-/// Runs five gateways with these settings of sessions.
-fn run(name: &str, sessions: &str) -> (Summary, Vec<Entry>) {
+/// Runs five gateways with these session settings.
+fn run_gateways(name: &str, sessions: &str) -> (Summary, Vec<Entry>) {
     let gateways = format!("doors = 5\nlease_ms = 1000\nshards = {{ count = 20 }}\n{sessions}");
     let text = SMALL
-        .replace("seconds = 5", &format!("seconds = {SECONDS}"))
+        .replace("seconds = 5", &format!("seconds = {RUN_SECONDS}"))
         .replace("doors = 4", &gateways);
     let text = text
         .replace("cores = 4", "cores = 8")
         .replace("service_ms = 10", "service_ms = 4");
-    let (summary, entries) = run_scenario(name, &(text + KINDS));
+    let (summary, entries) = run_scenario(name, &(text + PLANS_AND_FAULTS));
     for check in ["one_owner", "one_keeper", "fenced"] {
         assert!(
             passed_cases(&summary, check) > 500,
@@ -94,24 +96,26 @@
     (summary, entries)
 }
 
-/// The fraction of the requests with session state that failed because the state was lost, in each third of the run.
+/// The fraction of requests that failed because of lost session state, among those that needed it, in each third of the
+/// run.
 fn lost_state_fractions(entries: &[Entry]) -> [f64; 3] {
-    let sent = entries
+    let first_sent = entries
         .iter()
         .find(|entry| matches!(entry.event, Event::Sent { .. }));
-    let start = sent.map_or(0, |entry| entry.us);
+    let start_us = first_sent.map_or(0, |entry| entry.us);
     let (mut needed, mut lost) = ([0.0; 3], [0.0; 3]);
     for entry in entries {
         let Event::State { state, .. } = &entry.event else {
             continue;
         };
-        let third = (entry.us.saturating_sub(start) * 3 / (SECONDS * 1_000_000)).min(2) as usize;
+        let third =
+            (entry.us.saturating_sub(start_us) * 3 / (RUN_SECONDS * 1_000_000)).min(2) as usize;
         needed[third] += f64::from(u8::from(*state != fault_lab::kinds::State::First));
         lost[third] += f64::from(u8::from(state.is_lost()));
     }
     assert!(
         needed.iter().all(|needed| *needed > 500.0),
-        "too few requests with state: {needed:?}"
+        "too few requests that need session state: {needed:?}"
     );
     [0, 1, 2].map(|third| lost[third] / needed[third])
 }
@@ -119,14 +123,14 @@
 #[test]
 fn customers_with_state_keep_their_connections_while_a_shard_owner_is_killed_and_a_backend_is_unreachable(
 ) {
-    let (summary, entries) = run("sessions-holding", "sessions = { pool = true }");
+    let (summary, entries) = run_gateways("sessions-holding", "sessions = { pool = true }");
     assert!(passed_cases(&summary, "verdicts") > 300, "too few verdicts");
     let fractions = lost_state_fractions(&entries);
     assert!(
         fractions[2] < fractions[0] / 2.0,
         "failures of customers with state, by thirds: {fractions:?}"
     );
-    // The verdict `statement` takes longer: it may be missing yet.
+    // The verdict `statement` takes longer and may still be missing.
     for kind_figures in summary
         .figures
         .told
@@ -139,7 +143,7 @@
         );
         assert!(
             kind_figures.right > kind_figures.less + kind_figures.more,
-            "most verdicts are right: {kind_figures:?}"
+            "most verdicts are not correct: {kind_figures:?}"
         );
     }
     assert_eq!(summary.figures.told.len(), 3, "{:?}", summary.figures.told);
@@ -147,31 +151,32 @@
 
 #[test]
 fn with_pool_false_verdicts_are_reported_and_no_connection_is_reserved() {
-    let (observing, without) = thread::scope(|scope| {
-        let observing = scope.spawn(|| run("sessions-observing", "sessions = { pool = false }"));
-        let without = scope.spawn(|| run("sessions-without", ""));
+    let (observing, baseline_run) = thread::scope(|scope| {
+        let observing =
+            scope.spawn(|| run_gateways("sessions-observing", "sessions = { pool = false }"));
+        let baseline_run = scope.spawn(|| run_gateways("sessions-without", ""));
         (
-            observing.join().expect("it runs"),
-            without.join().expect("it runs"),
+            observing.join().expect("the run does not panic"),
+            baseline_run.join().expect("the run does not panic"),
         )
     });
     assert!(
         passed_cases(&observing.0, "verdicts") > 300,
         "too few verdicts"
     );
-    let (fractions, plain) = (
+    let (fractions, baseline) = (
         lost_state_fractions(&observing.1),
-        lost_state_fractions(&without.1),
+        lost_state_fractions(&baseline_run.1),
     );
     assert!(
         fractions[2] > fractions[0] * 0.7,
-        "no connection is reserved, and failures remain: {fractions:?}"
+        "failures decrease although no connection is reserved: {fractions:?}"
     );
     assert!(
-        fractions[2] > plain[2] * 0.7,
-        "as without the key: {fractions:?}, {plain:?}"
+        fractions[2] > baseline[2] * 0.7,
+        "fewer failures than without the key `sessions`: {fractions:?}, {baseline:?}"
     );
-    let open = |summary: &Summary| {
+    let open_connections = |summary: &Summary| {
         summary
             .figures
             .bound
@@ -179,22 +184,25 @@
             .expect("figures of customers with state")
             .connections_mean
     };
-    let (open, plain) = (open(&observing.0), open(&without.0));
+    let (open_connections, baseline) = (
+        open_connections(&observing.0),
+        open_connections(&baseline_run.0),
+    );
     assert!(
-        open < plain * 1.5,
-        "connections open: {open}, without the key {plain}"
+        open_connections < baseline * 1.5,
+        "open connections: {open_connections}, without the key `sessions`: {baseline}"
     );
-    let bound = observing
+    let kinds_with_state = observing
         .0
         .figures
         .told
         .iter()
         .filter(|kind_figures| kind_figures.kind != Kind::Statement);
     assert!(
-        bound.clone().count() == 2
-            && bound
+        kinds_with_state.clone().count() == 2
+            && kinds_with_state
                 .clone()
                 .all(|kind_figures| kind_figures.with_verdict > 0),
-        "classified"
+        "both kinds of customers with state have verdicts"
     );
 }
