--- a/quota-gateway/tests/view.rs
+++ b/quota-gateway/tests/view.rs
@@ -1,7 +1,7 @@
 //! Cluster membership across several gateway processes, with a relay on each directed link and with client traffic.
 //!
-//! The tests check each process's recorded answers to the call `fleet`. Time limits have wide margins, so that the tests
-//! also pass on a busy machine.
+//! The tests check each process's recorded answers to the call `fleet`. Time limits have wide margins, so that
+//! the tests also pass on a busy machine.
 
 mod stage;
 
@@ -401,7 +401,7 @@
     while !query_view(gateway).is_some_and(|view| condition(&view)) {
         assert!(
             begin.elapsed() < Duration::from_secs(20),
-            "{what}: {}",
+            "timed out: {what}: {}",
             gateway.call("fleet")
         );
         sleep(Duration::from_millis(20));
