--- a/alderhollow/src/store/role.rs
+++ b/alderhollow/src/store/role.rs
@@ -24,7 +24,7 @@
 use std::time::Duration;
 use tokio::sync::watch;
 
-/// Part of the time between SIGTERM and SIGKILL that is reserved for the rest of the shutdown.
+/// Part of the grace period between SIGTERM and SIGKILL that is reserved for the steps after the handover.
 const SHUTDOWN_MARGIN: Duration = Duration::from_millis(1_500);
 /// Maximum wait for other stores to take over the groups.
 const MAX_HANDOVER_WAIT: Duration = Duration::from_millis(4_000);
@@ -114,7 +114,7 @@
     Ok((engines, id, journal))
 }
 
-/// Waits for SIGTERM, then until this store leads no group, within the grace period.
+/// Waits for SIGTERM, hands over the groups that this store leads and drains pending calls, within the grace period.
 async fn shut_down_on_sigterm(
     node: &Rc<StoreNode>,
     poll: &PollState,
@@ -129,6 +129,6 @@
         tokio::time::sleep(HANDOVER_POLL_INTERVAL).await;
     }
     tokio::time::sleep(DRAIN_TIME).await;
-    log::info!("shutting down");
+    log::info!("shutdown complete");
     Ok(())
 }
