--- a/alderhollow/src/store/item_starts.rs
+++ b/alderhollow/src/store/item_starts.rs
@@ -35,11 +35,13 @@
             .collect();
         let routes = self.routes_with_work(&groups);
         for route in &routes {
-            let room = self.runs.room(self.led_share(), self.waiting_items());
-            if room == 0 {
+            let max_items = self
+                .runs
+                .startable_items(self.led_share(), self.waiting_items());
+            if max_items == 0 {
                 break;
             }
-            let starts = self.take_earliest_due(&groups, route, room);
+            let starts = self.take_earliest_due(&groups, route, max_items);
             self.runs.start(self, starts);
         }
         !routes.is_empty()
@@ -61,33 +63,33 @@
             .sum()
     }
 
-    /// Takes up to `room` items of a route, earliest due first.
+    /// Takes up to `max_items` items of a route, earliest due first.
     fn take_earliest_due(
         self: &Rc<Self>,
         groups: &[Rc<GroupEngine>],
         route: &str,
-        room: usize,
+        max_items: usize,
     ) -> Vec<GroupItemStart> {
-        let earliest_turn = |index: usize| {
+        let due_group = |index: usize| {
             let turn = self.read_group(&groups[index], |engine, now_ms| {
                 engine.first_turn(now_ms, route)
             })?;
             Some(Reverse(DueGroup { turn, index }))
         };
-        let mut order: BinaryHeap<Reverse<DueGroup>> =
-            (0..groups.len()).filter_map(earliest_turn).collect();
+        let mut due_groups: BinaryHeap<Reverse<DueGroup>> =
+            (0..groups.len()).filter_map(due_group).collect();
         let mut starts = Vec::new();
-        while starts.len() < room {
-            let Some(Reverse(DueGroup { index, .. })) = order.pop() else {
+        while starts.len() < max_items {
+            let Some(Reverse(DueGroup { index, .. })) = due_groups.pop() else {
                 break;
             };
             let group = &groups[index];
-            let taken = self.with_group(group, |engine, now_ms| engine.take_work(now_ms, route, 1));
+            let items = self.with_group(group, |engine, now_ms| engine.take_work(now_ms, route, 1));
             // A group that returns nothing is no longer a validated primary: it is retried at the next tick.
-            if !taken.is_empty() {
-                order.extend(earliest_turn(index));
+            if !items.is_empty() {
+                due_groups.extend(due_group(index));
             }
-            starts.extend(taken.into_iter().map(|item| GroupItemStart {
+            starts.extend(items.into_iter().map(|item| GroupItemStart {
                 group: group.clone(),
                 item,
             }));
--- a/alderhollow/src/store/runs.rs
+++ b/alderhollow/src/store/runs.rs
@@ -51,9 +51,9 @@
     }
 
     /// Returns how many items may start now, given the share of the groups that the store leads and the waiting items.
-    pub fn room(&self, share: LedShare, waiting: usize) -> usize {
+    pub fn startable_items(&self, share: LedShare, waiting_items: usize) -> usize {
         self.executor
-            .startable_items(share, waiting, self.running.borrow().len())
+            .startable_items(share, waiting_items, self.running.borrow().len())
     }
 
     /// Starts items.
@@ -66,7 +66,7 @@
                 run: start.item.run,
             };
             let task =
-                tokio::task::spawn_local(run_one(node.clone(), self.executor.clone(), start));
+                tokio::task::spawn_local(run_item(node.clone(), self.executor.clone(), start));
             self.running.borrow_mut().insert(key, task.abort_handle());
         }
     }
@@ -97,7 +97,7 @@
     }
 }
 
-async fn run_one(node: Rc<StoreNode>, executor: Executor, start: GroupItemStart) {
+async fn run_item(node: Rc<StoreNode>, executor: Executor, start: GroupItemStart) {
     let GroupItemStart { group, item } = start;
     let end = executor
         .run_permitted(&item, &|| node.may_start(&group))
