--- a/quota-gateway/src/bin/simulator-adapter.rs
+++ b/quota-gateway/src/bin/simulator-adapter.rs
@@ -45,14 +45,14 @@
 ) -> Result<(), WireError> {
     let mut actions: Vec<Action> = Vec::new();
     let outcome = match event {
-        WireEvent::Born { seed, settings } => {
+        WireEvent::InstanceStarted { seed, settings } => {
             match Gateway::new(*settings, seed, clock) {
                 Ok(gateway) => gateways.insert(instance, gateway),
                 Err(error) => return Err(WireError::Malformed(error.to_string())),
             };
             Ok(())
         }
-        WireEvent::Detach => {
+        WireEvent::InstanceKilled => {
             gateways.remove(&instance);
             Ok(())
         }
--- a/quota-gateway/src/wire.rs
+++ b/quota-gateway/src/wire.rs
@@ -118,14 +118,14 @@
 #[derive(Debug, Clone, PartialEq)]
 pub enum WireEvent {
     /// An instance starts.
-    Born {
+    InstanceStarted {
         /// Its seed.
         seed: u64,
         /// Its settings.
         settings: Box<Settings>,
     },
     /// An instance was killed.
-    Detach,
+    InstanceKilled,
     /// An event of the decision module.
     Event(Event),
     /// An event that the decision module does not use: probes, peer messages and the counter, none of which it
@@ -220,7 +220,7 @@
             let Ok(text) = std::str::from_utf8(text) else {
                 return malformed("BORN params are not UTF-8");
             };
-            WireEvent::Born {
+            WireEvent::InstanceStarted {
                 seed: record.u64(3),
                 settings: Box::new(settings(text)?),
             }
@@ -240,7 +240,7 @@
                 .collect::<Result<_, _>>()?;
             WireEvent::Event(Event::Servers { kind, entries })
         }
-        23 => WireEvent::Detach,
+        23 => WireEvent::InstanceKilled,
         24 => WireEvent::Event(Event::StreamStarted(record.u64(3))),
         26 => WireEvent::Event(Event::ClientGone(record.u64(3))),
         21 => {
--- a/quota-gateway/tests/wire.rs
+++ b/quota-gateway/tests/wire.rs
@@ -246,7 +246,7 @@
     );
     assert_eq!(
         decode(EventRecord::new(23, 3), &[]).expect("readable"),
-        (3, WireEvent::Detach)
+        (3, WireEvent::InstanceKilled)
     );
     for code in [21, 22, 25] {
         assert_eq!(
@@ -258,7 +258,7 @@
     let start_instance = EventRecord::new(19, 3)
         .put(3, &id)
         .put(15, &(text.len() as u32).to_be_bytes());
-    let expected = WireEvent::Born {
+    let expected = WireEvent::InstanceStarted {
         seed: 5,
         settings: Box::new(settings(&text).expect("readable")),
     };
