--- a/quota-gateway/src/wire.rs
+++ b/quota-gateway/src/wire.rs
@@ -21,7 +21,7 @@
 pub enum WireError {
     /// The input could not be read.
     Io(io::Error),
-    /// The input violates the format; the text says where and how.
+    /// The input violates the format; the text names the field and the fault.
     Malformed(String),
 }
 
@@ -54,7 +54,7 @@
     /// Reads one frame; `None` at the end of the input.
     ///
     /// # Errors
-    /// If a frame is truncated or its lengths are inconsistent.
+    /// If a frame is truncated, its lengths are inconsistent or its clock is not finite.
     pub fn read(input: &mut impl Read) -> Result<Option<Batch>, WireError> {
         let mut header = Vec::with_capacity(16);
         input
@@ -71,9 +71,9 @@
                 header.len()
             ));
         }
-        let head = Record(&header);
-        let clock = head.f64(0);
-        let length = head.u32(8);
+        let header = Record(&header);
+        let clock = header.f64(0);
+        let length = header.u32(8);
         if !clock.is_finite() {
             return malformed("the clock is not a finite number");
         }
@@ -137,55 +137,55 @@
 struct Record<'a>(&'a [u8]);
 
 impl Record<'_> {
-    fn take<const N: usize>(&self, at: usize) -> [u8; N] {
+    fn array<const N: usize>(&self, offset: usize) -> [u8; N] {
         let mut bytes = [0; N];
-        bytes.copy_from_slice(&self.0[at..at + N]);
+        bytes.copy_from_slice(&self.0[offset..offset + N]);
         bytes
     }
-    fn u8(&self, at: usize) -> u8 {
-        self.0[at]
+    fn u8(&self, offset: usize) -> u8 {
+        self.0[offset]
     }
-    fn u16(&self, at: usize) -> u16 {
-        u16::from_be_bytes(self.take(at))
+    fn u16(&self, offset: usize) -> u16 {
+        u16::from_be_bytes(self.array(offset))
     }
-    fn u32(&self, at: usize) -> u32 {
-        u32::from_be_bytes(self.take(at))
+    fn u32(&self, offset: usize) -> u32 {
+        u32::from_be_bytes(self.array(offset))
     }
-    fn u64(&self, at: usize) -> u64 {
-        u64::from_be_bytes(self.take(at))
+    fn u64(&self, offset: usize) -> u64 {
+        u64::from_be_bytes(self.array(offset))
     }
-    fn f32(&self, at: usize) -> f64 {
-        f64::from(f32::from_be_bytes(self.take(at)))
+    fn f32(&self, offset: usize) -> f64 {
+        f64::from(f32::from_be_bytes(self.array(offset)))
     }
-    fn f64(&self, at: usize) -> f64 {
-        f64::from_be_bytes(self.take(at))
+    fn f64(&self, offset: usize) -> f64 {
+        f64::from_be_bytes(self.array(offset))
     }
-    fn tail<'t>(
+    fn tail_slice<'t>(
         &self,
-        at: usize,
-        unit: usize,
+        offset: usize,
+        item_bytes: usize,
         tail: &'t [u8],
-        what: &str,
+        field: &str,
     ) -> Result<&'t [u8], WireError> {
-        let (from, length) = (self.u32(at) as usize, self.u32(at + 4) as usize);
-        match from
-            .checked_add(length.saturating_mul(unit))
-            .and_then(|end| tail.get(from..end))
+        let (start, length) = (self.u32(offset) as usize, self.u32(offset + 4) as usize);
+        match start
+            .checked_add(length.saturating_mul(item_bytes))
+            .and_then(|end| tail.get(start..end))
         {
             Some(slice) => Ok(slice),
             None => malformed(format!(
-                "{what}: reference {from}+{length} lies outside a tail of {}",
+                "{field}: reference {start}+{length} lies outside a tail of {}",
                 tail.len()
             )),
         }
     }
 }
 
-fn finite(value: f64, what: &str) -> Result<f64, WireError> {
+fn require_finite(value: f64, field: &str) -> Result<f64, WireError> {
     if value.is_finite() {
         return Ok(value);
     }
-    malformed(format!("{what} is not a finite number"))
+    malformed(format!("{field} is not a finite number"))
 }
 
 fn decode(bytes: &[u8], tail: &[u8]) -> Result<(u16, WireEvent), WireError> {
@@ -195,7 +195,7 @@
             request: record.u64(3),
             attempt: record.u8(24),
             outcome: outcome(record.u16(29))?,
-            elapsed: finite(record.f64(11), "ATTEMPT_END duration")?,
+            elapsed: require_finite(record.f64(11), "ATTEMPT_END duration")?,
             finished: record.u8(19) != 0,
             used: record
                 .u16(22)
@@ -209,14 +209,14 @@
             customer: record.u64(19),
             plan: record.u32(15) as usize,
             class: usize::from(record.u16(40)),
-            units: finite(record.f32(42), "ACCEPT weight")?,
-            spread: finite(record.f32(11), "ACCEPT spread")?.round() as u32,
-            first: finite(record.f32(36), "ACCEPT setFrom")?.round() as u32,
-            expires_in: finite(record.f64(28), "ACCEPT expiresIn")?,
+            units: require_finite(record.f32(42), "ACCEPT weight")?,
+            spread: require_finite(record.f32(11), "ACCEPT spread")?.round() as u32,
+            first: require_finite(record.f32(36), "ACCEPT setFrom")?.round() as u32,
+            expires_in: require_finite(record.f64(28), "ACCEPT expiresIn")?,
             repeat: record.u8(27) & 2 != 0,
         })),
         19 => {
-            let text = record.tail(11, 1, tail, "BORN params")?;
+            let text = record.tail_slice(11, 1, tail, "BORN params")?;
             let Ok(text) = std::str::from_utf8(text) else {
                 return malformed("BORN params are not UTF-8");
             };
@@ -233,7 +233,7 @@
                 3 => ListKind::Failed,
                 other => return malformed(format!("ROSTER_CHANGE form {other} is unknown")),
             };
-            let entries = record.tail(12, ENTRY_BYTES, tail, "ROSTER_CHANGE hosts")?;
+            let entries = record.tail_slice(12, ENTRY_BYTES, tail, "ROSTER_CHANGE hosts")?;
             let entries = entries
                 .chunks_exact(ENTRY_BYTES)
                 .map(server_entry)
@@ -244,7 +244,7 @@
         24 => WireEvent::Event(Event::StreamStarted(record.u64(3))),
         26 => WireEvent::Event(Event::ClientGone(record.u64(3))),
         21 => {
-            record.tail(5, 1, tail, "MESSAGE payload")?;
+            record.tail_slice(5, 1, tail, "MESSAGE payload")?;
             WireEvent::Unused
         }
         22 | 25 => WireEvent::Unused,
@@ -258,12 +258,12 @@
 
 fn server_entry(bytes: &[u8]) -> Result<ServerEntry, WireError> {
     let record = Record(bytes);
-    let launched = finite(record.f64(14), "launched")?;
+    let launched = require_finite(record.f64(14), "launched")?;
     Ok(ServerEntry {
         id: record.u32(0),
         zone: record.u16(4),
         cell: record.u16(7),
-        share: finite(record.f32(10), "share")?,
+        share: require_finite(record.f32(10), "share")?,
         lifecycle: match record.u8(9) {
             0 => Lifecycle::Gone,
             1 => Lifecycle::Ready,
@@ -292,16 +292,16 @@
 struct Params<'a>(BTreeMap<&'a str, &'a str>);
 
 impl<'a> Params<'a> {
-    fn get<T: std::str::FromStr>(&self, path: &str) -> Result<T, WireError> {
+    fn parse<T: std::str::FromStr>(&self, path: &str) -> Result<T, WireError> {
         let Some(text) = self.0.get(path) else {
             return malformed(format!("required setting {path} is missing"));
         };
         match text.parse() {
             Ok(value) => Ok(value),
-            Err(_) => malformed(format!("setting {path} has the unreadable value '{text}'")),
+            Err(_) => malformed(format!("setting {path} has the malformed value '{text}'")),
         }
     }
-    fn word(&self, path: &str) -> Result<&'a str, WireError> {
+    fn text(&self, path: &str) -> Result<&'a str, WireError> {
         match self.0.get(path) {
             Some(text) => Ok(text),
             None => malformed(format!("required setting {path} is missing")),
@@ -313,7 +313,7 @@
         path: &str,
         item: impl Fn(&str) -> Result<T, WireError>,
     ) -> Result<Vec<T>, WireError> {
-        let count: u16 = self.get(&format!("{path}.count"))?;
+        let count: u16 = self.parse(&format!("{path}.count"))?;
         (0..count)
             .map(|index| item(&format!("{path}.{index}")))
             .collect()
@@ -330,44 +330,44 @@
             .filter_map(|line| line.split_once('='))
             .collect(),
     );
-    let classes = params.list("classes", |at| {
-        let field = |name: &str| format!("{at}.{name}");
-        let effect = match params.word(&field("semantics"))? {
+    let classes = params.list("classes", |path| {
+        let field = |name: &str| format!("{path}.{name}");
+        let effect = match params.text(&field("semantics"))? {
             "free" => Effect::Idempotent,
             "single_shot" => Effect::NonIdempotent,
             "guarded" => Effect::Deduplicated {
-                scope: match params.word(&field("group"))? {
+                scope: match params.text(&field("group"))? {
                     "all" => Scope::All,
                     "zone" => Scope::Zone,
                     "cell" => Scope::Cell,
                     other => {
                         return malformed(format!(
-                            "setting {at}.group has the unknown value '{other}'"
+                            "setting {path}.group has the unknown value '{other}'"
                         ))
                     }
                 },
-                window: params.get(&field("dedupWindow"))?,
+                window: params.parse(&field("dedupWindow"))?,
             },
             other => {
                 return malformed(format!(
-                    "setting {at}.semantics has the unknown value '{other}'"
+                    "setting {path}.semantics has the unknown value '{other}'"
                 ))
             }
         };
         Ok(Class {
-            worth: params.get(&field("worth"))?,
-            aim: params.get(&field("slo"))?,
-            deadline: params.get(&field("deadline"))?,
-            late_share: params.get(&field("lateShare"))?,
+            worth: params.parse(&field("worth"))?,
+            aim: params.parse(&field("slo"))?,
+            deadline: params.parse(&field("deadline"))?,
+            late_share: params.parse(&field("lateShare"))?,
             effect,
         })
     })?;
-    let plans = params.list("plans", |at| {
-        let number = |name: &str| params.get(&format!("{at}.{name}"));
+    let plans = params.list("plans", |path| {
+        let number = |name: &str| params.parse(&format!("{path}.{name}"));
         Ok(Plan {
             rate: number("unitsPerS")?,
             burst: number("storeSize")?,
-            open: params.get(&format!("{at}.concurrency"))?,
+            open: params.parse(&format!("{path}.concurrency"))?,
             price: number("price")?,
             over_worth: number("excessWorth")?,
             over_cost: number("overrunCost")?,
@@ -376,30 +376,30 @@
             ceiling_slack: number("tolerance")?,
         })
     })?;
-    let sends_retry_after: bool = params.get("bounds.retryAfter")?;
+    let sends_retry_after: bool = params.parse("bounds.retryAfter")?;
     let settings = Settings {
-        gateways: params.get("balancers")?,
-        ordinal: params.get("ordinal")?,
-        zone: params.get("zone")?,
+        gateways: params.parse("balancers")?,
+        ordinal: params.parse("ordinal")?,
+        zone: params.parse("zone")?,
         classes,
         plans,
-        max_units: params.get("familyInfo.mostUnits")?,
-        meter_period: params.get("familyInfo.usePeriod")?,
-        max_attempts: params.get("bounds.maxAttempts")?,
-        may_duplicate: params.get("bounds.mayDuplicate")?,
-        may_cancel: params.get("bounds.cancel")?,
+        max_units: params.parse("familyInfo.mostUnits")?,
+        meter_period: params.parse("familyInfo.usePeriod")?,
+        max_attempts: params.parse("bounds.maxAttempts")?,
+        may_duplicate: params.parse("bounds.mayDuplicate")?,
+        may_cancel: params.parse("bounds.cancel")?,
         max_retry_after: if sends_retry_after {
-            params.get("bounds.maxRetryAfter")?
+            params.parse("bounds.maxRetryAfter")?
         } else {
             0.0
         },
-        drain_grace: params.get("rules.stopSendingWithin")?,
-        cold_from: params.get("rules.coldFrom")?,
-        cold_for: params.get("rules.cold")?,
-        tip_multiple: params.get("rules.tipMultiple")?,
-        tip_after: params.get("rules.fall")?,
-        tick: params.get("tick")?,
-        list_on_request: match params.word("registryMode")? {
+        drain_grace: params.parse("rules.stopSendingWithin")?,
+        cold_from: params.parse("rules.coldFrom")?,
+        cold_for: params.parse("rules.cold")?,
+        tip_multiple: params.parse("rules.tipMultiple")?,
+        tip_after: params.parse("rules.fall")?,
+        tick: params.parse("tick")?,
+        list_on_request: match params.text("registryMode")? {
             "pushed" => false,
             "on_request" => true,
             other => {
