--- a/quota-gateway/benches/cost/calls.rs
+++ b/quota-gateway/benches/cost/calls.rs
@@ -1,19 +1,24 @@
-//! Counts the system calls of a process while something is done with it, by tracing it. Slow: times that are
-//! taken meanwhile say nothing.
+//! Counts the system calls of a process with ptrace. Tracing slows the process down, so times measured meanwhile are
+//! meaningless.
 
 use std::sync::atomic::AtomicBool;
 
-/// System calls by kind.
+/// Number of system calls by kind.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Calls {
+pub(crate) struct SyscallCounts {
     pub reads: u64,
     pub writes: u64,
     pub others: u64,
 }
 
-/// Traces the process until `done`, and then until its next call. `None` where the system does not allow it.
+/// Counts system calls until `done` is set and the process makes one more. Sets `tracing` once the trace is active.
+/// Returns `None` where the system does not allow tracing.
 #[cfg(all(target_os = "linux", target_arch = "x86_64", target_env = "gnu"))]
-pub(crate) fn count(pid: u32, tracing: &AtomicBool, done: &AtomicBool) -> Option<Calls> {
+pub(crate) fn count_syscalls(
+    pid: u32,
+    tracing: &AtomicBool,
+    done: &AtomicBool,
+) -> Option<SyscallCounts> {
     use nix::libc;
     use nix::sys::ptrace;
     use nix::sys::wait::{waitpid, WaitStatus};
@@ -23,13 +28,13 @@
     let pid = Pid::from_raw(i32::try_from(pid).ok()?);
     ptrace::seize(pid, ptrace::Options::PTRACE_O_TRACESYSGOOD).ok()?;
     ptrace::interrupt(pid).ok()?;
-    let mut calls = Calls::default();
-    let mut entered = false;
+    let mut counts = SyscallCounts::default();
+    let mut in_syscall = false;
     loop {
         let signal = match waitpid(pid, None).ok()? {
             WaitStatus::PtraceSyscall(_) => {
-                entered = !entered;
-                if entered {
+                in_syscall = !in_syscall;
+                if in_syscall {
                     let number = ptrace::getregs(pid).ok()?.orig_rax as i64;
                     let reads = [
                         libc::SYS_read,
@@ -44,17 +49,17 @@
                         libc::SYS_sendmsg,
                     ];
                     *if reads.contains(&number) {
-                        &mut calls.reads
+                        &mut counts.reads
                     } else if writes.contains(&number) {
-                        &mut calls.writes
+                        &mut counts.writes
                     } else {
-                        &mut calls.others
+                        &mut counts.others
                     } += 1;
                 }
                 None
             }
             WaitStatus::Stopped(_, signal) => Some(signal),
-            // The stop that was asked for above.
+            // The stop requested by `ptrace::interrupt`.
             WaitStatus::PtraceEvent(..) => {
                 tracing.store(true, Ordering::Release);
                 None
@@ -63,13 +68,17 @@
         };
         if done.load(Ordering::Acquire) {
             ptrace::detach(pid, signal).ok()?;
-            return Some(calls);
+            return Some(counts);
         }
         ptrace::syscall(pid, signal).ok()?;
     }
 }
 
 #[cfg(not(all(target_os = "linux", target_arch = "x86_64", target_env = "gnu")))]
-pub fn count(_pid: u32, _tracing: &AtomicBool, _done: &AtomicBool) -> Option<Calls> {
+pub fn count_syscalls(
+    _pid: u32,
+    _tracing: &AtomicBool,
+    _done: &AtomicBool,
+) -> Option<SyscallCounts> {
     None
 }
--- a/quota-gateway/benches/cost/main.rs
+++ b/quota-gateway/benches/cost/main.rs
@@ -10,7 +10,7 @@
 mod door;
 mod standins;
 
-use calls::Calls;
+use calls::SyscallCounts;
 use door::{Door, Used};
 use quota_gateway::{
     Action, AttemptEnd, Class, Effect, Event, Gateway, Lifecycle, ListKind, Outcome, Plan, Request,
@@ -239,7 +239,7 @@
     play(&door, WARM_UP);
     let (tracing, done) = (AtomicBool::new(false), AtomicBool::new(false));
     let calls = thread::scope(|scope| {
-        let counting = scope.spawn(|| calls::count(door.pid(), &tracing, &done));
+        let counting = scope.spawn(|| calls::count_syscalls(door.pid(), &tracing, &done));
         while !tracing.load(Ordering::Acquire) && !counting.is_finished() {
             thread::yield_now();
         }
@@ -251,7 +251,7 @@
         }
         counting.join().ok().flatten()
     });
-    let Calls {
+    let SyscallCounts {
         reads,
         writes,
         others,
