--- a/quota-gateway/benches/cost/door.rs
+++ b/quota-gateway/benches/cost/gateway_process.rs
@@ -1,4 +1,4 @@
-//! The front door that is measured: a process of the built program, and what the system tells of it.
+//! The gateway process under measurement, and its resource usage as reported by the kernel.
 
 use crate::standins::Fleet;
 use serde_json::{json, Value};
@@ -9,40 +9,41 @@
 use std::thread;
 use std::time::{Duration, Instant};
 
-const STARTS_WITHIN: Duration = Duration::from_secs(10);
-/// Unit of the processor times in `/proc/PID/stat`.
-const TICK_US: f64 = 10_000.0;
+const START_TIMEOUT: Duration = Duration::from_secs(10);
+/// Unit of the CPU times in `/proc/PID/stat`.
+const CLOCK_TICK_US: f64 = 10_000.0;
 
-pub(crate) struct Door {
+pub(crate) struct GatewayProcess {
     child: Child,
     folder: PathBuf,
     pub address: SocketAddr,
 }
 
-/// What the process has used up to now.
+/// Resource usage of the process so far.
 #[derive(Clone, Copy, Default)]
-pub(crate) struct Used {
-    /// Processor time in microseconds: all, and the program's own part of it.
-    pub processor: f64,
+pub(crate) struct ResourceUsage {
+    /// CPU time in microseconds, user and system.
+    pub cpu: f64,
+    /// The part of the CPU time spent in user mode.
     pub user: f64,
-    /// How often it went to sleep, and so was woken.
+    /// Number of voluntary context switches, each of which ends in a wake-up.
     pub wake_ups: f64,
     pub resident_kib: f64,
     pub descriptors: f64,
 }
 
-impl Door {
-    /// One of so many front doors, before this fleet.
-    pub(crate) fn start(program: &Path, fleet: &Fleet, gateways: u32) -> Door {
-        let free = || {
+impl GatewayProcess {
+    /// Starts one of `gateways` gateways in front of `fleet` and waits until it listens.
+    pub(crate) fn start(program: &Path, fleet: &Fleet, gateways: u32) -> GatewayProcess {
+        let free_address = || {
             TcpListener::bind((Ipv4Addr::LOCALHOST, 0))
-                .and_then(|at| at.local_addr())
-                .expect("a port")
+                .and_then(|listener| listener.local_addr())
+                .expect("a free port on loopback")
         };
-        let address = free();
+        let address = free_address();
         let folder =
             std::env::temp_dir().join(format!("cost-{}-{}", std::process::id(), address.port()));
-        fs::create_dir_all(&folder).expect("a folder");
+        fs::create_dir_all(&folder).expect("the temporary folder is created");
         let file = folder.join("config.json");
         fs::write(&file, config(address, fleet, gateways).to_string())
             .expect("the configuration is written");
@@ -55,45 +56,45 @@
             .stderr(Stdio::null())
             .spawn()
             .unwrap_or_else(|error| panic!("cannot start {}: {error}", program.display()));
-        let door = Door {
+        let gateway = GatewayProcess {
             child,
             folder,
             address,
         };
-        let until = Instant::now() + STARTS_WITHIN;
+        let deadline = Instant::now() + START_TIMEOUT;
         while TcpStream::connect(address).is_err() {
             assert!(
-                Instant::now() < until,
+                Instant::now() < deadline,
                 "{} does not listen",
                 program.display()
             );
             thread::sleep(Duration::from_millis(5));
         }
-        door
+        gateway
     }
 
     pub(crate) fn pid(&self) -> u32 {
         self.child.id()
     }
 
-    pub(crate) fn used(&self) -> Used {
-        let file = |name: &str| {
+    pub(crate) fn resource_usage(&self) -> ResourceUsage {
+        let read_proc = |name: &str| {
             fs::read_to_string(format!("/proc/{}/{name}", self.pid()))
-                .expect("the system's figures")
+                .expect("the process entry in /proc is readable")
         };
-        let status = file("status");
-        let figure = |name: &str| -> f64 {
+        let status = read_proc("status");
+        let status_field = |name: &str| -> f64 {
             let line = status
                 .lines()
                 .find_map(|line| line.strip_prefix(name))
-                .expect("a figure of the status");
+                .expect("the status has the field");
             line.trim()
                 .trim_end_matches("kB")
                 .trim()
                 .parse()
-                .expect("a number")
+                .expect("the field is a number")
         };
-        let stat = file("stat");
+        let stat = read_proc("stat");
         let ticks: Vec<f64> = stat.rsplit_once(')').map_or(Vec::new(), |(_, fields)| {
             fields
                 .split_ascii_whitespace()
@@ -102,27 +103,27 @@
                 .filter_map(|field| field.parse().ok())
                 .collect()
         });
-        // The first figure is the time on a processor in nanoseconds, finer than ticks.
-        let schedule = file("schedstat");
-        let all = schedule
+        // The first field is the CPU time in nanoseconds, which is finer than clock ticks.
+        let schedstat = read_proc("schedstat");
+        let cpu_nanos = schedstat
             .split(' ')
             .next()
             .and_then(|field| field.parse::<f64>().ok());
-        Used {
-            processor: all.map_or_else(
-                || ticks.iter().sum::<f64>() * TICK_US,
+        ResourceUsage {
+            cpu: cpu_nanos.map_or_else(
+                || ticks.iter().sum::<f64>() * CLOCK_TICK_US,
                 |nanos| nanos / 1000.0,
             ),
-            user: ticks[0] * TICK_US,
-            wake_ups: figure("voluntary_ctxt_switches:"),
-            resident_kib: figure("VmRSS:"),
+            user: ticks[0] * CLOCK_TICK_US,
+            wake_ups: status_field("voluntary_ctxt_switches:"),
+            resident_kib: status_field("VmRSS:"),
             descriptors: fs::read_dir(format!("/proc/{}/fd", self.pid())).map_or(0, Iterator::count)
                 as f64,
         }
     }
 }
 
-impl Drop for Door {
+impl Drop for GatewayProcess {
     fn drop(&mut self) {
         let _ = self.child.kill();
         let _ = self.child.wait();
@@ -139,8 +140,8 @@
         .backends
         .iter()
         .enumerate()
-        .map(|(number, at)| {
-            json!({"uid": format!("s-{number:08x}"), "endpoint": at.to_string(), "az": "a", "model": "m",
+        .map(|(index, address)| {
+            json!({"uid": format!("s-{index:08x}"), "endpoint": address.to_string(), "az": "a", "model": "m",
                    "pod_group": 0, "state": "ready", "capacity_hint": 1.0, "boot_ms": 0})
         })
         .collect();
--- a/quota-gateway/benches/cost/main.rs
+++ b/quota-gateway/benches/cost/main.rs
@@ -7,11 +7,11 @@
 //! Times differ from machine to machine and from day to day: the ratios, and the counts, are what tells.
 
 mod calls;
-mod door;
+mod gateway_process;
 mod standins;
 
 use calls::SyscallCounts;
-use door::{Door, Used};
+use gateway_process::{GatewayProcess, ResourceUsage};
 use quota_gateway::{
     Action, AttemptEnd, Class, Effect, Event, Gateway, Lifecycle, ListKind, Outcome, Plan, Request,
     ServerEntry, Settings,
@@ -40,12 +40,12 @@
     work: Duration,
     size: usize,
     gateways: u32,
-    play: fn(&Door) -> Figures,
+    play: fn(&GatewayProcess) -> Figures,
     /// Requests of a run under trace, and how they are made; none where calls are not counted.
     traced: Option<Traced>,
 }
 
-type Traced = (usize, fn(&Door, usize));
+type Traced = (usize, fn(&GatewayProcess, usize));
 
 const KEPT: Scenario = Scenario {
     name: "kept",
@@ -53,16 +53,20 @@
     work: Duration::from_millis(10),
     size: 1024,
     gateways: 1,
-    play: |door| loaded(door, 32, 200, true, "ample"),
-    traced: Some((200, |door, requests| plain(door, requests, true, "ample"))),
+    play: |gateway| loaded(gateway, 32, 200, true, "ample"),
+    traced: Some((200, |gateway, requests| {
+        plain(gateway, requests, true, "ample");
+    })),
 };
 
 const SCENARIOS: [Scenario; 8] = [
     KEPT,
     Scenario {
         name: "fresh",
-        play: |door| loaded(door, 16, 150, false, "ample"),
-        traced: Some((200, |door, requests| plain(door, requests, false, "ample"))),
+        play: |gateway| loaded(gateway, 16, 150, false, "ample"),
+        traced: Some((200, |gateway, requests| {
+            plain(gateway, requests, false, "ample");
+        })),
         ..KEPT
     },
     Scenario {
@@ -74,8 +78,10 @@
     },
     Scenario {
         name: "refused",
-        play: |door| loaded(door, 8, 4000, true, "scant"),
-        traced: Some((200, |door, requests| plain(door, requests, true, "scant"))),
+        play: |gateway| loaded(gateway, 8, 4000, true, "scant"),
+        traced: Some((200, |gateway, requests| {
+            plain(gateway, requests, true, "scant");
+        })),
         ..KEPT
     },
     Scenario {
@@ -94,8 +100,10 @@
     Scenario {
         name: "large",
         size: 1 << 20,
-        play: |door| loaded(door, 8, 40, true, "ample"),
-        traced: Some((20, |door, requests| plain(door, requests, true, "ample"))),
+        play: |gateway| loaded(gateway, 8, 40, true, "ample"),
+        traced: Some((20, |gateway, requests| {
+            plain(gateway, requests, true, "ample");
+        })),
         ..KEPT
     },
     Scenario {
@@ -108,65 +116,72 @@
 ];
 
 /// What so many requests took, each.
-fn per_request(before: Used, after: Used, requests: usize) -> Figures {
-    let each = |figure: fn(&Used) -> f64| (figure(&after) - figure(&before)) / requests as f64;
+fn per_request(before: ResourceUsage, after: ResourceUsage, requests: usize) -> Figures {
+    let each =
+        |figure: fn(&ResourceUsage) -> f64| (figure(&after) - figure(&before)) / requests as f64;
     vec![
-        ("processor us/request", each(|used| used.processor)),
-        ("  of it user", each(|used| used.user)),
-        ("wake-ups/request", each(|used| used.wake_ups)),
+        ("processor us/request", each(|usage| usage.cpu)),
+        ("  of it user", each(|usage| usage.user)),
+        ("wake-ups/request", each(|usage| usage.wake_ups)),
         ("descriptors", after.descriptors),
     ]
 }
 
-fn loaded(door: &Door, connections: usize, each: usize, keep: bool, plan: &str) -> Figures {
+fn loaded(
+    gateway: &GatewayProcess,
+    connections: usize,
+    each: usize,
+    keep: bool,
+    plan: &str,
+) -> Figures {
     let status = if plan == "ample" { 200 } else { 429 };
     run(async {
         // The least that a plan lets through comes before the refusals.
-        load(door.address, connections, WARM_UP, keep, plan, status).await;
-        let before = door.used();
-        let wrong = load(door.address, connections, each, keep, plan, status).await;
-        let figures = per_request(before, door.used(), connections * each);
+        load(gateway.address, connections, WARM_UP, keep, plan, status).await;
+        let before = gateway.resource_usage();
+        let wrong = load(gateway.address, connections, each, keep, plan, status).await;
+        let figures = per_request(before, gateway.resource_usage(), connections * each);
         assert_eq!(wrong, 0, "answers that are not {status}");
         figures
     })
 }
 
-/// A door that sees little of a large fleet's traffic, once its room has grown from that of a start.
-fn one_of_many(door: &Door) -> Figures {
+/// A gateway that receives a small part of a large fleet's traffic, once its capacity has grown from that of a new gateway.
+fn one_of_many(gateway: &GatewayProcess) -> Figures {
     run(async {
-        load(door.address, 2, 100, true, "ample", 200).await;
-        let before = door.used();
-        let refused = load(door.address, 2, 200, true, "ample", 200).await;
-        let mut figures = per_request(before, door.used(), 400);
+        load(gateway.address, 2, 100, true, "ample", 200).await;
+        let before = gateway.resource_usage();
+        let refused = load(gateway.address, 2, 200, true, "ample", 200).await;
+        let mut figures = per_request(before, gateway.resource_usage(), 400);
         figures.push(("refused/request", refused as f64 / 400.0));
         figures
     })
 }
 
 /// One request after the other, as a trace counts them.
-fn plain(door: &Door, requests: usize, keep: bool, plan: &str) {
-    run(async { load(door.address, 1, requests, keep, plan, 0).await });
+fn plain(gateway: &GatewayProcess, requests: usize, keep: bool, plan: &str) {
+    run(async { load(gateway.address, 1, requests, keep, plan, 0).await });
 }
 
 /// Clients that hold a connection and ask for nothing, or have asked once.
-fn many_idle(door: &Door) -> Figures {
+fn many_idle(gateway: &GatewayProcess) -> Figures {
     run(async {
-        load(door.address, 4, WARM_UP, true, "ample", 200).await;
-        let before = door.used();
+        load(gateway.address, 4, WARM_UP, true, "ample", 200).await;
+        let before = gateway.resource_usage();
         let mut silent = Vec::new();
         for _ in 0..IDLE_CONNECTIONS {
-            silent.push(Client::connect(door.address).await);
+            silent.push(Client::connect(gateway.address).await);
         }
         sleep(Duration::from_millis(100)).await;
-        let with_silent = door.used();
+        let with_silent = gateway.resource_usage();
         let asked = request("ample", 1);
         for client in &mut silent {
             client.ask(&asked).await;
         }
-        let with_asked = door.used();
-        load(door.address, 4, 100, true, "ample", 200).await;
-        let after = door.used();
-        let each = |more: Used, less: Used| {
+        let with_asked = gateway.resource_usage();
+        load(gateway.address, 4, 100, true, "ample", 200).await;
+        let after = gateway.resource_usage();
+        let each = |more: ResourceUsage, less: ResourceUsage| {
             (more.resident_kib - less.resident_kib) / IDLE_CONNECTIONS as f64
         };
         vec![
@@ -177,7 +192,7 @@
             ),
             (
                 "processor us/request beside them",
-                (after.processor - with_asked.processor) / 400.0,
+                (after.cpu - with_asked.cpu) / 400.0,
             ),
             ("descriptors", with_asked.descriptors),
         ]
@@ -185,22 +200,22 @@
 }
 
 /// A program that has served and has nothing to do.
-fn idle(door: &Door) -> Figures {
-    run(load(door.address, 8, 50, true, "ample", 200));
-    let watched = |door: &Door| {
-        let before = door.used();
+fn idle(gateway: &GatewayProcess) -> Figures {
+    run(load(gateway.address, 8, 50, true, "ample", 200));
+    let watched = |gateway: &GatewayProcess| {
+        let before = gateway.resource_usage();
         thread::sleep(WATCHED);
-        let after = door.used();
+        let after = gateway.resource_usage();
         let seconds = WATCHED.as_secs_f64();
         (
             (after.wake_ups - before.wake_ups) / seconds,
-            (after.processor - before.processor) / seconds,
+            (after.cpu - before.cpu) / seconds,
         )
     };
     // With the connections to backends still open, and later on.
-    let (soon, _) = watched(door);
+    let (soon, _) = watched(gateway);
     thread::sleep(REST);
-    let (wake_ups, processor) = watched(door);
+    let (wake_ups, processor) = watched(gateway);
     vec![
         ("wake-ups/s after load", soon),
         ("wake-ups/s", wake_ups),
@@ -208,17 +223,17 @@
     ]
 }
 
-fn customers(door: &Door) -> Figures {
+fn customers(gateway: &GatewayProcess) -> Figures {
     run(async {
-        let mut client = Client::connect(door.address).await;
+        let mut client = Client::connect(gateway.address).await;
         for _ in 0..WARM_UP {
             client.ask(&request("ample", 1)).await;
         }
-        let before = door.used();
+        let before = gateway.resource_usage();
         for customer in 0..CUSTOMERS {
             client.ask(&request("scant", customer as u64)).await;
         }
-        let after = door.used();
+        let after = gateway.resource_usage();
         vec![
             (
                 "KiB/customer",
@@ -226,7 +241,7 @@
             ),
             (
                 "processor us/request",
-                (after.processor - before.processor) / CUSTOMERS as f64,
+                (after.cpu - before.cpu) / CUSTOMERS as f64,
             ),
         ]
     })
@@ -235,19 +250,19 @@
 /// System calls for each request of a scenario.
 fn traced(program: &Path, scenario: &Scenario, fleet: &Fleet) -> Option<Figures> {
     let (requests, play) = scenario.traced?;
-    let door = Door::start(program, fleet, scenario.gateways);
-    play(&door, WARM_UP);
+    let gateway = GatewayProcess::start(program, fleet, scenario.gateways);
+    play(&gateway, WARM_UP);
     let (tracing, done) = (AtomicBool::new(false), AtomicBool::new(false));
     let calls = thread::scope(|scope| {
-        let counting = scope.spawn(|| calls::count_syscalls(door.pid(), &tracing, &done));
+        let counting = scope.spawn(|| calls::count_syscalls(gateway.pid(), &tracing, &done));
         while !tracing.load(Ordering::Acquire) && !counting.is_finished() {
             thread::yield_now();
         }
-        play(&door, requests);
+        play(&gateway, requests);
         done.store(true, Ordering::Release);
         // The call that ends the trace.
         while !counting.is_finished() {
-            play(&door, 1);
+            play(&gateway, 1);
         }
         counting.join().ok().flatten()
     });
@@ -264,7 +279,7 @@
     ])
 }
 
-/// Allocations of the module for each event, at 200 backends and 300 front doors.
+/// Allocations of the module for each event, at 200 backends and 300 gateways.
 fn allocations() {
     let class = Class {
         worth: 1.0,
@@ -399,7 +414,7 @@
         let mut runs: Vec<Vec<Figures>> = vec![Vec::new(); programs.len()];
         for _ in 0..rounds {
             for (program, runs) in programs.iter().zip(&mut runs) {
-                runs.push((scenario.play)(&Door::start(
+                runs.push((scenario.play)(&GatewayProcess::start(
                     program,
                     &fleet,
                     scenario.gateways,
--- a/quota-gateway/benches/cost/standins.rs
+++ b/quota-gateway/benches/cost/standins.rs
@@ -124,7 +124,7 @@
     pub(crate) async fn connect(address: SocketAddr) -> Client {
         let stream = TcpStream::connect(address)
             .await
-            .expect("the front door accepts");
+            .expect("the gateway accepts the connection");
         let _ = stream.set_nodelay(true);
         Client {
             stream,
