--- a/quota-gateway/benches/cost/main.rs
+++ b/quota-gateway/benches/cost/main.rs
@@ -1,10 +1,10 @@
-//! What a request costs: the release program between stand-ins on loopback, a fixed number of requests.
+//! Measures the cost per request of the gateway between simulated peers on loopback, with a fixed number of requests.
 //!
 //!     cargo bench --bench cost                            # this build
 //!     cargo bench --bench cost -- --vs OTHER/quota-gateway    # and its ratio to another, run by run in turn
 //!     cargo bench --bench cost -- --rounds 9 --only kept --own target/release/quota-gateway
 //!
-//! Times differ from machine to machine and from day to day: the ratios, and the counts, are what tells.
+//! Times depend on the machine and its load: compare the ratios and the counts only.
 
 mod calls;
 mod gateway_process;
@@ -23,15 +23,15 @@
 use std::{env, thread};
 use tokio::time::sleep;
 
-/// Requests that go before those that count.
+/// Number of requests before the measured ones.
 const WARM_UP: usize = 50;
 const IDLE_CONNECTIONS: usize = 1000;
 const CUSTOMERS: usize = 10_000;
-/// The idle program is watched for so long, after so long a rest.
-const WATCHED: Duration = Duration::from_secs(2);
-const REST: Duration = Duration::from_secs(2);
+/// Duration of each measurement of the idle gateway, and the pause between the two.
+const IDLE_MEASUREMENT: Duration = Duration::from_secs(2);
+const IDLE_PAUSE: Duration = Duration::from_secs(2);
 
-/// A figure's name and what it is for one run.
+/// Name and value of each figure of a run.
 type Figures = Vec<(&'static str, f64)>;
 
 struct Scenario {
@@ -40,8 +40,8 @@
     work: Duration,
     size: usize,
     gateways: u32,
-    play: fn(&GatewayProcess) -> Figures,
-    /// Requests of a run under trace, and how they are made; none where calls are not counted.
+    run_load: fn(&GatewayProcess) -> Figures,
+    /// Number of requests of a traced run and the function that sends them; `None` if system calls are not counted.
     traced: Option<Traced>,
 }
 
@@ -53,7 +53,7 @@
     work: Duration::from_millis(10),
     size: 1024,
     gateways: 1,
-    play: |gateway| loaded(gateway, 32, 200, true, "ample"),
+    run_load: |gateway| loaded(gateway, 32, 200, true, "ample"),
     traced: Some((200, |gateway, requests| {
         plain(gateway, requests, true, "ample");
     })),
@@ -63,7 +63,7 @@
     KEPT,
     Scenario {
         name: "fresh",
-        play: |gateway| loaded(gateway, 16, 150, false, "ample"),
+        run_load: |gateway| loaded(gateway, 16, 150, false, "ample"),
         traced: Some((200, |gateway, requests| {
             plain(gateway, requests, false, "ample");
         })),
@@ -72,13 +72,13 @@
     Scenario {
         name: "many-idle",
         work: Duration::ZERO,
-        play: many_idle,
+        run_load: many_idle,
         traced: None,
         ..KEPT
     },
     Scenario {
         name: "refused",
-        play: |gateway| loaded(gateway, 8, 4000, true, "scant"),
+        run_load: |gateway| loaded(gateway, 8, 4000, true, "scant"),
         traced: Some((200, |gateway, requests| {
             plain(gateway, requests, true, "scant");
         })),
@@ -86,7 +86,7 @@
     },
     Scenario {
         name: "idle",
-        play: idle,
+        run_load: idle,
         traced: None,
         ..KEPT
     },
@@ -94,13 +94,13 @@
         name: "fleet",
         backends: 200,
         gateways: 300,
-        play: one_of_many,
+        run_load: one_of_many,
         ..KEPT
     },
     Scenario {
         name: "large",
         size: 1 << 20,
-        play: |gateway| loaded(gateway, 8, 40, true, "ample"),
+        run_load: |gateway| loaded(gateway, 8, 40, true, "ample"),
         traced: Some((20, |gateway, requests| {
             plain(gateway, requests, true, "ample");
         })),
@@ -109,13 +109,13 @@
     Scenario {
         name: "customers",
         work: Duration::ZERO,
-        play: customers,
+        run_load: customers,
         traced: None,
         ..KEPT
     },
 ];
 
-/// What so many requests took, each.
+/// Returns the resource usage per request.
 fn per_request(before: ResourceUsage, after: ResourceUsage, requests: usize) -> Figures {
     let each =
         |figure: fn(&ResourceUsage) -> f64| (figure(&after) - figure(&before)) / requests as f64;
@@ -139,14 +139,15 @@
         // The least that a plan lets through comes before the refusals.
         load(gateway.address, connections, WARM_UP, keep, plan, status).await;
         let before = gateway.resource_usage();
-        let wrong = load(gateway.address, connections, each, keep, plan, status).await;
+        let mismatches = load(gateway.address, connections, each, keep, plan, status).await;
         let figures = per_request(before, gateway.resource_usage(), connections * each);
-        assert_eq!(wrong, 0, "answers that are not {status}");
+        assert_eq!(mismatches, 0, "answers that are not {status}");
         figures
     })
 }
 
-/// A gateway that receives a small part of a large fleet's traffic, once its capacity has grown from that of a new gateway.
+/// A gateway that receives a small part of a large fleet's traffic, once its capacity has grown from that of a new
+/// gateway.
 fn one_of_many(gateway: &GatewayProcess) -> Figures {
     run(async {
         load(gateway.address, 2, 100, true, "ample", 200).await;
@@ -158,12 +159,12 @@
     })
 }
 
-/// One request after the other, as a trace counts them.
+/// Sends requests one after another, so that a trace counts the system calls of each.
 fn plain(gateway: &GatewayProcess, requests: usize, keep: bool, plan: &str) {
     run(async { load(gateway.address, 1, requests, keep, plan, 0).await });
 }
 
-/// Clients that hold a connection and ask for nothing, or have asked once.
+/// Memory per idle connection, before and after its first request.
 fn many_idle(gateway: &GatewayProcess) -> Figures {
     run(async {
         load(gateway.address, 4, WARM_UP, true, "ample", 200).await;
@@ -199,22 +200,22 @@
     })
 }
 
-/// A program that has served and has nothing to do.
+/// Wake-ups and CPU time of a gateway without load, after it has served requests.
 fn idle(gateway: &GatewayProcess) -> Figures {
     run(load(gateway.address, 8, 50, true, "ample", 200));
     let watched = |gateway: &GatewayProcess| {
         let before = gateway.resource_usage();
-        thread::sleep(WATCHED);
+        thread::sleep(IDLE_MEASUREMENT);
         let after = gateway.resource_usage();
-        let seconds = WATCHED.as_secs_f64();
+        let seconds = IDLE_MEASUREMENT.as_secs_f64();
         (
             (after.wake_ups - before.wake_ups) / seconds,
             (after.cpu - before.cpu) / seconds,
         )
     };
-    // With the connections to backends still open, and later on.
+    // First with the connections to backends still open, then after they may have closed.
     let (soon, _) = watched(gateway);
-    thread::sleep(REST);
+    thread::sleep(IDLE_PAUSE);
     let (wake_ups, processor) = watched(gateway);
     vec![
         ("wake-ups/s after load", soon),
@@ -247,22 +248,22 @@
     })
 }
 
-/// System calls for each request of a scenario.
+/// Counts the system calls per request of a scenario.
 fn traced(program: &Path, scenario: &Scenario, fleet: &Fleet) -> Option<Figures> {
-    let (requests, play) = scenario.traced?;
+    let (requests, run_load) = scenario.traced?;
     let gateway = GatewayProcess::start(program, fleet, scenario.gateways);
-    play(&gateway, WARM_UP);
+    run_load(&gateway, WARM_UP);
     let (tracing, done) = (AtomicBool::new(false), AtomicBool::new(false));
     let calls = thread::scope(|scope| {
         let counting = scope.spawn(|| calls::count_syscalls(gateway.pid(), &tracing, &done));
         while !tracing.load(Ordering::Acquire) && !counting.is_finished() {
             thread::yield_now();
         }
-        play(&gateway, requests);
+        run_load(&gateway, requests);
         done.store(true, Ordering::Release);
-        // The call that ends the trace.
+        // The trace ends at the next system call.
         while !counting.is_finished() {
-            play(&gateway, 1);
+            run_load(&gateway, 1);
         }
         counting.join().ok().flatten()
     });
@@ -279,7 +280,7 @@
     ])
 }
 
-/// Allocations of the module for each event, at 200 backends and 300 gateways.
+/// Prints the allocations of the decision module per event, at 200 backends and 300 gateways.
 fn allocations() {
     let class = Class {
         worth: 1.0,
@@ -300,7 +301,7 @@
         plans: vec![plan],
         ..Settings::default()
     };
-    let mut gateway = Gateway::new(settings, 7, 0.0).expect("the settings make sense");
+    let mut gateway = Gateway::new(settings, 7, 0.0).expect("the settings are valid");
     let server = |id| ServerEntry {
         id,
         zone: 0,
@@ -375,25 +376,25 @@
     let mut own = PathBuf::from(env!("CARGO_BIN_EXE_quota-gateway"));
     let mut other: Option<PathBuf> = None;
     let (mut rounds, mut only) = (5, None);
-    let mut words = env::args().skip(1);
-    while let Some(word) = words.next() {
-        match word.as_str() {
-            "--vs" => other = words.next().map(PathBuf::from),
-            // What cargo builds beside tests has the features that their crates ask for: a release build has not.
-            "--own" => own = words.next().map(PathBuf::from).unwrap_or(own),
+    let mut args = env::args().skip(1);
+    while let Some(arg) = args.next() {
+        match arg.as_str() {
+            "--vs" => other = args.next().map(PathBuf::from),
+            // Cargo builds a bench with the features that dev-dependencies enable; a release build lacks them.
+            "--own" => own = args.next().map(PathBuf::from).unwrap_or(own),
             "--rounds" => {
-                rounds = words
+                rounds = args
                     .next()
-                    .and_then(|word| word.parse().ok())
+                    .and_then(|arg| arg.parse().ok())
                     .unwrap_or(rounds)
                     .clamp(1, 50);
             }
-            "--only" => only = words.next(),
-            // What cargo adds.
+            "--only" => only = args.next(),
+            // Added by `cargo bench`.
             "--bench" => {}
             _ => {
                 eprintln!(
-                    "unknown word {word}: --vs PROGRAM, --own PROGRAM, --rounds N, --only SCENARIO"
+                    "unknown argument {arg}: --vs PROGRAM, --own PROGRAM, --rounds N, --only SCENARIO"
                 );
                 std::process::exit(2);
             }
@@ -414,7 +415,7 @@
         let mut runs: Vec<Vec<Figures>> = vec![Vec::new(); programs.len()];
         for _ in 0..rounds {
             for (program, runs) in programs.iter().zip(&mut runs) {
-                runs.push((scenario.play)(&GatewayProcess::start(
+                runs.push((scenario.run_load)(&GatewayProcess::start(
                     program,
                     &fleet,
                     scenario.gateways,
--- a/quota-gateway/benches/cost/standins.rs
+++ b/quota-gateway/benches/cost/standins.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for clients, backends and discovery, on loopback, each on a thread of its own.
+//! Simulated clients, backends and discovery service on loopback. Backends and discovery share a thread.
 
 use std::cell::RefCell;
 use std::future::Future;
@@ -12,20 +12,20 @@
 use tokio::task::{spawn_local, JoinSet, LocalSet};
 use tokio::time::sleep;
 
-/// Runs this to its end, with tasks of its own beside it.
+/// Runs a future to completion on a single-threaded runtime, with support for local tasks.
 pub(crate) fn run<T>(work: impl Future<Output = T>) -> T {
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_all()
         .build()
-        .expect("a runtime");
+        .expect("the runtime is built");
     LocalSet::new().block_on(&runtime, work)
 }
 
-/// A peer that answers each request with what `answer` makes of its first line.
+/// Serves HTTP: `answer` returns the delay and the response for a request line.
 async fn serve(listener: TcpListener, answer: impl Fn(&str) -> (Duration, Rc<[u8]>) + 'static) {
     listener
         .set_nonblocking(true)
-        .expect("a socket that does not block");
+        .expect("the listener becomes non-blocking");
     let listener = tokio::net::TcpListener::from_std(listener).expect("a listener");
     let answer = Rc::new(answer);
     while let Ok((mut stream, _)) = listener.accept().await {
@@ -44,7 +44,7 @@
     }
 }
 
-/// The next head; `None` at the end. What came behind it stays in the buffer.
+/// Reads the next message head; `None` at the end of the stream. Bytes after the head stay in the buffer.
 async fn read_head(stream: &mut TcpStream, buffer: &mut Vec<u8>) -> io::Result<Option<String>> {
     loop {
         if let Some(end) = buffer.windows(4).position(|bytes| bytes == b"\r\n\r\n") {
@@ -70,13 +70,13 @@
     (listener, address)
 }
 
-/// Where the backends and discovery are. They serve until the program ends.
+/// Addresses of the backends and the discovery service, which serve until the process exits.
 pub(crate) struct Fleet {
     pub backends: Vec<SocketAddr>,
     pub discovery: SocketAddr,
 }
 
-/// So many backends whose answers take so long and bear so many bytes.
+/// Starts `backends` backends that each respond after `work` with a body of `size` bytes, and a discovery service.
 pub(crate) fn fleet(backends: usize, work: Duration, size: usize) -> Fleet {
     let (listeners, addresses): (Vec<_>, Vec<_>) = (0..backends).map(|_| listener()).unzip();
     let (calls, discovery) = listener();
@@ -87,14 +87,14 @@
                 let answer = answer.clone();
                 spawn_local(serve(listener, move |_| (work, answer.clone())));
             }
-            // Nothing ever changes: a watch waits for as long as it may.
-            let nothing = message(br#"{"rev":1,"all":false,"targets":[]}"#);
+            // The list never changes, so a watch request waits for its whole `wait_ms`.
+            let no_change = message(br#"{"rev":1,"all":false,"targets":[]}"#);
             serve(calls, move |line| {
                 let wait = line
                     .split("wait_ms=")
                     .nth(1)
                     .and_then(|rest| rest.split(' ').next()?.parse().ok());
-                (Duration::from_millis(wait.unwrap_or(0)), nothing.clone())
+                (Duration::from_millis(wait.unwrap_or(0)), no_change.clone())
             })
             .await;
         });
@@ -132,20 +132,25 @@
         }
     }
 
-    /// The answer's status. All of its body has come.
+    /// Sends a request, reads the whole response and returns its status.
     pub(crate) async fn ask(&mut self, request: &[u8]) -> u16 {
         self.stream
             .write_all(request)
             .await
-            .expect("the request goes out");
+            .expect("the request is sent");
         let head = read_head(&mut self.stream, &mut self.buffer)
             .await
-            .expect("an answer");
-        let head = head.expect("an answer").to_ascii_lowercase();
+            .expect("a response head");
+        let head = head.expect("a response head").to_ascii_lowercase();
         let length = head
             .lines()
             .find_map(|line| line.strip_prefix("content-length:"));
-        let mut left: usize = length.map_or(0, |length| length.trim().parse().expect("a length"));
+        let mut left: usize = length.map_or(0, |length| {
+            length
+                .trim()
+                .parse()
+                .expect("the content length is a number")
+        });
         loop {
             let taken = left.min(self.buffer.len());
             self.buffer.drain(..taken);
@@ -155,21 +160,22 @@
                     .split(' ')
                     .nth(1)
                     .and_then(|word| word.parse().ok())
-                    .expect("a status");
+                    .expect("the response has a status");
             }
             assert_ne!(
                 self.stream
                     .read_buf(&mut self.buffer)
                     .await
-                    .expect("the rest"),
+                    .expect("the rest of the body"),
                 0,
-                "cut short"
+                "response body cut short"
             );
         }
     }
 }
 
-/// Asks so often over so many connections at once; returns how many answers were not `status`.
+/// Runs `connections` concurrent clients that send `each` requests, on one connection if `keep`; returns how many
+/// responses did not have `status`.
 pub(crate) async fn load(
     address: SocketAddr,
     connections: usize,
@@ -178,10 +184,10 @@
     plan: &str,
     status: u16,
 ) -> usize {
-    let wrong = Rc::new(RefCell::new(0));
+    let mismatches = Rc::new(RefCell::new(0));
     let mut clients = JoinSet::new();
     for number in 0..connections {
-        let (request, wrong) = (request(plan, number as u64), wrong.clone());
+        let (request, mismatches) = (request(plan, number as u64), mismatches.clone());
         clients.spawn_local(async move {
             let mut client = None;
             for _ in 0..each {
@@ -190,12 +196,12 @@
                     None => Client::connect(address).await,
                 };
                 if open.ask(&request).await != status {
-                    *wrong.borrow_mut() += 1;
+                    *mismatches.borrow_mut() += 1;
                 }
                 client = Some(open).filter(|_| keep);
             }
         });
     }
     while clients.join_next().await.is_some() {}
-    wrong.take()
+    mismatches.take()
 }
