--- a/alderhollow/src/http_server/body.rs
+++ b/alderhollow/src/http_server/body.rs
@@ -1,7 +1,7 @@
-//! Bodies of answers: whole ones, and ones that are made while they are written. The work that makes one runs when its
-//! connection asks for more, and ends with the connection: no task of its own stands behind it.
+//! Response bodies, either fully buffered or streamed. The future that produces a streamed body is polled by its
+//! connection and dropped with it; it is not spawned as a separate task.
 
-use super::writing::{Writing, Written};
+use super::write_deadline::{WriteDeadline, WriteGuard};
 use alderhollow_dataplane::activity::Busy;
 use alderhollow_dataplane::flow::Cut;
 use hyper::body::{Body, Bytes, Frame, SizeHint};
@@ -13,18 +13,18 @@
 use tokio::task::yield_now;
 use tokio::time::Instant;
 
-/// Where the work puts one piece after the other.
+/// A one-chunk buffer between the producer of a streamed body and its connection.
 #[derive(Default)]
-pub struct Slot(RefCell<Option<Bytes>>);
+pub struct ChunkSlot(RefCell<Option<Bytes>>);
 
-impl Slot {
-    /// Waits until the connection has taken the piece.
-    pub async fn put(&self, piece: Bytes) {
-        if piece.is_empty() {
+impl ChunkSlot {
+    /// Stores a chunk and waits until the connection has taken it.
+    pub async fn put(&self, chunk: Bytes) {
+        if chunk.is_empty() {
             return;
         }
-        self.0.replace(Some(piece));
-        // The connection polls the work again when it wants more: nobody has to be woken.
+        self.0.replace(Some(chunk));
+        // The connection polls the producer again when it can write more, so no waker is needed.
         poll_fn(|_| match self.0.borrow().is_none() {
             true => Poll::Ready(()),
             false => Poll::Pending,
@@ -33,65 +33,71 @@
     }
 }
 
-type Work = Pin<Box<dyn Future<Output = Result<(), Cut>>>>;
+type Producer = Pin<Box<dyn Future<Output = Result<(), Cut>>>>;
 
 enum Content {
-    Whole(Option<Bytes>),
-    Made { work: Option<Work>, slot: Rc<Slot> },
+    Full(Option<Bytes>),
+    Streaming {
+        producer: Option<Producer>,
+        slot: Rc<ChunkSlot>,
+    },
 }
 
-/// The body of an answer to a client.
-pub struct AnswerBody {
+/// The body of a response to a client.
+pub struct ResponseBody {
     content: Content,
-    /// When the client has to have read it, where that holds a backend.
-    due: Option<Instant>,
-    /// The request counts as being in work until its answer is written.
-    held: Option<(Busy, Option<Written>)>,
+    /// When the client must have read the body, for streamed bodies, which occupy a backend.
+    write_by: Option<Instant>,
+    /// Keeps the request counted as in progress until its response is written.
+    in_progress: Option<(Busy, Option<WriteGuard>)>,
 }
 
-impl AnswerBody {
-    /// A body that is here.
-    pub fn whole(bytes: Bytes) -> AnswerBody {
-        AnswerBody {
-            content: Content::Whole(Some(bytes).filter(|bytes| !bytes.is_empty())),
-            due: None,
-            held: None,
+impl ResponseBody {
+    /// A fully buffered body.
+    pub fn full(bytes: Bytes) -> ResponseBody {
+        ResponseBody {
+            content: Content::Full(Some(bytes).filter(|bytes| !bytes.is_empty())),
+            write_by: None,
+            in_progress: None,
         }
     }
 
-    /// A body that the work puts into the slot, to be read by `due`. It is whole if the work ends well, else it is cut
-    /// short, and its reader sees that.
-    pub fn made<F>(due: Instant, make: impl FnOnce(Rc<Slot>) -> F) -> AnswerBody
+    /// A body whose chunks the future from `make` puts into the slot; the client must have read it by `write_by`. If the
+    /// future fails, the body is truncated in a way that the client can detect.
+    pub fn streaming<F>(write_by: Instant, make: impl FnOnce(Rc<ChunkSlot>) -> F) -> ResponseBody
     where
         F: Future<Output = Result<(), Cut>> + 'static,
     {
-        let slot = Rc::new(Slot::default());
-        let work = make(slot.clone());
-        let work: Work = Box::pin(async {
-            let ended = work.await;
-            if ended.is_err() {
-                // What was passed on is written out before the connection is cut off.
+        let slot = Rc::new(ChunkSlot::default());
+        let producer = make(slot.clone());
+        let producer: Producer = Box::pin(async {
+            let result = producer.await;
+            if result.is_err() {
+                // Lets the connection write out the forwarded chunks before it is aborted.
                 yield_now().await;
             }
-            ended
+            result
         });
-        AnswerBody {
-            content: Content::Made {
-                work: Some(work),
+        ResponseBody {
+            content: Content::Streaming {
+                producer: Some(producer),
                 slot,
             },
-            due: Some(due),
-            held: None,
+            write_by: Some(write_by),
+            in_progress: None,
         }
     }
 
-    /// Holds the request in work until the body has ended.
-    pub fn hold(&mut self, busy: Busy, writing: &Rc<Writing>) {
-        self.held = Some((busy, self.due.map(|due| writing.begin(due))));
+    /// Counts the request as in progress until the body is dropped.
+    pub fn track_progress(&mut self, busy: Busy, write_deadline: &Rc<WriteDeadline>) {
+        self.in_progress = Some((
+            busy,
+            self.write_by.map(|write_by| write_deadline.start(write_by)),
+        ));
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
     type Error = Cut;
 
@@ -100,20 +106,20 @@
         context: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Cut>>> {
         match &mut self.content {
-            Content::Whole(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
-            Content::Made { work, slot } => {
-                let Some(running) = work else {
+            Content::Full(bytes) => Poll::Ready(bytes.take().map(|bytes| Ok(Frame::data(bytes)))),
+            Content::Streaming { producer, slot } => {
+                let Some(running) = producer else {
                     return Poll::Ready(None);
                 };
-                let ended = running.as_mut().poll(context);
-                if let Some(piece) = slot.0.take() {
-                    return Poll::Ready(Some(Ok(Frame::data(piece))));
+                let result = running.as_mut().poll(context);
+                if let Some(chunk) = slot.0.take() {
+                    return Poll::Ready(Some(Ok(Frame::data(chunk))));
                 }
-                match ended {
+                match result {
                     Poll::Pending => Poll::Pending,
-                    Poll::Ready(ended) => {
-                        *work = None;
-                        Poll::Ready(ended.err().map(Err))
+                    Poll::Ready(result) => {
+                        *producer = None;
+                        Poll::Ready(result.err().map(Err))
                     }
                 }
             }
@@ -122,17 +128,17 @@
 
     fn is_end_stream(&self) -> bool {
         match &self.content {
-            Content::Whole(bytes) => bytes.is_none(),
-            Content::Made { work, .. } => work.is_none(),
+            Content::Full(bytes) => bytes.is_none(),
+            Content::Streaming { producer, .. } => producer.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match &self.content {
-            Content::Whole(bytes) => {
+            Content::Full(bytes) => {
                 SizeHint::with_exact(bytes.as_ref().map_or(0, Bytes::len) as u64)
             }
-            Content::Made { .. } => SizeHint::default(),
+            Content::Streaming { .. } => SizeHint::default(),
         }
     }
 }
--- a/alderhollow/src/http_server/client.rs
+++ b/alderhollow/src/http_server/client.rs
@@ -1,8 +1,8 @@
-//! One connection of a client.
+//! Serves one client connection.
 
-use super::body::AnswerBody;
+use super::body::ResponseBody;
 use super::phase::Phase;
-use super::writing::Writing;
+use super::write_deadline::WriteDeadline;
 use super::Front;
 use alderhollow_dataplane::activity::{ConnectionActivity, Times};
 use alderhollow_dataplane::connection;
@@ -17,76 +17,85 @@
 use tokio::sync::watch;
 use tokio::time::{sleep, timeout};
 
-/// What hyper needs at the least.
-const LEAST_BUFFER: usize = 8 * 1024;
-/// What a head takes beside its counted bytes.
-const HEAD_SLACK: usize = 1024;
-/// How long a new connection that brings nothing stays open once the process is leaving.
-const LAST_LOOK: Duration = Duration::from_millis(1000);
+/// Smallest buffer limit that hyper accepts.
+const MIN_BUFFER_BYTES: usize = 8 * 1024;
+/// Room for bytes of a request head that the header limit does not count.
+const HEAD_SLACK_BYTES: usize = 1024;
+/// How long a new connection without any data stays open once the process is shutting down.
+const SHUTDOWN_FIRST_BYTE_TIMEOUT: Duration = Duration::from_millis(1000);
 
-/// Serves one client's connection to its end.
+/// Serves a client connection until it closes.
 pub(super) async fn serve(front: Rc<Front>, stream: TcpStream, mut phase: watch::Receiver<Phase>) {
     let _ = stream.set_nodelay(true);
     let stream = Rc::new(stream);
     let limits = front.limits();
     let idle = Duration::from_millis(limits.idle_timeout_ms);
-    if !begins(&stream, idle, phase.clone()).await {
+    if !receives_first_byte(&stream, idle, phase.clone()).await {
         return;
     }
     let activity = ConnectionActivity::new(Times {
         head: Duration::from_millis(limits.header_timeout_ms),
         idle,
     });
-    let writing = Rc::new(Writing::default());
+    let write_deadline = Rc::new(WriteDeadline::default());
     let service = service_fn(|request: Request<Incoming>| {
-        let (front, activity, writing) = (front.clone(), activity.clone(), writing.clone());
-        let busy = activity.asked();
-        // Boxed, or each connection would hold room for it all the time.
+        let (front, activity, write_deadline) =
+            (front.clone(), activity.clone(), write_deadline.clone());
+        let in_progress = activity.asked();
+        // Boxed so that idle connections do not reserve memory for this future.
         Box::pin(async move {
             let mut response = front.answer(request).await;
             if activity.is_closing() {
-                close_behind(&mut response);
+                set_connection_close(&mut response);
             }
-            response.body_mut().hold(busy, &writing);
+            response
+                .body_mut()
+                .track_progress(in_progress, &write_deadline);
             Ok::<_, Infallible>(response)
         })
     });
-    let most = usize::try_from(limits.max_header_bytes).unwrap_or(usize::MAX);
-    let buffer = most.saturating_add(HEAD_SLACK).max(LEAST_BUFFER);
-    let leaving = async {
+    let max_header_bytes = usize::try_from(limits.max_header_bytes).unwrap_or(usize::MAX);
+    let buffer = max_header_bytes
+        .saturating_add(HEAD_SLACK_BYTES)
+        .max(MIN_BUFFER_BYTES);
+    let shutdown = async {
         let _ = phase.wait_for(|phase| *phase != Phase::Running).await;
     };
     tokio::select! {
         biased;
-        () = connection::drive(&stream, &activity, buffer, service, leaving) => {}
-        // Cut off, as the answer is not whole.
-        () = writing.overdue() => return,
+        () = connection::drive(&stream, &activity, buffer, service, shutdown) => {}
+        // Aborted without an orderly close, because the response is incomplete.
+        () = write_deadline.expired() => return,
     }
     if !activity.has_ended() {
         connection::close(&stream).await;
     }
 }
 
-/// Waits for the first byte: buffers are made once something comes.
-async fn begins(stream: &TcpStream, idle: Duration, mut phase: watch::Receiver<Phase>) -> bool {
+/// Waits for the first byte, so that buffers are allocated only for connections that send data.
+async fn receives_first_byte(
+    stream: &TcpStream,
+    idle: Duration,
+    mut phase: watch::Receiver<Phase>,
+) -> bool {
     let mut first_byte = [0];
-    let looked = timeout(idle, async {
+    let peeked = timeout(idle, async {
         tokio::select! {
             biased;
-            looked = stream.peek(&mut first_byte) => matches!(looked, Ok(1)),
+            peeked = stream.peek(&mut first_byte) => matches!(peeked, Ok(1)),
             () = async {
                 let _ = phase.wait_for(|phase| *phase != Phase::Running).await;
-                sleep(LAST_LOOK).await;
+                sleep(SHUTDOWN_FIRST_BYTE_TIMEOUT).await;
             } => !connection::is_empty(stream),
         }
     });
-    match looked.await {
-        Ok(has_begun) => has_begun,
+    match peeked.await {
+        Ok(has_data) => has_data,
         Err(_) => !connection::is_empty(stream),
     }
 }
 
-fn close_behind(response: &mut Response<AnswerBody>) {
+fn set_connection_close(response: &mut Response<ResponseBody>) {
     response
         .headers_mut()
         .insert(header::CONNECTION, HeaderValue::from_static("close"));
--- a/alderhollow/src/http_server/intake.rs
+++ b/alderhollow/src/http_server/intake.rs
@@ -1,6 +1,6 @@
 //! Reads a client's request whole, within the configuration's limits.
 
-use super::body::AnswerBody;
+use super::body::ResponseBody;
 use super::replies;
 use alderhollow_model::config::Limits;
 use http_body_util::BodyExt;
@@ -41,7 +41,7 @@
 
 impl IntakeError {
     /// What the client gets.
-    pub(super) fn reply(self) -> Response<AnswerBody> {
+    pub(super) fn reply(self) -> Response<ResponseBody> {
         match self {
             IntakeError::HeadTooLarge => {
                 replies::plain(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)
--- a/alderhollow/src/http_server/mod.rs
+++ b/alderhollow/src/http_server/mod.rs
@@ -3,14 +3,14 @@
 
 pub mod body;
 mod client;
-mod giving_up;
+mod drain_deadline;
 mod intake;
 pub mod phase;
 mod relay;
 mod replies;
 mod stream;
 mod tries;
-mod writing;
+mod write_deadline;
 
 use crate::batch_api::{path, BatchCall, BatchEndpoints};
 use crate::distribution::validity::TableValidity;
@@ -18,8 +18,8 @@
 use crate::exchange::tables::Tables;
 use crate::exchange::{prompt, Exchange};
 use alderhollow_model::config::{Limits, Route, RouteType};
-use body::AnswerBody;
-use giving_up::GivingUp;
+use body::ResponseBody;
+use drain_deadline::DrainDeadline;
 use hyper::body::Incoming;
 use hyper::header::{self, HeaderMap};
 use hyper::http::request::Parts;
@@ -72,7 +72,7 @@
     exchange: Rc<Exchange>,
     batch: Rc<dyn BatchEndpoints>,
     room: Rc<BodyRoom>,
-    giving_up: GivingUp,
+    drain_deadline: DrainDeadline,
     started_at: Instant,
 }
 
@@ -84,13 +84,13 @@
         batch: Rc<dyn BatchEndpoints>,
     ) -> Rc<Front> {
         let room = BodyRoom::new(settings.body_bytes);
-        let giving_up = GivingUp::default();
+        let drain_deadline = DrainDeadline::default();
         Rc::new(Front {
             settings,
             exchange,
             batch,
             room,
-            giving_up,
+            drain_deadline,
             started_at: Instant::now(),
         })
     }
@@ -111,7 +111,7 @@
             .await
             .is_err()
         {
-            self.giving_up.begin();
+            self.drain_deadline.expire();
             let _ = timeout_at(until, served).await;
         }
     }
@@ -149,7 +149,7 @@
     }
 
     /// Answers one request.
-    async fn answer(&self, request: Request<Incoming>) -> Response<AnswerBody> {
+    async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let received_at = Instant::now();
         let (head, body) = request.into_parts();
         let limits = self.limits();
@@ -183,7 +183,7 @@
 
     /// The answer where the tables name no route: 404 only while they may be taken for the newest. A gateway that was cut off
     /// may lack a route that is in force by now.
-    fn no_such_route(&self) -> Response<AnswerBody> {
+    fn no_such_route(&self) -> Response<ResponseBody> {
         match self
             .settings
             .validity
@@ -210,7 +210,7 @@
         gathered: Gathered,
         route: Arc<Route>,
         received_at: Instant,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let Some(service) = self.exchange.pick_service(&route) else {
             return relay::not_now();
         };
@@ -236,7 +236,7 @@
         tokio::select! {
             biased;
             response = relay::serve(self.exchange.clone(), Rc::new(job)) => response,
-            () = self.giving_up.due() => GivenUp::TimedOut.reply(),
+            () = self.drain_deadline.expired() => GivenUp::TimedOut.reply(),
         }
     }
 
@@ -247,7 +247,7 @@
         gathered: Gathered,
         route: Option<Arc<Route>>,
         received_at: Instant,
-    ) -> Response<AnswerBody> {
+    ) -> Response<ResponseBody> {
         let request = Request::from_parts(head, gathered.bytes.clone());
         let response = self
             .batch
@@ -257,7 +257,7 @@
                 received_at,
             })
             .await;
-        response.map(AnswerBody::whole)
+        response.map(ResponseBody::full)
     }
 }
 
--- a/alderhollow/src/http_server/relay.rs
+++ b/alderhollow/src/http_server/relay.rs
@@ -1,6 +1,6 @@
 //! Serves one request: its attempts at backends, and the one answer that its client gets.
 
-use super::body::AnswerBody;
+use super::body::ResponseBody;
 use super::replies;
 use super::stream;
 use super::tries::{Job, Tries, Wait};
@@ -36,7 +36,7 @@
 }
 
 /// Serves a request. Dropping the future, or the answer's body, gives it up and ends the backend's work.
-pub(super) async fn serve(exchange: Rc<Exchange>, job: Rc<Job>) -> Response<AnswerBody> {
+pub(super) async fn serve(exchange: Rc<Exchange>, job: Rc<Job>) -> Response<ResponseBody> {
     let mut tries = Tries::new(exchange, job);
     // The newest failure of a backend, for want of anything better.
     let mut failure: Option<Whole> = None;
@@ -123,29 +123,33 @@
     )
 }
 
-fn whole(received: Whole) -> Response<AnswerBody> {
+fn whole(received: Whole) -> Response<ResponseBody> {
     response(
         received.status,
         received.headers,
-        AnswerBody::whole(received.body),
+        ResponseBody::full(received.body),
     )
 }
 
 /// Passes on what has begun.
-fn begun(tries: Tries, mut answer: BackendResponse, pieces: Vec<Bytes>) -> Response<AnswerBody> {
+fn begun(tries: Tries, mut answer: BackendResponse, pieces: Vec<Bytes>) -> Response<ResponseBody> {
     let status = answer.status;
     let resumes = answer.is_event_stream() && tries.job().route.resumable;
     let headers = std::mem::take(&mut answer.headers);
     let first = join(pieces);
     let due = tries.job().deadline + READING_SLACK;
     let body = match resumes {
-        true => AnswerBody::made(due, |slot| stream::pass_events(tries, answer, first, slot)),
-        false => AnswerBody::made(due, |slot| stream::pass_pieces(tries, answer, first, slot)),
+        true => {
+            ResponseBody::streaming(due, |slot| stream::pass_events(tries, answer, first, slot))
+        }
+        false => {
+            ResponseBody::streaming(due, |slot| stream::pass_pieces(tries, answer, first, slot))
+        }
     };
     response(status, headers, body)
 }
 
-fn response(status: StatusCode, headers: HeaderMap, body: AnswerBody) -> Response<AnswerBody> {
+fn response(status: StatusCode, headers: HeaderMap, body: ResponseBody) -> Response<ResponseBody> {
     let mut response = Response::new(body);
     *response.status_mut() = status;
     *response.headers_mut() = headers;
@@ -160,6 +164,6 @@
 }
 
 /// The gateway's answer where no backend was asked.
-pub(super) fn not_now() -> Response<AnswerBody> {
+pub(super) fn not_now() -> Response<ResponseBody> {
     replies::come_again(replies::COME_AGAIN)
 }
--- a/alderhollow/src/http_server/stream.rs
+++ b/alderhollow/src/http_server/stream.rs
@@ -1,6 +1,6 @@
 //! Passes an answer's body on as it comes. A stream that may be resumed goes on at another backend inside the one answer.
 
-use super::body::Slot;
+use super::body::ChunkSlot;
 use super::tries::{Tries, Wait};
 use crate::balance::Outcome;
 use crate::exchange::events::EventSplitter;
@@ -17,7 +17,7 @@
     tries: Tries,
     mut answer: BackendResponse,
     first: Bytes,
-    slot: Rc<Slot>,
+    slot: Rc<ChunkSlot>,
 ) -> Result<(), Cut> {
     slot.put(first).await;
     loop {
@@ -44,7 +44,7 @@
     mut tries: Tries,
     mut answer: BackendResponse,
     first: Bytes,
-    slot: Rc<Slot>,
+    slot: Rc<ChunkSlot>,
 ) -> Result<(), Cut> {
     let mut cutter = EventSplitter::after(tries.job().outbound.last_event_id());
     let mut next = Ok(Some(first));
--- a/alderhollow/src/http_server/tries.rs
+++ b/alderhollow/src/http_server/tries.rs
@@ -1,6 +1,6 @@
 //! Which backends one try of a client goes to, and when it is given up.
 
-use super::body::AnswerBody;
+use super::body::ResponseBody;
 use super::intake::Gathered;
 use super::replies::{self, COME_AGAIN};
 use crate::balance::{NoBackend, Outcome, Prompt, SelectionRequest};
@@ -89,7 +89,7 @@
 
 impl GivenUp {
     /// What the client gets.
-    pub(super) fn reply(self) -> Response<AnswerBody> {
+    pub(super) fn reply(self) -> Response<ResponseBody> {
         match self {
             GivenUp::NotRun { come_again } => replies::come_again(come_again),
             GivenUp::Failed => replies::plain(StatusCode::BAD_GATEWAY),
