--- a/alderhollow/src/http_server/intake.rs
+++ b/alderhollow/src/http_server/intake.rs
@@ -1,4 +1,4 @@
-//! Reads a client's request whole, within the configuration's limits.
+//! Reads and buffers a client's request within the configured limits.
 
 use super::body::ResponseBody;
 use super::replies;
@@ -14,104 +14,106 @@
 use thiserror::Error;
 use tokio::time::timeout;
 
-/// Bytes of a head that are no header: the version, spaces, line ends.
-const REQUEST_LINE_BYTES: usize = 14;
-/// Bytes of a header that are not its name or value.
-const HEADER_BYTES: usize = 4;
+/// Bytes of a request head besides method, target and headers: the version, spaces and line ends.
+const REQUEST_LINE_OVERHEAD_BYTES: usize = 14;
+/// Bytes of a header line besides its name and value.
+const HEADER_OVERHEAD_BYTES: usize = 4;
 
-/// Why a request is not taken in. None of these has gone to a backend.
+/// Why a request was rejected before it was sent to any backend.
 #[derive(Debug, Clone, Copy, PartialEq, Eq, Error)]
-pub(super) enum IntakeError {
-    /// The head is larger than the configuration allows.
-    #[error("the head is too large")]
+pub(super) enum RequestReadError {
+    /// The request head exceeds the configured limit.
+    #[error("the request head is too large")]
     HeadTooLarge,
-    /// The body is.
-    #[error("the body is too large")]
+    /// The request body exceeds the configured limit.
+    #[error("the request body is too large")]
     BodyTooLarge,
-    /// The body is no HTTP, or its client went away.
-    #[error("the body is broken")]
+    /// The body is malformed, or the client disconnected.
+    #[error("the request body is malformed or incomplete")]
     Broken,
-    /// Nothing more of the body came in time.
-    #[error("the body does not come")]
+    /// The client sent no further body data in time.
+    #[error("timed out while reading the request body")]
     Stalled,
-    /// Bodies of other requests take all the room.
-    #[error("no room for the body")]
-    NoRoom,
+    /// Bodies of other requests use up the memory budget.
+    #[error("no memory budget remaining for the request body")]
+    BudgetExhausted,
 }
 
-impl IntakeError {
-    /// What the client gets.
+impl RequestReadError {
+    /// The response to the client.
     pub(super) fn reply(self) -> Response<ResponseBody> {
         match self {
-            IntakeError::HeadTooLarge => {
-                replies::plain(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)
+            RequestReadError::HeadTooLarge => {
+                replies::empty(StatusCode::REQUEST_HEADER_FIELDS_TOO_LARGE)
+            }
+            RequestReadError::BodyTooLarge => replies::empty(StatusCode::PAYLOAD_TOO_LARGE),
+            RequestReadError::Broken => replies::empty(StatusCode::BAD_REQUEST),
+            RequestReadError::Stalled => replies::empty(StatusCode::REQUEST_TIMEOUT),
+            RequestReadError::BudgetExhausted => {
+                replies::service_unavailable(replies::DEFAULT_RETRY_AFTER)
             }
-            IntakeError::BodyTooLarge => replies::plain(StatusCode::PAYLOAD_TOO_LARGE),
-            IntakeError::Broken => replies::plain(StatusCode::BAD_REQUEST),
-            IntakeError::Stalled => replies::plain(StatusCode::REQUEST_TIMEOUT),
-            IntakeError::NoRoom => replies::come_again(replies::COME_AGAIN),
         }
     }
 }
 
-/// Bytes of bodies that may be here at once, over all requests.
-pub(super) struct BodyRoom(Cell<usize>);
+/// Memory budget in bytes that the buffered bodies of all requests share.
+pub(super) struct BodyBudget(Cell<usize>);
 
-impl BodyRoom {
-    /// Room for so many bytes.
-    pub(super) fn new(bytes: usize) -> Rc<BodyRoom> {
-        Rc::new(BodyRoom(Cell::new(bytes)))
+impl BodyBudget {
+    /// A budget of `bytes`.
+    pub(super) fn new(bytes: usize) -> Rc<BodyBudget> {
+        Rc::new(BodyBudget(Cell::new(bytes)))
     }
 }
 
-/// A part of the room, given back when it is dropped.
-struct Taken {
-    room: Rc<BodyRoom>,
+/// A share of the budget, released on drop.
+struct BodyReservation {
+    budget: Rc<BodyBudget>,
     bytes: usize,
 }
 
-impl Taken {
-    fn take(&mut self, bytes: usize) -> Result<(), IntakeError> {
-        let left = self
-            .room
+impl BodyReservation {
+    fn reserve(&mut self, bytes: usize) -> Result<(), RequestReadError> {
+        let remaining = self
+            .budget
             .0
             .get()
             .checked_sub(bytes)
-            .ok_or(IntakeError::NoRoom)?;
-        self.room.0.set(left);
+            .ok_or(RequestReadError::BudgetExhausted)?;
+        self.budget.0.set(remaining);
         self.bytes += bytes;
         Ok(())
     }
 }
 
-impl Drop for Taken {
+impl Drop for BodyReservation {
     fn drop(&mut self) {
-        self.room.0.set(self.room.0.get() + self.bytes);
+        self.budget.0.set(self.budget.0.get() + self.bytes);
     }
 }
 
-/// A body that is here whole.
-pub(super) struct Gathered {
-    /// The bytes.
+/// A fully buffered request body.
+pub(super) struct BufferedBody {
+    /// The content of the body.
     pub bytes: Bytes,
-    _taken: Taken,
+    _reservation: BodyReservation,
 }
 
-/// Whether a head keeps to the limits.
+/// Checks a request head, and the body length that it announces, against the limits.
 ///
 /// # Errors
-/// It does not, or it announces a body that does not.
+/// The head or the announced body is too large.
 pub(super) fn check_head(
     head: &Parts,
     body: &Incoming,
     limits: &Limits,
-) -> Result<(), IntakeError> {
+) -> Result<(), RequestReadError> {
     if head_bytes(head) as u64 > limits.max_header_bytes {
-        return Err(IntakeError::HeadTooLarge);
+        return Err(RequestReadError::HeadTooLarge);
     }
-    // The shortest that the body can be: what it announces.
+    // The lower bound is the announced length.
     if body.size_hint().lower() > limits.max_body_bytes {
-        return Err(IntakeError::BodyTooLarge);
+        return Err(RequestReadError::BodyTooLarge);
     }
     Ok(())
 }
@@ -121,56 +123,56 @@
         .uri
         .path_and_query()
         .map_or(0, |target| target.as_str().len());
-    let line = head.method.as_str().len() + target + REQUEST_LINE_BYTES;
-    line + header_bytes(&head.headers)
+    let request_line = head.method.as_str().len() + target + REQUEST_LINE_OVERHEAD_BYTES;
+    request_line + header_bytes(&head.headers)
 }
 
 fn header_bytes(headers: &HeaderMap<HeaderValue>) -> usize {
     headers
         .iter()
-        .map(|(name, value)| name.as_str().len() + value.len() + HEADER_BYTES)
+        .map(|(name, value)| name.as_str().len() + value.len() + HEADER_OVERHEAD_BYTES)
         .sum()
 }
 
-/// Reads a body to its end.
+/// Reads and buffers a whole body.
 ///
 /// # Errors
-/// It does not come, or it may not be kept.
-pub(super) async fn gather(
+/// The body is malformed, incomplete, stalled, too large or exceeds the memory budget.
+pub(super) async fn read_body(
     mut body: Incoming,
     limits: &Limits,
-    room: &Rc<BodyRoom>,
-) -> Result<Gathered, IntakeError> {
-    let stall = Duration::from_millis(limits.header_timeout_ms);
-    let mut taken = Taken {
-        room: room.clone(),
+    budget: &Rc<BodyBudget>,
+) -> Result<BufferedBody, RequestReadError> {
+    let read_timeout = Duration::from_millis(limits.header_timeout_ms);
+    let mut reservation = BodyReservation {
+        budget: budget.clone(),
         bytes: 0,
     };
-    let mut pieces: Vec<Bytes> = Vec::new();
+    let mut chunks: Vec<Bytes> = Vec::new();
     while !body.is_end_stream() {
-        let frame = match timeout(stall, body.frame()).await {
+        let frame = match timeout(read_timeout, body.frame()).await {
             Ok(Some(Ok(frame))) => frame,
             Ok(None) => break,
-            Ok(Some(Err(_))) => return Err(IntakeError::Broken),
-            Err(_) => return Err(IntakeError::Stalled),
+            Ok(Some(Err(_))) => return Err(RequestReadError::Broken),
+            Err(_) => return Err(RequestReadError::Stalled),
         };
-        // Trailers speak of this connection alone.
-        let Ok(piece) = frame.into_data() else {
+        // Trailers apply to this connection only and are not forwarded.
+        let Ok(chunk) = frame.into_data() else {
             continue;
         };
-        if (taken.bytes + piece.len()) as u64 > limits.max_body_bytes {
-            return Err(IntakeError::BodyTooLarge);
+        if (reservation.bytes + chunk.len()) as u64 > limits.max_body_bytes {
+            return Err(RequestReadError::BodyTooLarge);
         }
-        taken.take(piece.len())?;
-        pieces.push(piece);
+        reservation.reserve(chunk.len())?;
+        chunks.push(chunk);
     }
-    let bytes = if pieces.len() == 1 {
-        pieces.swap_remove(0)
+    let bytes = if chunks.len() == 1 {
+        chunks.swap_remove(0)
     } else {
-        pieces.concat().into()
+        chunks.concat().into()
     };
-    Ok(Gathered {
+    Ok(BufferedBody {
         bytes,
-        _taken: taken,
+        _reservation: reservation,
     })
 }
--- a/alderhollow/src/http_server/mod.rs
+++ b/alderhollow/src/http_server/mod.rs
@@ -24,7 +24,7 @@
 use hyper::header::{self, HeaderMap};
 use hyper::http::request::Parts;
 use hyper::{Method, Request, Response, StatusCode};
-use intake::{BodyRoom, Gathered};
+use intake::{BodyBudget, BufferedBody};
 use phase::Phase;
 use std::pin::pin;
 use std::rc::Rc;
@@ -71,7 +71,7 @@
     settings: FrontSettings,
     exchange: Rc<Exchange>,
     batch: Rc<dyn BatchEndpoints>,
-    room: Rc<BodyRoom>,
+    body_budget: Rc<BodyBudget>,
     drain_deadline: DrainDeadline,
     started_at: Instant,
 }
@@ -83,13 +83,13 @@
         exchange: Rc<Exchange>,
         batch: Rc<dyn BatchEndpoints>,
     ) -> Rc<Front> {
-        let room = BodyRoom::new(settings.body_bytes);
+        let body_budget = BodyBudget::new(settings.body_bytes);
         let drain_deadline = DrainDeadline::default();
         Rc::new(Front {
             settings,
             exchange,
             batch,
-            room,
+            body_budget,
             drain_deadline,
             started_at: Instant::now(),
         })
@@ -156,26 +156,25 @@
         if let Err(refused) = intake::check_head(&head, &body, &limits) {
             return refused.reply();
         }
-        let gathered = match intake::gather(body, &limits, &self.room).await {
-            Ok(gathered) => gathered,
+        let body = match intake::read_body(body, &limits, &self.body_budget).await {
+            Ok(body) => body,
             Err(refused) => return refused.reply(),
         };
         // The tables as they are now: the body may have taken a while.
         let tables = self.exchange.tables();
         if tables.config().is_none() {
-            return replies::come_again(self.wait_for_tables());
+            return replies::service_unavailable(self.wait_for_tables());
         }
         if path::is_batch_path(head.uri.path()) {
-            return self.batch_call(head, gathered, None, received_at).await;
+            return self.batch_call(head, body, None, received_at).await;
         }
         match find_route(&tables, &head) {
             None => self.no_such_route(),
             Some(route) if route.route_type != RouteType::Batch => {
-                self.relay(head, gathered, route, received_at).await
+                self.relay(head, body, route, received_at).await
             }
             Some(route) if head.method == Method::POST => {
-                self.batch_call(head, gathered, Some(route), received_at)
-                    .await
+                self.batch_call(head, body, Some(route), received_at).await
             }
             Some(_) => self.no_such_route(),
         }
@@ -190,15 +189,15 @@
             .as_ref()
             .is_none_or(TableValidity::is_current)
         {
-            true => replies::plain(StatusCode::NOT_FOUND),
-            false => replies::come_again(CORE_TAKE_OVER),
+            true => replies::empty(StatusCode::NOT_FOUND),
+            false => replies::service_unavailable(CORE_TAKE_OVER),
         }
     }
 
     /// When a client may come again that came before the first tables.
     fn wait_for_tables(&self) -> Duration {
         match self.started_at.elapsed() < USUAL_WAIT_FOR_TABLES {
-            true => replies::COME_AGAIN,
+            true => replies::DEFAULT_RETRY_AFTER,
             false => CORE_TAKE_OVER,
         }
     }
@@ -207,12 +206,12 @@
     async fn relay(
         &self,
         head: Parts,
-        gathered: Gathered,
+        body: BufferedBody,
         route: Arc<Route>,
         received_at: Instant,
     ) -> Response<ResponseBody> {
         let Some(service) = self.exchange.pick_service(&route) else {
-            return relay::not_now();
+            return relay::no_service_available();
         };
         let deadline = received_at + held(&head.headers, &route);
         let prompt = if route.sticky {
@@ -220,9 +219,9 @@
         } else {
             None
         };
-        let outbound = Outbound::new(head.method, &head.uri, head.headers, gathered.bytes.clone());
+        let outbound = Outbound::new(head.method, &head.uri, head.headers, body.bytes.clone());
         let Ok(outbound) = outbound else {
-            return replies::plain(StatusCode::BAD_REQUEST);
+            return replies::empty(StatusCode::BAD_REQUEST);
         };
         let job = Job {
             route,
@@ -231,7 +230,7 @@
             outbound,
             received_at,
             deadline,
-            _body: gathered,
+            _body: body,
         };
         tokio::select! {
             biased;
@@ -244,11 +243,11 @@
     async fn batch_call(
         &self,
         head: Parts,
-        gathered: Gathered,
+        body: BufferedBody,
         route: Option<Arc<Route>>,
         received_at: Instant,
     ) -> Response<ResponseBody> {
-        let request = Request::from_parts(head, gathered.bytes.clone());
+        let request = Request::from_parts(head, body.bytes.clone());
         let response = self
             .batch
             .serve(BatchCall {
--- a/alderhollow/src/http_server/phase.rs
+++ b/alderhollow/src/http_server/phase.rs
@@ -1,12 +1,12 @@
-//! What a process tells its front of its own end.
+//! The shutdown phases that a process signals to its HTTP server.
 
-/// Whether the process goes on.
+/// The shutdown phase of the process.
 #[derive(Debug, Clone, Copy, PartialEq, Eq)]
 pub enum Phase {
-    /// Clients are served.
+    /// Clients are served normally.
     Running,
-    /// The process was told to end and is no longer ready: clients that still come are served and sent off.
+    /// The process is shutting down and no longer ready: new connections are still served, then closed.
     Leaving,
-    /// No further client is accepted.
+    /// No further connections are accepted.
     Ending,
 }
--- a/alderhollow/src/http_server/relay.rs
+++ b/alderhollow/src/http_server/relay.rs
@@ -73,7 +73,7 @@
     let mut pieces = Vec::new();
     let mut size = 0;
     loop {
-        match tries.next_piece(&mut answer, Wait::Beginning).await {
+        match tries.next_chunk(&mut answer, Wait::Beginning).await {
             Ok(Some(piece)) => {
                 size += piece.len();
                 pieces.push(piece);
@@ -139,12 +139,12 @@
     let first = join(pieces);
     let due = tries.job().deadline + READING_SLACK;
     let body = match resumes {
-        true => {
-            ResponseBody::streaming(due, |slot| stream::pass_events(tries, answer, first, slot))
-        }
-        false => {
-            ResponseBody::streaming(due, |slot| stream::pass_pieces(tries, answer, first, slot))
-        }
+        true => ResponseBody::streaming(due, |slot| {
+            stream::forward_events(tries, answer, first, slot)
+        }),
+        false => ResponseBody::streaming(due, |slot| {
+            stream::forward_chunks(tries, answer, first, slot)
+        }),
     };
     response(status, headers, body)
 }
@@ -164,6 +164,6 @@
 }
 
 /// The gateway's answer where no backend was asked.
-pub(super) fn not_now() -> Response<ResponseBody> {
-    replies::come_again(replies::COME_AGAIN)
+pub(super) fn no_service_available() -> Response<ResponseBody> {
+    replies::service_unavailable(replies::DEFAULT_RETRY_AFTER)
 }
--- a/alderhollow/src/http_server/stream.rs
+++ b/alderhollow/src/http_server/stream.rs
@@ -1,4 +1,5 @@
-//! Passes an answer's body on as it comes. A stream that may be resumed goes on at another backend inside the one answer.
+//! Forwards a backend's response body as it arrives. A resumable stream continues on another backend within the same
+//! response.
 
 use super::body::ChunkSlot;
 use super::tries::{Tries, Wait};
@@ -9,11 +10,11 @@
 use hyper::body::Bytes;
 use std::rc::Rc;
 
-/// Passes pieces on unchanged. An end that comes early is the answer's end for its client, too.
+/// Forwards chunks unchanged. If the backend's response is truncated, so is the client's.
 ///
 /// # Errors
-/// The answer is not whole.
-pub(super) async fn pass_pieces(
+/// The response is incomplete.
+pub(super) async fn forward_chunks(
     tries: Tries,
     mut answer: BackendResponse,
     first: Bytes,
@@ -21,8 +22,8 @@
 ) -> Result<(), Cut> {
     slot.put(first).await;
     loop {
-        match tries.next_piece(&mut answer, Wait::Rest).await {
-            Ok(Some(piece)) => slot.put(piece).await,
+        match tries.next_chunk(&mut answer, Wait::Rest).await {
+            Ok(Some(chunk)) => slot.put(chunk).await,
             Ok(None) => {
                 answer.finish(Outcome::Served).await;
                 return Ok(());
@@ -35,22 +36,22 @@
     }
 }
 
-/// Passes whole events on. Where a backend cuts its stream off, or falls silent, another one goes on behind the last
-/// event that was passed on.
+/// Forwards complete events. If a backend aborts its stream or stalls, another one resumes after the last forwarded
+/// event.
 ///
 /// # Errors
-/// No backend goes on: the stream is cut short.
-pub(super) async fn pass_events(
+/// No backend resumes the stream, so it is truncated.
+pub(super) async fn forward_events(
     mut tries: Tries,
     mut answer: BackendResponse,
     first: Bytes,
     slot: Rc<ChunkSlot>,
 ) -> Result<(), Cut> {
-    let mut cutter = EventSplitter::after(tries.job().outbound.last_event_id());
+    let mut splitter = EventSplitter::after(tries.job().outbound.last_event_id());
     let mut next = Ok(Some(first));
     loop {
-        let lost = match next {
-            Ok(Some(piece)) => match cutter.push(piece) {
+        let failure = match next {
+            Ok(Some(chunk)) => match splitter.push(chunk) {
                 Ok(events) => {
                     slot.put(events).await;
                     None
@@ -58,25 +59,25 @@
                 Err(_) => Some(Outcome::Broken),
             },
             Ok(None) => {
-                slot.put(cutter.finish()).await;
+                slot.put(splitter.finish()).await;
                 answer.finish(Outcome::Served).await;
                 return Ok(());
             }
             Err(outcome) => Some(outcome),
         };
-        if let Some(outcome) = lost {
+        if let Some(outcome) = failure {
             answer.abandon(outcome);
-            cutter.discard_partial();
-            answer = resume(&mut tries, cutter.last_id()).await?;
-            next = tries.next_piece(&mut answer, Wait::Beginning).await;
+            splitter.discard_partial();
+            answer = resume(&mut tries, splitter.last_id()).await?;
+            next = tries.next_chunk(&mut answer, Wait::Beginning).await;
             answer.began();
         } else {
-            next = tries.next_piece(&mut answer, Wait::NextEvent).await;
+            next = tries.next_chunk(&mut answer, Wait::NextEvent).await;
         }
     }
 }
 
-/// A backend that goes on behind the event.
+/// Gets a response from a backend that resumes after the event `last_id`.
 async fn resume(tries: &mut Tries, last_id: Option<u64>) -> Result<BackendResponse, Cut> {
     while tries.may_run_again() {
         let answer = tries.next_answer(last_id).await.map_err(|_| Cut)?;
--- a/alderhollow/src/http_server/tries.rs
+++ b/alderhollow/src/http_server/tries.rs
@@ -1,8 +1,8 @@
 //! Which backends one try of a client goes to, and when it is given up.
 
 use super::body::ResponseBody;
-use super::intake::Gathered;
-use super::replies::{self, COME_AGAIN};
+use super::intake::BufferedBody;
+use super::replies::{self, DEFAULT_RETRY_AFTER};
 use crate::balance::{NoBackend, Outcome, Prompt, SelectionRequest};
 use crate::exchange::attempt::Attempt;
 use crate::exchange::outbound::Outbound;
@@ -50,7 +50,7 @@
     /// When its client or the operator wants it held no longer.
     pub deadline: Instant,
     /// Its body, which takes room until the request is over.
-    pub _body: Gathered,
+    pub _body: BufferedBody,
 }
 
 impl Job {
@@ -79,7 +79,7 @@
     /// It has not run and never will.
     NotRun {
         /// When it may come again.
-        come_again: Duration,
+        retry_after: Duration,
     },
     /// It may have run.
     Failed,
@@ -91,9 +91,9 @@
     /// What the client gets.
     pub(super) fn reply(self) -> Response<ResponseBody> {
         match self {
-            GivenUp::NotRun { come_again } => replies::come_again(come_again),
-            GivenUp::Failed => replies::plain(StatusCode::BAD_GATEWAY),
-            GivenUp::TimedOut => replies::plain(StatusCode::GATEWAY_TIMEOUT),
+            GivenUp::NotRun { retry_after } => replies::service_unavailable(retry_after),
+            GivenUp::Failed => replies::empty(StatusCode::BAD_GATEWAY),
+            GivenUp::TimedOut => replies::empty(StatusCode::GATEWAY_TIMEOUT),
         }
     }
 }
@@ -141,7 +141,7 @@
     pub(super) fn give_up(&self) -> GivenUp {
         match self.may_have_run {
             0 => GivenUp::NotRun {
-                come_again: COME_AGAIN,
+                retry_after: DEFAULT_RETRY_AFTER,
             },
             _ if self.job.deadline <= Instant::now() => GivenUp::TimedOut,
             _ => GivenUp::Failed,
@@ -194,14 +194,15 @@
                 Ok(attempt) => return Ok(attempt),
                 Err(NoBackend::NoneReady) => return Err(self.give_up()),
                 Err(NoBackend::AllFull { retry_after_ms }) => {
-                    Duration::try_from_secs_f64(retry_after_ms / 1000.0).unwrap_or(COME_AGAIN)
+                    Duration::try_from_secs_f64(retry_after_ms / 1000.0)
+                        .unwrap_or(DEFAULT_RETRY_AFTER)
                 }
             };
             let refuse_at = self.job.received_at + self.job.target().mul_f64(WAIT_PART);
             let wait = wait.max(LEAST_WAIT);
             if self.may_have_run > 0 || refuse_at < Instant::now() + wait {
                 return Err(match self.give_up() {
-                    GivenUp::NotRun { .. } => GivenUp::NotRun { come_again: wait },
+                    GivenUp::NotRun { .. } => GivenUp::NotRun { retry_after: wait },
                     given_up => given_up,
                 });
             }
@@ -219,7 +220,7 @@
     }
 
     /// Waits for the next piece of an answer that has begun; `Err` says how the attempt has ended.
-    pub(super) async fn next_piece(
+    pub(super) async fn next_chunk(
         &self,
         answer: &mut BackendResponse,
         wait: Wait,
