--- a/alderhollow/src/http_server/mod.rs
+++ b/alderhollow/src/http_server/mod.rs
@@ -1,5 +1,5 @@
-//! The front of a gateway: takes clients' connections, reads their requests and answers them (PROTOCOL.md, *Requests* and
-//! *Answers*). What goes to backends is [`crate::exchange`]'s, what is about batch jobs is [`crate::batch_api`]'s.
+//! The HTTP server of a gateway: accepts client connections, reads requests and responds to them (PROTOCOL.md,
+//! *Requests* and *Answers*). [`crate::exchange`] sends requests to backends; [`crate::batch_api`] handles batch jobs.
 
 pub mod body;
 mod client;
@@ -36,37 +36,37 @@
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
 use tries::{GivenUp, Job};
 
-/// How long clients may still come once the process is leaving: the platform asks for readiness every second, and hands
-/// new connections over until it has heard no twice.
-const ACCEPTING_ON: Duration = Duration::from_millis(2500);
-/// What is left of the time for leaving when the last requests are given up.
+/// How long connections are still accepted after shutdown begins: the platform probes readiness every second and routes
+/// new connections here until two probes have failed.
+const SHUTDOWN_ACCEPT_PERIOD: Duration = Duration::from_millis(2500);
+/// Part of the shutdown grace period that remains when the last requests are aborted.
 const GRACE_MARGIN: Duration = Duration::from_millis(500);
-/// Of the time for leaving, the last part is for the answers that say that a request is given up.
-const LAST_ANSWERS: Duration = Duration::from_millis(200);
-/// The longest that a request is held where neither its client nor its route says.
-const LONGEST_HELD: Duration = Duration::from_secs(30);
-/// A process that starts while the core has a primary gets its tables within this.
-const USUAL_WAIT_FOR_TABLES: Duration = Duration::from_millis(150);
-/// Without tables for longer, the core has no primary: the lease of the former one (1 s) has to run out, and its
-/// successor has to be found.
-const CORE_TAKE_OVER: Duration = Duration::from_millis(1_000);
-/// Guards against a spin where the system is out of descriptors or the like.
-const BACK_OFF: Duration = Duration::from_millis(20);
+/// Last part of the drain period, in which the error responses of aborted requests are written.
+const ABORT_RESPONSE_PERIOD: Duration = Duration::from_millis(200);
+/// Timeout of routes that set none; also limits the timeout that a client asks for.
+const DEFAULT_ROUTE_TIMEOUT: Duration = Duration::from_secs(30);
+/// A process that starts while the core has a primary receives its tables within this time.
+const USUAL_TABLE_DELAY: Duration = Duration::from_millis(150);
+/// If the tables take longer, the core has no primary: the former primary's lease (1 s) must expire and its successor
+/// must be found.
+const CORE_FAILOVER_TIME: Duration = Duration::from_millis(1_000);
+/// Delay after a failed accept, which prevents a busy loop when the system is out of file descriptors, for example.
+const ACCEPT_ERROR_BACKOFF: Duration = Duration::from_millis(20);
 
-/// What a front needs to know of its machine.
+/// Settings of an HTTP server that depend on its machine.
 #[derive(Debug, Clone)]
 pub struct FrontSettings {
-    /// Time from being told to end until the process is killed (`grace-s`).
+    /// Time from the termination signal until the process is killed (`grace-s`).
     pub grace: Duration,
-    /// Most connections of clients at once.
+    /// Maximum number of concurrent client connections.
     pub max_connections: usize,
-    /// Bytes of requests' bodies that may be here at once.
+    /// Memory budget in bytes for buffered request bodies.
     pub body_bytes: usize,
-    /// Whether the tables may still be taken for the newest; `None`: they always are.
+    /// Tells whether the tables still count as current; with `None` they always do.
     pub validity: Option<TableValidity>,
 }
 
-/// The front of one gateway.
+/// The HTTP server of a gateway.
 pub struct Front {
     settings: FrontSettings,
     exchange: Rc<Exchange>,
@@ -77,7 +77,7 @@
 }
 
 impl Front {
-    /// A front that sends requests through `exchange` and calls about batch jobs to `batch`.
+    /// Creates a server that sends requests through `exchange` and batch API calls to `batch`.
     pub fn new(
         settings: FrontSettings,
         exchange: Rc<Exchange>,
@@ -95,8 +95,8 @@
         })
     }
 
-    /// Serves clients until the process is to end and the last of them is served, or the time for that is over. To be
-    /// run in a `LocalSet`.
+    /// Serves clients until the process shuts down and all connections are closed or the grace period ends. Must run
+    /// in a `LocalSet`.
     pub async fn run(self: Rc<Self>, listener: TcpListener, phase: watch::Receiver<Phase>) {
         let mut connections = JoinSet::new();
         tokio::select! {
@@ -104,43 +104,47 @@
             () = self.exchange.run_maintenance() => {}
         }
         drop(listener);
-        let last = (self.settings.grace.saturating_sub(GRACE_MARGIN)).saturating_sub(ACCEPTING_ON);
-        let until = Instant::now() + last;
+        let drain_period = (self.settings.grace.saturating_sub(GRACE_MARGIN))
+            .saturating_sub(SHUTDOWN_ACCEPT_PERIOD);
+        let until = Instant::now() + drain_period;
         let mut served = pin!(async { while connections.join_next().await.is_some() {} });
-        if timeout_at(until - LAST_ANSWERS.min(last), served.as_mut())
-            .await
-            .is_err()
+        if timeout_at(
+            until - ABORT_RESPONSE_PERIOD.min(drain_period),
+            served.as_mut(),
+        )
+        .await
+        .is_err()
         {
             self.drain_deadline.expire();
             let _ = timeout_at(until, served).await;
         }
     }
 
-    /// Takes connections until the process has been leaving for long enough.
+    /// Accepts connections until the accept period of the shutdown ends.
     async fn accept(
         self: &Rc<Self>,
         listener: &TcpListener,
         connections: &mut JoinSet<()>,
         phase: &watch::Receiver<Phase>,
     ) {
-        let mut over = pin!(over(phase.clone()));
+        let mut accept_end = pin!(accept_period_ended(phase.clone()));
         loop {
             tokio::select! {
-                () = &mut over => return,
+                () = &mut accept_end => return,
                 Some(_) = connections.join_next(), if !connections.is_empty() => {}
                 accepted = listener.accept(), if connections.len() < self.settings.max_connections => {
                     match accepted {
                         Ok((stream, _)) => {
                             connections.spawn_local(client::serve(self.clone(), stream, phase.clone()));
                         }
-                        Err(_) => sleep(BACK_OFF).await,
+                        Err(_) => sleep(ACCEPT_ERROR_BACKOFF).await,
                     }
                 }
             }
         }
     }
 
-    /// The configuration's bounds on clients.
+    /// The configured limits on client requests.
     fn limits(&self) -> Limits {
         let tables = self.exchange.tables();
         tables
@@ -148,41 +152,41 @@
             .map_or_else(Limits::default, |config| config.limits.clone())
     }
 
-    /// Answers one request.
+    /// Responds to one request.
     async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let received_at = Instant::now();
         let (head, body) = request.into_parts();
         let limits = self.limits();
-        if let Err(refused) = intake::check_head(&head, &body, &limits) {
-            return refused.reply();
+        if let Err(error) = intake::check_head(&head, &body, &limits) {
+            return error.reply();
         }
         let body = match intake::read_body(body, &limits, &self.body_budget).await {
             Ok(body) => body,
-            Err(refused) => return refused.reply(),
+            Err(error) => return error.reply(),
         };
-        // The tables as they are now: the body may have taken a while.
+        // Read only now, because the tables may have changed while the body arrived.
         let tables = self.exchange.tables();
         if tables.config().is_none() {
-            return replies::service_unavailable(self.wait_for_tables());
+            return replies::service_unavailable(self.tables_retry_after());
         }
         if path::is_batch_path(head.uri.path()) {
             return self.batch_call(head, body, None, received_at).await;
         }
         match find_route(&tables, &head) {
-            None => self.no_such_route(),
+            None => self.no_route_response(),
             Some(route) if route.route_type != RouteType::Batch => {
                 self.relay(head, body, route, received_at).await
             }
             Some(route) if head.method == Method::POST => {
                 self.batch_call(head, body, Some(route), received_at).await
             }
-            Some(_) => self.no_such_route(),
+            Some(_) => self.no_route_response(),
         }
     }
 
-    /// The answer where the tables name no route: 404 only while they may be taken for the newest. A gateway that was cut off
-    /// may lack a route that is in force by now.
-    fn no_such_route(&self) -> Response<ResponseBody> {
+    /// The response if no route matches: 404 only while the tables count as current. A partitioned gateway may lack a
+    /// route that has been added since.
+    fn no_route_response(&self) -> Response<ResponseBody> {
         match self
             .settings
             .validity
@@ -190,19 +194,19 @@
             .is_none_or(TableValidity::is_current)
         {
             true => replies::empty(StatusCode::NOT_FOUND),
-            false => replies::service_unavailable(CORE_TAKE_OVER),
+            false => replies::service_unavailable(CORE_FAILOVER_TIME),
         }
     }
 
-    /// When a client may come again that came before the first tables.
-    fn wait_for_tables(&self) -> Duration {
-        match self.started_at.elapsed() < USUAL_WAIT_FOR_TABLES {
+    /// The `Retry-After` delay for requests that arrive before the first tables.
+    fn tables_retry_after(&self) -> Duration {
+        match self.started_at.elapsed() < USUAL_TABLE_DELAY {
             true => replies::DEFAULT_RETRY_AFTER,
-            false => CORE_TAKE_OVER,
+            false => CORE_FAILOVER_TIME,
         }
     }
 
-    /// Passes a request on to a backend.
+    /// Forwards a request to a backend.
     async fn relay(
         &self,
         head: Parts,
@@ -213,7 +217,7 @@
         let Some(service) = self.exchange.pick_service(&route) else {
             return relay::no_service_available();
         };
-        let deadline = received_at + held(&head.headers, &route);
+        let deadline = received_at + request_timeout(&head.headers, &route);
         let prompt = if route.sticky {
             prompt::read(&head.headers)
         } else {
@@ -239,7 +243,7 @@
         }
     }
 
-    /// Passes a call about batch jobs on.
+    /// Forwards a batch API call.
     async fn batch_call(
         &self,
         head: Parts,
@@ -260,7 +264,7 @@
     }
 }
 
-/// The route that a request takes.
+/// Finds the route that matches a request's host and path.
 fn find_route(tables: &Tables, head: &Parts) -> Option<Arc<Route>> {
     let named = head
         .headers
@@ -270,20 +274,23 @@
     tables.routes.find(host, head.uri.path()).cloned()
 }
 
-/// How long a request may be held: what its client says, and no longer than its route does.
-fn held(headers: &HeaderMap, route: &Route) -> Duration {
-    let told = headers
+/// The timeout of a request: the client's, limited by the route's.
+fn request_timeout(headers: &HeaderMap, route: &Route) -> Duration {
+    let requested = headers
         .get(DEADLINE_MS)
-        .and_then(|told| told.to_str().ok()?.trim().parse::<f64>().ok());
-    let told = told.and_then(|told| Duration::try_from_secs_f64(told / 1000.0).ok());
-    let most = route.timeout_ms.map_or(LONGEST_HELD, Duration::from_millis);
-    told.map_or(most, |told| told.min(most))
+        .and_then(|requested| requested.to_str().ok()?.trim().parse::<f64>().ok());
+    let requested =
+        requested.and_then(|requested| Duration::try_from_secs_f64(requested / 1000.0).ok());
+    let max_timeout = route
+        .timeout_ms
+        .map_or(DEFAULT_ROUTE_TIMEOUT, Duration::from_millis);
+    requested.map_or(max_timeout, |requested| requested.min(max_timeout))
 }
 
-/// Waits until no more clients are to be accepted.
-async fn over(mut phase: watch::Receiver<Phase>) {
+/// Waits until connections are no longer accepted.
+async fn accept_period_ended(mut phase: watch::Receiver<Phase>) {
     let _ = phase.wait_for(|phase| *phase != Phase::Running).await;
-    let until = Instant::now() + ACCEPTING_ON;
+    let until = Instant::now() + SHUTDOWN_ACCEPT_PERIOD;
     tokio::select! {
         () = sleep_until(until) => {}
         _ = phase.wait_for(|phase| *phase == Phase::Ending) => {}
--- a/alderhollow/src/http_server/relay.rs
+++ b/alderhollow/src/http_server/relay.rs
@@ -1,4 +1,4 @@
-//! Serves one request: its attempts at backends, and the one answer that its client gets.
+//! Serves one request: tries backends until one response can go to the client.
 
 use super::body::ResponseBody;
 use super::replies;
@@ -13,86 +13,89 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-/// Bytes of an answer that are gathered before its client gets any: until then another backend may answer instead.
-const GATHERED_BYTES: usize = 64 * 1024;
+/// Bytes of a response that are buffered before any are sent to the client: until then another backend may respond
+/// instead.
+const MAX_BUFFERED_BYTES: usize = 64 * 1024;
 
-/// How much later than its deadline a client may read the end of its answer.
-const READING_SLACK: Duration = Duration::from_millis(250);
+/// How long after the request's deadline a client may still read the response.
+const CLIENT_READ_SLACK: Duration = Duration::from_millis(250);
 
-/// An answer that is here whole.
-struct Whole {
+/// A fully buffered response.
+struct BufferedResponse {
     status: StatusCode,
     headers: HeaderMap,
     body: Bytes,
 }
 
-/// What is here of an answer.
+/// The result of buffering the beginning of a response.
 enum Received {
-    Whole(Whole),
-    /// A success of which the beginning is here.
-    Begun(BackendResponse, Vec<Bytes>),
-    /// It ended before it was whole, or is none that may be passed on.
-    Lost,
+    Complete(BufferedResponse),
+    /// A response that exceeds the buffer, with the chunks received so far.
+    Partial(BackendResponse, Vec<Bytes>),
+    /// The response is incomplete, or must not be forwarded.
+    Unusable,
 }
 
-/// Serves a request. Dropping the future, or the answer's body, gives it up and ends the backend's work.
+/// Serves a request. Dropping the future or the response body cancels the request and the backend's work on it.
 pub(super) async fn serve(exchange: Rc<Exchange>, job: Rc<Job>) -> Response<ResponseBody> {
     let mut tries = Tries::new(exchange, job);
-    // The newest failure of a backend, for want of anything better.
-    let mut failure: Option<Whole> = None;
+    // The latest error response of a backend, returned if no backend does better.
+    let mut failure: Option<BufferedResponse> = None;
     loop {
         let answer = match tries.next_answer(None).await {
             Ok(answer) => answer,
-            Err(given_up) => return failure.map_or_else(|| given_up.reply(), whole),
+            Err(given_up) => return failure.map_or_else(|| given_up.reply(), full_response),
         };
         match receive(&tries, answer).await {
-            Received::Begun(answer, pieces) => return begun(tries, answer, pieces),
-            Received::Whole(received)
+            Received::Partial(answer, chunks) => return streaming_response(tries, answer, chunks),
+            Received::Complete(received)
                 if received.status.is_server_error() && tries.may_run_again() =>
             {
                 failure = Some(received);
             }
-            Received::Whole(received) => return whole(received),
-            Received::Lost if tries.may_run_again() => {}
-            Received::Lost => return failure.map_or_else(|| tries.give_up().reply(), whole),
+            Received::Complete(received) => return full_response(received),
+            Received::Unusable if tries.may_run_again() => {}
+            Received::Unusable => {
+                return failure.map_or_else(|| tries.give_up().reply(), full_response)
+            }
         }
     }
 }
 
-/// Reads an answer as far as it is gathered.
+/// Reads a response until it ends or exceeds the buffer.
 async fn receive(tries: &Tries, mut answer: BackendResponse) -> Received {
     if !answer.is_valid() {
         answer.abandon(Outcome::Broken);
-        return Received::Lost;
+        return Received::Unusable;
     }
     let is_stream = answer.is_event_stream();
     if !is_stream {
         answer.began();
     }
-    let most = if is_stream { 0 } else { GATHERED_BYTES };
-    let mut pieces = Vec::new();
+    let max_size = if is_stream { 0 } else { MAX_BUFFERED_BYTES };
+    let mut chunks = Vec::new();
     let mut size = 0;
     loop {
         match tries.next_chunk(&mut answer, Wait::Beginning).await {
-            Ok(Some(piece)) => {
-                size += piece.len();
-                pieces.push(piece);
-                if size > most {
+            Ok(Some(chunk)) => {
+                size += chunk.len();
+                chunks.push(chunk);
+                if size > max_size {
                     answer.began();
-                    return Received::Begun(answer, pieces);
+                    return Received::Partial(answer, chunks);
                 }
             }
-            Ok(None) => return gathered(tries, answer, pieces).await,
+            Ok(None) => return complete(tries, answer, chunks).await,
             Err(outcome) => {
                 answer.abandon(outcome);
-                return Received::Lost;
+                return Received::Unusable;
             }
         }
     }
 }
 
-/// An answer that has ended in order.
-async fn gathered(tries: &Tries, mut answer: BackendResponse, pieces: Vec<Bytes>) -> Received {
+/// Completes a response that has ended properly.
+async fn complete(tries: &Tries, mut answer: BackendResponse, chunks: Vec<Bytes>) -> Received {
     let status = answer.status;
     let headers = std::mem::take(&mut answer.headers);
     answer
@@ -102,19 +105,19 @@
             Outcome::Served
         })
         .await;
-    // Passed on, it would promise that the request has not run: the backend did not say so.
-    if is_promise(status) && !tries.job().route.may_repeat() {
-        return Received::Lost;
+    // Forwarding this status would promise that the request has not run, which the backend did not say.
+    if promises_not_run(status) && !tries.job().route.may_repeat() {
+        return Received::Unusable;
     }
-    Received::Whole(Whole {
+    Received::Complete(BufferedResponse {
         status,
         headers,
-        body: join(pieces),
+        body: join(chunks),
     })
 }
 
-/// Statuses that promise a client that its request has not run.
-fn is_promise(status: StatusCode) -> bool {
+/// Whether the status promises the client that its request has not run.
+fn promises_not_run(status: StatusCode) -> bool {
     matches!(
         status,
         StatusCode::TOO_MANY_REQUESTS
@@ -123,7 +126,7 @@
     )
 }
 
-fn whole(received: Whole) -> Response<ResponseBody> {
+fn full_response(received: BufferedResponse) -> Response<ResponseBody> {
     response(
         received.status,
         received.headers,
@@ -131,18 +134,22 @@
     )
 }
 
-/// Passes on what has begun.
-fn begun(tries: Tries, mut answer: BackendResponse, pieces: Vec<Bytes>) -> Response<ResponseBody> {
+/// Starts to forward a response whose beginning is buffered.
+fn streaming_response(
+    tries: Tries,
+    mut answer: BackendResponse,
+    chunks: Vec<Bytes>,
+) -> Response<ResponseBody> {
     let status = answer.status;
-    let resumes = answer.is_event_stream() && tries.job().route.resumable;
+    let is_resumable = answer.is_event_stream() && tries.job().route.resumable;
     let headers = std::mem::take(&mut answer.headers);
-    let first = join(pieces);
-    let due = tries.job().deadline + READING_SLACK;
-    let body = match resumes {
-        true => ResponseBody::streaming(due, |slot| {
+    let first = join(chunks);
+    let write_by = tries.job().deadline + CLIENT_READ_SLACK;
+    let body = match is_resumable {
+        true => ResponseBody::streaming(write_by, |slot| {
             stream::forward_events(tries, answer, first, slot)
         }),
-        false => ResponseBody::streaming(due, |slot| {
+        false => ResponseBody::streaming(write_by, |slot| {
             stream::forward_chunks(tries, answer, first, slot)
         }),
     };
@@ -156,14 +163,14 @@
     response
 }
 
-fn join(mut pieces: Vec<Bytes>) -> Bytes {
-    match pieces.len() {
-        1 => pieces.swap_remove(0),
-        _ => pieces.concat().into(),
+fn join(mut chunks: Vec<Bytes>) -> Bytes {
+    match chunks.len() {
+        1 => chunks.swap_remove(0),
+        _ => chunks.concat().into(),
     }
 }
 
-/// The gateway's answer where no backend was asked.
+/// The gateway's response if no service is available and no backend was asked.
 pub(super) fn no_service_available() -> Response<ResponseBody> {
     replies::service_unavailable(replies::DEFAULT_RETRY_AFTER)
 }
