--- a/alderhollow/src/gateway/clients.rs
+++ b/alderhollow/src/gateway/clients.rs
@@ -1,4 +1,4 @@
-//! Serves clients' requests at the front of a gateway.
+//! Runs the HTTP server of a gateway for client requests.
 
 use crate::batch_api::endpoints::StoreEndpoints;
 use crate::distribution::validity::TableValidity;
@@ -13,68 +13,69 @@
 use tokio::sync::watch;
 use tokio::task::JoinHandle;
 
-/// Descriptors that are not there for clients and backends.
+/// File descriptors reserved for uses other than client and backend connections.
 const RESERVED_DESCRIPTORS: u64 = 400;
-/// Of the rest, one part in so many is for clients.
-const CLIENTS_PART: u64 = 2;
-/// Where the settings name no limits.
-const DESCRIPTORS: u64 = 1024;
-const MEMORY_MB: u64 = 256;
-/// One part of the memory in so many is for bodies of requests.
-const BODIES_PART: u64 = 4;
+/// Client connections get the remaining descriptors divided by this.
+const CLIENT_DESCRIPTOR_DIVISOR: u64 = 2;
+/// Limits that apply if the settings name none.
+const DEFAULT_MAX_FDS: u64 = 1024;
+const DEFAULT_MEMORY_MB: u64 = 256;
+/// Buffered request bodies get the memory limit divided by this.
+const BODY_MEMORY_DIVISOR: u64 = 4;
 const BYTES_PER_MB: u64 = 1 << 20;
 
-/// The front as it runs.
-pub(super) struct Clients {
+/// The running HTTP server.
+pub(super) struct ClientServer {
     phase: watch::Sender<Phase>,
-    front: JoinHandle<()>,
+    server: JoinHandle<()>,
 }
 
-impl Clients {
-    /// Sends clients off from now on.
-    pub(super) fn leave(&self) {
+impl ClientServer {
+    /// Starts to drain client connections.
+    pub(super) fn start_drain(&self) {
         self.phase.send_replace(Phase::Leaving);
     }
 
-    /// Waits until the last of them is served, or the time for that is over.
-    pub(super) async fn ended(self) {
-        let _ = self.front.await;
+    /// Waits until all client connections are drained or the grace period ends.
+    pub(super) async fn drained(self) {
+        let _ = self.server.await;
     }
 }
 
-/// Starts to serve clients.
+/// Starts the HTTP server.
 ///
 /// # Errors
-/// The address can't be listened on.
+/// Listening on the address fails.
 pub(super) async fn serve(
     address: SocketAddr,
     settings: &Settings,
     node: &Node,
-) -> io::Result<Clients> {
+) -> io::Result<ClientServer> {
     let listener = TcpListener::bind(address).await?;
     let exchange = node.begin_exchanges(settings);
     let network = Rc::new(node.network.clone());
     let batch = StoreEndpoints::new(network, node.snapshots.clone(), node.clock, random_seed());
-    let front = Front::new(front_settings(settings, node), exchange, Rc::new(batch));
-    let (phase, following) = watch::channel(Phase::Running);
-    let front = tokio::task::spawn_local(front.run(listener, following));
-    Ok(Clients { phase, front })
+    let server = Front::new(server_settings(settings, node), exchange, Rc::new(batch));
+    let (phase, phase_receiver) = watch::channel(Phase::Running);
+    let server = tokio::task::spawn_local(server.run(listener, phase_receiver));
+    Ok(ClientServer { phase, server })
 }
 
-fn front_settings(settings: &Settings, node: &Node) -> FrontSettings {
-    let polls = node.poll_state.clone();
-    let descriptors = settings.limits.max_fds.unwrap_or(DESCRIPTORS);
+fn server_settings(settings: &Settings, node: &Node) -> FrontSettings {
+    let poll_state = node.poll_state.clone();
+    let descriptors = settings.limits.max_fds.unwrap_or(DEFAULT_MAX_FDS);
     let connections = descriptors
         .saturating_sub(RESERVED_DESCRIPTORS)
         .max(RESERVED_DESCRIPTORS)
-        / CLIENTS_PART;
-    let bodies = settings.limits.memory_mb.unwrap_or(MEMORY_MB) * BYTES_PER_MB / BODIES_PART;
+        / CLIENT_DESCRIPTOR_DIVISOR;
+    let body_bytes =
+        settings.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MB) * BYTES_PER_MB / BODY_MEMORY_DIVISOR;
     FrontSettings {
         grace: settings.bounds.grace,
         max_connections: usize::try_from(connections).unwrap_or(usize::MAX),
-        body_bytes: usize::try_from(bodies).unwrap_or(usize::MAX),
+        body_bytes: usize::try_from(body_bytes).unwrap_or(usize::MAX),
         validity: Some(TableValidity::new(
-            polls,
+            poll_state,
             node.clock,
             settings.bounds.config_apply,
         )),
--- a/alderhollow/src/gateway/mod.rs
+++ b/alderhollow/src/gateway/mod.rs
@@ -1,12 +1,12 @@
-//! The role of a gateway: takes clients' requests and operators' calls; where it has a disk, it is a member of the core.
+//! The gateway role: serves client requests and operator calls; a gateway with a disk is a member of the core.
 //!
 //! | part | does |
 //! | --- | --- |
 //! | `clients` | serves clients' requests |
-//! | `endings` | the planned end |
+//! | `shutdown` | shuts the gateway down gracefully |
 
 mod clients;
-mod endings;
+mod shutdown;
 
 use crate::control_plane::ControlPlane;
 use crate::node::Node;
@@ -16,12 +16,12 @@
 use crate::settings::Settings;
 use alderhollow_model::identity::Role;
 
-/// Runs a gateway until it is told to end.
+/// Runs a gateway until it receives a termination signal.
 ///
 /// # Errors
-/// An address cannot be listened on, or the data folder cannot be opened.
+/// Listening on an address fails, or the data directory cannot be opened.
 pub async fn run(settings: Settings) -> Result<(), RoleError> {
-    log::info!("door {} in zone {}", settings.node, settings.zone);
+    log::info!("gateway {} in zone {}", settings.node, settings.zone);
     let node = Node::new(&settings);
     let readiness = Readiness::new(node.snapshots.clone());
     let ready_server =
@@ -39,7 +39,7 @@
         Some(address) => Some(clients::serve(address, &settings, &node).await?),
         None => None,
     };
-    endings::run_until_ended(&settings, &node, control_plane, &readiness, clients).await?;
+    shutdown::run_until_shutdown(&settings, &node, control_plane, &readiness, clients).await?;
     drop(ready_server);
     Ok(())
 }
--- a/alderhollow/src/gateway/endings.rs
+++ b/alderhollow/src/gateway/shutdown.rs
@@ -1,6 +1,6 @@
-//! The planned end: SIGTERM ends a gateway in phases.
+//! Graceful shutdown: SIGTERM stops a gateway in phases.
 
-use super::clients::Clients;
+use super::clients::ClientServer;
 use crate::control_plane::ControlPlane;
 use crate::node::Node;
 use crate::ready::Readiness;
@@ -9,13 +9,13 @@
 use alderhollow_model::identity::Role;
 use std::io;
 
-/// Runs until the gateway is told to end and has ended its work.
-pub(super) async fn run_until_ended(
+/// Runs until the gateway receives a termination signal and has shut down.
+pub(super) async fn run_until_shutdown(
     settings: &Settings,
     node: &Node,
     control_plane: ControlPlane,
     readiness: &Readiness,
-    clients: Option<Clients>,
+    clients: Option<ClientServer>,
 ) -> io::Result<()> {
     tokio::task::spawn_local(reload::follow(
         node.clone(),
@@ -27,11 +27,11 @@
     readiness.leave();
     node.poll_state.leave();
     if let Some(clients) = &clients {
-        clients.leave();
+        clients.start_drain();
     }
     control_plane.leave().await;
     match clients {
-        Some(clients) => clients.ended().await,
+        Some(clients) => clients.drained().await,
         None => control_plane.redirect_and_end(settings.bounds.grace).await,
     }
     Ok(())
--- a/alderhollow/src/http_server/client.rs
+++ b/alderhollow/src/http_server/client.rs
@@ -44,7 +44,7 @@
         let in_progress = activity.asked();
         // Boxed so that idle connections do not reserve memory for this future.
         Box::pin(async move {
-            let mut response = front.answer(request).await;
+            let mut response = front.respond(request).await;
             if activity.is_closing() {
                 set_connection_close(&mut response);
             }
--- a/alderhollow/src/http_server/mod.rs
+++ b/alderhollow/src/http_server/mod.rs
@@ -1,6 +1,7 @@
 //! The HTTP server of a gateway: accepts client connections, reads requests and responds to them (PROTOCOL.md,
 //! *Requests* and *Answers*). [`crate::exchange`] sends requests to backends; [`crate::batch_api`] handles batch jobs.
 
+mod attempts;
 pub mod body;
 mod client;
 mod drain_deadline;
@@ -9,7 +10,6 @@
 mod relay;
 mod replies;
 mod stream;
-mod tries;
 mod write_deadline;
 
 use crate::batch_api::{path, BatchCall, BatchEndpoints};
@@ -18,6 +18,7 @@
 use crate::exchange::tables::Tables;
 use crate::exchange::{prompt, Exchange};
 use alderhollow_model::config::{Limits, Route, RouteType};
+use attempts::{PendingRequest, RequestFailure};
 use body::ResponseBody;
 use drain_deadline::DrainDeadline;
 use hyper::body::Incoming;
@@ -34,7 +35,6 @@
 use tokio::sync::watch;
 use tokio::task::JoinSet;
 use tokio::time::{sleep, sleep_until, timeout_at, Instant};
-use tries::{GivenUp, Job};
 
 /// How long connections are still accepted after shutdown begins: the platform probes readiness every second and routes
 /// new connections here until two probes have failed.
@@ -153,7 +153,7 @@
     }
 
     /// Responds to one request.
-    async fn answer(&self, request: Request<Incoming>) -> Response<ResponseBody> {
+    async fn respond(&self, request: Request<Incoming>) -> Response<ResponseBody> {
         let received_at = Instant::now();
         let (head, body) = request.into_parts();
         let limits = self.limits();
@@ -227,7 +227,7 @@
         let Ok(outbound) = outbound else {
             return replies::empty(StatusCode::BAD_REQUEST);
         };
-        let job = Job {
+        let request = PendingRequest {
             route,
             service,
             prompt,
@@ -238,8 +238,8 @@
         };
         tokio::select! {
             biased;
-            response = relay::serve(self.exchange.clone(), Rc::new(job)) => response,
-            () = self.drain_deadline.expired() => GivenUp::TimedOut.reply(),
+            response = relay::serve(self.exchange.clone(), Rc::new(request)) => response,
+            () = self.drain_deadline.expired() => RequestFailure::TimedOut.reply(),
         }
     }
 
--- a/alderhollow/src/http_server/relay.rs
+++ b/alderhollow/src/http_server/relay.rs
@@ -1,9 +1,9 @@
 //! Serves one request: tries backends until one response can go to the client.
 
+use super::attempts::{Attempts, PendingRequest, Wait};
 use super::body::ResponseBody;
 use super::replies;
 use super::stream;
-use super::tries::{Job, Tries, Wait};
 use crate::balance::Outcome;
 use crate::exchange::response::BackendResponse;
 use crate::exchange::Exchange;
@@ -37,57 +37,67 @@
 }
 
 /// Serves a request. Dropping the future or the response body cancels the request and the backend's work on it.
-pub(super) async fn serve(exchange: Rc<Exchange>, job: Rc<Job>) -> Response<ResponseBody> {
-    let mut tries = Tries::new(exchange, job);
+pub(super) async fn serve(
+    exchange: Rc<Exchange>,
+    request: Rc<PendingRequest>,
+) -> Response<ResponseBody> {
+    let mut attempts = Attempts::new(exchange, request);
     // The latest error response of a backend, returned if no backend does better.
     let mut failure: Option<BufferedResponse> = None;
     loop {
-        let answer = match tries.next_answer(None).await {
-            Ok(answer) => answer,
-            Err(given_up) => return failure.map_or_else(|| given_up.reply(), full_response),
+        let backend_response = match attempts.next_response(None).await {
+            Ok(backend_response) => backend_response,
+            Err(request_failure) => {
+                return failure.map_or_else(|| request_failure.reply(), full_response)
+            }
         };
-        match receive(&tries, answer).await {
-            Received::Partial(answer, chunks) => return streaming_response(tries, answer, chunks),
+        match receive(&attempts, backend_response).await {
+            Received::Partial(backend_response, chunks) => {
+                return streaming_response(attempts, backend_response, chunks)
+            }
             Received::Complete(received)
-                if received.status.is_server_error() && tries.may_run_again() =>
+                if received.status.is_server_error() && attempts.may_run_again() =>
             {
                 failure = Some(received);
             }
             Received::Complete(received) => return full_response(received),
-            Received::Unusable if tries.may_run_again() => {}
+            Received::Unusable if attempts.may_run_again() => {}
             Received::Unusable => {
-                return failure.map_or_else(|| tries.give_up().reply(), full_response)
+                return failure.map_or_else(|| attempts.failure().reply(), full_response)
             }
         }
     }
 }
 
 /// Reads a response until it ends or exceeds the buffer.
-async fn receive(tries: &Tries, mut answer: BackendResponse) -> Received {
-    if !answer.is_valid() {
-        answer.abandon(Outcome::Broken);
+async fn receive(attempts: &Attempts, mut backend_response: BackendResponse) -> Received {
+    if !backend_response.is_valid() {
+        backend_response.abandon(Outcome::Broken);
         return Received::Unusable;
     }
-    let is_stream = answer.is_event_stream();
+    let is_stream = backend_response.is_event_stream();
     if !is_stream {
-        answer.began();
+        backend_response.began();
     }
     let max_size = if is_stream { 0 } else { MAX_BUFFERED_BYTES };
     let mut chunks = Vec::new();
     let mut size = 0;
     loop {
-        match tries.next_chunk(&mut answer, Wait::Beginning).await {
+        match attempts
+            .next_chunk(&mut backend_response, Wait::FirstByte)
+            .await
+        {
             Ok(Some(chunk)) => {
                 size += chunk.len();
                 chunks.push(chunk);
                 if size > max_size {
-                    answer.began();
-                    return Received::Partial(answer, chunks);
+                    backend_response.began();
+                    return Received::Partial(backend_response, chunks);
                 }
             }
-            Ok(None) => return complete(tries, answer, chunks).await,
+            Ok(None) => return complete(attempts, backend_response, chunks).await,
             Err(outcome) => {
-                answer.abandon(outcome);
+                backend_response.abandon(outcome);
                 return Received::Unusable;
             }
         }
@@ -95,10 +105,14 @@
 }
 
 /// Completes a response that has ended properly.
-async fn complete(tries: &Tries, mut answer: BackendResponse, chunks: Vec<Bytes>) -> Received {
-    let status = answer.status;
-    let headers = std::mem::take(&mut answer.headers);
-    answer
+async fn complete(
+    attempts: &Attempts,
+    mut backend_response: BackendResponse,
+    chunks: Vec<Bytes>,
+) -> Received {
+    let status = backend_response.status;
+    let headers = std::mem::take(&mut backend_response.headers);
+    backend_response
         .finish(if status.is_server_error() {
             Outcome::Failed
         } else {
@@ -106,7 +120,7 @@
         })
         .await;
     // Forwarding this status would promise that the request has not run, which the backend did not say.
-    if promises_not_run(status) && !tries.job().route.may_repeat() {
+    if promises_not_run(status) && !attempts.request().route.may_repeat() {
         return Received::Unusable;
     }
     Received::Complete(BufferedResponse {
@@ -136,21 +150,21 @@
 
 /// Starts to forward a response whose beginning is buffered.
 fn streaming_response(
-    tries: Tries,
-    mut answer: BackendResponse,
+    attempts: Attempts,
+    mut backend_response: BackendResponse,
     chunks: Vec<Bytes>,
 ) -> Response<ResponseBody> {
-    let status = answer.status;
-    let is_resumable = answer.is_event_stream() && tries.job().route.resumable;
-    let headers = std::mem::take(&mut answer.headers);
+    let status = backend_response.status;
+    let is_resumable = backend_response.is_event_stream() && attempts.request().route.resumable;
+    let headers = std::mem::take(&mut backend_response.headers);
     let first = join(chunks);
-    let write_by = tries.job().deadline + CLIENT_READ_SLACK;
+    let write_by = attempts.request().deadline + CLIENT_READ_SLACK;
     let body = match is_resumable {
         true => ResponseBody::streaming(write_by, |slot| {
-            stream::forward_events(tries, answer, first, slot)
+            stream::forward_events(attempts, backend_response, first, slot)
         }),
         false => ResponseBody::streaming(write_by, |slot| {
-            stream::forward_chunks(tries, answer, first, slot)
+            stream::forward_chunks(attempts, backend_response, first, slot)
         }),
     };
     response(status, headers, body)
--- a/alderhollow/src/http_server/stream.rs
+++ b/alderhollow/src/http_server/stream.rs
@@ -1,8 +1,8 @@
 //! Forwards a backend's response body as it arrives. A resumable stream continues on another backend within the same
 //! response.
 
+use super::attempts::{Attempts, Wait};
 use super::body::ChunkSlot;
-use super::tries::{Tries, Wait};
 use crate::balance::Outcome;
 use crate::exchange::events::EventSplitter;
 use crate::exchange::response::BackendResponse;
@@ -15,21 +15,21 @@
 /// # Errors
 /// The response is incomplete.
 pub(super) async fn forward_chunks(
-    tries: Tries,
-    mut answer: BackendResponse,
+    attempts: Attempts,
+    mut response: BackendResponse,
     first: Bytes,
     slot: Rc<ChunkSlot>,
 ) -> Result<(), Cut> {
     slot.put(first).await;
     loop {
-        match tries.next_chunk(&mut answer, Wait::Rest).await {
+        match attempts.next_chunk(&mut response, Wait::Rest).await {
             Ok(Some(chunk)) => slot.put(chunk).await,
             Ok(None) => {
-                answer.finish(Outcome::Served).await;
+                response.finish(Outcome::Served).await;
                 return Ok(());
             }
             Err(outcome) => {
-                answer.abandon(outcome);
+                response.abandon(outcome);
                 return Err(Cut);
             }
         }
@@ -42,12 +42,12 @@
 /// # Errors
 /// No backend resumes the stream, so it is truncated.
 pub(super) async fn forward_events(
-    mut tries: Tries,
-    mut answer: BackendResponse,
+    mut attempts: Attempts,
+    mut response: BackendResponse,
     first: Bytes,
     slot: Rc<ChunkSlot>,
 ) -> Result<(), Cut> {
-    let mut splitter = EventSplitter::after(tries.job().outbound.last_event_id());
+    let mut splitter = EventSplitter::after(attempts.request().outbound.last_event_id());
     let mut next = Ok(Some(first));
     loop {
         let failure = match next {
@@ -60,32 +60,32 @@
             },
             Ok(None) => {
                 slot.put(splitter.finish()).await;
-                answer.finish(Outcome::Served).await;
+                response.finish(Outcome::Served).await;
                 return Ok(());
             }
             Err(outcome) => Some(outcome),
         };
         if let Some(outcome) = failure {
-            answer.abandon(outcome);
+            response.abandon(outcome);
             splitter.discard_partial();
-            answer = resume(&mut tries, splitter.last_id()).await?;
-            next = tries.next_chunk(&mut answer, Wait::Beginning).await;
-            answer.began();
+            response = resume(&mut attempts, splitter.last_id()).await?;
+            next = attempts.next_chunk(&mut response, Wait::FirstByte).await;
+            response.began();
         } else {
-            next = tries.next_chunk(&mut answer, Wait::NextEvent).await;
+            next = attempts.next_chunk(&mut response, Wait::NextEvent).await;
         }
     }
 }
 
 /// Gets a response from a backend that resumes after the event `last_id`.
-async fn resume(tries: &mut Tries, last_id: Option<u64>) -> Result<BackendResponse, Cut> {
-    while tries.may_run_again() {
-        let answer = tries.next_answer(last_id).await.map_err(|_| Cut)?;
-        if answer.is_valid() && answer.is_event_stream() {
-            return Ok(answer);
+async fn resume(attempts: &mut Attempts, last_id: Option<u64>) -> Result<BackendResponse, Cut> {
+    while attempts.may_run_again() {
+        let response = attempts.next_response(last_id).await.map_err(|_| Cut)?;
+        if response.is_valid() && response.is_event_stream() {
+            return Ok(response);
         }
-        let failed = answer.status.is_server_error();
-        answer.abandon(if failed {
+        let failed = response.status.is_server_error();
+        response.abandon(if failed {
             Outcome::Failed
         } else {
             Outcome::Broken
