--- a/alderhollow/src/http_server/stream.rs
+++ b/alderhollow/src/http_server/stream.rs
@@ -1,7 +1,8 @@
-//! Passes an answer's body on as it comes. A stream that may be resumed goes on at another backend inside the one answer.
+//! Forwards a backend's response body as it arrives. A resumable stream continues on another backend within the same
+//! response.
 
-use super::body::Slot;
-use super::tries::{Tries, Wait};
+use super::attempts::{Attempts, Wait};
+use super::body::ChunkSlot;
 use crate::balance::Outcome;
 use crate::exchange::events::EventSplitter;
 use crate::exchange::response::BackendResponse;
@@ -9,48 +10,48 @@
 use hyper::body::Bytes;
 use std::rc::Rc;
 
-/// Passes pieces on unchanged. An end that comes early is the answer's end for its client, too.
+/// Forwards chunks unchanged. If the backend's response is truncated, so is the client's.
 ///
 /// # Errors
-/// The answer is not whole.
-pub(super) async fn pass_pieces(
-    tries: Tries,
-    mut answer: BackendResponse,
+/// The response is incomplete.
+pub(super) async fn forward_chunks(
+    attempts: Attempts,
+    mut response: BackendResponse,
     first: Bytes,
-    slot: Rc<Slot>,
+    slot: Rc<ChunkSlot>,
 ) -> Result<(), Cut> {
     slot.put(first).await;
     loop {
-        match tries.next_piece(&mut answer, Wait::Rest).await {
-            Ok(Some(piece)) => slot.put(piece).await,
+        match attempts.next_chunk(&mut response, Wait::Rest).await {
+            Ok(Some(chunk)) => slot.put(chunk).await,
             Ok(None) => {
-                answer.finish(Outcome::Served).await;
+                response.finish(Outcome::Served).await;
                 return Ok(());
             }
             Err(outcome) => {
-                answer.abandon(outcome);
+                response.abandon(outcome);
                 return Err(Cut);
             }
         }
     }
 }
 
-/// Passes whole events on. Where a backend cuts its stream off, or falls silent, another one goes on behind the last
-/// event that was passed on.
+/// Forwards complete events. If a backend aborts its stream or stalls, another one resumes after the last forwarded
+/// event.
 ///
 /// # Errors
-/// No backend goes on: the stream is cut short.
-pub(super) async fn pass_events(
-    mut tries: Tries,
-    mut answer: BackendResponse,
+/// No backend resumes the stream, so it is truncated.
+pub(super) async fn forward_events(
+    mut attempts: Attempts,
+    mut response: BackendResponse,
     first: Bytes,
-    slot: Rc<Slot>,
+    slot: Rc<ChunkSlot>,
 ) -> Result<(), Cut> {
-    let mut cutter = EventSplitter::after(tries.job().outbound.last_event_id());
+    let mut splitter = EventSplitter::after(attempts.request().outbound.last_event_id());
     let mut next = Ok(Some(first));
     loop {
-        let lost = match next {
-            Ok(Some(piece)) => match cutter.push(piece) {
+        let failure = match next {
+            Ok(Some(chunk)) => match splitter.push(chunk) {
                 Ok(events) => {
                     slot.put(events).await;
                     None
@@ -58,33 +59,33 @@
                 Err(_) => Some(Outcome::Broken),
             },
             Ok(None) => {
-                slot.put(cutter.finish()).await;
-                answer.finish(Outcome::Served).await;
+                slot.put(splitter.finish()).await;
+                response.finish(Outcome::Served).await;
                 return Ok(());
             }
             Err(outcome) => Some(outcome),
         };
-        if let Some(outcome) = lost {
-            answer.abandon(outcome);
-            cutter.discard_partial();
-            answer = resume(&mut tries, cutter.last_id()).await?;
-            next = tries.next_piece(&mut answer, Wait::Beginning).await;
-            answer.began();
+        if let Some(outcome) = failure {
+            response.abandon(outcome);
+            splitter.discard_partial();
+            response = resume(&mut attempts, splitter.last_id()).await?;
+            next = attempts.next_chunk(&mut response, Wait::FirstByte).await;
+            response.began();
         } else {
-            next = tries.next_piece(&mut answer, Wait::NextEvent).await;
+            next = attempts.next_chunk(&mut response, Wait::NextEvent).await;
         }
     }
 }
 
-/// A backend that goes on behind the event.
-async fn resume(tries: &mut Tries, last_id: Option<u64>) -> Result<BackendResponse, Cut> {
-    while tries.may_run_again() {
-        let answer = tries.next_answer(last_id).await.map_err(|_| Cut)?;
-        if answer.is_valid() && answer.is_event_stream() {
-            return Ok(answer);
+/// Gets a response from a backend that resumes after the event `last_id`.
+async fn resume(attempts: &mut Attempts, last_id: Option<u64>) -> Result<BackendResponse, Cut> {
+    while attempts.may_run_again() {
+        let response = attempts.next_response(last_id).await.map_err(|_| Cut)?;
+        if response.is_valid() && response.is_event_stream() {
+            return Ok(response);
         }
-        let failed = answer.status.is_server_error();
-        answer.abandon(if failed {
+        let failed = response.status.is_server_error();
+        response.abandon(if failed {
             Outcome::Failed
         } else {
             Outcome::Broken
